--- a/decision/admit.go
+++ b/decision/admit.go
@@ -26,13 +26,13 @@
 		w.refuseFor(r, to.reason)
 		return
 	}
-	if reason := w.bars(r); reason != "" {
+	if reason := w.blockedReason(r); reason != "" {
 		w.refuseFor(r, reason)
 		return
 	}
-	w.aim(r, to)
-	reason := w.crowded(r)
-	if reason == ReasonWaitTooLong && w.spill(r) {
+	w.assign(r, to)
+	reason := w.capacityReason(r)
+	if reason == ReasonWaitTooLong && w.spillover(r) {
 		reason = ""
 	}
 	if reason != "" {
@@ -44,7 +44,7 @@
 
 // bars gives the reason why a request that may run by the manifest still must
 // not.
-func (w *World) bars(r *request) RefusalReason {
+func (w *World) blockedReason(r *request) RefusalReason {
 	if w.isQuarantined(r.Fingerprint) {
 		// It crashed the servers that ran it; one more would be lost.
 		return ReasonQuarantined
@@ -67,7 +67,7 @@
 // the queue as long as it is of use, and the time of the answer itself is part
 // of it, since a late answer is worth nothing. The margin keeps the estimate's
 // error from admitting half of those at the edge in vain.
-func (w *World) crowded(r *request) RefusalReason {
+func (w *World) capacityReason(r *request) RefusalReason {
 	if r.team.queued >= w.queueLimit(r.team) {
 		return ReasonQueueFull
 	}
@@ -78,8 +78,8 @@
 		return ""
 	}
 	wait := time.Duration(w.cfg.WaitMargin * float64(w.waitFor(r)))
-	room := r.deadline.Sub(w.now)
-	if wait+r.pool.pace.atMost(r.item.Cost) > room || wait > w.waitLimit(r, room) {
+	timeLeft := r.deadline.Sub(w.now)
+	if wait+r.pool.serviceTime.upperBound(r.item.Cost) > timeLeft || wait > w.waitLimit(r, timeLeft) {
 		return ReasonWaitTooLong
 	}
 	return ""
@@ -93,23 +93,23 @@
 // adds its wait to every answer; so it is kept short, and callers are told at
 // once when to come back. A team without a queue waits for the next slot only,
 // and may.
-func (w *World) waitLimit(r *request, room time.Duration) time.Duration {
+func (w *World) waitLimit(r *request, timeLeft time.Duration) time.Duration {
 	p := r.pool
 	if !w.overloaded(p) || p.flow(r.team).Len() == 0 {
-		return room
+		return timeLeft
 	}
-	return time.Duration(w.cfg.StandingWait * float64(room))
+	return time.Duration(w.cfg.StandingWait * float64(timeLeft))
 }
 
 // overloadPart is the part of the last while for which a queue stood in overload:
 // under a third, the slots that eight instances leave each other still suffice.
-const overloadPart = 0.3
+const overloadThreshold = 0.3
 
 // overloaded tells demand over capacity for long from a burst: the queue stood for
 // much of the last while. One of eight instances on a saturated pool sees its own
 // queue run empty now and then, so the present queue's age does not tell.
 func (w *World) overloaded(p *pool) bool {
-	return !w.cfg.Policy.NoWaitLimit && p.backlog.part(w.now, w.cfg.BurstFor) >= overloadPart
+	return !w.cfg.Policy.NoWaitLimit && p.backlog.part(w.now, w.cfg.BurstFor) >= overloadThreshold
 }
 
 func (w *World) queueLimit(t *team) int {
--- a/decision/affinity.go
+++ b/decision/affinity.go
@@ -2,10 +2,10 @@
 
 // unsureMatch is the worth of a match that the server has not confirmed, or that
 // stands behind a gap in its events.
-const unsureMatch = 0.7
+const unconfirmedWeight = 0.7
 
 // matchLimit is how many servers with a cached prefix join the two drawn ones.
-const matchLimit = 2
+const maxPrefixMatches = 2
 
 // ingestCache takes a server's word on its prefix cache, late and with gaps.
 func (w *World) ingestCache(e CacheChanged) {
@@ -22,26 +22,26 @@
 // saved counts as a part of the request's whole work, so that a long prompt with
 // a short answer is drawn to its prefix more than the reverse; past a load bound
 // the scorer lets it go.
-func (w *World) considerCached(p *pool, r *request) {
+func (w *World) addCachedCandidates(p *pool, r *request) {
 	if len(r.Blocks) == 0 || w.cfg.Policy.NoAffinity {
 		return
 	}
-	w.matches = w.prefixes.Match(r.Blocks, matchLimit, w.now, w.matches[:0])
+	w.matches = w.prefixes.Match(r.Blocks, maxPrefixMatches, w.now, w.matches[:0])
 	for _, m := range w.matches {
 		s := w.servers[m.Server]
-		if s == nil || !s.isFree || !s.in(p) {
+		if s == nil || !s.isFree || !s.inPool(p) {
 			continue
 		}
 		saved := float64(m.Blocks) / float64(len(r.Blocks)) * w.promptCost(r) / r.item.Cost
 		if !m.Sure {
-			saved *= unsureMatch
+			saved *= unconfirmedWeight
 		}
-		w.consider(s, p, r).Saved = saved
+		w.addCandidate(s, p, r).Saved = saved
 	}
 }
 
 // noteCached remembers that the server will have the prompt's prefix.
-func (w *World) noteCached(r *request, s *server) {
+func (w *World) recordPrefix(r *request, s *server) {
 	if len(r.Blocks) > 0 && !w.cfg.Policy.NoAffinity {
 		w.prefixes.Dispatched(s.ID, r.Blocks, w.now)
 	}
--- a/decision/budget.go
+++ b/decision/budget.go
@@ -14,7 +14,7 @@
 }
 
 // floorRefill is how many retries a second come back below the floor.
-const floorRefill = 1.0
+const floorRefillPerSecond = 1.0
 
 // earn notes a success.
 func (b *retryBudget) earn(c *Config) {
@@ -26,7 +26,7 @@
 	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
 		b.at = now
 		if b.tokens < c.RetryFloor {
-			b.tokens = min(b.tokens+elapsed*floorRefill, c.RetryFloor)
+			b.tokens = min(b.tokens+elapsed*floorRefillPerSecond, c.RetryFloor)
 		}
 	}
 	if b.tokens < 1 {
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -11,7 +11,7 @@
 
 // refresh recomputes whether the server can take a request now.
 func (w *World) refresh(s *server) {
-	w.setFree(s, w.canTake(s))
+	w.setFree(s, w.hasFreeSlot(s))
 }
 
 // canTake is the capacity and state filter.
@@ -22,21 +22,21 @@
 // attempt may pass the slots by a part: else an instance that joins a saturated
 // pool would never get a slot, since the others refill theirs as they end. It
 // makes the others see the server as full, and so their part shrinks.
-func (w *World) canTake(s *server) bool {
+func (w *World) hasFreeSlot(s *server) bool {
 	if s.gone || s.leaving || w.isBarred(s) {
 		return false
 	}
-	if w.now.Before(s.shutUntil) {
-		w.wakeAt(s, s.shutUntil)
+	if w.now.Before(s.backoffUntil) {
+		w.wakeAt(s, s.backoffUntil)
 		return false
 	}
 	if s.running >= s.capacity() {
 		return false
 	}
-	if s.running+s.others < s.capacity() {
+	if s.running+s.otherLoad < s.capacity() {
 		return true
 	}
-	if s.running == 0 && s.others < s.capacity()+w.overcommit(s) {
+	if s.running == 0 && s.otherLoad < s.capacity()+w.overcommit(s) {
 		return true
 	}
 	if !w.reportFresh(s) {
@@ -58,18 +58,18 @@
 		return
 	}
 	s.isFree = free
-	for i := range s.member {
+	for i := range s.memberships {
 		if free {
-			s.member[i].pool.addFree(s, i)
+			s.memberships[i].pool.addFree(s, i)
 		} else {
-			s.member[i].pool.removeFree(s.member[i].pos)
-			s.member[i].pos = -1
+			s.memberships[i].pool.removeFree(s.memberships[i].pos)
+			s.memberships[i].pos = -1
 		}
 	}
 }
 
 func (p *pool) addFree(s *server, member int) {
-	s.member[member].pos = len(p.free)
+	s.memberships[member].pos = len(p.free)
 	p.free = append(p.free, freeSlot{server: s, member: member})
 }
 
@@ -77,17 +77,17 @@
 	last := len(p.free) - 1
 	moved := p.free[last]
 	p.free[pos] = moved
-	moved.server.member[moved.member].pos = pos
+	moved.server.memberships[moved.member].pos = pos
 	p.free[last] = freeSlot{}
 	p.free = p.free[:last]
 }
 
 // shut keeps the server out of the choice until at.
-func (w *World) shut(s *server, at time.Time) {
-	if !at.After(s.shutUntil) {
+func (w *World) backOff(s *server, at time.Time) {
+	if !at.After(s.backoffUntil) {
 		return
 	}
-	s.shutUntil = at
+	s.backoffUntil = at
 	w.refresh(s)
 }
 
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -36,7 +36,7 @@
 	if len(t.models) == 0 {
 		return refused(ReasonNotAllowed)
 	}
-	w.offerOptions(t, r)
+	w.listOptions(t, r)
 	switch {
 	case len(w.options) > 0:
 	case w.pinsWithdrawn(r):
@@ -51,7 +51,7 @@
 
 // offerOptions lists the version of each allowed model that the request may run
 // on now. A model without a server is left out: another one can answer.
-func (w *World) offerOptions(t *team, r *request) {
+func (w *World) listOptions(t *team, r *request) {
 	w.options = w.options[:0]
 	for _, tm := range t.models {
 		v := w.versionFor(tm, r)
@@ -90,7 +90,7 @@
 	longest := time.Duration(0)
 	for _, o := range w.options {
 		p := w.versions[o.Version].pool
-		longest = max(longest, p.pace.service(w.costOf(r)))
+		longest = max(longest, p.serviceTime.estimate(w.costOf(r)))
 	}
 	return !w.now.Add(2*longest + w.cfg.RateBudget).After(r.deadline)
 }
@@ -130,7 +130,7 @@
 // a model that the team may use, and that meets its target, stands idle. It
 // costs more; it is not done for teams whose share there is used up, since their
 // wait there is too long as well.
-func (w *World) spill(r *request) bool {
+func (w *World) spillover(r *request) bool {
 	if r.Model != "" || r.Pinned != "" || r.Service != "" {
 		return false
 	}
@@ -143,12 +143,12 @@
 			continue
 		}
 		r.plan = plan{First: o.Version}
-		w.aim(r, choice{version: v, pool: v.pool})
-		if w.crowded(r) == "" {
+		w.assign(r, choice{version: v, pool: v.pool})
+		if w.capacityReason(r) == "" {
 			return true
 		}
 	}
 	r.plan = planned
-	w.aim(r, before)
+	w.assign(r, before)
 	return false
 }
--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -9,7 +9,7 @@
 
 // cascadeWorld has a cheap model that is good at 7 of 10 requests, and a dear
 // one that is good at all.
-func cascadeWorld(t *testing.T, cfg Config) *harness {
+func cascadeHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
 	team := teamOf("weavers", 1)
 	team.QualityTarget = 0.8
@@ -28,7 +28,7 @@
 // bill sums the cost of the attempts and the true quality of what was delivered.
 func (h *harness) serveOpen(n int, r Request) (cost, quality float64) {
 	last := map[RequestID]Dispatch{}
-	h.seen = func(c Command) {
+	h.onCommand = func(c Command) {
 		d, ok := c.(Dispatch)
 		if !ok {
 			return
@@ -44,19 +44,19 @@
 			quality += score
 		}
 	}
-	h.seen = nil
+	h.onCommand = nil
 	return cost / float64(n), quality / float64(n)
 }
 
 func TestCascadeCostsLessAtTheTarget(t *testing.T) {
 	open := Request{Team: "weavers", Class: "lookup", MaxTokens: 20, Idempotent: true}
-	h := cascadeWorld(t, DefaultConfig())
+	h := cascadeHarness(t, DefaultConfig())
 	h.serveOpen(200, open)
 	cost, quality := h.serveOpen(300, open)
 	if quality < 0.79 || cost > 6 {
 		t.Errorf("cost %.2f of 10, quality %.3f", cost, quality)
 	}
-	h.settled()
+	h.requireAllAnswered()
 }
 
 // What may not be held goes to the step that meets the target by itself, and
@@ -68,11 +68,11 @@
 	}
 	for i, r := range tests {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			h := cascadeWorld(t, DefaultConfig())
+			h := cascadeHarness(t, DefaultConfig())
 			r.Team, r.MaxTokens = "weavers", 20
 			held := 0
 			for range 100 {
-				h.seen = func(c Command) {
+				h.onCommand = func(c Command) {
 					if d, ok := c.(Dispatch); ok && d.Hold {
 						held++
 					}
@@ -98,19 +98,19 @@
 	}
 	for name, rating := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := cascadeWorld(t, DefaultConfig())
+			h := cascadeHarness(t, DefaultConfig())
 			h.rating = rating
 			for range 100 {
 				h.arrive(Request{Team: "weavers", MaxTokens: 20, Idempotent: true})
 				h.run(5 * step)
 			}
 			h.run(2 * time.Second)
-			h.settled()
+			h.requireAllAnswered()
 			if h.delivered("") != 100 {
 				t.Errorf("%d of 100 delivered", h.delivered(""))
 			}
 			// Two attempts of 100 ms, the budget and its grace.
-			if worst := percentile(h.waits("weavers"), 1); worst > 700*time.Millisecond {
+			if worst := percentile(h.answerTimes("weavers"), 1); worst > 700*time.Millisecond {
 				t.Errorf("the slowest took %v", worst)
 			}
 		})
@@ -120,9 +120,9 @@
 // A second step that fails costs the caller nothing: the held answer is whole.
 func TestFailedEscalationDeliversTheHeldAnswer(t *testing.T) {
 	for _, result := range []AttemptResult{AttemptFailed, AttemptUnknown, AttemptCrashed, AttemptNotRun} {
-		h := cascadeWorld(t, Config{Policy: Policy{Cascade: CascadeFixed}})
+		h := cascadeHarness(t, Config{Policy: Policy{Cascade: CascadeFixed}})
 		h.rating = func(Dispatch, Request) (float64, bool) { return 0.1, false }
-		h.ended = func(d Dispatch, _ Request) AttemptResult {
+		h.result = func(d Dispatch, _ Request) AttemptResult {
 			if d.Version == draft1 {
 				return result
 			}
@@ -140,7 +140,7 @@
 // is used.
 func TestSpillsToAnotherModel(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.took = paced
+	h.duration = tenMsPerToken
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 	cheap, dear := serversOf(2, 8, weave1), serversOf(4, 8, draft1)[2:]
 	h.servers(append(cheap, dear...)...)
@@ -152,7 +152,7 @@
 		request: Request{Team: "weavers", MaxTokens: 20, Idempotent: true},
 	})
 	h.run(3 * time.Second)
-	h.settled()
+	h.requireAllAnswered()
 	if got := h.delivered(""); got < len(h.outcomes)*97/100 {
 		t.Errorf("%d of %d delivered", got, len(h.outcomes))
 	}
--- a/decision/command.go
+++ b/decision/command.go
@@ -57,7 +57,7 @@
 // end takes a request out of all tables.
 func (w *World) end(r *request) {
 	w.dequeue(r)
-	w.unwatch(r)
+	w.clearDue(r)
 	delete(w.requests, r.ID)
 	r.state = stateEnded
 }
--- a/decision/crash.go
+++ b/decision/crash.go
@@ -86,7 +86,7 @@
 			kept = append(kept, r)
 			continue
 		}
-		w.again(r)
+		w.requeue(r)
 	}
 	clear(w.parked[len(kept):])
 	w.parked = kept
--- a/decision/drain.go
+++ b/decision/drain.go
@@ -26,7 +26,7 @@
 }
 
 // left notes work that left a backlogged queue.
-func (m *drainMeter) left(cost float64) { m.work += cost }
+func (m *drainMeter) add(cost float64) { m.work += cost }
 
 // rate is the cost a second that leaves the queue. The guess counts as a tenth
 // of the half-life, so that half a second of backlog outweighs it by default.
@@ -55,103 +55,103 @@
 
 // learn notes that a request waited so long for a slot, or gave up waiting.
 func (m *biasMeter) learn(expected, waited time.Duration) {
-	m.expected = m.expected*perAttempt + expected.Seconds()
-	m.waited = m.waited*perAttempt + waited.Seconds()
+	m.expected = m.expected*decayPerAttempt + expected.Seconds()
+	m.waited = m.waited*decayPerAttempt + waited.Seconds()
 }
 
 // Bounds of the correction: beyond them it is the rate that is wrong, and that
 // is measured by itself.
 const (
-	minBias = 0.5
-	maxBias = 4
+	minWaitBias = 0.5
+	maxWaitBias = 4
 )
 
 // factor is what to multiply an estimate by. One second of a right estimate is
 // counted in, so that the first few waits do not swing it.
 func (m *biasMeter) factor() float64 {
-	return min(max((m.waited+1)/(m.expected+1), minBias), maxBias)
+	return min(max((m.waited+1)/(m.expected+1), minWaitBias), maxWaitBias)
 }
 
 // paceMeter measures how long a pool's attempts take for their cost.
-type paceMeter struct {
+type serviceTimeMeter struct {
 	// count, cost and seconds of completed attempts, decayed by count.
 	count   float64
 	cost    float64
 	seconds float64
 	// off is the mean part by which an attempt took longer or shorter than was
 	// estimated.
-	off float64
+	meanError float64
 	// answered is the mean part of the tokens that were allowed for that an
 	// answer had.
-	answered float64
+	lengthRatio float64
 	// sizes are the same by size of the work: a short answer spends most of its
 	// time on its prompt, and takes longer for its cost than a long one.
-	sizes [maxSizes]sizePace
+	sizes [sizeClasses]sizeTotals
 }
 
 // sizePace is the time of attempts of a size.
-type sizePace struct {
+type sizeTotals struct {
 	cost    float64
 	seconds float64
 }
 
 // maxSizes bounds the sizes, each twice the one before: up to some 500,000 tokens.
-const maxSizes = 20
+const sizeClasses = 20
 
-func sizeOf(cost float64) int { return min(bits.Len(uint(cost)), maxSizes-1) }
+func sizeClass(cost float64) int { return min(bits.Len(uint(cost)), sizeClasses-1) }
 
 // perAttempt keeps about the last 50 attempts: enough to smooth, few enough to
 // follow a change of load within seconds.
-const perAttempt = 0.98
+const decayPerAttempt = 0.98
 
 // learn notes a completed attempt.
-func (m *paceMeter) learn(took time.Duration, cost float64) {
-	if expected := m.service(cost); expected > 0 {
+func (m *serviceTimeMeter) learn(took time.Duration, cost float64) {
+	if expected := m.estimate(cost); expected > 0 {
 		off := math.Abs(took.Seconds()/expected.Seconds() - 1)
-		m.off += (min(off, 1) - m.off) * (1 - perAttempt)
+		m.meanError += (min(off, 1) - m.meanError) * (1 - decayPerAttempt)
 	}
-	m.count = m.count*perAttempt + 1
-	m.cost = m.cost*perAttempt + cost
-	m.seconds = m.seconds*perAttempt + took.Seconds()
-	size := &m.sizes[sizeOf(cost)]
-	size.cost = size.cost*perAttempt + cost
-	size.seconds = size.seconds*perAttempt + took.Seconds()
+	m.count = m.count*decayPerAttempt + 1
+	m.cost = m.cost*decayPerAttempt + cost
+	m.seconds = m.seconds*decayPerAttempt + took.Seconds()
+	size := &m.sizes[sizeClass(cost)]
+	size.cost = size.cost*decayPerAttempt + cost
+	size.seconds = size.seconds*decayPerAttempt + took.Seconds()
 }
 
 // learnTokens notes an answer's length as a part of what was allowed for.
-func (m *paceMeter) learnTokens(tokens, allowed float64) {
+func (m *serviceTimeMeter) learnTokens(tokens, allowed float64) {
 	if allowed <= 0 {
 		return
 	}
 	part := min(tokens/allowed, 1)
-	if m.answered == 0 {
-		m.answered = part
+	if m.lengthRatio == 0 {
+		m.lengthRatio = part
 	}
-	m.answered += (part - m.answered) * (1 - perAttempt)
+	m.lengthRatio += (part - m.lengthRatio) * (1 - decayPerAttempt)
 }
 
 // sizePrior is how many attempts of a size the pace of all sizes counts for.
-const sizePrior = 3
+const sizePriorAttempts = 3
 
 // service estimates how long an attempt of the cost takes, by those of its size
 // and by all; 0 before anything is known.
-func (m *paceMeter) service(cost float64) time.Duration {
+func (m *serviceTimeMeter) estimate(cost float64) time.Duration {
 	if m.cost == 0 {
 		return 0
 	}
-	size := &m.sizes[sizeOf(cost)]
-	prior := sizePrior * cost
+	size := &m.sizes[sizeClass(cost)]
+	prior := sizePriorAttempts * cost
 	pace := (size.seconds + prior*m.seconds/m.cost) / (size.cost + prior)
 	return seconds(cost * pace)
 }
 
 // atMost is the estimate with the usual error added: most attempts take less.
-func (m *paceMeter) atMost(cost float64) time.Duration {
-	return time.Duration(float64(m.service(cost)) * (1 + m.off))
+func (m *serviceTimeMeter) upperBound(cost float64) time.Duration {
+	return time.Duration(float64(m.estimate(cost)) * (1 + m.meanError))
 }
 
 // meanCost is that of an attempt.
-func (m *paceMeter) meanCost() float64 {
+func (m *serviceTimeMeter) meanCost() float64 {
 	if m.count == 0 {
 		return 0
 	}
@@ -160,7 +160,7 @@
 
 // rate guesses the cost a second that so many slots work off; 0 before anything
 // is known.
-func (m *paceMeter) rate(slots int) float64 {
+func (m *serviceTimeMeter) rate(slots int) float64 {
 	if m.seconds == 0 {
 		return 0
 	}
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -17,7 +17,7 @@
 		w.learnRating(e)
 		r := w.requests[e.Request]
 		if r != nil && r.state == stateHeld && r.held == e.Attempt {
-			w.judgeHeld(r, e)
+			w.decideHeld(r, e)
 		}
 	}
 }
@@ -28,24 +28,24 @@
 	key := task{Team: e.Team, Class: e.Class}
 	used := w.estimates.Rated(key, e.Version, e.Score, e.Late, w.now)
 	at := attemptKey{e.Request, e.Attempt}
-	first, second := w.seconds.Peek(at)
+	first, second := w.secondSteps.Peek(at)
 	if !second {
 		return
 	}
-	w.seconds.Remove(at)
+	w.secondSteps.Remove(at)
 	if used {
 		w.estimates.RatedSecond(key, first, e.Version, e.Score)
 	}
 }
 
-func (w *World) judgeHeld(r *request, e AnswerRated) {
+func (w *World) decideHeld(r *request, e AnswerRated) {
 	v := w.versions[r.plan.Second]
-	if e.Late || v == nil || !w.mayStep(r, v) {
+	if e.Late || v == nil || !w.mayEscalate(r, v) {
 		w.deliver(r, r.held)
 		return
 	}
-	w.aim(r, choice{version: v, pool: v.pool})
-	need := w.waitFor(r) + v.pool.pace.service(r.item.Cost)
+	w.assign(r, choice{version: v, pool: v.pool})
+	need := w.waitFor(r) + v.pool.serviceTime.estimate(r.item.Cost)
 	if !r.plan.Escalate(e.Score, r.deadline.Sub(w.now), need) {
 		w.deliver(r, r.held)
 		return
@@ -55,7 +55,7 @@
 
 // mayStep says whether the second step may run by the manifest as it is now. A
 // version that the session keeps may be draining.
-func (w *World) mayStep(r *request, v *version) bool {
+func (w *World) mayEscalate(r *request, v *version) bool {
 	takes := v.serving() || v.open() && slices.Contains(r.Pins, v.ID)
 	return takes && !r.team.gone && r.team.allowed[v.ID] && v.pool.usable > 0 &&
 		int(r.attempts) < w.cfg.MaxAttempts && w.fresh
@@ -63,11 +63,11 @@
 
 // rateGrace is how long past the budget the router's word is waited for. It
 // sends one in any case; this only bounds the harm of a lost one.
-const rateGrace = 100 * time.Millisecond
+const ratingGrace = 100 * time.Millisecond
 
 // hold keeps a whole answer back until its rating is in.
 func (w *World) hold(r *request, a *attempt) {
 	r.held = a.key.attempt
 	r.state = stateHeld
-	w.watch(r, w.now.Add(min(a.rateBudget+rateGrace, r.deadline.Sub(w.now))))
+	w.setDue(r, w.now.Add(min(a.ratingTimeout+ratingGrace, r.deadline.Sub(w.now))))
 }
--- a/decision/expire.go
+++ b/decision/expire.go
@@ -36,21 +36,21 @@
 		// it of use to the caller.
 		w.deliver(r, r.held)
 	case r.state == stateRunning:
-		w.blameServer(r.current)
+		w.recordServerTimeout(r.current)
 		w.cancelCurrent(r)
 		w.fail(r, AttemptUnknown)
 	case r.ran:
 		w.fail(r, r.lastResult)
 	case w.now.Before(r.deadline):
-		w.waited(r)
-		w.giveUp(r, ReasonWaitTooLong)
+		w.recordWait(r)
+		w.conclude(r, ReasonWaitTooLong)
 	default:
 		w.refuse(r, ReasonDeadline, w.retryAfter(w.waitFor(r)))
 	}
 }
 
 // watch sets when the request must be looked at next.
-func (w *World) watch(r *request, at time.Time) {
+func (w *World) setDue(r *request, at time.Time) {
 	e := dueEntry{due: at.Sub(w.base), id: r.ID, request: r}
 	if r.duePos < 0 {
 		w.pushDue = e
@@ -64,7 +64,7 @@
 }
 
 // unwatch takes the request off the heap.
-func (w *World) unwatch(r *request) {
+func (w *World) clearDue(r *request) {
 	if r.duePos >= 0 {
 		heap.Remove(&w.due, r.duePos)
 	}
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -7,9 +7,9 @@
 )
 
 // tape turns fuzzed bytes into values; past its end it gives zeros.
-type tape []byte
+type byteSource []byte
 
-func (t *tape) next() byte {
+func (t *byteSource) next() byte {
 	if len(*t) == 0 {
 		return 0
 	}
@@ -19,7 +19,7 @@
 }
 
 // number is sometimes one that no sane sender would send.
-func (t *tape) number() float64 {
+func (t *byteSource) number() float64 {
 	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 2}
 	b := int(t.next())
 	if b < len(odd) {
@@ -28,21 +28,21 @@
 	return float64(b) / 255
 }
 
-func (t *tape) version() VersionID {
+func (t *byteSource) version() VersionID {
 	return []VersionID{"", weave1, weave2, draft1, "none"}[t.next()%5]
 }
 
-func (t *tape) server() ServerID { return []ServerID{"", "s0", "s1", "s2"}[t.next()%4] }
+func (t *byteSource) server() ServerID { return []ServerID{"", "s0", "s1", "s2"}[t.next()%4] }
 
-func (t *tape) model() ModelID {
+func (t *byteSource) model() ModelID {
 	return []ModelID{"", "weave", "draft", "weave@1"}[t.next()%4]
 }
 
-func (t *tape) at() time.Time {
+func (t *byteSource) at() time.Time {
 	return epoch.Add(time.Duration(int8(t.next())) * 100 * time.Millisecond)
 }
 
-func (t *tape) event() Event {
+func (t *byteSource) event() Event {
 	id, attempt := RequestID(t.next()%16), AttemptID(t.next()%4)
 	switch t.next() % 13 {
 	case 0:
@@ -78,7 +78,7 @@
 	}
 }
 
-func (t *tape) manifest() Event {
+func (t *byteSource) manifest() Event {
 	version := func(id VersionID) Version {
 		return Version{
 			ID: id, Model: t.model(), State: VersionState(t.next() % 5), Share: t.number(),
@@ -95,7 +95,7 @@
 	}
 }
 
-func (t *tape) request(id RequestID) Event {
+func (t *byteSource) request(id RequestID) Event {
 	r := Request{
 		ID: id, Team: []TeamID{"a", "b", ""}[t.next()%3], Model: t.model(), Pinned: t.version(),
 		ShareHash: t.number(), Fingerprint: Fingerprint(t.next() % 4), Blocks: []BlockHash{BlockHash(t.next())},
@@ -126,7 +126,7 @@
 	f.Add(seed)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		in := tape(data)
+		in := byteSource(data)
 		w := NewWorld(Config{Seed: 1})
 		w.Tick(epoch, []Event{FreshnessChanged{Fresh: true}})
 		live := map[RequestID]bool{}
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -53,12 +53,12 @@
 	nextID   RequestID
 
 	// took says how long an attempt runs, ended how it ends.
-	took  func(d Dispatch, r Request) time.Duration
-	ended func(d Dispatch, r Request) AttemptResult
+	duration func(d Dispatch, r Request) time.Duration
+	result   func(d Dispatch, r Request) AttemptResult
 	// rating scores a completed answer; nil rates nothing.
 	rating func(d Dispatch, r Request) (score float64, late bool)
 	// seen is called for each command.
-	seen func(Command)
+	onCommand func(Command)
 }
 
 func newHarness(t reporter, cfg Config) *harness {
@@ -68,8 +68,8 @@
 		outcomes: map[RequestID]outcome{}, slots: map[ServerID]int{},
 		inFlight: map[ServerID]int{}, ran: map[RequestID]int{},
 	}
-	h.took = func(Dispatch, Request) time.Duration { return 100 * time.Millisecond }
-	h.ended = func(Dispatch, Request) AttemptResult { return AttemptCompleted }
+	h.duration = func(Dispatch, Request) time.Duration { return 100 * time.Millisecond }
+	h.result = func(Dispatch, Request) AttemptResult { return AttemptCompleted }
 	h.send(FreshnessChanged{Fresh: true})
 	return h
 }
@@ -156,8 +156,8 @@
 
 func (h *harness) command(c Command) {
 	h.log = append(h.log, fmt.Sprintf("%v %T%+v", h.now.Sub(epoch), c, c))
-	if h.seen != nil {
-		h.seen(c)
+	if h.onCommand != nil {
+		h.onCommand(c)
 	}
 	switch c := c.(type) {
 	case Dispatch:
@@ -204,7 +204,7 @@
 	if h.ran[d.Request] > 1 && !r.Idempotent {
 		h.t.Errorf("non-idempotent request %d dispatched again", d.Request)
 	}
-	h.running = append(h.running, running{Dispatch: d, ends: h.now.Add(h.took(d, r)), result: h.ended(d, r)})
+	h.running = append(h.running, running{Dispatch: d, ends: h.now.Add(h.duration(d, r)), result: h.result(d, r)})
 }
 
 // modelOf is the part of a version's id before the @.
@@ -244,7 +244,7 @@
 }
 
 // settled fails the test where a request was left without an answer.
-func (h *harness) settled() {
+func (h *harness) requireAllAnswered() {
 	h.t.Helper()
 	if len(h.live) > 0 {
 		h.t.Errorf("%d requests without an answer", len(h.live))
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -97,7 +97,7 @@
 	if s.reportedAt.After(w.now) {
 		s.reportedAt = w.now // the server's clock runs ahead
 	}
-	s.others = max(0, e.Running+e.Queued-s.running)
+	s.otherLoad = max(0, e.Running+e.Queued-s.running)
 	w.refresh(s)
 }
 
--- a/decision/ingest_attempt.go
+++ b/decision/ingest_attempt.go
@@ -18,8 +18,8 @@
 		w.ingestLeaving(a.server.ID)
 	}
 	w.learnDuration(a, e)
-	w.judgeServer(a, e)
-	w.judgeVersion(a, e)
+	w.recordServerResult(a, e)
+	w.recordVersionResult(a, e)
 	w.crashEnded(a, e.Result)
 	if e.Result == AttemptCrashed {
 		w.prefixes.Forget(a.server.ID) // its cache died with it
@@ -59,14 +59,14 @@
 	if e.Result != AttemptCompleted {
 		return
 	}
-	a.pool.pace.learn(w.now.Sub(a.started), a.cost)
+	a.pool.serviceTime.learn(w.now.Sub(a.started), a.cost)
 	if a.version != "" {
 		w.estimates.Ended(task{Team: a.team.ID, Class: a.request.Class}, a.version, e.Tokens)
 	}
 	if e.Tokens <= 0 || a.pool.service != "" {
 		return
 	}
-	a.pool.pace.learnTokens(float64(e.Tokens), a.cost-a.prompt)
+	a.pool.serviceTime.learnTokens(float64(e.Tokens), a.cost-a.prompt)
 	actual := a.prompt + float64(e.Tokens)
 	a.team.account.Correct(min(actual-a.cost, a.cost))
 }
@@ -74,7 +74,7 @@
 // ingestRated learns from a rating and keeps it for the escalate system.
 func (w *World) ingestRated(e AnswerRated) {
 	if !e.Late {
-		w.rateVersion(e)
+		w.recordVersionRating(e)
 	}
 	w.rated = append(w.rated, e)
 }
--- a/decision/ingest_manifest.go
+++ b/decision/ingest_manifest.go
@@ -28,7 +28,7 @@
 	for _, row := range rows {
 		v := w.versions[row.ID]
 		if v == nil {
-			v = &version{pool: w.poolOf(row.ID)}
+			v = &version{pool: w.versionPool(row.ID)}
 			w.versions[row.ID] = v
 		}
 		if !v.gone && v.ID != "" {
@@ -36,14 +36,14 @@
 		}
 		v.Version = row
 		v.gone = false
-		w.joinModel(v)
+		w.addToModel(v)
 	}
 	for _, m := range w.models {
 		w.sortRollout(m)
 	}
 }
 
-func (w *World) joinModel(v *version) {
+func (w *World) addToModel(v *version) {
 	m := w.models[v.Model]
 	if m == nil {
 		m = &model{id: v.Model}
--- a/decision/ingest_servers.go
+++ b/decision/ingest_servers.go
@@ -31,7 +31,7 @@
 		s = w.newServer(row)
 		w.servers[row.ID] = s
 		w.serverList = append(w.serverList, s)
-		w.join(s)
+		w.joinPools(s)
 		return
 	}
 	// The earliest word wins: a server that said that it is leaving stays so
@@ -40,10 +40,10 @@
 	if sameServer(s.Server, row) && leaving == s.leaving {
 		return
 	}
-	w.part(s)
+	w.leavePools(s)
 	s.Server = row
 	s.leaving = leaving
-	w.join(s)
+	w.joinPools(s)
 }
 
 // newServer makes a row. One that was dropped from the list while it still ran
@@ -67,7 +67,7 @@
 
 // dropServer forgets a server, once the attempts that it runs have ended.
 func (w *World) dropServer(s *server) {
-	w.part(s)
+	w.leavePools(s)
 	s.gone = true
 	delete(w.servers, s.ID)
 	if s.running > 0 {
@@ -83,26 +83,26 @@
 	if s == nil || s.leaving {
 		return
 	}
-	w.part(s)
+	w.leavePools(s)
 	s.leaving = true
-	w.join(s)
+	w.joinPools(s)
 	w.recheck = true
 	w.emit(ShareLeaving{Server: id})
 }
 
 // join enters a server into its pools.
-func (w *World) join(s *server) {
-	s.member = s.member[:0]
+func (w *World) joinPools(s *server) {
+	s.memberships = s.memberships[:0]
 	if s.Service != "" {
-		s.addMember(w.serviceOf(s.Service))
+		s.addMember(w.servicePool(s.Service))
 	}
 	for _, id := range s.Versions {
 		if s.Service == "" {
-			s.addMember(w.poolOf(id))
+			s.addMember(w.versionPool(id))
 		}
 	}
 	if !s.leaving {
-		for _, m := range s.member {
+		for _, m := range s.memberships {
 			m.pool.usable++
 			m.pool.slots += s.capacity()
 		}
@@ -112,22 +112,22 @@
 
 // addMember enters the pool once, also where a list names a version twice.
 func (s *server) addMember(p *pool) {
-	for _, m := range s.member {
+	for _, m := range s.memberships {
 		if m.pool == p {
 			return
 		}
 	}
-	s.member = append(s.member, membership{pool: p, pos: -1})
+	s.memberships = append(s.memberships, membership{pool: p, pos: -1})
 }
 
 // part takes a server out of its pools.
-func (w *World) part(s *server) {
+func (w *World) leavePools(s *server) {
 	w.setFree(s, false)
 	if !s.leaving {
-		for _, m := range s.member {
+		for _, m := range s.memberships {
 			m.pool.usable--
 			m.pool.slots -= s.capacity()
 		}
 	}
-	s.member = s.member[:0]
+	s.memberships = s.memberships[:0]
 }
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -48,19 +48,19 @@
 }
 
 // paced makes attempts take 10 ms a token.
-func paced(d Dispatch, r Request) time.Duration {
+func tenMsPerToken(d Dispatch, r Request) time.Duration {
 	return time.Duration(r.MaxTokens) * 10 * time.Millisecond
 }
 
 // drafting is one request of 20 tokens: 200 ms at the fakes' pace.
-func drafting(team TeamID) Request {
+func draftRequest(team TeamID) Request {
 	return Request{Team: team, Model: "weave", MaxTokens: 20, Idempotent: true}
 }
 
 // loadWorld has 6 servers of 8 slots: 240 drafting requests a second.
-func loadWorld(t *testing.T, teams ...Team) (*harness, *rand.Rand) {
+func loadHarness(t *testing.T, teams ...Team) (*harness, *rand.Rand) {
 	h := newHarness(t, DefaultConfig())
-	h.took = paced
+	h.duration = tenMsPerToken
 	h.manifest(1, teams, smallVersions())
 	h.servers(serversOf(6, 8, weave1, draft1)...)
 	h.tick()
@@ -68,7 +68,7 @@
 }
 
 // waits lists, sorted, how long a team's callers waited for whole answers.
-func (h *harness) waits(team TeamID) []time.Duration {
+func (h *harness) answerTimes(team TeamID) []time.Duration {
 	var list []time.Duration
 	for _, o := range h.outcomes {
 		if _, ok := o.command.(Deliver); ok && o.team == team {
@@ -88,9 +88,9 @@
 
 // refusedAtOnce fails the test where a refusal came late, or said nothing of
 // when to come back.
-func (h *harness) refusedAtOnce() {
+func (h *harness) requirePromptRefusals() {
 	h.t.Helper()
-	late, bare, held := 0, 0, 0
+	late, noRetryAfter, atDeadline := 0, 0, 0
 	for _, o := range h.outcomes {
 		r, ok := o.command.(Refuse)
 		if !ok {
@@ -100,33 +100,33 @@
 			late++
 		}
 		if r.RetryAfter <= 0 {
-			bare++
+			noRetryAfter++
 		}
 		if r.Reason == ReasonDeadline {
-			held++
+			atDeadline++
 		}
 	}
 	total := len(h.outcomes)
-	if late*100 > total || bare > 0 || held > 0 {
-		h.t.Errorf("of %d: %d refused late, %d without a time, %d held to the deadline", total, late, bare, held)
+	if late*100 > total || noRetryAfter > 0 || atDeadline > 0 {
+		h.t.Errorf("of %d: %d refused late, %d without a time, %d held to the deadline", total, late, noRetryAfter, atDeadline)
 	}
 }
 
 // A burst of one team neither delays the other nor is held to its deadline.
 func TestBurst(t *testing.T) {
-	h, rng := loadWorld(t, teamOf("weavers", 1), teamOf("shops", 1))
-	steady := demand{perSecond: 60, request: drafting("shops"), deadline: 5 * time.Second}
+	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+	steady := demand{perSecond: 60, request: draftRequest("shops"), deadline: 5 * time.Second}
 	offer(h, rng, 2*time.Second, steady)
 	for range 2000 {
-		r := drafting("weavers")
+		r := draftRequest("weavers")
 		r.Deadline = h.now.Add(3 * time.Second)
 		h.arrive(r)
 	}
 	offer(h, rng, 6*time.Second, steady)
 	h.run(5 * time.Second)
-	h.settled()
-	h.refusedAtOnce()
-	if p99 := percentile(h.waits("shops"), 0.99); p99 > 600*time.Millisecond {
+	h.requireAllAnswered()
+	h.requirePromptRefusals()
+	if p99 := percentile(h.answerTimes("shops"), 0.99); p99 > 600*time.Millisecond {
 		t.Errorf("p99 of the steady team: %v", p99)
 	}
 	// 180 requests a second are free for the burst, for 2.8 s of its deadline.
@@ -138,16 +138,16 @@
 // One team sends 80% of twice the capacity. Teams below their share get all they
 // ask for; the large one gets what is left.
 func TestSkew(t *testing.T) {
-	h, rng := loadWorld(t, teamOf("big", 1), teamOf("a", 1), teamOf("b", 1), teamOf("c", 1))
+	h, rng := loadHarness(t, teamOf("big", 1), teamOf("a", 1), teamOf("b", 1), teamOf("c", 1))
 	var demands []demand
 	for _, id := range []TeamID{"a", "b", "c"} {
-		demands = append(demands, demand{perSecond: 32, request: drafting(id), deadline: 3 * time.Second})
+		demands = append(demands, demand{perSecond: 32, request: draftRequest(id), deadline: 3 * time.Second})
 	}
-	demands = append(demands, demand{perSecond: 384, request: drafting("big"), deadline: 3 * time.Second})
+	demands = append(demands, demand{perSecond: 384, request: draftRequest("big"), deadline: 3 * time.Second})
 	offer(h, rng, 10*time.Second, demands...)
 	h.run(5 * time.Second)
-	h.settled()
-	h.refusedAtOnce()
+	h.requireAllAnswered()
+	h.requirePromptRefusals()
 	sent := map[TeamID]int{}
 	for _, o := range h.outcomes {
 		sent[o.team]++
@@ -156,7 +156,7 @@
 		if got := h.delivered(id); got < sent[id]*99/100 {
 			t.Errorf("team %s below its share got %d of %d", id, got, sent[id])
 		}
-		if p99 := percentile(h.waits(id), 0.99); p99 > 600*time.Millisecond {
+		if p99 := percentile(h.answerTimes(id), 0.99); p99 > 600*time.Millisecond {
 			t.Errorf("p99 of team %s: %v", id, p99)
 		}
 	}
@@ -168,13 +168,13 @@
 
 // Weights share a saturated pool: 3 to 1.
 func TestWeights(t *testing.T) {
-	h, rng := loadWorld(t, teamOf("heavy", 3), teamOf("light", 1))
+	h, rng := loadHarness(t, teamOf("heavy", 3), teamOf("light", 1))
 	offer(h, rng, 10*time.Second,
-		demand{perSecond: 300, request: drafting("heavy"), deadline: 2 * time.Second},
-		demand{perSecond: 300, request: drafting("light"), deadline: 2 * time.Second})
+		demand{perSecond: 300, request: draftRequest("heavy"), deadline: 2 * time.Second},
+		demand{perSecond: 300, request: draftRequest("light"), deadline: 2 * time.Second})
 	h.run(5 * time.Second)
-	h.settled()
-	h.refusedAtOnce()
+	h.requireAllAnswered()
+	h.requirePromptRefusals()
 	ratio := float64(h.delivered("heavy")) / float64(h.delivered("light"))
 	if ratio < 2.7 || ratio > 3.3 {
 		t.Errorf("ratio %.2f, want about 3", ratio)
@@ -184,14 +184,14 @@
 // At twice saturation goodput is at least 95% of that at saturation.
 func TestSaturationGoodput(t *testing.T) {
 	at := func(factor float64) int {
-		h, rng := loadWorld(t, teamOf("weavers", 1), teamOf("shops", 1))
+		h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
 		half := 120 * factor
 		offer(h, rng, 15*time.Second,
-			demand{perSecond: half, request: drafting("weavers"), deadline: 2 * time.Second},
-			demand{perSecond: half, request: drafting("shops"), deadline: 2 * time.Second})
+			demand{perSecond: half, request: draftRequest("weavers"), deadline: 2 * time.Second},
+			demand{perSecond: half, request: draftRequest("shops"), deadline: 2 * time.Second})
 		h.run(4 * time.Second)
-		h.settled()
-		h.refusedAtOnce()
+		h.requireAllAnswered()
+		h.requirePromptRefusals()
 		return h.delivered("")
 	}
 	once, twice, tenfold := at(1), at(2), at(10)
@@ -203,19 +203,19 @@
 // A queue that stands is kept short: callers of an overloaded pool wait for a part
 // of their time only, and as many are answered.
 func TestStandingQueueIsShort(t *testing.T) {
-	h, rng := loadWorld(t, teamOf("weavers", 1), teamOf("shops", 1))
+	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
 	load := []demand{
-		{perSecond: 240, request: drafting("weavers"), deadline: 10 * time.Second},
-		{perSecond: 240, request: drafting("shops"), deadline: 10 * time.Second},
+		{perSecond: 240, request: draftRequest("weavers"), deadline: 10 * time.Second},
+		{perSecond: 240, request: draftRequest("shops"), deadline: 10 * time.Second},
 	}
 	offer(h, rng, 15*time.Second, load...)
 	clear(h.outcomes)
 	offer(h, rng, 10*time.Second, load...)
 	answered := h.delivered("")
 	h.run(10 * time.Second)
-	h.settled()
-	h.refusedAtOnce()
-	if p95 := percentile(h.waits("shops"), 0.95); p95 > 3*time.Second {
+	h.requireAllAnswered()
+	h.requirePromptRefusals()
+	if p95 := percentile(h.answerTimes("shops"), 0.95); p95 > 3*time.Second {
 		t.Errorf("p95 of the answers: %v of 10 s", p95)
 	}
 	if answered < 2400*95/100 {
@@ -225,14 +225,14 @@
 
 // Long work of one team does not starve the short work of another.
 func TestLongAndShort(t *testing.T) {
-	h, rng := loadWorld(t, teamOf("long", 1), teamOf("short", 1))
+	h, rng := loadHarness(t, teamOf("long", 1), teamOf("short", 1))
 	long := Request{Team: "long", Model: "weave", MaxTokens: 300, Idempotent: true}
 	offer(h, rng, 15*time.Second,
 		demand{perSecond: 30, request: long, deadline: 12 * time.Second},
-		demand{perSecond: 60, request: drafting("short"), deadline: 3 * time.Second})
+		demand{perSecond: 60, request: draftRequest("short"), deadline: 3 * time.Second})
 	h.run(15 * time.Second)
-	h.settled()
-	short := h.waits("short")
+	h.requireAllAnswered()
+	short := h.answerTimes("short")
 	if len(short) < 60*15*90/100 {
 		t.Errorf("%d short answers of about 900", len(short))
 	}
@@ -244,11 +244,11 @@
 // One backend server dies under load: what it ran is run elsewhere where it may
 // be, and its fast refusals draw no work.
 func TestServerDies(t *testing.T) {
-	h, rng := loadWorld(t, teamOf("weavers", 1), teamOf("shops", 1))
-	booking := drafting("shops")
+	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+	booking := draftRequest("shops")
 	booking.Idempotent = false
 	load := []demand{
-		{perSecond: 80, request: drafting("weavers"), deadline: 5 * time.Second},
+		{perSecond: 80, request: draftRequest("weavers"), deadline: 5 * time.Second},
 		{perSecond: 40, request: booking, deadline: 5 * time.Second},
 	}
 	offer(h, rng, 3*time.Second, load...)
@@ -258,23 +258,23 @@
 			h.running[i].result = AttemptUnknown
 		}
 	}
-	h.ended = func(d Dispatch, r Request) AttemptResult {
+	h.result = func(d Dispatch, r Request) AttemptResult {
 		if d.Server == "s0" {
 			return AttemptNotRun
 		}
 		return AttemptCompleted
 	}
-	h.took = func(d Dispatch, r Request) time.Duration {
+	h.duration = func(d Dispatch, r Request) time.Duration {
 		if d.Server == "s0" {
 			return step
 		}
-		return paced(d, r)
+		return tenMsPerToken(d, r)
 	}
 	offer(h, rng, 5*time.Second, load...)
 	h.servers(serversOf(6, 8, weave1, draft1)[1:]...)
 	offer(h, rng, 3*time.Second, load...)
 	h.run(5 * time.Second)
-	h.settled()
+	h.requireAllAnswered()
 	total, failed := len(h.outcomes), 0
 	for id, o := range h.outcomes {
 		switch c := o.command.(type) {
@@ -301,13 +301,13 @@
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 	h.servers(serversOf(6, 8, weave1)...)
 	refusals := 0
-	h.took = func(d Dispatch, r Request) time.Duration {
+	h.duration = func(d Dispatch, r Request) time.Duration {
 		if d.Server == "s0" {
 			return step
 		}
-		return paced(d, r)
+		return tenMsPerToken(d, r)
 	}
-	h.ended = func(d Dispatch, _ Request) AttemptResult {
+	h.result = func(d Dispatch, _ Request) AttemptResult {
 		if d.Server == "s0" {
 			refusals++
 			return AttemptNotRun
@@ -316,9 +316,9 @@
 	}
 	h.tick()
 	rng := rand.New(rand.NewPCG(11, 11))
-	offer(h, rng, 4*time.Second, demand{perSecond: 120, request: drafting("weavers"), deadline: 5 * time.Second})
+	offer(h, rng, 4*time.Second, demand{perSecond: 120, request: draftRequest("weavers"), deadline: 5 * time.Second})
 	h.run(5 * time.Second)
-	h.settled()
+	h.requireAllAnswered()
 	// 20 times the backoff; about two go there before the first is refused.
 	if refusals > 60 {
 		t.Errorf("%d of %d requests went to the refusing server", refusals, len(h.outcomes))
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -25,7 +25,7 @@
 // choices is how many servers are drawn. Two gain nearly all that a full scan
 // would: the longest queue falls from log n to log log n, and with lagging
 // reports a scan would send all instances to the same idle server.
-const choices = 2
+const drawCount = 2
 
 // pick chooses a server with a free slot, or nil where none may take the request.
 func (w *World) pick(p *pool, r *request) *server {
@@ -37,19 +37,19 @@
 	}
 	w.candidates = w.candidates[:0]
 	w.drawn = w.drawn[:0]
-	for range choices {
-		w.consider(w.sample(p, r), p, r)
+	for range drawCount {
+		w.addCandidate(w.drawFree(p, r), p, r)
 	}
-	w.considerCached(p, r)
+	w.addCachedCandidates(p, r)
 	best := w.picker.Pick(w.candidates)
 	if best != place.None {
 		return w.drawn[best]
 	}
-	return w.lastResort(p, r)
+	return w.pickTried(p, r)
 }
 
 // consider adds a server to the candidates, once, and returns its candidate.
-func (w *World) consider(s *server, p *pool, r *request) *place.Candidate {
+func (w *World) addCandidate(s *server, p *pool, r *request) *place.Candidate {
 	if s == nil {
 		return nil
 	}
@@ -64,7 +64,7 @@
 		Slots:   s.capacity(),
 		Load:    w.load(s),
 		Near:    s.Domain != "" && s.Domain == w.cfg.Domain,
-		Loaded:  s.in(p),
+		Loaded:  s.inPool(p),
 		Leaving: s.leaving || s.gone,
 		Ejected: !s.isFree,
 		Tried:   w.avoids(r, s),
@@ -73,15 +73,15 @@
 }
 
 // samples bounds the draws for a server that the request has not tried.
-const samples = 8
+const maxDraws = 8
 
 // sample draws a free server, if it can one that the request does not avoid.
-func (w *World) sample(p *pool, r *request) *server {
+func (w *World) drawFree(p *pool, r *request) *server {
 	if len(p.free) == 0 {
 		return nil
 	}
 	var s *server
-	for range samples {
+	for range maxDraws {
 		s = p.free[w.rng.IntN(len(p.free))].server
 		if !w.avoids(r, s) {
 			return s
@@ -94,11 +94,11 @@
 // is free: trying again is better than not at all. None is given to one that may
 // have crashed a server, nor one on trial to a request that could not be tried
 // again.
-func (w *World) lastResort(p *pool, r *request) *server {
+func (w *World) pickTried(p *pool, r *request) *server {
 	if r.crashes > 0 {
 		return nil
 	}
-	for range min(samples, len(p.free)) {
+	for range min(maxDraws, len(p.free)) {
 		s := p.free[w.rng.IntN(len(p.free))].server
 		if !s.ejected || r.Idempotent {
 			return s
@@ -122,9 +122,9 @@
 }
 
 // in says whether the server is in the pool.
-func (s *server) in(p *pool) bool {
-	for i := range s.member {
-		if s.member[i].pool == p {
+func (s *server) inPool(p *pool) bool {
+	for i := range s.memberships {
+		if s.memberships[i].pool == p {
 			return true
 		}
 	}
@@ -135,10 +135,10 @@
 // are exact, and the others' by the last report, fading with its age.
 func (w *World) load(s *server) float64 {
 	load := float64(s.running)
-	if s.others > 0 {
+	if s.otherLoad > 0 {
 		age := w.now.Sub(s.reportedAt)
 		faded := 1 - float64(age)/float64(w.cfg.ReportLife)
-		load += float64(s.others) * max(faded, 0)
+		load += float64(s.otherLoad) * max(faded, 0)
 	}
 	return load / float64(s.capacity())
 }
@@ -146,13 +146,13 @@
 // pickNext is the round robin baseline.
 func (w *World) pickNext(p *pool, r *request) *server {
 	for range len(p.free) {
-		w.turn++
-		s := p.free[w.turn%len(p.free)].server
+		w.roundRobin++
+		s := p.free[w.roundRobin%len(p.free)].server
 		if !w.avoids(r, s) {
 			return s
 		}
 	}
-	return w.lastResort(p, r)
+	return w.pickTried(p, r)
 }
 
 // pickLeast is the least outstanding baseline: a full scan.
@@ -164,12 +164,12 @@
 		}
 	}
 	if best == nil {
-		return w.lastResort(p, r)
+		return w.pickTried(p, r)
 	}
 	return best
 }
 
 // rateBudget is how long the answer may wait for its rating.
-func (w *World) rateBudget(r *request) time.Duration {
+func (w *World) ratingTimeout(r *request) time.Duration {
 	return min(w.cfg.RateBudget, max(r.deadline.Sub(w.now), time.Millisecond))
 }
--- a/decision/place.go
+++ b/decision/place.go
@@ -19,12 +19,12 @@
 	w.unpark()
 	for placed := true; placed; {
 		placed = false
-		for i := 0; i < len(w.busy); {
-			p := w.busy[i]
+		for i := 0; i < len(w.queuedPools); {
+			p := w.queuedPools[i]
 			if len(p.free) > 0 && w.placeNext(p) {
 				placed = true
 			}
-			if i < len(w.busy) && w.busy[i] == p {
+			if i < len(w.queuedPools) && w.queuedPools[i] == p {
 				i++
 			}
 		}
@@ -38,18 +38,18 @@
 		return false
 	}
 	r := it.Value
-	if reason := w.forbids(r); reason != "" {
-		w.giveUp(r, reason)
+	if reason := w.forbiddenReason(r); reason != "" {
+		w.conclude(r, reason)
 		return true
 	}
-	if w.hopeless(r) {
-		w.waited(r)
-		w.giveUp(r, ReasonWaitTooLong)
+	if w.cannotFinish(r) {
+		w.recordWait(r)
+		w.conclude(r, ReasonWaitTooLong)
 		return true
 	}
 	switch w.crashAdmission(r.Fingerprint) {
 	case verdict.CrashQuarantined:
-		w.giveUp(r, ReasonQuarantined)
+		w.conclude(r, ReasonQuarantined)
 		return true
 	case verdict.CrashWait:
 		w.park(r)
@@ -57,11 +57,11 @@
 	}
 	s := w.pick(p, r)
 	if s == nil {
-		w.waitAside(p, r)
+		w.parkOrConclude(p, r)
 		return true
 	}
-	w.left(p, r)
-	w.waited(r)
+	w.recordDeparture(p, r)
+	w.recordWait(r)
 	p.queue.Pop()
 	w.dequeued(r)
 	w.dispatch(r, s)
@@ -70,9 +70,9 @@
 
 // waitAside sets a request aside that none of the free servers may take, where the
 // pool has others that may: they are busy now. It holds up nobody meanwhile.
-func (w *World) waitAside(p *pool, r *request) {
+func (w *World) parkOrConclude(p *pool, r *request) {
 	if r.triedIn(p) >= p.usable {
-		w.giveUp(r, ReasonNoServer)
+		w.conclude(r, ReasonNoServer)
 		return
 	}
 	w.park(r)
@@ -82,7 +82,7 @@
 func (r *request) triedIn(p *pool) int {
 	n := 0
 	for i, s := range r.tried {
-		if s.in(p) && !s.leaving && !slices.Contains(r.tried[:i], s) {
+		if s.inPool(p) && !s.leaving && !slices.Contains(r.tried[:i], s) {
 			n++
 		}
 	}
@@ -92,7 +92,7 @@
 // forbids checks once more, right before a dispatch, that the request may run
 // where it is about to. The withdraw system has seen to it; the harm of a mistake
 // there is worth a look-up.
-func (w *World) forbids(r *request) RefusalReason {
+func (w *World) forbiddenReason(r *request) RefusalReason {
 	v := r.version
 	switch {
 	case r.team.gone:
@@ -114,8 +114,8 @@
 // Load: saturation, where the queue stands at the edge of its deadlines. A slot
 // given to work that ends too late is lost for work that would not: with half
 // the usual time allowed here, a third of the answers came too late.
-func (w *World) hopeless(r *request) bool {
-	need := r.pool.pace.atMost(r.item.Cost)
+func (w *World) cannotFinish(r *request) bool {
+	need := r.pool.serviceTime.upperBound(r.item.Cost)
 	return w.now.Add(need).After(r.deadline)
 }
 
@@ -147,8 +147,8 @@
 		w.outliers.Dispatched(s.ID, w.now)
 	}
 	w.refresh(s)
-	w.noteCached(r, s)
-	w.watch(r, r.deadline)
+	w.recordPrefix(r, s)
+	w.setDue(r, r.deadline)
 	w.emit(cmd)
 }
 
@@ -169,23 +169,23 @@
 		return
 	}
 	cmd.Rate = true
-	cmd.RateBudget = w.rateBudget(r)
+	cmd.RateBudget = w.ratingTimeout(r)
 	if r.held != 0 {
-		w.seconds.Add(a.key, r.plan.First)
+		w.secondSteps.Add(a.key, r.plan.First)
 		return
 	}
-	a.hold = r.plan.Cascade && w.roomForSecond(r)
-	a.rateBudget = cmd.RateBudget
+	a.hold = r.plan.Cascade && w.secondStepFits(r)
+	a.ratingTimeout = cmd.RateBudget
 	cmd.Hold = a.hold
 }
 
 // roomForSecond says whether a second step would still be in time after this one.
 // If not, to hold the answer would only delay it.
-func (w *World) roomForSecond(r *request) bool {
+func (w *World) secondStepFits(r *request) bool {
 	second := w.versions[r.plan.Second]
 	if second == nil {
 		return false
 	}
-	need := r.pool.pace.service(r.item.Cost) + second.pool.pace.service(r.item.Cost) + w.cfg.RateBudget
+	need := r.pool.serviceTime.estimate(r.item.Cost) + second.pool.serviceTime.estimate(r.item.Cost) + w.cfg.RateBudget
 	return !w.now.Add(need).After(r.deadline)
 }
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -2,7 +2,7 @@
 
 // poolOf returns the version's pool, made where it is missing: the list and the
 // manifest may come in either order.
-func (w *World) poolOf(id VersionID) *pool {
+func (w *World) versionPool(id VersionID) *pool {
 	p := w.pools[id]
 	if p == nil {
 		p = w.newPool()
@@ -13,7 +13,7 @@
 }
 
 func (w *World) newPool() *pool {
-	p := &pool{busyPos: -1}
+	p := &pool{queuedPos: -1}
 	if w.cfg.Policy.FirstCome {
 		p.shared = &flow{}
 		p.queue.Init(&p.shared.Flow, w.fairness.NewAccount(1))
@@ -21,7 +21,7 @@
 	return p
 }
 
-func (w *World) serviceOf(id ServiceID) *pool {
+func (w *World) servicePool(id ServiceID) *pool {
 	p := w.services[id]
 	if p == nil {
 		p = w.newPool()
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -126,15 +126,15 @@
 }
 
 // play runs one random script to its end and returns the commands.
-func play(t *rapid.T) []string {
+func runScript(t *rapid.T) []string {
 	s := newScript(t)
-	s.h.took = func(d Dispatch, _ Request) time.Duration {
+	s.h.duration = func(d Dispatch, _ Request) time.Duration {
 		return time.Duration(50+37*(uint64(d.Request)%11)) * time.Millisecond
 	}
 	results := []AttemptResult{
 		AttemptCompleted, AttemptCompleted, AttemptCompleted, AttemptNotRun, AttemptFailed, AttemptUnknown, AttemptCrashed,
 	}
-	s.h.ended = func(d Dispatch, _ Request) AttemptResult {
+	s.h.result = func(d Dispatch, _ Request) AttemptResult {
 		return results[(uint64(d.Request)*5+uint64(d.Attempt))%uint64(len(results))]
 	}
 	s.h.rating = func(d Dispatch, _ Request) (float64, bool) {
@@ -145,8 +145,8 @@
 		rapid.SampledFrom(actions).Draw(t, "action")()
 	}
 	s.h.run(40 * time.Second)
-	s.h.settled()
-	if len(s.h.w.requests)+len(s.h.w.orphans)+len(s.h.w.due)+len(s.h.w.busy) > 0 {
+	s.h.requireAllAnswered()
+	if len(s.h.w.requests)+len(s.h.w.orphans)+len(s.h.w.due)+len(s.h.w.queuedPools) > 0 {
 		t.Errorf("left over: %d requests, %d orphans", len(s.h.w.requests), len(s.h.w.orphans))
 	}
 	for _, server := range s.h.w.serverList {
@@ -159,12 +159,12 @@
 
 // Whatever comes, the harness's invariants hold and the tables end empty.
 func TestInvariants(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { play(t) })
+	rapid.Check(t, func(t *rapid.T) { runScript(t) })
 }
 
 // The same events give the same commands.
 func TestDeterminism(t *testing.T) {
-	gen := rapid.Custom(play)
+	gen := rapid.Custom(runScript)
 	for seed := range 30 {
 		first, second := gen.Example(seed), gen.Example(seed)
 		if !slices.Equal(first, second) {
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -3,7 +3,7 @@
 import "time"
 
 // aim points the request at a version's or service's pool.
-func (w *World) aim(r *request, to choice) {
+func (w *World) assign(r *request, to choice) {
 	r.version = to.version
 	r.pool = to.pool
 	r.item.Cost = w.costOf(r)
@@ -41,10 +41,10 @@
 	p.queue.Push(&f.Flow, &r.item)
 	r.state = stateQueued
 	r.team.queued++
-	w.watch(r, w.lastStart(r))
-	if p.busyPos < 0 {
-		p.busyPos = len(w.busy)
-		w.busy = append(w.busy, p)
+	w.setDue(r, w.latestStart(r))
+	if p.queuedPos < 0 {
+		p.queuedPos = len(w.queuedPools)
+		w.queuedPools = append(w.queuedPools, p)
 		p.backlog.set(true, w.now, w.cfg.BurstFor)
 	}
 }
@@ -57,11 +57,11 @@
 // held to its deadline for an answer that cannot come any more, and a first token
 // after most of the time has gone. What may have run is past refusing, so its
 // patience is its deadline.
-func (w *World) lastStart(r *request) time.Time {
-	room := r.deadline.Sub(w.now)
-	wait := room - r.pool.pace.atMost(r.item.Cost)
+func (w *World) latestStart(r *request) time.Time {
+	timeLeft := r.deadline.Sub(w.now)
+	wait := timeLeft - r.pool.serviceTime.upperBound(r.item.Cost)
 	if !r.ran && r.held == 0 && w.overloaded(r.pool) {
-		wait = min(wait, time.Duration(w.cfg.Patience*float64(room)))
+		wait = min(wait, time.Duration(w.cfg.Patience*float64(timeLeft)))
 	}
 	return w.now.Add(max(wait, 0))
 }
@@ -80,23 +80,23 @@
 	r.state = stateArrived
 	r.team.queued--
 	if r.pool.queue.Len() == 0 {
-		w.idle(r.pool)
+		w.removeQueuedPool(r.pool)
 	}
 }
 
 // idle takes a pool off the busy list.
-func (w *World) idle(p *pool) {
-	if p.busyPos < 0 {
+func (w *World) removeQueuedPool(p *pool) {
+	if p.queuedPos < 0 {
 		return
 	}
 	p.backlog.set(false, w.now, w.cfg.BurstFor)
-	last := len(w.busy) - 1
-	moved := w.busy[last]
-	w.busy[p.busyPos] = moved
-	moved.busyPos = p.busyPos
-	w.busy[last] = nil
-	w.busy = w.busy[:last]
-	p.busyPos = -1
+	last := len(w.queuedPools) - 1
+	moved := w.queuedPools[last]
+	w.queuedPools[p.queuedPos] = moved
+	moved.queuedPos = p.queuedPos
+	w.queuedPools[last] = nil
+	w.queuedPools = w.queuedPools[:last]
+	p.queuedPos = -1
 	p.backlogged = false
 }
 
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -66,8 +66,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := small(t)
-			h.took = func(Dispatch, Request) time.Duration { return 2 * time.Second }
+			h := smallHarness(t)
+			h.duration = func(Dispatch, Request) time.Duration { return 2 * time.Second }
 			for range 4 {
 				h.arrive(Request{Team: "weavers", Model: "weave"})
 			}
@@ -91,15 +91,15 @@
 					t.Errorf("running request %d: %+v", id, h.outcomes[id])
 				}
 			}
-			h.settled()
+			h.requireAllAnswered()
 		})
 	}
 }
 
 // A caller that goes frees its slot for the next.
 func TestCancelFreesTheSlot(t *testing.T) {
-	h := small(t)
-	h.took = func(Dispatch, Request) time.Duration { return 20 * time.Second }
+	h := smallHarness(t)
+	h.duration = func(Dispatch, Request) time.Duration { return 20 * time.Second }
 	for range 5 {
 		h.arrive(Request{Team: "weavers", Model: "weave"})
 	}
@@ -125,7 +125,7 @@
 		h.arrive(Request{Team: "weavers", Model: "weave", Priority: priority})
 	}
 	var order []RequestID
-	h.seen = func(c Command) {
+	h.onCommand = func(c Command) {
 		if d, ok := c.(Dispatch); ok {
 			order = append(order, d.Request)
 		}
@@ -143,10 +143,10 @@
 // overload alive. Resends of callers come out of the same budget.
 func TestRetryBudget(t *testing.T) {
 	for _, result := range []AttemptResult{AttemptNotRun, AttemptFailed, AttemptUnknown} {
-		h := small(t)
-		h.ended = always(result)
+		h := smallHarness(t)
+		h.result = always(result)
 		dispatched := 0
-		h.seen = func(c Command) {
+		h.onCommand = func(c Command) {
 			if _, ok := c.(Dispatch); ok {
 				dispatched++
 			}
@@ -157,13 +157,13 @@
 			h.run(rounds * step)
 		}
 		h.run(30 * time.Second)
-		h.settled()
+		h.requireAllAnswered()
 		// The floor, and one a second for the forty seconds.
 		if limit := requests + 3 + 40; dispatched > limit {
 			t.Errorf("result %d: %d attempts of %d requests, want at most %d", result, dispatched, requests, limit)
 		}
 	}
-	h := small(t)
+	h := smallHarness(t)
 	for range 20 {
 		h.arrive(Request{Team: "weavers", Model: "weave", Resend: true, Idempotent: true})
 	}
@@ -185,7 +185,7 @@
 	h := newHarness(t, DefaultConfig())
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 	h.servers(serversOf(6, 4, weave1)...)
-	h.ended = always(AttemptCrashed)
+	h.result = always(AttemptCrashed)
 	first := h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 8})
 	h.run(time.Second)
 	for range 10 {
@@ -200,7 +200,7 @@
 	if crashes != 2 || h.ran[other] != 1 {
 		t.Errorf("%d servers crashed, want 2; another request ran %d times", crashes, h.ran[other])
 	}
-	h.settled()
+	h.requireAllAnswered()
 }
 
 // A request that crashed one server waits for another one that is busy, rather
@@ -210,10 +210,10 @@
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 	h.servers(serversOf(2, 1, weave1)...)
 	h.tick()
-	h.took = func(d Dispatch, r Request) time.Duration {
+	h.duration = func(d Dispatch, r Request) time.Duration {
 		return time.Duration(r.MaxTokens) * step
 	}
-	h.ended = func(d Dispatch, _ Request) AttemptResult {
+	h.result = func(d Dispatch, _ Request) AttemptResult {
 		if d.Request == 2 && d.Attempt == 1 {
 			return AttemptCrashed
 		}
@@ -226,5 +226,5 @@
 	if got, want := h.outcomes[2].command, (Deliver{Request: 2, Attempt: 2}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	h.settled()
+	h.requireAllAnswered()
 }
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -33,7 +33,7 @@
 	if !t.services[r.Service] {
 		return refused(ReasonNotAllowed)
 	}
-	return w.withServer(nil, w.serviceOf(r.Service))
+	return w.withServer(nil, w.servicePool(r.Service))
 }
 
 // resolvePinned keeps a session on its version: it is that version or a refusal,
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -9,12 +9,12 @@
 	for _, e := range w.ended {
 		r := e.attempt.request
 		if r.state == stateRunning && r.current == nil {
-			w.judge(r, e)
+			w.handleEnded(r, e)
 		}
 	}
 }
 
-func (w *World) judge(r *request, e endedAttempt) {
+func (w *World) handleEnded(r *request, e endedAttempt) {
 	r.lastResult = e.event.Result
 	switch e.event.Result {
 	case AttemptCompleted:
@@ -42,24 +42,24 @@
 // server is left alone for a moment: one that refuses at once looks idle and
 // would draw all work to itself.
 func (w *World) notRun(r *request, e endedAttempt) {
-	w.shut(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff))
+	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff))
 	r.tried = append(r.tried, e.attempt.server)
 	if int(r.attempts) >= w.cfg.MaxAttempts || e.event.Sent {
-		w.giveUp(r, ReasonNoServer)
+		w.conclude(r, ReasonNoServer)
 		return
 	}
 	if !e.event.Leaving && !r.team.retries.spend(w.now, &w.cfg) {
-		w.giveUp(r, ReasonRetryBudget)
+		w.conclude(r, ReasonRetryBudget)
 		return
 	}
-	w.again(r)
+	w.requeue(r)
 }
 
 // crashed lets a request that took a server down run on one more, then shuts it
 // out everywhere: a second crash is the request's doing, not the server's.
 func (w *World) crashed(r *request, e endedAttempt) {
 	r.crashes++
-	w.shut(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff)) // it starts again
+	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff)) // it starts again
 	if r.crashes < w.cfg.MaxCrashes && !w.isQuarantined(r.Fingerprint) {
 		w.mayHaveRun(r, e)
 		return
@@ -79,22 +79,22 @@
 		w.failOrHeld(r, e.event.Result)
 		return
 	}
-	w.again(r)
+	w.requeue(r)
 }
 
 // again queues the request for another attempt, by the manifest as it is now. An
 // escalation keeps its step.
-func (w *World) again(r *request) {
+func (w *World) requeue(r *request) {
 	if r.held != 0 {
 		w.enqueue(r)
 		return
 	}
 	to := w.resolve(r)
 	if to.reason != "" {
-		w.giveUp(r, to.reason)
+		w.conclude(r, to.reason)
 		return
 	}
-	w.aim(r, to)
+	w.assign(r, to)
 	w.enqueue(r)
 }
 
--- a/decision/servers_test.go
+++ b/decision/servers_test.go
@@ -10,7 +10,7 @@
 func TestLeavingServerGetsNothingNew(t *testing.T) {
 	used := func(h *harness) map[ServerID]int {
 		n := map[ServerID]int{}
-		h.seen = func(c Command) {
+		h.onCommand = func(c Command) {
 			if d, ok := c.(Dispatch); ok {
 				n[d.Server]++
 			}
@@ -20,10 +20,10 @@
 			h.run(6 * step)
 		}
 		h.run(time.Second)
-		h.seen = nil
+		h.onCommand = nil
 		return n
 	}
-	h := small(t)
+	h := smallHarness(t)
 	list := serversOf(2, 2, weave1, draft1)
 	h.send(ServerLeaving{Server: "s0"})
 	h.servers(list...) // the list lags
@@ -40,7 +40,7 @@
 	if n := used(h); n["s0"] > 0 {
 		t.Errorf("leaving by the list: %v", n)
 	}
-	h.settled()
+	h.requireAllAnswered()
 }
 
 // A server that drops out of the list and comes back still runs what it ran.
@@ -49,7 +49,7 @@
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 	list := serversOf(2, 2, weave1)
 	h.servers(list...)
-	h.took = func(Dispatch, Request) time.Duration { return 2 * time.Second }
+	h.duration = func(Dispatch, Request) time.Duration { return 2 * time.Second }
 	h.tick()
 	for range 4 {
 		h.arrive(Request{Team: "weavers", Model: "weave"})
@@ -64,7 +64,7 @@
 		t.Error("the fifth request was given a slot that was taken")
 	}
 	h.run(4 * time.Second)
-	h.settled()
+	h.requireAllAnswered()
 }
 
 // Others' load counts while a report is young; a first attempt may pass the slots
@@ -87,7 +87,7 @@
 			h := newHarness(t, DefaultConfig())
 			h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 			h.servers(serversOf(1, 8, weave1)...)
-			h.took = func(Dispatch, Request) time.Duration { return time.Minute }
+			h.duration = func(Dispatch, Request) time.Duration { return time.Minute }
 			h.tick()
 			h.send(LoadReported{Server: "s0", Running: tt.running, At: h.now.Add(-tt.age)})
 			for range 12 {
--- a/decision/session_test.go
+++ b/decision/session_test.go
@@ -43,14 +43,14 @@
 		w.Tick(start, []Event{ManifestApplied{Generation: uint64(2 + i), Teams: []Team{team}, Versions: c.versions}})
 		req := Request{ID: RequestID(1 + i), Team: "weavers", Pins: pin.Versions, ShareHash: 0.5}
 		got := w.Tick(start, []Event{RequestArrived{Request: req}})
-		if len(got) != 1 || !sameEnd(got[0], c.want) {
+		if len(got) != 1 || !sameOutcome(got[0], c.want) {
 			t.Errorf("step %d: got %+v, want %+v", i, got, c.want)
 		}
 	}
 }
 
 // sameEnd compares what a session's caller would see.
-func sameEnd(got, want Command) bool {
+func sameOutcome(got, want Command) bool {
 	switch w := want.(type) {
 	case Dispatch:
 		g, ok := got.(Dispatch)
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -19,8 +19,8 @@
 	if w.cfg.Policy.NoShift {
 		return
 	}
-	if !w.now.Before(w.shareAt) {
-		w.shareAt = w.now.Add(shareEvery)
+	if !w.now.Before(w.nextShare) {
+		w.nextShare = w.now.Add(shareInterval)
 		w.shareVerdicts()
 	}
 	for _, e := range w.outliers.Sweep(w.now) {
@@ -31,11 +31,11 @@
 // shareEvery is how often it is looked at whether there is a word for the peers: a
 // small part of the time that it takes to reach them, so that a tick of one event
 // does not pay for it.
-const shareEvery = 20 * time.Millisecond
+const shareInterval = 20 * time.Millisecond
 
 func (w *World) shareVerdicts() {
-	for _, word := range w.verdicts.Share(w.now) {
-		w.emit(ShareVerdict{Verdict: VersionVerdict{Version: word.Version, Bad: word.Bad, Until: word.Until}})
+	for _, v := range w.verdicts.Share(w.now) {
+		w.emit(ShareVerdict{Verdict: VersionVerdict{Version: v.Version, Bad: v.Bad, Until: v.Until}})
 	}
 }
 
@@ -104,7 +104,7 @@
 
 // judgeVersion takes an attempt's end as evidence on its version. Ends that say
 // nothing of it are left out: not run, or cancelled.
-func (w *World) judgeVersion(a *attempt, e AttemptEnded) {
+func (w *World) recordVersionResult(a *attempt, e AttemptEnded) {
 	if a.version == "" || e.Result == AttemptNotRun || e.Result == AttemptCancelled {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // rateVersion takes a rating as evidence on its version.
-func (w *World) rateVersion(e AnswerRated) {
+func (w *World) recordVersionRating(e AnswerRated) {
 	if w.verdicts.Rated(e.Version, string(e.Class), e.Score, w.now) {
 		w.recheck = true
 	}
@@ -128,12 +128,12 @@
 
 // judgeServer takes an attempt's end as evidence on its backend server. One that
 // refuses because it is leaving does what it should.
-func (w *World) judgeServer(a *attempt, e AttemptEnded) {
+func (w *World) recordServerResult(a *attempt, e AttemptEnded) {
 	if w.cfg.Policy.NoShift || e.Leaving || e.Result == AttemptCancelled {
 		return
 	}
 	failed := e.Result != AttemptCompleted
-	if change, ok := w.outliers.Ended(a.server.ID, failed, w.paceOf(a, e), w.now); ok {
+	if change, ok := w.outliers.Ended(a.server.ID, failed, w.unitTime(a, e), w.now); ok {
 		w.ejection(change)
 	}
 	if a.server.ejected {
@@ -145,13 +145,13 @@
 // its backend server's pace: as many tokens as were to be expected, in the time
 // that it had. Without it a server that is so slow that little ends in time would
 // be judged by its shortest answers only, since the rest are cancelled.
-func (w *World) blameServer(a *attempt) {
+func (w *World) recordServerTimeout(a *attempt) {
 	if a == nil || w.cfg.Policy.NoShift {
 		return
 	}
 	pace := w.now.Sub(a.started)
 	if a.pool.service == "" {
-		pace = w.tokenPace(a, int(a.pool.pace.answered*(a.cost-a.prompt)))
+		pace = w.timePerToken(a, int(a.pool.serviceTime.lengthRatio*(a.cost-a.prompt)))
 	}
 	if change, ok := w.outliers.Ended(a.server.ID, false, pace, w.now); ok {
 		w.ejection(change)
@@ -160,14 +160,14 @@
 
 // paceOf is the time a unit of work took at the server: by token from the first
 // one on for a model, whole for a plain service; 0 where it says nothing.
-func (w *World) paceOf(a *attempt, e AttemptEnded) time.Duration {
+func (w *World) unitTime(a *attempt, e AttemptEnded) time.Duration {
 	if a.pool.service != "" {
 		return w.now.Sub(a.started)
 	}
-	return w.tokenPace(a, e.Tokens)
+	return w.timePerToken(a, e.Tokens)
 }
 
-func (w *World) tokenPace(a *attempt, tokens int) time.Duration {
+func (w *World) timePerToken(a *attempt, tokens int) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
@@ -194,14 +194,14 @@
 }
 
 // trialCheck is how often an ejected server is asked about.
-const trialCheck = time.Second
+const trialCheckInterval = time.Second
 
 // isBarred says whether the server is ejected and due no trial now.
 func (w *World) isBarred(s *server) bool {
 	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Barred {
 		return false
 	}
-	w.wakeAt(s, w.now.Add(trialCheck))
+	w.wakeAt(s, w.now.Add(trialCheckInterval))
 	return true
 }
 
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -7,7 +7,7 @@
 )
 
 // rollOut has weave@2 take half of weave@1's new requests.
-func rollOut(t *testing.T, cfg Config) *harness {
+func rolloutHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
 	h.manifest(1, []Team{teamOf("weavers", 1)}, []Version{
 		{ID: weave1, Model: "weave", State: VersionServing, Share: 0.5, Quality: 0.8},
@@ -35,21 +35,21 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := rollOut(t, DefaultConfig())
+			h := rolloutHarness(t, DefaultConfig())
 			h.rating = func(Dispatch, Request) (float64, bool) { return 0.8, false }
 			rng := rand.New(rand.NewPCG(5, 5))
-			load := demand{perSecond: 100, request: drafting("weavers"), deadline: 5 * time.Second}
+			load := demand{perSecond: 100, request: draftRequest("weavers"), deadline: 5 * time.Second}
 			offer(h, rng, 5*time.Second, load)
 
 			h.rating = tt.rating
-			h.ended = func(d Dispatch, _ Request) AttemptResult {
+			h.result = func(d Dispatch, _ Request) AttemptResult {
 				if d.Version == weave2 {
 					return tt.result
 				}
 				return AttemptCompleted
 			}
 			first, bad, shared := 0, 0, 0
-			h.seen = func(c Command) {
+			h.onCommand = func(c Command) {
 				if v, ok := c.(ShareVerdict); ok && v.Verdict.Bad && v.Verdict.Version == weave2 {
 					shared++
 				}
@@ -72,7 +72,7 @@
 					t.Error("a new session is pinned to the bad version")
 				}
 			}
-			h.ended = always(AttemptCompleted)
+			h.result = always(AttemptCompleted)
 			pinned := h.arrive(Request{Team: "weavers", Pinned: weave2})
 			h.run(2 * time.Second)
 			if _, ok := h.outcomes[pinned].command.(Deliver); !ok {
@@ -84,7 +84,7 @@
 
 // A peer's verdict counts until it lapses.
 func TestPeerVerdict(t *testing.T) {
-	h := rollOut(t, DefaultConfig())
+	h := rolloutHarness(t, DefaultConfig())
 	h.send(VersionVerdict{Version: weave2, Bad: true, Until: h.now.Add(time.Second)})
 	h.tick()
 	at := func() VersionID { return h.w.sessionVersions(SessionOpening{Team: "weavers", ShareHash: 0.1})[0] }
@@ -106,23 +106,23 @@
 		h := newHarness(t, cfg)
 		h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 		h.servers(serversOf(6, 8, weave1, draft1)...)
-		h.took = func(d Dispatch, r Request) time.Duration {
+		h.duration = func(d Dispatch, r Request) time.Duration {
 			if d.Server == "s0" {
-				return 10 * paced(d, r)
+				return 10 * tenMsPerToken(d, r)
 			}
-			return paced(d, r)
+			return tenMsPerToken(d, r)
 		}
 		rng := rand.New(rand.NewPCG(9, 9))
-		load := demand{perSecond: 120, request: drafting("weavers"), deadline: 10 * time.Second}
+		load := demand{perSecond: 120, request: draftRequest("weavers"), deadline: 10 * time.Second}
 		offer(h, rng, 10*time.Second, load)
 		h.outcomes = map[RequestID]outcome{}
 		offer(h, rng, 20*time.Second, load)
 		h.run(10 * time.Second)
-		h.settled()
+		h.requireAllAnswered()
 		if got := h.delivered(""); got != len(h.outcomes) {
 			t.Errorf("%d of %d delivered", got, len(h.outcomes))
 		}
-		return percentile(h.waits("weavers"), 0.99)
+		return percentile(h.answerTimes("weavers"), 0.99)
 	}
 	with, without := p99(Policy{}), p99(Policy{NoShift: true})
 	if with > 300*time.Millisecond || without < time.Second {
@@ -137,12 +137,12 @@
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 	h.servers(serversOf(6, 8, weave1, draft1)...)
 	used := map[ServerID]int{}
-	h.seen = func(c Command) {
+	h.onCommand = func(c Command) {
 		if d, ok := c.(Dispatch); ok {
 			used[d.Server]++
 		}
 	}
-	r := drafting("weavers")
+	r := draftRequest("weavers")
 	r.PromptTokens, r.Blocks = 2000, []BlockHash{1, 2, 3, 4}
 	for range 30 {
 		h.arrive(r)
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -28,7 +28,7 @@
 	// serverList is the servers in the order in which they were first listed.
 	serverList []*server
 	// busy are the pools with queued requests, in no particular order.
-	busy []*pool
+	queuedPools []*pool
 
 	requests map[RequestID]*request
 	// orphans are the attempts that were cancelled and have not ended. The others
@@ -115,13 +115,13 @@
 	// "is the pool saturated" and a random candidate O(1) at any size.
 	free []freeSlot
 	// usable and slots count the servers that are neither leaving nor gone.
-	usable int
-	slots  int
-	pace   paceMeter
-	drain  drainMeter
-	use    useMeter
+	usable      int
+	slots       int
+	serviceTime serviceTimeMeter
+	drain       drainMeter
+	usage       usageMeter
 	// busyPos is the place in tables.busy, or -1.
-	busyPos int
+	queuedPos int
 	// backlogged says that work was left in the queue since the last tick, and
 	// backlog for which part of the last while there was some.
 	backlogged bool
@@ -131,8 +131,8 @@
 // flow is a team's part of a pool's queue.
 type flow struct {
 	fair.Flow[*request]
-	use  useMeter
-	bias biasMeter
+	usage usageMeter
+	bias  biasMeter
 }
 
 // freeSlot is an entry of pool.free.
@@ -152,16 +152,16 @@
 // server is a row of the backend servers table.
 type server struct {
 	Server
-	member []membership
+	memberships []membership
 	// running is this instance's own attempts at the server.
 	running int
 	// others is the load that the last report shows beyond the own.
-	others     int
-	reportedAt time.Time
-	leaving    bool
-	gone       bool
-	ejected    bool
-	shutUntil  time.Time
+	otherLoad    int
+	reportedAt   time.Time
+	leaving      bool
+	gone         bool
+	ejected      bool
+	backoffUntil time.Time
 	// wakeAt is the earliest wake that is pending; zero for none.
 	wakeAt time.Time
 	isFree bool
@@ -231,8 +231,8 @@
 	// firstToken is zero until it came.
 	firstToken time.Time
 	// hold says that the answer is kept back until it is rated, for rateBudget.
-	hold       bool
-	rateBudget time.Duration
+	hold          bool
+	ratingTimeout time.Duration
 	// counted is the crash table's note on the dispatch.
 	counted bool
 	// cost was the estimate, prompt its part that is known beforehand.
--- a/decision/use.go
+++ b/decision/use.go
@@ -34,57 +34,57 @@
 
 // useMeter measures how much a flow or a pool sends, in cost a second, whether
 // or not there is a backlog.
-type useMeter struct {
+type usageMeter struct {
 	// sum is scaled; born is the scale at the first work, 0 before it.
-	sum  float64
-	born float64
+	sum        float64
+	startScale float64
 }
 
 // add notes cost sent now.
-func (m *useMeter) add(cost float64, c *decayClock) {
-	if m.born == 0 {
-		m.born = c.scale
+func (m *usageMeter) add(cost float64, c *decayClock) {
+	if m.startScale == 0 {
+		m.startScale = c.scale
 	}
 	m.sum += cost * c.scale
 }
 
 // rate is the cost a second of late. A young meter is divided by its age, not by
 // the half-life; under half a second it counts as that old.
-func (m *useMeter) rate(c *decayClock, halfLife time.Duration) float64 {
-	if m.born == 0 {
+func (m *usageMeter) rate(c *decayClock, halfLife time.Duration) float64 {
+	if m.startScale == 0 {
 		return 0
 	}
-	span := (1 - m.born/c.scale) * halfLife.Seconds() / math.Ln2
+	span := (1 - m.startScale/c.scale) * halfLife.Seconds() / math.Ln2
 	return m.sum / c.scale / max(span, 0.5)
 }
 
-func (m *useMeter) rescale(factor float64) {
+func (m *usageMeter) rescale(factor float64) {
 	m.sum *= factor
-	m.born *= factor
+	m.startScale *= factor
 }
 
 // advanceUse moves the meters of use on.
-func (w *World) advanceUse() {
-	factor := w.useClock.advance(w.now, w.cfg.DrainWindow)
+func (w *World) advanceUsage() {
+	factor := w.usageClock.advance(w.now, w.cfg.DrainWindow)
 	if factor == 1 {
 		return
 	}
 	for _, p := range w.pools {
-		p.rescaleUse(factor)
+		p.rescaleUsage(factor)
 	}
 	for _, p := range w.services {
-		p.rescaleUse(factor)
+		p.rescaleUsage(factor)
 	}
 }
 
-func (p *pool) rescaleUse(factor float64) {
-	p.use.rescale(factor)
+func (p *pool) rescaleUsage(factor float64) {
+	p.usage.rescale(factor)
 	if p.shared != nil {
-		p.shared.use.rescale(factor)
+		p.shared.usage.rescale(factor)
 	}
 	for _, f := range p.flows {
 		if f != nil {
-			f.use.rescale(factor)
+			f.usage.rescale(factor)
 		}
 	}
 }
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -30,50 +30,50 @@
 		return 0
 	}
 	window := w.cfg.DrainWindow
-	all := p.drain.rate(p.pace.rate(p.slots), window)
-	if all <= 0 {
+	rate := p.drain.rate(p.serviceTime.rate(p.slots), window)
+	if rate <= 0 {
 		return 0
 	}
 	f := p.flow(r.team)
-	nextSlot := p.pace.meanCost() / all
-	before := nextSlot + p.queue.Ahead(&f.Flow)/w.queuedRate(p, f, all)
-	own := f.Cost() / w.ownRate(p, f, all)
-	return seconds(max(before, own))
+	nextSlot := p.serviceTime.meanCost() / rate
+	ahead := nextSlot + p.queue.Ahead(&f.Flow)/w.queuedRate(p, f, rate)
+	ownQueue := f.Cost() / w.ownRate(p, f, rate)
+	return seconds(max(ahead, ownQueue))
 }
 
 // queuedRate is what is left of the pool's rate for the flows that are queued and
 // for f: the teams that are not queued now will ask for what they use of late,
 // up to their share.
-func (w *World) queuedRate(p *pool, f *flow, all float64) float64 {
+func (w *World) queuedRate(p *pool, f *flow, rate float64) float64 {
 	window := w.cfg.DrainWindow
-	queued := f.use.rate(&w.useClock, window)
+	queued := f.usage.rate(&w.usageClock, window)
 	for _, other := range p.flows {
 		if other != nil && other != f && other.Len() > 0 {
-			queued += other.use.rate(&w.useClock, window)
+			queued += other.usage.rate(&w.usageClock, window)
 		}
 	}
-	idle := p.use.rate(&w.useClock, window) - queued
+	idle := p.usage.rate(&w.usageClock, window) - queued
 	share := p.queue.ActiveWeight(&f.Flow) / p.queue.Weight()
-	return max(all*share, all-idle)
+	return max(rate*share, rate-idle)
 }
 
 // ownRate is the flow's part of the rate: what the others leave of it by what
 // they use of late, and at least its share among those that are queued.
-func (w *World) ownRate(p *pool, f *flow, all float64) float64 {
+func (w *World) ownRate(p *pool, f *flow, rate float64) float64 {
 	window := w.cfg.DrainWindow
-	others := p.use.rate(&w.useClock, window) - f.use.rate(&w.useClock, window)
+	others := p.usage.rate(&w.usageClock, window) - f.usage.rate(&w.usageClock, window)
 	share := f.Weight() / p.queue.ActiveWeight(&f.Flow)
-	return max(all*share, all-others)
+	return max(rate*share, rate-others)
 }
 
 // advanceDrains moves the meters of the backlogged pools on. The work is by
 // pools with queued requests, which are as few as versions.
 func (w *World) advanceDrains(elapsed time.Duration) {
-	w.advanceUse()
+	w.advanceUsage()
 	if elapsed <= 0 {
 		return
 	}
-	for _, p := range w.busy {
+	for _, p := range w.queuedPools {
 		p.drain.advance(elapsed, w.cfg.DrainWindow)
 		p.backlogged = true
 	}
@@ -81,18 +81,18 @@
 
 // left notes that a request goes from its queue to a server. What a queue without
 // a backlog sends says nothing of the rate: there it was demand that was short.
-func (w *World) left(p *pool, r *request) {
+func (w *World) recordDeparture(p *pool, r *request) {
 	f := p.flow(r.team)
 	if p.backlogged {
-		p.drain.left(r.item.Cost)
+		p.drain.add(r.item.Cost)
 	}
-	f.use.add(r.item.Cost, &w.useClock)
-	p.use.add(r.item.Cost, &w.useClock)
+	f.usage.add(r.item.Cost, &w.usageClock)
+	p.usage.add(r.item.Cost, &w.usageClock)
 }
 
 // waited notes how the estimate of a request's wait turned out, whether it got a
 // slot or gave up.
-func (w *World) waited(r *request) {
+func (w *World) recordWait(r *request) {
 	if r.expected > 0 {
 		r.pool.flow(r.team).bias.learn(r.expected, w.now.Sub(r.queuedAt))
 		r.expected = 0
--- a/decision/withdraw.go
+++ b/decision/withdraw.go
@@ -19,54 +19,54 @@
 	}
 	w.recheck = false
 	for _, r := range w.queuedRequests() {
-		w.recheckOne(r)
+		w.recheckRequest(r)
 	}
 }
 
 // withdrawStale refuses queued work once freshness has been gone for the grace:
 // it was not run, and another instance can take it.
 func (w *World) withdrawStale() {
-	if len(w.busy)+len(w.parked) == 0 || w.now.Sub(w.staleSince) < w.cfg.FreshnessGrace {
+	if len(w.queuedPools)+len(w.parked) == 0 || w.now.Sub(w.staleSince) < w.cfg.FreshnessGrace {
 		return
 	}
 	for _, r := range w.queuedRequests() {
-		w.giveUp(r, ReasonNotFresh)
+		w.conclude(r, ReasonNotFresh)
 	}
 }
 
-func (w *World) recheckOne(r *request) {
+func (w *World) recheckRequest(r *request) {
 	if w.outage && !r.Idempotent {
-		w.giveUp(r, ReasonOutage)
+		w.conclude(r, ReasonOutage)
 		return
 	}
 	if r.held != 0 {
-		w.recheckStep(r)
+		w.recheckEscalation(r)
 		return
 	}
 	to := w.resolve(r)
 	if to.reason != "" {
-		w.giveUp(r, to.reason)
+		w.conclude(r, to.reason)
 		return
 	}
 	if to.pool == r.pool {
 		return
 	}
 	w.dequeue(r)
-	w.aim(r, to)
+	w.assign(r, to)
 	w.enqueue(r)
 }
 
 // recheckStep gives up an escalation that may not run any more: the answer that
 // is held already is whole and was allowed.
-func (w *World) recheckStep(r *request) {
-	if w.mayStep(r, r.version) {
+func (w *World) recheckEscalation(r *request) {
+	if w.mayEscalate(r, r.version) {
 		return
 	}
 	w.deliver(r, r.held)
 }
 
 // giveUp ends a queued request: as refused where it truly was not run.
-func (w *World) giveUp(r *request, reason RefusalReason) {
+func (w *World) conclude(r *request, reason RefusalReason) {
 	switch {
 	case r.held != 0:
 		w.deliver(r, r.held)
--- a/decision/world.go
+++ b/decision/world.go
@@ -25,16 +25,16 @@
 	crashes  *verdict.Crashes[Fingerprint]
 	// estimates is the learnt quality and length; seconds the dispatched second
 	// steps whose rating is to come, with their first step.
-	estimates *estimate.Table[TeamID, TaskClass, VersionID]
-	seconds   *simplelru.LRU[attemptKey, VersionID]
-	prefixes  *prefix.Index[ServerID, BlockHash]
+	estimates   *estimate.Table[TeamID, TaskClass, VersionID]
+	secondSteps *simplelru.LRU[attemptKey, VersionID]
+	prefixes    *prefix.Index[ServerID, BlockHash]
 
 	// base is the first tick's time.
 	base time.Time
 	now  time.Time
 	// useClock is the meters' of use.
-	useClock decayClock
-	fresh    bool
+	usageClock decayClock
+	fresh      bool
 	// outage says that the log is down for everybody.
 	outage bool
 	// staleSince is when freshness was lost.
@@ -46,10 +46,10 @@
 	// recheck asks the withdraw system to look at every queued request.
 	recheck bool
 	// shareAt is when the verdicts are looked at for the peers again.
-	shareAt time.Time
-	wakeSeq uint64
+	nextShare time.Time
+	wakeSeq   uint64
 	// turn is the round robin baseline's.
-	turn int
+	roundRobin int
 
 	// What this tick's events leave to the systems.
 	arrived []*request
@@ -78,9 +78,9 @@
 		outliers: newOutliers(cfg),
 		crashes:  newCrashes(cfg),
 
-		estimates: newEstimates(),
-		seconds:   newSeconds(),
-		prefixes:  prefix.New[ServerID, BlockHash](prefix.DefaultConfig()),
+		estimates:   newEstimates(),
+		secondSteps: newSecondSteps(),
+		prefixes:    prefix.New[ServerID, BlockHash](prefix.DefaultConfig()),
 	}
 	w.fairness.Credit = cfg.IdleCredit
 	return w
@@ -133,10 +133,10 @@
 
 // secondsLimit bounds the second steps whose rating is waited for; a rating that
 // is lost leaves its entry to be pushed out.
-const secondsLimit = 4096
+const maxSecondSteps = 4096
 
-func newSeconds() *simplelru.LRU[attemptKey, VersionID] {
-	lru, err := simplelru.NewLRU[attemptKey, VersionID](secondsLimit, nil)
+func newSecondSteps() *simplelru.LRU[attemptKey, VersionID] {
+	lru, err := simplelru.NewLRU[attemptKey, VersionID](maxSecondSteps, nil)
 	if err != nil {
 		panic(err) // the library fails only for a size below 1
 	}
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -6,7 +6,7 @@
 )
 
 // small returns a harness with two teams, two models and two servers.
-func small(t reporter) *harness {
+func smallHarness(t reporter) *harness {
 	h := newHarness(t, DefaultConfig())
 	h.manifest(1, []Team{teamOf("weavers", 1), teamOf("shops", 1)}, smallVersions())
 	h.servers(serversOf(2, 2, weave1, draft1)...)
@@ -93,13 +93,13 @@
 		},
 		{
 			name: "runs past its deadline", request: Request{Model: "weave", Deadline: epoch.Add(time.Second)},
-			setup: func(h *harness) { h.took = func(Dispatch, Request) time.Duration { return time.Hour } },
+			setup: func(h *harness) { h.duration = func(Dispatch, Request) time.Duration { return time.Hour } },
 			want:  Fail{Request: 1, Result: AttemptUnknown},
 		},
 		{
 			name: "ends in the tick of its deadline", request: Request{Model: "weave", Deadline: epoch.Add(time.Second)},
 			setup: func(h *harness) {
-				h.took = func(Dispatch, Request) time.Duration { return time.Second - step }
+				h.duration = func(Dispatch, Request) time.Duration { return time.Second - step }
 			},
 			want: Deliver{Request: 1, Attempt: 1},
 		},
@@ -110,28 +110,28 @@
 		},
 		{
 			name: "unknown result of a reservation", request: Request{Model: "weave"},
-			setup: func(h *harness) { h.ended = always(AttemptUnknown) },
+			setup: func(h *harness) { h.result = always(AttemptUnknown) },
 			want:  Fail{Request: 1, Result: AttemptUnknown},
 		},
 		{
 			name: "unknown result, idempotent, each time", request: Request{Model: "weave", Idempotent: true},
-			setup: func(h *harness) { h.ended = always(AttemptUnknown) },
+			setup: func(h *harness) { h.result = always(AttemptUnknown) },
 			want:  Fail{Request: 1, Result: AttemptUnknown},
 		},
 		{
 			name: "refused by each server", request: Request{Model: "weave"},
-			setup: func(h *harness) { h.ended = always(AttemptNotRun) },
+			setup: func(h *harness) { h.result = always(AttemptNotRun) },
 			want:  Refuse{Request: 1, Reason: ReasonNoServer},
 		},
 		{
 			name: "crashes each server", request: Request{Model: "weave", Fingerprint: 9, Idempotent: true},
-			setup: func(h *harness) { h.ended = always(AttemptCrashed) },
+			setup: func(h *harness) { h.result = always(AttemptCrashed) },
 			want:  Fail{Request: 1, Result: AttemptCrashed},
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := small(t)
+			h := smallHarness(t)
 			if tt.setup != nil {
 				tt.setup(h)
 			}
@@ -148,7 +148,7 @@
 			if got != tt.want {
 				t.Errorf("got %T%+v, want %T%+v", got, got, tt.want, tt.want)
 			}
-			h.settled()
+			h.requireAllAnswered()
 		})
 	}
 }
@@ -159,10 +159,10 @@
 
 // A crashing request takes down two servers at most, and its resend none.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
-	h := small(t)
-	h.ended = always(AttemptCrashed)
+	h := smallHarness(t)
+	h.result = always(AttemptCrashed)
 	var quarantines []Quarantine
-	h.seen = func(c Command) {
+	h.onCommand = func(c Command) {
 		if q, ok := c.(Quarantine); ok {
 			quarantines = append(quarantines, q)
 		}
@@ -190,7 +190,7 @@
 		h.servers(serversOf(4, 8, weave1, weave2)...)
 		h.tick()
 		var got []VersionID
-		h.seen = func(c Command) {
+		h.onCommand = func(c Command) {
 			if d, ok := c.(Dispatch); ok {
 				got = append(got, d.Version)
 			}
@@ -218,8 +218,8 @@
 
 // Queued work follows the manifest that comes while it waits.
 func TestQueuedWorkFollowsTheManifest(t *testing.T) {
-	h := small(t)
-	h.took = func(Dispatch, Request) time.Duration { return time.Second }
+	h := smallHarness(t)
+	h.duration = func(Dispatch, Request) time.Duration { return time.Second }
 	for range 4 {
 		h.arrive(Request{Team: "weavers", Model: "draft"})
 	}
@@ -238,7 +238,7 @@
 	if _, ok := h.outcomes[free].command.(Deliver); !ok {
 		t.Errorf("not pinned: %+v", h.outcomes[free])
 	}
-	h.settled()
+	h.requireAllAnswered()
 }
 
 // After a pause nothing queued is dispatched before the freshness is told anew.
@@ -254,19 +254,19 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h := small(t)
+			h := smallHarness(t)
 			for range 5 {
 				h.arrive(Request{Team: "weavers", Model: "weave"})
 			}
 			h.tick()
 			h.now = h.now.Add(4 * time.Second)
-			h.seen = func(c Command) {
+			h.onCommand = func(c Command) {
 				if _, ok := c.(Dispatch); ok {
 					t.Errorf("dispatched right after the pause: %+v", c)
 				}
 			}
 			h.tick()
-			h.seen = nil
+			h.onCommand = nil
 			if tt.told != nil {
 				h.send(*tt.told)
 			}
