--- a/decision/admit.go
+++ b/decision/admit.go
@@ -98,7 +98,7 @@
 	if !w.overloaded(p) || p.flow(r.team).Len() == 0 {
 		return timeLeft
 	}
-	return time.Duration(w.cfg.StandingWait * float64(timeLeft))
+	return time.Duration(w.cfg.OverloadAdmitWait * float64(timeLeft))
 }
 
 // overloadPart is the part of the last while for which a queue stood in overload:
@@ -109,7 +109,7 @@
 // much of the last while. One of eight instances on a saturated pool sees its own
 // queue run empty now and then, so the present queue's age does not tell.
 func (w *World) overloaded(p *pool) bool {
-	return !w.cfg.Policy.NoWaitLimit && p.backlog.part(w.now, w.cfg.BurstFor) >= overloadThreshold
+	return !w.cfg.Policy.NoWaitLimit && p.backlog.part(w.now, w.cfg.BurstDuration) >= overloadThreshold
 }
 
 func (w *World) queueLimit(t *team) int {
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -42,7 +42,7 @@
 	if !w.reportFresh(s) {
 		return true
 	}
-	w.wakeAt(s, s.reportedAt.Add(w.cfg.ReportLife))
+	w.wakeAt(s, s.reportedAt.Add(w.cfg.LoadReportTTL))
 	return false
 }
 
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -92,7 +92,7 @@
 		p := w.versions[o.Version].pool
 		longest = max(longest, p.serviceTime.estimate(w.costOf(r)))
 	}
-	return !w.now.Add(2*longest + w.cfg.RateBudget).After(r.deadline)
+	return !w.now.Add(2*longest + w.cfg.RatingTimeout).After(r.deadline)
 }
 
 // bestOption is the version of the highest stated quality.
--- a/decision/commands.go
+++ b/decision/commands.go
@@ -16,9 +16,9 @@
 	// cascade may still replace it. Without Hold it flows at once.
 	Hold bool
 	// Rate asks the router to have the answer rated and to send AnswerRated.
-	Rate bool
+	NeedsRating bool
 	// RateBudget is how long a held answer may wait for its rating.
-	RateBudget time.Duration
+	RatingTimeout time.Duration
 }
 
 // Deliver gives the caller the answer of Attempt and ends the request.
@@ -62,7 +62,7 @@
 
 // NoteEjection tells operators that a backend server is ejected as an outlier, or
 // back. It is this instance's own finding and changes nothing elsewhere.
-type NoteEjection struct {
+type ReportEjection struct {
 	Server  ServerID
 	Ejected bool
 }
@@ -73,13 +73,13 @@
 	Until       time.Time
 }
 
-func (Dispatch) command()      {}
-func (Deliver) command()       {}
-func (Refuse) command()        {}
-func (PinSession) command()    {}
-func (Fail) command()          {}
-func (CancelAttempt) command() {}
-func (ShareVerdict) command()  {}
-func (ShareLeaving) command()  {}
-func (NoteEjection) command()  {}
-func (Quarantine) command()    {}
+func (Dispatch) command()       {}
+func (Deliver) command()        {}
+func (Refuse) command()         {}
+func (PinSession) command()     {}
+func (Fail) command()           {}
+func (CancelAttempt) command()  {}
+func (ShareVerdict) command()   {}
+func (ShareLeaving) command()   {}
+func (ReportEjection) command() {}
+func (Quarantine) command()     {}
--- a/decision/config.go
+++ b/decision/config.go
@@ -20,7 +20,7 @@
 	// MaxCrashes is how many servers a request may crash before its quarantine.
 	MaxCrashes int
 	// QuarantineFor is the life of a quarantine.
-	QuarantineFor time.Duration
+	QuarantineDuration time.Duration
 	// RetryRatio is the part of recent successes that may be retried or resent.
 	RetryRatio float64
 	// RetryFloor is how many retries and resends a team always has, refilled at
@@ -31,12 +31,12 @@
 	// FreshnessGrace is how long queued work outlives the loss of freshness.
 	FreshnessGrace time.Duration
 	// PauseGap is the time between two ticks that counts as a pause of the process.
-	PauseGap time.Duration
+	PauseThreshold time.Duration
 	// PauseHold is how long nothing is dispatched after a pause, unless the
 	// freshness is told anew before.
-	PauseHold time.Duration
+	ResumeDelay time.Duration
 	// ReportLife is how long a load report counts.
-	ReportLife time.Duration
+	LoadReportTTL time.Duration
 	// Overcommit is the part of a server's slots by which instances that run
 	// nothing there may pass them, by what the server reports.
 	Overcommit float64
@@ -45,24 +45,24 @@
 	// RetryAfterMin is the least RetryAfter of a refusal that time may cure.
 	RetryAfterMin time.Duration
 	// RateBudget is how long a held answer may wait for its rating.
-	RateBudget time.Duration
+	RatingTimeout time.Duration
 	// DrainWindow is the half-life of the measured drain rate.
-	DrainWindow time.Duration
+	DrainRateHalfLife time.Duration
 	// WaitMargin multiplies the estimated wait at admission.
 	WaitMargin float64
 	// BurstFor is how long a queue may stand before it counts as overload, and the
 	// half-life of what is remembered of earlier queues.
-	BurstFor time.Duration
+	BurstDuration time.Duration
 	// StandingWait bounds the wait in overload, as a part of the time to the
 	// deadline.
-	StandingWait float64
+	OverloadAdmitWait float64
 	// Patience is the part of its time that a request may stay queued, whatever
 	// the estimate said.
-	Patience float64
+	OverloadWait float64
 	// PromptWeight is the cost of a prompt token in generated tokens.
-	PromptWeight float64
+	PromptTokenCost float64
 	// DefaultTokens sizes requests that name no MaxTokens.
-	DefaultTokens int
+	DefaultMaxTokens int
 	// IdleCredit is the work, in generated tokens, that a team which asked for less
 	// than its share may be given ahead of the others.
 	IdleCredit float64
@@ -72,7 +72,7 @@
 	AffinityWeight float64
 	// AffinityBound is the load, as a part of capacity, past which a cached
 	// prefix counts for nothing.
-	AffinityBound float64
+	AffinityMaxLoad float64
 	// DomainWeight is the worth of a near server, in work.
 	DomainWeight float64
 	// ProbeEvery lets one request in so many through to a version judged bad.
@@ -93,9 +93,9 @@
 	// NoAffinity ignores prefix caches.
 	NoAffinity bool
 	// NoShift ignores verdicts on versions and ejects no servers.
-	NoShift bool
+	NoVerdicts bool
 	// FirstCome queues all teams' requests in the order in which they came.
-	FirstCome bool
+	FIFO bool
 	// NoWaitLimit admits whatever fits the queues, however long the wait.
 	NoWaitLimit bool
 }
@@ -141,7 +141,7 @@
 		MaxCrashes: 2,
 		// Long enough to outlive a caller's resends, short enough that a fixed
 		// server is tried again within the hour.
-		QuarantineFor: 30 * time.Minute,
+		QuarantineDuration: 30 * time.Minute,
 		// 10% adds at most a tenth to an overload, whatever callers resend.
 		RetryRatio: 0.1,
 		// A small team with few successes may still retry now and then.
@@ -154,29 +154,29 @@
 		FreshnessGrace: time.Second,
 		// Half of the time for which freshness lasts: an instance that was paused
 		// may have missed a manifest.
-		PauseGap: 2500 * time.Millisecond,
+		PauseThreshold: 2500 * time.Millisecond,
 		// Enough for the freshness to be looked at again, and short for callers
 		// where it was no pause but a slow tick.
-		PauseHold: 500 * time.Millisecond,
+		ResumeDelay: 500 * time.Millisecond,
 		// Four reports at the usual 500 ms.
-		ReportLife: 2 * time.Second,
+		LoadReportTTL: 2 * time.Second,
 		// Enough to let a new instance in; a quarter more in an engine's own queue
 		// costs the rest a quarter of a turn.
 		Overcommit:     0.25,
 		RefusedBackoff: 200 * time.Millisecond,
 		RetryAfterMin:  500 * time.Millisecond,
 		// Under the time to a first token that callers put up with.
-		RateBudget:  300 * time.Millisecond,
-		DrainWindow: 5 * time.Second,
-		WaitMargin:  1.1,
+		RatingTimeout:     300 * time.Millisecond,
+		DrainRateHalfLife: 5 * time.Second,
+		WaitMargin:        1.1,
 		// The first rush of a shop's opening; a term opening lasts longer.
-		BurstFor: 5 * time.Second,
+		BurstDuration: 5 * time.Second,
 		// Enough queue to keep the slots busy, no more.
-		StandingWait: 0.1,
+		OverloadAdmitWait: 0.1,
 		// Twice that: estimates fall short by half. Only in overload.
-		Patience:      0.2,
-		PromptWeight:  0.1,
-		DefaultTokens: 256,
+		OverloadWait:     0.2,
+		PromptTokenCost:  0.1,
+		DefaultMaxTokens: 256,
 		// A few long answers: what a small team asks for at once. More would let a
 		// team that was silent for an hour hold up the others for minutes.
 		IdleCredit:  2000,
@@ -184,8 +184,8 @@
 		// Work saved is worth what it saves.
 		AffinityWeight: 1,
 		// Four fifths leave room for what other instances send meanwhile.
-		AffinityBound: 0.8,
-		DomainWeight:  0.05,
+		AffinityMaxLoad: 0.8,
+		DomainWeight:    0.05,
 		// 0.4%: under the 1% that a bad version may get.
 		ProbeEvery: 250,
 		// Below 2, uneven work alone would eject healthy servers.
@@ -203,29 +203,29 @@
 	orDefault(&c.QueueLimit, d.QueueLimit)
 	orDefault(&c.MaxAttempts, d.MaxAttempts)
 	orDefault(&c.MaxCrashes, d.MaxCrashes)
-	orDefault(&c.QuarantineFor, d.QuarantineFor)
+	orDefault(&c.QuarantineDuration, d.QuarantineDuration)
 	orDefault(&c.RetryRatio, d.RetryRatio)
 	orDefault(&c.RetryFloor, d.RetryFloor)
 	orDefault(&c.RetryCap, d.RetryCap)
 	orDefault(&c.FreshnessGrace, d.FreshnessGrace)
-	orDefault(&c.PauseGap, d.PauseGap)
-	orDefault(&c.PauseHold, d.PauseHold)
-	orDefault(&c.ReportLife, d.ReportLife)
+	orDefault(&c.PauseThreshold, d.PauseThreshold)
+	orDefault(&c.ResumeDelay, d.ResumeDelay)
+	orDefault(&c.LoadReportTTL, d.LoadReportTTL)
 	orDefault(&c.Overcommit, d.Overcommit)
 	orDefault(&c.RefusedBackoff, d.RefusedBackoff)
 	orDefault(&c.RetryAfterMin, d.RetryAfterMin)
-	orDefault(&c.RateBudget, d.RateBudget)
-	orDefault(&c.DrainWindow, d.DrainWindow)
+	orDefault(&c.RatingTimeout, d.RatingTimeout)
+	orDefault(&c.DrainRateHalfLife, d.DrainRateHalfLife)
 	orDefault(&c.WaitMargin, d.WaitMargin)
-	orDefault(&c.BurstFor, d.BurstFor)
-	orDefault(&c.StandingWait, d.StandingWait)
-	orDefault(&c.Patience, d.Patience)
-	orDefault(&c.PromptWeight, d.PromptWeight)
-	orDefault(&c.DefaultTokens, d.DefaultTokens)
+	orDefault(&c.BurstDuration, d.BurstDuration)
+	orDefault(&c.OverloadAdmitWait, d.OverloadAdmitWait)
+	orDefault(&c.OverloadWait, d.OverloadWait)
+	orDefault(&c.PromptTokenCost, d.PromptTokenCost)
+	orDefault(&c.DefaultMaxTokens, d.DefaultMaxTokens)
 	orDefault(&c.IdleCredit, d.IdleCredit)
 	orDefault(&c.ServiceCost, d.ServiceCost)
 	orDefault(&c.AffinityWeight, d.AffinityWeight)
-	orDefault(&c.AffinityBound, d.AffinityBound)
+	orDefault(&c.AffinityMaxLoad, d.AffinityMaxLoad)
 	orDefault(&c.DomainWeight, d.DomainWeight)
 	orDefault(&c.ProbeEvery, d.ProbeEvery)
 	orDefault(&c.SlowFactor, d.SlowFactor)
--- a/decision/crash.go
+++ b/decision/crash.go
@@ -15,7 +15,7 @@
 func newCrashes(cfg Config) *verdict.Crashes[Fingerprint] {
 	c := verdict.DefaultCrashConfig()
 	c.MaxServers = cfg.MaxCrashes
-	c.Quarantine = cfg.QuarantineFor
+	c.Quarantine = cfg.QuarantineDuration
 	return verdict.NewCrashes[Fingerprint](c)
 }
 
--- a/decision/events.go
+++ b/decision/events.go
@@ -49,7 +49,7 @@
 	Session SessionID
 	Team    TeamID
 	// ShareHash is the session's place in roll-outs.
-	ShareHash float64
+	RolloutPosition float64
 }
 
 // RequestCancelled says that the caller has gone.
@@ -70,7 +70,7 @@
 	Tokens int
 	// Sent says that a part of the answer already went to the caller, so that
 	// no other attempt may follow.
-	Sent bool
+	ResponseStarted bool
 	// Leaving says that the backend server refused because it is leaving.
 	Leaving bool
 }
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -64,7 +64,7 @@
 	case 6:
 		return FirstToken{Request: id, Attempt: attempt}
 	case 7:
-		return AttemptEnded{Request: id, Attempt: attempt, Result: AttemptResult(t.next() % 8), Tokens: int(int8(t.next())), Sent: t.next()%4 == 0, Leaving: t.next()%4 == 0}
+		return AttemptEnded{Request: id, Attempt: attempt, Result: AttemptResult(t.next() % 8), Tokens: int(int8(t.next())), ResponseStarted: t.next()%4 == 0, Leaving: t.next()%4 == 0}
 	case 8:
 		return AnswerRated{Request: id, Attempt: attempt, Team: "a", Version: t.version(), Score: t.number(), Late: t.next()%2 == 0}
 	case 9:
@@ -98,7 +98,7 @@
 func (t *byteSource) request(id RequestID) Event {
 	r := Request{
 		ID: id, Team: []TeamID{"a", "b", ""}[t.next()%3], Model: t.model(), Pinned: t.version(),
-		ShareHash: t.number(), Fingerprint: Fingerprint(t.next() % 4), Blocks: []BlockHash{BlockHash(t.next())},
+		RolloutPosition: t.number(), Fingerprint: Fingerprint(t.next() % 4), Blocks: []BlockHash{BlockHash(t.next())},
 		PromptTokens: int(int8(t.next())), MaxTokens: int(int8(t.next())), Priority: int(int8(t.next())),
 		Idempotent: t.next()%2 == 0, Streamed: t.next()%2 == 0, Resend: t.next()%4 == 0,
 	}
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -145,7 +145,7 @@
 		h.ran[a.Request]--
 	}
 	h.send(AttemptEnded{Request: a.Request, Attempt: a.Attempt, Result: result, Tokens: r.MaxTokens})
-	if result == AttemptCompleted && a.Rate && h.rating != nil {
+	if result == AttemptCompleted && a.NeedsRating && h.rating != nil {
 		score, late := h.rating(a.Dispatch, r)
 		h.send(AnswerRated{
 			Request: a.Request, Attempt: a.Attempt, Team: r.Team, Class: r.Class,
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -112,5 +112,5 @@
 
 // reportFresh says whether the last load report still counts.
 func (w *World) reportFresh(s *server) bool {
-	return w.now.Sub(s.reportedAt) < w.cfg.ReportLife
+	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
 }
--- a/decision/internal/policytest/bench.go
+++ b/decision/internal/policytest/bench.go
@@ -242,7 +242,7 @@
 	}
 	if c != nil {
 		c.cost += prices[r.version] * float64(end.Tokens) / 1000
-		end.Sent = !r.failed && !c.held[r.attempt]
+		end.ResponseStarted = !r.failed && !c.held[r.attempt]
 	}
 	b.tell(r.origin, end)
 	if r.failed {
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -149,13 +149,13 @@
 	team := pickTeam(rng, l.Skew)
 	j := &job{arrived: at, instance: rng.IntN(l.Instances)}
 	j.Request = decision.Request{
-		ID:          decision.RequestID(id),
-		Team:        teamID(team),
-		ShareHash:   rng.Float64(),
-		Fingerprint: decision.Fingerprint(rng.Uint64()),
-		Class:       lookup,
-		Idempotent:  true,
-		Streamed:    true,
+		ID:              decision.RequestID(id),
+		Team:            teamID(team),
+		RolloutPosition: rng.Float64(),
+		Fingerprint:     decision.Fingerprint(rng.Uint64()),
+		Class:           lookup,
+		Idempotent:      true,
+		Streamed:        true,
 	}
 	j.noise = answerNoise * rng.NormFloat64()
 	j.fate = rng.Float64()
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -25,8 +25,8 @@
 		c.scores = make(map[decision.AttemptID]float64)
 		c.rated = make(map[decision.AttemptID]time.Duration)
 	}
-	if d.Rate {
-		c.rated[d.Attempt] = d.RateBudget
+	if d.NeedsRating {
+		c.rated[d.Attempt] = d.RatingTimeout
 	}
 }
 
--- a/decision/internal/policytest/variants.go
+++ b/decision/internal/policytest/variants.go
@@ -10,7 +10,7 @@
 
 // plain is what a router without this module's decisions does: requests in the
 // order in which they came, whatever the wait, without affinity or verdicts.
-var plain = decision.Policy{NoAffinity: true, NoShift: true, FirstCome: true, NoWaitLimit: true}
+var plain = decision.Policy{NoAffinity: true, NoVerdicts: true, FIFO: true, NoWaitLimit: true}
 
 // Variants lists the policies. The first is the one meant for use; the next two
 // are plain routers, and each of the others differs from it in one decision.
@@ -25,7 +25,7 @@
 		{"always the best model", world(decision.Policy{Cascade: decision.CascadeBest})},
 		{"fixed cascade", world(decision.Policy{Cascade: decision.CascadeFixed})},
 		{"no affinity", world(decision.Policy{NoAffinity: true})},
-		{"no shift", world(decision.Policy{NoShift: true})},
+		{"no shift", world(decision.Policy{NoVerdicts: true})},
 	}
 }
 
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -29,7 +29,7 @@
 	rate := dem.perSecond * step.Seconds()
 	for range arrivals(rng, rate) {
 		r := dem.request
-		r.ShareHash = rng.Float64()
+		r.RolloutPosition = rng.Float64()
 		r.Deadline = h.now.Add(dem.deadline)
 		h.arrive(r)
 	}
@@ -296,7 +296,7 @@
 // left alone for a moment after each refusal and draws little work.
 func TestRefusingServerDrawsLittleWork(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Policy.NoShift = true
+	cfg.Policy.NoVerdicts = true
 	h := newHarness(t, cfg)
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
 	h.servers(serversOf(6, 8, weave1)...)
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -16,7 +16,7 @@
 		},
 		Scorers: []place.Scorer{
 			place.Load{},
-			place.Affinity{Weight: cfg.AffinityWeight, Bound: cfg.AffinityBound},
+			place.Affinity{Weight: cfg.AffinityWeight, Bound: cfg.AffinityMaxLoad},
 			place.Domain{Weight: cfg.DomainWeight},
 		},
 	}
@@ -137,7 +137,7 @@
 	load := float64(s.running)
 	if s.otherLoad > 0 {
 		age := w.now.Sub(s.reportedAt)
-		faded := 1 - float64(age)/float64(w.cfg.ReportLife)
+		faded := 1 - float64(age)/float64(w.cfg.LoadReportTTL)
 		load += float64(s.otherLoad) * max(faded, 0)
 	}
 	return load / float64(s.capacity())
@@ -171,5 +171,5 @@
 
 // rateBudget is how long the answer may wait for its rating.
 func (w *World) ratingTimeout(r *request) time.Duration {
-	return min(w.cfg.RateBudget, max(r.deadline.Sub(w.now), time.Millisecond))
+	return min(w.cfg.RatingTimeout, max(r.deadline.Sub(w.now), time.Millisecond))
 }
--- a/decision/place.go
+++ b/decision/place.go
@@ -168,14 +168,14 @@
 	if r.version == nil {
 		return
 	}
-	cmd.Rate = true
-	cmd.RateBudget = w.ratingTimeout(r)
+	cmd.NeedsRating = true
+	cmd.RatingTimeout = w.ratingTimeout(r)
 	if r.held != 0 {
 		w.secondSteps.Add(a.key, r.plan.First)
 		return
 	}
 	a.hold = r.plan.Cascade && w.secondStepFits(r)
-	a.ratingTimeout = cmd.RateBudget
+	a.ratingTimeout = cmd.RatingTimeout
 	cmd.Hold = a.hold
 }
 
@@ -186,6 +186,6 @@
 	if second == nil {
 		return false
 	}
-	need := r.pool.serviceTime.estimate(r.item.Cost) + second.pool.serviceTime.estimate(r.item.Cost) + w.cfg.RateBudget
+	need := r.pool.serviceTime.estimate(r.item.Cost) + second.pool.serviceTime.estimate(r.item.Cost) + w.cfg.RatingTimeout
 	return !w.now.Add(need).After(r.deadline)
 }
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -14,7 +14,7 @@
 
 func (w *World) newPool() *pool {
 	p := &pool{queuedPos: -1}
-	if w.cfg.Policy.FirstCome {
+	if w.cfg.Policy.FIFO {
 		p.shared = &flow{}
 		p.queue.Init(&p.shared.Flow, w.fairness.NewAccount(1))
 	}
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -67,16 +67,16 @@
 
 func (s *script) request() {
 	r := Request{
-		Team:        rapid.SampledFrom([]TeamID{"a", "b", "none"}).Draw(s.t, "team"),
-		Model:       rapid.SampledFrom([]ModelID{"", "weave", "draft", "weave@2", "none"}).Draw(s.t, "model"),
-		Service:     rapid.SampledFrom([]ServiceID{"", "", "", "stock"}).Draw(s.t, "service"),
-		ShareHash:   rapid.Float64Range(0, 1).Draw(s.t, "hash"),
-		MaxTokens:   rapid.IntRange(0, 500).Draw(s.t, "tokens"),
-		Idempotent:  rapid.Bool().Draw(s.t, "idempotent"),
-		Streamed:    rapid.Bool().Draw(s.t, "streamed"),
-		Resend:      rapid.IntRange(0, 4).Draw(s.t, "resend") == 0,
-		Fingerprint: Fingerprint(rapid.IntRange(0, 5).Draw(s.t, "fingerprint")),
-		Blocks:      rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 9), func(b uint64) BlockHash { return BlockHash(b) }), 0, 3).Draw(s.t, "blocks"),
+		Team:            rapid.SampledFrom([]TeamID{"a", "b", "none"}).Draw(s.t, "team"),
+		Model:           rapid.SampledFrom([]ModelID{"", "weave", "draft", "weave@2", "none"}).Draw(s.t, "model"),
+		Service:         rapid.SampledFrom([]ServiceID{"", "", "", "stock"}).Draw(s.t, "service"),
+		RolloutPosition: rapid.Float64Range(0, 1).Draw(s.t, "hash"),
+		MaxTokens:       rapid.IntRange(0, 500).Draw(s.t, "tokens"),
+		Idempotent:      rapid.Bool().Draw(s.t, "idempotent"),
+		Streamed:        rapid.Bool().Draw(s.t, "streamed"),
+		Resend:          rapid.IntRange(0, 4).Draw(s.t, "resend") == 0,
+		Fingerprint:     Fingerprint(rapid.IntRange(0, 5).Draw(s.t, "fingerprint")),
+		Blocks:          rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 9), func(b uint64) BlockHash { return BlockHash(b) }), 0, 3).Draw(s.t, "blocks"),
 	}
 	if r.Model == "" && r.Service == "" {
 		r.Pinned = rapid.SampledFrom([]VersionID{"", weave1, weave2}).Draw(s.t, "pinned")
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -8,7 +8,7 @@
 	r.pool = to.pool
 	r.item.Cost = w.costOf(r)
 	r.item.Priority = r.Priority
-	if w.cfg.Policy.FirstCome {
+	if w.cfg.Policy.FIFO {
 		r.item.Priority = 0
 	}
 }
@@ -22,13 +22,13 @@
 	}
 	tokens := r.MaxTokens
 	if tokens <= 0 {
-		tokens = w.cfg.DefaultTokens
+		tokens = w.cfg.DefaultMaxTokens
 	}
 	return max(w.promptCost(r)+float64(tokens), 1)
 }
 
 func (w *World) promptCost(r *request) float64 {
-	return float64(max(r.PromptTokens, 0)) * w.cfg.PromptWeight
+	return float64(max(r.PromptTokens, 0)) * w.cfg.PromptTokenCost
 }
 
 // enqueue puts the request in its team's flow of its pool's queue. Each pool has
@@ -45,7 +45,7 @@
 	if p.queuedPos < 0 {
 		p.queuedPos = len(w.queuedPools)
 		w.queuedPools = append(w.queuedPools, p)
-		p.backlog.set(true, w.now, w.cfg.BurstFor)
+		p.backlog.set(true, w.now, w.cfg.BurstDuration)
 	}
 }
 
@@ -61,7 +61,7 @@
 	timeLeft := r.deadline.Sub(w.now)
 	wait := timeLeft - r.pool.serviceTime.upperBound(r.item.Cost)
 	if !r.ran && r.held == 0 && w.overloaded(r.pool) {
-		wait = min(wait, time.Duration(w.cfg.Patience*float64(timeLeft)))
+		wait = min(wait, time.Duration(w.cfg.OverloadWait*float64(timeLeft)))
 	}
 	return w.now.Add(max(wait, 0))
 }
@@ -89,7 +89,7 @@
 	if p.queuedPos < 0 {
 		return
 	}
-	p.backlog.set(false, w.now, w.cfg.BurstFor)
+	p.backlog.set(false, w.now, w.cfg.BurstDuration)
 	last := len(w.queuedPools) - 1
 	moved := w.queuedPools[last]
 	w.queuedPools[p.queuedPos] = moved
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -63,7 +63,7 @@
 	if tm == nil {
 		return refused(ReasonNotAllowed)
 	}
-	v := w.rollout(tm, r.ShareHash)
+	v := w.rollout(tm, r.RolloutPosition)
 	if v == nil {
 		return refused(ReasonUnknownModel) // no version of it serves new work
 	}
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -44,7 +44,7 @@
 func (w *World) notRun(r *request, e endedAttempt) {
 	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff))
 	r.tried = append(r.tried, e.attempt.server)
-	if int(r.attempts) >= w.cfg.MaxAttempts || e.event.Sent {
+	if int(r.attempts) >= w.cfg.MaxAttempts || e.event.ResponseStarted {
 		w.conclude(r, ReasonNoServer)
 		return
 	}
@@ -73,7 +73,7 @@
 func (w *World) mayHaveRun(r *request, e endedAttempt) {
 	r.ran = true
 	r.tried = append(r.tried, e.attempt.server)
-	final := !r.Idempotent || e.event.Sent || e.event.Result == AttemptCancelled ||
+	final := !r.Idempotent || e.event.ResponseStarted || e.event.Result == AttemptCancelled ||
 		int(r.attempts) >= w.cfg.MaxAttempts
 	if final || !r.team.retries.spend(w.now, &w.cfg) {
 		w.failOrHeld(r, e.event.Result)
--- a/decision/session.go
+++ b/decision/session.go
@@ -19,7 +19,7 @@
 	}
 	var out []VersionID
 	for _, tm := range t.models {
-		if v := w.rolloutBy(tm, e.ShareHash, w.isGood); v != nil {
+		if v := w.rolloutBy(tm, e.RolloutPosition, w.isGood); v != nil {
 			out = append(out, v.ID)
 		}
 	}
@@ -40,7 +40,7 @@
 		}
 		return nil
 	}
-	return w.rollout(tm, r.ShareHash)
+	return w.rollout(tm, r.RolloutPosition)
 }
 
 // pinsWithdrawn says whether the session has pins and none may take work.
@@ -55,5 +55,5 @@
 
 // isGood says whether no verdict speaks against the version.
 func (w *World) isGood(v *version) bool {
-	return w.cfg.Policy.NoShift || !w.verdicts.Bad(v.ID, w.now)
+	return w.cfg.Policy.NoVerdicts || !w.verdicts.Bad(v.ID, w.now)
 }
--- a/decision/session_test.go
+++ b/decision/session_test.go
@@ -21,7 +21,7 @@
 		servers,
 		FreshnessChanged{Fresh: true},
 	})
-	cmds := w.Tick(start, []Event{SessionOpening{Session: 7, Team: "weavers", ShareHash: 0.5}})
+	cmds := w.Tick(start, []Event{SessionOpening{Session: 7, Team: "weavers", RolloutPosition: 0.5}})
 	want := []VersionID{"draft@1"}
 	pin, ok := cmds[0].(PinSession)
 	if !ok || pin.Session != 7 || !slices.Equal(pin.Versions, want) {
@@ -41,7 +41,7 @@
 		{[]Version{withdrawn, next}, Refuse{Request: 3, Reason: ReasonVersionWithdrawn}},
 	} {
 		w.Tick(start, []Event{ManifestApplied{Generation: uint64(2 + i), Teams: []Team{team}, Versions: c.versions}})
-		req := Request{ID: RequestID(1 + i), Team: "weavers", Pins: pin.Versions, ShareHash: 0.5}
+		req := Request{ID: RequestID(1 + i), Team: "weavers", Pins: pin.Versions, RolloutPosition: 0.5}
 		got := w.Tick(start, []Event{RequestArrived{Request: req}})
 		if len(got) != 1 || !sameOutcome(got[0], c.want) {
 			t.Errorf("step %d: got %+v, want %+v", i, got, c.want)
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -16,7 +16,7 @@
 // notices. The manifest stays as it is; the verdict bounds the exposure and is
 // told to the peers, so that each instance need not find out by its own callers.
 func (w *World) shift() {
-	if w.cfg.Policy.NoShift {
+	if w.cfg.Policy.NoVerdicts {
 		return
 	}
 	if !w.now.Before(w.nextShare) {
@@ -129,7 +129,7 @@
 // judgeServer takes an attempt's end as evidence on its backend server. One that
 // refuses because it is leaving does what it should.
 func (w *World) recordServerResult(a *attempt, e AttemptEnded) {
-	if w.cfg.Policy.NoShift || e.Leaving || e.Result == AttemptCancelled {
+	if w.cfg.Policy.NoVerdicts || e.Leaving || e.Result == AttemptCancelled {
 		return
 	}
 	failed := e.Result != AttemptCompleted
@@ -146,7 +146,7 @@
 // that it had. Without it a server that is so slow that little ends in time would
 // be judged by its shortest answers only, since the rest are cancelled.
 func (w *World) recordServerTimeout(a *attempt) {
-	if a == nil || w.cfg.Policy.NoShift {
+	if a == nil || w.cfg.Policy.NoVerdicts {
 		return
 	}
 	pace := w.now.Sub(a.started)
@@ -187,7 +187,7 @@
 // eject takes a server out of the choice, or back in, and tells the operators.
 func (w *World) eject(s *server, ejected bool) {
 	if s.ejected != ejected {
-		w.emit(NoteEjection{Server: s.ID, Ejected: ejected})
+		w.emit(ReportEjection{Server: s.ID, Ejected: ejected})
 	}
 	s.ejected = ejected
 	w.refresh(s)
@@ -208,7 +208,7 @@
 // takesNew says whether no verdict speaks against new work for the version. One
 // request in many is let through as a probe, so that a mended version is found.
 func (w *World) takesNew(v *version) bool {
-	if w.cfg.Policy.NoShift {
+	if w.cfg.Policy.NoVerdicts {
 		return true
 	}
 	return w.verdicts.Admit(v.ID, w.now) != verdict.Barred
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -67,7 +67,7 @@
 			if shared == 0 {
 				t.Error("the verdict was not shared")
 			}
-			for _, id := range h.w.sessionVersions(SessionOpening{Team: "weavers", ShareHash: 0.1}) {
+			for _, id := range h.w.sessionVersions(SessionOpening{Team: "weavers", RolloutPosition: 0.1}) {
 				if id == weave2 {
 					t.Error("a new session is pinned to the bad version")
 				}
@@ -87,7 +87,7 @@
 	h := rolloutHarness(t, DefaultConfig())
 	h.send(VersionVerdict{Version: weave2, Bad: true, Until: h.now.Add(time.Second)})
 	h.tick()
-	at := func() VersionID { return h.w.sessionVersions(SessionOpening{Team: "weavers", ShareHash: 0.1})[0] }
+	at := func() VersionID { return h.w.sessionVersions(SessionOpening{Team: "weavers", RolloutPosition: 0.1})[0] }
 	if got := at(); got != weave1 {
 		t.Errorf("with the verdict: %s", got)
 	}
@@ -124,7 +124,7 @@
 		}
 		return percentile(h.answerTimes("weavers"), 0.99)
 	}
-	with, without := p99(Policy{}), p99(Policy{NoShift: true})
+	with, without := p99(Policy{}), p99(Policy{NoVerdicts: true})
 	if with > 300*time.Millisecond || without < time.Second {
 		t.Errorf("p99 %v, without ejection %v", with, without)
 	}
--- a/decision/types.go
+++ b/decision/types.go
@@ -104,8 +104,8 @@
 	Class   TaskClass
 	// ShareHash places the request in a roll-out: hash of its session, or of
 	// itself, as a fraction of 1.
-	ShareHash   float64
-	Fingerprint Fingerprint
+	RolloutPosition float64
+	Fingerprint     Fingerprint
 	// Blocks are the prompt's block hashes from its start, for affinity.
 	Blocks []BlockHash
 	// PromptTokens and MaxTokens size the work.
--- a/decision/use.go
+++ b/decision/use.go
@@ -65,7 +65,7 @@
 
 // advanceUse moves the meters of use on.
 func (w *World) advanceUsage() {
-	factor := w.usageClock.advance(w.now, w.cfg.DrainWindow)
+	factor := w.usageClock.advance(w.now, w.cfg.DrainRateHalfLife)
 	if factor == 1 {
 		return
 	}
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -29,7 +29,7 @@
 	if p == nil || r.team == nil || p.queue.Len() == 0 && len(p.free) > 0 {
 		return 0
 	}
-	window := w.cfg.DrainWindow
+	window := w.cfg.DrainRateHalfLife
 	rate := p.drain.rate(p.serviceTime.rate(p.slots), window)
 	if rate <= 0 {
 		return 0
@@ -45,7 +45,7 @@
 // for f: the teams that are not queued now will ask for what they use of late,
 // up to their share.
 func (w *World) queuedRate(p *pool, f *flow, rate float64) float64 {
-	window := w.cfg.DrainWindow
+	window := w.cfg.DrainRateHalfLife
 	queued := f.usage.rate(&w.usageClock, window)
 	for _, other := range p.flows {
 		if other != nil && other != f && other.Len() > 0 {
@@ -60,7 +60,7 @@
 // ownRate is the flow's part of the rate: what the others leave of it by what
 // they use of late, and at least its share among those that are queued.
 func (w *World) ownRate(p *pool, f *flow, rate float64) float64 {
-	window := w.cfg.DrainWindow
+	window := w.cfg.DrainRateHalfLife
 	others := p.usage.rate(&w.usageClock, window) - f.usage.rate(&w.usageClock, window)
 	share := f.Weight() / p.queue.ActiveWeight(&f.Flow)
 	return max(rate*share, rate-others)
@@ -74,7 +74,7 @@
 		return
 	}
 	for _, p := range w.queuedPools {
-		p.drain.advance(elapsed, w.cfg.DrainWindow)
+		p.drain.advance(elapsed, w.cfg.DrainRateHalfLife)
 		p.backlogged = true
 	}
 }
--- a/decision/world.go
+++ b/decision/world.go
@@ -119,9 +119,9 @@
 		}
 		w.now = now
 	}
-	if elapsed > w.cfg.PauseGap {
+	if elapsed > w.cfg.PauseThreshold {
 		w.resumedAt = now
-		w.holdUntil = now.Add(w.cfg.PauseHold)
+		w.holdUntil = now.Add(w.cfg.ResumeDelay)
 	}
 	w.advanceDrains(elapsed)
 	w.arrived = w.arrived[:0]
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -196,7 +196,7 @@
 			}
 		}
 		for i := range 20 {
-			h.arrive(Request{Team: "weavers", Model: "weave", ShareHash: float64(i) / 20})
+			h.arrive(Request{Team: "weavers", Model: "weave", RolloutPosition: float64(i) / 20})
 			h.tick()
 		}
 		return got
--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -191,12 +191,12 @@
 // ended reports an attempt's end to the decision.
 func (x *exchange) ended(d decision.Dispatch, result decision.AttemptResult, leaving bool) {
 	x.ticket.Send(decision.AttemptEnded{
-		Request: x.req.ID,
-		Attempt: d.Attempt,
-		Result:  result,
-		Tokens:  int(x.bill.OutputTokens - x.tokensBefore),
-		Sent:    x.sent,
-		Leaving: leaving,
+		Request:         x.req.ID,
+		Attempt:         d.Attempt,
+		Result:          result,
+		Tokens:          int(x.bill.OutputTokens - x.tokensBefore),
+		ResponseStarted: x.sent,
+		Leaving:         leaving,
 	})
 }
 
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -33,7 +33,7 @@
 
 // rate has an answer rated where the decision asked for it.
 func (x *exchange) rate(d decision.Dispatch, a *answer) {
-	if !d.Rate {
+	if !d.NeedsRating {
 		return
 	}
 	event := decision.AnswerRated{
@@ -44,8 +44,8 @@
 		Version: d.Version,
 	}
 	budget := lateRating
-	if d.Hold && d.RateBudget > 0 {
-		budget = d.RateBudget
+	if d.Hold && d.RatingTimeout > 0 {
+		budget = d.RatingTimeout
 	}
 	ask := wire.RateRequest{
 		Team:    x.caller.team.ID,
--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -69,7 +69,7 @@
 	if bad != nil {
 		return bad
 	}
-	req.ShareHash = opened.ShareHash
+	req.RolloutPosition = opened.ShareHash
 	if req.Model == "" {
 		for _, v := range opened.Pins {
 			req.Pins = append(req.Pins, decision.VersionID(v))
--- a/router/internal/api/stream.go
+++ b/router/internal/api/stream.go
@@ -181,7 +181,7 @@
 
 func (sr *streamReader) token(text string) {
 	sr.chunks++
-	if sr.attempt.Rate || sr.plain {
+	if sr.attempt.NeedsRating || sr.plain {
 		sr.text.WriteString(text)
 	}
 	if sr.plain {
--- a/router/internal/daemon/decide.go
+++ b/router/internal/daemon/decide.go
@@ -38,8 +38,8 @@
 	c.QueueLimit = cfg.Decision.QueueLimit
 	c.RetryRatio = cfg.Decision.RetryBudget
 	c.MaxEjected = cfg.Decision.MaxEjected
-	c.Patience = cfg.Decision.OverloadWait
-	c.RateBudget = ms(cfg.Decision.RateBudgetMS)
+	c.OverloadWait = cfg.Decision.OverloadWait
+	c.RatingTimeout = ms(cfg.Decision.RateBudgetMS)
 	c.DefaultDeadline = ms(cfg.Limits.DefaultDeadlineMS)
 	return driver.New(decision.NewWorld(c), f)
 }
@@ -115,7 +115,7 @@
 }
 
 // NoteEjection implements driver.FleetSink.
-func (f *fleet) NoteEjection(c decision.NoteEjection) {
+func (f *fleet) NoteEjection(c decision.ReportEjection) {
 	f.log.Emit(context.Background(), logging.EventServerEjected,
 		slog.String("server", string(c.Server)), slog.Bool("ejected", c.Ejected))
 	f.set(f.ejected, string(c.Server), c.Ejected)
--- a/router/internal/driver/driver.go
+++ b/router/internal/driver/driver.go
@@ -33,7 +33,7 @@
 type FleetSink interface {
 	ShareVerdict(decision.VersionVerdict)
 	ShareLeaving(decision.ServerID)
-	NoteEjection(decision.NoteEjection)
+	NoteEjection(decision.ReportEjection)
 	Quarantine(decision.Quarantine)
 }
 
@@ -162,7 +162,7 @@
 			d.sink.ShareVerdict(c.Verdict)
 		case decision.ShareLeaving:
 			d.sink.ShareLeaving(c.Server)
-		case decision.NoteEjection:
+		case decision.ReportEjection:
 			d.sink.NoteEjection(c)
 		case decision.Quarantine:
 			d.sink.Quarantine(c)
@@ -213,7 +213,7 @@
 	d.mu.Lock()
 	d.opening[id] = answer
 	d.mu.Unlock()
-	d.Send(decision.SessionOpening{Session: id, Team: team, ShareHash: shareHash})
+	d.Send(decision.SessionOpening{Session: id, Team: team, RolloutPosition: shareHash})
 	select {
 	case versions := <-answer:
 		return versions
--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -129,7 +129,7 @@
 
 func (noSink) ShareVerdict(decision.VersionVerdict) {}
 func (noSink) ShareLeaving(decision.ServerID)       {}
-func (noSink) NoteEjection(decision.NoteEjection)   {}
+func (noSink) NoteEjection(decision.ReportEjection) {}
 func (noSink) Quarantine(decision.Quarantine)       {}
 
 type noRecorder struct{}
