--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-var epoch = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
 type (
 	table = Table[string, string, string]
@@ -18,7 +18,7 @@
 	key   = Task[string, string]
 )
 
-var drafts = key{"weavers", "draft"}
+var draftTask = key{"weavers", "draft"}
 
 const (
 	small = "small@1"
@@ -29,86 +29,86 @@
 
 // nature is how good a version's answers are: easy requests get easy, hard ones
 // hard, with some noise.
-type nature struct{ easy, hard float64 }
+type trueQuality struct{ easy, hard float64 }
 
 // bench serves requests by plans and counts what came of it.
-type bench struct {
-	t          *table
-	rng        *rand.Rand
-	natures    map[string]nature
-	hardShare  float64
-	now        time.Time
-	served     int
-	quality    float64
-	cost       float64
-	calls      map[string]int
-	raterSays  func(score float64) (rated float64, late bool)
-	afterwards func(p Plan[string])
+type simulation struct {
+	t         *table
+	rng       *rand.Rand
+	qualities map[string]trueQuality
+	hardShare float64
+	now       time.Time
+	served    int
+	quality   float64
+	cost      float64
+	calls     map[string]int
+	rater     func(score float64) (rated float64, late bool)
+	onPlan    func(p Plan[string])
 }
 
-func newBench(seed uint64, prior map[string]float64) *bench {
+func newSimulation(seed uint64, prior map[string]float64) *simulation {
 	t := New[string, string, string](DefaultConfig())
 	t.Apply(prior)
-	return &bench{
+	return &simulation{
 		t:         t,
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		hardShare: 0.3,
-		now:       epoch,
+		now:       startTime,
 		calls:     make(map[string]int),
-		raterSays: func(score float64) (float64, bool) { return score, false },
+		rater:     func(score float64) (float64, bool) { return score, false },
 	}
 }
 
-var honestPrior = map[string]float64{small: 0.7, large: 0.88}
+var usualPrior = map[string]float64{small: 0.7, large: 0.88}
 
 // answer runs one attempt and returns its true quality and what the rater says.
-func (b *bench) answer(v string, hard bool) (score, rated float64, late bool) {
-	n := b.natures[v]
+func (b *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
+	n := b.qualities[v]
 	score = n.easy
 	if hard {
 		score = n.hard
 	}
 	score = min(max(score+0.06*b.rng.NormFloat64(), 0), 1)
-	rated, late = b.raterSays(score)
+	rated, late = b.rater(score)
 	b.calls[v]++
 	cost := map[string]float64{small: 1, large: 10}[v]
 	b.cost += cost * 256 / 1000
-	b.t.Ended(drafts, v, 256)
-	b.t.Rated(drafts, v, rated, late, b.now)
+	b.t.Ended(draftTask, v, 256)
+	b.t.Rated(draftTask, v, rated, late, b.now)
 	return score, rated, late
 }
 
 // serve runs n requests by the table's plans.
-func (b *bench) serve(n int, target float64, mayHold bool) {
+func (b *simulation) serve(n int, target float64, mayHold bool) {
 	b.served, b.quality, b.cost = 0, 0, 0
 	b.calls = make(map[string]int)
 	for range n {
 		b.now = b.now.Add(100 * time.Millisecond)
 		hard := b.rng.Float64() < b.hardShare
-		p := b.t.Plan(query{Task: drafts, Target: target, Options: bothOptions,
+		p := b.t.Plan(query{Task: draftTask, Target: target, Options: bothOptions,
 			MayHold: mayHold, Draw: b.rng.Float64(), Now: b.now})
 		score, rated, late := b.answer(p.First, hard)
 		if !late && p.Escalate(rated, time.Minute, time.Second) {
 			score, rated, late = b.answer(p.Second, hard)
 			if !late {
-				b.t.RatedSecond(drafts, p.First, p.Second, rated)
+				b.t.RatedSecond(draftTask, p.First, p.Second, rated)
 			}
 		}
 		b.served++
 		b.quality += score
-		if b.afterwards != nil {
-			b.afterwards(p)
+		if b.onPlan != nil {
+			b.onPlan(p)
 		}
 	}
 }
 
 func TestPlansMeetTheTargetAtLowCost(t *testing.T) {
-	usual := map[string]nature{small: {0.85, 0.45}, large: {0.92, 0.85}}
-	equal := map[string]nature{small: {0.9, 0.9}, large: {0.92, 0.85}}
-	poor := map[string]nature{small: {0.3, 0.2}, large: {0.92, 0.85}}
+	usual := map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
+	equal := map[string]trueQuality{small: {0.9, 0.9}, large: {0.92, 0.85}}
+	poor := map[string]trueQuality{small: {0.3, 0.2}, large: {0.92, 0.85}}
 	cases := []struct {
 		name    string
-		natures map[string]nature
+		natures map[string]trueQuality
 		target  float64
 		mayHold bool
 		// most is the dearest mean cost, in parts of always-large.
@@ -125,8 +125,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				b := newBench(seed, honestPrior)
-				b.natures = c.natures
+				b := newSimulation(seed, usualPrior)
+				b.qualities = c.natures
 				b.serve(1000, c.target, c.mayHold)
 				b.serve(2000, c.target, c.mayHold)
 				quality, cost := b.quality/2000, b.cost/2000/2.56
@@ -150,31 +150,31 @@
 	}{{"late", never}, {"no number", nonsense}, {"out of range", tooBig}, {"stuck at 0", stuck}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(1, honestPrior)
-			b.natures = map[string]nature{small: {0.85, 0.45}, large: {0.92, 0.85}}
+			b := newSimulation(1, usualPrior)
+			b.qualities = map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
 			b.serve(2000, 0.82, true)
-			before, sure := b.t.Quality(drafts, large, b.now)
-			healthy := b.raterSays
-			b.raterSays = c.fault
+			before, sure := b.t.Quality(draftTask, large, b.now)
+			healthy := b.rater
+			b.rater = c.fault
 			b.serve(60, 0.82, true)
 			if !b.t.RaterDown() {
 				t.Fatal("the fault was not noticed within 60 requests")
 			}
-			b.afterwards = func(p Plan[string]) {
+			b.onPlan = func(p Plan[string]) {
 				if p.Cascade {
 					t.Fatal("an answer was held for a rating service that is down")
 				}
 			}
 			b.serve(2000, 0.82, true)
-			b.afterwards = nil
-			after, unsure := b.t.Quality(drafts, large, b.now.Add(time.Hour))
+			b.onPlan = nil
+			after, unsure := b.t.Quality(draftTask, large, b.now.Add(time.Hour))
 			if math.Abs(before-after) > 0.05 || unsure < 1.5*sure {
 				t.Errorf("large went from %.3f±%.4f to %.3f±%.4f", before, sure, after, unsure)
 			}
 			if q := b.quality / 2000; q < 0.81 {
 				t.Errorf("quality fell to %.3f", q)
 			}
-			b.raterSays = healthy
+			b.rater = healthy
 			b.serve(60, 0.82, true)
 			if b.t.RaterDown() {
 				t.Error("not trusted again within 60 requests")
@@ -207,12 +207,12 @@
 
 // A new class starts from what the other classes saw of a version.
 func TestNewClassStartsFromTheOthers(t *testing.T) {
-	b := newBench(1, map[string]float64{small: 0.2, large: 0.88})
+	b := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
 	for range 500 {
-		b.t.Rated(drafts, small, 0.9, false, epoch)
-		b.t.Rated(drafts, small, 0.85, false, epoch)
+		b.t.Rated(draftTask, small, 0.9, false, startTime)
+		b.t.Rated(draftTask, small, 0.85, false, startTime)
 	}
-	if q, _ := b.t.Quality(key{"shops", "lookup"}, small, epoch); q < 0.8 {
+	if q, _ := b.t.Quality(key{"shops", "lookup"}, small, startTime); q < 0.8 {
 		t.Errorf("quality of the new class is %.2f", q)
 	}
 }
@@ -231,7 +231,7 @@
 		}
 		a.Apply(prior)
 		b.Apply(prior)
-		now := epoch
+		now := startTime
 		for _, s := range rapid.SliceOfN(rapid.Uint32(), 1, 100).Draw(t, "steps") {
 			now = now.Add(time.Duration(s>>22) * time.Millisecond)
 			o := options[int(s%16)%len(options)]
@@ -274,10 +274,10 @@
 	cfg := DefaultConfig()
 	cfg.Tasks = 10
 	x := New[string, string, string](cfg)
-	x.Apply(honestPrior)
+	x.Apply(usualPrior)
 	for i := range 1000 {
-		x.Rated(key{"t", fmt.Sprint(i)}, small, 0.5, false, epoch)
-		x.Rated(drafts, "gone@1", 0.5, false, epoch)
+		x.Rated(key{"t", fmt.Sprint(i)}, small, 0.5, false, startTime)
+		x.Rated(draftTask, "gone@1", 0.5, false, startTime)
 	}
 	x.Apply(map[string]float64{small: 0.7})
 	if x.tasks.Len() > 10 || len(x.overall) > 1 {
@@ -287,11 +287,11 @@
 
 func BenchmarkPlan(b *testing.B) {
 	x := New[string, string, string](DefaultConfig())
-	x.Apply(honestPrior)
-	q := query{Task: drafts, Target: 0.8, Options: bothOptions, MayHold: true, Draw: 0.9, Now: epoch}
+	x.Apply(usualPrior)
+	q := query{Task: draftTask, Target: 0.8, Options: bothOptions, MayHold: true, Draw: 0.9, Now: startTime}
 	b.ReportAllocs()
 	for i := range b.N {
-		x.Rated(drafts, small, float64(i%10)/10, false, epoch)
+		x.Rated(draftTask, small, float64(i%10)/10, false, startTime)
 		x.Plan(q)
 	}
 }
@@ -304,11 +304,11 @@
 		if i%4 == 0 {
 			score = 0.3
 		}
-		t.Ended(drafts, small, 100)
-		t.Rated(drafts, small, score, false, epoch)
-		t.Rated(drafts, large, 0.93-0.01*float64(i%3), false, epoch)
+		t.Ended(draftTask, small, 100)
+		t.Rated(draftTask, small, score, false, startTime)
+		t.Rated(draftTask, large, 0.93-0.01*float64(i%3), false, startTime)
 	}
-	p := t.Plan(query{Task: drafts, Target: 0.85, Options: bothOptions, MayHold: true, Draw: 0.99, Now: epoch})
+	p := t.Plan(query{Task: draftTask, Target: 0.85, Options: bothOptions, MayHold: true, Draw: 0.99, Now: startTime})
 	fmt.Println(p.First, p.Cascade, p.Second)
 	fmt.Println(p.Escalate(0.3, time.Minute, 5*time.Second), p.Escalate(0.9, time.Minute, 5*time.Second))
 	// Output:
--- a/decision/internal/estimate/plan.go
+++ b/decision/internal/estimate/plan.go
@@ -56,25 +56,25 @@
 // cachedPlan is a plan and what it was made for. The search is done once per
 // few ratings and not per request.
 type cachedPlan[V cmp.Ordered] struct {
-	options []Option[V]
-	target  float64
-	mayHold bool
-	at      time.Time
-	plan    Plan[V]
+	options   []Option[V]
+	target    float64
+	mayHold   bool
+	plannedAt time.Time
+	plan      Plan[V]
 	// cheaper are the options that could better the plan, with the chance that
 	// a request tries each.
-	cheaper []trial[V]
+	explorations []exploration[V]
 }
 
 // trial is an option to explore.
-type trial[V cmp.Ordered] struct {
+type exploration[V cmp.Ordered] struct {
 	version V
 	chance  float64
 }
 
 // maxCached bounds the plans kept of one task: roll-outs of two models under way
 // give four sets of options, with and without hold.
-const maxCached = 8
+const maxCachedPlans = 8
 
 // Plan returns how to run a request. Its load is the mix of easy and hard
 // requests; the harm that it prevents is paying the dear version for the easy
@@ -87,11 +87,11 @@
 		// Nothing would tell a good first answer from a bad one.
 		q.MayHold = false
 	}
-	c := t.cached(t.task(q.Task), q)
+	c := t.cachedPlanFor(t.task(q.Task), q)
 	draw := q.Draw
-	for _, o := range c.cheaper {
+	for _, o := range c.explorations {
 		if draw < o.chance {
-			return explore(c.plan, o.version, q)
+			return explorationPlan(c.plan, o.version, q)
 		}
 		draw -= o.chance
 	}
@@ -100,7 +100,7 @@
 
 // explore tries a version first. Where answers may be held the best plan's
 // version stands behind it, so that learning costs the caller no quality.
-func explore[T, C, V cmp.Ordered](best Plan[V], v V, q Query[T, C, V]) Plan[V] {
+func explorationPlan[T, C, V cmp.Ordered](best Plan[V], v V, q Query[T, C, V]) Plan[V] {
 	p := Plan[V]{First: v, Explore: true, Quality: best.Quality, Cost: best.Cost}
 	if q.MayHold {
 		p.Cascade = true
@@ -113,22 +113,22 @@
 	return p
 }
 
-func (t *Table[T, C, V]) cached(k *task[V], q Query[T, C, V]) *cachedPlan[V] {
-	if k.news >= t.cfg.ReplanRatings {
+func (t *Table[T, C, V]) cachedPlanFor(k *task[V], q Query[T, C, V]) *cachedPlan[V] {
+	if k.newRatings >= t.cfg.ReplanRatings {
 		k.plans = k.plans[:0]
-		k.news = 0
+		k.newRatings = 0
 	}
 	for i := range k.plans {
 		c := &k.plans[i]
 		if c.mayHold != q.MayHold || c.target != q.Target || !slices.Equal(c.options, q.Options) {
 			continue
 		}
-		if q.Now.Sub(c.at) >= t.cfg.ReplanAfter {
+		if q.Now.Sub(c.plannedAt) >= t.cfg.ReplanAfter {
 			*c = t.search(k, q)
 		}
 		return c
 	}
-	if len(k.plans) >= maxCached {
+	if len(k.plans) >= maxCachedPlans {
 		k.plans = k.plans[:0]
 	}
 	k.plans = append(k.plans, t.search(k, q))
@@ -138,7 +138,7 @@
 // candidate is an option with its estimates.
 type candidate[V comparable] struct {
 	version V
-	row     row
+	stats   versionStats
 	cost    float64
 	mean    float64
 	stderr  float64
@@ -148,22 +148,22 @@
 	list := t.candidates(k, q)
 	s := searcher[V]{target: q.Target, confidence: t.cfg.Confidence}
 	for i := range list {
-		s.single(&list[i])
+		s.considerSingle(&list[i])
 		if !q.MayHold {
 			continue
 		}
 		for j := i + 1; j < len(list); j++ {
-			t.pairs(&s, k, &list[i], &list[j])
+			t.considerCascades(&s, k, &list[i], &list[j])
 		}
 	}
 	c := cachedPlan[V]{
-		options: slices.Clone(q.Options),
-		target:  q.Target,
-		mayHold: q.MayHold,
-		at:      q.Now,
-		plan:    s.result(),
+		options:   slices.Clone(q.Options),
+		target:    q.Target,
+		mayHold:   q.MayHold,
+		plannedAt: q.Now,
+		plan:      s.result(),
 	}
-	c.cheaper = t.trials(list, c.plan, q)
+	c.explorations = t.explorations(list, c.plan, q)
 	return c
 }
 
@@ -174,8 +174,8 @@
 		r := t.estimate(q.Task, k, o.Version)
 		list = append(list, candidate[V]{
 			version: o.Version,
-			row:     r,
-			cost:    o.Cost * r.tokens / 1000,
+			stats:   r,
+			cost:    o.Cost * r.meanTokens / 1000,
 			mean:    r.mean(),
 			stderr:  r.stderr(q.Now, t.cfg.StaleHalfLife),
 		})
@@ -190,22 +190,22 @@
 // failed than on all requests, before anything was seen, and hardWeight how many
 // ratings that counts for.
 const (
-	hardness   = 0.05
-	hardWeight = 10
+	escalationPenalty       = 0.05
+	escalationPenaltyWeight = 10
 )
 
 // pairs considers a cascade from a to b at every bar.
-func (t *Table[T, C, V]) pairs(s *searcher[V], k *task[V], a, b *candidate[V]) {
-	after := max(b.mean-hardness, 0)
-	if f := k.second[a.version]; f != nil && f.second == b.version {
-		after = (after*hardWeight + f.mu*f.n) / (hardWeight + f.n)
+func (t *Table[T, C, V]) considerCascades(s *searcher[V], k *task[V], a, b *candidate[V]) {
+	after := max(b.mean-escalationPenalty, 0)
+	if f := k.escalations[a.version]; f != nil && f.second == b.version {
+		after = (after*escalationPenaltyWeight + f.mean*f.n) / (escalationPenaltyWeight + f.n)
 	}
-	late := t.rater.late
+	late := t.rater.lateShare
 	below := 0.0
 	kept := a.mean
 	for i := range bins - 1 {
-		below += a.row.count[i] / a.row.total
-		kept -= a.row.sum[i] / a.row.total
+		below += a.stats.count[i] / a.stats.total
+		kept -= a.stats.sum[i] / a.stats.total
 		escalated := below * (1 - late)
 		// A rating that comes too late leaves the first answer as it is.
 		quality := late*a.mean + (1-late)*(kept+below*after)
@@ -224,8 +224,8 @@
 // boldness is how far under the target a version's estimate may lie for a tenth
 // or so of the usual trials without hold, and shyest the part that is left then.
 const (
-	boldness = 0.2
-	shyest   = 0.1
+	exploreMargin    = 0.2
+	minExploreFactor = 0.1
 )
 
 func clamp(x, lo, hi float64) float64 { return min(max(x, lo), hi) }
@@ -233,12 +233,12 @@
 // trials are the versions cheaper than the plan's dearest step that the plan
 // does not start with. Where answers cannot be held, exploring may cost quality,
 // and is done the less the farther a version's estimate lies under the target.
-func (t *Table[T, C, V]) trials(list []candidate[V], p Plan[V], q Query[T, C, V]) []trial[V] {
+func (t *Table[T, C, V]) explorations(list []candidate[V], p Plan[V], q Query[T, C, V]) []exploration[V] {
 	dearest := p.First
 	if p.Cascade {
 		dearest = p.Second
 	}
-	var out []trial[V]
+	var out []exploration[V]
 	for i := range list {
 		c := &list[i]
 		if c.version == dearest {
@@ -248,13 +248,13 @@
 			continue
 		}
 		chance := t.cfg.Explore
-		if c.row.n < t.cfg.KnownRatings {
+		if c.stats.n < t.cfg.KnownRatings {
 			chance = t.cfg.ExploreNew
 		}
 		if !q.MayHold {
-			chance *= clamp(1-(q.Target-c.mean)/boldness, shyest, 1)
+			chance *= clamp(1-(q.Target-c.mean)/exploreMargin, minExploreFactor, 1)
 		}
-		out = append(out, trial[V]{version: c.version, chance: chance})
+		out = append(out, exploration[V]{version: c.version, chance: chance})
 	}
 	return out
 }
--- a/decision/internal/estimate/row.go
+++ b/decision/internal/estimate/row.go
@@ -12,7 +12,7 @@
 // row is what was seen of one version: a discounted histogram of its ratings,
 // with each bin's own sum, so that raters that give few values (0 and 1, say)
 // lose nothing by the binning, and the answers' lengths.
-type row struct {
+type versionStats struct {
 	count [bins]float64
 	sum   [bins]float64
 	sumSq float64
@@ -20,16 +20,16 @@
 	total, n float64
 	ratedAt  time.Time
 	// tokens is the answers' mean length.
-	tokens  float64
-	answers float64
+	meanTokens float64
+	answers    float64
 }
 
 // priorSpread is the standard deviation that a rating is given before any came.
 const priorSpread = 0.15
 
 // fromQuality fills a row with weight ratings spread around a quality.
-func fromQuality(quality, weight float64) *row {
-	r := &row{}
+func priorStats(quality, weight float64) *versionStats {
+	r := &versionStats{}
 	share := [bins]float64{}
 	whole := 0.0
 	for i := range share {
@@ -45,14 +45,14 @@
 	}
 	for i := range share {
 		value := (float64(i)+0.5)/bins + quality - mean
-		r.put(i, value, weight*share[i])
+		r.addToBin(i, value, weight*share[i])
 	}
 	return r
 }
 
 // over returns the row with a parent standing in, with a weight in ratings and
 // in answers, for what it has not seen itself.
-func (r *row) over(parent *row, weight float64) row {
+func (r *versionStats) withPrior(parent *versionStats, weight float64) versionStats {
 	out := *r
 	f := weight / parent.total
 	for i := range out.count {
@@ -66,11 +66,11 @@
 		out.ratedAt = parent.ratedAt
 	}
 	out.answers += weight
-	out.tokens += (parent.tokens - out.tokens) * weight / out.answers
+	out.meanTokens += (parent.meanTokens - out.meanTokens) * weight / out.answers
 	return out
 }
 
-func (r *row) put(bin int, value, weight float64) {
+func (r *versionStats) addToBin(bin int, value, weight float64) {
 	r.count[bin] += weight
 	r.sum[bin] += weight * value
 	r.sumSq += weight * value * value
@@ -78,7 +78,7 @@
 }
 
 // add takes in one rating; older ones lose weight by the memory.
-func (r *row) add(score, memory float64, now time.Time) {
+func (r *versionStats) addRating(score, memory float64, now time.Time) {
 	keep := 1 - 1/memory
 	for i := range r.count {
 		r.count[i] *= keep
@@ -87,19 +87,19 @@
 	r.sumSq *= keep
 	r.total *= keep
 	r.n = r.n*keep + 1
-	r.put(binOf(score), score, 1)
+	r.addToBin(binOf(score), score, 1)
 	r.ratedAt = now
 }
 
 func binOf(score float64) int { return min(int(score*bins), bins-1) }
 
 // addTokens takes in an answer's length.
-func (r *row) addTokens(tokens, memory float64) {
+func (r *versionStats) addLength(tokens, memory float64) {
 	r.answers = min(r.answers+1, memory)
-	r.tokens += (tokens - r.tokens) / r.answers
+	r.meanTokens += (tokens - r.meanTokens) / r.answers
 }
 
-func (r *row) mean() float64 {
+func (r *versionStats) mean() float64 {
 	s := 0.0
 	for _, v := range r.sum {
 		s += v
@@ -110,7 +110,7 @@
 // stderr is the standard error of the mean. Ratings age: with none coming, half
 // of their weight is gone after each half-life, so that the estimate stays and
 // its uncertainty widens.
-func (r *row) stderr(now time.Time, halfLife time.Duration) float64 {
+func (r *versionStats) stderr(now time.Time, halfLife time.Duration) float64 {
 	mean := r.mean()
 	variance := max(r.sumSq/r.total-mean*mean, minVariance)
 	weight := r.total
--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -71,28 +71,28 @@
 type Table[T, C, V cmp.Ordered] struct {
 	cfg     Config
 	tasks   *simplelru.LRU[Task[T, C], *task[V]]
-	classes *simplelru.LRU[C, map[V]*row]
-	overall map[V]*row
+	classes *simplelru.LRU[C, map[V]*versionStats]
+	overall map[V]*versionStats
 	// prior is the manifest's word.
-	prior map[V]*row
+	prior map[V]*versionStats
 	rater rater
 }
 
 // task is one row of the tasks table.
 type task[V cmp.Ordered] struct {
-	rows map[V]*row
+	stats map[V]*versionStats
 	// second is the quality of second steps after a first one's escalation.
-	second map[V]*followUp[V]
-	plans  []cachedPlan[V]
+	escalations map[V]*escalationStats[V]
+	plans       []cachedPlan[V]
 	// news counts the ratings since the plans were made.
-	news int
+	newRatings int
 }
 
 // followUp is the mean rating of answers that replaced those of a first step.
 // They are for the harder requests, so it lies below the second's own mean.
-type followUp[V cmp.Ordered] struct {
-	second V
-	n, mu  float64
+type escalationStats[V cmp.Ordered] struct {
+	second  V
+	n, mean float64
 }
 
 // New returns an empty table.
@@ -100,9 +100,9 @@
 	return &Table[T, C, V]{
 		cfg:     cfg,
 		tasks:   newLRU[Task[T, C], *task[V]](cfg.Tasks),
-		classes: newLRU[C, map[V]*row](cfg.Tasks),
-		overall: make(map[V]*row),
-		prior:   make(map[V]*row),
+		classes: newLRU[C, map[V]*versionStats](cfg.Tasks),
+		overall: make(map[V]*versionStats),
+		prior:   make(map[V]*versionStats),
 	}
 }
 
@@ -118,10 +118,10 @@
 // Apply takes in a manifest's versions with the quality it states. What was
 // learnt of versions that are gone is forgotten.
 func (t *Table[T, C, V]) Apply(quality map[V]float64) {
-	t.prior = make(map[V]*row, len(quality))
+	t.prior = make(map[V]*versionStats, len(quality))
 	for v, q := range quality {
-		r := fromQuality(clampQuality(q), t.cfg.PriorWeight)
-		r.tokens = t.cfg.DefaultTokens
+		r := priorStats(clampQuality(q), t.cfg.PriorWeight)
+		r.meanTokens = t.cfg.DefaultTokens
 		t.prior[v] = r
 	}
 	t.forget(t.overall)
@@ -130,19 +130,19 @@
 	}
 	for _, task := range t.tasks.Values() {
 		task.plans = nil
-		t.forget(task.rows)
-		for v := range task.second {
-			if !t.known(v) {
-				delete(task.second, v)
+		t.forget(task.stats)
+		for v := range task.escalations {
+			if !t.listed(v) {
+				delete(task.escalations, v)
 			}
 		}
 	}
 }
 
 // forget drops the rows of versions that the manifest does not list.
-func (t *Table[T, C, V]) forget(rows map[V]*row) {
+func (t *Table[T, C, V]) forget(rows map[V]*versionStats) {
 	for v := range rows {
-		if !t.known(v) {
+		if !t.listed(v) {
 			delete(rows, v)
 		}
 	}
@@ -159,71 +159,71 @@
 	if found, ok := t.tasks.Get(k); ok {
 		return found
 	}
-	made := &task[V]{rows: make(map[V]*row), second: make(map[V]*followUp[V])}
+	made := &task[V]{stats: make(map[V]*versionStats), escalations: make(map[V]*escalationStats[V])}
 	t.tasks.Add(k, made)
 	return made
 }
 
-func (t *Table[T, C, V]) class(c C) map[V]*row {
+func (t *Table[T, C, V]) class(c C) map[V]*versionStats {
 	if found, ok := t.classes.Get(c); ok {
 		return found
 	}
-	made := make(map[V]*row)
+	made := make(map[V]*versionStats)
 	t.classes.Add(c, made)
 	return made
 }
 
 // ensure returns a map's row of a version.
-func ensure[V comparable](rows map[V]*row, v V) *row {
+func statsFor[V comparable](rows map[V]*versionStats, v V) *versionStats {
 	r := rows[v]
 	if r == nil {
-		r = &row{}
+		r = &versionStats{}
 		rows[v] = r
 	}
 	return r
 }
 
-var unseen row
+var emptyStats versionStats
 
 // seen is the row, or an empty one.
-func seen[V comparable](rows map[V]*row, v V) *row {
+func statsOrEmpty[V comparable](rows map[V]*versionStats, v V) *versionStats {
 	if r := rows[v]; r != nil {
 		return r
 	}
-	return &unseen
+	return &emptyStats
 }
 
 // estimate is what is known of a version for a task, from all levels.
-func (t *Table[T, C, V]) estimate(k Task[T, C], task *task[V], v V) row {
+func (t *Table[T, C, V]) estimate(k Task[T, C], task *task[V], v V) versionStats {
 	prior := t.prior[v]
 	if prior == nil {
-		prior = fromQuality(0, t.cfg.PriorWeight)
+		prior = priorStats(0, t.cfg.PriorWeight)
 	}
-	overall := seen(t.overall, v).over(prior, t.cfg.PriorWeight)
-	class := seen(t.class(k.Class), v).over(&overall, t.cfg.PriorWeight)
-	return seen(task.rows, v).over(&class, t.cfg.PriorWeight)
+	overall := statsOrEmpty(t.overall, v).withPrior(prior, t.cfg.PriorWeight)
+	class := statsOrEmpty(t.class(k.Class), v).withPrior(&overall, t.cfg.PriorWeight)
+	return statsOrEmpty(task.stats, v).withPrior(&class, t.cfg.PriorWeight)
 }
 
 // known reports whether the manifest lists a version; words on others are late
 // and would only fill the tables.
-func (t *Table[T, C, V]) known(v V) bool {
+func (t *Table[T, C, V]) listed(v V) bool {
 	_, ok := t.prior[v]
 	return ok
 }
 
 // Ended takes in the length of a whole answer.
 func (t *Table[T, C, V]) Ended(k Task[T, C], v V, tokens int) {
-	if !t.known(v) || tokens < 0 {
+	if !t.listed(v) || tokens < 0 {
 		return
 	}
 	for _, rows := range t.levels(k) {
-		ensure(rows, v).addTokens(float64(tokens), t.cfg.Memory)
+		statsFor(rows, v).addLength(float64(tokens), t.cfg.Memory)
 	}
 }
 
 // levels are the rows that an observation for a task goes to.
-func (t *Table[T, C, V]) levels(k Task[T, C]) [3]map[V]*row {
-	return [3]map[V]*row{t.task(k).rows, t.class(k.Class), t.overall}
+func (t *Table[T, C, V]) levels(k Task[T, C]) [3]map[V]*versionStats {
+	return [3]map[V]*versionStats{t.task(k).stats, t.class(k.Class), t.overall}
 }
 
 // Rated takes in a rating, or that none came within the budget. It reports
@@ -238,35 +238,35 @@
 		t.rater.missed()
 		return false
 	}
-	if !t.known(v) {
+	if !t.listed(v) {
 		return false
 	}
 	task := t.task(k)
-	if t.rater.stuck(score, func() row { return t.estimate(k, task, v) }) {
+	if t.rater.stuck(score, func() versionStats { return t.estimate(k, task, v) }) {
 		t.rater.missed()
 		return false
 	}
 	t.rater.answered()
 	for _, rows := range t.levels(k) {
-		ensure(rows, v).add(score, t.cfg.Memory, now)
+		statsFor(rows, v).addRating(score, t.cfg.Memory, now)
 	}
-	task.news++
+	task.newRatings++
 	return true
 }
 
 // RatedSecond takes in the rating of an answer that replaced one of first.
 func (t *Table[T, C, V]) RatedSecond(k Task[T, C], first, second V, score float64) {
-	if math.IsNaN(score) || score < 0 || score > 1 || !t.known(first) {
+	if math.IsNaN(score) || score < 0 || score > 1 || !t.listed(first) {
 		return
 	}
 	task := t.task(k)
-	f := task.second[first]
+	f := task.escalations[first]
 	if f == nil || f.second != second {
-		f = &followUp[V]{second: second}
-		task.second[first] = f
+		f = &escalationStats[V]{second: second}
+		task.escalations[first] = f
 	}
 	f.n = min(f.n+1, t.cfg.Memory)
-	f.mu += (score - f.mu) / f.n
+	f.mean += (score - f.mean) / f.n
 }
 
 // Quality is the estimate for a task and a version with its standard error.
@@ -276,4 +276,4 @@
 }
 
 // RaterDown reports whether ratings come too late or make no sense.
-func (t *Table[T, C, V]) RaterDown() bool { return t.rater.late > t.cfg.LateLimit }
+func (t *Table[T, C, V]) RaterDown() bool { return t.rater.lateShare > t.cfg.LateLimit }
--- a/decision/internal/fair/account.go
+++ b/decision/internal/fair/account.go
@@ -10,7 +10,7 @@
 	active []*Account
 	// virtual is the largest tag that all active accounts were known to have
 	// reached.
-	virtual float64
+	virtualTime float64
 	// seq counts the items, for their age.
 	seq uint64
 }
@@ -28,14 +28,14 @@
 	tag float64
 	// credit is what was charged too much, by a wrong estimate of the cost; the
 	// next charges are less by it.
-	credit float64
-	queued int
-	pos    int
+	refund      float64
+	queued      int
+	activeIndex int
 }
 
 // NewAccount adds an account. A weight under 1 counts as 1.
 func (g *Group) NewAccount(weight int) *Account {
-	a := &Account{group: g, pos: -1}
+	a := &Account{group: g, activeIndex: -1}
 	a.SetWeight(weight)
 	return a
 }
@@ -50,12 +50,12 @@
 		a.charge(delta)
 		return
 	}
-	a.credit -= delta
+	a.refund -= delta
 }
 
 func (a *Account) charge(cost float64) {
-	back := min(a.credit, cost)
-	a.credit -= back
+	back := min(a.refund, cost)
+	a.refund -= back
 	a.tag += (cost - back) / a.weight
 }
 
@@ -66,47 +66,47 @@
 	if a.queued > 0 {
 		return a.tag
 	}
-	return max(a.tag, a.group.reached()-a.group.Credit/a.weight)
+	return max(a.tag, a.group.currentVirtualTime()-a.group.Credit/a.weight)
 }
 
 // reached is the least tag of the active accounts; with none, the last one known.
-func (g *Group) reached() float64 {
+func (g *Group) currentVirtualTime() float64 {
 	if len(g.active) == 0 {
-		return g.virtual
+		return g.virtualTime
 	}
 	least := g.active[0].tag
 	for _, a := range g.active[1:] {
 		least = min(least, a.tag)
 	}
-	return max(g.virtual, least)
+	return max(g.virtualTime, least)
 }
 
 // join counts a queued item.
-func (a *Account) join() {
+func (a *Account) itemQueued() {
 	a.tag = a.startTag()
 	a.queued++
-	if a.pos >= 0 {
+	if a.activeIndex >= 0 {
 		return
 	}
 	g := a.group
-	g.virtual = g.reached()
-	a.pos = len(g.active)
+	g.virtualTime = g.currentVirtualTime()
+	a.activeIndex = len(g.active)
 	g.active = append(g.active, a)
 }
 
 // leave counts an item that is queued no more.
-func (a *Account) leave() {
+func (a *Account) itemRemoved() {
 	a.queued--
 	if a.queued > 0 {
 		return
 	}
 	g := a.group
-	g.virtual = g.reached()
+	g.virtualTime = g.currentVirtualTime()
 	last := len(g.active) - 1
 	moved := g.active[last]
-	g.active[a.pos] = moved
-	moved.pos = a.pos
+	g.active[a.activeIndex] = moved
+	moved.activeIndex = a.activeIndex
 	g.active[last] = nil
 	g.active = g.active[:last]
-	a.pos = -1
+	a.activeIndex = -1
 }
--- a/decision/internal/fair/fair.go
+++ b/decision/internal/fair/fair.go
@@ -25,9 +25,9 @@
 	// Priority within the flow, higher first; equal ones in order of first Push.
 	Priority int
 
-	seq  uint64
-	pos  int
-	flow *Flow[T]
+	seq       uint64
+	heapIndex int
+	flow      *Flow[T]
 }
 
 // Queued says whether the item is in a queue.
@@ -41,9 +41,9 @@
 	cost    float64
 	// key is the account's tag when the flow was last placed in the heap. Tags
 	// only grow, so the heap's top is made true when it is looked at.
-	key   float64
-	pos   int
-	order int
+	key       float64
+	heapIndex int
+	index     int
 }
 
 // Len is the number of queued items of the flow.
@@ -65,7 +65,7 @@
 
 // Init makes f the account's flow of the queue.
 func (q *Queue[T]) Init(f *Flow[T], a *Account) {
-	*f = Flow[T]{account: a, queue: q, pos: -1, order: len(q.flows)}
+	*f = Flow[T]{account: a, queue: q, heapIndex: -1, index: len(q.flows)}
 	q.flows = append(q.flows, f)
 }
 
@@ -91,7 +91,7 @@
 	for _, other := range q.active {
 		sum += other.account.weight
 	}
-	if f.pos < 0 {
+	if f.heapIndex < 0 {
 		sum += f.account.weight
 	}
 	return sum
@@ -115,7 +115,7 @@
 // Push queues an item. One that was queued before, here or elsewhere, keeps its
 // age: what is tried again does not go to the end.
 func (q *Queue[T]) Push(f *Flow[T], it *Item[T]) {
-	f.account.join()
+	f.account.itemQueued()
 	if it.seq == 0 {
 		it.seq = f.account.group.nextSeq()
 	}
@@ -124,7 +124,7 @@
 	f.cost += it.Cost
 	q.cost += it.Cost
 	q.len++
-	if f.pos < 0 {
+	if f.heapIndex < 0 {
 		f.key = f.account.tag
 		heap.Push(&q.active, f)
 	}
@@ -150,7 +150,7 @@
 		return nil
 	}
 	a := it.flow.account
-	q.take(it)
+	q.removeItem(it)
 	a.charge(it.Cost)
 	return it
 }
@@ -158,19 +158,19 @@
 // Remove takes an item out without a charge; one that is not queued is left.
 func (q *Queue[T]) Remove(it *Item[T]) {
 	if it.flow != nil {
-		q.take(it)
+		q.removeItem(it)
 	}
 }
 
 // take removes a queued item and keeps the sums.
-func (q *Queue[T]) take(it *Item[T]) {
+func (q *Queue[T]) removeItem(it *Item[T]) {
 	f := it.flow
-	heap.Remove(&f.items, it.pos)
+	heap.Remove(&f.items, it.heapIndex)
 	it.flow = nil
 	f.cost -= it.Cost
 	q.cost -= it.Cost
 	q.len--
-	f.account.leave()
+	f.account.itemRemoved()
 	if q.len == 0 {
 		q.cost = 0 // no rounding is carried on
 	}
@@ -178,5 +178,5 @@
 		return
 	}
 	f.cost = 0
-	heap.Remove(&q.active, f.pos)
+	heap.Remove(&q.active, f.heapIndex)
 }
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -143,7 +143,7 @@
 	a.Correct(-6)
 	a.charge(4)
 	a.charge(4)
-	if a.tag != 6 || a.credit != 0 {
-		t.Errorf("tag %v, credit %v, want 6 and 0", a.tag, a.credit)
+	if a.tag != 6 || a.refund != 0 {
+		t.Errorf("tag %v, credit %v, want 6 and 0", a.tag, a.refund)
 	}
 }
--- a/decision/internal/fair/heaps.go
+++ b/decision/internal/fair/heaps.go
@@ -19,12 +19,12 @@
 }
 func (h itemHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].item.pos = i
-	h[j].item.pos = j
+	h[i].item.heapIndex = i
+	h[j].item.heapIndex = j
 }
 func (h *itemHeap[T]) Push(x any) {
 	it := x.(*Item[T])
-	it.pos = len(*h)
+	it.heapIndex = len(*h)
 	*h = append(*h, itemEntry[T]{priority: it.Priority, seq: it.seq, item: it})
 }
 func (h *itemHeap[T]) Pop() any {
@@ -43,16 +43,16 @@
 	if h[i].key != h[j].key {
 		return h[i].key < h[j].key
 	}
-	return h[i].order < h[j].order
+	return h[i].index < h[j].index
 }
 func (h flowHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].pos = i
-	h[j].pos = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 func (h *flowHeap[T]) Push(x any) {
 	f := x.(*Flow[T])
-	f.pos = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 func (h *flowHeap[T]) Pop() any {
@@ -60,6 +60,6 @@
 	f := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	f.pos = -1
+	f.heapIndex = -1
 	return f
 }
--- a/decision/internal/policytest/deployment.go
+++ b/decision/internal/policytest/deployment.go
@@ -31,16 +31,16 @@
 	// prefill is in prompt tokens a second.
 	prefill float64
 	// token is the time of one token of a request that runs alone.
-	token time.Duration
+	tokenTime time.Duration
 }
 
 // crowding is how much longer a token takes for each further request in the
 // batch.
-const crowding = 0.05
+const batchSlowdown = 0.05
 
 var speeds = map[decision.ModelID]speed{
-	smallModel: {prefill: 8000, token: 10 * time.Millisecond},
-	largeModel: {prefill: 2500, token: 25 * time.Millisecond},
+	smallModel: {prefill: 8000, tokenTime: 10 * time.Millisecond},
+	largeModel: {prefill: 2500, tokenTime: 25 * time.Millisecond},
 }
 
 // Deployment is the size of one deployment of today.
@@ -149,9 +149,9 @@
 var prices = map[decision.VersionID]float64{smallOld: 1, smallNew: 1, large: 10}
 
 // truth is the mean rating that a version's answers truly deserve.
-type truth struct{ lookup, easy, hard float64 }
+type trueQuality struct{ lookup, easy, hard float64 }
 
-var truths = map[decision.VersionID]truth{
+var trueQualities = map[decision.VersionID]trueQuality{
 	smallOld: {lookup: 0.91, easy: 0.86, hard: 0.50},
 	smallNew: {lookup: 0.92, easy: 0.87, hard: 0.52},
 	large:    {lookup: 0.95, easy: 0.92, hard: 0.87},
--- a/decision/internal/policytest/engine.go
+++ b/decision/internal/policytest/engine.go
@@ -13,39 +13,39 @@
 const cacheBlocks = 600
 
 // recordTime is how long a call of the plain service takes.
-const recordTime = 40 * time.Millisecond
+const serviceCallTime = 40 * time.Millisecond
 
 // run is one attempt at an engine.
-type run struct {
-	job     *job
-	attempt decision.AttemptID
-	version decision.VersionID
-	origin  int
+type attempt struct {
+	job      *job
+	id       decision.AttemptID
+	version  decision.VersionID
+	instance int
 	// prefill is the prompt tokens left to compute, left the tokens (or, at a
 	// plain service, the seconds) left to give.
-	prefill float64
-	left    float64
-	first   bool
-	failed  bool
+	prefill   float64
+	remaining float64
+	started   bool
+	fails     bool
 }
 
 // engine is one backend server.
 type engine struct {
 	decision.Server
-	speed   speed
-	slow    float64
-	running []*run
-	queued  []*run
-	cache   *simplelru.LRU[decision.BlockHash, struct{}]
-	seq     uint64
-	added   []decision.BlockHash
-	removed []decision.BlockHash
+	speed      speed
+	slowFactor float64
+	running    []*attempt
+	queued     []*attempt
+	cache      *simplelru.LRU[decision.BlockHash, struct{}]
+	seq        uint64
+	added      []decision.BlockHash
+	removed    []decision.BlockHash
 	// asked and hits count the blocks of prompts, and those found in the cache.
-	asked, hits int
+	lookups, hits int
 }
 
 func newEngine(s decision.Server) *engine {
-	e := &engine{Server: s, slow: 1}
+	e := &engine{Server: s, slowFactor: 1}
 	if s.Service == "" {
 		e.speed = speeds[smallModel]
 		if s.Versions[0] == large {
@@ -63,13 +63,13 @@
 }
 
 // start takes an attempt in; it waits in the engine's queue without a slot.
-func (e *engine) start(r *run) { e.queued = append(e.queued, r) }
+func (e *engine) enqueue(r *attempt) { e.queued = append(e.queued, r) }
 
 // cancel drops an attempt. It returns it if it was there.
-func (e *engine) cancel(id decision.RequestID, attempt decision.AttemptID) *run {
-	for _, list := range []*[]*run{&e.queued, &e.running} {
+func (e *engine) cancel(id decision.RequestID, attemptID decision.AttemptID) *attempt {
+	for _, list := range []*[]*attempt{&e.queued, &e.running} {
 		for i, r := range *list {
-			if r.job.ID == id && r.attempt == attempt {
+			if r.job.ID == id && r.id == attemptID {
 				*list = append((*list)[:i], (*list)[i+1:]...)
 				return r
 			}
@@ -80,38 +80,38 @@
 
 // step runs the engine for dt. It calls onFirst for first tokens and onEnd for
 // ends.
-func (e *engine) step(dt time.Duration, onFirst, onEnd func(*engine, *run)) {
+func (e *engine) step(dt time.Duration, onFirst, onEnd func(*engine, *attempt)) {
 	for len(e.queued) > 0 && len(e.running) < e.Slots {
 		r := e.queued[0]
 		e.queued = e.queued[1:]
-		e.admit(r)
+		e.takeSlot(r)
 		e.running = append(e.running, r)
 	}
-	time := dt.Seconds() / e.slow
+	seconds := dt.Seconds() / e.slowFactor
 	if e.Service != "" {
-		e.serve(time, onFirst, onEnd)
+		e.runServiceCalls(seconds, onFirst, onEnd)
 		return
 	}
-	busy := e.prefillFor(time)
-	pace := e.speed.token.Seconds() * (1 + crowding*float64(len(e.running)-1))
+	prefillTime := e.runPrefill(seconds)
+	tokenTime := e.speed.tokenTime.Seconds() * (1 + batchSlowdown*float64(len(e.running)-1))
 	// Prefill takes its time from the decoding of the others.
-	gain := (time - busy) / pace
+	tokens := (seconds - prefillTime) / tokenTime
 	kept := e.running[:0]
 	for _, r := range e.running {
 		if r.prefill > 0 {
 			kept = append(kept, r)
 			continue
 		}
-		if r.failed {
+		if r.fails {
 			onEnd(e, r)
 			continue
 		}
-		r.left -= gain
-		if !r.first {
-			r.first = true
+		r.remaining -= tokens
+		if !r.started {
+			r.started = true
 			onFirst(e, r)
 		}
-		if r.left <= 0 {
+		if r.remaining <= 0 {
 			onEnd(e, r)
 			continue
 		}
@@ -121,30 +121,30 @@
 }
 
 // prefillFor computes prompts in order of arrival and returns the time used.
-func (e *engine) prefillFor(time float64) float64 {
-	left := time
+func (e *engine) runPrefill(seconds float64) float64 {
+	left := seconds
 	for _, r := range e.running {
 		if r.prefill <= 0 {
 			continue
 		}
-		need := r.prefill / e.speed.prefill
-		if need > left {
+		needed := r.prefill / e.speed.prefill
+		if needed > left {
 			r.prefill -= left * e.speed.prefill
-			return time
+			return seconds
 		}
-		left -= need
+		left -= needed
 		r.prefill = 0
-		e.remember(r.job.Blocks)
+		e.cachePrompt(r.job.Blocks)
 	}
-	return time - left
+	return seconds - left
 }
 
 // serve runs the calls of a plain service side by side.
-func (e *engine) serve(time float64, onFirst, onEnd func(*engine, *run)) {
+func (e *engine) runServiceCalls(seconds float64, onFirst, onEnd func(*engine, *attempt)) {
 	kept := e.running[:0]
 	for _, r := range e.running {
-		r.left -= time
-		if r.left > 0 {
+		r.remaining -= seconds
+		if r.remaining > 0 {
 			kept = append(kept, r)
 			continue
 		}
@@ -156,9 +156,9 @@
 
 // admit sizes an attempt's work as it gets its slot: what the cache holds of its
 // prompt need not be computed.
-func (e *engine) admit(r *run) {
+func (e *engine) takeSlot(r *attempt) {
 	if e.Service != "" {
-		r.left = recordTime.Seconds()
+		r.remaining = serviceCallTime.Seconds()
 		return
 	}
 	hit := 0
@@ -168,14 +168,14 @@
 		}
 		hit++
 	}
-	e.asked += len(r.job.Blocks)
+	e.lookups += len(r.job.Blocks)
 	e.hits += hit
 	r.prefill = float64(max(len(r.job.Blocks)-hit, 1) * blockTokens)
-	r.left = float64(r.job.tokens)
+	r.remaining = float64(r.job.tokens)
 }
 
 // remember puts a prompt in the cache, its start as the last used.
-func (e *engine) remember(blocks []decision.BlockHash) {
+func (e *engine) cachePrompt(blocks []decision.BlockHash) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if !e.cache.Contains(blocks[i]) {
 			e.added = append(e.added, blocks[i])
@@ -185,7 +185,7 @@
 }
 
 // changes returns the cache event since the last one, and false for none.
-func (e *engine) changes() (decision.CacheChanged, bool) {
+func (e *engine) cacheEvent() (decision.CacheChanged, bool) {
 	if len(e.added) == 0 && len(e.removed) == 0 {
 		return decision.CacheChanged{}, false
 	}
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -7,7 +7,7 @@
 )
 
 // short is a load cut to what a test can afford.
-func short(l Load) Load {
+func shorten(l Load) Load {
 	l.Length, l.Warm = 120*time.Second, 40*time.Second
 	l.BadFrom, l.SlowFrom = 60*time.Second, 40*time.Second
 	return l
@@ -17,7 +17,7 @@
 	t.Helper()
 	for _, l := range Loads() {
 		if l.Deployment.Name == deployment && l.Name == name {
-			return short(l)
+			return shorten(l)
 		}
 	}
 	t.Fatalf("no load %s of %s", name, deployment)
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -50,7 +50,7 @@
 
 // rush is a quiet start, a quick rise over saturation and a fall: a wool-order
 // rush, or the first morning of a term.
-func rush(from, to time.Duration, quiet, peak float64) func(time.Duration) float64 {
+func surge(from, to time.Duration, quiet, peak float64) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		if t < from || t >= to {
 			return quiet
@@ -65,14 +65,14 @@
 
 const (
 	runLength = 240 * time.Second
-	runWarm   = 60 * time.Second
+	runWarmup = 60 * time.Second
 )
 
 // Loads lists the loads that are measured.
 func Loads() []Load {
 	coop, agency := Coop(), Agency()
 	base := func(name string, d Deployment, rate func(time.Duration) float64) Load {
-		return Load{Name: name, Deployment: d, Rate: rate, Length: runLength, Warm: runWarm}
+		return Load{Name: name, Deployment: d, Rate: rate, Length: runLength, Warm: runWarmup}
 	}
 	badErrors := base("version fails one in four", agency, steady(0.6))
 	badErrors.Bad, badErrors.BadFrom = BadErrors, 100*time.Second
@@ -87,8 +87,8 @@
 	return []Load{
 		base("usual day", coop, steady(0.5)),
 		base("usual day", agency, steady(0.5)),
-		base("wool-order rush", coop, rush(100*time.Second, 160*time.Second, 0.4, 1.6)),
-		base("term opening", agency, rush(80*time.Second, 200*time.Second, 0.3, 1.4)),
+		base("wool-order rush", coop, surge(100*time.Second, 160*time.Second, 0.4, 1.6)),
+		base("term opening", agency, surge(80*time.Second, 200*time.Second, 0.3, 1.4)),
 		base("saturation x1", coop, steady(1)),
 		base("saturation x2", coop, steady(2)),
 		base("saturation x1", agency, steady(1)),
@@ -110,9 +110,9 @@
 	// tokens is the length of the answer.
 	tokens int
 	// noise is how the answers differ from the versions' mean.
-	noise float64
+	qualityNoise float64
 	// fate decides, between 0 and 1, whether a failing version fails it.
-	fate float64
+	failDraw float64
 }
 
 // The shapes of requests.
@@ -120,7 +120,7 @@
 	blockTokens    = 32
 	templates      = 6
 	templateBlocks = 24
-	ownBlocks      = 8
+	uniqueBlocks   = 8
 	draftShare     = 0.5
 	hardShare      = 0.35
 	recordShare    = 0.1
@@ -157,8 +157,8 @@
 		Idempotent:  true,
 		Streamed:    true,
 	}
-	j.noise = answerNoise * rng.NormFloat64()
-	j.fate = rng.Float64()
+	j.qualityNoise = answerNoise * rng.NormFloat64()
+	j.failDraw = rng.Float64()
 	j.tokens = int(tokensLookup * math.Exp(0.4*rng.NormFloat64()))
 	template := rng.IntN(templates)
 	record := rng.Float64() < recordShare
@@ -204,11 +204,11 @@
 
 // prompt is a team's template and then what is the request's own.
 func prompt(team, template int, rng *rand.Rand) []decision.BlockHash {
-	out := make([]decision.BlockHash, 0, templateBlocks+ownBlocks)
+	out := make([]decision.BlockHash, 0, templateBlocks+uniqueBlocks)
 	for i := range templateBlocks {
 		out = append(out, decision.BlockHash(1e6*(team*templates+template+1)+i))
 	}
-	for range ownBlocks {
+	for range uniqueBlocks {
 		out = append(out, decision.BlockHash(rng.Uint64()|1<<63))
 	}
 	return out
@@ -216,7 +216,7 @@
 
 // quality is what the answer of a version to this request is worth.
 func (j *job) quality(v decision.VersionID, bad BadKind) float64 {
-	t := truths[v]
+	t := trueQualities[v]
 	q := t.easy
 	switch {
 	case j.Class == lookup:
@@ -227,5 +227,5 @@
 	if bad == BadRatings && v == smallNew {
 		q /= 2
 	}
-	return min(max(q+j.noise, 0), 1)
+	return min(max(q+j.qualityNoise, 0), 1)
 }
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -10,23 +10,23 @@
 
 // caller is a request that waits for its answer.
 type caller struct {
-	job    *job
-	first  time.Duration
-	cost   float64
-	held   map[decision.AttemptID]bool
-	scores map[decision.AttemptID]float64
-	rated  map[decision.AttemptID]time.Duration
+	job           *job
+	firstToken    time.Duration
+	cost          float64
+	held          map[decision.AttemptID]bool
+	scores        map[decision.AttemptID]float64
+	ratingBudgets map[decision.AttemptID]time.Duration
 }
 
 // plan notes what a dispatch asks for.
-func (c *caller) plan(d decision.Dispatch) {
+func (c *caller) recordDispatch(d decision.Dispatch) {
 	c.held[d.Attempt] = d.Hold
 	if c.scores == nil {
 		c.scores = make(map[decision.AttemptID]float64)
-		c.rated = make(map[decision.AttemptID]time.Duration)
+		c.ratingBudgets = make(map[decision.AttemptID]time.Duration)
 	}
 	if d.Rate {
-		c.rated[d.Attempt] = d.RateBudget
+		c.ratingBudgets[d.Attempt] = d.RateBudget
 	}
 }
 
@@ -46,25 +46,25 @@
 	Models        int
 	// wholes are times of whole answers of models, firsts the times to the first
 	// token of those that are streamed.
-	firsts, wholes []time.Duration
+	firstTokens, latencies []time.Duration
 	// blocks are those of all prompts, cached those found in a prefix cache.
-	blocks, cached int
-	teams          map[decision.TeamID]*teamTally
-	bad            badTally
+	promptBlocks, cachedBlocks int
+	teams                      map[decision.TeamID]*teamResults
+	fault                      faultResults
 }
 
 // teamTally is one team's part.
-type teamTally struct {
-	demand, got float64
-	quality     map[decision.TaskClass]float64
-	answers     map[decision.TaskClass]int
-	target      float64
-	weight      float64
+type teamResults struct {
+	demand, served float64
+	quality        map[decision.TaskClass]float64
+	answers        map[decision.TaskClass]int
+	target         float64
+	weight         float64
 }
 
 // badTally follows smallNew once it is bad.
-type badTally struct {
-	answers int
+type faultResults struct {
+	badAnswers int
 	// exposed counts requests dispatched to it, and of all requests those that
 	// arrived, from the start of its being bad and from its 50th bad answer on.
 	exposed, exposedAfter int
@@ -72,12 +72,12 @@
 }
 
 // badLimit is the number of bad answers after which a version should be barred.
-const badLimit = 50
+const maxBadAnswers = 50
 
-func newTally(l Load) *Tally {
-	t := &Tally{load: l, teams: make(map[decision.TeamID]*teamTally)}
+func newResults(l Load) *Tally {
+	t := &Tally{load: l, teams: make(map[decision.TeamID]*teamResults)}
 	for _, x := range teams() {
-		t.teams[x.ID] = &teamTally{
+		t.teams[x.ID] = &teamResults{
 			quality: make(map[decision.TaskClass]float64),
 			answers: make(map[decision.TaskClass]int),
 			target:  x.QualityTarget,
@@ -90,13 +90,13 @@
 // work is the size of a request, for shares among teams.
 func work(j *job) float64 { return float64(j.tokens) + 0.1*float64(j.PromptTokens) }
 
-func (t *Tally) counts(j *job) bool { return j.arrived >= t.load.Warm }
+func (t *Tally) measured(j *job) bool { return j.arrived >= t.load.Warm }
 
 func (t *Tally) arrived(j *job) {
-	if j.Service == "" && t.bad.answers >= badLimit {
-		t.bad.arrivedAfter++
+	if j.Service == "" && t.fault.badAnswers >= maxBadAnswers {
+		t.fault.arrivedAfter++
 	}
-	if !t.counts(j) {
+	if !t.measured(j) {
 		return
 	}
 	t.Arrived++
@@ -109,15 +109,15 @@
 	if t.load.Bad == NotBad || now < t.load.BadFrom || v != smallNew {
 		return
 	}
-	t.bad.exposed++
-	if t.bad.answers >= badLimit {
-		t.bad.exposedAfter++
+	t.fault.exposed++
+	if t.fault.badAnswers >= maxBadAnswers {
+		t.fault.exposedAfter++
 	}
 }
 
 func (t *Tally) badAnswer(v decision.VersionID, now time.Duration) {
 	if v == smallNew && now >= t.load.BadFrom {
-		t.bad.answers++
+		t.fault.badAnswers++
 	}
 }
 
@@ -130,7 +130,7 @@
 
 func (t *Tally) delivered(c *caller, a decision.AttemptID, now time.Duration) {
 	j := c.job
-	if !t.counts(j) {
+	if !t.measured(j) {
 		return
 	}
 	if now > j.Deadline.Sub(start) {
@@ -142,24 +142,24 @@
 		return
 	}
 	first := now
-	if !c.held[a] && c.first > 0 {
-		first = c.first
+	if !c.held[a] && c.firstToken > 0 {
+		first = c.firstToken
 	}
 	t.Models++
 	t.Cost += c.cost
 	t.Quality += c.scores[a]
 	if j.Streamed {
-		t.firsts = append(t.firsts, first-j.arrived)
+		t.firstTokens = append(t.firstTokens, first-j.arrived)
 	}
-	t.wholes = append(t.wholes, now-j.arrived)
+	t.latencies = append(t.latencies, now-j.arrived)
 	team := t.teams[j.Team]
-	team.got += work(j)
+	team.served += work(j)
 	team.quality[j.Class] += c.scores[a]
 	team.answers[j.Class]++
 }
 
 func (t *Tally) refused(c *caller, r decision.Refuse) {
-	if !t.counts(c.job) {
+	if !t.measured(c.job) {
 		return
 	}
 	t.Refused++
@@ -169,13 +169,13 @@
 }
 
 func (t *Tally) failed(c *caller) {
-	if t.counts(c.job) {
+	if t.measured(c.job) {
 		t.Failed++
 	}
 }
 
-func (t *Tally) lost(c *caller) {
-	if t.counts(c.job) {
+func (t *Tally) unanswered(c *caller) {
+	if t.measured(c.job) {
 		t.Lost++
 	}
 }
@@ -190,10 +190,10 @@
 }
 
 // work is the size of what was answered.
-func (t *Tally) work() float64 {
+func (t *Tally) totalWork() float64 {
 	total := 0.0
 	for i := range teamShares {
-		total += t.teams[teamID(i)].got
+		total += t.teams[teamID(i)].served
 	}
 	return total
 }
@@ -201,48 +201,48 @@
 // leastShare is the lowest ratio over the teams of what a team got to its
 // weighted max-min share of what all got. Teams that wanted less than their
 // share should get it all, and nobody's surplus counts against another.
-func (t *Tally) leastShare() float64 {
+func (t *Tally) minShareRatio() float64 {
 	if t.load.Model == "" {
 		return math.NaN()
 	}
-	total := t.work()
-	open := make([]*teamTally, 0, len(t.teams))
+	total := t.totalWork()
+	open := make([]*teamResults, 0, len(t.teams))
 	for i := range teamShares {
 		open = append(open, t.teams[teamID(i)])
 	}
-	least := 1.0
+	lowest := 1.0
 	for len(open) > 0 {
 		weights := 0.0
 		for _, x := range open {
 			weights += x.weight
 		}
-		level := total / weights
-		var rest []*teamTally
+		fairShare := total / weights
+		var rest []*teamResults
 		for _, x := range open {
-			if x.demand > level*x.weight {
+			if x.demand > fairShare*x.weight {
 				rest = append(rest, x)
 				continue
 			}
 			total -= x.demand
 			if x.demand > 0 {
-				least = min(least, x.got/x.demand)
+				lowest = min(lowest, x.served/x.demand)
 			}
 		}
 		if len(rest) == len(open) {
 			for _, x := range open {
-				least = min(least, x.got/(level*x.weight))
+				lowest = min(lowest, x.served/(fairShare*x.weight))
 			}
 			break
 		}
 		open = rest
 	}
-	return least
+	return lowest
 }
 
 // missed is by how much the answers of the team and class farthest under its
 // quality target missed it. Those with under 100 answers are left out: the
 // standard error of their mean is over 0.015.
-func (t *Tally) missed() float64 {
+func (t *Tally) targetShortfall() float64 {
 	worst := 0.0
 	for _, x := range t.teams {
 		for class, n := range x.answers {
--- a/decision/internal/policytest/variants.go
+++ b/decision/internal/policytest/variants.go
@@ -10,27 +10,27 @@
 
 // plain is what a router without this module's decisions does: requests in the
 // order in which they came, whatever the wait, without affinity or verdicts.
-var plain = decision.Policy{NoAffinity: true, NoShift: true, FirstCome: true, NoWaitLimit: true}
+var baseline = decision.Policy{NoAffinity: true, NoShift: true, FirstCome: true, NoWaitLimit: true}
 
 // Variants lists the policies. The first is the one meant for use; the next two
 // are plain routers, and each of the others differs from it in one decision.
 func Variants() []Variant {
-	roundRobin, least := plain, plain
+	roundRobin, least := baseline, baseline
 	roundRobin.Placement = decision.PlaceRoundRobin
 	least.Placement = decision.PlaceLeastOutstanding
 	return []Variant{
-		{"decision", world(decision.Policy{})},
-		{"round robin", world(roundRobin)},
-		{"least outstanding", world(least)},
-		{"always the best model", world(decision.Policy{Cascade: decision.CascadeBest})},
-		{"fixed cascade", world(decision.Policy{Cascade: decision.CascadeFixed})},
-		{"no affinity", world(decision.Policy{NoAffinity: true})},
-		{"no shift", world(decision.Policy{NoShift: true})},
+		{"decision", newWorld(decision.Policy{})},
+		{"round robin", newWorld(roundRobin)},
+		{"least outstanding", newWorld(least)},
+		{"always the best model", newWorld(decision.Policy{Cascade: decision.CascadeBest})},
+		{"fixed cascade", newWorld(decision.Policy{Cascade: decision.CascadeFixed})},
+		{"no affinity", newWorld(decision.Policy{NoAffinity: true})},
+		{"no shift", newWorld(decision.Policy{NoShift: true})},
 	}
 }
 
 // world makes the real policy with some of its decisions replaced.
-func world(p decision.Policy) func(uint64) Policy {
+func newWorld(p decision.Policy) func(uint64) Policy {
 	return func(seed uint64) Policy {
 		cfg := decision.DefaultConfig()
 		cfg.Seed = seed
--- a/decision/internal/prefix/index.go
+++ b/decision/internal/prefix/index.go
@@ -27,7 +27,7 @@
 // holders bounds the servers remembered for one block. A prefix that more
 // servers hold is found on one of these; more would not make a better choice,
 // since placing looks at a few candidates only.
-const holders = 4
+const maxHolders = 4
 
 // Index maps block hashes to the servers that hold them.
 type Index[S, H comparable] struct {
@@ -47,7 +47,7 @@
 
 // entry is the holders of one block.
 type entry[S comparable] struct {
-	holders [holders]holder[S]
+	holders [maxHolders]holder[S]
 }
 
 // holder is one server that holds a block; free when server is nil.
@@ -55,8 +55,8 @@
 	server *server[S]
 	epoch  uint32
 	// guess marks an own dispatch that the server has not confirmed.
-	guess bool
-	at    time.Time
+	unconfirmed bool
+	seenAt      time.Time
 }
 
 // Match says that a server holds a prompt's first Blocks blocks.
@@ -109,7 +109,7 @@
 		late = true
 	}
 	for _, h := range removed {
-		x.remove(h, s)
+		x.removeHolder(h, s)
 	}
 	if late {
 		return
@@ -117,7 +117,7 @@
 	// The deepest first, so that the blocks that others build on are used last
 	// and leave the index last.
 	for i := len(added) - 1; i >= 0; i-- {
-		x.put(added[i], holder[S]{server: s, epoch: s.epoch, at: now})
+		x.addHolder(added[i], holder[S]{server: s, epoch: s.epoch, seenAt: now})
 	}
 }
 
@@ -128,7 +128,7 @@
 	s := x.server(id)
 	blocks = blocks[:min(len(blocks), x.cfg.Depth)]
 	for i := len(blocks) - 1; i >= 0; i-- {
-		x.put(blocks[i], holder[S]{server: s, epoch: s.epoch, at: now, guess: true})
+		x.addHolder(blocks[i], holder[S]{server: s, epoch: s.epoch, seenAt: now, unconfirmed: true})
 	}
 }
 
@@ -141,7 +141,7 @@
 }
 
 // put records a holder: in its own place, a free one, or that of the oldest.
-func (x *Index[S, H]) put(h H, n holder[S]) {
+func (x *Index[S, H]) addHolder(h H, n holder[S]) {
 	e, ok := x.blocks.Get(h)
 	if !ok {
 		e = &entry[S]{}
@@ -152,24 +152,24 @@
 		o := &e.holders[i]
 		if o.server == n.server {
 			// A guess makes a confirmed holder neither unsure nor surer.
-			if n.guess && !o.guess && x.valid(*o, n.at) {
-				o.at = n.at
+			if n.unconfirmed && !o.unconfirmed && x.valid(*o, n.seenAt) {
+				o.seenAt = n.seenAt
 				return
 			}
 			*o = n
 			return
 		}
-		if !x.valid(*o, n.at) {
-			o.at = time.Time{}
+		if !x.valid(*o, n.seenAt) {
+			o.seenAt = time.Time{}
 		}
-		if o.at.Before(e.holders[oldest].at) {
+		if o.seenAt.Before(e.holders[oldest].seenAt) {
 			oldest = i
 		}
 	}
 	e.holders[oldest] = n
 }
 
-func (x *Index[S, H]) remove(h H, s *server[S]) {
+func (x *Index[S, H]) removeHolder(h H, s *server[S]) {
 	e, ok := x.blocks.Peek(h)
 	if !ok {
 		return
@@ -193,7 +193,7 @@
 	if o.server == nil || o.server.epoch-o.epoch >= 2 {
 		return false
 	}
-	return !o.guess || now.Sub(o.at) <= x.cfg.GuessLife
+	return !o.unconfirmed || now.Sub(o.seenAt) <= x.cfg.GuessLife
 }
 
 // Len is the number of blocks remembered.
--- a/decision/internal/prefix/index_test.go
+++ b/decision/internal/prefix/index_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var epoch = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
 type (
 	index = Index[string, uint64]
@@ -35,53 +35,53 @@
 		want []match
 	}{
 		{"nothing known", func(*index) {}, p, nil},
-		{"confirmed", func(x *index) { x.Changed("a", 1, p, nil, epoch) }, p, []match{{"a", 10, true}}},
-		{"own dispatch", func(x *index) { x.Dispatched("a", p, epoch) }, p, []match{{"a", 10, false}}},
-		{"old own dispatch", func(x *index) { x.Dispatched("a", p, epoch.Add(-time.Hour)) }, p, nil},
+		{"confirmed", func(x *index) { x.Changed("a", 1, p, nil, startTime) }, p, []match{{"a", 10, true}}},
+		{"own dispatch", func(x *index) { x.Dispatched("a", p, startTime) }, p, []match{{"a", 10, false}}},
+		{"old own dispatch", func(x *index) { x.Dispatched("a", p, startTime.Add(-time.Hour)) }, p, nil},
 		{"confirmed dispatch", func(x *index) {
-			x.Dispatched("a", p, epoch)
-			x.Changed("a", 1, p, nil, epoch)
-			x.Dispatched("a", p, epoch)
+			x.Dispatched("a", p, startTime)
+			x.Changed("a", 1, p, nil, startTime)
+			x.Dispatched("a", p, startTime)
 		}, p, []match{{"a", 10, true}}},
-		{"common start", func(x *index) { x.Changed("a", 1, p, nil, epoch) }, mixed, []match{{"a", 4, true}}},
+		{"common start", func(x *index) { x.Changed("a", 1, p, nil, startTime) }, mixed, []match{{"a", 4, true}}},
 		{"deepest first", func(x *index) {
-			x.Changed("a", 1, p[:6], nil, epoch)
-			x.Changed("b", 1, p[:9], nil, epoch)
+			x.Changed("a", 1, p[:6], nil, startTime)
+			x.Changed("b", 1, p[:9], nil, startTime)
 		}, p, []match{{"b", 9, true}, {"a", 6, true}}},
 		{"evicted", func(x *index) {
-			x.Changed("a", 1, p, nil, epoch)
-			x.Changed("a", 2, nil, p[5:], epoch)
+			x.Changed("a", 1, p, nil, startTime)
+			x.Changed("a", 2, nil, p[5:], startTime)
 		}, p, []match{{"a", 5, true}}},
 		{"one gap makes suspect", func(x *index) {
-			x.Changed("a", 1, p, nil, epoch)
-			x.Changed("a", 3, nil, nil, epoch)
+			x.Changed("a", 1, p, nil, startTime)
+			x.Changed("a", 3, nil, nil, startTime)
 		}, p, []match{{"a", 10, false}}},
 		{"two gaps make void", func(x *index) {
-			x.Changed("a", 1, p, nil, epoch)
-			x.Changed("a", 3, nil, nil, epoch)
-			x.Changed("a", 9, nil, nil, epoch)
+			x.Changed("a", 1, p, nil, startTime)
+			x.Changed("a", 3, nil, nil, startTime)
+			x.Changed("a", 9, nil, nil, startTime)
 		}, p, nil},
 		{"a restart makes void", func(x *index) {
-			x.Changed("a", 7, p, nil, epoch)
-			x.Changed("a", 1, p[:2], nil, epoch)
+			x.Changed("a", 7, p, nil, startTime)
+			x.Changed("a", 1, p[:2], nil, startTime)
 		}, p, []match{{"a", 2, true}}},
 		{"a late event evicts but adds nothing", func(x *index) {
-			x.Changed("a", 3, p[:6], nil, epoch)
-			x.Changed("a", 2, p[6:], p[5:6], epoch)
+			x.Changed("a", 3, p[:6], nil, startTime)
+			x.Changed("a", 2, p[6:], p[5:6], startTime)
 		}, p, []match{{"a", 5, true}}},
 		{"forgotten server", func(x *index) {
-			x.Changed("a", 1, p, nil, epoch)
+			x.Changed("a", 1, p, nil, startTime)
 			x.Forget("a")
-			x.Dispatched("b", p[:1], epoch)
+			x.Dispatched("b", p[:1], startTime)
 		}, p, []match{{"b", 1, false}}},
 		{"listed again after forgetting", func(x *index) {
-			x.Changed("a", 9, p, nil, epoch)
+			x.Changed("a", 9, p, nil, startTime)
 			x.Forget("a")
-			x.Changed("a", 1, p[:3], nil, epoch)
+			x.Changed("a", 1, p[:3], nil, startTime)
 		}, p, []match{{"a", 3, true}}},
 		{"no more servers than a block has places", func(x *index) {
 			for i := range 9 {
-				x.Changed(fmt.Sprint(i), 1, p, nil, epoch.Add(time.Duration(i)))
+				x.Changed(fmt.Sprint(i), 1, p, nil, startTime.Add(time.Duration(i)))
 			}
 		}, p, []match{{"8", 10, true}, {"5", 10, true}, {"6", 10, true}, {"7", 10, true}}},
 	}
@@ -89,7 +89,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := New[string, uint64](DefaultConfig())
 			c.do(x)
-			if got := x.Match(c.ask, 8, epoch, nil); !slices.Equal(got, c.want) {
+			if got := x.Match(c.ask, 8, startTime, nil); !slices.Equal(got, c.want) {
 				t.Errorf("%v, want %v", got, c.want)
 			}
 		})
@@ -105,7 +105,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		x, y := New[string, uint64](cfg), New[string, uint64](cfg)
 		gone := map[string]bool{}
-		now := epoch
+		now := startTime
 		for _, s := range rapid.SliceOfN(rapid.Uint32(), 1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(s>>24) * time.Second)
 			id := fmt.Sprint(s % 5)
@@ -145,18 +145,18 @@
 	for i := range 1000 {
 		p := chain(uint64(i), 60)
 		prompts = append(prompts, p)
-		x.Dispatched(fmt.Sprint(i%100), p[:i%60+1], epoch)
+		x.Dispatched(fmt.Sprint(i%100), p[:i%60+1], startTime)
 	}
 	var out []match
 	b.ReportAllocs()
 	for i := range b.N {
-		out = x.Match(prompts[i%len(prompts)], 2, epoch, out[:0])
+		out = x.Match(prompts[i%len(prompts)], 2, startTime, out[:0])
 	}
 }
 
 func ExampleIndex() {
 	x := New[string, uint64](DefaultConfig())
-	now := epoch
+	now := startTime
 	x.Changed("s1", 1, []uint64{11, 12, 13}, nil, now)
 	x.Dispatched("s2", []uint64{11, 12}, now)
 	for _, m := range x.Match([]uint64{11, 12, 13, 14}, 2, now, nil) {
--- a/decision/internal/prefix/match.go
+++ b/decision/internal/prefix/match.go
@@ -8,7 +8,7 @@
 // extraSteps is how many shorter prefixes are looked at for further servers once
 // the deepest match is found. It bounds the cost of a decision; a shallow match
 // on a free server is worth about as much as none.
-const extraSteps = 6
+const extraDepths = 6
 
 // Match appends to out the servers that hold the longest prefixes of a prompt,
 // the deepest first, at most limit. It allocates only to grow out.
@@ -21,7 +21,7 @@
 	blocks = blocks[:min(len(blocks), x.cfg.Depth)]
 	depth := sort.Search(len(blocks), func(i int) bool { return !x.held(blocks[i], now) })
 	start := len(out)
-	for steps := 0; depth > 0 && steps <= extraSteps && len(out)-start < limit; steps++ {
+	for steps := 0; depth > 0 && steps <= extraDepths && len(out)-start < limit; steps++ {
 		out = x.appendHolders(blocks[depth-1], depth, limit, now, start, out)
 		depth--
 	}
@@ -49,19 +49,19 @@
 		return out
 	}
 	for _, o := range e.holders {
-		if !x.valid(o, now) || len(out)-start >= limit || has(out[start:], o.server.id) {
+		if !x.valid(o, now) || len(out)-start >= limit || containsServer(out[start:], o.server.id) {
 			continue
 		}
 		out = append(out, Match[S]{
 			Server: o.server.id,
 			Blocks: depth,
-			Sure:   !o.guess && o.epoch == o.server.epoch,
+			Sure:   !o.unconfirmed && o.epoch == o.server.epoch,
 		})
 	}
 	return out
 }
 
-func has[S comparable](list []Match[S], id S) bool {
+func containsServer[S comparable](list []Match[S], id S) bool {
 	for _, m := range list {
 		if m.Server == id {
 			return true
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -41,10 +41,10 @@
 
 // crash is one row of the table.
 type crash struct {
-	servers     int
-	running     int
-	last        time.Time
-	quarantined time.Time
+	crashedServers   int
+	running          int
+	lastCrash        time.Time
+	quarantinedUntil time.Time
 }
 
 // NewCrashes returns an empty table.
@@ -75,26 +75,26 @@
 // has crashed a server run one after the other, so that a caller that sends
 // many at once cannot pass the limit. until is set for CrashQuarantined.
 func (t *Crashes[F]) Admit(f F, now time.Time) (a CrashAdmission, until time.Time) {
-	c := t.fresh(f, now)
+	c := t.unexpired(f, now)
 	if c == nil {
 		return CrashClear, time.Time{}
 	}
-	if c.quarantined.After(now) {
-		return CrashQuarantined, c.quarantined
+	if c.quarantinedUntil.After(now) {
+		return CrashQuarantined, c.quarantinedUntil
 	}
-	if c.servers > 0 && c.servers+c.running >= t.cfg.MaxServers {
+	if c.crashedServers > 0 && c.crashedServers+c.running >= t.cfg.MaxServers {
 		return CrashWait, time.Time{}
 	}
 	return CrashClear, time.Time{}
 }
 
 // fresh returns the row of f, or nil when there is none or its time is over.
-func (t *Crashes[F]) fresh(f F, now time.Time) *crash {
+func (t *Crashes[F]) unexpired(f F, now time.Time) *crash {
 	c, ok := t.rows.Get(f)
 	if !ok {
 		return nil
 	}
-	if c.quarantined.After(now) || now.Sub(c.last) <= t.cfg.Remember {
+	if c.quarantinedUntil.After(now) || now.Sub(c.lastCrash) <= t.cfg.Remember {
 		return c
 	}
 	t.rows.Remove(f)
@@ -105,7 +105,7 @@
 // reports whether it did: hand that to Ended. Requests without a crash cost
 // nothing, and copies that ran already at the first crash are not counted.
 func (t *Crashes[F]) Started(f F, now time.Time) (counted bool) {
-	c := t.fresh(f, now)
+	c := t.unexpired(f, now)
 	if c == nil {
 		return false
 	}
@@ -117,7 +117,7 @@
 // it returns quarantine, the request has reached the limit and must be refused
 // everywhere until the time given.
 func (t *Crashes[F]) Ended(f F, counted, crashed bool, now time.Time) (quarantine bool, until time.Time) {
-	c := t.fresh(f, now)
+	c := t.unexpired(f, now)
 	if c != nil && counted {
 		c.running = max(c.running-1, 0)
 	}
@@ -128,14 +128,14 @@
 		c = &crash{}
 		t.rows.Add(f, c)
 	}
-	c.servers++
-	c.last = now
-	if c.servers < t.cfg.MaxServers || c.quarantined.After(now) {
+	c.crashedServers++
+	c.lastCrash = now
+	if c.crashedServers < t.cfg.MaxServers || c.quarantinedUntil.After(now) {
 		return false, time.Time{}
 	}
-	c.quarantined = now.Add(t.cfg.Quarantine)
-	c.servers = 0
-	return true, c.quarantined
+	c.quarantinedUntil = now.Add(t.cfg.Quarantine)
+	c.crashedServers = 0
+	return true, c.quarantinedUntil
 }
 
 // Learn takes in a quarantine from the log or a peer. It never holds longer
@@ -147,13 +147,13 @@
 	if !until.After(now) {
 		return
 	}
-	c := t.fresh(f, now)
+	c := t.unexpired(f, now)
 	if c == nil {
-		c = &crash{last: now}
+		c = &crash{lastCrash: now}
 		t.rows.Add(f, c)
 	}
-	if until.After(c.quarantined) {
-		c.quarantined = until
+	if until.After(c.quarantinedUntil) {
+		c.quarantinedUntil = until
 	}
 }
 
--- a/decision/internal/verdict/crashes_test.go
+++ b/decision/internal/verdict/crashes_test.go
@@ -11,18 +11,18 @@
 func TestCrashingRequest(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
-	if q, _ := c.Ended(1, false, true, epoch); q {
+	if q, _ := c.Ended(1, false, true, startTime); q {
 		t.Fatal("quarantined at the first crash")
 	}
-	if a, _ := c.Admit(1, epoch); a != CrashClear {
+	if a, _ := c.Admit(1, startTime); a != CrashClear {
 		t.Fatalf("after one crash %v, want clear", a)
 	}
-	counted := c.Started(1, epoch)
-	if a, _ := c.Admit(1, epoch); a != CrashWait {
+	counted := c.Started(1, startTime)
+	if a, _ := c.Admit(1, startTime); a != CrashWait {
 		t.Fatalf("beside a running copy %v, want wait", a)
 	}
-	q, until := c.Ended(1, counted, true, epoch)
-	if !q || !until.Equal(epoch.Add(cfg.Quarantine)) {
+	q, until := c.Ended(1, counted, true, startTime)
+	if !q || !until.Equal(startTime.Add(cfg.Quarantine)) {
 		t.Fatalf("second crash: %v until %v", q, until)
 	}
 	if a, _ := c.Admit(1, until.Add(-1)); a != CrashQuarantined {
@@ -31,7 +31,7 @@
 	if a, _ := c.Admit(1, until); a != CrashClear {
 		t.Errorf("after its end %v, want clear", a)
 	}
-	if a, _ := c.Admit(2, epoch); a != CrashClear {
+	if a, _ := c.Admit(2, startTime); a != CrashClear {
 		t.Errorf("another request %v, want clear", a)
 	}
 }
@@ -39,17 +39,17 @@
 func TestCrashMemory(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
-	c.Ended(1, false, true, epoch)
-	if q, _ := c.Ended(1, false, true, epoch.Add(cfg.Remember+1)); q {
+	c.Ended(1, false, true, startTime)
+	if q, _ := c.Ended(1, false, true, startTime.Add(cfg.Remember+1)); q {
 		t.Error("a crash that is long past was counted")
 	}
-	c.Learn(2, epoch.Add(24*time.Hour), epoch)
-	if _, until := c.Admit(2, epoch); !until.Equal(epoch.Add(cfg.Quarantine)) {
+	c.Learn(2, startTime.Add(24*time.Hour), startTime)
+	if _, until := c.Admit(2, startTime); !until.Equal(startTime.Add(cfg.Quarantine)) {
 		t.Errorf("a peer's quarantine holds until %v", until)
 	}
-	c.Learn(3, epoch.Add(-1), epoch)
+	c.Learn(3, startTime.Add(-1), startTime)
 	for f := range uint64(3 * cfg.Limit) {
-		c.Ended(f, false, true, epoch)
+		c.Ended(f, false, true, startTime)
 	}
 	if c.Len() != cfg.Limit {
 		t.Errorf("%d kept, want %d", c.Len(), cfg.Limit)
@@ -61,11 +61,11 @@
 func TestCrashLimitProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCrashes[uint64](DefaultCrashConfig())
-		c.Ended(7, false, true, epoch)
+		c.Ended(7, false, true, startTime)
 		crashes, running := 1, 0
 		for _, start := range rapid.SliceOfN(rapid.Bool(), 1, 100).Draw(t, "steps") {
 			if start {
-				if a, _ := c.Admit(7, epoch); a == CrashClear && c.Started(7, epoch) {
+				if a, _ := c.Admit(7, startTime); a == CrashClear && c.Started(7, startTime) {
 					running++
 				}
 				continue
@@ -75,7 +75,7 @@
 			}
 			running--
 			crashes++
-			c.Ended(7, true, true, epoch)
+			c.Ended(7, true, true, startTime)
 		}
 		if crashes+running > 2 {
 			t.Fatalf("%d servers crashed and %d at risk", crashes, running)
@@ -86,11 +86,11 @@
 func ExampleCrashes() {
 	c := NewCrashes[uint64](DefaultCrashConfig())
 	for attempt := 1; ; attempt++ {
-		if a, _ := c.Admit(42, epoch); a != CrashClear {
+		if a, _ := c.Admit(42, startTime); a != CrashClear {
 			break
 		}
-		counted := c.Started(42, epoch)
-		quarantine, _ := c.Ended(42, counted, true, epoch)
+		counted := c.Started(42, startTime)
+		quarantine, _ := c.Ended(42, counted, true, startTime)
 		fmt.Println(attempt, quarantine)
 	}
 	// Output:
--- a/decision/internal/verdict/detector.go
+++ b/decision/internal/verdict/detector.go
@@ -6,18 +6,18 @@
 )
 
 // bettors is the number of stakes that a detector plays side by side.
-const bettors = 4
+const numBets = 4
 
 // stakes are the parts of the largest safe bet that the bettors of a detector
 // put on each observation. A small stake finds a small, lasting loss; a large
 // one finds a sudden, total failure within a few observations.
-type stakes [bettors]float64
+type betFractions [numBets]float64
 
 // Errors are rare and come in clusters, so nobody stakes nearly everything on
 // one. Ratings spread around their mean, where a high stake pays.
 var (
-	errorStakes  = stakes{0.05, 0.1, 0.3, 0.6}
-	ratingStakes = stakes{0.1, 0.3, 0.6, 0.9}
+	errorBets  = betFractions{0.05, 0.1, 0.3, 0.6}
+	ratingBets = betFractions{0.1, 0.3, 0.6, 0.9}
 )
 
 // Observations lie in 0..1, and a mean of exactly 0 or 1 would let one
@@ -39,8 +39,8 @@
 // Ramdas and Rinaldo, "E-detectors", 2022). No minimum sample is needed: one observation cannot
 // gain more than its bettor's largest factor.
 type detector struct {
-	stakes    stakes
-	logWealth [bettors]float64
+	fractions betFractions
+	logWealth [numBets]float64
 	// restart makes it a CUSUM; without it, it is a plain e-process, whose
 	// chance of ever reaching 1/alpha wrongly is at most alpha (Ville).
 	restart bool
@@ -60,7 +60,7 @@
 
 // add applies a gain, which is at least -1 by construction.
 func (d *detector) add(gain float64) {
-	for i, stake := range d.stakes {
+	for i, stake := range d.fractions {
 		w := d.logWealth[i] + math.Log1p(stake*gain)
 		if d.restart && w < 0 {
 			w = 0
@@ -76,10 +76,10 @@
 	for _, w := range d.logWealth {
 		sum += math.Exp(w - top)
 	}
-	return top + math.Log(sum/bettors)
+	return top + math.Log(sum/numBets)
 }
 
-func (d *detector) reset() { d.logWealth = [bettors]float64{} }
+func (d *detector) reset() { d.logWealth = [numBets]float64{} }
 
 // threshold is the log wealth at which a false alarm has the rate alpha.
 func threshold(alpha float64) float64 {
@@ -88,24 +88,24 @@
 
 // mean is a discounted mean with its variance. Its memory is the number of
 // observations after which an old one has lost most of its weight.
-type mean struct {
-	n, mu, m2 float64
+type discountedMean struct {
+	n, mean, m2 float64
 }
 
-func (m *mean) add(x, memory float64) {
+func (m *discountedMean) add(x, memory float64) {
 	keep := 1 - 1/memory
 	m.n = m.n*keep + 1
-	delta := x - m.mu
-	m.mu += delta / m.n
-	m.m2 = m.m2*keep + delta*(x-m.mu)
+	delta := x - m.mean
+	m.mean += delta / m.n
+	m.m2 = m.m2*keep + delta*(x-m.mean)
 }
 
 // lower is a one-sided lower bound of the true mean, at about z standard
 // errors. The variance counts one extra observation of the widest spread, so
 // that a few equal ones are not taken for certainty.
-func (m *mean) lower(z float64) float64 {
+func (m *discountedMean) lowerBound(z float64) float64 {
 	variance := (m.m2 + maxVariance) / (m.n + 1)
-	return m.mu - z*math.Sqrt(variance/(m.n+1))
+	return m.mean - z*math.Sqrt(variance/(m.n+1))
 }
 
 // maxVariance is the largest variance of a value in 0..1.
--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -11,7 +11,7 @@
 )
 
 // pool returns n servers in one group.
-func pool(n int) (*Outliers[string, string], []string) {
+func newOutlierPool(n int) (*Outliers[string, string], []string) {
 	o := NewOutliers[string, string](DefaultOutlierConfig())
 	var ids []string
 	var list []Member[string, string]
@@ -25,13 +25,13 @@
 }
 
 // pace draws a pace with the spread of uneven work around 20 ms a token.
-func pace(rng *rand.Rand, factor float64) time.Duration {
+func drawLatency(rng *rand.Rand, factor float64) time.Duration {
 	return time.Duration(factor * 20e6 * math.Exp(0.3*rng.NormFloat64()))
 }
 
 // run sends attempts round robin for a number of seconds, 20 a second to each
 // server that admits, and returns how many each server got.
-func run(o *Outliers[string, string], ids []string, from time.Time, seconds int, rng *rand.Rand,
+func runAttempts(o *Outliers[string, string], ids []string, from time.Time, seconds int, rng *rand.Rand,
 	behave func(id string) (failed bool, factor float64)) map[string]int {
 	got := make(map[string]int)
 	for step := range seconds * 20 {
@@ -44,7 +44,7 @@
 			o.Dispatched(id, now)
 			got[id]++
 			failed, factor := behave(id)
-			o.Ended(id, failed, pace(rng, factor), now)
+			o.Ended(id, failed, drawLatency(rng, factor), now)
 		}
 	}
 	return got
@@ -68,10 +68,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				o, ids := pool(c.servers)
-				run(o, ids, epoch, 30, rng, func(string) (bool, float64) { return false, 1 })
-				from := epoch.Add(30 * time.Second)
-				got := run(o, ids, from, 60, rng, func(id string) (bool, float64) {
+				o, ids := newOutlierPool(c.servers)
+				runAttempts(o, ids, startTime, 30, rng, func(string) (bool, float64) { return false, 1 })
+				from := startTime.Add(30 * time.Second)
+				got := runAttempts(o, ids, from, 60, rng, func(id string) (bool, float64) {
 					if id != "s01" {
 						return rng.Float64() < 0.002, 1
 					}
@@ -108,8 +108,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				rng := rand.New(rand.NewPCG(seed, 2))
-				o, ids := pool(c.servers)
-				run(o, ids, epoch, 120, rng, c.behave(rng))
+				o, ids := newOutlierPool(c.servers)
+				runAttempts(o, ids, startTime, 120, rng, c.behave(rng))
 				if n := o.Ejected("draft"); n != 0 {
 					t.Errorf("seed %d: %d ejected", seed, n)
 				}
@@ -122,9 +122,9 @@
 func TestAllTurnSlow(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		o, ids := pool(12)
-		run(o, ids, epoch, 30, rng, func(string) (bool, float64) { return false, 1 })
-		got := run(o, ids, epoch.Add(30*time.Second), 30, rng, func(string) (bool, float64) { return false, 4 })
+		o, ids := newOutlierPool(12)
+		runAttempts(o, ids, startTime, 30, rng, func(string) (bool, float64) { return false, 1 })
+		got := runAttempts(o, ids, startTime.Add(30*time.Second), 30, rng, func(string) (bool, float64) { return false, 4 })
 		for id, n := range got {
 			if n < 590 {
 				t.Errorf("seed %d: %s got %d of 600", seed, id, n)
@@ -138,8 +138,8 @@
 func TestSlowServerIsFoundBySeldomAttempts(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		o, ids := pool(12)
-		now, sent := epoch, 0
+		o, ids := newOutlierPool(12)
+		now, sent := startTime, 0
 		for round := 0; o.Ejected("draft") == 0 && round < 20; round++ {
 			now = now.Add(20 * time.Second)
 			o.Sweep(now)
@@ -149,7 +149,7 @@
 					factor = 6
 					sent++
 				}
-				o.Ended(id, false, pace(rng, factor), now)
+				o.Ended(id, false, drawLatency(rng, factor), now)
 			}
 			o.Sweep(now.Add(2 * time.Second))
 		}
@@ -161,14 +161,14 @@
 
 func TestEjectedServerReturnsByTrial(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
-	o, ids := pool(6)
+	o, ids := newOutlierPool(6)
 	sick := func(id string) (bool, float64) { return id == "s01", 1 }
 	well := func(string) (bool, float64) { return false, 1 }
-	run(o, ids, epoch, 20, rng, sick)
+	runAttempts(o, ids, startTime, 20, rng, sick)
 	if o.Ejected("draft") != 1 {
 		t.Fatal("not ejected")
 	}
-	now := epoch.Add(2 * time.Minute)
+	now := startTime.Add(2 * time.Minute)
 	if o.Admit("s01", now) != Probe {
 		t.Fatal("no trial after the backoff")
 	}
@@ -180,7 +180,7 @@
 	if o.Admit("s01", late) != Probe {
 		t.Error("no other trial after one that was lost")
 	}
-	run(o, ids, late, 5, rng, well)
+	runAttempts(o, ids, late, 5, rng, well)
 	if o.Ejected("draft") != 0 {
 		t.Error("did not return")
 	}
@@ -191,12 +191,12 @@
 func TestOutlierCapProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "servers")
-		o, ids := pool(n)
+		o, ids := newOutlierPool(n)
 		most := int(DefaultOutlierConfig().MaxShare * float64(n))
 		if n > 1 {
 			most = max(most, 1)
 		}
-		now := epoch
+		now := startTime
 		steps := rapid.SliceOfN(rapid.Uint32(), 1, 600).Draw(t, "steps")
 		for _, s := range steps {
 			now = now.Add(time.Duration(s>>24) * time.Millisecond)
@@ -209,15 +209,15 @@
 			}
 		}
 		o.Apply(nil)
-		if o.Ejected("draft") != 0 || len(o.rows) != 0 {
+		if o.Ejected("draft") != 0 || len(o.servers) != 0 {
 			t.Fatal("forgotten servers are still counted")
 		}
 	})
 }
 
 func ExampleOutliers() {
-	o, ids := pool(4)
-	now := epoch
+	o, ids := newOutlierPool(4)
+	now := startTime
 	for o.Admit("s02", now) == Open {
 		for _, id := range ids {
 			o.Dispatched(id, now)
--- a/decision/internal/verdict/reference.go
+++ b/decision/internal/verdict/reference.go
@@ -4,8 +4,8 @@
 
 // errorLine is the share of good ends below which v is worse. The predecessor
 // counts its faults in, so that a cause that hits both bars neither.
-func (t *Versions[V, S]) errorLine(v *version[V, S]) float64 {
-	ok := 1 - referenceErrors
+func (t *Versions[V, S]) minSuccessRate(v *version[V, S]) float64 {
+	ok := 1 - minReferenceErrorRate
 	if ref, known := t.reference(v, noClass, errorsOf); known {
 		ok = min(ok, ref)
 	}
@@ -13,32 +13,32 @@
 }
 
 // ratingLine is the mean rating of a class below which v is worse.
-func (t *Versions[V, S]) ratingLine(v *version[V, S], class string) float64 {
+func (t *Versions[V, S]) minRating(v *version[V, S], class string) float64 {
 	if ref, known := t.reference(v, class, ratingsOf); known {
 		return ref - t.cfg.WorseRating
 	}
-	return v.row.Quality - t.cfg.PriorSlack
+	return v.info.Quality - t.cfg.PriorSlack
 }
 
-func errorsOf[V, S cmp.Ordered](v *version[V, S]) *channel  { return &v.errors }
-func ratingsOf[V, S cmp.Ordered](v *version[V, S]) *channel { return &v.ratings }
+func errorsOf[V, S cmp.Ordered](v *version[V, S]) *signal  { return &v.errors }
+func ratingsOf[V, S cmp.Ordered](v *version[V, S]) *signal { return &v.ratings }
 
 // reference is what v must reach: its predecessor's mean; while too little is
 // known of that, its own past; known is false while that is too little as well.
-func (t *Versions[V, S]) reference(v *version[V, S], class string, of func(*version[V, S]) *channel) (ref float64, known bool) {
+func (t *Versions[V, S]) reference(v *version[V, S], class string, of func(*version[V, S]) *signal) (ref float64, known bool) {
 	if p := t.predecessor(v); p != nil {
-		if past := of(p).past(class); past.seen.n >= t.cfg.MinReference {
-			return past.asReference(), true
+		if past := of(p).history(class); past.all.n >= t.cfg.MinReference {
+			return past.successorReference(), true
 		}
 	}
-	if past := of(v).past(class); past.own.n >= t.cfg.MinReference {
-		return past.own.lower(referenceZ), true
+	if past := of(v).history(class); past.baseline.n >= t.cfg.MinReference {
+		return past.baseline.lowerBound(referenceZ), true
 	}
 	return 0, false
 }
 
 func (t *Versions[V, S]) predecessor(v *version[V, S]) *version[V, S] {
-	if p := t.rows[v.row.Predecessor]; p != v {
+	if p := t.versions[v.info.Predecessor]; p != v {
 		return p
 	}
 	return nil
--- a/decision/internal/verdict/share.go
+++ b/decision/internal/verdict/share.go
@@ -20,32 +20,32 @@
 // PeerLimit from now if that is sooner; a good one lifts what peers said. The
 // own verdict is not changed by a word alone: own evidence goes first.
 func (t *Versions[V, S]) Peer(w Word[V], now time.Time) {
-	v := t.rows[w.Version]
+	v := t.versions[w.Version]
 	if v == nil {
 		return
 	}
 	if !w.Bad {
-		v.peerBad = time.Time{}
+		v.peerBadUntil = time.Time{}
 		return
 	}
 	until := w.Until
 	if limit := now.Add(t.cfg.PeerLimit); until.After(limit) {
 		until = limit
 	}
-	if until.After(v.peerBad) {
-		v.peerBad = until
+	if until.After(v.peerBadUntil) {
+		v.peerBadUntil = until
 	}
-	if v.peerBad.After(now) {
+	if v.peerBadUntil.After(now) {
 		before := v.bad()
-		t.join(v)
-		v.turned(before)
+		t.confirmSuspicion(v)
+		v.noteChange(before)
 	}
 }
 
 // Bad reports whether the version is barred, by own verdict or a peer's.
 func (t *Versions[V, S]) Bad(id V, now time.Time) bool {
-	v := t.rows[id]
-	return v != nil && (v.bad() || v.peerBad.After(now))
+	v := t.versions[id]
+	return v != nil && (v.bad() || v.peerBadUntil.After(now))
 }
 
 // Admit says whether a request that the roll-out gives to the version may go
@@ -56,7 +56,7 @@
 	if !t.Bad(id, now) {
 		return Open
 	}
-	v := t.rows[id]
+	v := t.versions[id]
 	v.offered++
 	if v.offered%t.cfg.ProbeEvery == 0 {
 		return Probe
@@ -71,26 +71,26 @@
 // instance's part.
 func (t *Versions[V, S]) Share(now time.Time) []Word[V] {
 	var out []Word[V]
-	for _, id := range t.order {
-		v := t.rows[id]
+	for _, id := range t.sortedIDs {
+		v := t.versions[id]
 		word := Word[V]{Version: id, Bad: true, Until: now.Add(3 * t.cfg.ShareEvery)}
 		switch {
 		case v.bad():
-			if !v.announce && now.Before(v.shareAt) {
+			if !v.changePending && now.Before(v.nextShare) {
 				continue
 			}
-		case t.suspects(v, now):
-			if now.Before(v.shareAt) {
+		case t.sharesSuspicion(v, now):
+			if now.Before(v.nextShare) {
 				continue
 			}
 			word.Until = now.Add(t.cfg.ShareEvery)
-		case v.announce:
+		case v.changePending:
 			word.Bad = false
 		default:
 			continue
 		}
-		v.announce = false
-		v.shareAt = now.Add(t.cfg.ShareEvery)
+		v.changePending = false
+		v.nextShare = now.Add(t.cfg.ShareEvery)
 		out = append(out, word)
 	}
 	return out
@@ -100,17 +100,17 @@
 // neither grows nor fades, for want of traffic, is dropped after SuspectFor: it
 // must not keep a version barred elsewhere on half the evidence. One that fades
 // is taken back.
-func (t *Versions[V, S]) suspects(v *version[V, S], now time.Time) bool {
+func (t *Versions[V, S]) sharesSuspicion(v *version[V, S], now time.Time) bool {
 	if !v.errors.suspected(&t.cfg) && !v.ratings.suspected(&t.cfg) {
-		if !v.suspectAt.IsZero() {
-			v.suspectAt = time.Time{}
-			v.announce = true
+		if !v.suspectSince.IsZero() {
+			v.suspectSince = time.Time{}
+			v.changePending = true
 		}
 		return false
 	}
-	if v.suspectAt.IsZero() {
-		v.suspectAt = now
-		v.shareAt = now
+	if v.suspectSince.IsZero() {
+		v.suspectSince = now
+		v.nextShare = now
 	}
-	return now.Sub(v.suspectAt) < t.cfg.SuspectFor
+	return now.Sub(v.suspectSince) < t.cfg.SuspectFor
 }
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -29,23 +29,23 @@
 // version that turns bad in mid-season, when callers notice late and all at
 // once; it bounds how many requests the version still gets.
 type Versions[V, S cmp.Ordered] struct {
-	cfg  VersionConfig
-	rows map[V]*version[V, S]
+	cfg      VersionConfig
+	versions map[V]*version[V, S]
 	// order is the ids sorted, for output that does not depend on map order.
-	order []V
+	sortedIDs []V
 }
 
 // version is one row of the table.
 type version[V, S cmp.Ordered] struct {
-	row      Row[V]
-	errors   channel
-	ratings  channel
-	offered  uint64
-	peerBad  time.Time
-	shareAt  time.Time
-	announce bool
+	info          Row[V]
+	errors        signal
+	ratings       signal
+	offered       uint64
+	peerBadUntil  time.Time
+	nextShare     time.Time
+	changePending bool
 	// suspectAt is when the present suspicion began; zero for none.
-	suspectAt time.Time
+	suspectSince time.Time
 	// The last failures in a row of one server.
 	failServer S
 	failSince  time.Time
@@ -57,7 +57,7 @@
 
 // NewVersions returns an empty table.
 func NewVersions[V, S cmp.Ordered](cfg VersionConfig) *Versions[V, S] {
-	return &Versions[V, S]{cfg: cfg, rows: make(map[V]*version[V, S])}
+	return &Versions[V, S]{cfg: cfg, versions: make(map[V]*version[V, S])}
 }
 
 // Apply takes in a manifest's versions. Verdicts and references stay for
@@ -67,33 +67,33 @@
 	var none V
 	keep := make(map[V]*version[V, S], len(rows))
 	for _, r := range rows {
-		v := t.ensure(r.ID)
-		v.row = r
+		v := t.getOrCreate(r.ID)
+		v.info = r
 		keep[r.ID] = v
 	}
 	for _, r := range rows {
 		if r.Predecessor == none || keep[r.Predecessor] != nil {
 			continue
 		}
-		v := t.ensure(r.Predecessor)
+		v := t.getOrCreate(r.Predecessor)
 		keep[r.Predecessor] = v
 	}
-	t.rows = keep
-	t.order = t.order[:0]
+	t.versions = keep
+	t.sortedIDs = t.sortedIDs[:0]
 	for id := range keep {
-		t.order = append(t.order, id)
+		t.sortedIDs = append(t.sortedIDs, id)
 	}
-	slices.Sort(t.order)
+	slices.Sort(t.sortedIDs)
 }
 
-func (t *Versions[V, S]) ensure(id V) *version[V, S] {
-	if v := t.rows[id]; v != nil {
+func (t *Versions[V, S]) getOrCreate(id V) *version[V, S] {
+	if v := t.versions[id]; v != nil {
 		return v
 	}
-	v := &version[V, S]{row: Row[V]{ID: id}}
-	v.errors = newChannel(errorStakes)
-	v.ratings = newChannel(ratingStakes)
-	t.rows[id] = v
+	v := &version[V, S]{info: Row[V]{ID: id}}
+	v.errors = newSignal(errorBets)
+	v.ratings = newSignal(ratingBets)
+	t.versions[id] = v
 	return v
 }
 
@@ -112,40 +112,40 @@
 // and one that dies fails all that it ran at once. So only the first few within
 // streakLife count against the version; Outliers deals with the server.
 const (
-	failedStreak = 3
-	brokenStreak = 1
-	streakLife   = 10 * time.Second
+	maxErrorStreak          = 3
+	maxConnectionLossStreak = 1
+	streakDuration          = 10 * time.Second
 )
 
 // Ended takes in the end of an attempt that ran. Leave out attempts that say
 // nothing of the version: cancelled, not run, refused by a full or leaving
 // backend server. It reports whether the own verdict changed.
 func (t *Versions[V, S]) Ended(id V, e End[S], now time.Time) (changed bool) {
-	v := t.rows[id]
+	v := t.versions[id]
 	if v == nil {
 		return false
 	}
 	if !e.Failed {
-		return t.observe(v, &v.errors, noClass, 1, t.errorLine(v), now)
+		return t.observe(v, &v.errors, noClass, 1, t.minSuccessRate(v), now)
 	}
-	if !v.counts(e, now) {
+	if !v.countsAgainstVersion(e, now) {
 		return false
 	}
-	return t.observe(v, &v.errors, noClass, 0, t.errorLine(v), now)
+	return t.observe(v, &v.errors, noClass, 0, t.minSuccessRate(v), now)
 }
 
 // counts reports whether a failure counts against the version.
-func (v *version[V, S]) counts(e End[S], now time.Time) bool {
-	if e.Server != v.failServer || now.Sub(v.failSince) > streakLife {
+func (v *version[V, S]) countsAgainstVersion(e End[S], now time.Time) bool {
+	if e.Server != v.failServer || now.Sub(v.failSince) > streakDuration {
 		v.failServer = e.Server
 		v.failSince = now
 		v.failStreak = 0
 	}
 	v.failStreak++
 	if e.Broken {
-		return v.failStreak <= brokenStreak
+		return v.failStreak <= maxConnectionLossStreak
 	}
-	return e.Alone || v.failStreak <= failedStreak
+	return e.Alone || v.failStreak <= maxErrorStreak
 }
 
 // Rated takes in a rating of an answer to a request of a class. Ratings are
@@ -155,41 +155,41 @@
 // service's fault and not the version's: it is ignored. It reports whether the
 // own verdict changed.
 func (t *Versions[V, S]) Rated(id V, class string, score float64, now time.Time) (changed bool) {
-	v := t.rows[id]
+	v := t.versions[id]
 	if v == nil || math.IsNaN(score) || score < 0 || score > 1 {
 		return false
 	}
-	return t.observe(v, &v.ratings, class, score, t.ratingLine(v, class), now)
+	return t.observe(v, &v.ratings, class, score, t.minRating(v, class), now)
 }
 
 // noClass is the class of what has none.
 const noClass = ""
 
 // observe feeds one channel and moves its verdict.
-func (t *Versions[V, S]) observe(v *version[V, S], c *channel, class string, x, line float64, now time.Time) bool {
+func (t *Versions[V, S]) observe(v *version[V, S], c *signal, class string, x, reference float64, now time.Time) bool {
 	before := v.bad()
-	p := c.past(class)
-	p.seen.add(x, t.cfg.Memory)
+	p := c.history(class)
+	p.all.add(x, t.cfg.Memory)
 	p.recent.add(x, recentMemory)
 	if c.bad {
-		c.probeEnded(x, line, &t.cfg)
+		c.observeProbe(x, reference, &t.cfg)
 	} else {
-		c.watch(p, x, line, &t.cfg)
+		c.observeAllowed(p, x, reference, &t.cfg)
 	}
-	if v.peerBad.After(now) {
-		t.join(v)
+	if v.peerBadUntil.After(now) {
+		t.confirmSuspicion(v)
 	}
-	return v.turned(before)
+	return v.noteChange(before)
 }
 
 // turned notes a change of the own verdict since before.
-func (v *version[V, S]) turned(before bool) bool {
+func (v *version[V, S]) noteChange(before bool) bool {
 	if v.bad() == before {
 		return false
 	}
-	v.announce = true
+	v.changePending = true
 	v.offered = 0
-	v.suspectAt = time.Time{}
+	v.suspectSince = time.Time{}
 	return true
 }
 
@@ -197,10 +197,10 @@
 // instances see different requests, so their evidence multiplies. With eight
 // instances this finds a bad version by a fourth of the bad answers that each
 // would need by itself.
-func (t *Versions[V, S]) join(v *version[V, S]) {
-	for _, c := range []*channel{&v.errors, &v.ratings} {
+func (t *Versions[V, S]) confirmSuspicion(v *version[V, S]) {
+	for _, c := range []*signal{&v.errors, &v.ratings} {
 		if c.suspected(&t.cfg) {
-			c.condemn()
+			c.markBad()
 		}
 	}
 }
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-var epoch = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
 const (
 	oldVersion = "draft@1"
@@ -19,12 +19,12 @@
 
 // The ends of attempts at a version's only server.
 var (
-	fails = End[string]{Server: "s00", Alone: true, Failed: true}
-	works = End[string]{Server: "s00", Alone: true}
+	failedAttempt = End[string]{Server: "s00", Alone: true, Failed: true}
+	goodAttempt   = End[string]{Server: "s00", Alone: true}
 )
 
 // truth is what a version really does.
-type truth struct{ errors, quality, spread float64 }
+type behavior struct{ errorRate, quality, ratingStddev float64 }
 
 func newPair() *Versions[string, string] {
 	t := NewVersions[string, string](DefaultVersionConfig())
@@ -37,30 +37,30 @@
 
 // serve runs one attempt of a version and reports whether it was a bad one: an
 // error, or a rating as a version of quality 0.8 gets it one time in 20.
-func serve(t *Versions[string, string], id string, tr truth, rng *rand.Rand) (bad bool) {
-	failed := rng.Float64() < tr.errors
+func serve(t *Versions[string, string], id string, tr behavior, rng *rand.Rand) (bad bool) {
+	failed := rng.Float64() < tr.errorRate
 	server := fmt.Sprintf("s%02d", rng.IntN(12))
-	t.Ended(id, End[string]{Server: server, Failed: failed}, epoch)
+	t.Ended(id, End[string]{Server: server, Failed: failed}, startTime)
 	if failed {
 		return true
 	}
-	score := clamp(tr.quality+tr.spread*rng.NormFloat64(), 0, 1)
-	t.Rated(id, "draft", score, epoch)
+	score := clamp(tr.quality+tr.ratingStddev*rng.NormFloat64(), 0, 1)
+	t.Rated(id, "draft", score, startTime)
 	return score < 0.6
 }
 
 func TestBadVersionIsBarredWithin50BadAnswers(t *testing.T) {
-	good := truth{errors: 0.005, quality: 0.8, spread: 0.12}
+	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	cases := []struct {
 		name string
-		bad  truth
+		bad  behavior
 	}{
-		{"fails always", truth{1, 0.8, 0.12}},
-		{"fails one in five", truth{0.2, 0.8, 0.12}},
-		{"fails one in ten", truth{0.1, 0.8, 0.12}},
-		{"rated much worse", truth{0.005, 0.4, 0.12}},
-		{"rated worse", truth{0.005, 0.65, 0.12}},
-		{"a little of both", truth{0.06, 0.68, 0.12}},
+		{"fails always", behavior{1, 0.8, 0.12}},
+		{"fails one in five", behavior{0.2, 0.8, 0.12}},
+		{"fails one in ten", behavior{0.1, 0.8, 0.12}},
+		{"rated much worse", behavior{0.005, 0.4, 0.12}},
+		{"rated worse", behavior{0.005, 0.65, 0.12}},
+		{"a little of both", behavior{0.06, 0.68, 0.12}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 					serve(v, newVersion, good, rng)
 				}
 				bad := 0
-				for !v.Bad(newVersion, epoch) && bad <= 50 {
+				for !v.Bad(newVersion, startTime) && bad <= 50 {
 					if serve(v, newVersion, c.bad, rng) {
 						bad++
 					}
@@ -94,12 +94,12 @@
 func TestGoodVersionIsNotBarred(t *testing.T) {
 	cases := []struct {
 		name     string
-		old, new truth
+		old, new behavior
 	}{
-		{"equal", truth{0.005, 0.8, 0.12}, truth{0.005, 0.8, 0.12}},
-		{"better", truth{0.01, 0.7, 0.12}, truth{0.005, 0.8, 0.12}},
-		{"coarse ratings", truth{0.005, 0.8, 0.4}, truth{0.005, 0.8, 0.4}},
-		{"a fault that hits both", truth{0.3, 0.4, 0.12}, truth{0.3, 0.4, 0.12}},
+		{"equal", behavior{0.005, 0.8, 0.12}, behavior{0.005, 0.8, 0.12}},
+		{"better", behavior{0.01, 0.7, 0.12}, behavior{0.005, 0.8, 0.12}},
+		{"coarse ratings", behavior{0.005, 0.8, 0.4}, behavior{0.005, 0.8, 0.4}},
+		{"a fault that hits both", behavior{0.3, 0.4, 0.12}, behavior{0.3, 0.4, 0.12}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 				for i := range 5000 {
 					serve(v, oldVersion, c.old, rng)
 					serve(v, newVersion, c.new, rng)
-					if v.Bad(newVersion, epoch) {
+					if v.Bad(newVersion, startTime) {
 						t.Fatalf("seed %d: barred after %d attempts", seed, i)
 					}
 				}
@@ -123,7 +123,7 @@
 
 // A server that fails, or dies with all that it ran, is not the version's fault.
 func TestOneServerDoesNotBarItsVersion(t *testing.T) {
-	good := truth{errors: 0.005, quality: 0.8, spread: 0.12}
+	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	for _, broken := range []bool{false, true} {
 		rng := rand.New(rand.NewPCG(1, 5))
 		v := newPair()
@@ -133,10 +133,10 @@
 				continue
 			}
 			for range 30 {
-				v.Ended(newVersion, End[string]{Server: "s01", Failed: true, Broken: broken}, epoch)
+				v.Ended(newVersion, End[string]{Server: "s01", Failed: true, Broken: broken}, startTime)
 			}
 		}
-		if v.Bad(newVersion, epoch) {
+		if v.Bad(newVersion, startTime) {
 			t.Errorf("broken %v: one server's failures barred the version", broken)
 		}
 	}
@@ -144,8 +144,8 @@
 
 // A fault that comes over the predecessor at the same time bars neither.
 func TestCommonFault(t *testing.T) {
-	good := truth{errors: 0.005, quality: 0.8, spread: 0.12}
-	fault := truth{errors: 0.15, quality: 0.7, spread: 0.12}
+	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
+	fault := behavior{errorRate: 0.15, quality: 0.7, ratingStddev: 0.12}
 	barred := 0
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 6))
@@ -158,7 +158,7 @@
 			serve(v, oldVersion, tr, rng)
 			serve(v, newVersion, tr, rng)
 		}
-		if v.Bad(newVersion, epoch) {
+		if v.Bad(newVersion, startTime) {
 			barred++
 		}
 	}
@@ -175,32 +175,32 @@
 		v := NewVersions[string, string](DefaultVersionConfig())
 		v.Apply([]Row[string]{{ID: oldVersion, Quality: 0.9}})
 		for range 3000 {
-			serve(v, oldVersion, truth{0.005, 0.75, 0.12}, rng)
+			serve(v, oldVersion, behavior{0.005, 0.75, 0.12}, rng)
 		}
-		if v.Bad(oldVersion, epoch) {
+		if v.Bad(oldVersion, startTime) {
 			t.Fatalf("seed %d: barred by the manifest's word alone", seed)
 		}
 		for range 200 {
-			serve(v, oldVersion, truth{0.005, 0.5, 0.12}, rng)
+			serve(v, oldVersion, behavior{0.005, 0.5, 0.12}, rng)
 		}
-		if !v.Bad(oldVersion, epoch) {
+		if !v.Bad(oldVersion, startTime) {
 			t.Fatalf("seed %d: not barred by its own past", seed)
 		}
 	}
 }
 
 func TestRecoveryByProbes(t *testing.T) {
-	good := truth{0.005, 0.8, 0.12}
+	good := behavior{0.005, 0.8, 0.12}
 	cases := []struct {
 		name      string
-		bad       truth
+		bad       behavior
 		mends     bool
 		mostToTry int
 	}{
-		{"failed and is mended", truth{0.5, 0.8, 0.12}, true, 200},
-		{"rated badly and is mended", truth{0.005, 0.5, 0.12}, true, 200},
-		{"stays failing", truth{0.5, 0.8, 0.12}, false, 2000},
-		{"stays badly rated", truth{0.005, 0.5, 0.12}, false, 2000},
+		{"failed and is mended", behavior{0.5, 0.8, 0.12}, true, 200},
+		{"rated badly and is mended", behavior{0.005, 0.5, 0.12}, true, 200},
+		{"stays failing", behavior{0.5, 0.8, 0.12}, false, 2000},
+		{"stays badly rated", behavior{0.005, 0.5, 0.12}, false, 2000},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -211,7 +211,7 @@
 				for range 500 {
 					serve(v, oldVersion, good, rng)
 				}
-				for !v.Bad(newVersion, epoch) {
+				for !v.Bad(newVersion, startTime) {
 					serve(v, newVersion, c.bad, rng)
 				}
 				now := c.bad
@@ -219,11 +219,11 @@
 					now = good
 				}
 				tries := 0
-				for v.Bad(newVersion, epoch) && tries < c.mostToTry {
+				for v.Bad(newVersion, startTime) && tries < c.mostToTry {
 					serve(v, newVersion, now, rng)
 					tries++
 				}
-				if v.Bad(newVersion, epoch) == c.mends {
+				if v.Bad(newVersion, startTime) == c.mends {
 					wrong++
 					t.Logf("seed %d: after %d probes bad is %v", seed, tries, c.mends)
 				}
@@ -238,12 +238,12 @@
 
 func TestBarredVersionGetsATrickle(t *testing.T) {
 	v := newPair()
-	for !v.Bad(newVersion, epoch) {
-		v.Ended(newVersion, fails, epoch)
+	for !v.Bad(newVersion, startTime) {
+		v.Ended(newVersion, failedAttempt, startTime)
 	}
 	probes := 0
 	for range 10_000 {
-		if v.Admit(newVersion, epoch) == Probe {
+		if v.Admit(newVersion, startTime) == Probe {
 			probes++
 		}
 	}
@@ -256,10 +256,10 @@
 	v := newPair()
 	for _, score := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 7} {
 		for range 1000 {
-			v.Rated(newVersion, "draft", score, epoch)
+			v.Rated(newVersion, "draft", score, startTime)
 		}
 	}
-	if v.Bad(newVersion, epoch) {
+	if v.Bad(newVersion, startTime) {
 		t.Error("nonsense barred a version")
 	}
 }
@@ -272,22 +272,22 @@
 		after time.Duration
 		want  bool
 	}{
-		{"holds", []Word[string]{{newVersion, true, epoch.Add(time.Minute)}}, 59 * time.Second, true},
-		{"lapses", []Word[string]{{newVersion, true, epoch.Add(time.Minute)}}, time.Minute, false},
-		{"bounded", []Word[string]{{newVersion, true, epoch.Add(24 * time.Hour)}}, cfg.PeerLimit, false},
-		{"lifted", []Word[string]{{newVersion, true, epoch.Add(time.Minute)}, {Version: newVersion}}, 0, false},
+		{"holds", []Word[string]{{newVersion, true, startTime.Add(time.Minute)}}, 59 * time.Second, true},
+		{"lapses", []Word[string]{{newVersion, true, startTime.Add(time.Minute)}}, time.Minute, false},
+		{"bounded", []Word[string]{{newVersion, true, startTime.Add(24 * time.Hour)}}, cfg.PeerLimit, false},
+		{"lifted", []Word[string]{{newVersion, true, startTime.Add(time.Minute)}, {Version: newVersion}}, 0, false},
 		{"older word does not shorten", []Word[string]{
-			{newVersion, true, epoch.Add(2 * time.Minute)}, {newVersion, true, epoch.Add(time.Minute)},
+			{newVersion, true, startTime.Add(2 * time.Minute)}, {newVersion, true, startTime.Add(time.Minute)},
 		}, 90 * time.Second, true},
-		{"unknown version", []Word[string]{{"x@1", true, epoch.Add(time.Minute)}}, 0, false},
+		{"unknown version", []Word[string]{{"x@1", true, startTime.Add(time.Minute)}}, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			v := newPair()
 			for _, w := range c.words {
-				v.Peer(w, epoch)
+				v.Peer(w, startTime)
 			}
-			if got := v.Bad(newVersion, epoch.Add(c.after)); got != c.want {
+			if got := v.Bad(newVersion, startTime.Add(c.after)); got != c.want {
 				t.Errorf("bad is %v, want %v", got, c.want)
 			}
 		})
@@ -296,8 +296,8 @@
 
 func TestOwnVerdictIsSharedAndRenewed(t *testing.T) {
 	v := newPair()
-	for !v.Bad(newVersion, epoch) {
-		v.Ended(newVersion, fails, epoch)
+	for !v.Bad(newVersion, startTime) {
+		v.Ended(newVersion, failedAttempt, startTime)
 	}
 	every := DefaultVersionConfig().ShareEvery
 	steps := []struct {
@@ -305,14 +305,14 @@
 		want int
 	}{{0, 1}, {every / 2, 0}, {every, 1}, {every + time.Second, 0}}
 	for _, s := range steps {
-		if got := v.Share(epoch.Add(s.at)); len(got) != s.want {
+		if got := v.Share(startTime.Add(s.at)); len(got) != s.want {
 			t.Errorf("at %v: %v, want %d words", s.at, got, s.want)
 		}
 	}
-	for v.Bad(newVersion, epoch) {
-		v.Ended(newVersion, works, epoch)
+	for v.Bad(newVersion, startTime) {
+		v.Ended(newVersion, goodAttempt, startTime)
 	}
-	got := v.Share(epoch.Add(every + 2*time.Second))
+	got := v.Share(startTime.Add(every + 2*time.Second))
 	if len(got) != 1 || got[0].Bad {
 		t.Errorf("after recovery: %v, want one good word", got)
 	}
@@ -323,34 +323,34 @@
 func TestSuspicionIsShared(t *testing.T) {
 	suspect := func() *Versions[string, string] {
 		v := newPair()
-		for len(v.Share(epoch)) == 0 {
-			v.Ended(newVersion, fails, epoch)
+		for len(v.Share(startTime)) == 0 {
+			v.Ended(newVersion, failedAttempt, startTime)
 		}
 		return v
 	}
 	a, b := suspect(), suspect()
-	if a.Bad(newVersion, epoch) || b.Bad(newVersion, epoch) {
+	if a.Bad(newVersion, startTime) || b.Bad(newVersion, startTime) {
 		t.Fatal("half of the evidence was enough")
 	}
-	word := Word[string]{newVersion, true, epoch.Add(20 * time.Second)}
-	a.Peer(word, epoch)
-	if got := a.Share(epoch); len(got) != 1 || !got[0].Bad {
+	word := Word[string]{newVersion, true, startTime.Add(20 * time.Second)}
+	a.Peer(word, startTime)
+	if got := a.Share(startTime); len(got) != 1 || !got[0].Bad {
 		t.Errorf("two halves: %v, want a bad word", got)
 	}
-	if !a.Bad(newVersion, epoch.Add(time.Hour)) {
+	if !a.Bad(newVersion, startTime.Add(time.Hour)) {
 		t.Error("two halves made no verdict")
 	}
 	c := newPair()
-	c.Peer(word, epoch)
-	if !c.Bad(newVersion, epoch) || c.Bad(newVersion, word.Until) {
+	c.Peer(word, startTime)
+	if !c.Bad(newVersion, startTime) || c.Bad(newVersion, word.Until) {
 		t.Error("a peer's suspicion does not bar until its end only")
 	}
-	late := epoch.Add(DefaultVersionConfig().SuspectFor)
+	late := startTime.Add(DefaultVersionConfig().SuspectFor)
 	if got := b.Share(late); len(got) != 0 {
 		t.Errorf("a suspicion that stands still is told for ever: %v", got)
 	}
 	for len(b.Share(late)) == 0 {
-		b.Ended(newVersion, works, epoch)
+		b.Ended(newVersion, goodAttempt, startTime)
 	}
 	if b.Bad(newVersion, late) {
 		t.Error("a faded suspicion became a verdict")
@@ -360,16 +360,16 @@
 // A new manifest keeps the verdict and drops what nobody lists any more.
 func TestApplyKeepsVerdicts(t *testing.T) {
 	v := newPair()
-	for !v.Bad(newVersion, epoch) {
-		v.Ended(newVersion, fails, epoch)
+	for !v.Bad(newVersion, startTime) {
+		v.Ended(newVersion, failedAttempt, startTime)
 	}
 	v.Apply([]Row[string]{{ID: newVersion, Predecessor: oldVersion, Quality: 0.8}})
-	if !v.Bad(newVersion, epoch) || len(v.rows) != 2 {
-		t.Errorf("bad %v with %d rows, want true with 2", v.Bad(newVersion, epoch), len(v.rows))
+	if !v.Bad(newVersion, startTime) || len(v.versions) != 2 {
+		t.Errorf("bad %v with %d rows, want true with 2", v.Bad(newVersion, startTime), len(v.versions))
 	}
 	v.Apply([]Row[string]{{ID: oldVersion}})
-	if len(v.rows) != 1 {
-		t.Errorf("%d rows, want 1", len(v.rows))
+	if len(v.versions) != 1 {
+		t.Errorf("%d rows, want 1", len(v.versions))
 	}
 }
 
@@ -384,10 +384,10 @@
 		for _, s := range steps {
 			id := ids[s%3]
 			score := float64(s>>8%1000) / 500
-			now := epoch.Add(time.Duration(s>>20) * time.Millisecond)
+			now := startTime.Add(time.Duration(s>>20) * time.Millisecond)
 			for _, v := range []*Versions[string, string]{a, b} {
 				v.Ended(id, End[string]{Server: ids[s>>4%3], Failed: s&64 != 0, Broken: s&128 != 0}, now)
-				v.Rated(id, "draft", score, epoch)
+				v.Rated(id, "draft", score, startTime)
 			}
 			got, want := a.Admit(id, now), b.Admit(id, now)
 			if got != want {
@@ -412,11 +412,11 @@
 		{ID: "draft@1", Quality: 0.8},
 		{ID: "draft@2", Predecessor: "draft@1", Quality: 0.85},
 	})
-	now := epoch
+	now := startTime
 	failures := 0
 	for v.Admit("draft@2", now) == Open {
 		failures++
-		v.Ended("draft@2", fails, epoch)
+		v.Ended("draft@2", failedAttempt, startTime)
 	}
 	fmt.Println("barred after", failures, "failures")
 	fmt.Println(v.Share(now)[0].Bad, v.Admit("draft@1", now) == Open)
