--- a/decision/affinity.go
+++ b/decision/affinity.go
@@ -12,7 +12,7 @@
 	if w.servers[e.Server] == nil {
 		return // it has left the list; its word would only fill the index
 	}
-	w.prefixes.Changed(e.Server, e.Seq, e.Added, e.Removed, w.now)
+	w.prefixes.ApplyCacheEvent(e.Server, e.Seq, e.Added, e.Removed, w.now)
 }
 
 // considerCached adds the free servers that have most of the prompt cached.
@@ -33,16 +33,16 @@
 			continue
 		}
 		saved := float64(m.Blocks) / float64(len(r.Blocks)) * w.promptCost(r) / r.item.Cost
-		if !m.Sure {
+		if !m.Confirmed {
 			saved *= unsureMatch
 		}
-		w.consider(s, p, r).Saved = saved
+		w.consider(s, p, r).CacheSavings = saved
 	}
 }
 
 // noteCached remembers that the server will have the prompt's prefix.
 func (w *World) noteCached(r *request, s *server) {
 	if len(r.Blocks) > 0 && !w.cfg.Policy.NoAffinity {
-		w.prefixes.Dispatched(s.ID, r.Blocks, w.now)
+		w.prefixes.RecordDispatch(s.ID, r.Blocks, w.now)
 	}
 }
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -121,7 +121,7 @@
 	if !w.mayHold(r) {
 		return plan{First: best}
 	}
-	return plan{First: first.Version, Cascade: true, Second: best, Bar: t.QualityTarget}
+	return plan{First: first.Version, Cascade: true, Second: best, Threshold: t.QualityTarget}
 }
 
 // spill looks for another model where the planned one's queue is too long.
--- a/decision/crash.go
+++ b/decision/crash.go
@@ -21,14 +21,14 @@
 
 // ingestQuarantine takes over a quarantine of another instance.
 func (w *World) ingestQuarantine(e RequestQuarantined) {
-	w.crashes.Learn(e.Fingerprint, e.Until, w.now)
+	w.crashes.ApplyQuarantine(e.Fingerprint, e.Until, w.now)
 }
 
 // crashAdmission says whether the request may run now. A zero fingerprint is
 // none, and where nothing has crashed nothing is looked up.
 func (w *World) crashAdmission(f Fingerprint) verdict.CrashAdmission {
 	if f == 0 || w.crashes.Len() == 0 {
-		return verdict.CrashClear
+		return verdict.CrashAllowed
 	}
 	admission, _ := w.crashes.Admit(f, w.now)
 	return admission
@@ -48,7 +48,7 @@
 func (w *World) crashStarted(a *attempt) {
 	f := a.request.Fingerprint
 	if f != 0 && w.crashes.Len() > 0 {
-		a.counted = w.crashes.Started(f, w.now)
+		a.counted = w.crashes.AttemptStarted(f, w.now)
 	}
 }
 
@@ -59,7 +59,7 @@
 	if f == 0 || !crashed && !a.counted {
 		return
 	}
-	quarantine, until := w.crashes.Ended(f, a.counted, crashed, w.now)
+	quarantine, until := w.crashes.AttemptEnded(f, a.counted, crashed, w.now)
 	if quarantine {
 		w.emit(Quarantine{Fingerprint: f, Until: until})
 	}
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -26,7 +26,7 @@
 // since it answers the harder requests.
 func (w *World) learnRating(e AnswerRated) {
 	key := task{Team: e.Team, Class: e.Class}
-	used := w.estimates.Rated(key, e.Version, e.Score, e.Late, w.now)
+	used := w.estimates.ObserveRating(key, e.Version, e.Score, e.Late, w.now)
 	at := attemptKey{e.Request, e.Attempt}
 	first, second := w.seconds.Peek(at)
 	if !second {
@@ -34,7 +34,7 @@
 	}
 	w.seconds.Remove(at)
 	if used {
-		w.estimates.RatedSecond(key, first, e.Version, e.Score)
+		w.estimates.ObserveEscalatedRating(key, first, e.Version, e.Score)
 	}
 }
 
--- a/decision/ingest_attempt.go
+++ b/decision/ingest_attempt.go
@@ -54,21 +54,21 @@
 // share by what the attempt truly cost.
 func (w *World) learnDuration(a *attempt, e AttemptEnded) {
 	if e.Result == AttemptNotRun {
-		a.team.account.Correct(-a.cost) // nothing was given
+		a.team.account.CorrectCharge(-a.cost) // nothing was given
 	}
 	if e.Result != AttemptCompleted {
 		return
 	}
 	a.pool.pace.learn(w.now.Sub(a.started), a.cost)
 	if a.version != "" {
-		w.estimates.Ended(task{Team: a.team.ID, Class: a.request.Class}, a.version, e.Tokens)
+		w.estimates.ObserveLength(task{Team: a.team.ID, Class: a.request.Class}, a.version, e.Tokens)
 	}
 	if e.Tokens <= 0 || a.pool.service != "" {
 		return
 	}
 	a.pool.pace.learnTokens(float64(e.Tokens), a.cost-a.prompt)
 	actual := a.prompt + float64(e.Tokens)
-	a.team.account.Correct(min(actual-a.cost, a.cost))
+	a.team.account.CorrectCharge(min(actual-a.cost, a.cost))
 }
 
 // ingestRated learns from a rating and keeps it for the escalate system.
--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -73,8 +73,8 @@
 	b.calls[v]++
 	cost := map[string]float64{small: 1, large: 10}[v]
 	b.cost += cost * 256 / 1000
-	b.t.Ended(draftTask, v, 256)
-	b.t.Rated(draftTask, v, rated, late, b.now)
+	b.t.ObserveLength(draftTask, v, 256)
+	b.t.ObserveRating(draftTask, v, rated, late, b.now)
 	return score, rated, late
 }
 
@@ -91,7 +91,7 @@
 		if !late && p.Escalate(rated, time.Minute, time.Second) {
 			score, rated, late = b.answer(p.Second, hard)
 			if !late {
-				b.t.RatedSecond(draftTask, p.First, p.Second, rated)
+				b.t.ObserveEscalatedRating(draftTask, p.First, p.Second, rated)
 			}
 		}
 		b.served++
@@ -184,7 +184,7 @@
 }
 
 func TestEscalateNeedsTime(t *testing.T) {
-	p := Plan[string]{First: small, Cascade: true, Second: large, Bar: 0.6}
+	p := Plan[string]{First: small, Cascade: true, Second: large, Threshold: 0.6}
 	single := Plan[string]{First: small}
 	cases := []struct {
 		plan  Plan[string]
@@ -209,8 +209,8 @@
 func TestNewClassStartsFromTheOthers(t *testing.T) {
 	b := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
 	for range 500 {
-		b.t.Rated(draftTask, small, 0.9, false, startTime)
-		b.t.Rated(draftTask, small, 0.85, false, startTime)
+		b.t.ObserveRating(draftTask, small, 0.9, false, startTime)
+		b.t.ObserveRating(draftTask, small, 0.85, false, startTime)
 	}
 	if q, _ := b.t.Quality(key{"shops", "lookup"}, small, startTime); q < 0.8 {
 		t.Errorf("quality of the new class is %.2f", q)
@@ -240,9 +240,9 @@
 				Options: options[:1+int(s>>6)%len(options)], MayHold: s&32 != 0,
 				Draw: float64(s) / math.MaxUint32, Now: now}
 			for _, x := range []*table{a, b} {
-				x.Ended(q.Task, o.Version, int(s%2000))
-				x.Rated(q.Task, o.Version, score, s&1024 == 0, now)
-				x.RatedSecond(q.Task, options[0].Version, o.Version, score)
+				x.ObserveLength(q.Task, o.Version, int(s%2000))
+				x.ObserveRating(q.Task, o.Version, score, s&1024 == 0, now)
+				x.ObserveEscalatedRating(q.Task, options[0].Version, o.Version, score)
 			}
 			p, p2 := a.Plan(q), b.Plan(q)
 			if p != p2 {
@@ -272,12 +272,12 @@
 
 func TestTasksAreBounded(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Tasks = 10
+	cfg.MaxTasks = 10
 	x := New[string, string, string](cfg)
 	x.Apply(usualPrior)
 	for i := range 1000 {
-		x.Rated(key{"t", fmt.Sprint(i)}, small, 0.5, false, startTime)
-		x.Rated(draftTask, "gone@1", 0.5, false, startTime)
+		x.ObserveRating(key{"t", fmt.Sprint(i)}, small, 0.5, false, startTime)
+		x.ObserveRating(draftTask, "gone@1", 0.5, false, startTime)
 	}
 	x.Apply(map[string]float64{small: 0.7})
 	if x.tasks.Len() > 10 || len(x.overall) > 1 {
@@ -291,7 +291,7 @@
 	q := query{Task: draftTask, Target: 0.8, Options: bothOptions, MayHold: true, Draw: 0.9, Now: startTime}
 	b.ReportAllocs()
 	for i := range b.N {
-		x.Rated(draftTask, small, float64(i%10)/10, false, startTime)
+		x.ObserveRating(draftTask, small, float64(i%10)/10, false, startTime)
 		x.Plan(q)
 	}
 }
@@ -304,9 +304,9 @@
 		if i%4 == 0 {
 			score = 0.3
 		}
-		t.Ended(draftTask, small, 100)
-		t.Rated(draftTask, small, score, false, startTime)
-		t.Rated(draftTask, large, 0.93-0.01*float64(i%3), false, startTime)
+		t.ObserveLength(draftTask, small, 100)
+		t.ObserveRating(draftTask, small, score, false, startTime)
+		t.ObserveRating(draftTask, large, 0.93-0.01*float64(i%3), false, startTime)
 	}
 	p := t.Plan(query{Task: draftTask, Target: 0.85, Options: bothOptions, MayHold: true, Draw: 0.99, Now: startTime})
 	fmt.Println(p.First, p.Cascade, p.Second)
--- a/decision/internal/estimate/plan.go
+++ b/decision/internal/estimate/plan.go
@@ -36,9 +36,9 @@
 	First V
 	// Cascade says that the answer is to be held until it is rated, and that
 	// Second replaces it when the rating is under Bar.
-	Cascade bool
-	Second  V
-	Bar     float64
+	Cascade   bool
+	Second    V
+	Threshold float64
 	// Quality and Cost are what is expected, cost per answer.
 	Quality float64
 	Cost    float64
@@ -50,7 +50,7 @@
 // bar, and the time left is enough for the second step. Else the answer that is
 // there beats none in time.
 func (p Plan[V]) Escalate(score float64, left, need time.Duration) bool {
-	return p.Cascade && score < p.Bar && left >= need
+	return p.Cascade && score < p.Threshold && left >= need
 }
 
 // cachedPlan is a plan and what it was made for. The search is done once per
@@ -104,7 +104,7 @@
 	p := Plan[V]{First: v, Explore: true, Quality: best.Quality, Cost: best.Cost}
 	if q.MayHold {
 		p.Cascade = true
-		p.Bar = q.Target
+		p.Threshold = q.Target
 		p.Second = best.First
 		if best.Cascade {
 			p.Second = best.Second
@@ -211,12 +211,12 @@
 		quality := late*a.mean + (1-late)*(kept+below*after)
 		stderr := math.Hypot((1-escalated)*a.stderr, escalated*b.stderr)
 		s.consider(Plan[V]{
-			First:   a.version,
-			Cascade: true,
-			Second:  b.version,
-			Bar:     float64(i+1) / bins,
-			Quality: quality,
-			Cost:    a.cost + escalated*b.cost,
+			First:     a.version,
+			Cascade:   true,
+			Second:    b.version,
+			Threshold: float64(i+1) / bins,
+			Quality:   quality,
+			Cost:      a.cost + escalated*b.cost,
 		}, stderr)
 	}
 }
@@ -247,9 +247,9 @@
 		if c.version == p.First {
 			continue
 		}
-		chance := t.cfg.Explore
-		if c.stats.n < t.cfg.KnownRatings {
-			chance = t.cfg.ExploreNew
+		chance := t.cfg.ExploreShare
+		if c.stats.n < t.cfg.MinRatings {
+			chance = t.cfg.ExploreNewShare
 		}
 		if !q.MayHold {
 			chance *= clamp(1-(q.Target-c.mean)/exploreMargin, minExploreFactor, 1)
--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -25,17 +25,17 @@
 	Confidence float64
 	// Explore is the part of requests that try another version first, to learn;
 	// ExploreNew is that part while one is known by fewer than KnownRatings.
-	Explore      float64
-	ExploreNew   float64
-	KnownRatings float64
+	ExploreShare    float64
+	ExploreNewShare float64
+	MinRatings      float64
 	// LateLimit is the part of late ratings from which the rating service counts
 	// as down; then nothing is held for it.
-	LateLimit float64
+	MaxLateShare float64
 	// DefaultTokens is an answer's length before any was seen.
 	DefaultTokens float64
 	// Tasks bounds the pairs of team and class; the least recently used go
 	// first. Callers choose the classes, so their number is no one's promise.
-	Tasks int
+	MaxTasks int
 	// ReplanRatings and ReplanAfter bound how old a plan may be.
 	ReplanRatings int
 	ReplanAfter   time.Duration
@@ -44,18 +44,18 @@
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		PriorWeight:   12,
-		Memory:        500,
-		StaleHalfLife: 30 * time.Minute,
-		Confidence:    0.5,
-		Explore:       0.01,
-		ExploreNew:    0.1,
-		KnownRatings:  40,
-		LateLimit:     0.5,
-		DefaultTokens: 256,
-		Tasks:         2048,
-		ReplanRatings: 8,
-		ReplanAfter:   10 * time.Second,
+		PriorWeight:     12,
+		Memory:          500,
+		StaleHalfLife:   30 * time.Minute,
+		Confidence:      0.5,
+		ExploreShare:    0.01,
+		ExploreNewShare: 0.1,
+		MinRatings:      40,
+		MaxLateShare:    0.5,
+		DefaultTokens:   256,
+		MaxTasks:        2048,
+		ReplanRatings:   8,
+		ReplanAfter:     10 * time.Second,
 	}
 }
 
@@ -99,8 +99,8 @@
 func New[T, C, V cmp.Ordered](cfg Config) *Table[T, C, V] {
 	return &Table[T, C, V]{
 		cfg:     cfg,
-		tasks:   newLRU[Task[T, C], *task[V]](cfg.Tasks),
-		classes: newLRU[C, map[V]*versionStats](cfg.Tasks),
+		tasks:   newLRU[Task[T, C], *task[V]](cfg.MaxTasks),
+		classes: newLRU[C, map[V]*versionStats](cfg.MaxTasks),
 		overall: make(map[V]*versionStats),
 		prior:   make(map[V]*versionStats),
 	}
@@ -212,7 +212,7 @@
 }
 
 // Ended takes in the length of a whole answer.
-func (t *Table[T, C, V]) Ended(k Task[T, C], v V, tokens int) {
+func (t *Table[T, C, V]) ObserveLength(k Task[T, C], v V, tokens int) {
 	if !t.listed(v) || tokens < 0 {
 		return
 	}
@@ -229,7 +229,7 @@
 // Rated takes in a rating, or that none came within the budget. It reports
 // whether the rating was used: one out of 0..1, or from a rating service that is
 // stuck on one value, is not.
-func (t *Table[T, C, V]) Rated(k Task[T, C], v V, score float64, late bool, now time.Time) bool {
+func (t *Table[T, C, V]) ObserveRating(k Task[T, C], v V, score float64, late bool, now time.Time) bool {
 	if late {
 		t.rater.missed()
 		return false
@@ -255,7 +255,7 @@
 }
 
 // RatedSecond takes in the rating of an answer that replaced one of first.
-func (t *Table[T, C, V]) RatedSecond(k Task[T, C], first, second V, score float64) {
+func (t *Table[T, C, V]) ObserveEscalatedRating(k Task[T, C], first, second V, score float64) {
 	if math.IsNaN(score) || score < 0 || score > 1 || !t.listed(first) {
 		return
 	}
@@ -276,4 +276,4 @@
 }
 
 // RaterDown reports whether ratings come too late or make no sense.
-func (t *Table[T, C, V]) RaterDown() bool { return t.rater.lateShare > t.cfg.LateLimit }
+func (t *Table[T, C, V]) RaterDown() bool { return t.rater.lateShare > t.cfg.MaxLateShare }
--- a/decision/internal/fair/account.go
+++ b/decision/internal/fair/account.go
@@ -5,7 +5,7 @@
 	// Credit is the work that an account which asked for less than its share may
 	// be behind the others, and so be given ahead of them: seldom requests come in
 	// twos and threes too. It bounds what a long silence is worth. 0 is none.
-	Credit float64
+	IdleCredit float64
 	// active are the accounts with something queued.
 	active []*Account
 	// virtual is the largest tag that all active accounts were known to have
@@ -45,7 +45,7 @@
 
 // Correct charges the difference between the true and the estimated cost, so that
 // a team neither gains nor loses by a wrong estimate.
-func (a *Account) Correct(delta float64) {
+func (a *Account) CorrectCharge(delta float64) {
 	if delta > 0 {
 		a.charge(delta)
 		return
@@ -66,7 +66,7 @@
 	if a.queued > 0 {
 		return a.tag
 	}
-	return max(a.tag, a.group.currentVirtualTime()-a.group.Credit/a.weight)
+	return max(a.tag, a.group.currentVirtualTime()-a.group.IdleCredit/a.weight)
 }
 
 // reached is the least tag of the active accounts; with none, the last one known.
--- a/decision/internal/fair/fair.go
+++ b/decision/internal/fair/fair.go
@@ -64,7 +64,7 @@
 }
 
 // Init makes f the account's flow of the queue.
-func (q *Queue[T]) Init(f *Flow[T], a *Account) {
+func (q *Queue[T]) AddFlow(f *Flow[T], a *Account) {
 	*f = Flow[T]{account: a, queue: q, heapIndex: -1, index: len(q.flows)}
 	q.flows = append(q.flows, f)
 }
@@ -100,7 +100,7 @@
 // Ahead is the cost that goes before a new item of the flow, by the present
 // tags: what the flow has queued, and what each other one has queued up to the
 // tag at which the item's turn comes. It costs O(active flows).
-func (q *Queue[T]) Ahead(f *Flow[T]) float64 {
+func (q *Queue[T]) CostAhead(f *Flow[T]) float64 {
 	turn := f.account.startTag() + f.cost/f.account.weight
 	sum := f.cost
 	for _, other := range q.active {
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -18,7 +18,7 @@
 		maxCost := float64(rapid.IntRange(1, 1000).Draw(t, "maxCost"))
 		flows := make([]Flow[int], len(weights))
 		for i, weight := range weights {
-			q.Init(&flows[i], g.NewAccount(weight))
+			q.AddFlow(&flows[i], g.NewAccount(weight))
 			for range 200 {
 				cost := rapid.Float64Range(1, maxCost).Draw(t, "cost")
 				q.Push(&flows[i], &Item[int]{Value: i, Cost: cost})
@@ -52,11 +52,11 @@
 // owed that much work, and no more.
 func TestIdleFlowIsOwedTheCredit(t *testing.T) {
 	for credit, want := range map[float64][]string{0: {"bababa", "ababab"}, 5: {"bbbbbabab"}} {
-		g := Group{Credit: credit}
+		g := Group{IdleCredit: credit}
 		var q Queue[string]
 		var a, b Flow[string]
-		q.Init(&a, g.NewAccount(1))
-		q.Init(&b, g.NewAccount(1))
+		q.AddFlow(&a, g.NewAccount(1))
+		q.AddFlow(&b, g.NewAccount(1))
 		for range 100 {
 			q.Push(&a, &Item[string]{Value: "a", Cost: 1})
 		}
@@ -82,12 +82,12 @@
 	var q Queue[string]
 	var a Flow[string]
 	account := g.NewAccount(1)
-	q.Init(&a, account)
+	q.AddFlow(&a, account)
 	low := &Item[string]{Value: "low", Cost: 2}
 	q.Push(&a, low)
 	q.Push(&a, &Item[string]{Value: "first", Cost: 3, Priority: 1})
 	q.Push(&a, &Item[string]{Value: "second", Cost: 5, Priority: 1})
-	account.Correct(100)
+	account.CorrectCharge(100)
 	if got := q.Pop().Value; got != "first" {
 		t.Errorf("popped %q", got)
 	}
@@ -111,9 +111,9 @@
 	var one, both Queue[string]
 	a, b := g.NewAccount(1), g.NewAccount(1)
 	var aOne, aBoth, bBoth Flow[string]
-	one.Init(&aOne, a)
-	both.Init(&aBoth, a)
-	both.Init(&bBoth, b)
+	one.AddFlow(&aOne, a)
+	both.AddFlow(&aBoth, a)
+	both.AddFlow(&bBoth, b)
 	push := func(q *Queue[string], f *Flow[string], who string, n int) {
 		for range n {
 			q.Push(f, &Item[string]{Value: who, Cost: 10})
@@ -140,7 +140,7 @@
 	var g Group
 	a := g.NewAccount(2)
 	a.charge(10)
-	a.Correct(-6)
+	a.CorrectCharge(-6)
 	a.charge(4)
 	a.charge(4)
 	if a.tag != 6 || a.refund != 0 {
--- a/decision/internal/place/place.go
+++ b/decision/internal/place/place.go
@@ -18,11 +18,11 @@
 	Load float64
 	// Saved is the part (0 to 1) of the request's work that the server's prefix
 	// cache is thought to save.
-	Saved float64
+	CacheSavings float64
 	// Near says that the server is in the instance's own failure domain.
-	Near bool
+	SameDomain bool
 	// Loaded says that it has the version, or is the plain service.
-	Loaded bool
+	VersionLoaded bool
 	// Leaving servers get nothing new, nor do Ejected ones, nor such as are shut
 	// out for a moment.
 	Leaving bool
--- a/decision/internal/place/place_test.go
+++ b/decision/internal/place/place_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestPick(t *testing.T) {
-	good := Candidate{Slots: 4, Loaded: true}
+	good := Candidate{Slots: 4, VersionLoaded: true}
 	with := func(change func(*Candidate)) Candidate {
 		c := good
 		change(&c)
@@ -19,26 +19,26 @@
 		{name: "leaving", list: []Candidate{with(func(c *Candidate) { c.Leaving = true })}, want: None},
 		{name: "ejected", list: []Candidate{with(func(c *Candidate) { c.Ejected = true })}, want: None},
 		{name: "full", list: []Candidate{with(func(c *Candidate) { c.Running = 4 })}, want: None},
-		{name: "not loaded", list: []Candidate{with(func(c *Candidate) { c.Loaded = false })}, want: None},
+		{name: "not loaded", list: []Candidate{with(func(c *Candidate) { c.VersionLoaded = false })}, want: None},
 		{name: "tried", list: []Candidate{with(func(c *Candidate) { c.Tried = true }), good}, want: 1},
 		{name: "less load", list: []Candidate{with(func(c *Candidate) { c.Load = 0.5 }), good}, want: 1},
-		{name: "near", list: []Candidate{good, with(func(c *Candidate) { c.Near = true })}, want: 1},
+		{name: "near", list: []Candidate{good, with(func(c *Candidate) { c.SameDomain = true })}, want: 1},
 		{
 			name: "near does not outweigh load",
-			list: []Candidate{good, with(func(c *Candidate) { c.Near, c.Load = true, 0.3 })}, want: 0,
+			list: []Candidate{good, with(func(c *Candidate) { c.SameDomain, c.Load = true, 0.3 })}, want: 0,
 		},
 		{
 			name: "prefix outweighs some load",
-			list: []Candidate{good, with(func(c *Candidate) { c.Saved, c.Load = 0.6, 0.4 })}, want: 1,
+			list: []Candidate{good, with(func(c *Candidate) { c.CacheSavings, c.Load = 0.6, 0.4 })}, want: 1,
 		},
 		{
 			name: "prefix yields past the bound",
-			list: []Candidate{good, with(func(c *Candidate) { c.Saved, c.Load = 1, 0.9 })}, want: 0,
+			list: []Candidate{good, with(func(c *Candidate) { c.CacheSavings, c.Load = 1, 0.9 })}, want: 0,
 		},
 	}
 	p := Picker{
-		Filters: []Filter{Staying{}, Healthy{}, Room{}, HasVersion{}, Untried{}},
-		Scorers: []Scorer{Load{}, Affinity{Weight: 1, Bound: 0.8}, Domain{Weight: 0.05}},
+		Filters: []Filter{NotLeaving{}, NotEjected{}, HasFreeSlot{}, HasVersion{}, NotTried{}},
+		Scorers: []Scorer{LeastLoad{}, PrefixAffinity{Weight: 1, MaxLoad: 0.8}, DomainAffinity{Weight: 0.05}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/decision/internal/policytest/bench.go
+++ b/decision/internal/policytest/bench.go
@@ -48,11 +48,11 @@
 	// wait holds events under way by the tick in which they arrive.
 	pending map[time.Duration][]pendingEvent
 	callers map[decision.RequestID]*caller
-	results *Tally
+	results *Results
 }
 
 // Run measures a policy, one of which is made for each instance.
-func Run(l Load, seed uint64, newPolicy func(seed uint64) Policy) *Tally {
+func Run(l Load, seed uint64, newPolicy func(seed uint64) Policy) *Results {
 	b := &simulation{
 		load:       l,
 		rng:        rand.New(rand.NewPCG(seed, 0xbe4c)),
@@ -81,7 +81,7 @@
 }
 
 func (b *simulation) run(jobs []*job) {
-	for b.now = 0; b.now < b.load.Length+drainTime; b.now += tick {
+	for b.now = 0; b.now < b.load.Duration+drainTime; b.now += tick {
 		b.applyFaults()
 		for len(jobs) > 0 && jobs[0].arrived <= b.now {
 			b.arrive(jobs[0])
@@ -195,7 +195,7 @@
 func (b *simulation) finish(id decision.RequestID, f func(*caller)) {
 	c := b.callers[id]
 	if c == nil {
-		b.results.Broken++
+		b.results.InvalidCommands++
 		return
 	}
 	f(c)
@@ -206,11 +206,11 @@
 	c := b.callers[d.Request]
 	e := b.engineByID[d.Server]
 	if c == nil || e == nil {
-		b.results.Broken++
+		b.results.InvalidCommands++
 		return
 	}
 	r := &attempt{job: c.job, id: d.Attempt, version: d.Version, instance: instance}
-	if b.currentFault() == BadErrors && d.Version == smallNew {
+	if b.currentFault() == FaultErrors && d.Version == smallNew {
 		r.fails = c.job.failDraw < 0.25
 	}
 	c.recordDispatch(d)
@@ -219,11 +219,11 @@
 }
 
 // bad is what is wrong with smallNew now.
-func (b *simulation) currentFault() BadKind {
-	if b.now < b.load.BadFrom {
-		return NotBad
+func (b *simulation) currentFault() FaultKind {
+	if b.now < b.load.FaultFrom {
+		return NoFault
 	}
-	return b.load.Bad
+	return b.load.Fault
 }
 
 func (b *simulation) onFirst(_ *engine, r *attempt) {
@@ -264,7 +264,7 @@
 		return
 	}
 	rated := min(max(score+ratingNoise*b.rng.NormFloat64(), 0), 1)
-	if b.currentFault() == BadRatings && rated < 0.6 {
+	if b.currentFault() == FaultRatings && rated < 0.6 {
 		b.results.badAnswer(r.version, b.now)
 	}
 	ev := decision.AnswerRated{Request: r.job.ID, Attempt: r.id, Team: r.job.Team,
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -8,8 +8,8 @@
 
 // short is a load cut to what a test can afford.
 func shorten(l Load) Load {
-	l.Length, l.Warm = 120*time.Second, 40*time.Second
-	l.BadFrom, l.SlowFrom = 60*time.Second, 40*time.Second
+	l.Duration, l.Warmup = 120*time.Second, 40*time.Second
+	l.FaultFrom, l.SlowFrom = 60*time.Second, 40*time.Second
 	return l
 }
 
@@ -39,9 +39,9 @@
 func figures(t *testing.T, l Load, policy string) Figures {
 	t.Helper()
 	tally := Run(l, 1, variantNamed(t, policy).New)
-	if tally.Lost > 0 || tally.Broken > 0 || tally.HeldToDeadline > 0 {
+	if tally.Unanswered > 0 || tally.InvalidCommands > 0 || tally.RefusedAtDeadline > 0 {
 		t.Errorf("%s, %s: %d lost, %d broken commands, %d held to their deadline",
-			l.Name, policy, tally.Lost, tally.Broken, tally.HeldToDeadline)
+			l.Name, policy, tally.Unanswered, tally.InvalidCommands, tally.RefusedAtDeadline)
 	}
 	return tally.Figures()
 }
@@ -55,8 +55,8 @@
 	if got.Cost > 0.6*best.Cost || got.Cost >= fixed.Cost {
 		t.Errorf("cost %.3f, always the best %.3f, fixed cascade %.3f", got.Cost, best.Cost, fixed.Cost)
 	}
-	if got.Missed > 0.03 {
-		t.Errorf("a target was missed by %.3f", got.Missed)
+	if got.TargetShortfall > 0.03 {
+		t.Errorf("a target was missed by %.3f", got.TargetShortfall)
 	}
 }
 
@@ -67,13 +67,13 @@
 	t.Parallel()
 	const seeds = 3
 	for _, l := range []Load{find(t, "agency", "version fails one in four"), find(t, "co-op", "version rated half")} {
-		l.Length = runLength
+		l.Duration = runLength
 		var after []float64
 		for seed := uint64(1); seed <= seeds; seed++ {
 			tally := Run(l, seed, variantNamed(t, "decision").New)
 			got := tally.Figures()
-			if got.Exposed > 70 || got.FalseVerdicts > 0 {
-				t.Errorf("%s, seed %d: %.0f requests on it, %.0f false verdicts", l.Name, seed, got.Exposed, got.FalseVerdicts)
+			if got.Exposed > 70 || got.FalseAlarms > 0 {
+				t.Errorf("%s, seed %d: %.0f requests on it, %.0f false verdicts", l.Name, seed, got.Exposed, got.FalseAlarms)
 			}
 			after = append(after, got.ExposedAfter)
 		}
@@ -88,9 +88,9 @@
 	t.Parallel()
 	once := figures(t, find(t, "co-op", "saturation x1"), "decision")
 	twice := figures(t, find(t, "co-op", "saturation x2"), "decision")
-	if twice.Goodput < 0.95*once.Goodput || twice.Work < 0.95*once.Work {
+	if twice.Goodput < 0.95*once.Goodput || twice.Throughput < 0.95*once.Throughput {
 		t.Errorf("goodput %.1f at saturation and %.1f at twice; work %.0f and %.0f",
-			once.Goodput, twice.Goodput, once.Work, twice.Work)
+			once.Goodput, twice.Goodput, once.Throughput, twice.Throughput)
 	}
 }
 
@@ -101,8 +101,8 @@
 	t.Parallel()
 	l := find(t, "agency", "saturation x1")
 	got, plain := figures(t, l, "decision"), figures(t, l, "round robin")
-	if got.FirstP95 > 0.5*plain.FirstP95 {
-		t.Errorf("p95 to the first token %.2f s, round robin %.2f s", got.FirstP95, plain.FirstP95)
+	if got.FirstTokenP95 > 0.5*plain.FirstTokenP95 {
+		t.Errorf("p95 to the first token %.2f s, round robin %.2f s", got.FirstTokenP95, plain.FirstTokenP95)
 	}
 }
 
@@ -110,9 +110,9 @@
 func TestRunsRepeat(t *testing.T) {
 	t.Parallel()
 	l := find(t, "co-op", "wool-order rush")
-	l.Length, l.Warm = 40*time.Second, 10*time.Second
+	l.Duration, l.Warmup = 40*time.Second, 10*time.Second
 	a, b := figures(t, l, "decision"), figures(t, l, "decision")
-	if a.Cost != b.Cost || a.FirstP99 != b.FirstP99 || a.Goodput != b.Goodput || a.Cached != b.Cached {
+	if a.Cost != b.Cost || a.FirstTokenP99 != b.FirstTokenP99 || a.Goodput != b.Goodput || a.CacheHitRate != b.CacheHitRate {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 }
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -9,15 +9,15 @@
 )
 
 // BadKind is how a version turns bad.
-type BadKind uint8
+type FaultKind uint8
 
 // The ways that a version turns bad.
 const (
-	NotBad BadKind = iota
+	NoFault FaultKind = iota
 	// BadErrors: one answer in four is an error.
-	BadErrors
+	FaultErrors
 	// BadRatings: answers are worth half.
-	BadRatings
+	FaultRatings
 )
 
 // Load is a scripted load.
@@ -33,15 +33,15 @@
 	// model do the teams compete for one thing, so that shares can be told.
 	Model decision.ModelID
 	// Bad is what becomes of smallNew from BadFrom on.
-	Bad     BadKind
-	BadFrom time.Duration
+	Fault     FaultKind
+	FaultFrom time.Duration
 	// SlowFactor makes the first small and the first large server this much
 	// slower from SlowFrom on; 0 for none.
 	SlowFactor float64
 	SlowFrom   time.Duration
 	// Length of the run; what arrives before Warm is not counted.
-	Length time.Duration
-	Warm   time.Duration
+	Duration time.Duration
+	Warmup   time.Duration
 }
 
 func steady(rate float64) func(time.Duration) float64 {
@@ -72,12 +72,12 @@
 func Loads() []Load {
 	coop, agency := Coop(), Agency()
 	base := func(name string, d Deployment, rate func(time.Duration) float64) Load {
-		return Load{Name: name, Deployment: d, Rate: rate, Length: runLength, Warm: runWarmup}
+		return Load{Name: name, Deployment: d, Rate: rate, Duration: runLength, Warmup: runWarmup}
 	}
 	badErrors := base("version fails one in four", agency, steady(0.6))
-	badErrors.Bad, badErrors.BadFrom = BadErrors, 100*time.Second
+	badErrors.Fault, badErrors.FaultFrom = FaultErrors, 100*time.Second
 	badRatings := base("version rated half", coop, steady(0.6))
-	badRatings.Bad, badRatings.BadFrom = BadRatings, 100*time.Second
+	badRatings.Fault, badRatings.FaultFrom = FaultRatings, 100*time.Second
 	slow := base("one slow server a model", agency, steady(0.6))
 	slow.SlowFactor, slow.SlowFrom = 6, 60*time.Second
 	skew := base("one team at 80%, large model, saturation x2", coop, steady(2*largeSaturation))
@@ -138,7 +138,7 @@
 	for {
 		rate := l.Rate(at) * l.Saturation
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if at >= l.Length {
+		if at >= l.Duration {
 			return out
 		}
 		out = append(out, l.job(uint64(len(out)+1), at, rng))
@@ -215,7 +215,7 @@
 }
 
 // quality is what the answer of a version to this request is worth.
-func (j *job) quality(v decision.VersionID, bad BadKind) float64 {
+func (j *job) quality(v decision.VersionID, bad FaultKind) float64 {
 	t := trueQualities[v]
 	q := t.easy
 	switch {
@@ -224,7 +224,7 @@
 	case j.hard:
 		q = t.hard
 	}
-	if bad == BadRatings && v == smallNew {
+	if bad == FaultRatings && v == smallNew {
 		q /= 2
 	}
 	return min(max(q+j.qualityNoise, 0), 1)
--- a/decision/internal/policytest/report.go
+++ b/decision/internal/policytest/report.go
@@ -12,77 +12,77 @@
 type Figures struct {
 	// Cost is the mean per whole answer of a model, Quality its mean rating and
 	// Missed by how much the worst team missed its target.
-	Cost, Quality, Missed float64
+	Cost, Quality, TargetShortfall float64
 	// Seconds.
-	FirstP50, FirstP95, FirstP99 float64
-	WholeP50, WholeP95, WholeP99 float64
+	FirstTokenP50, FirstTokenP95, FirstTokenP99 float64
+	LatencyP50, LatencyP95, LatencyP99          float64
 	// Goodput is whole answers in time a second, Work their generated tokens (with
 	// a tenth of the prompts') a second; Refused and Failed are parts of all
 	// requests.
-	Goodput, Work, Refused, Failed float64
+	Goodput, Throughput, Refused, Failed float64
 	// Cached is the part of prompt blocks found in a prefix cache.
-	Cached float64
+	CacheHitRate float64
 	// LeastShare is NaN where the teams do not compete for one model.
-	LeastShare float64
+	MinShareRatio float64
 	// Exposed is the requests that ran on the bad version, ExposedAfter the part
 	// of those that arrived after its first 50 bad answers.
 	Exposed, ExposedAfter float64
-	FalseVerdicts         float64
+	FalseAlarms           float64
 }
 
 // Figures computes them.
-func (t *Tally) Figures() Figures {
-	n := max(float64(t.Models), 1)
+func (t *Results) Figures() Figures {
+	n := max(float64(t.ModelAnswers), 1)
 	all := max(float64(t.Arrived), 1)
-	counted := (t.load.Length - t.load.Warm).Seconds()
+	counted := (t.load.Duration - t.load.Warmup).Seconds()
 	return Figures{
-		Cost:          t.Cost / n,
-		Quality:       t.Quality / n,
-		Missed:        t.targetShortfall(),
-		FirstP50:      percentile(t.firstTokens, 0.50).Seconds(),
-		FirstP95:      percentile(t.firstTokens, 0.95).Seconds(),
-		FirstP99:      percentile(t.firstTokens, 0.99).Seconds(),
-		WholeP50:      percentile(t.latencies, 0.50).Seconds(),
-		WholeP95:      percentile(t.latencies, 0.95).Seconds(),
-		WholeP99:      percentile(t.latencies, 0.99).Seconds(),
-		Goodput:       float64(t.Whole) / counted,
-		Refused:       float64(t.Refused) / all,
-		Failed:        float64(t.Failed+t.Late+t.Lost) / all,
-		Work:          t.totalWork() / counted,
-		Cached:        float64(t.cachedBlocks) / max(float64(t.promptBlocks), 1),
-		LeastShare:    t.minShareRatio(),
-		FalseVerdicts: float64(t.FalseVerdicts),
-		Exposed:       float64(t.fault.exposed),
-		ExposedAfter:  float64(t.fault.exposedAfter) / max(float64(t.fault.arrivedAfter), 1),
+		Cost:            t.Cost / n,
+		Quality:         t.Quality / n,
+		TargetShortfall: t.targetShortfall(),
+		FirstTokenP50:   percentile(t.firstTokens, 0.50).Seconds(),
+		FirstTokenP95:   percentile(t.firstTokens, 0.95).Seconds(),
+		FirstTokenP99:   percentile(t.firstTokens, 0.99).Seconds(),
+		LatencyP50:      percentile(t.latencies, 0.50).Seconds(),
+		LatencyP95:      percentile(t.latencies, 0.95).Seconds(),
+		LatencyP99:      percentile(t.latencies, 0.99).Seconds(),
+		Goodput:         float64(t.Completed) / counted,
+		Refused:         float64(t.Refused) / all,
+		Failed:          float64(t.Failed+t.Late+t.Unanswered) / all,
+		Throughput:      t.totalWork() / counted,
+		CacheHitRate:    float64(t.cachedBlocks) / max(float64(t.promptBlocks), 1),
+		MinShareRatio:   t.minShareRatio(),
+		FalseAlarms:     float64(t.FalseAlarms),
+		Exposed:         float64(t.fault.exposed),
+		ExposedAfter:    float64(t.fault.exposedAfter) / max(float64(t.fault.arrivedAfter), 1),
 	}
 }
 
 // Column is one figure of the report.
 type Column struct {
-	Name string
-	Of   func(Figures) float64
-	Form string
+	Name   string
+	Value  func(Figures) float64
+	Format string
 }
 
 // Columns of the report, in order.
 var Columns = []Column{
 	{"cost", func(f Figures) float64 { return f.Cost }, "%.3f"},
 	{"quality", func(f Figures) float64 { return f.Quality }, "%.3f"},
-	{"target missed by", func(f Figures) float64 { return f.Missed }, "%.3f"},
-	{"first p50 s", func(f Figures) float64 { return f.FirstP50 }, "%.2f"},
-	{"first p95 s", func(f Figures) float64 { return f.FirstP95 }, "%.2f"},
-	{"first p99 s", func(f Figures) float64 { return f.FirstP99 }, "%.2f"},
-	{"whole p50 s", func(f Figures) float64 { return f.WholeP50 }, "%.2f"},
-	{"whole p95 s", func(f Figures) float64 { return f.WholeP95 }, "%.2f"},
-	{"whole p99 s", func(f Figures) float64 { return f.WholeP99 }, "%.2f"},
+	{"target missed by", func(f Figures) float64 { return f.TargetShortfall }, "%.3f"},
+	{"first p50 s", func(f Figures) float64 { return f.FirstTokenP50 }, "%.2f"},
+	{"first p95 s", func(f Figures) float64 { return f.FirstTokenP95 }, "%.2f"},
+	{"first p99 s", func(f Figures) float64 { return f.FirstTokenP99 }, "%.2f"},
+	{"whole p50 s", func(f Figures) float64 { return f.LatencyP50 }, "%.2f"},
+	{"whole p95 s", func(f Figures) float64 { return f.LatencyP95 }, "%.2f"},
+	{"whole p99 s", func(f Figures) float64 { return f.LatencyP99 }, "%.2f"},
 	{"goodput /s", func(f Figures) float64 { return f.Goodput }, "%.1f"},
-	{"work /s", func(f Figures) float64 { return f.Work }, "%.0f"},
+	{"work /s", func(f Figures) float64 { return f.Throughput }, "%.0f"},
 	{"refused %", func(f Figures) float64 { return 100 * f.Refused }, "%.1f"},
 	{"failed %", func(f Figures) float64 { return 100 * f.Failed }, "%.1f"},
-	{"prefix cached %", func(f Figures) float64 { return 100 * f.Cached }, "%.0f"},
-	{"least share", func(f Figures) float64 { return f.LeastShare }, "%.2f"},
+	{"prefix cached %", func(f Figures) float64 { return 100 * f.CacheHitRate }, "%.0f"},
+	{"least share", func(f Figures) float64 { return f.MinShareRatio }, "%.2f"},
 	{"on bad", func(f Figures) float64 { return f.Exposed }, "%.0f"},
-	{"false verdicts", func(f Figures) float64 { return f.FalseVerdicts }, "%.0f"},
+	{"false verdicts", func(f Figures) float64 { return f.FalseAlarms }, "%.0f"},
 	{"on bad after 50, %", func(f Figures) float64 { return 100 * f.ExposedAfter }, "%.2f"},
 }
 
@@ -120,12 +120,12 @@
 	for _, r := range rows {
 		fmt.Fprintf(w, "\n| %s |", r.Policy)
 		for _, c := range Columns {
-			s := SpreadOf(r.Runs, c.Of)
+			s := SpreadOf(r.Runs, c.Value)
 			if math.IsNaN(s.Median) {
 				fmt.Fprint(w, " – |")
 				continue
 			}
-			fmt.Fprintf(w, " "+c.Form+" ("+c.Form+"–"+c.Form+") |", s.Median, s.Low, s.High)
+			fmt.Fprintf(w, " "+c.Format+" ("+c.Format+"–"+c.Format+") |", s.Median, s.Low, s.High)
 		}
 	}
 	fmt.Fprintln(w)
@@ -144,9 +144,9 @@
 func (l Load) Scaled(by int) Load {
 	rate := l.Rate
 	l.Rate = func(t time.Duration) float64 { return rate(t * time.Duration(by)) }
-	l.BadFrom /= time.Duration(by)
+	l.FaultFrom /= time.Duration(by)
 	l.SlowFrom /= time.Duration(by)
-	l.Length /= time.Duration(by)
-	l.Warm /= time.Duration(by)
+	l.Duration /= time.Duration(by)
+	l.Warmup /= time.Duration(by)
 	return l
 }
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -31,19 +31,19 @@
 }
 
 // Tally is what came of one run, for the callers.
-type Tally struct {
+type Results struct {
 	load Load
 	// Arrived, Whole, Refused, Failed and Late are requests; Late ones were
 	// answered after their deadline, which counts as failed to their callers.
 	// Lost were never answered, Broken commands did not fit any request.
-	Arrived, Whole, Refused, Failed, Late, Lost, Broken int
+	Arrived, Completed, Refused, Failed, Late, Unanswered, InvalidCommands int
 	// HeldToDeadline are refusals that came at the deadline.
-	HeldToDeadline int
+	RefusedAtDeadline int
 	// FalseVerdicts are bad words on versions that are well.
-	FalseVerdicts int
+	FalseAlarms int
 	// Cost and Quality are sums over whole answers of models.
 	Cost, Quality float64
-	Models        int
+	ModelAnswers  int
 	// wholes are times of whole answers of models, firsts the times to the first
 	// token of those that are streamed.
 	firstTokens, latencies []time.Duration
@@ -74,8 +74,8 @@
 // badLimit is the number of bad answers after which a version should be barred.
 const maxBadAnswers = 50
 
-func newResults(l Load) *Tally {
-	t := &Tally{load: l, teams: make(map[decision.TeamID]*teamResults)}
+func newResults(l Load) *Results {
+	t := &Results{load: l, teams: make(map[decision.TeamID]*teamResults)}
 	for _, x := range teams() {
 		t.teams[x.ID] = &teamResults{
 			quality: make(map[decision.TaskClass]float64),
@@ -90,9 +90,9 @@
 // work is the size of a request, for shares among teams.
 func work(j *job) float64 { return float64(j.tokens) + 0.1*float64(j.PromptTokens) }
 
-func (t *Tally) measured(j *job) bool { return j.arrived >= t.load.Warm }
+func (t *Results) measured(j *job) bool { return j.arrived >= t.load.Warmup }
 
-func (t *Tally) arrived(j *job) {
+func (t *Results) arrived(j *job) {
 	if j.Service == "" && t.fault.badAnswers >= maxBadAnswers {
 		t.fault.arrivedAfter++
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-func (t *Tally) dispatched(_ *job, v decision.VersionID, now time.Duration) {
-	if t.load.Bad == NotBad || now < t.load.BadFrom || v != smallNew {
+func (t *Results) dispatched(_ *job, v decision.VersionID, now time.Duration) {
+	if t.load.Fault == NoFault || now < t.load.FaultFrom || v != smallNew {
 		return
 	}
 	t.fault.exposed++
@@ -115,20 +115,20 @@
 	}
 }
 
-func (t *Tally) badAnswer(v decision.VersionID, now time.Duration) {
-	if v == smallNew && now >= t.load.BadFrom {
+func (t *Results) badAnswer(v decision.VersionID, now time.Duration) {
+	if v == smallNew && now >= t.load.FaultFrom {
 		t.fault.badAnswers++
 	}
 }
 
-func (t *Tally) verdict(v decision.VersionVerdict, now time.Duration) {
-	isBad := t.load.Bad != NotBad && now >= t.load.BadFrom && v.Version == smallNew
+func (t *Results) verdict(v decision.VersionVerdict, now time.Duration) {
+	isBad := t.load.Fault != NoFault && now >= t.load.FaultFrom && v.Version == smallNew
 	if v.Bad && !isBad {
-		t.FalseVerdicts++
+		t.FalseAlarms++
 	}
 }
 
-func (t *Tally) delivered(c *caller, a decision.AttemptID, now time.Duration) {
+func (t *Results) delivered(c *caller, a decision.AttemptID, now time.Duration) {
 	j := c.job
 	if !t.measured(j) {
 		return
@@ -137,7 +137,7 @@
 		t.Late++
 		return
 	}
-	t.Whole++
+	t.Completed++
 	if j.Service != "" {
 		return
 	}
@@ -145,7 +145,7 @@
 	if !c.held[a] && c.firstToken > 0 {
 		first = c.firstToken
 	}
-	t.Models++
+	t.ModelAnswers++
 	t.Cost += c.cost
 	t.Quality += c.scores[a]
 	if j.Streamed {
@@ -158,25 +158,25 @@
 	team.answers[j.Class]++
 }
 
-func (t *Tally) refused(c *caller, r decision.Refuse) {
+func (t *Results) refused(c *caller, r decision.Refuse) {
 	if !t.measured(c.job) {
 		return
 	}
 	t.Refused++
 	if r.Reason == decision.ReasonDeadline {
-		t.HeldToDeadline++
+		t.RefusedAtDeadline++
 	}
 }
 
-func (t *Tally) failed(c *caller) {
+func (t *Results) failed(c *caller) {
 	if t.measured(c.job) {
 		t.Failed++
 	}
 }
 
-func (t *Tally) unanswered(c *caller) {
+func (t *Results) unanswered(c *caller) {
 	if t.measured(c.job) {
-		t.Lost++
+		t.Unanswered++
 	}
 }
 
@@ -190,7 +190,7 @@
 }
 
 // work is the size of what was answered.
-func (t *Tally) totalWork() float64 {
+func (t *Results) totalWork() float64 {
 	total := 0.0
 	for i := range teamShares {
 		total += t.teams[teamID(i)].served
@@ -201,7 +201,7 @@
 // leastShare is the lowest ratio over the teams of what a team got to its
 // weighted max-min share of what all got. Teams that wanted less than their
 // share should get it all, and nobody's surplus counts against another.
-func (t *Tally) minShareRatio() float64 {
+func (t *Results) minShareRatio() float64 {
 	if t.load.Model == "" {
 		return math.NaN()
 	}
@@ -242,7 +242,7 @@
 // missed is by how much the answers of the team and class farthest under its
 // quality target missed it. Those with under 100 answers are left out: the
 // standard error of their mean is over 0.015.
-func (t *Tally) targetShortfall() float64 {
+func (t *Results) targetShortfall() float64 {
 	worst := 0.0
 	for _, x := range t.teams {
 		for class, n := range x.answers {
--- a/decision/internal/prefix/index.go
+++ b/decision/internal/prefix/index.go
@@ -10,18 +10,18 @@
 type Config struct {
 	// Blocks bounds the blocks remembered; the least recently used go first. At
 	// some 300 bytes each, 65,536 take 20 MB of an instance's 256.
-	Blocks int
+	MaxBlocks int
 	// Depth bounds the blocks of one prompt that are looked at. Past it lies
 	// what is the request's own and shared with nobody.
-	Depth int
+	MaxDepth int
 	// GuessLife is how long an own dispatch counts as cached without a word from
 	// the server. Servers that publish no events live by it alone.
-	GuessLife time.Duration
+	UnconfirmedTTL time.Duration
 }
 
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
-	return Config{Blocks: 1 << 16, Depth: 128, GuessLife: 2 * time.Minute}
+	return Config{MaxBlocks: 1 << 16, MaxDepth: 128, UnconfirmedTTL: 2 * time.Minute}
 }
 
 // holders bounds the servers remembered for one block. A prefix that more
@@ -65,12 +65,12 @@
 	Blocks int
 	// Sure is false for guesses and for what may have been evicted in a gap of
 	// the events.
-	Sure bool
+	Confirmed bool
 }
 
 // New returns an empty index.
 func New[S, H comparable](cfg Config) *Index[S, H] {
-	blocks, err := simplelru.NewLRU[H, *entry[S]](max(cfg.Blocks, 1), nil)
+	blocks, err := simplelru.NewLRU[H, *entry[S]](max(cfg.MaxBlocks, 1), nil)
 	if err != nil {
 		// The library fails only for a size below 1.
 		panic(err)
@@ -93,7 +93,7 @@
 // what is known becomes suspect, and after a second gap void. A late event can
 // only tell of evictions; what it adds may be gone again. A sequence that starts
 // over is a restarted server with an empty cache.
-func (x *Index[S, H]) Changed(id S, seq uint64, added, removed []H, now time.Time) {
+func (x *Index[S, H]) ApplyCacheEvent(id S, seq uint64, added, removed []H, now time.Time) {
 	s := x.server(id)
 	late := false
 	switch {
@@ -124,9 +124,9 @@
 // Dispatched takes in that a prompt goes to a server, which will have it cached
 // shortly. Without this, a burst of requests with a new common prefix spreads
 // over all servers before the first cache event is back.
-func (x *Index[S, H]) Dispatched(id S, blocks []H, now time.Time) {
+func (x *Index[S, H]) RecordDispatch(id S, blocks []H, now time.Time) {
 	s := x.server(id)
-	blocks = blocks[:min(len(blocks), x.cfg.Depth)]
+	blocks = blocks[:min(len(blocks), x.cfg.MaxDepth)]
 	for i := len(blocks) - 1; i >= 0; i-- {
 		x.addHolder(blocks[i], holder[S]{server: s, epoch: s.epoch, seenAt: now, unconfirmed: true})
 	}
@@ -193,7 +193,7 @@
 	if o.server == nil || o.server.epoch-o.epoch >= 2 {
 		return false
 	}
-	return !o.unconfirmed || now.Sub(o.seenAt) <= x.cfg.GuessLife
+	return !o.unconfirmed || now.Sub(o.seenAt) <= x.cfg.UnconfirmedTTL
 }
 
 // Len is the number of blocks remembered.
--- a/decision/internal/prefix/index_test.go
+++ b/decision/internal/prefix/index_test.go
@@ -35,53 +35,53 @@
 		want []match
 	}{
 		{"nothing known", func(*index) {}, p, nil},
-		{"confirmed", func(x *index) { x.Changed("a", 1, p, nil, startTime) }, p, []match{{"a", 10, true}}},
-		{"own dispatch", func(x *index) { x.Dispatched("a", p, startTime) }, p, []match{{"a", 10, false}}},
-		{"old own dispatch", func(x *index) { x.Dispatched("a", p, startTime.Add(-time.Hour)) }, p, nil},
+		{"confirmed", func(x *index) { x.ApplyCacheEvent("a", 1, p, nil, startTime) }, p, []match{{"a", 10, true}}},
+		{"own dispatch", func(x *index) { x.RecordDispatch("a", p, startTime) }, p, []match{{"a", 10, false}}},
+		{"old own dispatch", func(x *index) { x.RecordDispatch("a", p, startTime.Add(-time.Hour)) }, p, nil},
 		{"confirmed dispatch", func(x *index) {
-			x.Dispatched("a", p, startTime)
-			x.Changed("a", 1, p, nil, startTime)
-			x.Dispatched("a", p, startTime)
+			x.RecordDispatch("a", p, startTime)
+			x.ApplyCacheEvent("a", 1, p, nil, startTime)
+			x.RecordDispatch("a", p, startTime)
 		}, p, []match{{"a", 10, true}}},
-		{"common start", func(x *index) { x.Changed("a", 1, p, nil, startTime) }, mixed, []match{{"a", 4, true}}},
+		{"common start", func(x *index) { x.ApplyCacheEvent("a", 1, p, nil, startTime) }, mixed, []match{{"a", 4, true}}},
 		{"deepest first", func(x *index) {
-			x.Changed("a", 1, p[:6], nil, startTime)
-			x.Changed("b", 1, p[:9], nil, startTime)
+			x.ApplyCacheEvent("a", 1, p[:6], nil, startTime)
+			x.ApplyCacheEvent("b", 1, p[:9], nil, startTime)
 		}, p, []match{{"b", 9, true}, {"a", 6, true}}},
 		{"evicted", func(x *index) {
-			x.Changed("a", 1, p, nil, startTime)
-			x.Changed("a", 2, nil, p[5:], startTime)
+			x.ApplyCacheEvent("a", 1, p, nil, startTime)
+			x.ApplyCacheEvent("a", 2, nil, p[5:], startTime)
 		}, p, []match{{"a", 5, true}}},
 		{"one gap makes suspect", func(x *index) {
-			x.Changed("a", 1, p, nil, startTime)
-			x.Changed("a", 3, nil, nil, startTime)
+			x.ApplyCacheEvent("a", 1, p, nil, startTime)
+			x.ApplyCacheEvent("a", 3, nil, nil, startTime)
 		}, p, []match{{"a", 10, false}}},
 		{"two gaps make void", func(x *index) {
-			x.Changed("a", 1, p, nil, startTime)
-			x.Changed("a", 3, nil, nil, startTime)
-			x.Changed("a", 9, nil, nil, startTime)
+			x.ApplyCacheEvent("a", 1, p, nil, startTime)
+			x.ApplyCacheEvent("a", 3, nil, nil, startTime)
+			x.ApplyCacheEvent("a", 9, nil, nil, startTime)
 		}, p, nil},
 		{"a restart makes void", func(x *index) {
-			x.Changed("a", 7, p, nil, startTime)
-			x.Changed("a", 1, p[:2], nil, startTime)
+			x.ApplyCacheEvent("a", 7, p, nil, startTime)
+			x.ApplyCacheEvent("a", 1, p[:2], nil, startTime)
 		}, p, []match{{"a", 2, true}}},
 		{"a late event evicts but adds nothing", func(x *index) {
-			x.Changed("a", 3, p[:6], nil, startTime)
-			x.Changed("a", 2, p[6:], p[5:6], startTime)
+			x.ApplyCacheEvent("a", 3, p[:6], nil, startTime)
+			x.ApplyCacheEvent("a", 2, p[6:], p[5:6], startTime)
 		}, p, []match{{"a", 5, true}}},
 		{"forgotten server", func(x *index) {
-			x.Changed("a", 1, p, nil, startTime)
+			x.ApplyCacheEvent("a", 1, p, nil, startTime)
 			x.Forget("a")
-			x.Dispatched("b", p[:1], startTime)
+			x.RecordDispatch("b", p[:1], startTime)
 		}, p, []match{{"b", 1, false}}},
 		{"listed again after forgetting", func(x *index) {
-			x.Changed("a", 9, p, nil, startTime)
+			x.ApplyCacheEvent("a", 9, p, nil, startTime)
 			x.Forget("a")
-			x.Changed("a", 1, p[:3], nil, startTime)
+			x.ApplyCacheEvent("a", 1, p[:3], nil, startTime)
 		}, p, []match{{"a", 3, true}}},
 		{"no more servers than a block has places", func(x *index) {
 			for i := range 9 {
-				x.Changed(fmt.Sprint(i), 1, p, nil, startTime.Add(time.Duration(i)))
+				x.ApplyCacheEvent(fmt.Sprint(i), 1, p, nil, startTime.Add(time.Duration(i)))
 			}
 		}, p, []match{{"8", 10, true}, {"5", 10, true}, {"6", 10, true}, {"7", 10, true}}},
 	}
@@ -101,7 +101,7 @@
 // match alike.
 func TestIndexProperties(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Blocks = 40
+	cfg.MaxBlocks = 40
 	rapid.Check(t, func(t *rapid.T) {
 		x, y := New[string, uint64](cfg), New[string, uint64](cfg)
 		gone := map[string]bool{}
@@ -113,11 +113,11 @@
 			for _, z := range []*index{x, y} {
 				switch s >> 14 % 4 {
 				case 0:
-					z.Changed(id, uint64(s>>16%6), p, nil, now)
+					z.ApplyCacheEvent(id, uint64(s>>16%6), p, nil, now)
 				case 1:
-					z.Changed(id, uint64(s>>16%6), nil, p, now)
+					z.ApplyCacheEvent(id, uint64(s>>16%6), nil, p, now)
 				case 2:
-					z.Dispatched(id, p, now)
+					z.RecordDispatch(id, p, now)
 				case 3:
 					z.Forget(id)
 				}
@@ -127,7 +127,7 @@
 			if !slices.Equal(got, y.Match(p, 3, now, nil)) {
 				t.Fatal("equal inputs match differently")
 			}
-			if len(got) > 3 || x.Len() > cfg.Blocks {
+			if len(got) > 3 || x.Len() > cfg.MaxBlocks {
 				t.Fatalf("%d matches, %d blocks", len(got), x.Len())
 			}
 			for i, m := range got {
@@ -145,7 +145,7 @@
 	for i := range 1000 {
 		p := chain(uint64(i), 60)
 		prompts = append(prompts, p)
-		x.Dispatched(fmt.Sprint(i%100), p[:i%60+1], startTime)
+		x.RecordDispatch(fmt.Sprint(i%100), p[:i%60+1], startTime)
 	}
 	var out []match
 	b.ReportAllocs()
@@ -157,10 +157,10 @@
 func ExampleIndex() {
 	x := New[string, uint64](DefaultConfig())
 	now := startTime
-	x.Changed("s1", 1, []uint64{11, 12, 13}, nil, now)
-	x.Dispatched("s2", []uint64{11, 12}, now)
+	x.ApplyCacheEvent("s1", 1, []uint64{11, 12, 13}, nil, now)
+	x.RecordDispatch("s2", []uint64{11, 12}, now)
 	for _, m := range x.Match([]uint64{11, 12, 13, 14}, 2, now, nil) {
-		fmt.Println(m.Server, m.Blocks, m.Sure)
+		fmt.Println(m.Server, m.Blocks, m.Confirmed)
 	}
 	// Output:
 	// s1 3 true
--- a/decision/internal/prefix/match.go
+++ b/decision/internal/prefix/match.go
@@ -18,7 +18,7 @@
 // prefix of the prompt but for gaps in the events. A miss by such a gap gives a
 // shorter match, which is a hint like any other.
 func (x *Index[S, H]) Match(blocks []H, limit int, now time.Time, out []Match[S]) []Match[S] {
-	blocks = blocks[:min(len(blocks), x.cfg.Depth)]
+	blocks = blocks[:min(len(blocks), x.cfg.MaxDepth)]
 	depth := sort.Search(len(blocks), func(i int) bool { return !x.held(blocks[i], now) })
 	start := len(out)
 	for steps := 0; depth > 0 && steps <= extraDepths && len(out)-start < limit; steps++ {
@@ -53,9 +53,9 @@
 			continue
 		}
 		out = append(out, Match[S]{
-			Server: o.server.id,
-			Blocks: depth,
-			Sure:   !o.unconfirmed && o.epoch == o.server.epoch,
+			Server:    o.server.id,
+			Blocks:    depth,
+			Confirmed: !o.unconfirmed && o.epoch == o.server.epoch,
 		})
 	}
 	return out
--- a/decision/internal/verdict/channel.go
+++ b/decision/internal/verdict/channel.go
@@ -70,7 +70,7 @@
 		p.baseline.add(x, cfg.Memory)
 		c.suspectDiff = discountedMean{}
 	}
-	if evidence >= threshold(cfg.FalseAlarm) {
+	if evidence >= threshold(cfg.FalseAlarmRate) {
 		c.markBad()
 	}
 }
@@ -78,7 +78,7 @@
 // suspected reports whether half of the evidence for a verdict is there, as the
 // log of a chance: two instances that each have half have it whole together.
 func (c *signal) suspected(cfg *VersionConfig) bool {
-	return !c.bad && c.decline.evidence() >= threshold(cfg.FalseAlarm)/2
+	return !c.bad && c.decline.evidence() >= threshold(cfg.FalseAlarmRate)/2
 }
 
 // condemn turns the verdict to bad.
@@ -100,7 +100,7 @@
 // was taken back wrongly must prove itself twice as well the next time.
 func (c *signal) observeProbe(x, reference float64, cfg *VersionConfig) {
 	c.recovery.addAbove(x, reference+c.recoveryMargin)
-	alpha := cfg.WrongRecovery / math.Exp2(float64(c.recoveries))
+	alpha := cfg.FalseRecoveryRate / math.Exp2(float64(c.recoveries))
 	if c.recovery.evidence() < threshold(alpha) {
 		return
 	}
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -13,21 +13,21 @@
 	// would let a single caller take out a small pool.
 	MaxServers int
 	// Remember is how long a crash counts: as long as callers send again.
-	Remember time.Duration
+	CrashTTL time.Duration
 	// Quarantine is how long a request stays shut out. It is bounded, since a
 	// new version may well run it.
 	Quarantine time.Duration
 	// Limit bounds the fingerprints kept; the least recently used go first.
-	Limit int
+	MaxFingerprints int
 }
 
 // DefaultCrashConfig returns the defaults.
 func DefaultCrashConfig() CrashConfig {
 	return CrashConfig{
-		MaxServers: 2,
-		Remember:   10 * time.Minute,
-		Quarantine: 30 * time.Minute,
-		Limit:      4096,
+		MaxServers:      2,
+		CrashTTL:        10 * time.Minute,
+		Quarantine:      30 * time.Minute,
+		MaxFingerprints: 4096,
 	}
 }
 
@@ -49,8 +49,8 @@
 
 // NewCrashes returns an empty table.
 func NewCrashes[F comparable](cfg CrashConfig) *Crashes[F] {
-	cfg.Limit = max(cfg.Limit, 1)
-	rows, err := simplelru.NewLRU[F, *crash](cfg.Limit, nil)
+	cfg.MaxFingerprints = max(cfg.MaxFingerprints, 1)
+	rows, err := simplelru.NewLRU[F, *crash](cfg.MaxFingerprints, nil)
 	if err != nil {
 		// The library fails only for a size below 1.
 		panic(err)
@@ -63,7 +63,7 @@
 
 const (
 	// CrashClear: nothing is held against it.
-	CrashClear CrashAdmission = iota + 1
+	CrashAllowed CrashAdmission = iota + 1
 	// CrashWait: a copy of it runs, and were both to crash, too many servers
 	// would be down. Leave it queued.
 	CrashWait
@@ -77,7 +77,7 @@
 func (t *Crashes[F]) Admit(f F, now time.Time) (a CrashAdmission, until time.Time) {
 	c := t.unexpired(f, now)
 	if c == nil {
-		return CrashClear, time.Time{}
+		return CrashAllowed, time.Time{}
 	}
 	if c.quarantinedUntil.After(now) {
 		return CrashQuarantined, c.quarantinedUntil
@@ -85,7 +85,7 @@
 	if c.crashedServers > 0 && c.crashedServers+c.running >= t.cfg.MaxServers {
 		return CrashWait, time.Time{}
 	}
-	return CrashClear, time.Time{}
+	return CrashAllowed, time.Time{}
 }
 
 // fresh returns the row of f, or nil when there is none or its time is over.
@@ -94,7 +94,7 @@
 	if !ok {
 		return nil
 	}
-	if c.quarantinedUntil.After(now) || now.Sub(c.lastCrash) <= t.cfg.Remember {
+	if c.quarantinedUntil.After(now) || now.Sub(c.lastCrash) <= t.cfg.CrashTTL {
 		return c
 	}
 	t.rows.Remove(f)
@@ -104,7 +104,7 @@
 // Started counts a dispatch of a request that has crashed a server before, and
 // reports whether it did: hand that to Ended. Requests without a crash cost
 // nothing, and copies that ran already at the first crash are not counted.
-func (t *Crashes[F]) Started(f F, now time.Time) (counted bool) {
+func (t *Crashes[F]) AttemptStarted(f F, now time.Time) (counted bool) {
 	c := t.unexpired(f, now)
 	if c == nil {
 		return false
@@ -116,7 +116,7 @@
 // Ended takes in how an attempt ended; counted is what Started said of it. When
 // it returns quarantine, the request has reached the limit and must be refused
 // everywhere until the time given.
-func (t *Crashes[F]) Ended(f F, counted, crashed bool, now time.Time) (quarantine bool, until time.Time) {
+func (t *Crashes[F]) AttemptEnded(f F, counted, crashed bool, now time.Time) (quarantine bool, until time.Time) {
 	c := t.unexpired(f, now)
 	if c != nil && counted {
 		c.running = max(c.running-1, 0)
@@ -140,7 +140,7 @@
 
 // Learn takes in a quarantine from the log or a peer. It never holds longer
 // than the own one would, and never shortens one.
-func (t *Crashes[F]) Learn(f F, until, now time.Time) {
+func (t *Crashes[F]) ApplyQuarantine(f F, until, now time.Time) {
 	if limit := now.Add(t.cfg.Quarantine); until.After(limit) {
 		until = limit
 	}
--- a/decision/internal/verdict/crashes_test.go
+++ b/decision/internal/verdict/crashes_test.go
@@ -11,27 +11,27 @@
 func TestCrashingRequest(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
-	if q, _ := c.Ended(1, false, true, startTime); q {
+	if q, _ := c.AttemptEnded(1, false, true, startTime); q {
 		t.Fatal("quarantined at the first crash")
 	}
-	if a, _ := c.Admit(1, startTime); a != CrashClear {
+	if a, _ := c.Admit(1, startTime); a != CrashAllowed {
 		t.Fatalf("after one crash %v, want clear", a)
 	}
-	counted := c.Started(1, startTime)
+	counted := c.AttemptStarted(1, startTime)
 	if a, _ := c.Admit(1, startTime); a != CrashWait {
 		t.Fatalf("beside a running copy %v, want wait", a)
 	}
-	q, until := c.Ended(1, counted, true, startTime)
+	q, until := c.AttemptEnded(1, counted, true, startTime)
 	if !q || !until.Equal(startTime.Add(cfg.Quarantine)) {
 		t.Fatalf("second crash: %v until %v", q, until)
 	}
 	if a, _ := c.Admit(1, until.Add(-1)); a != CrashQuarantined {
 		t.Errorf("before its end %v, want quarantined", a)
 	}
-	if a, _ := c.Admit(1, until); a != CrashClear {
+	if a, _ := c.Admit(1, until); a != CrashAllowed {
 		t.Errorf("after its end %v, want clear", a)
 	}
-	if a, _ := c.Admit(2, startTime); a != CrashClear {
+	if a, _ := c.Admit(2, startTime); a != CrashAllowed {
 		t.Errorf("another request %v, want clear", a)
 	}
 }
@@ -39,20 +39,20 @@
 func TestCrashMemory(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
-	c.Ended(1, false, true, startTime)
-	if q, _ := c.Ended(1, false, true, startTime.Add(cfg.Remember+1)); q {
+	c.AttemptEnded(1, false, true, startTime)
+	if q, _ := c.AttemptEnded(1, false, true, startTime.Add(cfg.CrashTTL+1)); q {
 		t.Error("a crash that is long past was counted")
 	}
-	c.Learn(2, startTime.Add(24*time.Hour), startTime)
+	c.ApplyQuarantine(2, startTime.Add(24*time.Hour), startTime)
 	if _, until := c.Admit(2, startTime); !until.Equal(startTime.Add(cfg.Quarantine)) {
 		t.Errorf("a peer's quarantine holds until %v", until)
 	}
-	c.Learn(3, startTime.Add(-1), startTime)
-	for f := range uint64(3 * cfg.Limit) {
-		c.Ended(f, false, true, startTime)
+	c.ApplyQuarantine(3, startTime.Add(-1), startTime)
+	for f := range uint64(3 * cfg.MaxFingerprints) {
+		c.AttemptEnded(f, false, true, startTime)
 	}
-	if c.Len() != cfg.Limit {
-		t.Errorf("%d kept, want %d", c.Len(), cfg.Limit)
+	if c.Len() != cfg.MaxFingerprints {
+		t.Errorf("%d kept, want %d", c.Len(), cfg.MaxFingerprints)
 	}
 }
 
@@ -61,11 +61,11 @@
 func TestCrashLimitProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCrashes[uint64](DefaultCrashConfig())
-		c.Ended(7, false, true, startTime)
+		c.AttemptEnded(7, false, true, startTime)
 		crashes, running := 1, 0
 		for _, start := range rapid.SliceOfN(rapid.Bool(), 1, 100).Draw(t, "steps") {
 			if start {
-				if a, _ := c.Admit(7, startTime); a == CrashClear && c.Started(7, startTime) {
+				if a, _ := c.Admit(7, startTime); a == CrashAllowed && c.AttemptStarted(7, startTime) {
 					running++
 				}
 				continue
@@ -75,7 +75,7 @@
 			}
 			running--
 			crashes++
-			c.Ended(7, true, true, startTime)
+			c.AttemptEnded(7, true, true, startTime)
 		}
 		if crashes+running > 2 {
 			t.Fatalf("%d servers crashed and %d at risk", crashes, running)
@@ -86,11 +86,11 @@
 func ExampleCrashes() {
 	c := NewCrashes[uint64](DefaultCrashConfig())
 	for attempt := 1; ; attempt++ {
-		if a, _ := c.Admit(42, startTime); a != CrashClear {
+		if a, _ := c.Admit(42, startTime); a != CrashAllowed {
 			break
 		}
-		counted := c.Started(42, startTime)
-		quarantine, _ := c.Ended(42, counted, true, startTime)
+		counted := c.AttemptStarted(42, startTime)
+		quarantine, _ := c.AttemptEnded(42, counted, true, startTime)
 		fmt.Println(attempt, quarantine)
 	}
 	// Output:
--- a/decision/internal/verdict/outlier.go
+++ b/decision/internal/verdict/outlier.go
@@ -104,7 +104,7 @@
 // or less says nothing of the speed. Leave out attempts that were cancelled and
 // refusals by a leaving server. The change is zero unless it ejects or brings
 // back; ok says which.
-func (t *Outliers[S, G]) Ended(id S, failed bool, latency time.Duration, now time.Time) (e Ejection[S], ok bool) {
+func (t *Outliers[S, G]) ObserveAttempt(id S, failed bool, latency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	s := t.servers[id]
 	if s == nil {
 		return e, false
@@ -121,9 +121,9 @@
 		s.group.successes.add(x, errorMemory)
 	}
 	if !failed && latency > 0 {
-		s.logLatency.add(math.Log(latency.Seconds()), t.cfg.PaceMemory)
+		s.logLatency.add(math.Log(latency.Seconds()), t.cfg.LatencyMemory)
 	}
-	if s.errorDetector.evidence() >= threshold(t.cfg.FalseAlarm) {
+	if s.errorDetector.evidence() >= threshold(t.cfg.FalseAlarmRate) {
 		return t.eject(s, false, now)
 	}
 	return e, false
@@ -139,14 +139,14 @@
 	if g.successes.n >= 20 {
 		ok = min(ok, g.successes.lowerBound(referenceZ))
 	}
-	return ok - t.cfg.WorseErrors
+	return ok - t.cfg.ErrorMargin
 }
 
 // eject takes a server out unless the cap forbids it. A group of two or more
 // may always lose one, else small pools would have to live with a dead server.
 func (t *Outliers[S, G]) eject(s *server[S, G], slow bool, now time.Time) (e Ejection[S], ok bool) {
 	g := s.group
-	most := int(t.cfg.MaxShare * float64(len(g.members)))
+	most := int(t.cfg.MaxEjectedShare * float64(len(g.members)))
 	if len(g.members) > 1 {
 		most = max(most, 1)
 	}
@@ -157,7 +157,7 @@
 	if now.Sub(s.returnedAt) > 2*t.cfg.MaxBackoff {
 		s.ejections = 0
 	}
-	backoff := t.cfg.Backoff << min(s.ejections, 16)
+	backoff := t.cfg.MinBackoff << min(s.ejections, 16)
 	backoff = min(backoff, t.cfg.MaxBackoff)
 	s.ejected = true
 	s.ejections++
@@ -178,14 +178,14 @@
 	s.probeAt = time.Time{}
 	isSlow := latency > 0 && t.isSlow(s.group, math.Log(latency.Seconds()))
 	if failed || isSlow {
-		backoff := min(t.cfg.Backoff<<min(s.ejections, 16), t.cfg.MaxBackoff)
+		backoff := min(t.cfg.MinBackoff<<min(s.ejections, 16), t.cfg.MaxBackoff)
 		s.ejections++
 		s.goodProbes = 0
 		s.ejectedUntil = now.Add(backoff)
 		return e, false
 	}
 	s.goodProbes++
-	if s.goodProbes < t.cfg.Trials {
+	if s.goodProbes < t.cfg.ProbesToReturn {
 		return e, false
 	}
 	s.ejected = false
@@ -205,7 +205,7 @@
 // Sweep compares the paces when SweepEvery has passed, and ejects the slow, the
 // slowest first as far as the cap goes. Call it each tick.
 func (t *Outliers[S, G]) Sweep(now time.Time) []Ejection[S] {
-	if now.Sub(t.sweptAt) < t.cfg.SweepEvery {
+	if now.Sub(t.sweptAt) < t.cfg.SweepInterval {
 		return nil
 	}
 	t.sweptAt = now
@@ -223,7 +223,7 @@
 func (t *Outliers[S, G]) sweepGroup(g *group[S, G], now time.Time, out []Ejection[S]) []Ejection[S] {
 	g.scratch = g.scratch[:0]
 	for _, s := range g.members {
-		if !s.ejected && s.logLatency.n >= t.cfg.SlowSample/2 {
+		if !s.ejected && s.logLatency.n >= t.cfg.MinLatencySamples/2 {
 			g.scratch = append(g.scratch, s.logLatency.mean)
 		}
 	}
@@ -234,7 +234,7 @@
 	g.medianLogLatency = g.scratch[(len(g.scratch)-1)/2]
 	var slow []*server[S, G]
 	for _, s := range g.members {
-		if !s.ejected && s.logLatency.n >= t.cfg.SlowSample && t.isSlow(g, s.logLatency.mean) {
+		if !s.ejected && s.logLatency.n >= t.cfg.MinLatencySamples && t.isSlow(g, s.logLatency.mean) {
 			slow = append(slow, s)
 		}
 	}
@@ -254,17 +254,17 @@
 func (t *Outliers[S, G]) Admit(id S, now time.Time) Admission {
 	s := t.servers[id]
 	if s == nil || !s.ejected {
-		return Open
+		return Allowed
 	}
-	if now.Before(s.ejectedUntil) || now.Sub(s.probeAt) < t.cfg.TrialTimeout {
-		return Barred
+	if now.Before(s.ejectedUntil) || now.Sub(s.probeAt) < t.cfg.ProbeTimeout {
+		return Blocked
 	}
 	return Probe
 }
 
 // Dispatched marks that a request went to the server, so that a trial is the
 // only one for now.
-func (t *Outliers[S, G]) Dispatched(id S, now time.Time) {
+func (t *Outliers[S, G]) RecordDispatch(id S, now time.Time) {
 	if s := t.servers[id]; s != nil && s.ejected {
 		s.probeAt = now
 	}
--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -38,13 +38,13 @@
 		now := from.Add(time.Duration(step) * 50 * time.Millisecond)
 		o.Sweep(now)
 		for _, id := range ids {
-			if o.Admit(id, now) == Barred {
+			if o.Admit(id, now) == Blocked {
 				continue
 			}
-			o.Dispatched(id, now)
+			o.RecordDispatch(id, now)
 			got[id]++
 			failed, factor := behave(id)
-			o.Ended(id, failed, drawLatency(rng, factor), now)
+			o.ObserveAttempt(id, failed, drawLatency(rng, factor), now)
 		}
 	}
 	return got
@@ -149,11 +149,11 @@
 					factor = 6
 					sent++
 				}
-				o.Ended(id, false, drawLatency(rng, factor), now)
+				o.ObserveAttempt(id, false, drawLatency(rng, factor), now)
 			}
 			o.Sweep(now.Add(2 * time.Second))
 		}
-		if o.Admit("s01", now.Add(2*time.Second)) != Barred || sent > 4 {
+		if o.Admit("s01", now.Add(2*time.Second)) != Blocked || sent > 4 {
 			t.Errorf("seed %d: not found after %d attempts", seed, sent)
 		}
 	}
@@ -172,11 +172,11 @@
 	if o.Admit("s01", now) != Probe {
 		t.Fatal("no trial after the backoff")
 	}
-	o.Dispatched("s01", now)
-	if o.Admit("s01", now) != Barred {
+	o.RecordDispatch("s01", now)
+	if o.Admit("s01", now) != Blocked {
 		t.Error("a second trial beside the first")
 	}
-	late := now.Add(DefaultOutlierConfig().TrialTimeout)
+	late := now.Add(DefaultOutlierConfig().ProbeTimeout)
 	if o.Admit("s01", late) != Probe {
 		t.Error("no other trial after one that was lost")
 	}
@@ -192,7 +192,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "servers")
 		o, ids := newOutlierPool(n)
-		most := int(DefaultOutlierConfig().MaxShare * float64(n))
+		most := int(DefaultOutlierConfig().MaxEjectedShare * float64(n))
 		if n > 1 {
 			most = max(most, 1)
 		}
@@ -201,8 +201,8 @@
 		for _, s := range steps {
 			now = now.Add(time.Duration(s>>24) * time.Millisecond)
 			id := ids[int(s)%n]
-			o.Dispatched(id, now)
-			o.Ended(id, s&256 != 0, time.Duration(s>>10&1023)*time.Millisecond, now)
+			o.RecordDispatch(id, now)
+			o.ObserveAttempt(id, s&256 != 0, time.Duration(s>>10&1023)*time.Millisecond, now)
 			o.Sweep(now)
 			if o.Ejected("draft") > most {
 				t.Fatalf("%d of %d ejected", o.Ejected("draft"), n)
@@ -218,14 +218,14 @@
 func ExampleOutliers() {
 	o, ids := newOutlierPool(4)
 	now := startTime
-	for o.Admit("s02", now) == Open {
+	for o.Admit("s02", now) == Allowed {
 		for _, id := range ids {
-			o.Dispatched(id, now)
-			o.Ended(id, id == "s02", 20*time.Millisecond, now)
+			o.RecordDispatch(id, now)
+			o.ObserveAttempt(id, id == "s02", 20*time.Millisecond, now)
 		}
 		now = now.Add(100 * time.Millisecond)
 		o.Sweep(now)
 	}
-	fmt.Println(o.Ejected("draft"), o.Admit("s00", now) == Open)
+	fmt.Println(o.Ejected("draft"), o.Admit("s00", now) == Allowed)
 	// Output: 1 true
 }
--- a/decision/internal/verdict/reference.go
+++ b/decision/internal/verdict/reference.go
@@ -9,15 +9,15 @@
 	if ref, known := t.reference(v, noClass, errorsOf); known {
 		ok = min(ok, ref)
 	}
-	return ok - t.cfg.WorseErrors
+	return ok - t.cfg.ErrorMargin
 }
 
 // ratingLine is the mean rating of a class below which v is worse.
 func (t *Versions[V, S]) minRating(v *version[V, S], class string) float64 {
 	if ref, known := t.reference(v, class, ratingsOf); known {
-		return ref - t.cfg.WorseRating
+		return ref - t.cfg.RatingMargin
 	}
-	return v.info.Quality - t.cfg.PriorSlack
+	return v.info.Quality - t.cfg.PriorRatingMargin
 }
 
 func errorsOf[V, S cmp.Ordered](v *version[V, S]) *signal  { return &v.errors }
@@ -27,11 +27,11 @@
 // known of that, its own past; known is false while that is too little as well.
 func (t *Versions[V, S]) reference(v *version[V, S], class string, of func(*version[V, S]) *signal) (ref float64, known bool) {
 	if p := t.predecessor(v); p != nil {
-		if past := of(p).history(class); past.all.n >= t.cfg.MinReference {
+		if past := of(p).history(class); past.all.n >= t.cfg.MinReferenceSamples {
 			return past.successorReference(), true
 		}
 	}
-	if past := of(v).history(class); past.baseline.n >= t.cfg.MinReference {
+	if past := of(v).history(class); past.baseline.n >= t.cfg.MinReferenceSamples {
 		return past.baseline.lowerBound(referenceZ), true
 	}
 	return 0, false
--- a/decision/internal/verdict/share.go
+++ b/decision/internal/verdict/share.go
@@ -9,7 +9,7 @@
 type Admission uint8
 
 // Word is a verdict to tell the peers of, or a change of one.
-type Word[V cmp.Ordered] struct {
+type SharedVerdict[V cmp.Ordered] struct {
 	Version V
 	Bad     bool
 	// Until is when the word lapses by itself.
@@ -19,7 +19,7 @@
 // Peer takes in a peer's word. A bad one bars the version until its Until, or
 // PeerLimit from now if that is sooner; a good one lifts what peers said. The
 // own verdict is not changed by a word alone: own evidence goes first.
-func (t *Versions[V, S]) Peer(w Word[V], now time.Time) {
+func (t *Versions[V, S]) ApplyPeerVerdict(w SharedVerdict[V], now time.Time) {
 	v := t.versions[w.Version]
 	if v == nil {
 		return
@@ -29,7 +29,7 @@
 		return
 	}
 	until := w.Until
-	if limit := now.Add(t.cfg.PeerLimit); until.After(limit) {
+	if limit := now.Add(t.cfg.MaxPeerDuration); until.After(limit) {
 		until = limit
 	}
 	if until.After(v.peerBadUntil) {
@@ -54,14 +54,14 @@
 // bounded at any load; a burst buys it nothing.
 func (t *Versions[V, S]) Admit(id V, now time.Time) Admission {
 	if !t.Bad(id, now) {
-		return Open
+		return Allowed
 	}
 	v := t.versions[id]
 	v.offered++
 	if v.offered%t.cfg.ProbeEvery == 0 {
 		return Probe
 	}
-	return Barred
+	return Blocked
 }
 
 // Share returns the words to tell the peers of now, in the order of the ids: each
@@ -69,11 +69,11 @@
 // and likewise a suspicion, which makes the peers hold back while this instance
 // goes on and finds out. So what a bad version gets in the meantime is one
 // instance's part.
-func (t *Versions[V, S]) Share(now time.Time) []Word[V] {
-	var out []Word[V]
+func (t *Versions[V, S]) VerdictsToShare(now time.Time) []SharedVerdict[V] {
+	var out []SharedVerdict[V]
 	for _, id := range t.sortedIDs {
 		v := t.versions[id]
-		word := Word[V]{Version: id, Bad: true, Until: now.Add(3 * t.cfg.ShareEvery)}
+		word := SharedVerdict[V]{Version: id, Bad: true, Until: now.Add(3 * t.cfg.ShareInterval)}
 		switch {
 		case v.bad():
 			if !v.changePending && now.Before(v.nextShare) {
@@ -83,14 +83,14 @@
 			if now.Before(v.nextShare) {
 				continue
 			}
-			word.Until = now.Add(t.cfg.ShareEvery)
+			word.Until = now.Add(t.cfg.ShareInterval)
 		case v.changePending:
 			word.Bad = false
 		default:
 			continue
 		}
 		v.changePending = false
-		v.nextShare = now.Add(t.cfg.ShareEvery)
+		v.nextShare = now.Add(t.cfg.ShareInterval)
 		out = append(out, word)
 	}
 	return out
@@ -112,5 +112,5 @@
 		v.suspectSince = now
 		v.nextShare = now
 	}
-	return now.Sub(v.suspectSince) < t.cfg.SuspectFor
+	return now.Sub(v.suspectSince) < t.cfg.MaxSuspicion
 }
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -8,7 +8,7 @@
 )
 
 // Row is what Versions needs to know of one version in the manifest.
-type Row[V cmp.Ordered] struct {
+type VersionInfo[V cmp.Ordered] struct {
 	ID V
 	// Predecessor is the zero value for none.
 	Predecessor V
@@ -18,11 +18,11 @@
 
 const (
 	// Open takes any work.
-	Open Admission = iota + 1
+	Allowed Admission = iota + 1
 	// Probe takes this one request, to learn whether it is good again.
 	Probe
 	// Barred takes nothing now.
-	Barred
+	Blocked
 )
 
 // Versions judges each version against its predecessor. It is made for a
@@ -37,7 +37,7 @@
 
 // version is one row of the table.
 type version[V, S cmp.Ordered] struct {
-	info          Row[V]
+	info          VersionInfo[V]
 	errors        signal
 	ratings       signal
 	offered       uint64
@@ -63,7 +63,7 @@
 // Apply takes in a manifest's versions. Verdicts and references stay for
 // versions that are still listed or still somebody's predecessor; so memory is
 // bounded by the manifest.
-func (t *Versions[V, S]) Apply(rows []Row[V]) {
+func (t *Versions[V, S]) Apply(rows []VersionInfo[V]) {
 	var none V
 	keep := make(map[V]*version[V, S], len(rows))
 	for _, r := range rows {
@@ -90,7 +90,7 @@
 	if v := t.versions[id]; v != nil {
 		return v
 	}
-	v := &version[V, S]{info: Row[V]{ID: id}}
+	v := &version[V, S]{info: VersionInfo[V]{ID: id}}
 	v.errors = newSignal(errorBets)
 	v.ratings = newSignal(ratingBets)
 	t.versions[id] = v
@@ -98,14 +98,14 @@
 }
 
 // End is how an attempt that ran has ended.
-type End[S cmp.Ordered] struct {
+type AttemptResult[S cmp.Ordered] struct {
 	Server S
 	// Alone says that no other server has the version loaded.
-	Alone  bool
-	Failed bool
+	OnlyServer bool
+	Failed     bool
 	// Broken says that the server died or the connection broke, rather than
 	// that the server answered with an error.
-	Broken bool
+	ConnectionLost bool
 }
 
 // Failures of one server in a row say more of the server than of the version,
@@ -120,7 +120,7 @@
 // Ended takes in the end of an attempt that ran. Leave out attempts that say
 // nothing of the version: cancelled, not run, refused by a full or leaving
 // backend server. It reports whether the own verdict changed.
-func (t *Versions[V, S]) Ended(id V, e End[S], now time.Time) (changed bool) {
+func (t *Versions[V, S]) ObserveAttempt(id V, e AttemptResult[S], now time.Time) (changed bool) {
 	v := t.versions[id]
 	if v == nil {
 		return false
@@ -135,17 +135,17 @@
 }
 
 // counts reports whether a failure counts against the version.
-func (v *version[V, S]) countsAgainstVersion(e End[S], now time.Time) bool {
+func (v *version[V, S]) countsAgainstVersion(e AttemptResult[S], now time.Time) bool {
 	if e.Server != v.failServer || now.Sub(v.failSince) > streakDuration {
 		v.failServer = e.Server
 		v.failSince = now
 		v.failStreak = 0
 	}
 	v.failStreak++
-	if e.Broken {
+	if e.ConnectionLost {
 		return v.failStreak <= maxConnectionLossStreak
 	}
-	return e.Alone || v.failStreak <= maxErrorStreak
+	return e.OnlyServer || v.failStreak <= maxErrorStreak
 }
 
 // Rated takes in a rating of an answer to a request of a class. Ratings are
@@ -154,7 +154,7 @@
 // worse. One out of 0..1, or no number, is the rating
 // service's fault and not the version's: it is ignored. It reports whether the
 // own verdict changed.
-func (t *Versions[V, S]) Rated(id V, class string, score float64, now time.Time) (changed bool) {
+func (t *Versions[V, S]) ObserveRating(id V, class string, score float64, now time.Time) (changed bool) {
 	v := t.versions[id]
 	if v == nil || math.IsNaN(score) || score < 0 || score > 1 {
 		return false
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -19,8 +19,8 @@
 
 // The ends of attempts at a version's only server.
 var (
-	failedAttempt = End[string]{Server: "s00", Alone: true, Failed: true}
-	goodAttempt   = End[string]{Server: "s00", Alone: true}
+	failedAttempt = AttemptResult[string]{Server: "s00", OnlyServer: true, Failed: true}
+	goodAttempt   = AttemptResult[string]{Server: "s00", OnlyServer: true}
 )
 
 // truth is what a version really does.
@@ -28,7 +28,7 @@
 
 func newPair() *Versions[string, string] {
 	t := NewVersions[string, string](DefaultVersionConfig())
-	t.Apply([]Row[string]{
+	t.Apply([]VersionInfo[string]{
 		{ID: oldVersion, Quality: 0.8},
 		{ID: newVersion, Predecessor: oldVersion, Quality: 0.8},
 	})
@@ -40,12 +40,12 @@
 func serve(t *Versions[string, string], id string, tr behavior, rng *rand.Rand) (bad bool) {
 	failed := rng.Float64() < tr.errorRate
 	server := fmt.Sprintf("s%02d", rng.IntN(12))
-	t.Ended(id, End[string]{Server: server, Failed: failed}, startTime)
+	t.ObserveAttempt(id, AttemptResult[string]{Server: server, Failed: failed}, startTime)
 	if failed {
 		return true
 	}
 	score := clamp(tr.quality+tr.ratingStddev*rng.NormFloat64(), 0, 1)
-	t.Rated(id, "draft", score, startTime)
+	t.ObserveRating(id, "draft", score, startTime)
 	return score < 0.6
 }
 
@@ -133,7 +133,7 @@
 				continue
 			}
 			for range 30 {
-				v.Ended(newVersion, End[string]{Server: "s01", Failed: true, Broken: broken}, startTime)
+				v.ObserveAttempt(newVersion, AttemptResult[string]{Server: "s01", Failed: true, ConnectionLost: broken}, startTime)
 			}
 		}
 		if v.Bad(newVersion, startTime) {
@@ -173,7 +173,7 @@
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		v := NewVersions[string, string](DefaultVersionConfig())
-		v.Apply([]Row[string]{{ID: oldVersion, Quality: 0.9}})
+		v.Apply([]VersionInfo[string]{{ID: oldVersion, Quality: 0.9}})
 		for range 3000 {
 			serve(v, oldVersion, behavior{0.005, 0.75, 0.12}, rng)
 		}
@@ -239,7 +239,7 @@
 func TestBarredVersionGetsATrickle(t *testing.T) {
 	v := newPair()
 	for !v.Bad(newVersion, startTime) {
-		v.Ended(newVersion, failedAttempt, startTime)
+		v.ObserveAttempt(newVersion, failedAttempt, startTime)
 	}
 	probes := 0
 	for range 10_000 {
@@ -256,7 +256,7 @@
 	v := newPair()
 	for _, score := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 7} {
 		for range 1000 {
-			v.Rated(newVersion, "draft", score, startTime)
+			v.ObserveRating(newVersion, "draft", score, startTime)
 		}
 	}
 	if v.Bad(newVersion, startTime) {
@@ -268,24 +268,24 @@
 	cfg := DefaultVersionConfig()
 	cases := []struct {
 		name  string
-		words []Word[string]
+		words []SharedVerdict[string]
 		after time.Duration
 		want  bool
 	}{
-		{"holds", []Word[string]{{newVersion, true, startTime.Add(time.Minute)}}, 59 * time.Second, true},
-		{"lapses", []Word[string]{{newVersion, true, startTime.Add(time.Minute)}}, time.Minute, false},
-		{"bounded", []Word[string]{{newVersion, true, startTime.Add(24 * time.Hour)}}, cfg.PeerLimit, false},
-		{"lifted", []Word[string]{{newVersion, true, startTime.Add(time.Minute)}, {Version: newVersion}}, 0, false},
-		{"older word does not shorten", []Word[string]{
+		{"holds", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}}, 59 * time.Second, true},
+		{"lapses", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}}, time.Minute, false},
+		{"bounded", []SharedVerdict[string]{{newVersion, true, startTime.Add(24 * time.Hour)}}, cfg.MaxPeerDuration, false},
+		{"lifted", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}, {Version: newVersion}}, 0, false},
+		{"older word does not shorten", []SharedVerdict[string]{
 			{newVersion, true, startTime.Add(2 * time.Minute)}, {newVersion, true, startTime.Add(time.Minute)},
 		}, 90 * time.Second, true},
-		{"unknown version", []Word[string]{{"x@1", true, startTime.Add(time.Minute)}}, 0, false},
+		{"unknown version", []SharedVerdict[string]{{"x@1", true, startTime.Add(time.Minute)}}, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			v := newPair()
 			for _, w := range c.words {
-				v.Peer(w, startTime)
+				v.ApplyPeerVerdict(w, startTime)
 			}
 			if got := v.Bad(newVersion, startTime.Add(c.after)); got != c.want {
 				t.Errorf("bad is %v, want %v", got, c.want)
@@ -297,22 +297,22 @@
 func TestOwnVerdictIsSharedAndRenewed(t *testing.T) {
 	v := newPair()
 	for !v.Bad(newVersion, startTime) {
-		v.Ended(newVersion, failedAttempt, startTime)
+		v.ObserveAttempt(newVersion, failedAttempt, startTime)
 	}
-	every := DefaultVersionConfig().ShareEvery
+	every := DefaultVersionConfig().ShareInterval
 	steps := []struct {
 		at   time.Duration
 		want int
 	}{{0, 1}, {every / 2, 0}, {every, 1}, {every + time.Second, 0}}
 	for _, s := range steps {
-		if got := v.Share(startTime.Add(s.at)); len(got) != s.want {
+		if got := v.VerdictsToShare(startTime.Add(s.at)); len(got) != s.want {
 			t.Errorf("at %v: %v, want %d words", s.at, got, s.want)
 		}
 	}
 	for v.Bad(newVersion, startTime) {
-		v.Ended(newVersion, goodAttempt, startTime)
+		v.ObserveAttempt(newVersion, goodAttempt, startTime)
 	}
-	got := v.Share(startTime.Add(every + 2*time.Second))
+	got := v.VerdictsToShare(startTime.Add(every + 2*time.Second))
 	if len(got) != 1 || got[0].Bad {
 		t.Errorf("after recovery: %v, want one good word", got)
 	}
@@ -323,8 +323,8 @@
 func TestSuspicionIsShared(t *testing.T) {
 	suspect := func() *Versions[string, string] {
 		v := newPair()
-		for len(v.Share(startTime)) == 0 {
-			v.Ended(newVersion, failedAttempt, startTime)
+		for len(v.VerdictsToShare(startTime)) == 0 {
+			v.ObserveAttempt(newVersion, failedAttempt, startTime)
 		}
 		return v
 	}
@@ -332,25 +332,25 @@
 	if a.Bad(newVersion, startTime) || b.Bad(newVersion, startTime) {
 		t.Fatal("half of the evidence was enough")
 	}
-	word := Word[string]{newVersion, true, startTime.Add(20 * time.Second)}
-	a.Peer(word, startTime)
-	if got := a.Share(startTime); len(got) != 1 || !got[0].Bad {
+	word := SharedVerdict[string]{newVersion, true, startTime.Add(20 * time.Second)}
+	a.ApplyPeerVerdict(word, startTime)
+	if got := a.VerdictsToShare(startTime); len(got) != 1 || !got[0].Bad {
 		t.Errorf("two halves: %v, want a bad word", got)
 	}
 	if !a.Bad(newVersion, startTime.Add(time.Hour)) {
 		t.Error("two halves made no verdict")
 	}
 	c := newPair()
-	c.Peer(word, startTime)
+	c.ApplyPeerVerdict(word, startTime)
 	if !c.Bad(newVersion, startTime) || c.Bad(newVersion, word.Until) {
 		t.Error("a peer's suspicion does not bar until its end only")
 	}
-	late := startTime.Add(DefaultVersionConfig().SuspectFor)
-	if got := b.Share(late); len(got) != 0 {
+	late := startTime.Add(DefaultVersionConfig().MaxSuspicion)
+	if got := b.VerdictsToShare(late); len(got) != 0 {
 		t.Errorf("a suspicion that stands still is told for ever: %v", got)
 	}
-	for len(b.Share(late)) == 0 {
-		b.Ended(newVersion, goodAttempt, startTime)
+	for len(b.VerdictsToShare(late)) == 0 {
+		b.ObserveAttempt(newVersion, goodAttempt, startTime)
 	}
 	if b.Bad(newVersion, late) {
 		t.Error("a faded suspicion became a verdict")
@@ -361,13 +361,13 @@
 func TestApplyKeepsVerdicts(t *testing.T) {
 	v := newPair()
 	for !v.Bad(newVersion, startTime) {
-		v.Ended(newVersion, failedAttempt, startTime)
+		v.ObserveAttempt(newVersion, failedAttempt, startTime)
 	}
-	v.Apply([]Row[string]{{ID: newVersion, Predecessor: oldVersion, Quality: 0.8}})
+	v.Apply([]VersionInfo[string]{{ID: newVersion, Predecessor: oldVersion, Quality: 0.8}})
 	if !v.Bad(newVersion, startTime) || len(v.versions) != 2 {
 		t.Errorf("bad %v with %d rows, want true with 2", v.Bad(newVersion, startTime), len(v.versions))
 	}
-	v.Apply([]Row[string]{{ID: oldVersion}})
+	v.Apply([]VersionInfo[string]{{ID: oldVersion}})
 	if len(v.versions) != 1 {
 		t.Errorf("%d rows, want 1", len(v.versions))
 	}
@@ -386,15 +386,15 @@
 			score := float64(s>>8%1000) / 500
 			now := startTime.Add(time.Duration(s>>20) * time.Millisecond)
 			for _, v := range []*Versions[string, string]{a, b} {
-				v.Ended(id, End[string]{Server: ids[s>>4%3], Failed: s&64 != 0, Broken: s&128 != 0}, now)
-				v.Rated(id, "draft", score, startTime)
+				v.ObserveAttempt(id, AttemptResult[string]{Server: ids[s>>4%3], Failed: s&64 != 0, ConnectionLost: s&128 != 0}, now)
+				v.ObserveRating(id, "draft", score, startTime)
 			}
 			got, want := a.Admit(id, now), b.Admit(id, now)
 			if got != want {
 				t.Fatalf("%v and %v from equal inputs", got, want)
 			}
 			switch got {
-			case Barred:
+			case Blocked:
 				barred++
 			case Probe:
 				probes++
@@ -408,18 +408,18 @@
 
 func ExampleVersions() {
 	v := NewVersions[string, string](DefaultVersionConfig())
-	v.Apply([]Row[string]{
+	v.Apply([]VersionInfo[string]{
 		{ID: "draft@1", Quality: 0.8},
 		{ID: "draft@2", Predecessor: "draft@1", Quality: 0.85},
 	})
 	now := startTime
 	failures := 0
-	for v.Admit("draft@2", now) == Open {
+	for v.Admit("draft@2", now) == Allowed {
 		failures++
-		v.Ended("draft@2", failedAttempt, startTime)
+		v.ObserveAttempt("draft@2", failedAttempt, startTime)
 	}
 	fmt.Println("barred after", failures, "failures")
-	fmt.Println(v.Share(now)[0].Bad, v.Admit("draft@1", now) == Open)
+	fmt.Println(v.VerdictsToShare(now)[0].Bad, v.Admit("draft@1", now) == Allowed)
 	// Output:
 	// barred after 4 failures
 	// true true
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -60,7 +60,7 @@
 	flow := rq.flows[r.Team]
 	if flow == nil {
 		flow = &fair.Flow[*waiter]{}
-		rq.queue.Init(flow, account)
+		rq.queue.AddFlow(flow, account)
 		rq.flows[r.Team] = flow
 	}
 	return rq, flow
@@ -83,7 +83,7 @@
 	}
 	if n := rq.queue.Len(); n > 0 {
 		usual := rq.queue.Cost() / float64(n)
-		count += int(rq.queue.Ahead(flow)/usual + 0.5)
+		count += int(rq.queue.CostAhead(flow)/usual + 0.5)
 	}
 	return count
 }
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -12,12 +12,12 @@
 func newPicker(cfg Config) place.Picker {
 	return place.Picker{
 		Filters: []place.Filter{
-			place.Staying{}, place.Healthy{}, place.Room{}, place.HasVersion{}, place.Untried{},
+			place.NotLeaving{}, place.NotEjected{}, place.HasFreeSlot{}, place.HasVersion{}, place.NotTried{},
 		},
 		Scorers: []place.Scorer{
-			place.Load{},
-			place.Affinity{Weight: cfg.AffinityWeight, Bound: cfg.AffinityBound},
-			place.Domain{Weight: cfg.DomainWeight},
+			place.LeastLoad{},
+			place.PrefixAffinity{Weight: cfg.AffinityWeight, MaxLoad: cfg.AffinityBound},
+			place.DomainAffinity{Weight: cfg.DomainWeight},
 		},
 	}
 }
@@ -60,14 +60,14 @@
 	}
 	w.drawn = append(w.drawn, s)
 	w.candidates = append(w.candidates, place.Candidate{
-		Running: s.running,
-		Slots:   s.capacity(),
-		Load:    w.load(s),
-		Near:    s.Domain != "" && s.Domain == w.cfg.Domain,
-		Loaded:  s.in(p),
-		Leaving: s.leaving || s.gone,
-		Ejected: !s.isFree,
-		Tried:   w.avoids(r, s),
+		Running:       s.running,
+		Slots:         s.capacity(),
+		Load:          w.load(s),
+		SameDomain:    s.Domain != "" && s.Domain == w.cfg.Domain,
+		VersionLoaded: s.in(p),
+		Leaving:       s.leaving || s.gone,
+		Ejected:       !s.isFree,
+		Tried:         w.avoids(r, s),
 	})
 	return &w.candidates[len(w.candidates)-1]
 }
--- a/decision/place.go
+++ b/decision/place.go
@@ -144,7 +144,7 @@
 	s.running++
 	w.crashStarted(a)
 	if s.ejected {
-		w.outliers.Dispatched(s.ID, w.now)
+		w.outliers.RecordDispatch(s.ID, w.now)
 	}
 	w.refresh(s)
 	w.noteCached(r, s)
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -16,7 +16,7 @@
 	p := &pool{busyPos: -1}
 	if w.cfg.Policy.FirstCome {
 		p.shared = &flow{}
-		p.queue.Init(&p.shared.Flow, w.fairness.NewAccount(1))
+		p.queue.AddFlow(&p.shared.Flow, w.fairness.NewAccount(1))
 	}
 	return p
 }
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -110,7 +110,7 @@
 	}
 	if p.flows[t.index] == nil {
 		f := &flow{}
-		p.queue.Init(&f.Flow, t.account)
+		p.queue.AddFlow(&f.Flow, t.account)
 		p.flows[t.index] = f
 	}
 	return p.flows[t.index]
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -34,7 +34,7 @@
 const shareEvery = 20 * time.Millisecond
 
 func (w *World) shareVerdicts() {
-	for _, word := range w.verdicts.Share(w.now) {
+	for _, word := range w.verdicts.VerdictsToShare(w.now) {
 		w.emit(ShareVerdict{Verdict: VersionVerdict{Version: word.Version, Bad: word.Bad, Until: word.Until}})
 	}
 }
@@ -48,19 +48,19 @@
 func newOutliers(cfg Config) *verdict.Outliers[ServerID, string] {
 	c := verdict.DefaultOutlierConfig()
 	c.SlowFactor = cfg.SlowFactor
-	c.MaxShare = cfg.MaxEjected
+	c.MaxEjectedShare = cfg.MaxEjected
 	return verdict.NewOutliers[ServerID, string](c)
 }
 
 // applyVerdicts tells the watcher of the manifest's versions.
 func (w *World) applyVerdicts() {
-	var rows []verdict.Row[VersionID]
+	var rows []verdict.VersionInfo[VersionID]
 	for _, v := range w.versions {
 		if !v.gone {
-			rows = append(rows, verdict.Row[VersionID]{ID: v.ID, Predecessor: v.Predecessor, Quality: v.Quality})
+			rows = append(rows, verdict.VersionInfo[VersionID]{ID: v.ID, Predecessor: v.Predecessor, Quality: v.Quality})
 		}
 	}
-	slices.SortFunc(rows, func(a, b verdict.Row[VersionID]) int {
+	slices.SortFunc(rows, func(a, b verdict.VersionInfo[VersionID]) int {
 		return strings.Compare(string(a.ID), string(b.ID))
 	})
 	w.verdicts.Apply(rows)
@@ -77,7 +77,7 @@
 	}
 	w.outliers.Apply(list)
 	for _, s := range w.serverList {
-		if s.ejected && w.outliers.Admit(s.ID, w.now) == verdict.Open {
+		if s.ejected && w.outliers.Admit(s.ID, w.now) == verdict.Allowed {
 			w.eject(s, false) // it changed its group and starts anew
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 func (w *World) ingestVerdict(e VersionVerdict) {
-	w.verdicts.Peer(verdict.Word[VersionID]{Version: e.Version, Bad: e.Bad, Until: e.Until}, w.now)
+	w.verdicts.ApplyPeerVerdict(verdict.SharedVerdict[VersionID]{Version: e.Version, Bad: e.Bad, Until: e.Until}, w.now)
 	w.recheck = true
 }
 
@@ -108,20 +108,20 @@
 	if a.version == "" || e.Result == AttemptNotRun || e.Result == AttemptCancelled {
 		return
 	}
-	end := verdict.End[ServerID]{
-		Server: a.server.ID,
-		Alone:  a.pool.usable <= 1,
-		Failed: e.Result != AttemptCompleted,
-		Broken: e.Result == AttemptUnknown || e.Result == AttemptCrashed,
+	end := verdict.AttemptResult[ServerID]{
+		Server:         a.server.ID,
+		OnlyServer:     a.pool.usable <= 1,
+		Failed:         e.Result != AttemptCompleted,
+		ConnectionLost: e.Result == AttemptUnknown || e.Result == AttemptCrashed,
 	}
-	if w.verdicts.Ended(a.version, end, w.now) {
+	if w.verdicts.ObserveAttempt(a.version, end, w.now) {
 		w.recheck = true
 	}
 }
 
 // rateVersion takes a rating as evidence on its version.
 func (w *World) rateVersion(e AnswerRated) {
-	if w.verdicts.Rated(e.Version, string(e.Class), e.Score, w.now) {
+	if w.verdicts.ObserveRating(e.Version, string(e.Class), e.Score, w.now) {
 		w.recheck = true
 	}
 }
@@ -133,7 +133,7 @@
 		return
 	}
 	failed := e.Result != AttemptCompleted
-	if change, ok := w.outliers.Ended(a.server.ID, failed, w.paceOf(a, e), w.now); ok {
+	if change, ok := w.outliers.ObserveAttempt(a.server.ID, failed, w.paceOf(a, e), w.now); ok {
 		w.ejection(change)
 	}
 	if a.server.ejected {
@@ -153,7 +153,7 @@
 	if a.pool.service == "" {
 		pace = w.tokenPace(a, int(a.pool.pace.answered*(a.cost-a.prompt)))
 	}
-	if change, ok := w.outliers.Ended(a.server.ID, false, pace, w.now); ok {
+	if change, ok := w.outliers.ObserveAttempt(a.server.ID, false, pace, w.now); ok {
 		w.ejection(change)
 	}
 }
@@ -198,7 +198,7 @@
 
 // isBarred says whether the server is ejected and due no trial now.
 func (w *World) isBarred(s *server) bool {
-	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Barred {
+	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Blocked {
 		return false
 	}
 	w.wakeAt(s, w.now.Add(trialCheck))
@@ -211,5 +211,5 @@
 	if w.cfg.Policy.NoShift {
 		return true
 	}
-	return w.verdicts.Admit(v.ID, w.now) != verdict.Barred
+	return w.verdicts.Admit(v.ID, w.now) != verdict.Blocked
 }
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -36,7 +36,7 @@
 	}
 	f := p.flow(r.team)
 	nextSlot := p.pace.meanCost() / all
-	before := nextSlot + p.queue.Ahead(&f.Flow)/w.queuedRate(p, f, all)
+	before := nextSlot + p.queue.CostAhead(&f.Flow)/w.queuedRate(p, f, all)
 	own := f.Cost() / w.ownRate(p, f, all)
 	return seconds(max(before, own))
 }
--- a/decision/world.go
+++ b/decision/world.go
@@ -82,7 +82,7 @@
 		seconds:   newSeconds(),
 		prefixes:  prefix.New[ServerID, BlockHash](prefix.DefaultConfig()),
 	}
-	w.fairness.Credit = cfg.IdleCredit
+	w.fairness.IdleCredit = cfg.IdleCredit
 	return w
 }
 
