--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -37,12 +37,12 @@
 
 const (
 	// memoryPart is the part of the memory at which the collector works harder.
-	memoryPart = 0.6
+	memoryLimitFraction = 0.6
 	// ratioPart is the part of the budget's ratio that is used: requests that are counted
 	// here may be counted in another window there.
-	ratioPart = 0.85
+	retryRatioFraction = 0.85
 	// settingsEvery is how often the settings file is looked at for a change.
-	settingsEvery = 5 * time.Second
+	settingsPollInterval = 5 * time.Second
 )
 
 // Run serves until SIGTERM or an interrupt. metrics is the port of the metrics, or "".
@@ -53,7 +53,7 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(cfg.Cores+0.5)))
 	if cfg.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(cfg.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(cfg.MemoryBytes)))
 	}
 	app := fx.New(options(p, cfg, metrics, out))
 	if err := app.Err(); err != nil {
@@ -75,10 +75,10 @@
 			func() *logging.Async { return logging.NewAsync(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
 			func(c Clock) *Knowledge { return NewKnowledge(c, cfg.Bounds.Revoke) },
-			func(l *logging.Logger, c Clock, k *Knowledge, reg gometrics.Registry) *journal {
-				return &journal{log: l, clock: c, known: k, reg: reg}
+			func(l *logging.Logger, c Clock, k *Knowledge, reg gometrics.Registry) *telemetry {
+				return &telemetry{log: l, clock: c, config: k, registry: reg}
 			},
-			func(c Clock, k *Knowledge) *configTrust { return &configTrust{clock: c, known: k} },
+			func(c Clock, k *Knowledge) *restoreGuard { return &restoreGuard{clock: c, config: k} },
 			newDialer, newStarting, provideSharing, provideDriver, provideObservationStore, provideList, provideRollouts, provideEdge, provideServer,
 		),
 		// The stop runs through these in reverse: the configuration must stay fresh until
@@ -97,64 +97,64 @@
 	const seedShift = 20
 	return NewDriver(c, passthrough.Settings{
 		Seed: hashOf(cfg.Instance) ^ uint64(c.Now().UnixNano()>>seedShift), Zone: cfg.Zone,
-		RetryRatio: ratioPart * cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack,
+		RetryRatio: retryRatioFraction * cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack,
 		RetryWindow: cfg.Bounds.RetryWindow, SessionLife: cfg.Bounds.SessionLife,
 		Domains: cfg.Zones, WarmUpBurst: cfg.Bounds.WarmUpBurst, WarmUpSlack: cfg.Bounds.WarmUpSlack,
 	})
 }
 
-func provideSharing(p Platform, cfg seam.Settings, j *journal, c Clock) *sharing {
+func provideSharing(p Platform, cfg seam.Settings, j *telemetry, c Clock) *sharing {
 	return newSharing(cfg, p.Store, p.Records, j, c)
 }
 
-func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, k *Knowledge, trust *configTrust, j *journal, c Clock) *observationStore {
+func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, k *Knowledge, trust *restoreGuard, j *telemetry, c Clock) *observationStore {
 	b := newObservationStore(cfg.Instance, sh.observations, d, j, c)
-	b.held = func() []keyedlog.Record { return sh.take(topicObservations) }
-	b.fleet = sh.members.Count
-	sh.wake = b.nudge
-	sh.counted = func(n int) { d.Tell(passthrough.Fleet{Instances: n}) }
-	sh.neighbours = func(names []string) { d.Tell(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
+	b.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
+	b.fleetSize = sh.members.Count
+	sh.onHeld = b.wakeUp
+	sh.onFleetCount = func(n int) { d.Tell(passthrough.Fleet{Instances: n}) }
+	sh.onPeers = func(names []string) { d.Tell(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
-		out.LostConfig = trust.lost()
+		out.LostConfig = trust.lostVersion()
 		return out
 	}
 	take := func(others relay.Report) {
-		d.takeReport(others)
+		d.applyPeerReport(others)
 		k.NoteLostVersion(others.LostConfig)
 	}
 	sh.server.Loads = relay.NewLoads(sh.client, own, take)
-	sh.server.Loads.Unreadable = j.unreadableLoads
-	d.observe, d.crash, d.cooled, d.limited = b.observed, b.crashed, j.cooled, j.limitChanged
+	sh.server.Loads.Unreadable = j.logUnreadableLoads
+	d.onObserved, d.onCrash, d.cooled, d.onLimitChanged = b.recordAnswer, b.recordCrash, j.cooled, j.limitChanged
 	return b
 }
 
-func provideList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, j *journal, c Clock, st *starting) *list {
+func provideList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, j *telemetry, c Clock, st *startGate) *serverList {
 	l := newList(p.Records, d, dial, j, c, cfg.Bounds.Drain, st)
-	d.hurry = l.hurry
-	l.follows = func() bool { return !sh.servers.Direct() }
-	l.alone = func() bool { return sh.servers.Direct() && !sh.server.Collects() }
+	d.requestServerRead = l.requestRead
+	l.readsFromPeer = func() bool { return !sh.servers.Direct() }
+	l.readsAlone = func() bool { return sh.servers.Direct() && !sh.server.Collects() }
 	return l
 }
 
-func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *list, b *observationStore, j *journal, c Clock) *rollouts {
+func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, b *observationStore, j *telemetry, c Clock) *rollouts {
 	m := newRollouts(p.Records, p.Store.Status(), d, l, b, j, c, passthrough.Exposure{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
-	m.writes = sh.status.Direct
+	m.writesRegister = sh.status.Direct
 	return m
 }
 
-func provideEdge(p Platform, cfg seam.Settings, k *Knowledge, d *Driver, dial *dialer, c Clock, j *journal, st *starting) *Edge {
-	return &Edge{headers: p.Headers, known: k, driver: d, dialer: dial, clock: c, journal: j, starting: st, stopping: &stopping{}, conns: newCallerConns(cfg.Files)}
+func provideEdge(p Platform, cfg seam.Settings, k *Knowledge, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Edge {
+	return &Edge{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, journal: j, starting: st, stopping: &shutdown{}, conns: newCallerConns(cfg.Files)}
 }
 
-func provideServer(cfg seam.Settings, e *Edge, k *Knowledge, d *Driver, j *journal, reg gometrics.Registry, out *logging.Async) *server {
-	s := &server{settings: cfg, edge: e, known: k, driver: d, journal: j, reg: reg, log: out, failed: func(error) {}}
+func provideServer(cfg seam.Settings, e *Edge, k *Knowledge, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
+	s := &server{settings: cfg, edge: e, config: k, driver: d, journal: j, registry: reg, log: out, onServeError: func(error) {}}
 	return s
 }
 
 // startServer opens the listeners, and stops when asked to.
 func startServer(lc fx.Lifecycle, s *server, sd fx.Shutdowner, readyPath, metrics string) {
-	s.failed = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // it fails only where the stop has begun
+	s.onServeError = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // it fails only where the stop has begun
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			s.journal.emit(logging.EventStart, slog.String("zone", s.settings.Zone))
@@ -170,21 +170,21 @@
 }
 
 // startReaders follows the store's topics, and carries roll-outs out.
-func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, k *Knowledge, d *Driver, l *list, m *rollouts, b *observationStore, trust *configTrust, j *journal, c Clock, st *starting) {
+func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, k *Knowledge, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
 	op := &operator{
-		records: p.Records, known: k, driver: d, rollouts: m, journal: j, starting: st,
-		clock: c, trust: trust,
-		drained: map[string]bool{}, ordered: map[string]bool{}, kept: map[string]bool{}, domains: cfg.Zones,
-		collects: sh.server.Collects, direct: sh.operator.Direct,
+		records: p.Records, config: k, driver: d, rollouts: m, journal: j, starting: st,
+		clock: c, restoreGuard: trust,
+		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Zones,
+		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			runs := []func(context.Context){
 				op.reader(sh.operator, c).run, l.reader(sh.servers, c).run,
-				b.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.collect, b.run, m.run, sh.server.Loads.Run,
+				b.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, b.run, m.run, sh.server.Loads.Run,
 			}
-			go startTogether(ctx, sh, cfg.FirstStart, runs)
+			go joinAndRun(ctx, sh, cfg.FirstStart, runs)
 			return sh.listen(ctx)
 		},
 		OnStop: func(context.Context) error {
@@ -197,7 +197,7 @@
 
 // startTogether joins the others and starts the readers: an instance that knows its collector
 // saves its own reads.
-func startTogether(ctx context.Context, sh *sharing, first bool, runs []func(context.Context)) {
+func joinAndRun(ctx context.Context, sh *sharing, first bool, runs []func(context.Context)) {
 	sh.join(ctx, first)
 	for _, run := range runs {
 		go run(ctx)
@@ -206,7 +206,7 @@
 
 // watchSettings reads the settings file again on SIGHUP and when it has changed. Only the
 // bounds are taken over; addresses hold until the next start.
-func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, k *Knowledge, j *journal) {
+func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, k *Knowledge, j *telemetry) {
 	hup := make(chan os.Signal, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	reload := func() {
@@ -226,7 +226,7 @@
 		OnStart: func(context.Context) error {
 			signal.Notify(hup, syscall.SIGHUP)
 			go func() {
-				tick := time.NewTicker(settingsEvery)
+				tick := time.NewTicker(settingsPollInterval)
 				defer tick.Stop()
 				for {
 					select {
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -19,17 +19,17 @@
 // attempt is one try at one backend server, on a connection of its own: on a kept one
 // that dies nobody can tell whether the request ran.
 type attempt struct {
-	exchange *exchange
-	server   passthrough.Server
-	header   http.Header
-	began    time.Time
-	patience time.Duration
+	exchange  *exchange
+	server    passthrough.Server
+	header    http.Header
+	startedAt time.Time
+	patience  time.Duration
 
 	conn *conn
 	// silent says that the watch has given the attempt up.
-	silent atomic.Bool
+	timedOut atomic.Bool
 	// first is the time to the answer's head.
-	first time.Duration
+	firstByte time.Duration
 }
 
 // answer is a backend server's whole answer.
@@ -45,14 +45,14 @@
 	answer *answer
 	// load and limit are what the answer's head stated; stream says that the decision knows
 	// them since then.
-	load        *passthrough.Load
-	limit       *passthrough.RateLimit
-	stream      bool
-	misdirected bool
-	leaving     bool
-	cut         bool
-	pace        time.Duration
-	first       time.Duration
+	load         *passthrough.Load
+	limit        *passthrough.RateLimit
+	loadReported bool
+	misdirected  bool
+	leaving      bool
+	cut          bool
+	pace         time.Duration
+	firstByte    time.Duration
 	// confidence is the engine's own, -1 where not told, bar that under which the answer was
 	// dropped.
 	confidence float64
@@ -61,12 +61,12 @@
 }
 
 var (
-	errWrongAttempt = errors.New("the answer belongs to another request")
-	errUnsigned     = errors.New("a success without signature")
-	errPromise      = errors.New("a status that promises 'not run' without the server's word on it")
-	errSilent       = errors.New("the backend server is silent")
-	errDisorder     = errors.New("an event is missing or comes twice")
-	errMidEvent     = errors.New("the stream ends within an event")
+	errWrongAttempt     = errors.New("the answer belongs to another request")
+	errUnsigned         = errors.New("a success without signature")
+	errMisleadingStatus = errors.New("a status that promises 'not run' without the server's word on it")
+	errSilent           = errors.New("the backend server is silent")
+	errEventOrder       = errors.New("an event is missing or comes twice")
+	errTruncatedEvent   = errors.New("the stream ends within an event")
 )
 
 // run sends the request and reads the answer.
@@ -79,16 +79,16 @@
 	defer func() { _ = c.Close() }() // the connection serves one attempt, whatever comes of it
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	watch := a.watch()
+	watch := a.watchSilence()
 	defer watch.stop()
 	req := a.request()
 	go a.send(req)
 	resp, err := readHead(c, req)
 	if err != nil {
-		return a.broken(err)
+		return a.brokenOutcome(err)
 	}
-	a.first = a.exchange.edge.clock.Now().Sub(a.began)
-	return a.judge(resp)
+	a.firstByte = a.exchange.edge.clock.Now().Sub(a.startedAt)
+	return a.readOutcome(resp)
 }
 
 // request makes the request as the backend server gets it: the caller's bytes.
@@ -136,28 +136,28 @@
 }
 
 // broken is an attempt that may have run, without a whole answer.
-func (a *attempt) broken(err error) outcome {
-	if a.silent.Load() {
-		return outcome{result: passthrough.Broken, err: errSilent, first: a.first}
+func (a *attempt) brokenOutcome(err error) outcome {
+	if a.timedOut.Load() {
+		return outcome{result: passthrough.Broken, err: errSilent, firstByte: a.firstByte}
 	}
 	if gone := a.exchange.ctx.Err(); gone != nil {
-		return outcome{result: passthrough.Broken, err: gone, first: a.first} // its end closed the connection
+		return outcome{result: passthrough.Broken, err: gone, firstByte: a.firstByte} // its end closed the connection
 	}
-	return outcome{result: passthrough.Broken, err: err, cut: true, first: a.first}
+	return outcome{result: passthrough.Broken, err: err, cut: true, firstByte: a.firstByte}
 }
 
 // judge takes the answer for what it is.
-func (a *attempt) judge(resp *http.Response) outcome {
+func (a *attempt) readOutcome(resp *http.Response) outcome {
 	said := a.exchange.edge.headers.ReadAnswer(resp.StatusCode, resp.Header)
 	out := a.classify(resp, said)
-	out.first = a.first
+	out.firstByte = a.firstByte
 	out.confidence = said.Confidence
 	out.leaving = out.leaving || said.Leaving && out.result == passthrough.Rejected
 	out.misdirected = said.Misdirected
 	if said.HasLoad {
 		out.load = &said.Load
 	}
-	if said.Attempt == a.exchange.call.caller.Attempt && tellsLimit(resp.StatusCode, said) {
+	if said.Attempt == a.exchange.call.caller.Attempt && reportsLimit(resp.StatusCode, said) {
 		out.limit = &said.Limit
 	}
 	return out
@@ -165,7 +165,7 @@
 
 // tellsLimit says whether an answer tells of the server's rate limit, or that it has none. That it
 // has none only a success tells: what writes a refusal or a failure may not know.
-func tellsLimit(status int, said seam.Answer) bool {
+func reportsLimit(status int, said seam.Answer) bool {
 	if said.Misdirected {
 		return false
 	}
@@ -179,22 +179,22 @@
 	if said.NotRun {
 		return outcome{result: passthrough.Rejected}
 	}
-	if promises(resp.StatusCode) {
-		return outcome{result: passthrough.Broken, err: errPromise}
+	if impliesNotRun(resp.StatusCode) {
+		return outcome{result: passthrough.Broken, err: errMisleadingStatus}
 	}
 	if resp.StatusCode < http.StatusMultipleChoices && (!said.Signed || said.Encoded) {
 		return outcome{result: passthrough.Broken, err: errUnsigned}
 	}
 	if resp.StatusCode == http.StatusOK && isStream(resp.Header) {
-		out := a.relay(resp, said)
-		out.stream = true
+		out := a.relayStream(resp, said)
+		out.loadReported = true
 		return out
 	}
-	return a.whole(resp)
+	return a.readWhole(resp)
 }
 
 // promises says whether callers take the status for a promise that nothing has run.
-func promises(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -210,18 +210,18 @@
 }
 
 // wholeLimit bounds a plain answer.
-const wholeLimit = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // whole reads a plain answer to its end before any of it goes out.
-func (a *attempt) whole(resp *http.Response) outcome {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, wholeLimit))
+func (a *attempt) readWhole(resp *http.Response) outcome {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return a.broken(err)
+		return a.brokenOutcome(err)
 	}
 	out := outcome{
 		result: passthrough.Completed,
 		answer: &answer{resp.StatusCode, resp.Header, body},
-		pace:   a.exchange.edge.clock.Now().Sub(a.began),
+		pace:   a.exchange.edge.clock.Now().Sub(a.startedAt),
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		out.result = passthrough.Failed
--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -16,7 +16,7 @@
 	log.put("config", "config 5")
 	log.put("config", "config 9")
 	read(t, tl)
-	clock.pass(time.Second)
+	clock.advance(time.Second)
 	if lost {
 		log.restore(1)
 	} else {
@@ -28,7 +28,7 @@
 
 func read(t *testing.T, tl *topicReader) {
 	t.Helper()
-	if err := tl.once(t.Context()); err != nil {
+	if err := tl.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -37,20 +37,20 @@
 // the store leaves the rotation, then refuses keys, and is back once the operator wrote again.
 func TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks(t *testing.T) {
 	p, tl, log, clock := restoredConfig(t, true)
-	if v := p.known.Index().Version; v != 9 {
+	if v := p.config.Index().Version; v != 9 {
 		t.Fatalf("version %d is in force", v)
 	}
 	for range 4 {
-		clock.pass(time.Second)
+		clock.advance(time.Second)
 		read(t, tl)
 	}
-	if p.known.Ready() || p.known.Fresh() {
-		t.Errorf("5 s after the last word on it: ready %v, fresh %v", p.known.Ready(), p.known.Fresh())
+	if p.config.Ready() || p.config.Fresh() {
+		t.Errorf("5 s after the last word on it: ready %v, fresh %v", p.config.Ready(), p.config.Fresh())
 	}
 	log.put("config", "config 9")
 	read(t, tl)
-	if !p.known.Ready() || p.known.Index().Version != 9 {
-		t.Errorf("after it was written again: ready %v, version %d", p.known.Ready(), p.known.Index().Version)
+	if !p.config.Ready() || p.config.Index().Version != 9 {
+		t.Errorf("after it was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
 	}
 }
 
@@ -59,19 +59,19 @@
 // for it.
 func TestReadsOfACopyConfirmAfterAWhile(t *testing.T) {
 	p, tl, _, clock := restoredConfig(t, false)
-	before := p.known.Age()
-	clock.pass(time.Second)
+	before := p.config.Age()
+	clock.advance(time.Second)
 	read(t, tl)
-	if got := p.known.Age(); got != before+time.Second {
+	if got := p.config.Age(); got != before+time.Second {
 		t.Errorf("a read of the copy confirmed it: age %v, was %v", got, before)
 	}
-	clock.pass(part(settlePart, 5*time.Second) - time.Second)
-	if !p.known.Ready() {
-		t.Errorf("not ready at age %v", p.known.Age())
+	clock.advance(fractionOf(settleFraction, 5*time.Second) - time.Second)
+	if !p.config.Ready() {
+		t.Errorf("not ready at age %v", p.config.Age())
 	}
 	read(t, tl)
-	if p.known.Age() != 0 {
-		t.Errorf("age %v though the operator had time to write again", p.known.Age())
+	if p.config.Age() != 0 {
+		t.Errorf("age %v though the operator had time to write again", p.config.Age())
 	}
 }
 
@@ -90,12 +90,12 @@
 		read(t, tl)
 		log.put("config", fmt.Sprint("config ", keep)) // an earlier one comes first
 		read(t, tl)
-		if v := p.known.Index().Version; v != 4 {
+		if v := p.config.Index().Version; v != 4 {
 			t.Errorf("%d kept: version %d is in force", keep, v)
 		}
 		log.put("config", "config 4")
 		read(t, tl)
-		if p.known.Age() != 0 {
+		if p.config.Age() != 0 {
 			t.Errorf("%d kept: not confirmed after it was written again", keep)
 		}
 	}
@@ -108,16 +108,16 @@
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
 	tl := p.operator.reader(log, clock)
 	read(t, tl)
-	if !p.known.Fresh() {
+	if !p.config.Fresh() {
 		t.Fatal("not fresh with what the store has")
 	}
-	p.known.NoteLostVersion(knows.operator.trust.lost())
-	if p.known.Fresh() || p.known.Ready() {
+	p.config.NoteLostVersion(knows.operator.restoreGuard.lostVersion())
+	if p.config.Fresh() || p.config.Ready() {
 		t.Error("fresh by a configuration that others know to be an old one")
 	}
 	log.put("config", "config 9")
 	read(t, tl)
-	if !p.known.Fresh() || p.known.Index().Version != 9 {
+	if !p.config.Fresh() || p.config.Index().Version != 9 {
 		t.Error("not fresh by the one that was written again")
 	}
 }
@@ -128,9 +128,9 @@
 	_, _, log, clock := restoredConfig(t, true)
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
 	read(t, p.operator.reader(log, clock))
-	p.known.NoteLostVersion(9)
-	clock.pass(lostVersionLife + time.Millisecond)
-	if p.known.Fresh() {
+	p.config.NoteLostVersion(9)
+	clock.advance(lostVersionTTL + time.Millisecond)
+	if p.config.Fresh() {
 		t.Error("fresh by a read of the copy")
 	}
 }
--- a/router/internal/passthrough/conns.go
+++ b/router/internal/passthrough/conns.go
@@ -15,21 +15,21 @@
 type callerConns struct {
 	open atomic.Int64
 	// limit is how many may stay open between requests, 0 for any number.
-	limit int64
+	idleLimit int64
 }
 
 const (
 	// connsPart is the part of the descriptors that callers' idle connections may take: as many
 	// again are needed for those of requests in progress, and for the backend servers' of these.
-	connsPart = 0.25
+	idleConnFraction = 0.25
 	// reservedFiles is how many descriptors are for files, the store and other instances.
-	reservedFiles = 200
+	reservedDescriptors = 200
 )
 
 // newCallerConns returns the count of a process that may have so many descriptors, 0 where that
 // is not known.
 func newCallerConns(files int) *callerConns {
-	return &callerConns{limit: int64(connsPart * float64(max(files-reservedFiles, 0)))}
+	return &callerConns{idleLimit: int64(idleConnFraction * float64(max(files-reservedDescriptors, 0)))}
 }
 
 // track is told of each connection's state.
@@ -43,4 +43,4 @@
 }
 
 // crowded says whether a connection is to be closed with its answer.
-func (c *callerConns) crowded() bool { return c.limit > 0 && c.open.Load() > c.limit }
+func (c *callerConns) overLimit() bool { return c.idleLimit > 0 && c.open.Load() > c.idleLimit }
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -28,9 +28,9 @@
 	st := newStarting()
 	st.release()
 	const kept = 10
-	e := &Edge{headers: noHeaders{}, known: known, clock: clock, starting: st, stopping: &stopping{},
-		conns:   newCallerConns(reservedFiles + kept/connsPart),
-		journal: &journal{clock: clock, known: known, reg: metrics.NewRegistry()}}
+	e := &Edge{headers: noHeaders{}, config: known, clock: clock, starting: st, stopping: &shutdown{},
+		conns:   newCallerConns(reservedDescriptors + kept/idleConnFraction),
+		journal: &telemetry{clock: clock, config: known, registry: metrics.NewRegistry()}}
 	srv := httptest.NewUnstartedServer(e)
 	srv.Config.ConnState = e.conns.track
 	srv.Start()
--- a/router/internal/passthrough/crashnotes.go
+++ b/router/internal/passthrough/crashnotes.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	keyCrash = "crash/"
+	crashKeyPrefix = "crash/"
 	// mostCrashes is how many are written at once; more are a fault of another kind.
-	mostCrashes = 256
+	maxPendingCrashes = 256
 )
 
 // crashed counts a crash. It must not block: the driver calls it.
-func (b *observationStore) crashed(c passthrough.CrashSeen) {
+func (b *observationStore) recordCrash(c passthrough.CrashSeen) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.crash) < mostCrashes {
-		b.crash[c.Fingerprint]++
+	if len(b.pendingCrashes) < maxPendingCrashes {
+		b.pendingCrashes[c.Fingerprint]++
 	}
-	b.nudge()
+	b.wakeUp()
 }
 
 // crashNotes makes the notes on the crashes that were not told yet; the lock is held.
-func (b *observationStore) crashNotes(now time.Time) []keyedlog.Record {
+func (b *observationStore) crashRecords(now time.Time) []keyedlog.Record {
 	var out []keyedlog.Record
-	for fingerprint, times := range b.crash {
-		s := &observationSet{Instance: b.instance, Crash: fingerprint, Times: times}
-		key := keyCrash + strconv.FormatUint(fingerprint, 16) + "/" + b.instance
+	for fingerprint, times := range b.pendingCrashes {
+		s := &observationSet{Instance: b.instance, CrashFingerprint: fingerprint, CrashCount: times}
+		key := crashKeyPrefix + strconv.FormatUint(fingerprint, 16) + "/" + b.instance
 		out = append(out, b.encode(key, s))
-		b.drops[key] = now.Add(noteLife)
+		b.deleteAt[key] = now.Add(recordLifetime)
 	}
-	clear(b.crash)
+	clear(b.pendingCrashes)
 	return out
 }
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/cuts_test.go
@@ -12,24 +12,24 @@
 func startedRollout(t *testing.T, name string, clock *fakeClock) *parts {
 	t.Helper()
 	p := newParts(name, clock, &fakeLog{}, &fakeLog{})
-	p.rollouts.known = true
-	p.rollouts.ordered(passthrough.Order{Service: "shop", Target: "v2", Duration: time.Minute}, 1)
-	p.look()
+	p.rollouts.statusRead = true
+	p.rollouts.applyOrder(passthrough.Order{Service: "shop", Target: "v2", Duration: time.Minute}, 1)
+	p.view()
 	return p
 }
 
 // look takes stock of the roll-out, and returns what all instances saw.
-func (p *parts) look() view { return p.observations.view(p.rollouts.open["shop"], p.clock.Now()) }
+func (p *parts) view() view { return p.observations.view(p.rollouts.open["shop"], p.clock.Now()) }
 
-func (p *parts) sees(version string, o passthrough.Observed) {
+func (p *parts) observe(version string, o passthrough.Observed) {
 	o.Service, o.Route, o.Version = "shop", "r", version
-	p.observations.observed(o)
+	p.observations.recordAnswer(o)
 }
 
 // tellsTo hands what an instance saw to another one.
-func (p *parts) tellsTo(other *parts) {
-	for _, r := range p.observations.due() {
-		other.observations.take(r)
+func (p *parts) sendTo(other *parts) {
+	for _, r := range p.observations.pendingRecords() {
+		other.observations.apply(r)
 	}
 }
 
@@ -40,18 +40,18 @@
 	a, b := startedRollout(t, "a", clock), startedRollout(t, "b", clock)
 	for _, p := range []*parts{a, b} {
 		for range 36 {
-			p.sees("v2", passthrough.Observed{})
-			p.sees("v1", passthrough.Observed{})
+			p.observe("v2", passthrough.Observed{})
+			p.observe("v1", passthrough.Observed{})
 		}
 		for server := range 3 {
 			for range 4 {
-				p.sees("v2", passthrough.Observed{Bad: true, Cut: true, Server: fmt.Sprint("s", server)})
+				p.observe("v2", passthrough.Observed{Bad: true, Cut: true, Server: fmt.Sprint("s", server)})
 			}
 		}
 	}
-	b.tellsTo(a)
-	if v := a.look(); v.fresh.Bad != 3 || v.fresh.Good != 72 || v.bad {
-		t.Errorf("%d bad and %d good answers, bad %v", v.fresh.Bad, v.fresh.Good, v.bad)
+	b.sendTo(a)
+	if v := a.view(); v.newCounts.Bad != 3 || v.newCounts.Good != 72 || v.bad {
+		t.Errorf("%d bad and %d good answers, bad %v", v.newCounts.Bad, v.newCounts.Good, v.bad)
 	}
 }
 
@@ -61,11 +61,11 @@
 	clock := newFakeClock()
 	a := startedRollout(t, "a", clock)
 	for i := range 30 {
-		clock.pass(time.Second)
-		a.sees("v1", passthrough.Observed{})
-		a.sees("v2", passthrough.Observed{})
-		a.sees("v2", passthrough.Observed{Bad: true, Cut: true, Server: fmt.Sprint("s", i%3)})
-		if a.look().bad {
+		clock.advance(time.Second)
+		a.observe("v1", passthrough.Observed{})
+		a.observe("v2", passthrough.Observed{})
+		a.observe("v2", passthrough.Observed{Bad: true, Cut: true, Server: fmt.Sprint("s", i%3)})
+		if a.view().bad {
 			return
 		}
 	}
@@ -76,11 +76,11 @@
 func TestFailuresCountEach(t *testing.T) {
 	a := startedRollout(t, "a", newFakeClock())
 	for range 7 {
-		a.sees("v2", passthrough.Observed{Bad: true, Server: "s"})
-		a.sees("v2", passthrough.Observed{})
-		a.sees("v1", passthrough.Observed{})
+		a.observe("v2", passthrough.Observed{Bad: true, Server: "s"})
+		a.observe("v2", passthrough.Observed{})
+		a.observe("v1", passthrough.Observed{})
 	}
-	if v := a.look(); v.fresh.Bad != 7 || !v.bad {
-		t.Errorf("%d bad answers, bad %v", v.fresh.Bad, v.bad)
+	if v := a.view(); v.newCounts.Bad != 7 || !v.bad {
+		t.Errorf("%d bad answers, bad %v", v.newCounts.Bad, v.bad)
 	}
 }
--- a/router/internal/passthrough/dialer.go
+++ b/router/internal/passthrough/dialer.go
@@ -18,33 +18,33 @@
 	clock Clock
 	net   net.Dialer
 
-	mu     sync.Mutex
-	pulses map[string]*atomic.Int64
+	mu           sync.Mutex
+	lastReceived map[string]*atomic.Int64
 }
 
 func newDialer(clock Clock) *dialer {
-	return &dialer{clock: clock, net: net.Dialer{Timeout: connectTimeout, KeepAlive: -1}, pulses: map[string]*atomic.Int64{}}
+	return &dialer{clock: clock, net: net.Dialer{Timeout: connectTimeout, KeepAlive: -1}, lastReceived: map[string]*atomic.Int64{}}
 }
 
 // pulse is when the server was last heard of, in Unix nanoseconds of the clock.
-func (d *dialer) pulse(server string) *atomic.Int64 {
+func (d *dialer) lastReceivedFrom(server string) *atomic.Int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := d.pulses[server]
+	p := d.lastReceived[server]
 	if p == nil {
 		p = new(atomic.Int64)
-		d.pulses[server] = p
+		d.lastReceived[server] = p
 	}
 	return p
 }
 
 // forget drops the servers that the list has dropped.
-func (d *dialer) forget(keep func(server string) bool) {
+func (d *dialer) retain(keep func(server string) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for id := range d.pulses {
+	for id := range d.lastReceived {
 		if !keep(id) {
-			delete(d.pulses, id)
+			delete(d.lastReceived, id)
 		}
 	}
 }
@@ -55,16 +55,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, clock: d.clock, server: d.pulse(server)}, nil
+	return &conn{Conn: c, clock: d.clock, serverLastReceived: d.lastReceivedFrom(server)}, nil
 }
 
 // conn notes when bytes come in.
 type conn struct {
 	net.Conn
-	clock  Clock
-	server *atomic.Int64
+	clock              Clock
+	serverLastReceived *atomic.Int64
 	// heard is the time of the last byte, 0 before the first.
-	heard atomic.Int64
+	lastReceived atomic.Int64
 }
 
 // Read implements net.Conn.
@@ -72,8 +72,8 @@
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		at := c.clock.Now().UnixNano()
-		c.heard.Store(at)
-		c.server.Store(at)
+		c.lastReceived.Store(at)
+		c.serverLastReceived.Store(at)
 	}
 	return n, err
 }
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -13,13 +13,13 @@
 
 // drain takes in that a failure domain is to get no new work, or is taken back. The order is in
 // force here when this returns, for what waits in the queue as well.
-func (o *operator) drain(domain string, drained bool, offset uint64) {
+func (o *operator) setDrained(domain string, drained bool, offset uint64) {
 	if o.drained[domain] == drained {
 		return
 	}
 	event := logging.EventDomainBack
 	delete(o.drained, domain)
-	delete(o.kept, domain)
+	delete(o.keptLogged, domain)
 	if drained {
 		event = logging.EventDomainDrained
 		o.drained[domain] = true
@@ -32,37 +32,37 @@
 
 // drainKept is how long a failure domain stays drained whose order a restored store lacks: the
 // operator writes it again, unless the domain was taken back meanwhile.
-const drainKept = 5 * time.Second
+const keepDrainedFor = 5 * time.Second
 
 // takeDrained applies the newest orders to drain: a failure domain that is not among them was
 // taken back meanwhile, or its order is lost with a restored store.
 //
 // Load: an order to drain that was acknowledged and is not in the copy. Harm prevented: all
 // instances sending to a failure domain that is about to lose power.
-func (o *operator) takeDrained(list []keyedlog.Record) {
-	clear(o.ordered)
+func (o *operator) replaceDrainOrders(list []keyedlog.Record) {
+	clear(o.drainOrders)
 	for _, r := range list {
 		if domain, ok := o.records.DrainedDomain(r); ok && len(r.Value) > 0 {
-			o.ordered[domain] = true
+			o.drainOrders[domain] = true
 		}
 	}
-	o.settleDrained()
+	o.reconcileDrained()
 }
 
 // settleDrained takes back the failure domains that the store has no order for, unless they are
 // kept.
-func (o *operator) settleDrained() {
+func (o *operator) reconcileDrained() {
 	for _, domain := range slices.Sorted(maps.Keys(o.drained)) {
 		switch {
-		case o.ordered[domain]:
+		case o.drainOrders[domain]:
 		case o.clock.Now().Before(o.keepUntil):
-			if !o.kept[domain] {
-				o.kept[domain] = true
-				o.journal.stateKept("drained", domain, "the store has no order for it")
+			if !o.keptLogged[domain] {
+				o.keptLogged[domain] = true
+				o.journal.logStateKept("drained", domain, "the store has no order for it")
 			}
 		default:
 			const unknownOffset = 0 // the record that took it back is not kept
-			o.drain(domain, false, unknownOffset)
+			o.setDrained(domain, false, unknownOffset)
 		}
 	}
 }
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -16,21 +16,21 @@
 		play func(o *operator)
 		want []string
 	}{
-		{"an order", func(o *operator) { o.take(drainOrder("a", "{}", 1)) }, []string{"a"}},
-		{"bytes that cannot be read", func(o *operator) { o.take(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
-		{"a domain that nobody knows", func(o *operator) { o.take(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
+		{"an order", func(o *operator) { o.applyNew(drainOrder("a", "{}", 1)) }, []string{"a"}},
+		{"bytes that cannot be read", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
+		{"a domain that nobody knows", func(o *operator) { o.applyNew(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
 		{"two domains", func(o *operator) {
-			o.take(drainOrder("a", "{}", 1))
-			o.take(drainOrder("b", "{}", 2))
+			o.applyNew(drainOrder("a", "{}", 1))
+			o.applyNew(drainOrder("b", "{}", 2))
 		}, []string{"a", "b"}},
 		{"taken back", func(o *operator) {
-			o.take(drainOrder("a", "{}", 1))
-			o.take(drainOrder("a", "", 2))
+			o.applyNew(drainOrder("a", "{}", 1))
+			o.applyNew(drainOrder("a", "", 2))
 		}, nil},
 		{"taken back while the history was dropped", func(o *operator) {
-			o.take(drainOrder("a", "{}", 1))
-			o.take(drainOrder("b", "{}", 2))
-			o.takeAll([]keyedlog.Record{drainOrder("b", "{}", 2)})
+			o.applyNew(drainOrder("a", "{}", 1))
+			o.applyNew(drainOrder("b", "{}", 2))
+			o.applySnapshot([]keyedlog.Record{drainOrder("b", "{}", 2)})
 		}, []string{"b"}},
 	}
 	for _, c := range cases {
@@ -53,9 +53,9 @@
 	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	var drainedThen bool
 	p.operator.records = spyRecords{seen: func() { drainedThen = p.operator.drained["a"] }}
-	p.operator.takeAll([]keyedlog.Record{{Key: "config", Value: []byte("config 3")}, drainOrder("a", "{}", 1)})
-	if p.known.Index() == nil || !drainedThen {
-		t.Errorf("configuration known: %v; drained before it: %v", p.known.Index() != nil, drainedThen)
+	p.operator.applySnapshot([]keyedlog.Record{{Key: "config", Value: []byte("config 3")}, drainOrder("a", "{}", 1)})
+	if p.config.Index() == nil || !drainedThen {
+		t.Errorf("configuration known: %v; drained before it: %v", p.config.Index() != nil, drainedThen)
 	}
 }
 
@@ -92,10 +92,10 @@
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.pass(drainKept / 2)
+	clock.advance(keepDrainedFor / 2)
 	log.put("drain/a", "{}")
 	drained("a")
-	clock.pass(drainKept)
+	clock.advance(keepDrainedFor)
 	drained("a")
 	log.put("drain/a", "")
 	drained()
@@ -107,6 +107,6 @@
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.pass(drainKept) // it was taken back while the store was away
+	clock.advance(keepDrainedFor) // it was taken back while the store was away
 	drained()
 }
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -11,12 +11,12 @@
 type Driver struct {
 	clock Clock
 	// hurry asks for the list of backend servers to be read at once.
-	hurry func()
+	requestServerRead func()
 	// observe and crash tell the other instances, cooled and limited the log.
-	observe func(passthrough.Observed)
-	crash   func(passthrough.CrashSeen)
-	cooled  func(passthrough.Cooled)
-	limited func(passthrough.LimitChanged)
+	onObserved     func(passthrough.Observed)
+	onCrash        func(passthrough.CrashSeen)
+	cooled         func(passthrough.Cooled)
+	onLimitChanged func(passthrough.LimitChanged)
 
 	mu      sync.Mutex
 	world   *passthrough.World
@@ -32,14 +32,14 @@
 
 // ticketRoom is more commands than a request can be given before it takes one: each
 // waits for the event that it answers.
-const ticketRoom = 4
+const ticketBuffer = 4
 
 // NewDriver returns a driver of a new world.
 func NewDriver(clock Clock, cfg passthrough.Settings) *Driver {
 	return &Driver{
 		clock: clock, world: passthrough.New(cfg), tickets: map[passthrough.RequestID]*ticket{},
-		hurry: func() {}, observe: func(passthrough.Observed) {}, crash: func(passthrough.CrashSeen) {},
-		cooled: func(passthrough.Cooled) {}, limited: func(passthrough.LimitChanged) {},
+		requestServerRead: func() {}, onObserved: func(passthrough.Observed) {}, onCrash: func(passthrough.CrashSeen) {},
+		cooled: func(passthrough.Cooled) {}, onLimitChanged: func(passthrough.LimitChanged) {},
 	}
 }
 
@@ -48,7 +48,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastID++
-	t := &ticket{id: d.lastID, commands: make(chan passthrough.Command, ticketRoom)}
+	t := &ticket{id: d.lastID, commands: make(chan passthrough.Command, ticketBuffer)}
 	d.tickets[t.id] = t
 	r.ID = t.id
 	d.tick(passthrough.Arrived{Request: r})
@@ -86,7 +86,7 @@
 }
 
 // takeReport takes in what the others tell.
-func (d *Driver) takeReport(others relay.Report) {
+func (d *Driver) applyPeerReport(others relay.Report) {
 	d.Tell(passthrough.PeerLoads{Loads: others.Loads, Instances: others.Instances}, passthrough.PeerLimits{Limits: others.Limits})
 }
 
@@ -115,26 +115,26 @@
 	for _, c := range d.world.Tick(d.clock.Now(), events...) {
 		switch c := c.(type) {
 		case passthrough.Dispatch:
-			d.give(c.Request, c)
+			d.send(c.Request, c)
 		case passthrough.Refuse:
-			d.give(c.Request, c)
+			d.send(c.Request, c)
 		case passthrough.Finish:
-			d.give(c.Request, c)
+			d.send(c.Request, c)
 		case passthrough.Observed:
-			d.observe(c)
+			d.onObserved(c)
 		case passthrough.CrashSeen:
-			d.crash(c)
+			d.onCrash(c)
 		case passthrough.Suspect:
-			d.hurry()
+			d.requestServerRead()
 		case passthrough.Cooled:
 			d.cooled(c)
 		case passthrough.LimitChanged:
-			d.limited(c)
+			d.onLimitChanged(c)
 		}
 	}
 }
 
-func (d *Driver) give(id passthrough.RequestID, c passthrough.Command) {
+func (d *Driver) send(id passthrough.RequestID, c passthrough.Command) {
 	if t := d.tickets[id]; t != nil {
 		t.commands <- c
 	}
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -16,15 +16,15 @@
 // Edge is the callers' side.
 type Edge struct {
 	headers Headers
-	known   *Knowledge
+	config  *Knowledge
 	driver  *Driver
 	dialer  *dialer
 	clock   Clock
-	journal *journal
+	journal *telemetry
 	// starting holds requests back until the process knows what it needs.
-	starting *starting
+	starting *startGate
 	// stopping says how far the end of the process is.
-	stopping *stopping
+	stopping *shutdown
 	// conns counts callers' connections.
 	conns *callerConns
 }
@@ -52,12 +52,12 @@
 	status int
 	reason passthrough.Reason
 	// after tells when to come back; 0 for no word on it.
-	after time.Duration
+	retryAfter time.Duration
 }
 
 // The reasons that the edge gives.
 const (
-	reasonUnknown     passthrough.Reason = "no_configuration"
+	reasonNoConfig    passthrough.Reason = "no_configuration"
 	reasonNoRoute     passthrough.Reason = "no_such_route"
 	reasonKey         passthrough.Reason = "unknown_key"
 	reasonTooLarge    passthrough.Reason = "body_too_large"
@@ -67,7 +67,7 @@
 )
 
 // retrySoon is told where another instance can take the request now.
-const retrySoon = 200 * time.Millisecond
+const retryElsewhereAfter = 200 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (e *Edge) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -77,7 +77,7 @@
 		c.uri = req.URL.RequestURI()
 	}
 	c.path, _, _ = strings.Cut(c.uri, "?")
-	if e.conns.crowded() {
+	if e.conns.overLimit() {
 		w.Header().Set("Connection", "close")
 	}
 	e.starting.wait(req.Context())
@@ -94,52 +94,52 @@
 
 // admit finds the route and the team, by the configuration in force.
 func (e *Edge) admit(c *call) *refusal {
-	route, no := e.look(c)
+	route, no := e.resolve(c)
 	c.route = route
 	if no != nil {
 		return no
 	}
 	if e.stopping.refuses(route.Kind) {
-		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonStopping, retrySoon}
+		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonStopping, retryElsewhereAfter}
 	}
 	wait := route.Timeout
 	if c.caller.Wait > 0 {
 		wait = min(wait, c.caller.Wait)
 	}
-	c.deadline = e.stopping.bound(c.arrived.Add(wait))
+	c.deadline = e.stopping.capDeadline(c.arrived.Add(wait))
 	return nil
 }
 
 // look finds the route and the team by the configuration as it is now, and says why the
 // request must not run, if so. It is asked at arrival and before each dispatch. While the
 // configuration is too old, nothing is refused for good by it.
-func (e *Edge) look(c *call) (*passthrough.Route, *refusal) {
-	index := e.known.Index()
+func (e *Edge) resolve(c *call) (*passthrough.Route, *refusal) {
+	index := e.config.Index()
 	if index == nil {
-		return nil, &refusal{http.StatusServiceUnavailable, reasonUnknown, retrySoon}
+		return nil, &refusal{http.StatusServiceUnavailable, reasonNoConfig, retryElsewhereAfter}
 	}
 	c.maxBody = index.Limits.MaxBodyBytes
 	route := index.Route(c.request.Host, c.path)
 	if route == nil {
-		return nil, e.denied(http.StatusNotFound, reasonNoRoute)
+		return nil, e.deny(http.StatusNotFound, reasonNoRoute)
 	}
 	c.team = index.Team(c.caller.Key)
 	if !index.NeedsKey(route) {
 		return route, nil
 	}
-	if !e.known.Fresh() {
-		return route, &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retrySoon}
+	if !e.config.Fresh() {
+		return route, &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
 	}
 	if c.team == nil {
-		return route, e.denied(http.StatusUnauthorized, reasonKey)
+		return route, e.deny(http.StatusUnauthorized, reasonKey)
 	}
 	return route, nil
 }
 
 // denied refuses for good, unless the configuration may be an old one.
-func (e *Edge) denied(status int, reason passthrough.Reason) *refusal {
-	if !e.known.Fresh() {
-		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retrySoon}
+func (e *Edge) deny(status int, reason passthrough.Reason) *refusal {
+	if !e.config.Fresh() {
+		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
 	}
 	return &refusal{status: status, reason: reason}
 }
@@ -166,8 +166,8 @@
 func (e *Edge) refuse(w http.ResponseWriter, c *call, no refusal) {
 	e.journal.refused(c, no)
 	h := w.Header()
-	if no.after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(no.after.Seconds(), 'f', 3, 64))
+	if no.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(no.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	if no.reason == passthrough.ReasonStopping {
 		h.Set("Connection", "close")
@@ -182,7 +182,7 @@
 func writeAll(w io.Writer, text []byte) { _, _ = w.Write(text) }
 
 // fraction turns a text into a fraction of 1 that is alike at all instances.
-func fraction(text string) float64 {
+func hashFraction(text string) float64 {
 	const bits = 53
 	return float64(hashOf(text)>>(64-bits)) / (1 << bits)
 }
@@ -200,7 +200,7 @@
 }
 
 // describe makes the decision's request of a call.
-func (c *call) describe() passthrough.Request {
+func (c *call) decisionRequest() passthrough.Request {
 	team := ""
 	if c.team != nil {
 		team = c.team.Name
@@ -210,10 +210,10 @@
 		place = c.caller.Attempt
 	}
 	r := passthrough.Request{
-		Route: c.route, Service: c.route.Pick(fraction("service" + c.caller.Attempt)),
+		Route: c.route, Service: c.route.Pick(hashFraction("service" + c.caller.Attempt)),
 		Team: team, Rank: passthrough.Rank(c.team, c.route), Session: c.caller.Session,
 		PromptTokens: c.caller.PromptTokens, MaxTokens: c.caller.MaxTokens,
-		Share:       fraction("roll-out" + place),
+		Share:       hashFraction("roll-out" + place),
 		Fingerprint: hashOf(c.path, c.caller.Key, string(c.body)),
 		Target:      c.arrived.Add(c.route.Target), Deadline: c.deadline,
 		ModelOpen: c.caller.ModelOpen && len(c.route.Sizes) > 0,
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -18,13 +18,13 @@
 	w      http.ResponseWriter
 	ctx    context.Context
 	// last is the backend server's failure that was kept for the caller, if any.
-	last *answer
+	lastFailure *answer
 	// ran says that the request may have run.
-	ran bool
+	mayHaveRun bool
 	// stream is the part of a stream that went to the caller.
 	stream stream
 	// patience ends the wait in the queue, at arrival and after each attempt.
-	patience *time.Timer
+	queueTimer *time.Timer
 }
 
 // run asks for decisions and follows them until one final answer is out.
@@ -32,16 +32,16 @@
 	left := c.deadline.Sub(e.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(left, 0))
 	defer cancel()
-	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{last: c.caller.LastEvent}}
-	r := c.describe()
+	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{lastEvent: c.caller.LastEvent}}
+	r := c.decisionRequest()
 	x.ticket = e.driver.open(r)
 	defer e.driver.close(x.ticket)
-	x.patience = time.AfterFunc(passthrough.MaxWait(&r, e.clock.Now()), func() {
+	x.queueTimer = time.AfterFunc(passthrough.MaxWait(&r, e.clock.Now()), func() {
 		e.driver.Tell(passthrough.Waited{Request: x.ticket.id})
 	})
-	defer x.patience.Stop()
+	defer x.queueTimer.Stop()
 	for !x.step() {
-		x.patience.Reset(passthrough.MaxWait(&r, e.clock.Now()))
+		x.queueTimer.Reset(passthrough.MaxWait(&r, e.clock.Now()))
 	}
 }
 
@@ -49,14 +49,14 @@
 func (x *exchange) step() bool {
 	select {
 	case c := <-x.ticket.commands:
-		return x.follow(c)
+		return x.execute(c)
 	case <-x.ctx.Done():
-		x.expired()
+		x.expire()
 		return true
 	}
 }
 
-func (x *exchange) follow(c passthrough.Command) bool {
+func (x *exchange) execute(c passthrough.Command) bool {
 	switch c := c.(type) {
 	case passthrough.Dispatch:
 		return x.dispatch(c)
@@ -69,13 +69,13 @@
 }
 
 // expired ends a request whose time has passed, or whose caller has gone.
-func (x *exchange) expired() {
+func (x *exchange) expire() {
 	if x.call.request.Context().Err() != nil {
 		x.edge.journal.callerLost(x.call, x.ctx.Err())
 		panic(http.ErrAbortHandler)
 	}
-	if !x.ran {
-		x.refuse(refusal{http.StatusServiceUnavailable, passthrough.ReasonDeadline, retrySoon})
+	if !x.mayHaveRun {
+		x.refuse(refusal{http.StatusServiceUnavailable, passthrough.ReasonDeadline, retryElsewhereAfter})
 		return
 	}
 	x.fail(http.StatusGatewayTimeout, reasonTimeout)
@@ -92,12 +92,12 @@
 // finish ends a request that ran or may have run, with the backend server's own failure
 // where there is one.
 func (x *exchange) finish(reason passthrough.Reason) {
-	if x.last == nil || x.stream.begun {
+	if x.lastFailure == nil || x.stream.begun {
 		x.fail(http.StatusBadGateway, reasonMayHaveRun)
 		return
 	}
-	x.edge.journal.finished(x.call, x.last.status, reason)
-	x.deliver(x.last)
+	x.edge.journal.finished(x.call, x.lastFailure.status, reason)
+	x.writeAnswer(x.lastFailure)
 }
 
 // fail ends a request that may have run, without an answer. Its status promises nothing.
@@ -118,7 +118,7 @@
 }
 
 // deliver hands a whole answer to the caller, unchanged.
-func (x *exchange) deliver(a *answer) {
+func (x *exchange) writeAnswer(a *answer) {
 	h := x.w.Header()
 	x.copyHeaders(a.header)
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -142,32 +142,32 @@
 
 // dispatch runs one attempt, unless the configuration forbids it by now.
 func (x *exchange) dispatch(d passthrough.Dispatch) bool {
-	if _, no := x.edge.look(x.call); no != nil {
-		if x.ran {
+	if _, no := x.edge.resolve(x.call); no != nil {
+		if x.mayHaveRun {
 			x.fail(http.StatusBadGateway, no.reason)
 			return true
 		}
 		x.refuse(*no)
 		return true
 	}
-	a := x.attempt(d)
+	a := x.newAttempt(d)
 	out := a.run(x.ctx)
 	x.edge.journal.attempted(x.call, d, out)
-	x.ran = x.ran || out.result.Ran()
-	if out.load != nil && !out.stream {
+	x.mayHaveRun = x.mayHaveRun || out.result.Ran()
+	if out.load != nil && !out.loadReported {
 		x.edge.driver.Tell(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
 	}
 	limit := out.limit
-	if out.stream {
+	if out.loadReported {
 		limit = nil
 	}
 	if x.ctx.Err() != nil && out.result != passthrough.Completed {
 		x.edge.driver.Tell(passthrough.Ended{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
-		x.expired()
+		x.expire()
 		return true
 	}
 	if out.answer != nil {
-		x.last = out.answer
+		x.lastFailure = out.answer
 	}
 	x.edge.driver.Tell(passthrough.Ended{
 		Request: x.ticket.id, Result: out.result, Begun: x.stream.begun,
@@ -186,13 +186,13 @@
 	status := http.StatusOK
 	if out.answer != nil {
 		status = out.answer.status
-		x.deliver(out.answer)
+		x.writeAnswer(out.answer)
 	}
 	x.edge.journal.finished(x.call, status, "")
 }
 
 // attempt prepares one attempt.
-func (x *exchange) attempt(d passthrough.Dispatch) *attempt {
+func (x *exchange) newAttempt(d passthrough.Dispatch) *attempt {
 	c := x.call
 	team := ""
 	if c.team != nil {
@@ -200,11 +200,11 @@
 	}
 	after := int64(-1)
 	if x.stream.begun {
-		after = x.stream.last
+		after = x.stream.lastEvent
 	}
 	now := x.edge.clock.Now()
 	return &attempt{
-		exchange: x, server: d.Server, began: now, patience: d.Patience,
+		exchange: x, server: d.Server, startedAt: now, patience: d.Patience,
 		header: x.edge.headers.WriteAttempt(c.request.Header, seam.Attempt{
 			Server: d.Server.ID, Team: team, Left: c.deadline.Sub(now), Model: d.Model,
 			Priority: passthrough.Rank(c.team, c.route), LastEvent: after,
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -27,7 +27,7 @@
 	return c.now
 }
 
-func (c *fakeClock) pass(d time.Duration) {
+func (c *fakeClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
@@ -40,9 +40,9 @@
 	first   uint64
 	era     uint64
 	// read, newest and appended are errors of the next calls.
-	read, newest, appended []error
+	readErrs, newestErrs, appendErrs []error
 	// lose does the next append and gives the error all the same.
-	lose bool
+	appendDespiteErr bool
 	// beforeAppend runs before an append, once.
 	beforeAppend func()
 }
@@ -59,7 +59,7 @@
 func (l *fakeLog) Read(_ context.Context, from keyedlog.Position, _ time.Duration) (keyedlog.Batch, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := next(&l.read); err != nil {
+	if err := next(&l.readErrs); err != nil {
 		return keyedlog.Batch{}, err
 	}
 	if !from.IsOf(l.era) {
@@ -76,7 +76,7 @@
 func (l *fakeLog) Newest(context.Context) (keyedlog.Snapshot, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := next(&l.newest); err != nil {
+	if err := next(&l.newestErrs); err != nil {
 		return keyedlog.Snapshot{}, err
 	}
 	last := map[string]keyedlog.Record{}
@@ -102,8 +102,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	err := next(&l.appended)
-	if err != nil && !l.lose {
+	err := next(&l.appendErrs)
+	if err != nil && !l.appendDespiteErr {
 		return err
 	}
 	if at != keyedlog.Anywhere && at != l.end() {
@@ -186,29 +186,29 @@
 // parts are an instance's parts without its sockets.
 type parts struct {
 	clock        *fakeClock
-	known        *Knowledge
+	config       *Knowledge
 	driver       *Driver
-	list         *list
+	servers      *serverList
 	observations *observationStore
 	rollouts     *rollouts
 	operator     *operator
-	journal      *journal
+	journal      *telemetry
 }
 
 // newParts puts an instance together on the given logs.
 func newParts(name string, clock *fakeClock, status, observations keyedlog.Log) *parts {
 	p := &parts{clock: clock}
-	p.known = NewKnowledge(clock, 5*time.Second)
-	p.journal = &journal{clock: clock, known: p.known, reg: metrics.NewRegistry()}
+	p.config = NewKnowledge(clock, 5*time.Second)
+	p.journal = &telemetry{clock: clock, config: p.config, registry: metrics.NewRegistry()}
 	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
 	p.observations = newObservationStore(name, observations, p.driver, p.journal, clock)
-	p.driver.observe, p.driver.crash = p.observations.observed, p.observations.crashed
-	p.list = newList(fakeRecords{}, p.driver, newDialer(clock), p.journal, clock, 2*time.Second, newStarting())
-	p.rollouts = newRollouts(fakeRecords{}, status, p.driver, p.list, p.observations, p.journal, clock,
+	p.driver.onObserved, p.driver.onCrash = p.observations.recordAnswer, p.observations.recordCrash
+	p.servers = newList(fakeRecords{}, p.driver, newDialer(clock), p.journal, clock, 2*time.Second, newStarting())
+	p.rollouts = newRollouts(fakeRecords{}, status, p.driver, p.servers, p.observations, p.journal, clock,
 		passthrough.Exposure{Share: 0.15, Tolerance: 30})
-	p.operator = &operator{records: fakeRecords{}, known: p.known, driver: p.driver, rollouts: p.rollouts, journal: p.journal, starting: newStarting(),
-		clock:   clock,
-		trust:   &configTrust{clock: clock, known: p.known},
-		drained: map[string]bool{}, ordered: map[string]bool{}, kept: map[string]bool{}, domains: []string{"a", "b"}, collects: func() bool { return false }, direct: func() bool { return true }}
+	p.operator = &operator{records: fakeRecords{}, config: p.config, driver: p.driver, rollouts: p.rollouts, journal: p.journal, starting: newStarting(),
+		clock:        clock,
+		restoreGuard: &restoreGuard{clock: clock, config: p.config},
+		drained:      map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: []string{"a", "b"}, isCollector: func() bool { return false }, readsStore: func() bool { return true }}
 	return p
 }
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -35,7 +35,7 @@
 	newest := uint64(1)
 	log.put("config", "config 1")
 	for range 200 {
-		clock.pass(time.Duration(rng.IntN(300)) * time.Millisecond)
+		clock.advance(time.Duration(rng.IntN(300)) * time.Millisecond)
 		i := rng.IntN(len(fleet))
 		switch rng.IntN(9) {
 		case 0:
@@ -46,7 +46,7 @@
 			log.put("late", "???")
 			log.put("order/x", "???")
 		case 2:
-			log.read = append(log.read, keyedlog.ErrUnknown)
+			log.readErrs = append(log.readErrs, keyedlog.ErrUnknown)
 		case 3:
 			log.first = uint64(len(log.records)) // all but the newest are dropped
 		case 4:
@@ -55,10 +55,10 @@
 			}
 		default:
 			in := fleet[i]
-			if err := in.reader.once(t.Context()); err != nil {
+			if err := in.reader.readOnce(t.Context()); err != nil {
 				continue
 			}
-			got := in.known.Index().Version
+			got := in.config.Index().Version
 			if got < in.version {
 				t.Fatalf("instance %d went back from %d to %d", i, in.version, got)
 			}
@@ -93,7 +93,7 @@
 		}
 		p.driver.Tell(passthrough.Listed{Servers: list}, passthrough.Fleet{Instances: 4})
 		tl := p.observations.reader(clock, p.rollouts.active)
-		if err := tl.once(t.Context()); err != nil {
+		if err := tl.readOnce(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		fleet, tails = append(fleet, p), append(tails, tl)
@@ -114,17 +114,17 @@
 	crash := passthrough.Ended{Result: passthrough.Broken, Cut: true}
 	crashes, late := 0, 0
 	for range 60 {
-		clock.pass(time.Duration(rng.IntN(120)) * time.Millisecond)
+		clock.advance(time.Duration(rng.IntN(120)) * time.Millisecond)
 		told := crashes >= 3
 		if told { // the instances' reads and writes have gone through since
 			for i, p := range fleet {
-				if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.due()...); err != nil {
+				if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
 					t.Fatal(err)
 				}
 				_ = i
 			}
 			for _, tl := range tails {
-				if err := tl.once(t.Context()); err != nil {
+				if err := tl.readOnce(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -13,11 +13,11 @@
 )
 
 // journal writes the log and counts the metrics of the pass-through side.
-type journal struct {
-	log   *logging.Logger
-	clock Clock
-	known *Knowledge
-	reg   gometrics.Registry
+type telemetry struct {
+	log      *logging.Logger
+	clock    Clock
+	config   *Knowledge
+	registry gometrics.Registry
 }
 
 // The attributes of a line on a request.
@@ -35,7 +35,7 @@
 
 // about is what every line on a request says: its id, and by which configuration, of
 // which age, it was decided.
-func (j *journal) about(c *call, more ...slog.Attr) []slog.Attr {
+func (j *telemetry) requestAttrs(c *call, more ...slog.Attr) []slog.Attr {
 	out := make([]slog.Attr, 0, 6+len(more))
 	out = append(out, slog.String(keyRequest, c.caller.Attempt))
 	if c.route != nil {
@@ -47,48 +47,48 @@
 	if c.caller.Session != "" {
 		out = append(out, slog.String(keySession, c.caller.Session))
 	}
-	if index := j.known.Index(); index != nil {
-		out = append(out, slog.Uint64(keyVersion, index.Version), slog.Int64(keyAge, j.known.Age().Milliseconds()))
+	if index := j.config.Index(); index != nil {
+		out = append(out, slog.Uint64(keyVersion, index.Version), slog.Int64(keyAge, j.config.Age().Milliseconds()))
 	}
 	out = append(out, slog.Int64(keyTook, j.clock.Now().Sub(c.arrived).Milliseconds()))
 	return append(out, more...)
 }
 
-func (j *journal) emit(ev logging.Event, attrs ...slog.Attr) {
+func (j *telemetry) emit(ev logging.Event, attrs ...slog.Attr) {
 	j.log.Emit(context.Background(), ev, attrs...)
 }
 
-func (j *journal) count(name string) {
-	gometrics.GetOrRegisterCounter("passthrough."+name, j.reg).Inc(1)
+func (j *telemetry) count(name string) {
+	gometrics.GetOrRegisterCounter("passthrough."+name, j.registry).Inc(1)
 }
 
-func (j *journal) gauge(name string, value int) {
-	gometrics.GetOrRegisterGauge("passthrough."+name, j.reg).Update(int64(value))
+func (j *telemetry) gauge(name string, value int) {
+	gometrics.GetOrRegisterGauge("passthrough."+name, j.registry).Update(int64(value))
 }
 
-func (j *journal) observe(name string, took time.Duration) {
+func (j *telemetry) observeDuration(name string, took time.Duration) {
 	const sample, alpha = 1028, 0.015 // the library's own advice for a sample of five minutes
-	h := j.reg.GetOrRegister("passthrough."+name, func() gometrics.Histogram {
+	h := j.registry.GetOrRegister("passthrough."+name, func() gometrics.Histogram {
 		return gometrics.NewHistogram(gometrics.NewExpDecaySample(sample, alpha))
 	}).(gometrics.Histogram)
 	h.Update(took.Milliseconds())
 }
 
 // cooled tells that servers are taken for cold. The driver calls it, so it must not block.
-func (j *journal) cooled(c passthrough.Cooled) {
+func (j *telemetry) cooled(c passthrough.Cooled) {
 	j.count("cooled." + string(c.Why))
 	j.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
 		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.For.Milliseconds()), slog.String(keyReason, string(c.Why)))
 }
 
 // stateKept tells of what is kept though a restored store says otherwise.
-func (j *journal) stateKept(subject, key, why string) {
+func (j *telemetry) logStateKept(subject, key, why string) {
 	j.count("restore.kept." + subject)
 	j.emit(logging.EventStateKept, slog.String("subject", subject), slog.String("key", key), slog.String(keyReason, why))
 }
 
 // limitChanged tells of a server's rate limit. The driver calls it, so it must not block.
-func (j *journal) limitChanged(c passthrough.LimitChanged) {
+func (j *telemetry) limitChanged(c passthrough.LimitChanged) {
 	if !c.Limit.Limited {
 		j.count("limit_ended")
 		j.emit(logging.EventServerUnlimited, slog.String(keyServer, c.Server), slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
@@ -100,27 +100,27 @@
 }
 
 // unreadableLoads tells of another instance's report of loads that changes nothing.
-func (j *journal) unreadableLoads(from string, err error) {
+func (j *telemetry) logUnreadableLoads(from string, err error) {
 	j.emit(logging.EventRecordRejected, slog.String("from", from), slog.String(logging.KeyError, err.Error()))
 }
 
-func (j *journal) refused(c *call, no refusal) {
+func (j *telemetry) refused(c *call, no refusal) {
 	j.count("refused." + string(no.reason))
-	j.emit(logging.EventPassRefused, j.about(c,
+	j.emit(logging.EventPassRefused, j.requestAttrs(c,
 		slog.Int("status", no.status), slog.String(keyReason, string(no.reason)),
-		slog.Int64("retry_after_ms", no.after.Milliseconds()))...)
+		slog.Int64("retry_after_ms", no.retryAfter.Milliseconds()))...)
 }
 
-func (j *journal) attempted(c *call, d passthrough.Dispatch, out outcome) {
+func (j *telemetry) attempted(c *call, d passthrough.Dispatch, out outcome) {
 	j.count("attempt." + out.result.String())
-	if out.first > 0 {
-		j.observe("first_byte_ms", out.first)
+	if out.firstByte > 0 {
+		j.observeDuration("first_byte_ms", out.firstByte)
 	}
-	attrs := j.about(c,
+	attrs := j.requestAttrs(c,
 		slog.String(keyServer, d.Server.ID), slog.String("software", d.Server.Version),
 		slog.Int("attempt", d.Attempt), slog.String("result", out.result.String()),
 		slog.Int("load", d.Load), slog.Int64("load_age_ms", d.LoadAge.Milliseconds()),
-		slog.Int64("first_ms", out.first.Milliseconds()))
+		slog.Int64("first_ms", out.firstByte.Milliseconds()))
 	if d.Model != "" {
 		attrs = append(attrs, slog.String("model", d.Model), slog.Float64("confidence", out.confidence), slog.Float64("bar", math.Round(100*out.bar)/100),
 			slog.Float64("taken", math.Round(100*d.Taken)/100),
@@ -146,17 +146,17 @@
 	j.emit(logging.EventPassAttempt, attrs...)
 }
 
-func (j *journal) finished(c *call, status int, reason passthrough.Reason) {
-	j.observe("answer_ms", j.clock.Now().Sub(c.arrived))
+func (j *telemetry) finished(c *call, status int, reason passthrough.Reason) {
+	j.observeDuration("answer_ms", j.clock.Now().Sub(c.arrived))
 	j.count("finished")
 	if reason == "" {
 		return // the attempt's line says it all
 	}
 	j.count("failed." + string(reason))
-	j.emit(logging.EventPassFailed, j.about(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
+	j.emit(logging.EventPassFailed, j.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
 }
 
-func (j *journal) callerLost(c *call, err error) {
+func (j *telemetry) callerLost(c *call, err error) {
 	j.count("caller_lost")
-	j.emit(logging.EventCallerLost, j.about(c, slog.String(logging.KeyError, err.Error()))...)
+	j.emit(logging.EventCallerLost, j.requestAttrs(c, slog.String(logging.KeyError, err.Error()))...)
 }
--- a/router/internal/passthrough/knowledge.go
+++ b/router/internal/passthrough/knowledge.go
@@ -16,20 +16,20 @@
 	bound atomic.Int64 // nanoseconds for which a key may be used unconfirmed
 	index atomic.Pointer[passthrough.Index]
 	// confirmed is the start of the last read that confirmed it, in Unix nanoseconds.
-	confirmed atomic.Int64
+	confirmedAt atomic.Int64
 	// lost is a version that another instance knows and the store lacks, told at lostAt.
-	lost   atomic.Uint64
-	lostAt atomic.Int64
+	lostVersion    atomic.Uint64
+	lostReportedAt atomic.Int64
 }
 
 // The parts of the revocation bound.
 const (
 	// refusePart is the part after which requests with keys are refused: what is left
 	// is for the way to the backend server and for clocks that run unevenly.
-	refusePart = 0.9
+	refuseFraction = 0.9
 	// unreadyPart is the part after which readiness fails, so that the balancer, which
 	// needs two seconds to notice, moves callers on before they are refused.
-	unreadyPart = 0.5
+	unreadyFraction = 0.5
 )
 
 // NewKnowledge returns the knowledge of nothing; revoke is the revocation bound.
@@ -64,14 +64,14 @@
 	if k.isSuperseded() {
 		return
 	}
-	if at := began.UnixNano(); at > k.confirmed.Load() {
-		k.confirmed.Store(at)
+	if at := began.UnixNano(); at > k.confirmedAt.Load() {
+		k.confirmedAt.Store(at)
 	}
 }
 
 // Age is how old the word on the configuration is.
 func (k *Knowledge) Age() time.Duration {
-	at := k.confirmed.Load()
+	at := k.confirmedAt.Load()
 	if at == 0 {
 		return time.Duration(1<<63 - 1)
 	}
@@ -80,7 +80,7 @@
 
 // lostVersionLife is how long a report counts that the store lacks a version: it comes several times a
 // second.
-const lostVersionLife = 2 * time.Second
+const lostVersionTTL = 2 * time.Second
 
 // NoteLostVersion takes in the highest version that another instance knows and that the store lacks since
 // it came back from a copy; 0 for none. What this instance confirmed by the copy does not count then,
@@ -89,10 +89,10 @@
 	if version == 0 {
 		return
 	}
-	k.lost.Store(version)
-	k.lostAt.Store(k.clock.Now().UnixNano())
+	k.lostVersion.Store(version)
+	k.lostReportedAt.Store(k.clock.Now().UnixNano())
 	if k.isSuperseded() {
-		k.confirmed.Store(0)
+		k.confirmedAt.Store(0)
 	}
 }
 
@@ -101,17 +101,17 @@
 // Load: an instance that starts right after the store came back from a copy. Harm prevented: keys
 // that were taken away, accepted by the configuration of the copy.
 func (k *Knowledge) isSuperseded() bool {
-	told := time.Unix(0, k.lostAt.Load())
+	told := time.Unix(0, k.lostReportedAt.Load())
 	index := k.index.Load()
-	return index != nil && index.Version < k.lost.Load() && k.clock.Now().Sub(told) < lostVersionLife
+	return index != nil && index.Version < k.lostVersion.Load() && k.clock.Now().Sub(told) < lostVersionTTL
 }
 
 // Fresh says whether keys may be used.
-func (k *Knowledge) Fresh() bool { return k.within(refusePart) }
+func (k *Knowledge) Fresh() bool { return k.ageWithin(refuseFraction) }
 
 // Ready says whether callers should be sent here.
-func (k *Knowledge) Ready() bool { return k.Index() != nil && k.within(unreadyPart) }
+func (k *Knowledge) Ready() bool { return k.Index() != nil && k.ageWithin(unreadyFraction) }
 
-func (k *Knowledge) within(part float64) bool {
+func (k *Knowledge) ageWithin(part float64) bool {
 	return float64(k.Age()) < part*float64(k.bound.Load())
 }
--- a/router/internal/passthrough/knowledge_test.go
+++ b/router/internal/passthrough/knowledge_test.go
@@ -17,16 +17,16 @@
 	}
 	k.Apply(passthrough.Config{Version: 1})
 	began := clock.Now()
-	clock.pass(1400 * time.Millisecond) // the read took this long
+	clock.advance(1400 * time.Millisecond) // the read took this long
 	k.Confirm(began)
 	if got := k.Age(); got != 1400*time.Millisecond || !k.Ready() {
 		t.Errorf("age %v, ready %v", got, k.Ready())
 	}
-	clock.pass(1200 * time.Millisecond)
+	clock.advance(1200 * time.Millisecond)
 	if k.Ready() || !k.Fresh() {
 		t.Error("past half of the bound: want not ready, still fresh")
 	}
-	clock.pass(2 * time.Second)
+	clock.advance(2 * time.Second)
 	if k.Fresh() {
 		t.Error("fresh past nine tenths of the bound")
 	}
@@ -54,26 +54,26 @@
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
 	log.put("config", "config 1")
 	tl := p.operator.reader(log, clock)
-	step := func() error { return tl.once(t.Context()) }
-	if err := step(); err != nil || p.known.Index().Version != 1 {
+	step := func() error { return tl.readOnce(t.Context()) }
+	if err := step(); err != nil || p.config.Index().Version != 1 {
 		t.Fatalf("%v", err)
 	}
 	log.put("config", "config 2")
 	log.put("order/x", "nonsense")
 	log.put("config", "config 5")
 	log.put("config", "config 4")
-	if err := step(); err != nil || p.known.Index().Version != 5 {
-		t.Fatalf("version %d, %v", p.known.Index().Version, err)
+	if err := step(); err != nil || p.config.Index().Version != 5 {
+		t.Fatalf("version %d, %v", p.config.Index().Version, err)
 	}
 	log.put("config", "config 8")
 	log.first = uint64(len(log.records))
-	if err := step(); err != nil || p.known.Index().Version != 8 {
-		t.Fatalf("after dropped records: version %d, %v", p.known.Index().Version, err)
+	if err := step(); err != nil || p.config.Index().Version != 8 {
+		t.Fatalf("after dropped records: version %d, %v", p.config.Index().Version, err)
 	}
-	log.read = []error{keyedlog.ErrUnknown}
-	clock.pass(time.Second)
-	age := p.known.Age()
-	if err := step(); !errors.Is(err, keyedlog.ErrUnknown) || p.known.Age() != age {
+	log.readErrs = []error{keyedlog.ErrUnknown}
+	clock.advance(time.Second)
+	age := p.config.Age()
+	if err := step(); !errors.Is(err, keyedlog.ErrUnknown) || p.config.Age() != age {
 		t.Error("a read without an answer confirmed the configuration")
 	}
 }
@@ -82,12 +82,12 @@
 	clock := newFakeClock()
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
 	seen := false
-	p.operator.takeAll([]keyedlog.Record{
+	p.operator.applySnapshot([]keyedlog.Record{
 		{Key: "config", Value: []byte("config 1")},
 		{Key: "order/shop", Value: []byte("order shop v2 24")},
 	})
 	seen = p.rollouts.active()
-	if !seen || p.known.Index() == nil {
-		t.Errorf("order known %v, configuration %v", seen, p.known.Index())
+	if !seen || p.config.Index() == nil {
+		t.Errorf("order known %v, configuration %v", seen, p.config.Index())
 	}
 }
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -18,38 +18,38 @@
 	// that they are no more frequent than listLeast. What goes by a collector is read twice,
 	// and so no less often than listMost; an instance that reads for itself alone, since it is
 	// cut off from the others, has no such second step.
-	listPart  = 0.37
-	listLeast = 300 * time.Millisecond
-	listMost  = 750 * time.Millisecond
+	readIntervalFraction = 0.37
+	minReadInterval      = 300 * time.Millisecond
+	maxReadInterval      = 750 * time.Millisecond
 	// followPause gathers changes that come together into one read by a follower: a server that
 	// leaves, or is cold, must be known within a second, and not by one read for each heartbeat.
-	followPause = 100 * time.Millisecond
+	followerPause = 100 * time.Millisecond
 	// followWait is how long such a read waits for a change. What it tells may have come by two
 	// other instances, and its age adds up.
-	followWait = 350 * time.Millisecond
+	followerWait = 350 * time.Millisecond
 	// lapseGrace is how long an entry that went away in an outage of the store is still
 	// believed once the store is back: it returns within two seconds, if the server
 	// lives.
 	lapseGrace = 1500 * time.Millisecond
 	// lapseAfter is the shortest outage in which entries may have lapsed.
-	lapseAfter = 800 * time.Millisecond
+	minLapseOutage = 800 * time.Millisecond
 )
 
 // list follows the list of backend servers.
-type list struct {
+type serverList struct {
 	records Records
 	driver  *Driver
 	dialer  *dialer
-	journal *journal
+	journal *telemetry
 	clock   Clock
 	drain   time.Duration
-	nudge   chan struct{}
+	wake    chan struct{}
 	// starting is told when the list was read first.
-	starting *starting
+	starting *startGate
 	// alone says whether this instance reads the store, and for itself only; follows that it
 	// reads from another instance.
-	alone   func() bool
-	follows func() bool
+	readsAlone    func() bool
+	readsFromPeer func() bool
 
 	mu      sync.Mutex
 	entries map[string]passthrough.Server
@@ -57,48 +57,48 @@
 	// which they are believed.
 	lapsed map[string]time.Time
 	// until ends the time after an outage in which removals may be lapses.
-	until   time.Time
-	changed bool
+	lapseUntil time.Time
+	changed    bool
 	// tombstones are of servers that have left; unconfirmed are entries that are not used yet.
 	tombstones  map[string]tombstone
 	unconfirmed map[string]unconfirmedEntry
 	// fromCopy says that the next newest entries are those of a store that came back from a copy.
-	fromCopy bool
-	bad      map[string]bool
+	snapshotRestored bool
+	unreadable       map[string]bool
 }
 
-func newList(records Records, driver *Driver, d *dialer, j *journal, clock Clock, drain time.Duration, st *starting) *list {
-	return &list{
+func newList(records Records, driver *Driver, d *dialer, j *telemetry, clock Clock, drain time.Duration, st *startGate) *serverList {
+	return &serverList{
 		records: records, driver: driver, dialer: d, journal: j, clock: clock, drain: drain, starting: st,
-		alone: func() bool { return false }, follows: func() bool { return false },
-		nudge: make(chan struct{}, 1), entries: map[string]passthrough.Server{},
-		lapsed: map[string]time.Time{}, bad: map[string]bool{},
+		readsAlone: func() bool { return false }, readsFromPeer: func() bool { return false },
+		wake: make(chan struct{}, 1), entries: map[string]passthrough.Server{},
+		lapsed: map[string]time.Time{}, unreadable: map[string]bool{},
 		tombstones: map[string]tombstone{}, unconfirmed: map[string]unconfirmedEntry{},
 	}
 }
 
 // hurry asks for the list to be read at once.
-func (l *list) hurry() {
+func (l *serverList) requestRead() {
 	select {
-	case l.nudge <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *list) reader(log keyedlog.Log, clock Clock) *topicReader {
+func (l *serverList) reader(log keyedlog.Log, clock Clock) *topicReader {
 	t := &topicReader{
-		name: topicServers, log: log, clock: clock, journal: l.journal, nudge: l.nudge,
+		name: topicServers, log: log, clock: clock, journal: l.journal, wake: l.wake,
 		wait: l.wait, pause: l.pause,
-		each: func(r keyedlog.Record) { l.take(r) },
+		onRecord: func(r keyedlog.Record) { l.apply(r) },
 	}
-	t.whole = func(records []keyedlog.Record) { l.replace(records) }
-	t.restored = l.restored
-	t.read = func(time.Time, int) {
+	t.onSnapshot = func(records []keyedlog.Record) { l.replace(records) }
+	t.onRestore = l.onRestore
+	t.onRead = func(time.Time, int) {
 		l.publish()
-		l.starting.has(learntServers)
+		l.starting.loaded(prerequisiteServers)
 	}
-	t.back = func(lost time.Duration) {
-		if lost > lapseAfter {
+	t.onRecovery = func(lost time.Duration) {
+		if lost > minLapseOutage {
 			l.outageEnded()
 		}
 	}
@@ -107,47 +107,47 @@
 
 // wait is how long a read waits for a change: not at all in the store, where each heartbeat is
 // one, and for a while where another instance passes on what matters.
-func (l *list) wait() time.Duration {
-	if l.follows() {
-		return min(followWait, l.every())
+func (l *serverList) wait() time.Duration {
+	if l.readsFromPeer() {
+		return min(followerWait, l.readInterval())
 	}
 	return 0
 }
 
 // pause is the time from a read to the next one.
-func (l *list) pause() time.Duration {
-	if l.follows() {
-		return followPause
+func (l *serverList) pause() time.Duration {
+	if l.readsFromPeer() {
+		return followerPause
 	}
-	return l.every()
+	return l.readInterval()
 }
 
 // every is the time between two reads of the store.
-func (l *list) every() time.Duration {
-	span := max(time.Duration(listPart*float64(l.drain)), listLeast)
-	if l.alone() {
+func (l *serverList) readInterval() time.Duration {
+	span := max(time.Duration(readIntervalFraction*float64(l.drain)), minReadInterval)
+	if l.readsAlone() {
 		return span
 	}
-	return min(span, listMost)
+	return min(span, maxReadInterval)
 }
 
 // outageEnded notes that removals may now be lapses.
-func (l *list) outageEnded() {
+func (l *serverList) outageEnded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	grace := min(lapseGrace, l.drain*3/4)
-	l.until = l.clock.Now().Add(grace)
+	l.lapseUntil = l.clock.Now().Add(grace)
 	for id := range l.lapsed {
-		l.lapsed[id] = l.until
+		l.lapsed[id] = l.lapseUntil
 	}
 }
 
 // replace takes over the newest entries.
-func (l *list) replace(records []keyedlog.Record) {
+func (l *serverList) replace(records []keyedlog.Record) {
 	seen := map[string]bool{}
 	for _, r := range records {
 		seen[r.Key] = true
-		l.take(r)
+		l.apply(r)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,11 +161,11 @@
 			delete(l.unconfirmed, id)
 		}
 	}
-	l.fromCopy = false
+	l.snapshotRestored = false
 }
 
 // take applies one entry. An entry that cannot be read names no server to use.
-func (l *list) take(r keyedlog.Record) {
+func (l *serverList) apply(r keyedlog.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(r.Value) == 0 {
@@ -174,18 +174,18 @@
 	}
 	s, err := l.records.Server(r)
 	if err != nil {
-		if !l.bad[r.Key] {
-			l.bad[r.Key] = true
+		if !l.unreadable[r.Key] {
+			l.unreadable[r.Key] = true
 			l.journal.count("entry_ignored")
 			l.journal.emit(logging.EventEntryIgnored, slog.String(keyServer, r.Key), slog.String(logging.KeyError, err.Error()))
 		}
 		l.drop(r.Key, "unreadable")
 		return
 	}
-	delete(l.bad, r.Key)
+	delete(l.unreadable, r.Key)
 	delete(l.lapsed, r.Key)
 	delete(l.unconfirmed, r.Key)
-	if l.fromCopy {
+	if l.snapshotRestored {
 		if s, ok := l.reconcile(s, r.Offset); ok {
 			l.put(s, r.Offset)
 		}
@@ -195,7 +195,7 @@
 }
 
 // put sets a server's entry. The lock is held.
-func (l *list) put(s passthrough.Server, offset uint64) {
+func (l *serverList) put(s passthrough.Server, offset uint64) {
 	if old, ok := l.entries[s.ID]; ok && old == s {
 		return
 	}
@@ -207,24 +207,24 @@
 }
 
 // remove drops an entry, at once or, around an outage, after a while.
-func (l *list) remove(id string) {
+func (l *serverList) remove(id string) {
 	delete(l.unconfirmed, id)
 	if _, ok := l.entries[id]; !ok {
 		return
 	}
-	if l.clock.Now().Before(l.until) {
-		l.lapsed[id] = l.until
+	if l.clock.Now().Before(l.lapseUntil) {
+		l.lapsed[id] = l.lapseUntil
 		return
 	}
 	l.drop(id, "removed")
 }
 
-func (l *list) drop(id, why string) {
+func (l *serverList) drop(id, why string) {
 	s, ok := l.entries[id]
 	if !ok {
 		return
 	}
-	l.bury(s)
+	l.addTombstone(s)
 	delete(l.entries, id)
 	delete(l.lapsed, id)
 	l.changed = true
@@ -232,7 +232,7 @@
 }
 
 // publish tells the decision of a changed list.
-func (l *list) publish() {
+func (l *serverList) publish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -252,11 +252,11 @@
 	}
 	slices.SortFunc(out, func(a, b passthrough.Server) int { return cmp.Compare(a.ID, b.ID) })
 	l.driver.Tell(passthrough.Listed{Servers: out})
-	l.dialer.forget(func(id string) bool { _, ok := l.entries[id]; return ok })
+	l.dialer.retain(func(id string) bool { _, ok := l.entries[id]; return ok })
 }
 
 // count is the number of usable servers of a service, at the version and at others.
-func (l *list) count(service, version string) (at, others int) {
+func (l *serverList) countServers(service, version string) (at, others int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.entries {
--- a/router/internal/passthrough/list_restore_test.go
+++ b/router/internal/passthrough/list_restore_test.go
@@ -11,7 +11,7 @@
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-	tl := p.list.reader(log, clock)
+	tl := p.servers.reader(log, clock)
 	log.put("stays", "server shop v1 ready")
 	log.put("left", "server shop v1 ready")
 	log.put("leaves", "server shop v1 ready")
@@ -27,32 +27,32 @@
 
 func TestServersThatACopyLacksStayForAWhile(t *testing.T) {
 	p, tl, log, clock := restoredList(t)
-	if !p.list.has("started") || !p.list.has("stays") {
-		t.Fatalf("entries %v", p.list.entries)
+	if !p.servers.has("started") || !p.servers.has("stays") {
+		t.Fatalf("entries %v", p.servers.entries)
 	}
 	log.put("started", "server shop v1 ready")
-	clock.pass(lapseGrace)
-	if err := tl.once(t.Context()); err != nil || !p.list.has("started") {
+	clock.advance(lapseGrace)
+	if err := tl.readOnce(t.Context()); err != nil || !p.servers.has("started") {
 		t.Errorf("%v; a server that wrote again is gone", err)
 	}
 	p, tl, _, clock = restoredList(t)
-	clock.pass(lapseGrace)
-	if err := tl.once(t.Context()); err != nil || p.list.has("started") {
+	clock.advance(lapseGrace)
+	if err := tl.readOnce(t.Context()); err != nil || p.servers.has("started") {
 		t.Errorf("%v; a server that did not write again is still there", err)
 	}
 }
 
 func TestServersThatLeftDoNotComeBackWithACopy(t *testing.T) {
 	p, tl, log, clock := restoredList(t)
-	if p.list.has("left") {
+	if p.servers.has("left") {
 		t.Fatal("a server that had left is back")
 	}
-	if s := p.list.entries["leaves"]; !s.Draining {
+	if s := p.servers.entries["leaves"]; !s.Draining {
 		t.Error("a server that is leaving is ready again")
 	}
 	log.put("left", "") // its silence was noticed
-	clock.pass(confirmAfter)
-	if err := tl.once(t.Context()); err != nil || p.list.has("left") {
+	clock.advance(unconfirmedDelay)
+	if err := tl.readOnce(t.Context()); err != nil || p.servers.has("left") {
 		t.Errorf("%v; it is back after all", err)
 	}
 }
@@ -62,16 +62,16 @@
 func TestServerThatWritesAgainIsBelieved(t *testing.T) {
 	p, tl, log, _ := restoredList(t)
 	log.put("left", "server shop v1 ready")
-	if err := tl.once(t.Context()); err != nil || !p.list.has("left") {
+	if err := tl.readOnce(t.Context()); err != nil || !p.servers.has("left") {
 		t.Errorf("%v; a server that wrote again is missing", err)
 	}
 	p, tl, _, clock := restoredList(t)
-	clock.pass(confirmAfter - time.Millisecond)
-	if err := tl.once(t.Context()); err != nil || p.list.has("left") {
+	clock.advance(unconfirmedDelay - time.Millisecond)
+	if err := tl.readOnce(t.Context()); err != nil || p.servers.has("left") {
 		t.Errorf("%v; believed too soon", err)
 	}
-	clock.pass(time.Millisecond)
-	if err := tl.once(t.Context()); err != nil || !p.list.has("left") {
+	clock.advance(time.Millisecond)
+	if err := tl.readOnce(t.Context()); err != nil || !p.servers.has("left") {
 		t.Errorf("%v; an entry that still stands is not believed", err)
 	}
 }
@@ -83,9 +83,9 @@
 	log.restore(0)
 	for range 2 {
 		read(t, tl)
-		clock.pass(confirmAfter)
+		clock.advance(unconfirmedDelay)
 	}
-	if p.list.has("left") {
+	if p.servers.has("left") {
 		t.Error("a server that had left is back")
 	}
 }
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/list_test.go
@@ -9,27 +9,27 @@
 
 func entry(id, value string) keyedlog.Record { return keyedlog.Record{Key: id, Value: []byte(value)} }
 
-func (l *list) has(id string) bool { _, ok := l.entries[id]; return ok }
+func (l *serverList) has(id string) bool { _, ok := l.entries[id]; return ok }
 
 func TestEntryThatCannotBeReadNamesNoServer(t *testing.T) {
 	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
-	p.list.take(entry("one", "server shop v1 ready"))
-	p.list.take(entry("two", "???"))
-	p.list.take(entry("one", "???"))
-	if p.list.has("one") || p.list.has("two") {
-		t.Errorf("entries %v", p.list.entries)
+	p.servers.apply(entry("one", "server shop v1 ready"))
+	p.servers.apply(entry("two", "???"))
+	p.servers.apply(entry("one", "???"))
+	if p.servers.has("one") || p.servers.has("two") {
+		t.Errorf("entries %v", p.servers.entries)
 	}
-	p.list.take(entry("one", "server shop v1 ready"))
-	if !p.list.has("one") {
+	p.servers.apply(entry("one", "server shop v1 ready"))
+	if !p.servers.has("one") {
 		t.Error("an entry that can be read again is not taken")
 	}
 }
 
 func TestRemovedEntryIsGoneAtOnce(t *testing.T) {
 	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
-	p.list.take(entry("one", "server shop v1 ready"))
-	p.list.take(entry("one", ""))
-	if p.list.has("one") {
+	p.servers.apply(entry("one", "server shop v1 ready"))
+	p.servers.apply(entry("one", ""))
+	if p.servers.has("one") {
 		t.Error("still there")
 	}
 }
@@ -37,33 +37,33 @@
 func TestEntriesThatLapsedInAnOutageAreBelievedForAWhile(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-	tl := p.list.reader(log, clock)
+	tl := p.servers.reader(log, clock)
 	log.put("one", "server shop v1 ready")
 	log.put("two", "server shop v1 ready")
-	if err := tl.once(t.Context()); err != nil {
+	if err := tl.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	log.read = []error{keyedlog.ErrNotDone}
-	tl.failed(t.Context(), tl.once(t.Context()))
-	clock.pass(4 * time.Second)
+	log.readErrs = []error{keyedlog.ErrNotDone}
+	tl.noteOutage(t.Context(), tl.readOnce(t.Context()))
+	clock.advance(4 * time.Second)
 	log.put("one", "") // both lapsed while the store was away
 	log.put("two", "")
-	if err := tl.once(t.Context()); err != nil {
+	if err := tl.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if !p.list.has("one") || !p.list.has("two") {
-		t.Fatalf("entries that may have lapsed are gone at once: %v", p.list.entries)
+	if !p.servers.has("one") || !p.servers.has("two") {
+		t.Fatalf("entries that may have lapsed are gone at once: %v", p.servers.entries)
 	}
 	log.put("one", "server shop v1 ready")
-	if err := tl.once(t.Context()); err != nil {
+	if err := tl.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	clock.pass(2 * time.Second)
-	if err := tl.once(t.Context()); err != nil {
+	clock.advance(2 * time.Second)
+	if err := tl.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if !p.list.has("one") || p.list.has("two") {
-		t.Errorf("want the one that came back alone: %v", p.list.entries)
+	if !p.servers.has("one") || p.servers.has("two") {
+		t.Errorf("want the one that came back alone: %v", p.servers.entries)
 	}
 }
 
@@ -72,10 +72,10 @@
 func TestListIsReadOftenEnough(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
 		p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
-		p.list.drain = drain
-		shared := p.list.every()
-		p.list.alone = func() bool { return true }
-		alone := p.list.every()
+		p.servers.drain = drain
+		shared := p.servers.readInterval()
+		p.servers.readsAlone = func() bool { return true }
+		alone := p.servers.readInterval()
 		if 2*shared > drain*3/4 {
 			t.Errorf("drain %v: a word that goes by a collector may be %v old", drain, 2*shared)
 		}
@@ -89,11 +89,11 @@
 // waits there for changes, and one that reads the store does not: each heartbeat is one there.
 func TestFollowersHearOfChangesAtOnce(t *testing.T) {
 	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
-	if p.list.wait() != 0 || p.list.pause() != p.list.every() {
-		t.Errorf("by the store: waits %v, pauses %v", p.list.wait(), p.list.pause())
+	if p.servers.wait() != 0 || p.servers.pause() != p.servers.readInterval() {
+		t.Errorf("by the store: waits %v, pauses %v", p.servers.wait(), p.servers.pause())
 	}
-	p.list.follows = func() bool { return true }
-	if p.list.wait() <= 0 || p.list.pause() >= p.list.every()/4 {
-		t.Errorf("by another instance: waits %v, pauses %v", p.list.wait(), p.list.pause())
+	p.servers.readsFromPeer = func() bool { return true }
+	if p.servers.wait() <= 0 || p.servers.pause() >= p.servers.readInterval()/4 {
+		t.Errorf("by another instance: waits %v, pauses %v", p.servers.wait(), p.servers.pause())
 	}
 }
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -14,13 +14,13 @@
 // firstSpread is the time over which the instances make themselves known when the whole system
 // starts for the first time, within 0.3 s: those that will collect first, so that the others
 // find them and need no call of their own. Nobody is served yet.
-const firstSpread = 1200 * time.Millisecond
+const firstStartSpread = 1200 * time.Millisecond
 
 // joinMost bounds the wait for the others' names: the store answers in 4 ms, and in half a
 // second where hundreds of small instances start at once. Who does not hear from it reads all
 // topics by itself: with a tenth of a second half of 295 did, five calls each, and were ready
 // after 1.5 s.
-const joinMost = 700 * time.Millisecond
+const joinTimeout = 700 * time.Millisecond
 
 // join makes this instance known and learns of the others.
 func (s *sharing) join(ctx context.Context, firstStart bool) {
@@ -28,66 +28,66 @@
 		return
 	}
 	if firstStart {
-		sleep(ctx, time.Duration(s.self.Turn()*float64(firstSpread)), nil)
+		sleep(ctx, time.Duration(s.self.Turn()*float64(firstStartSpread)), nil)
 	}
-	ctx, cancel := context.WithTimeout(ctx, joinMost)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	if !s.learn(ctx, s.self.Domain) {
+	if !s.readMembers(ctx, s.self.Domain) {
 		return
 	}
-	s.count()
+	s.reportCounts()
 	if !s.listed.Load() {
-		s.enlist(ctx)
+		s.announceSelf(ctx)
 	}
 }
 
 // lost notes that the store did not answer on the instances.
-func (s *sharing) lost(err error) {
+func (s *sharing) logStoreLost(err error) {
 	s.journal.emit(logging.EventStoreLost, slog.String("topic", topicInstances), slog.String(logging.KeyError, err.Error()))
 }
 
 // learn reads a failure domain's members from the store itself, and says whether it answered.
-func (s *sharing) learn(ctx context.Context, domain string) bool {
+func (s *sharing) readMembers(ctx context.Context, domain string) bool {
 	snap, err := s.store.Instances(domain).Newest(ctx)
 	if err != nil {
-		s.lost(err)
+		s.logStoreLost(err)
 		return false
 	}
-	s.memberList(snap.Records)
+	s.applyMembers(snap.Records)
 	return true
 }
 
 // enlist makes this instance known, by its collector if it has one.
-func (s *sharing) enlist(ctx context.Context) {
-	s.enlisted = s.clock.Now()
+func (s *sharing) announceSelf(ctx context.Context) {
+	s.announcedAt = s.clock.Now()
 	text, err := json.Marshal(s.self)
 	if err == nil {
 		err = s.instances.Append(ctx, keyedlog.Anywhere, keyedlog.Record{Key: s.self.Name, Value: text})
 	}
 	if err != nil {
-		s.lost(err)
+		s.logStoreLost(err)
 	}
 }
 
 // enlistAgain is how long after an instance was told to the store it must be listed.
-const enlistAgain = 5 * time.Second
+const reannounceAfter = 5 * time.Second
 
 // keepListed makes this instance known once more where the store did not take it in: the
 // others would hold the fleet for smaller than it is.
-func (s *sharing) keepListed(ctx context.Context) {
-	if !s.listed.Load() && s.clock.Now().Sub(s.enlisted) > enlistAgain {
-		s.enlist(ctx)
+func (s *sharing) reannounceIfMissing(ctx context.Context) {
+	if !s.listed.Load() && s.clock.Now().Sub(s.announcedAt) > reannounceAfter {
+		s.announceSelf(ctx)
 	}
 }
 
-func (s *sharing) memberList(list []keyedlog.Record) {
+func (s *sharing) applyMembers(list []keyedlog.Record) {
 	for _, r := range list {
-		s.member(r)
+		s.applyMember(r)
 	}
 }
 
 // member takes in one entry.
-func (s *sharing) member(r keyedlog.Record) {
+func (s *sharing) applyMember(r keyedlog.Record) {
 	if len(r.Value) == 0 {
 		return
 	}
@@ -105,85 +105,85 @@
 }
 
 // count tells of a changed number of instances, and of neighbours that joined.
-func (s *sharing) count() {
-	if near := int64(s.members.Near()); s.near.Swap(near) != near {
-		s.neighbours(s.members.Names())
+func (s *sharing) reportCounts() {
+	if near := int64(s.members.Near()); s.reportedPeers.Swap(near) != near {
+		s.onPeers(s.members.Names())
 	}
 	n := s.members.Count()
-	if s.told.Swap(int64(n)) != int64(n) {
-		s.counted(n)
+	if s.reportedCount.Swap(int64(n)) != int64(n) {
+		s.onFleetCount(n)
 	}
 }
 
 // censusEvery is how often the other failure domains' instances are counted: the retry budget,
 // which all share, has room for a fleet that is larger than counted by a sixth.
-const censusEvery = 30 * time.Second
+const fleetCountInterval = 30 * time.Second
 
 // collect does what a collector does for its followers, until ctx ends: it makes them known, and
 // counts the fleet.
-func (s *sharing) collect(ctx context.Context) {
+func (s *sharing) runCollector(ctx context.Context) {
 	counted := time.Time{}
 	for ctx.Err() == nil {
-		s.enlistFollowers(ctx)
-		if s.countsAll() && s.clock.Now().Sub(counted) >= censusEvery {
+		s.writeFollowers(ctx)
+		if s.countsFleet() && s.clock.Now().Sub(counted) >= fleetCountInterval {
 			counted = s.clock.Now()
-			s.census(ctx)
+			s.countFleet(ctx)
 		}
-		sleep(ctx, enlistEvery, nil)
+		sleep(ctx, followerWriteInterval, nil)
 	}
 }
 
 // census counts the instances of all failure domains; the followers are told the sum. Each
 // failure domain has a list of its own: at a start of all, 295 instances that read the list of
 // all would wait for 20 MB from the store.
-func (s *sharing) census(ctx context.Context) {
-	for _, domain := range s.elsewhere {
-		s.learn(ctx, domain)
+func (s *sharing) countFleet(ctx context.Context) {
+	for _, domain := range s.otherDomains {
+		s.readMembers(ctx, domain)
 	}
-	s.count()
+	s.reportCounts()
 }
 
 // enlistEvery is how often a collector writes down the followers that have told it of
 // themselves: they need not be known sooner, as the others ask those that were there before.
-const enlistEvery = time.Second
+const followerWriteInterval = time.Second
 
 // enlistFollowers writes down the instances that told this one of themselves. What is lost
 // they tell again.
-func (s *sharing) enlistFollowers(ctx context.Context) {
-	records := s.take(topicInstances)
+func (s *sharing) writeFollowers(ctx context.Context) {
+	records := s.takeHeld(topicInstances)
 	if len(records) == 0 {
 		return
 	}
 	if err := s.store.Instances(s.self.Domain).Append(ctx, keyedlog.Anywhere, records...); err != nil {
-		s.lost(err)
+		s.logStoreLost(err)
 	}
 }
 
 // countsAll says whether this instance counts the fleet: it reads the store itself, for others
 // or as the first in rank. In an outage of the store all read it themselves, and must not.
-func (s *sharing) countsAll() bool {
+func (s *sharing) countsFleet() bool {
 	return s.instances.Direct() && (s.members.First() || s.server.Collects())
 }
 
 // instancesWait is how long a read of the members waits for a new one.
-const instancesWait = 10 * time.Second
+const membersReadWait = 10 * time.Second
 
 // reader follows the members.
 func (s *sharing) reader(ctx context.Context) *topicReader {
 	return &topicReader{
 		name: topicInstances, log: s.instances, clock: s.clock, journal: s.journal,
-		wait: func() time.Duration { return instancesWait }, retry: retryRare,
-		pause: func() time.Duration { return time.Second },
-		each:  s.member,
-		whole: s.memberList,
-		restored: func() {
+		wait: func() time.Duration { return membersReadWait }, maxRetry: slowRetryDelay,
+		pause:      func() time.Duration { return time.Second },
+		onRecord:   s.applyMember,
+		onSnapshot: s.applyMembers,
+		onRestore: func() {
 			// A copy of the store may lack this instance: unless it shows there, it is told at once.
 			s.listed.Store(false)
-			s.enlisted = time.Time{}
+			s.announcedAt = time.Time{}
 		},
-		read: func(time.Time, int) {
-			s.keepListed(ctx)
-			s.count()
+		onRead: func(time.Time, int) {
+			s.reannounceIfMissing(ctx)
+			s.reportCounts()
 		},
 	}
 }
--- a/router/internal/passthrough/observationrow.go
+++ b/router/internal/passthrough/observationrow.go
@@ -15,21 +15,21 @@
 type observationRow passthrough.Pair
 
 // observationUnits is how many parts of one a sum of logarithms is rounded to.
-const observationUnits = 1000
+const rowScale = 1000
 
 // rowLength is the number of a row's parts.
 const rowLength = 13
 
-func units(x float64) int64     { return int64(math.Round(x * observationUnits)) }
-func fromUnits(n int64) float64 { return float64(n) / observationUnits }
+func toRowUnits(x float64) int64   { return int64(math.Round(x * rowScale)) }
+func fromRowUnits(n int64) float64 { return float64(n) / rowScale }
 
 // MarshalJSON implements json.Marshaler.
 func (r observationRow) MarshalJSON() ([]byte, error) {
 	fresh, old := r.New, r.Old
 	return json.Marshal([rowLength]int64{
 		int64(fresh.Good), int64(fresh.Bad),
-		int64(fresh.First.N), units(fresh.First.Sum), units(fresh.First.Squares),
-		int64(fresh.Pace.N), units(fresh.Pace.Sum), units(fresh.Pace.Squares), int64(fresh.Pace.Slow),
+		int64(fresh.First.N), toRowUnits(fresh.First.Sum), toRowUnits(fresh.First.Squares),
+		int64(fresh.Pace.N), toRowUnits(fresh.Pace.Sum), toRowUnits(fresh.Pace.Squares), int64(fresh.Pace.Slow),
 		int64(old.Good), int64(old.Bad), int64(old.Pace.N), int64(old.Pace.Slow),
 	})
 }
@@ -45,8 +45,8 @@
 	}
 	r.New = passthrough.Counts{
 		Good: int(in[0]), Bad: int(in[1]),
-		First: passthrough.Shift{N: int(in[2]), Sum: fromUnits(in[3]), Squares: fromUnits(in[4])},
-		Pace:  passthrough.Shift{N: int(in[5]), Sum: fromUnits(in[6]), Squares: fromUnits(in[7]), Slow: int(in[8])},
+		First: passthrough.Shift{N: int(in[2]), Sum: fromRowUnits(in[3]), Squares: fromRowUnits(in[4])},
+		Pace:  passthrough.Shift{N: int(in[5]), Sum: fromRowUnits(in[6]), Squares: fromRowUnits(in[7]), Slow: int(in[8])},
 	}
 	r.Old = passthrough.Counts{
 		Good: int(in[9]), Bad: int(in[10]),
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -29,7 +29,7 @@
 	if err := json.Unmarshal(text, &out); err != nil {
 		t.Fatal(err)
 	}
-	if math.Abs(out.New.First.Sum-in.New.First.Sum) > 1.0/observationUnits || math.Abs(out.New.Pace.Squares-in.New.Pace.Squares) > 1.0/observationUnits {
+	if math.Abs(out.New.First.Sum-in.New.First.Sum) > 1.0/rowScale || math.Abs(out.New.Pace.Squares-in.New.Pace.Squares) > 1.0/rowScale {
 		t.Errorf("sums of %+v became %+v", in.New, out.New)
 	}
 	out.New.First, in.New.First, out.New.Pace, in.New.Pace = passthrough.Shift{}, passthrough.Shift{}, passthrough.Shift{N: out.New.Pace.N, Slow: out.New.Pace.Slow}, passthrough.Shift{N: in.New.Pace.N, Slow: in.New.Pace.Slow}
@@ -47,7 +47,7 @@
 // of five routes: with 4 KB a second for control, a second's observations are 25 at most.
 func TestSheetsOfAFleetAreSmall(t *testing.T) {
 	const most = 4096 / 6 // bytes: a sixth of a second's, beside heartbeats and configurations
-	s := observationSet{Instance: "edge-salle-trois-pistoles-120", Life: 1 << 60, Service: "model-engines", Target: "v2", Order: 1 << 20,
+	s := observationSet{Instance: "edge-salle-trois-pistoles-120", ProcessStart: 1 << 60, Service: "model-engines", Target: "v2", Order: 1 << 20,
 		ElapsedMS: 23_500, Routes: map[string]observationRow{}}
 	for i := range 5 {
 		s.Routes[fmt.Sprintf("r-vhma%dj5", i)] = busyRow()
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -20,62 +20,62 @@
 type observationStore struct {
 	instance string
 	// life tells this process from those before.
-	life    uint64
-	log     keyedlog.Log
-	driver  *Driver
-	journal *journal
-	clock   Clock
+	processStart uint64
+	log          keyedlog.Log
+	driver       *Driver
+	journal      *telemetry
+	clock        Clock
 
 	// fleet is the number of instances that share the topic.
-	fleet func() int
+	fleetSize func() int
 	// held gives the records of other instances that are to be written with the own.
-	held func() []keyedlog.Record
+	followerRecords func() []keyedlog.Record
 
 	mu sync.Mutex
 	// own are this instance's observations by service, others those of the others by key.
-	own    map[string]*observationSet
-	others map[string]observationSet
-	crash  map[uint64]int
-	wake   chan struct{}
+	own            map[string]*observationSet
+	others         map[string]observationSet
+	pendingCrashes map[uint64]int
+	wake           chan struct{}
 	// quietAt is when the set is written next though only good answers are to be told.
-	quietAt time.Time
+	nextIdleWrite time.Time
 	// readAt is the last time that the others' observations were read, soundSince the end of the
 	// last outage in which they were not.
-	readAt     time.Time
-	soundSince time.Time
+	lastReadAt    time.Time
+	completeSince time.Time
 	// drops are keys of this instance's that are to be dropped, and when.
-	drops map[string]time.Time
+	deleteAt map[string]time.Time
 }
 
 const (
 	// observationsEvery is the time between two writes of the own set while a roll-out is in
 	// progress and its counts of bad answers change.
-	observationsEvery = 1100 * time.Millisecond
+	observationInterval = 1100 * time.Millisecond
 	// quietEvery is the same while only good answers of the old version are to be told, and
 	// quietPerInstance what it is at least for each instance: each reads what all write, and 25
 	// observations a second tell the number of answers well enough.
-	quietEvery       = 6 * time.Second
-	quietPerInstance = 40 * time.Millisecond
+	idleWriteInterval    = 6 * time.Second
+	idleWritePerInstance = 40 * time.Millisecond
 	// gatherTime is how long a write waits for more, so that what comes at once goes out in one
 	// call.
-	gatherTime = 150 * time.Millisecond
+	batchDelay = 150 * time.Millisecond
 	// observationsWait is how long a read waits for a record while no roll-out is in progress.
-	observationsWait = 8 * time.Second
+	idleReadWait = 8 * time.Second
 	// noteLife is how long a note on a crash, or a set of a roll-out that has ended, stays in
 	// the store: those that read it then have counted it, and one that starts later must not.
-	noteLife = 30 * time.Second
+	recordLifetime = 30 * time.Second
 )
 
-func newObservationStore(instance string, log keyedlog.Log, driver *Driver, j *journal, clock Clock) *observationStore {
+func newObservationStore(instance string, log keyedlog.Log, driver *Driver, j *telemetry, clock Clock) *observationStore {
 	return &observationStore{
-		instance: instance, life: uint64(clock.Now().UnixNano()), log: log, driver: driver, journal: j, clock: clock,
-		own: map[string]*observationSet{}, others: map[string]observationSet{}, crash: map[uint64]int{}, drops: map[string]time.Time{},
-		wake: make(chan struct{}, 1), fleet: func() int { return 1 }, held: func() []keyedlog.Record { return nil },
+		instance: instance, processStart: uint64(clock.Now().UnixNano()), log: log, driver: driver, journal: j, clock: clock,
+		own: map[string]*observationSet{}, others: map[string]observationSet{}, pendingCrashes: map[uint64]int{}, deleteAt: map[string]time.Time{},
+		wake: make(chan struct{}, 1), fleetSize: func() int { return 1 }, followerRecords: func() []keyedlog.Record { return nil },
 	}
 }
 
 // observed counts an answer. It must not block: the driver calls it.
-func (b *observationStore) observed(o passthrough.Observed) {
+func (b *observationStore) recordAnswer(o passthrough.Observed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.own[o.Service]
@@ -83,14 +83,14 @@
 		return
 	}
 	if o.Cut && o.Version == s.Target {
-		s.noteCut(o)
+		s.addCrash(o)
 		o.Early = true // its times count, and the crash by itself
 	}
 	s.Routes[o.Route] = observationRow(passthrough.Pair(s.Routes[o.Route]).Add(o, s.Target))
 	s.dirty = s.dirty || o.Version == s.Target
 }
 
-func (b *observationStore) nudge() {
+func (b *observationStore) wakeUp() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
@@ -98,7 +98,7 @@
 }
 
 // open adds the sessions that are open here to the own set.
-func (b *observationStore) open(service string, sessions []string) {
+func (b *observationStore) addOpenSessions(service string, sessions []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.own[service]
@@ -116,48 +116,48 @@
 // run writes what this instance has to tell until ctx ends.
 func (b *observationStore) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		records := append(b.due(), b.held()...)
+		records := append(b.pendingRecords(), b.followerRecords()...)
 		if len(records) > 0 {
 			if err := b.log.Append(ctx, keyedlog.Anywhere, records...); err != nil {
 				b.journal.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
-				b.redo()
-				b.unwritten()
+				b.markDirty()
+				b.markIncomplete()
 			}
 		}
-		wait := observationsWait
-		if b.busy() {
-			wait = observationsEvery
+		wait := idleReadWait
+		if b.inRollout() {
+			wait = observationInterval
 		}
 		sleep(ctx, wait, b.wake)
-		sleep(ctx, gatherTime, nil)
+		sleep(ctx, batchDelay, nil)
 	}
 }
 
 // busy says whether this instance keeps a set.
-func (b *observationStore) busy() bool {
+func (b *observationStore) inRollout() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.own) > 0
 }
 
 // due makes the records that are to be written now.
-func (b *observationStore) due() []keyedlog.Record {
+func (b *observationStore) pendingRecords() []keyedlog.Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []keyedlog.Record
 	now := b.clock.Now()
-	quiet := !now.Before(b.quietAt)
+	quiet := !now.Before(b.nextIdleWrite)
 	for _, s := range b.own {
 		if s.dirty || quiet {
 			s.dirty = false
-			b.quietAt = now.Add(b.quietSpan())
+			b.nextIdleWrite = now.Add(b.idleWriteDelay())
 			out = append(out, b.encode(s.key(), s))
 		}
 	}
-	out = append(out, b.crashNotes(now)...)
-	for key, at := range b.drops {
+	out = append(out, b.crashRecords(now)...)
+	for key, at := range b.deleteAt {
 		if now.After(at) {
-			delete(b.drops, key)
+			delete(b.deleteAt, key)
 			out = append(out, keyedlog.Record{Key: key})
 		}
 	}
@@ -167,13 +167,13 @@
 // quietSpan is the time to the next set without news. It differs from instance to instance:
 // all learn of an order at the same moment, and 295 observations at once held up what must be fresh
 // behind them, so that hundreds of instances turned to the store.
-func (b *observationStore) quietSpan() time.Duration {
-	span := max(quietEvery, time.Duration(b.fleet())*quietPerInstance)
+func (b *observationStore) idleWriteDelay() time.Duration {
+	span := max(idleWriteInterval, time.Duration(b.fleetSize())*idleWritePerInstance)
 	return span/2 + rand.N(span)
 }
 
 // redo marks the observations as not written.
-func (b *observationStore) redo() {
+func (b *observationStore) markDirty() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.own {
@@ -191,11 +191,11 @@
 
 // close forgets the observations of a roll-out that has ended, here and, after the others had
 // time to read them, in the store, which keeps the newest record of a key for good.
-func (b *observationStore) close(service string) {
+func (b *observationStore) endRollout(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.own[service]; s != nil {
-		b.drops[s.key()] = b.clock.Now().Add(noteLife)
+		b.deleteAt[s.key()] = b.clock.Now().Add(recordLifetime)
 	}
 	delete(b.own, service)
 	for key, s := range b.others {
@@ -204,7 +204,7 @@
 		}
 		delete(b.others, key)
 		if s.Instance == b.instance {
-			b.drops[key] = b.clock.Now().Add(noteLife) // of a process before this one
+			b.deleteAt[key] = b.clock.Now().Add(recordLifetime) // of a process before this one
 		}
 	}
 }
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -12,16 +12,16 @@
 	clock, observations := newFakeClock(), &fakeLog{}
 	a, b := newParts("a", clock, &fakeLog{}, observations), newParts("b", clock, &fakeLog{}, observations)
 	tl := b.observations.reader(clock, b.rollouts.active)
-	if err := tl.once(t.Context()); err != nil {
+	if err := tl.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
-		a.observations.crashed(passthrough.CrashSeen{Fingerprint: 9})
+		a.observations.recordCrash(passthrough.CrashSeen{Fingerprint: 9})
 	}
-	if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.due()...); err != nil {
+	if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
 	}
-	if err := tl.once(t.Context()); err != nil {
+	if err := tl.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, Target: time.Second}
@@ -36,13 +36,13 @@
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
 	p.listServers()
-	p.rollouts.ordered(testOrder, 1)
+	p.rollouts.applyOrder(testOrder, 1)
 	r := p.rollouts.open["shop"]
 	step := func(good, bad int) {
-		clock.pass(400 * time.Millisecond)
-		p.see("v2", false, good)
-		p.see("v2", true, bad)
-		p.see("v1", false, 40)
+		clock.advance(400 * time.Millisecond)
+		p.observeMany("v2", false, good)
+		p.observeMany("v2", true, bad)
+		p.observeMany("v1", false, 40)
 		p.rollouts.advance(t.Context(), r)
 	}
 	p.rollouts.advance(t.Context(), r)
@@ -64,17 +64,17 @@
 	clock, observations := newFakeClock(), &fakeLog{}
 	a := newParts("a", clock, &fakeLog{}, observations)
 	for range 3 {
-		a.observations.crashed(passthrough.CrashSeen{Fingerprint: 9})
+		a.observations.recordCrash(passthrough.CrashSeen{Fingerprint: 9})
 	}
 	write := func() {
 		t.Helper()
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.due()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write()
 	late := newParts("late", clock, &fakeLog{}, observations)
-	if err := late.observations.reader(clock, late.rollouts.active).once(t.Context()); err != nil {
+	if err := late.observations.reader(clock, late.rollouts.active).readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, Target: time.Second}
@@ -82,7 +82,7 @@
 	if c, ok := (<-tk.commands).(passthrough.Refuse); !ok || c.Reason == passthrough.ReasonQuarantined {
 		t.Errorf("got %+v", c)
 	}
-	clock.pass(noteLife + time.Second)
+	clock.advance(recordLifetime + time.Second)
 	write()
 	if snap, err := observations.Newest(t.Context()); err != nil || len(snap.Records) != 0 {
 		t.Errorf("the store keeps %v, %v", snap.Records, err)
@@ -94,33 +94,33 @@
 func TestWhatAProcessSawOutlivesIt(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	write := func(p *parts) {
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.due()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
 	start := func() *parts {
 		p := newParts("a", clock, status, observations)
 		p.listServers()
-		p.rollouts.ordered(testOrder, 1)
-		p.observations.takeAll(observations.records)
+		p.rollouts.applyOrder(testOrder, 1)
+		p.observations.applySnapshot(observations.records)
 		p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
 		return p
 	}
 	before := start()
-	before.see("v2", true, 4)
+	before.observeMany("v2", true, 4)
 	write(before)
-	clock.pass(5 * time.Second)
+	clock.advance(5 * time.Second)
 	after := start()
-	after.see("v2", true, 2)
+	after.observeMany("v2", true, 2)
 	write(after)
-	clock.pass(time.Second)
+	clock.advance(time.Second)
 	after.rollouts.advance(t.Context(), after.rollouts.open["shop"])
 	if got := ends(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Errorf("ends %v after six bad answers by two processes", got)
 	}
-	clock.pass(noteLife + time.Second)
+	clock.advance(recordLifetime + time.Second)
 	dropped := 0
-	for _, r := range after.observations.due() {
+	for _, r := range after.observations.pendingRecords() {
 		if len(r.Value) == 0 {
 			dropped++
 		}
@@ -135,17 +135,17 @@
 func TestReaderTakesABadVersionBackInTheEnd(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
-	p.rollouts.writes = func() bool { return false }
+	p.rollouts.writesRegister = func() bool { return false }
 	p.listServers()
-	p.rollouts.ordered(testOrder, 1)
+	p.rollouts.applyOrder(testOrder, 1)
 	r := p.rollouts.open["shop"]
 	p.rollouts.advance(t.Context(), r)
-	p.see("v2", true, 8)
+	p.observeMany("v2", true, 8)
 	p.rollouts.advance(t.Context(), r)
 	if got := ends(status); len(got) != 0 {
 		t.Fatalf("ends %v at once", got)
 	}
-	clock.pass(revertAnyway)
+	clock.advance(revertTimeout)
 	p.rollouts.advance(t.Context(), r)
 	if got := ends(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Errorf("ends %v", got)
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -14,65 +14,65 @@
 // failure domains that are to be drained.
 type operator struct {
 	records  Records
-	known    *Knowledge
+	config   *Knowledge
 	driver   *Driver
 	rollouts *rollouts
-	journal  *journal
-	starting *starting
+	journal  *telemetry
+	starting *startGate
 	clock    Clock
 	// trust says whether reads confirm the configuration.
-	trust *configTrust
+	restoreGuard *restoreGuard
 	// drained are the failure domains that get no new work, domains all that there are. ordered
 	// are those that the store has orders for; others among drained are kept until keepUntil.
-	drained   map[string]bool
-	ordered   map[string]bool
-	keepUntil time.Time
+	drained     map[string]bool
+	drainOrders map[string]bool
+	keepUntil   time.Time
 	// kept are those of which the log was told that they are kept.
-	kept    map[string]bool
-	domains []string
+	keptLogged map[string]bool
+	domains    []string
 	// collects says whether others read from this instance, direct whether it reads from
 	// the store itself.
-	collects func() bool
-	direct   func() bool
+	isCollector func() bool
+	readsStore  func() bool
 }
 
 func (o *operator) wait() time.Duration {
-	part := pollPart
+	part := readWaitFraction
 	switch {
-	case o.collects():
-		part = collectPart
-	case !o.direct():
-		part = followPart
+	case o.isCollector():
+		part = collectorWaitFraction
+	case !o.readsStore():
+		part = followerWaitFraction
 	}
-	return time.Duration(part * float64(o.known.Bound()))
+	return time.Duration(part * float64(o.config.Bound()))
 }
 
 const (
 	// pollPart is the part of the revocation bound for which a read of the operator's
 	// records waits for one. What is known is up to twice as old, and must stay under the
 	// half at which readiness fails: 2.2 s of 5 s.
-	pollPart = 0.22
+	readWaitFraction = 0.22
 	// collectPart and followPart are the same where others read from this instance, and
 	// where it reads from another one: the collector's word is up to twice its wait old,
 	// and the own wait comes on top: 2.1 s of 5 s. With a fifth instead of a tenth for
 	// those that follow, instances left the rotation whenever a collector changed.
-	collectPart = 0.16
-	followPart  = 0.1
+	collectorWaitFraction = 0.16
+	followerWaitFraction  = 0.1
 )
 
 func (o *operator) reader(log keyedlog.Log, clock Clock) *topicReader {
 	return &topicReader{
 		name: topicOperator, log: log, clock: clock, journal: o.journal, wait: o.wait,
-		whole:    o.takeAll,
-		each:     o.take,
-		restored: o.restored,
-		read: func(began time.Time, _ int) {
-			o.settleDrained()
-			if o.trust.confirms() {
-				o.known.Confirm(began)
+		onSnapshot: o.applySnapshot,
+		onRecord:   o.applyNew,
+		onRestore:  o.onRestore,
+		onRead: func(began time.Time, _ int) {
+			o.reconcileDrained()
+			if o.restoreGuard.confirms() {
+				o.config.Confirm(began)
 			}
-			if o.known.Index() != nil {
-				o.starting.has(learntConfig)
+			if o.config.Index() != nil {
+				o.starting.loaded(prerequisiteConfig)
 			}
 		},
 	}
@@ -80,40 +80,40 @@
 
 // takeAll applies the newest records, the configuration last: it lets requests in, and
 // these must find the roll-outs.
-func (o *operator) takeAll(list []keyedlog.Record) {
-	o.takeDrained(list)
+func (o *operator) applySnapshot(list []keyedlog.Record) {
+	o.replaceDrainOrders(list)
 	for _, config := range []bool{false, true} {
 		for _, r := range list {
 			if _, ok, _ := o.records.Config(r); ok == config {
-				o.takeRecord(r, false)
+				o.applyRecord(r, false)
 			}
 		}
 	}
 }
 
 // restored notes that the store came back from a copy.
-func (o *operator) restored() {
-	o.trust.restored()
-	o.rollouts.restored()
-	o.keepUntil = o.clock.Now().Add(drainKept)
+func (o *operator) onRestore() {
+	o.restoreGuard.onRestore()
+	o.rollouts.onRestore()
+	o.keepUntil = o.clock.Now().Add(keepDrainedFor)
 }
 
 // take applies one record that was written since the last read.
-func (o *operator) take(r keyedlog.Record) { o.takeRecord(r, true) }
+func (o *operator) applyNew(r keyedlog.Record) { o.applyRecord(r, true) }
 
 // takeRecord applies one record; written says that it is a new one, not one of the newest of each
 // key. One that cannot be read changes nothing.
-func (o *operator) takeRecord(r keyedlog.Record, written bool) {
+func (o *operator) applyRecord(r keyedlog.Record, written bool) {
 	if domain, ok := o.records.DrainedDomain(r); ok {
-		o.ordered[domain] = len(r.Value) > 0
-		o.drain(domain, o.ordered[domain], r.Offset)
+		o.drainOrders[domain] = len(r.Value) > 0
+		o.setDrained(domain, o.drainOrders[domain], r.Offset)
 		return
 	}
 	if len(r.Value) == 0 {
 		return
 	}
 	if c, ok, err := o.records.Config(r); ok || err != nil {
-		o.apply(c, r, written, err)
+		o.applyConfig(c, r, written, err)
 		return
 	}
 	order, ok, err := o.records.Order(r)
@@ -122,20 +122,20 @@
 		return
 	}
 	if ok {
-		o.rollouts.ordered(order, r.Offset)
+		o.rollouts.applyOrder(order, r.Offset)
 	}
 }
 
-func (o *operator) apply(c passthrough.Config, r keyedlog.Record, written bool, err error) {
+func (o *operator) applyConfig(c passthrough.Config, r keyedlog.Record, written bool, err error) {
 	if err != nil {
 		o.reject(r, err)
 		return
 	}
-	o.trust.saw(c.Version, written)
-	index, applied := o.known.Apply(c)
+	o.restoreGuard.noteStored(c.Version, written)
+	index, applied := o.config.Apply(c)
 	if !applied {
 		if c.Version < index.Version {
-			o.journal.stateKept("configuration", strconv.FormatUint(index.Version, 10), "the store has an earlier one")
+			o.journal.logStateKept("configuration", strconv.FormatUint(index.Version, 10), "the store has an earlier one")
 		}
 		return
 	}
--- a/router/internal/passthrough/pooling_test.go
+++ b/router/internal/passthrough/pooling_test.go
@@ -10,9 +10,9 @@
 )
 
 // pooled is an instance that tells what it sees by its failure domain's collector.
-type pooled struct {
+type poolInstance struct {
 	*parts
-	collector *pooled
+	collector *poolInstance
 	held      []keyedlog.Record
 	next      keyedlog.Position
 	writeAt   time.Time
@@ -22,24 +22,24 @@
 // poolFleet is 295 instances in five failure domains. The first of each reads the store, or the
 // second where the first is turned away.
 type poolFleet struct {
-	t       *testing.T
-	clock   *fakeClock
-	log     *fakeLog
-	all     []*pooled
-	readers []*pooled
+	t         *testing.T
+	clock     *fakeClock
+	log       *fakeLog
+	instances []*poolInstance
+	readers   []*poolInstance
 }
 
 func newPoolFleet(t *testing.T, away func(domain int) bool) *poolFleet {
 	const domains, perDomain = 5, 59
 	f := &poolFleet{t: t, clock: newFakeClock(), log: &fakeLog{}}
 	for d := range domains {
-		var list []*pooled
+		var list []*poolInstance
 		for i := range perDomain {
-			p := &pooled{parts: newParts(fmt.Sprint("d", d, "i", i), f.clock, &fakeLog{}, f.log)}
+			p := &poolInstance{parts: newParts(fmt.Sprint("d", d, "i", i), f.clock, &fakeLog{}, f.log)}
 			p.listServers()
-			p.observations.fleet = func() int { return domains * perDomain }
-			p.rollouts.known = true
-			p.rollouts.ordered(passthrough.Order{Service: "shop", Target: "v2", Duration: time.Minute}, 1)
+			p.observations.fleetSize = func() int { return domains * perDomain }
+			p.rollouts.statusRead = true
+			p.rollouts.applyOrder(passthrough.Order{Service: "shop", Target: "v2", Duration: time.Minute}, 1)
 			p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
 			phase := time.Duration((d*perDomain+i)*37%1100) * time.Millisecond
 			p.writeAt, p.readAt = f.clock.Now().Add(phase), f.clock.Now().Add(phase)
@@ -53,25 +53,25 @@
 			p.collector = reader
 		}
 		f.readers = append(f.readers, reader)
-		f.all = append(f.all, list...)
+		f.instances = append(f.instances, list...)
 	}
 	return f
 }
 
 // step plays what the loops of all instances do at this moment.
 func (f *poolFleet) step(d time.Duration) {
-	f.clock.pass(d)
+	f.clock.advance(d)
 	now := f.clock.Now()
-	for _, p := range f.all {
+	for _, p := range f.instances {
 		if now.Before(p.writeAt) {
 			continue
 		}
-		p.writeAt = now.Add(observationsEvery + gatherTime)
-		records := p.observations.due()
+		p.writeAt = now.Add(observationInterval + batchDelay)
+		records := p.observations.pendingRecords()
 		if p != p.collector {
 			if len(records) > 0 {
 				p.collector.held = append(p.collector.held, records...)
-				p.collector.writeAt = minTime(p.collector.writeAt, now.Add(gatherTime))
+				p.collector.writeAt = minTime(p.collector.writeAt, now.Add(batchDelay))
 			}
 			continue
 		}
@@ -84,13 +84,13 @@
 		if now.Before(p.readAt) {
 			continue
 		}
-		p.readAt = now.Add(observationsEvery)
+		p.readAt = now.Add(observationInterval)
 		batch, err := f.log.Read(f.t.Context(), p.next, 0)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		for _, r := range batch.Records {
-			p.observations.take(r)
+			p.observations.apply(r)
 		}
 		p.next = batch.Next
 	}
@@ -119,11 +119,11 @@
 		worst := time.Duration(0)
 		seen := 0
 		for round := range 20 {
-			p := f.all[(round*67+3)%len(f.all)]
-			p.see("v2", true, 1)
+			p := f.instances[(round*67+3)%len(f.instances)]
+			p.observeMany("v2", true, 1)
 			seen++
 			began := f.clock.Now()
-			for !f.known(seen) {
+			for !f.allCount(seen) {
 				f.step(50 * time.Millisecond)
 				if f.clock.Now().Sub(began) > time.Minute {
 					t.Fatalf("%s: an answer seen at %s is never known", name, p.observations.instance)
@@ -139,9 +139,9 @@
 }
 
 // known says whether all readers count so many bad answers.
-func (f *poolFleet) known(count int) bool {
+func (f *poolFleet) allCount(count int) bool {
 	for _, p := range f.readers {
-		if p.observations.view(p.rollouts.open["shop"], f.clock.Now()).fresh.Bad < count {
+		if p.observations.view(p.rollouts.open["shop"], f.clock.Now()).newCounts.Bad < count {
 			return false
 		}
 	}
--- a/router/internal/passthrough/register.go
+++ b/router/internal/passthrough/register.go
@@ -12,43 +12,43 @@
 )
 
 // state is what the register holds of a service's newest roll-out.
-type state struct {
+type registerState struct {
 	target string
 	phase  passthrough.Phase
 }
 
 // toldOf is what was read of the roll-out from the register's topic, and whether that was
 // read at all.
-func (m *rollouts) toldOf(r *rollout) (phase passthrough.Phase, announced, known bool) {
+func (m *rollouts) knownState(r *rollout) (phase passthrough.Phase, announced, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return r.told, r.announced, m.known
+	return r.readPhase, r.announced, m.statusRead
 }
 
 // reader follows the register's topic, so that an end is known everywhere at once.
 func (m *rollouts) reader(log keyedlog.Log) *topicReader {
 	t := &topicReader{
 		name: topicStatus, log: log, clock: m.clock, journal: m.journal,
-		wait: func() time.Duration { return observationsWait }, retry: retryRare,
-		pause: func() time.Duration { return retryMost },
-		each:  m.read,
+		wait: func() time.Duration { return idleReadWait }, maxRetry: slowRetryDelay,
+		pause:    func() time.Duration { return maxRetryDelay },
+		onRecord: m.applyStatus,
 	}
-	t.restored = m.restored
-	t.whole = func(list []keyedlog.Record) {
+	t.onRestore = m.onRestore
+	t.onSnapshot = func(list []keyedlog.Record) {
 		for _, rec := range list {
-			m.read(rec)
+			m.applyStatus(rec)
 		}
 	}
-	t.read = func(time.Time, int) {
+	t.onRead = func(time.Time, int) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.known = true
+		m.statusRead = true
 	}
 	return t
 }
 
 // read takes in one record of the register's topic. The first end of a roll-out holds.
-func (m *rollouts) read(rec keyedlog.Record) {
+func (m *rollouts) applyStatus(rec keyedlog.Record) {
 	service, target, phase, ok, err := m.records.Status(rec)
 	if err != nil {
 		m.journal.emit(logging.EventRecordRejected, slog.String("key", rec.Key), slog.String(logging.KeyError, err.Error()))
@@ -59,26 +59,26 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.olderState(service, target, phase) {
-		m.status[service] = state{target, phase}
+	if !m.predatesKnownEnd(service, target, phase) {
+		m.states[service] = registerState{target, phase}
 	}
 	if r := m.open[service]; r != nil && r.Target == target {
-		m.takeState(r, phase)
+		m.applyState(r, phase)
 	}
 }
 
 // olderState says whether a state is one of before the end that is known, as a copy of the store has
 // it. The lock is held.
-func (m *rollouts) olderState(service, target string, phase passthrough.Phase) bool {
-	known := m.status[service]
-	return m.restoredLately() && known.target == target && known.phase.Ended() && !phase.Ended()
+func (m *rollouts) predatesKnownEnd(service, target string, phase passthrough.Phase) bool {
+	known := m.states[service]
+	return m.restoredRecently() && known.target == target && known.phase.Ended() && !phase.Ended()
 }
 
 // takeState notes what the register holds of a roll-out.
-func (m *rollouts) takeState(r *rollout, phase passthrough.Phase) {
+func (m *rollouts) applyState(r *rollout, phase passthrough.Phase) {
 	r.announced = true
-	if phase.Ended() && !r.told.Ended() {
-		r.told = phase
+	if phase.Ended() && !r.readPhase.Ended() {
+		r.readPhase = phase
 	}
 }
 
@@ -88,13 +88,13 @@
 // Safety: the append is refused unless the topic ends where it was read, so an end that
 // another instance wrote in between is never overwritten. An append without an answer is
 // read back at the next look, before anything else is written.
-func (m *rollouts) register(ctx context.Context, r *rollout, plan passthrough.Rollout, seen view) passthrough.Rollout {
-	stored, end, err := m.stored(ctx, r)
+func (m *rollouts) commitPlan(ctx context.Context, r *rollout, plan passthrough.Rollout, seen view) passthrough.Rollout {
+	stored, end, err := m.readStored(ctx, r)
 	if err != nil {
-		return undecided(plan)
+		return withoutCompletion(plan)
 	}
 	if stored != 0 {
-		m.announce(r)
+		m.markAnnounced(r)
 	}
 	switch {
 	case stored.Ended():
@@ -103,10 +103,10 @@
 		return plan
 	case stored != 0 && !plan.Phase.Ended():
 		return plan
-	case !m.write(ctx, r, plan.Phase, end):
-		return undecided(plan)
+	case !m.writePhase(ctx, r, plan.Phase, end):
+		return withoutCompletion(plan)
 	}
-	m.announce(r)
+	m.markAnnounced(r)
 	if plan.Phase.Ended() {
 		m.end(r, plan.Phase, seen, "written")
 	}
@@ -114,8 +114,8 @@
 }
 
 // stored is the phase that the register holds of the roll-out, 0 for none, and where its topic ends.
-func (m *rollouts) stored(ctx context.Context, r *rollout) (phase passthrough.Phase, end keyedlog.Position, err error) {
-	snap, err := m.topic.Newest(ctx)
+func (m *rollouts) readStored(ctx context.Context, r *rollout) (phase passthrough.Phase, end keyedlog.Position, err error) {
+	snap, err := m.statusLog.Newest(ctx)
 	if err != nil {
 		return 0, end, err
 	}
@@ -129,24 +129,24 @@
 }
 
 // write writes a phase of the roll-out where the topic ends at the position, and says whether it did.
-func (m *rollouts) write(ctx context.Context, r *rollout, phase passthrough.Phase, end keyedlog.Position) bool {
+func (m *rollouts) writePhase(ctx context.Context, r *rollout, phase passthrough.Phase, end keyedlog.Position) bool {
 	rec, err := m.records.StatusRecord(r.Service, r.Target, phase)
 	if err == nil {
-		err = m.topic.Append(ctx, end, rec)
+		err = m.statusLog.Append(ctx, end, rec)
 	}
 	if err != nil && !errors.Is(err, keyedlog.ErrMoved) {
-		m.unwritten(r, err.Error())
+		m.logUnwritten(r, err.Error())
 	}
 	return err == nil
 }
 
 // unwritten tells why a roll-out's state is not in the register.
-func (m *rollouts) unwritten(r *rollout, why string) {
+func (m *rollouts) logUnwritten(r *rollout, why string) {
 	m.journal.emit(logging.EventRolloutUnwritten, slog.String("service", r.Service), slog.String(logging.KeyError, why))
 }
 
 // announce notes that the register holds the roll-out.
-func (m *rollouts) announce(r *rollout) {
+func (m *rollouts) markAnnounced(r *rollout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r.announced = true
@@ -154,7 +154,7 @@
 
 // undecided is the plan while the register does not hold the end that this instance would
 // write: a bad version gets nothing already, a good one is not completed yet.
-func undecided(plan passthrough.Rollout) passthrough.Rollout {
+func withoutCompletion(plan passthrough.Rollout) passthrough.Rollout {
 	if plan.Phase == passthrough.PhaseCompleted {
 		plan.Phase = passthrough.PhaseCanary
 	}
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -15,13 +15,13 @@
 	a, b := newParts("a", clock, status, &fakeLog{}), newParts("b", clock, status, &fakeLog{})
 	for _, p := range []*parts{a, b} {
 		p.listServers()
-		p.rollouts.ordered(testOrder, 1)
+		p.rollouts.applyOrder(testOrder, 1)
 		p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
 	}
-	a.see("v2", true, 20) // a alone finds it bad; b would complete it
-	clock.pass(19500 * time.Millisecond)
-	a.observations.sound(clock.Now())
-	b.observations.sound(clock.Now())
+	a.observeMany("v2", true, 20) // a alone finds it bad; b would complete it
+	clock.advance(19500 * time.Millisecond)
+	a.observations.markRead(clock.Now())
+	b.observations.markRead(clock.Now())
 	status.beforeAppend = func() { b.rollouts.advance(t.Context(), b.rollouts.open["shop"]) }
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
@@ -37,12 +37,12 @@
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
 	p.listServers()
-	p.rollouts.ordered(testOrder, 1)
+	p.rollouts.applyOrder(testOrder, 1)
 	r := p.rollouts.open["shop"]
 	p.rollouts.advance(t.Context(), r)
-	clock.pass(19500 * time.Millisecond)
-	p.observations.sound(clock.Now())
-	status.lose, status.appended = true, []error{keyedlog.ErrUnknown}
+	clock.advance(19500 * time.Millisecond)
+	p.observations.markRead(clock.Now())
+	status.appendDespiteErr, status.appendErrs = true, []error{keyedlog.ErrUnknown}
 	p.rollouts.advance(t.Context(), r)
 	if r.ended != 0 {
 		t.Error("ended without knowing it")
@@ -69,8 +69,8 @@
 	start := func(i int) *parts {
 		p := newParts(fmt.Sprint("instance-", i), clock, status, observations)
 		p.listServers()
-		p.rollouts.ordered(testOrder, 1)
-		if err := p.observations.reader(clock, p.rollouts.active).once(t.Context()); err != nil {
+		p.rollouts.applyOrder(testOrder, 1)
+		if err := p.observations.reader(clock, p.rollouts.active).readOnce(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		return p
@@ -78,8 +78,8 @@
 	if bad { // what was seen before, and told
 		first := start(9)
 		first.rollouts.advance(t.Context(), first.rollouts.open["shop"])
-		first.see("v2", true, 10)
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, first.observations.due()...); err != nil {
+		first.observeMany("v2", true, 10)
+		if err := observations.Append(t.Context(), keyedlog.Anywhere, first.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -88,29 +88,29 @@
 		fleet = append(fleet, start(i))
 	}
 	for range 400 {
-		clock.pass(time.Duration(rng.IntN(150)) * time.Millisecond)
+		clock.advance(time.Duration(rng.IntN(150)) * time.Millisecond)
 		i := rng.IntN(len(fleet))
 		p := fleet[i]
 		switch rng.IntN(12) {
 		case 0:
-			status.appended = append(status.appended, keyedlog.ErrUnknown)
-			status.lose = rng.IntN(2) == 0
+			status.appendErrs = append(status.appendErrs, keyedlog.ErrUnknown)
+			status.appendDespiteErr = rng.IntN(2) == 0
 		case 1:
-			status.newest = append(status.newest, keyedlog.ErrNotDone)
+			status.newestErrs = append(status.newestErrs, keyedlog.ErrNotDone)
 		case 2:
 			if rng.IntN(6) == 0 {
 				fleet[i] = start(i)
 			}
 		case 3:
-			p.see("v1", false, 5)
+			p.observeMany("v1", false, 5)
 		case 4:
-			p.see("v2", bad, 2)
+			p.observeMany("v2", bad, 2)
 		case 5, 6:
-			if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.due()...); err != nil {
+			if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
 				t.Fatal(err)
 			}
 		case 7, 8:
-			if err := p.observations.reader(clock, p.rollouts.active).once(t.Context()); err != nil {
+			if err := p.observations.reader(clock, p.rollouts.active).readOnce(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		case 9:
@@ -127,8 +127,8 @@
 			}
 		}
 	}
-	status.appended, status.newest, status.lose = nil, nil, false
-	clock.pass(20 * time.Second)
+	status.appendErrs, status.newestErrs, status.appendDespiteErr = nil, nil, false
+	clock.advance(20 * time.Second)
 	for _, p := range fleet {
 		for range 3 {
 			if r := p.rollouts.open["shop"]; r.ended == 0 {
--- a/router/internal/passthrough/restore_model_test.go
+++ b/router/internal/passthrough/restore_model_test.go
@@ -11,11 +11,11 @@
 // restoreModel is some instances before a store that comes back from copies of itself, with an
 // operator who writes again what was lost.
 type restoreModel struct {
-	t        *rapid.T
-	clock    *fakeClock
-	operator *fakeLog
-	servers  *fakeLog
-	all      []*modelInstance
+	t         *rapid.T
+	clock     *fakeClock
+	operator  *fakeLog
+	servers   *fakeLog
+	instances []*modelInstance
 	// version is the last that the operator wrote, revokedAt when each version was acknowledged:
 	// each takes a key away.
 	version   int
@@ -23,12 +23,12 @@
 	// rewriteAt is when the operator writes again what the store lost, zero for nothing to write.
 	rewriteAt time.Time
 	// late says that this takes long.
-	late bool
+	slowRewrite bool
 	// entriesAt is when the servers' entries are as they should be again.
 	entriesAt time.Time
 	// alive are the servers that write entries, gone those that have left.
 	alive map[string]bool
-	gone  map[string]bool
+	left  map[string]bool
 }
 
 type modelInstance struct {
@@ -53,20 +53,20 @@
 
 func newRestoreModel(t *rapid.T) *restoreModel {
 	m := &restoreModel{t: t, clock: newFakeClock(), operator: &fakeLog{era: 1}, servers: &fakeLog{era: 1},
-		revokedAt: map[int]time.Time{}, alive: map[string]bool{}, gone: map[string]bool{}}
-	m.write(1)
+		revokedAt: map[int]time.Time{}, alive: map[string]bool{}, left: map[string]bool{}}
+	m.writeConfig(1)
 	for i := range 4 {
-		m.all = append(m.all, m.start(fmt.Sprint("i", i)))
+		m.instances = append(m.instances, m.start(fmt.Sprint("i", i)))
 	}
 	return m
 }
 
 func (m *restoreModel) start(name string) *modelInstance {
 	p := newParts(name, m.clock, &fakeLog{}, &fakeLog{})
-	return &modelInstance{parts: p, operatorReader: p.operator.reader(m.operator, m.clock), listReader: p.list.reader(m.servers, m.clock), startedAt: m.clock.Now(), had: map[string]bool{}, left: map[string]bool{}}
+	return &modelInstance{parts: p, operatorReader: p.operator.reader(m.operator, m.clock), listReader: p.servers.reader(m.servers, m.clock), startedAt: m.clock.Now(), had: map[string]bool{}, left: map[string]bool{}}
 }
 
-func (m *restoreModel) write(version int) {
+func (m *restoreModel) writeConfig(version int) {
 	m.version = version
 	m.operator.put("config", fmt.Sprint("config ", version))
 	if m.revokedAt[version].IsZero() {
@@ -76,42 +76,42 @@
 
 // pass lets time go by: all but those that are cut read, and tell each other what the store lost.
 func (m *restoreModel) pass(d time.Duration) {
-	m.clock.pass(d)
+	m.clock.advance(d)
 	if !m.rewriteAt.IsZero() && !m.clock.Now().Before(m.rewriteAt) {
 		m.rewriteAt = time.Time{}
-		m.write(m.version)
+		m.writeConfig(m.version)
 	}
 	if !m.entriesAt.IsZero() && !m.clock.Now().Before(m.entriesAt) {
 		m.entriesAt = time.Time{}
 		for id := range m.alive {
 			m.servers.put(id, "server shop v1 ready")
 		}
-		for id := range m.gone {
+		for id := range m.left {
 			m.servers.put(id, "")
 		}
 	}
 	lost := uint64(0)
-	tellable := m.operatorSettled() || m.knowers() > 0
-	for _, i := range m.all {
+	tellable := m.operatorSettled() || m.countKnowing() > 0
+	for _, i := range m.instances {
 		if i.cut {
 			continue
 		}
 		if tellable {
 			i.mayKnow = m.version
 		}
-		if i.known.Index() == nil {
+		if i.config.Index() == nil {
 			i.startedAt = m.clock.Now()
 		}
 		for _, tl := range []*topicReader{i.operatorReader, i.listReader} {
-			if err := tl.once(m.t.Context()); err != nil {
+			if err := tl.readOnce(m.t.Context()); err != nil {
 				m.t.Fatal(err)
 			}
 		}
-		lost = max(lost, i.operator.trust.lost())
+		lost = max(lost, i.operator.restoreGuard.lostVersion())
 	}
-	for _, i := range m.all {
+	for _, i := range m.instances {
 		if !i.cut {
-			i.known.NoteLostVersion(lost)
+			i.config.NoteLostVersion(lost)
 		}
 	}
 }
@@ -119,8 +119,8 @@
 // check holds the invariants.
 func (m *restoreModel) check() {
 	now := m.clock.Now()
-	for n, i := range m.all {
-		index := i.known.Index()
+	for n, i := range m.instances {
+		index := i.config.Index()
 		if index == nil {
 			continue
 		}
@@ -129,18 +129,18 @@
 		}
 		i.highest = index.Version
 		next, written := m.revokedAt[int(index.Version)+1]
-		late := written && now.Sub(next) > i.known.Bound()
+		late := written && now.Sub(next) > i.config.Bound()
 		// One that started since cannot know what the store lost until another one can tell it.
 		untold := i.startedAt.After(next) && i.mayKnow <= int(index.Version)
-		if late && i.known.Fresh() && !untold {
+		if late && i.config.Fresh() && !untold {
 			m.t.Fatalf("instance %d uses version %d, %v after %d was acknowledged", n, index.Version, now.Sub(next), index.Version+1)
 		}
-		for id := range m.gone {
-			if i.left[id] && i.list.has(id) {
+		for id := range m.left {
+			if i.left[id] && i.servers.has(id) {
 				m.t.Fatalf("instance %d uses server %s again, which had left", n, id)
 			}
-			i.left[id] = i.left[id] || i.had[id] && !i.list.has(id)
-			i.had[id] = i.had[id] || i.list.has(id)
+			i.left[id] = i.left[id] || i.had[id] && !i.servers.has(id)
+			i.had[id] = i.had[id] || i.servers.has(id)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	}
 	if m.operatorSettled() {
 		m.rewriteAt = m.clock.Now().Add(span(t, int(within.Milliseconds())))
-		m.late = within > rewriteWithin
+		m.slowRewrite = within > rewriteWithin
 	}
 }
 
@@ -164,9 +164,9 @@
 }
 
 // knowers is how many instances know the operator's last version and can tell the others.
-func (m *restoreModel) knowers() int {
+func (m *restoreModel) countKnowing() int {
 	n := 0
-	for _, i := range m.all {
+	for _, i := range m.instances {
 		if m.knows(i) {
 			n++
 		}
@@ -175,14 +175,14 @@
 }
 
 func (m *restoreModel) knows(i *modelInstance) bool {
-	index := i.known.Index()
+	index := i.config.Index()
 	return !i.cut && index != nil && int(index.Version) == m.version
 }
 
 // maySpare says whether what the store lost is known without the instance: else nobody can know it
 // until the operator writes again, which takes long then.
-func (m *restoreModel) maySpare(i *modelInstance) bool {
-	return m.operatorSettled() || !m.late || !m.knows(i) || m.knowers() > 1
+func (m *restoreModel) mayLose(i *modelInstance) bool {
+	return m.operatorSettled() || !m.slowRewrite || !m.knows(i) || m.countKnowing() > 1
 }
 
 // operatorSettled says whether nothing is to be written again.
@@ -199,7 +199,7 @@
 
 func playRestores(t *rapid.T) {
 	m := newRestoreModel(t)
-	pick := func() *modelInstance { return m.all[rapid.IntRange(0, len(m.all)-1).Draw(t, "instance")] }
+	pick := func() *modelInstance { return m.instances[rapid.IntRange(0, len(m.instances)-1).Draw(t, "instance")] }
 	t.Repeat(map[string]func(*rapid.T){
 		"pass": func(t *rapid.T) {
 			m.pass(span(t, 700))
@@ -212,12 +212,12 @@
 		},
 		"write": func(*rapid.T) {
 			if m.operatorSettled() {
-				m.write(m.version + 1)
+				m.writeConfig(m.version + 1)
 			}
 		},
 		"restore": func(t *rapid.T) { m.restore(t, rewriteWithin) },
 		"slow restore": func(t *rapid.T) {
-			if m.knowers() == len(m.all) {
+			if m.countKnowing() == len(m.instances) {
 				m.restore(t, rewriteLate)
 			}
 		},
@@ -227,7 +227,7 @@
 				return
 			}
 			i.cut = true
-			m.write(m.version + 1)
+			m.writeConfig(m.version + 1)
 			m.pass(span(t, 700))
 			m.restore(t, rewriteWithin)
 			i.cut = false
@@ -236,32 +236,32 @@
 		},
 		"cut": func(*rapid.T) {
 			i := pick()
-			if i.cut || m.maySpare(i) {
+			if i.cut || m.mayLose(i) {
 				i.cut = !i.cut
 			}
 		},
 		"kill": func(t *rapid.T) {
-			n := rapid.IntRange(0, len(m.all)-1).Draw(t, "instance")
-			if m.maySpare(m.all[n]) {
-				m.all[n] = m.start(fmt.Sprint("i", n))
+			n := rapid.IntRange(0, len(m.instances)-1).Draw(t, "instance")
+			if m.mayLose(m.instances[n]) {
+				m.instances[n] = m.start(fmt.Sprint("i", n))
 			}
 		},
 		"server starts": func(*rapid.T) {
-			id := fmt.Sprint("s", len(m.alive)+len(m.gone))
+			id := fmt.Sprint("s", len(m.alive)+len(m.left))
 			m.alive[id] = true
 			m.servers.put(id, "server shop v1 ready")
 		},
 		"server leaves": func(*rapid.T) {
 			for id := range m.alive {
 				delete(m.alive, id)
-				m.gone[id] = true
+				m.left[id] = true
 				m.servers.put(id, "")
 				return
 			}
 		},
 		"": func(*rapid.T) { m.check() },
 	})
-	for _, i := range m.all {
+	for _, i := range m.instances {
 		i.cut = false
 	}
 	for !m.operatorSettled() {
@@ -270,12 +270,12 @@
 	for range 30 {
 		m.pass(250 * time.Millisecond)
 	}
-	for n, i := range m.all {
-		if !m.knows(i) || !i.known.Ready() {
-			t.Fatalf("instance %d: %+v of version %d, ready %v", n, i.known.Index(), m.version, i.known.Ready())
+	for n, i := range m.instances {
+		if !m.knows(i) || !i.config.Ready() {
+			t.Fatalf("instance %d: %+v of version %d, ready %v", n, i.config.Index(), m.version, i.config.Ready())
 		}
 		for id := range m.alive {
-			if !i.list.has(id) {
+			if !i.servers.has(id) {
 				t.Fatalf("instance %d does not know server %s", n, id)
 			}
 		}
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -15,27 +15,27 @@
 // since the order and by what all saw; the end is written once, by whoever comes first.
 type rollouts struct {
 	records      Records
-	topic        keyedlog.Log
+	statusLog    keyedlog.Log
 	driver       *Driver
-	list         *list
+	servers      *serverList
 	observations *observationStore
-	journal      *journal
+	journal      *telemetry
 	clock        Clock
 	// limit bounds the requests that a version may get before its deadline.
-	limit passthrough.Exposure
+	exposure passthrough.Exposure
 	// writes says whether this instance writes the register; the others of its failure
 	// domain only read it, which keeps the calls of a large fleet few.
-	writes func() bool
+	writesRegister func() bool
 
 	mu   sync.Mutex
 	open map[string]*rollout
 	// status is the newest state of each service's roll-out; known says that the
 	// register's topic was read.
-	status map[string]state
-	known  bool
-	wake   chan struct{}
+	states     map[string]registerState
+	statusRead bool
+	wake       chan struct{}
 	// lookedAt is when open roll-outs were looked at last, zero while there are none.
-	lookedAt time.Time
+	lastRunAt time.Time
 	// restoredAt is when the store came back from a copy last.
 	restoredAt time.Time
 }
@@ -45,16 +45,16 @@
 	passthrough.Order
 	offset uint64
 	// earlier are the offsets of the order before it was written again.
-	earlier []uint64
+	earlierOffsets []uint64
 	// rewriteUntil is until when an end that the store lacks is written again; zero for never.
 	rewriteUntil time.Time
 	// since is the time of the order, as far as known.
-	since time.Time
-	plan  passthrough.Rollout
+	orderedAt time.Time
+	plan      passthrough.Rollout
 	// ended is the phase that the register holds and that was taken over, 0 for none yet;
 	// told is the one that was read from it.
-	ended passthrough.Phase
-	told  passthrough.Phase
+	ended     passthrough.Phase
+	readPhase passthrough.Phase
 	// badSince is when this instance found the version bad, zero while it does not.
 	badSince time.Time
 	// held says that the roll-out's time was over while its version was in doubt, finishAt when it
@@ -67,29 +67,29 @@
 
 // rolloutEvery is how often open roll-outs are looked at: a bad version must be out within
 // seconds of its 50th bad answer.
-const rolloutEvery = 400 * time.Millisecond
+const rolloutInterval = 400 * time.Millisecond
 
-func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *list, b *observationStore, j *journal, clock Clock, limit passthrough.Exposure) *rollouts {
+func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, b *observationStore, j *telemetry, clock Clock, limit passthrough.Exposure) *rollouts {
 	return &rollouts{
-		records: records, topic: topic, driver: driver, list: l, observations: b, journal: j, clock: clock,
-		limit: limit, writes: func() bool { return true }, open: map[string]*rollout{}, status: map[string]state{}, wake: make(chan struct{}, 1),
+		records: records, statusLog: topic, driver: driver, servers: l, observations: b, journal: j, clock: clock,
+		exposure: limit, writesRegister: func() bool { return true }, open: map[string]*rollout{}, states: map[string]registerState{}, wake: make(chan struct{}, 1),
 	}
 }
 
 // ordered takes in an order. One that is known already changes nothing.
-func (m *rollouts) ordered(o passthrough.Order, offset uint64) {
+func (m *rollouts) applyOrder(o passthrough.Order, offset uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if old := m.open[o.Service]; old != nil && (old.Order == o && old.offset == offset || m.writtenAgain(old, o, offset)) {
+	if old := m.open[o.Service]; old != nil && (old.Order == o && old.offset == offset || m.isRewrittenOrder(old, o, offset)) {
 		return
 	}
-	r := &rollout{Order: o, offset: offset, since: m.clock.Now()}
+	r := &rollout{Order: o, offset: offset, orderedAt: m.clock.Now()}
 	// Until the register's topic was read, the new version gets nothing: an instance that starts
 	// in the middle of a roll-out knows neither its phase nor the open sessions.
 	r.plan = passthrough.Rollout{Order: o, Phase: passthrough.PhaseCanary, FirstHalf: true, Opening: true}
 	m.open[o.Service] = r
-	if st, ok := m.status[o.Service]; ok && st.target == o.Target {
-		m.takeState(r, st.phase)
+	if st, ok := m.states[o.Service]; ok && st.target == o.Target {
+		m.applyState(r, st.phase)
 	}
 	m.driver.Tell(passthrough.RolloutSet{Rollout: r.plan})
 	m.journal.emit(logging.EventRolloutOrdered, slog.String("service", o.Service),
@@ -106,31 +106,31 @@
 }
 
 // active says whether some roll-out has not ended.
-func (m *rollouts) active() bool { return len(m.snapshot()) > 0 }
+func (m *rollouts) active() bool { return len(m.openRollouts()) > 0 }
 
 // run looks at the open roll-outs until ctx ends; without any it sleeps.
 func (m *rollouts) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !m.look(ctx) {
+		if !m.advanceAll(ctx) {
 			select {
 			case <-m.wake:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		sleep(ctx, rolloutEvery, nil)
+		sleep(ctx, rolloutInterval, nil)
 	}
 }
 
 // look advances the open roll-outs and writes lost ends again. It says whether there were any.
-func (m *rollouts) look(ctx context.Context) bool {
-	open, lost := m.snapshot(), m.toRewrite()
-	m.noticePause(len(open) > 0)
+func (m *rollouts) advanceAll(ctx context.Context) bool {
+	open, lost := m.openRollouts(), m.lostEnds()
+	m.detectPause(len(open) > 0)
 	for _, r := range open {
 		m.advance(ctx, r)
 	}
 	for _, r := range lost {
-		m.rewrite(ctx, r)
+		m.rewriteEnd(ctx, r)
 	}
 	return len(open)+len(lost) > 0
 }
@@ -140,19 +140,19 @@
 // Load: an instance that is suspended for the second half of a roll-out, beside an outage of the store
 // that it does not see. Harm prevented: a bad version completed by one that has heard nothing of it,
 // before the others could tell.
-func (m *rollouts) noticePause(open bool) {
+func (m *rollouts) detectPause(open bool) {
 	now := m.clock.Now()
-	if !m.lookedAt.IsZero() && now.Sub(m.lookedAt) > gossipTime {
-		m.observations.resumed()
+	if !m.lastRunAt.IsZero() && now.Sub(m.lastRunAt) > propagationTime {
+		m.observations.onPause()
 	}
-	m.lookedAt = time.Time{}
+	m.lastRunAt = time.Time{}
 	if open {
-		m.lookedAt = now
+		m.lastRunAt = now
 	}
 }
 
 // snapshot copies the open roll-outs.
-func (m *rollouts) snapshot() []*rollout {
+func (m *rollouts) openRollouts() []*rollout {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []*rollout
@@ -168,40 +168,40 @@
 func (m *rollouts) advance(ctx context.Context, r *rollout) {
 	now := m.clock.Now()
 	seen := m.observations.view(r, now)
-	elapsed := max(now.Sub(r.since), seen.elapsed)
-	plan := passthrough.Plan(r.Order, now, elapsed, m.limit, seen.fresh, seen.old, seen.bad)
-	told, announced, known := m.toldOf(r)
+	elapsed := max(now.Sub(r.orderedAt), seen.elapsed)
+	plan := passthrough.Plan(r.Order, now, elapsed, m.exposure, seen.newCounts, seen.oldCounts, seen.bad)
+	told, announced, known := m.knownState(r)
 	if told.Ended() {
 		plan.Phase = told
 		m.end(r, told, seen, "read")
-		m.adopt(r, plan, seen)
+		m.applyPlan(r, plan, seen)
 		return
 	}
 	if plan.Opening {
-		m.observations.open(r.Service, m.driver.openSessions(r.Service, r.Target, plan.Share))
+		m.observations.addOpenSessions(r.Service, m.driver.openSessions(r.Service, r.Target, plan.Share))
 	}
-	plan = r.late(plan, now)
-	if plan.Phase == passthrough.PhaseCompleted && (!m.mayComplete(r) || m.observations.blind() && !seen.clean()) {
+	plan = r.delayHeldEnd(plan, now)
+	if plan.Phase == passthrough.PhaseCompleted && (!m.mayComplete(r) || m.observations.mayMissRecords() && !seen.clean()) {
 		plan.Phase = passthrough.PhaseCanary
 	}
 	switch {
-	case (m.writes() || r.overdue(plan, now)) && (plan.Phase.Ended() || !announced):
-		plan = m.register(ctx, r, plan, seen)
+	case (m.writesRegister() || r.revertOverdue(plan, now)) && (plan.Phase.Ended() || !announced):
+		plan = m.commitPlan(ctx, r, plan, seen)
 	case !known && !plan.Phase.Ended():
 		return // it may have ended long ago
 	default:
-		plan = undecided(plan)
+		plan = withoutCompletion(plan)
 	}
-	m.adopt(r, plan, seen)
+	m.applyPlan(r, plan, seen)
 }
 
 // lateLead is how long the new version gets all new work before a roll-out that was held ends:
 // the old servers stop at once then, with the streams of some seconds that run there.
-const lateLead = 5 * time.Second
+const heldRolloutLead = 5 * time.Second
 
 // late lets a roll-out that was held end as it would have in time: the new version gets all new
 // work first.
-func (r *rollout) late(plan passthrough.Rollout, now time.Time) passthrough.Rollout {
+func (r *rollout) delayHeldEnd(plan passthrough.Rollout, now time.Time) passthrough.Rollout {
 	if plan.Held {
 		r.held, r.finishAt = true, time.Time{}
 	}
@@ -209,21 +209,21 @@
 		return plan
 	}
 	if r.finishAt.IsZero() {
-		r.finishAt = now.Add(lateLead)
+		r.finishAt = now.Add(heldRolloutLead)
 	}
 	if now.Before(r.finishAt) {
-		plan.Phase, plan.CompleteAt, plan.LeadMost = passthrough.PhaseCanary, r.finishAt, lateLead
+		plan.Phase, plan.CompleteAt, plan.LeadMost = passthrough.PhaseCanary, r.finishAt, heldRolloutLead
 	}
 	return plan
 }
 
 // revertAnyway is how long an instance that leaves the register to others waits for them to
 // take a bad version back: they look every 0.4 s, and learn what it saw within a second.
-const revertAnyway = 2 * time.Second
+const revertTimeout = 2 * time.Second
 
 // overdue says whether this instance should take a bad version back by itself: those that
 // write may have lost what they saw, or may never get it.
-func (r *rollout) overdue(plan passthrough.Rollout, now time.Time) bool {
+func (r *rollout) revertOverdue(plan passthrough.Rollout, now time.Time) bool {
 	if plan.Phase != passthrough.PhaseReverted {
 		r.badSince = time.Time{}
 		return false
@@ -231,13 +231,13 @@
 	if r.badSince.IsZero() {
 		r.badSince = now
 	}
-	return now.Sub(r.badSince) >= revertAnyway
+	return now.Sub(r.badSince) >= revertTimeout
 }
 
 // mayComplete says whether the new version has the servers for all of the traffic: the
 // old ones are stopped at once.
 func (m *rollouts) mayComplete(r *rollout) bool {
-	fresh, old := m.list.count(r.Service, r.Target)
+	fresh, old := m.servers.countServers(r.Service, r.Target)
 	return fresh > 0 && 2*fresh >= old
 }
 
@@ -245,16 +245,16 @@
 	m.mu.Lock()
 	r.ended = phase
 	m.mu.Unlock()
-	m.observations.close(r.Service)
+	m.observations.endRollout(r.Service)
 	m.journal.emit(logging.EventRolloutEnded, slog.String("service", r.Service), slog.String("target", r.Target),
 		slog.Bool("completed", phase == passthrough.PhaseCompleted), slog.String("how", how),
-		slog.Int("new_good", seen.fresh.Good), slog.Int("new_bad", seen.fresh.Bad),
-		slog.Any("first", seen.fresh.First), slog.Any("pace", seen.fresh.Pace),
-		slog.Int("old_good", seen.old.Good), slog.Int("old_bad", seen.old.Bad))
+		slog.Int("new_good", seen.newCounts.Good), slog.Int("new_bad", seen.newCounts.Bad),
+		slog.Any("first", seen.newCounts.First), slog.Any("pace", seen.newCounts.Pace),
+		slog.Int("old_good", seen.oldCounts.Good), slog.Int("old_bad", seen.oldCounts.Bad))
 }
 
 // adopt tells the decision of a changed plan.
-func (m *rollouts) adopt(r *rollout, plan passthrough.Rollout, seen view) {
+func (m *rollouts) applyPlan(r *rollout, plan passthrough.Rollout, seen view) {
 	if plan == r.plan {
 		return
 	}
@@ -267,7 +267,7 @@
 	}
 	m.journal.emit(logging.EventRolloutStep, slog.String("service", r.Service), slog.String("target", r.Target),
 		slog.Int("phase", int(plan.Phase)), slog.Float64("share", plan.Share), slog.Bool("first_half", plan.FirstHalf),
-		slog.Bool("held", plan.Held), slog.Any("pace", seen.fresh.Pace),
+		slog.Bool("held", plan.Held), slog.Any("pace", seen.newCounts.Pace),
 		slog.Int64("lead_ms", plan.LeadMost.Milliseconds()),
-		slog.Int("new_good", seen.fresh.Good), slog.Int("new_bad", seen.fresh.Bad))
+		slog.Int("new_good", seen.newCounts.Good), slog.Int("new_bad", seen.newCounts.Bad))
 }
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -15,7 +15,7 @@
 	t                              *testing.T
 	clock                          *fakeClock
 	operator, status, observations *fakeLog
-	all                            []*restoredInstance
+	instances                      []*restoredInstance
 }
 
 type restoredInstance struct {
@@ -39,25 +39,25 @@
 	p.listServers()
 	i := &restoredInstance{parts: p, operatorReader: p.operator.reader(f.operator, f.clock),
 		statusReader: p.rollouts.reader(f.status), observationsReader: p.observations.reader(f.clock, p.rollouts.active)}
-	f.all = append(f.all, i)
+	f.instances = append(f.instances, i)
 	return i
 }
 
 // step has each instance read all topics, look at its roll-outs, and write what it has to tell.
 func (f *restoredFleet) step() {
 	f.t.Helper()
-	for _, i := range f.all {
+	for _, i := range f.instances {
 		for _, tl := range []*topicReader{i.operatorReader, i.statusReader, i.observationsReader} {
 			read(f.t, tl)
 		}
 	}
-	for _, i := range f.all {
-		i.rollouts.look(f.t.Context())
-		if err := f.observations.Append(f.t.Context(), keyedlog.Anywhere, i.observations.due()...); err != nil {
+	for _, i := range f.instances {
+		i.rollouts.advanceAll(f.t.Context())
+		if err := f.observations.Append(f.t.Context(), keyedlog.Anywhere, i.observations.pendingRecords()...); err != nil {
 			f.t.Fatal(err)
 		}
 	}
-	f.clock.pass(400 * time.Millisecond)
+	f.clock.advance(400 * time.Millisecond)
 }
 
 // TestOrderWrittenAgainIsTheSameRollout holds that an order which comes at another offset after a
@@ -69,13 +69,13 @@
 	f.operator.put("other", "x")
 	f.operator.put("order/shop", orderValue)
 	f.step()
-	f.all[0].see("v2", true, 1)
-	f.all[1].see("v2", true, 2)
+	f.instances[0].observeMany("v2", true, 1)
+	f.instances[1].observeMany("v2", true, 2)
 	for range 3 {
 		f.step()
 	}
-	r := f.all[0].rollouts.open["shop"]
-	since := r.since
+	r := f.instances[0].rollouts.open["shop"]
+	since := r.orderedAt
 	f.operator.restore(copied)
 	f.status.restore(0)
 	f.observations.restore(0)
@@ -88,19 +88,19 @@
 	for range 3 {
 		f.step()
 	}
-	for _, i := range f.all {
-		if seen := i.observations.view(i.rollouts.open["shop"], f.clock.Now()); seen.fresh.Bad != 3 {
-			t.Errorf("%s: %d bad answers are known, want 3", i.observations.instance, seen.fresh.Bad)
+	for _, i := range f.instances {
+		if seen := i.observations.view(i.rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 3 {
+			t.Errorf("%s: %d bad answers are known, want 3", i.observations.instance, seen.newCounts.Bad)
 		}
 	}
-	if f.all[0].rollouts.open["shop"] != r || r.since != since {
+	if f.instances[0].rollouts.open["shop"] != r || r.orderedAt != since {
 		t.Error("the roll-out began anew")
 	}
-	f.all[2].see("v2", true, 10)
+	f.instances[2].observeMany("v2", true, 10)
 	for range 4 {
 		f.step()
 	}
-	for _, i := range f.all {
+	for _, i := range f.instances {
 		if got := i.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
 			t.Errorf("%s: ended as %v", i.observations.instance, got)
 		}
@@ -114,7 +114,7 @@
 	f.operator.put("order/shop", orderValue)
 	f.step()
 	copied := len(f.status.records)
-	f.all[0].see("v2", true, 20)
+	f.instances[0].observeMany("v2", true, 20)
 	for range 8 {
 		f.step()
 	}
@@ -145,22 +145,22 @@
 	f := newRestoredFleet(t, "a", "b")
 	f.operator.put("order/shop", orderValue)
 	f.step()
-	f.all[0].see("v2", true, 1)
+	f.instances[0].observeMany("v2", true, 1)
 	f.step()
 	f.step()
 	copied := len(f.observations.records)
-	f.all[0].see("v2", true, 3)
+	f.instances[0].observeMany("v2", true, 3)
 	f.step()
 	f.step()
 	f.observations.restore(copied)
-	read(t, f.all[1].observationsReader)
-	if seen := f.all[1].observations.view(f.all[1].rollouts.open["shop"], f.clock.Now()); seen.fresh.Bad != 4 {
-		t.Errorf("%d bad answers are known, want 4", seen.fresh.Bad)
+	read(t, f.instances[1].observationsReader)
+	if seen := f.instances[1].observations.view(f.instances[1].rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
+		t.Errorf("%d bad answers are known, want 4", seen.newCounts.Bad)
 	}
 	f.step()
 	last := f.start("last")
 	f.step()
-	if seen := last.observations.view(last.rollouts.open["shop"], f.clock.Now()); seen.fresh.Bad != 4 {
-		t.Errorf("an instance that started after the restore knows %d bad answers, want 4", seen.fresh.Bad)
+	if seen := last.observations.view(last.rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
+		t.Errorf("an instance that started after the restore knows %d bad answers, want 4", seen.newCounts.Bad)
 	}
 }
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -21,7 +21,7 @@
 	members *relay.Members
 	client  *relay.Client
 	server  *relay.Server
-	journal *journal
+	journal *telemetry
 	clock   Clock
 
 	operator     *relay.Log
@@ -32,20 +32,20 @@
 
 	mu sync.Mutex
 	// held are records that followers gave, by topic, to be written with the own.
-	held map[string][]keyedlog.Record
-	wake func()
+	held   map[string][]keyedlog.Record
+	onHeld func()
 	// counted is told how many instances there are, told what it was told last.
-	counted func(int)
-	told    atomic.Int64
+	onFleetCount  func(int)
+	reportedCount atomic.Int64
 	// neighbours is told of the instances of this failure domain, near how many it was told of.
-	neighbours func([]string)
-	near       atomic.Int64
+	onPeers       func([]string)
+	reportedPeers atomic.Int64
 	// elsewhere are the other failure domains.
-	elsewhere []string
+	otherDomains []string
 	// listed says that the store has this instance as it is now, enlisted when it was last
 	// told.
-	listed   atomic.Bool
-	enlisted time.Time
+	listed      atomic.Bool
+	announcedAt time.Time
 }
 
 // The topics' names among instances.
@@ -61,56 +61,58 @@
 	// oldestOperator is the age, as a part of the revocation bound, past which a
 	// collector's word on the configuration is worth a read of one's own: one that reads
 	// well is at most two of its own waits behind.
-	oldestOperator = 0.36
+	maxOperatorAgeFraction = 0.36
 	// oldestServers is the same for the list, as a part of the time for which a leaving
 	// server may still get requests.
-	oldestServers = 0.65
+	maxServersAgeFraction = 0.65
 	// oldestOther is for topics that tell what they have to at once.
-	oldestOther = time.Hour
+	maxOtherAge = time.Hour
 )
 
-func newSharing(cfg seam.Settings, store Store, records Records, j *journal, clock Clock) *sharing {
+func newSharing(cfg seam.Settings, store Store, records Records, j *telemetry, clock Clock) *sharing {
 	s := &sharing{
 		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Zone, Address: cfg.Peers, Cores: cfg.Cores},
-		store: store, journal: j, clock: clock, held: map[string][]keyedlog.Record{}, wake: func() {}, counted: func(int) {},
-		neighbours: func([]string) {},
+		store: store, journal: j, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
+		onPeers: func([]string) {},
 	}
 	for _, zone := range cfg.Zones {
 		if zone != cfg.Zone {
-			s.elsewhere = append(s.elsewhere, zone)
+			s.otherDomains = append(s.otherDomains, zone)
 		}
 	}
-	s.members = relay.NewMembers(s.self, 1+len(s.elsewhere), clock.Now)
+	s.members = relay.NewMembers(s.self, 1+len(s.otherDomains), clock.Now)
 	s.client = relay.NewClient(s.members, clock.Now)
 	changed := func(topic, name string) {
 		j.emit(logging.EventCollector, slog.String("topic", topic), slog.String("collector", name))
 	}
 	caches := map[string]*relay.Cache{}
 	topic := func(name string, log keyedlog.Log, oldest time.Duration) *relay.Log {
-		same := sameServer(records)
+		same := equalServers(records)
 		if name != topicServers {
 			same = nil
 		}
 		caches[name] = relay.NewCache(clock.Now, same)
 		return relay.NewLog(name, log, s.client, caches[name], oldest, changed)
 	}
-	s.operator = topic(topicOperator, store.Operator(), part(oldestOperator, cfg.Bounds.Revoke))
-	s.servers = topic(topicServers, store.Servers(), part(oldestServers, cfg.Bounds.Drain))
+	s.operator = topic(topicOperator, store.Operator(), fractionOf(maxOperatorAgeFraction, cfg.Bounds.Revoke))
+	s.servers = topic(topicServers, store.Servers(), fractionOf(maxServersAgeFraction, cfg.Bounds.Drain))
 	s.servers.Far = true
 	s.operator.Urgent = true
-	s.status = topic(topicStatus, store.Status(), oldestOther)
-	s.observations = topic(topicObservations, store.Observations(), oldestOther)
-	s.instances = topic(topicInstances, store.Instances(cfg.Zone), oldestOther)
-	s.server = relay.NewServer(clock.Now, caches, s.hold, s.members.Count)
+	s.status = topic(topicStatus, store.Status(), maxOtherAge)
+	s.observations = topic(topicObservations, store.Observations(), maxOtherAge)
+	s.instances = topic(topicInstances, store.Instances(cfg.Zone), maxOtherAge)
+	s.server = relay.NewServer(clock.Now, caches, s.holdRecords, s.members.Count)
 	return s
 }
 
 // part is a part of a bound.
-func part(p float64, bound time.Duration) time.Duration { return time.Duration(p * float64(bound)) }
+func fractionOf(p float64, bound time.Duration) time.Duration {
+	return time.Duration(p * float64(bound))
+}
 
 // sameServer says of two entries of a backend server that they differ in nothing that is
 // used: most are heartbeats.
-func sameServer(records Records) func(a, b keyedlog.Record) bool {
+func equalServers(records Records) func(a, b keyedlog.Record) bool {
 	return func(a, b keyedlog.Record) bool {
 		x, errX := records.Server(a)
 		y, errY := records.Server(b)
@@ -119,27 +121,27 @@
 }
 
 // heldMost bounds the records that are held for followers.
-const heldMost = 1000
+const maxHeldRecords = 1000
 
 // hold takes a follower's records.
-func (s *sharing) hold(topic string, records []keyedlog.Record) error {
+func (s *sharing) holdRecords(topic string, records []keyedlog.Record) error {
 	if topic != topicObservations && topic != topicInstances {
 		return keyedlog.ErrRejected // followers write to no other one
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.held[topic])+len(records) > heldMost {
+	if len(s.held[topic])+len(records) > maxHeldRecords {
 		return keyedlog.ErrNotDone
 	}
 	s.held[topic] = append(s.held[topic], records...)
 	if topic == topicObservations {
-		s.wake()
+		s.onHeld()
 	}
 	return nil
 }
 
 // take returns the held records of a topic.
-func (s *sharing) take(topic string) []keyedlog.Record {
+func (s *sharing) takeHeld(topic string) []keyedlog.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.held[topic]
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -63,7 +63,7 @@
 // startSharing starts an instance's sharing at a port of its own.
 func startSharing(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
 	t.Helper()
-	j := &journal{clock: clock, known: NewKnowledge(clock, time.Second), reg: metrics.NewRegistry()}
+	j := &telemetry{clock: clock, config: NewKnowledge(clock, time.Second), registry: metrics.NewRegistry()}
 	cfg := seam.Settings{Instance: name, Zone: "a", Zones: []string{"a", "b"}, Peers: freePort(t), Cores: cores,
 		Bounds: seam.Bounds{Revoke: time.Second, Drain: time.Second}}
 	sh := newSharing(cfg, st, fakeRecords{}, j, clock)
@@ -92,14 +92,14 @@
 	if own.appends != 1 {
 		t.Errorf("%d calls made the first instance known, before the collector's own for the others", own.appends)
 	}
-	collector.enlistFollowers(t.Context())
+	collector.writeFollowers(t.Context())
 	if own.appends != 2 || len(own.records) != 1+count {
 		t.Errorf("%d calls wrote %d instances", own.appends, len(own.records))
 	}
 	if own.reads != 1+count || other.reads != 0 {
 		t.Errorf("%d reads of the own list, %d of another", own.reads, other.reads)
 	}
-	if !followers[0].learn(t.Context(), "a") || !followers[0].listed.Load() {
+	if !followers[0].readMembers(t.Context(), "a") || !followers[0].listed.Load() {
 		t.Error("a follower does not find itself")
 	}
 }
@@ -112,10 +112,10 @@
 	collector.join(t.Context(), false)
 	sh := startSharing(t, st, clock, "small", 0.2)
 	sh.join(t.Context(), false)
-	collector.take(topicInstances) // lost
-	clock.pass(enlistAgain + time.Second)
-	sh.keepListed(t.Context())
-	collector.enlistFollowers(t.Context())
+	collector.takeHeld(topicInstances) // lost
+	clock.advance(reannounceAfter + time.Second)
+	sh.reannounceIfMissing(t.Context())
+	collector.writeFollowers(t.Context())
 	if n := len(st.domain("a").records); n != 2 {
 		t.Errorf("%d instances are known", n)
 	}
--- a/router/internal/passthrough/starting.go
+++ b/router/internal/passthrough/starting.go
@@ -9,50 +9,50 @@
 // startMost is how long after the start of the process callers are held: the
 // configuration and the list of backend servers are read in 0.05 to 0.2 s, also when all
 // instances start at once. A caller who waits for longer than that is refused.
-const startMost = 500 * time.Millisecond
+const startTimeout = 500 * time.Millisecond
 
 // starting holds callers back while a process that has just started learns what it needs.
 //
 // Load: all instances killed at once, and callers who come back the moment the ports are
 // open. Harm prevented: a refusal that uses up a caller's last try, a tenth of a second
 // before the answer could have been had.
-type starting struct {
-	mu   sync.Mutex
-	left map[learnt]bool
+type startGate struct {
+	mu      sync.Mutex
+	missing map[prerequisite]bool
 	// over is closed when all is learnt, or the time for that has passed.
-	over    chan struct{}
+	opened  chan struct{}
 	release func()
 }
 
 // learnt is what a process must have learnt before it can serve.
-type learnt uint8
+type prerequisite uint8
 
 const (
-	learntConfig learnt = iota + 1
-	learntServers
+	prerequisiteConfig prerequisite = iota + 1
+	prerequisiteServers
 )
 
-func newStarting() *starting {
-	s := &starting{left: map[learnt]bool{learntConfig: true, learntServers: true}, over: make(chan struct{})}
-	s.release = sync.OnceFunc(func() { close(s.over) })
-	time.AfterFunc(startMost, s.release)
+func newStarting() *startGate {
+	s := &startGate{missing: map[prerequisite]bool{prerequisiteConfig: true, prerequisiteServers: true}, opened: make(chan struct{})}
+	s.release = sync.OnceFunc(func() { close(s.opened) })
+	time.AfterFunc(startTimeout, s.release)
 	return s
 }
 
 // has notes what was learnt.
-func (s *starting) has(what learnt) {
+func (s *startGate) loaded(what prerequisite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.left, what)
-	if len(s.left) == 0 {
+	delete(s.missing, what)
+	if len(s.missing) == 0 {
 		s.release()
 	}
 }
 
 // wait returns when all is learnt, or the time for that has passed.
-func (s *starting) wait(ctx context.Context) {
+func (s *startGate) wait(ctx context.Context) {
 	select {
-	case <-s.over:
+	case <-s.opened:
 	case <-ctx.Done():
 	}
 }
--- a/router/internal/passthrough/starting_test.go
+++ b/router/internal/passthrough/starting_test.go
@@ -13,11 +13,11 @@
 		began := time.Now()
 		go func() {
 			time.Sleep(80 * time.Millisecond)
-			s.has(learntConfig)
-			s.has(learntConfig)
+			s.loaded(prerequisiteConfig)
+			s.loaded(prerequisiteConfig)
 			time.Sleep(20 * time.Millisecond)
-			s.has(learntServers)
-			s.has(learntServers)
+			s.loaded(prerequisiteServers)
+			s.loaded(prerequisiteServers)
 		}()
 		s.wait(t.Context())
 		if took := time.Since(began); took != 100*time.Millisecond {
@@ -34,17 +34,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStarting()
 		began := time.Now()
-		s.has(learntServers) // the configuration does not come
-		time.Sleep(startMost / 2)
+		s.loaded(prerequisiteServers) // the configuration does not come
+		time.Sleep(startTimeout / 2)
 		s.wait(t.Context())
-		if took := time.Since(began); took != startMost {
+		if took := time.Since(began); took != startTimeout {
 			t.Errorf("held until %v after the start", took)
 		}
 		s.wait(t.Context())
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
 		newStarting().wait(gone)
-		if took := time.Since(began); took != startMost {
+		if took := time.Since(began); took != startTimeout {
 			t.Errorf("held past the end, or for a caller who has gone: %v", took)
 		}
 	})
--- a/router/internal/passthrough/stopping.go
+++ b/router/internal/passthrough/stopping.go
@@ -8,11 +8,11 @@
 )
 
 // phase is how far a process that was told to stop is.
-type phase int32
+type shutdownPhase int32
 
 const (
 	// phaseServing: it was not told to stop.
-	phaseServing phase = iota
+	phaseServing shutdownPhase = iota
 	// phaseLeaving: it is not ready any more, and the balancer may not have noticed yet.
 	phaseLeaving
 	// phaseFinishing: the balancer has noticed; streams in progress go on.
@@ -27,28 +27,28 @@
 // for some time none is left in rotation. Harm prevented: plain calls of a tenth of a second
 // refused everywhere though there is time for them. Streams are refused once the balancer has
 // noticed: one that was cut at the end would be lost.
-type stopping struct {
+type shutdown struct {
 	phase atomic.Int32
 	// end is when the process must have answered, in Unix nanoseconds; set once it leaves.
 	end atomic.Int64
 }
 
 // leave notes that the process was told to stop, and when it must have answered.
-func (s *stopping) leave(end time.Time) {
+func (s *shutdown) begin(end time.Time) {
 	s.end.Store(end.UnixNano())
 	s.enter(phaseLeaving)
 }
 
-func (s *stopping) enter(p phase) { s.phase.Store(int32(p)) }
+func (s *shutdown) enter(p shutdownPhase) { s.phase.Store(int32(p)) }
 
-func (s *stopping) now() phase { return phase(s.phase.Load()) }
+func (s *shutdown) current() shutdownPhase { return shutdownPhase(s.phase.Load()) }
 
 // begun says whether the process was told to stop.
-func (s *stopping) begun() bool { return s.now() >= phaseLeaving }
+func (s *shutdown) begun() bool { return s.current() >= phaseLeaving }
 
 // refuses says whether a new request of the kind is refused.
-func (s *stopping) refuses(kind passthrough.Kind) bool {
-	switch s.now() {
+func (s *shutdown) refuses(kind passthrough.Kind) bool {
+	switch s.current() {
 	case phaseServing, phaseLeaving:
 		return false
 	case phaseFinishing:
@@ -59,9 +59,9 @@
 
 // bound brings a new request's deadline forward to the end of the process, so that its caller
 // gets a final answer in time.
-func (s *stopping) bound(deadline time.Time) time.Time {
+func (s *shutdown) capDeadline(deadline time.Time) time.Time {
 	end := time.Unix(0, s.end.Load())
-	if s.now() < phaseFinishing || deadline.Before(end) {
+	if s.current() < phaseFinishing || deadline.Before(end) {
 		return deadline
 	}
 	return end
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -17,52 +17,52 @@
 	// begun says that the head is out.
 	begun bool
 	// last is the id of the last event that the caller has, -1 for none.
-	last int64
+	lastEvent int64
 }
 
 const (
 	// streamBuffer is the room for reading a stream; an event is tens to hundreds of
 	// bytes long.
-	streamBuffer = 4 << 10
+	streamBufferSize = 4 << 10
 	// paceEvents is how many events tell a stream's pace: enough to level out a pause for
 	// another request's prompt, and two seconds of a version that is eight times slower.
 	paceEvents = 6
 	// eventLimit bounds one event.
-	eventLimit = 1 << 20
+	maxEventBytes = 1 << 20
 )
 
 // relay hands a stream to the caller, whole events only, as they come.
-func (a *attempt) relay(resp *http.Response, said seam.Answer) outcome {
+func (a *attempt) relayStream(resp *http.Response, said seam.Answer) outcome {
 	x := a.exchange
-	a.tellBegun(said)
+	a.reportFirstByte(said)
 	if x.stream.begun || said.Confidence < 0 {
-		return a.pass(resp)
+		return a.relayEvents(resp)
 	}
 	bar := x.edge.driver.bar(x.ticket)
 	if said.Confidence < bar {
 		return outcome{result: passthrough.Dropped, bar: bar}
 	}
-	out := a.pass(resp)
+	out := a.relayEvents(resp)
 	out.bar = bar
 	return out
 }
 
 // pass hands on the events.
-func (a *attempt) pass(resp *http.Response) outcome {
+func (a *attempt) relayEvents(resp *http.Response) outcome {
 	x := a.exchange
 	var held []byte
-	buf := make([]byte, streamBuffer)
+	buf := make([]byte, streamBufferSize)
 	events, paced := 0, false
 	began := x.edge.clock.Now()
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			held = append(held, buf[:n]...)
-			ready, rest := wholeEvents(held)
-			count, bad := x.order(ready)
+			ready, rest := splitEvents(held)
+			count, bad := x.checkOrder(ready)
 			if bad == nil && len(ready) > 0 {
-				x.begin(resp)
-				x.forward(ready)
+				x.writeHead(resp)
+				x.writeEvents(ready)
 				events += count
 				if events >= paceEvents && !paced {
 					paced = true
@@ -75,16 +75,16 @@
 			held = append(held[:0], rest...)
 		}
 		switch {
-		case err == nil && len(held) <= eventLimit:
+		case err == nil && len(held) <= maxEventBytes:
 			continue
 		case errors.Is(err, io.EOF) && len(held) == 0 && events > 0:
 			return outcome{result: passthrough.Completed, pace: pace(x.edge.clock.Now().Sub(began), events)}
 		case errors.Is(err, io.EOF):
-			return outcome{result: passthrough.Broken, err: errMidEvent}
+			return outcome{result: passthrough.Broken, err: errTruncatedEvent}
 		case err != nil:
-			return a.broken(err)
+			return a.brokenOutcome(err)
 		default:
-			return outcome{result: passthrough.Broken, err: errMidEvent}
+			return outcome{result: passthrough.Broken, err: errTruncatedEvent}
 		}
 	}
 }
@@ -94,10 +94,10 @@
 //
 // Load: streams of many seconds, at servers whose load changes within tenths of one. Harm
 // prevented: a load that is as old as the stream, taken for what the server has now.
-func (a *attempt) tellBegun(said seam.Answer) {
+func (a *attempt) reportFirstByte(said seam.Answer) {
 	x := a.exchange
 	x.edge.driver.Tell(passthrough.FirstByte{
-		Request: x.ticket.id, After: a.first, Load: said.Load, HasLoad: said.HasLoad,
+		Request: x.ticket.id, After: a.firstByte, Load: said.Load, HasLoad: said.HasLoad,
 		Limit: said.Limit,
 	})
 }
@@ -111,7 +111,7 @@
 }
 
 // begin sends the first backend server's head; a stream that goes on keeps it.
-func (x *exchange) begin(resp *http.Response) {
+func (x *exchange) writeHead(resp *http.Response) {
 	if x.stream.begun {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 // forward sends events at once.
-func (x *exchange) forward(events []byte) {
+func (x *exchange) writeEvents(events []byte) {
 	writeAll(x.w, events)
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
 		x.edge.journal.callerLost(x.call, err)
@@ -129,7 +129,7 @@
 }
 
 // wholeEvents splits what was read into whole events and the begin of the next.
-func wholeEvents(text []byte) (ready, rest []byte) {
+func splitEvents(text []byte) (ready, rest []byte) {
 	end := 0
 	for _, mark := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
 		if i := bytes.LastIndex(text, mark); i >= 0 {
@@ -141,8 +141,8 @@
 
 // order checks that the events follow on what the caller has, and counts them. Events
 // without an id are taken as they come.
-func (x *exchange) order(events []byte) (count int, err error) {
-	last := x.stream.last
+func (x *exchange) checkOrder(events []byte) (count int, err error) {
+	last := x.stream.lastEvent
 	for line := range bytes.Lines(events) {
 		text, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:"))
 		if !ok {
@@ -150,14 +150,14 @@
 		}
 		id, err := strconv.ParseInt(string(bytes.TrimSpace(text)), 10, 64)
 		if err != nil {
-			return count, errDisorder
+			return count, errEventOrder
 		}
 		if (last >= 0 || x.stream.begun) && id != last+1 {
-			return count, errDisorder
+			return count, errEventOrder
 		}
 		last = id
 		count++
 	}
-	x.stream.last = last
+	x.stream.lastEvent = last
 	return count, nil
 }
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -8,7 +8,7 @@
 )
 
 // watch gives up an attempt at a backend server that is silent.
-type watch struct {
+type silenceWatch struct {
 	mu    sync.Mutex
 	timer *time.Timer
 	done  bool
@@ -16,35 +16,35 @@
 
 // watchEvery is how often an attempt is looked at: a part of the shortest patience, and
 // rare beside the events of a stream.
-const watchEvery = 200 * time.Millisecond
+const silenceCheckInterval = 200 * time.Millisecond
 
 // watch starts watching the attempt, if the request may run again elsewhere.
-func (a *attempt) watch() *watch {
-	wt := &watch{}
+func (a *attempt) watchSilence() *silenceWatch {
+	wt := &silenceWatch{}
 	if !a.exchange.call.route.Repeatable() {
 		return wt
 	}
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
-	wt.timer = time.AfterFunc(watchEvery, func() { wt.look(a) })
+	wt.timer = time.AfterFunc(silenceCheckInterval, func() { wt.check(a) })
 	return wt
 }
 
-func (wt *watch) look(a *attempt) {
+func (wt *silenceWatch) check(a *attempt) {
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
 	if wt.done {
 		return
 	}
-	if a.isSilent() {
-		a.silent.Store(true)
+	if a.exceedsSilence() {
+		a.timedOut.Store(true)
 		_ = a.conn.Close()
 		return
 	}
-	wt.timer.Reset(watchEvery)
+	wt.timer.Reset(silenceCheckInterval)
 }
 
-func (wt *watch) stop() {
+func (wt *silenceWatch) stop() {
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
 	wt.done = true
@@ -54,14 +54,14 @@
 }
 
 // isSilent asks the decision, by what was heard of the attempt and of its server.
-func (a *attempt) isSilent() bool {
+func (a *attempt) exceedsSilence() bool {
 	now := a.exchange.edge.clock.Now()
 	s := passthrough.Silence{Route: a.exchange.call.route, Patience: a.patience,
-		PromptTokens: a.exchange.call.caller.PromptTokens, Begun: a.conn.heard.Load() != 0}
-	s.Attempt = now.Sub(a.began)
-	if at := a.conn.heard.Load(); at != 0 {
+		PromptTokens: a.exchange.call.caller.PromptTokens, Begun: a.conn.lastReceived.Load() != 0}
+	s.Attempt = now.Sub(a.startedAt)
+	if at := a.conn.lastReceived.Load(); at != 0 {
 		s.Attempt = now.Sub(time.Unix(0, at))
 	}
-	s.Server = now.Sub(time.Unix(0, max(a.conn.server.Load(), a.began.UnixNano())))
+	s.Server = now.Sub(time.Unix(0, max(a.conn.serverLastReceived.Load(), a.startedAt.UnixNano())))
 	return s.GiveUp()
 }
