--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -79,7 +79,7 @@
 				return &telemetry{log: l, clock: c, config: k, registry: reg}
 			},
 			func(c Clock, k *Knowledge) *restoreGuard { return &restoreGuard{clock: c, config: k} },
-			newDialer, newStarting, provideSharing, provideDriver, provideObservationStore, provideList, provideRollouts, provideEdge, provideServer,
+			newDialer, newStartGate, provideSharing, provideDriver, provideObservationStore, provideServerList, provideRollouts, provideEdge, provideServer,
 		),
 		// The stop runs through these in reverse: the configuration must stay fresh until
 		// the last request has been answered.
@@ -125,12 +125,12 @@
 	}
 	sh.server.Loads = relay.NewLoads(sh.client, own, take)
 	sh.server.Loads.Unreadable = j.logUnreadableLoads
-	d.onObserved, d.onCrash, d.cooled, d.onLimitChanged = b.recordAnswer, b.recordCrash, j.cooled, j.limitChanged
+	d.onObserved, d.onCrash, d.onSlowStart, d.onLimitChanged = b.recordAnswer, b.recordCrash, j.slowStart, j.rateLimitChanged
 	return b
 }
 
-func provideList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, j *telemetry, c Clock, st *startGate) *serverList {
-	l := newList(p.Records, d, dial, j, c, cfg.Bounds.Drain, st)
+func provideServerList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, j *telemetry, c Clock, st *startGate) *serverList {
+	l := newServerList(p.Records, d, dial, j, c, cfg.Bounds.Drain, st)
 	d.requestServerRead = l.requestRead
 	l.readsFromPeer = func() bool { return !sh.servers.Direct() }
 	l.readsAlone = func() bool { return sh.servers.Direct() && !sh.server.Collects() }
@@ -144,11 +144,11 @@
 }
 
 func provideEdge(p Platform, cfg seam.Settings, k *Knowledge, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Edge {
-	return &Edge{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, journal: j, starting: st, stopping: &shutdown{}, conns: newCallerConns(cfg.Files)}
+	return &Edge{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
 }
 
 func provideServer(cfg seam.Settings, e *Edge, k *Knowledge, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
-	s := &server{settings: cfg, edge: e, config: k, driver: d, journal: j, registry: reg, log: out, onServeError: func(error) {}}
+	s := &server{settings: cfg, edge: e, config: k, driver: d, telemetry: j, registry: reg, log: out, onServeError: func(error) {}}
 	return s
 }
 
@@ -157,12 +157,12 @@
 	s.onServeError = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // it fails only where the stop has begun
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			s.journal.emit(logging.EventStart, slog.String("zone", s.settings.Zone))
+			s.telemetry.emit(logging.EventStart, slog.String("zone", s.settings.Zone))
 			return s.start(readyPath, metrics)
 		},
 		OnStop: func(context.Context) error {
 			s.stop(s.edge.clock.Now())
-			s.journal.emit(logging.EventStop)
+			s.telemetry.emit(logging.EventStop)
 			s.log.Flush()
 			return nil
 		},
@@ -172,7 +172,7 @@
 // startReaders follows the store's topics, and carries roll-outs out.
 func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, k *Knowledge, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
 	op := &operator{
-		records: p.Records, config: k, driver: d, rollouts: m, journal: j, starting: st,
+		records: p.Records, config: k, driver: d, rollouts: m, telemetry: j, startGate: st,
 		clock: c, restoreGuard: trust,
 		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Zones,
 		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -19,11 +19,11 @@
 // attempt is one try at one backend server, on a connection of its own: on a kept one
 // that dies nobody can tell whether the request ran.
 type attempt struct {
-	exchange  *exchange
-	server    passthrough.Server
-	header    http.Header
-	startedAt time.Time
-	patience  time.Duration
+	exchange         *exchange
+	server           passthrough.Server
+	header           http.Header
+	startedAt        time.Time
+	firstByteTimeout time.Duration
 
 	conn *conn
 	// silent says that the watch has given the attempt up.
@@ -45,19 +45,19 @@
 	answer *answer
 	// load and limit are what the answer's head stated; stream says that the decision knows
 	// them since then.
-	load         *passthrough.Load
-	limit        *passthrough.RateLimit
-	loadReported bool
-	misdirected  bool
-	leaving      bool
-	cut          bool
-	pace         time.Duration
-	firstByte    time.Duration
+	load           *passthrough.Load
+	limit          *passthrough.RateLimit
+	loadReported   bool
+	misdirected    bool
+	leaving        bool
+	connectionLost bool
+	eventInterval  time.Duration
+	firstByte      time.Duration
 	// confidence is the engine's own, -1 where not told, bar that under which the answer was
 	// dropped.
-	confidence float64
-	bar        float64
-	err        error
+	confidence          float64
+	confidenceThreshold float64
+	err                 error
 }
 
 var (
@@ -113,8 +113,8 @@
 // send writes the request. It runs beside the reading, since a server may answer before
 // it has read a long body. An error shows at the reading side, where the connection ends.
 func (a *attempt) send(req *http.Request) {
-	const room = 16 << 10
-	w := bufio.NewWriterSize(a.conn, room)
+	const bufferSize = 16 << 10
+	w := bufio.NewWriterSize(a.conn, bufferSize)
 	if err := req.Write(w); err == nil {
 		_ = w.Flush()
 	}
@@ -140,53 +140,53 @@
 	if a.timedOut.Load() {
 		return outcome{result: passthrough.Broken, err: errSilent, firstByte: a.firstByte}
 	}
-	if gone := a.exchange.ctx.Err(); gone != nil {
-		return outcome{result: passthrough.Broken, err: gone, firstByte: a.firstByte} // its end closed the connection
+	if ctxErr := a.exchange.ctx.Err(); ctxErr != nil {
+		return outcome{result: passthrough.Broken, err: ctxErr, firstByte: a.firstByte} // its end closed the connection
 	}
-	return outcome{result: passthrough.Broken, err: err, cut: true, firstByte: a.firstByte}
+	return outcome{result: passthrough.Broken, err: err, connectionLost: true, firstByte: a.firstByte}
 }
 
 // judge takes the answer for what it is.
 func (a *attempt) readOutcome(resp *http.Response) outcome {
-	said := a.exchange.edge.headers.ReadAnswer(resp.StatusCode, resp.Header)
-	out := a.classify(resp, said)
+	meta := a.exchange.edge.headers.ReadAnswer(resp.StatusCode, resp.Header)
+	out := a.classify(resp, meta)
 	out.firstByte = a.firstByte
-	out.confidence = said.Confidence
-	out.leaving = out.leaving || said.Leaving && out.result == passthrough.Rejected
-	out.misdirected = said.Misdirected
-	if said.HasLoad {
-		out.load = &said.Load
+	out.confidence = meta.Confidence
+	out.leaving = out.leaving || meta.Leaving && out.result == passthrough.Rejected
+	out.misdirected = meta.Misdirected
+	if meta.HasLoad {
+		out.load = &meta.Load
 	}
-	if said.Attempt == a.exchange.call.caller.Attempt && reportsLimit(resp.StatusCode, said) {
-		out.limit = &said.Limit
+	if meta.Attempt == a.exchange.call.caller.Attempt && reportsLimit(resp.StatusCode, meta) {
+		out.limit = &meta.Limit
 	}
 	return out
 }
 
 // tellsLimit says whether an answer tells of the server's rate limit, or that it has none. That it
 // has none only a success tells: what writes a refusal or a failure may not know.
-func reportsLimit(status int, said seam.Answer) bool {
-	if said.Misdirected {
+func reportsLimit(status int, meta seam.Answer) bool {
+	if meta.Misdirected {
 		return false
 	}
-	return said.Limit.Limited || said.Signed && status < http.StatusMultipleChoices
+	return meta.Limit.Limited || meta.Signed && status < http.StatusMultipleChoices
 }
 
-func (a *attempt) classify(resp *http.Response, said seam.Answer) outcome {
-	if said.Attempt != a.exchange.call.caller.Attempt && !said.Misdirected {
+func (a *attempt) classify(resp *http.Response, meta seam.Answer) outcome {
+	if meta.Attempt != a.exchange.call.caller.Attempt && !meta.Misdirected {
 		return outcome{result: passthrough.Broken, err: errWrongAttempt}
 	}
-	if said.NotRun {
+	if meta.NotRun {
 		return outcome{result: passthrough.Rejected}
 	}
 	if impliesNotRun(resp.StatusCode) {
 		return outcome{result: passthrough.Broken, err: errMisleadingStatus}
 	}
-	if resp.StatusCode < http.StatusMultipleChoices && (!said.Signed || said.Encoded) {
+	if resp.StatusCode < http.StatusMultipleChoices && (!meta.Signed || meta.Encoded) {
 		return outcome{result: passthrough.Broken, err: errUnsigned}
 	}
 	if resp.StatusCode == http.StatusOK && isStream(resp.Header) {
-		out := a.relayStream(resp, said)
+		out := a.relayStream(resp, meta)
 		out.loadReported = true
 		return out
 	}
@@ -218,16 +218,16 @@
 	if err != nil {
 		return a.brokenOutcome(err)
 	}
-	out := outcome{
-		result: passthrough.Completed,
-		answer: &answer{resp.StatusCode, resp.Header, body},
-		pace:   a.exchange.edge.clock.Now().Sub(a.startedAt),
+	result := outcome{
+		result:        passthrough.Completed,
+		answer:        &answer{resp.StatusCode, resp.Header, body},
+		eventInterval: a.exchange.edge.clock.Now().Sub(a.startedAt),
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		out.result = passthrough.Failed
+		result.result = passthrough.Failed
 	}
 	if a.exchange.stream.begun {
 		return outcome{result: passthrough.Broken, err: errWrongAttempt}
 	}
-	return out
+	return result
 }
--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -12,23 +12,23 @@
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-	tl := p.operator.reader(log, clock)
-	log.put("config", "config 5")
-	log.put("config", "config 9")
-	read(t, tl)
+	reader := p.operator.reader(log, clock)
+	log.add("config", "config 5")
+	log.add("config", "config 9")
+	read(t, reader)
 	clock.advance(time.Second)
 	if lost {
 		log.restore(1)
 	} else {
 		log.restore(2)
 	}
-	read(t, tl)
-	return p, tl, log, clock
+	read(t, reader)
+	return p, reader, log, clock
 }
 
-func read(t *testing.T, tl *topicReader) {
+func read(t *testing.T, reader *topicReader) {
 	t.Helper()
-	if err := tl.readOnce(t.Context()); err != nil {
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -36,19 +36,19 @@
 // TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks holds that an instance which knows more than
 // the store leaves the rotation, then refuses keys, and is back once the operator wrote again.
 func TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks(t *testing.T) {
-	p, tl, log, clock := restoredConfig(t, true)
+	p, reader, log, clock := restoredConfig(t, true)
 	if v := p.config.Index().Version; v != 9 {
 		t.Fatalf("version %d is in force", v)
 	}
 	for range 4 {
 		clock.advance(time.Second)
-		read(t, tl)
+		read(t, reader)
 	}
 	if p.config.Ready() || p.config.Fresh() {
 		t.Errorf("5 s after the last word on it: ready %v, fresh %v", p.config.Ready(), p.config.Fresh())
 	}
-	log.put("config", "config 9")
-	read(t, tl)
+	log.add("config", "config 9")
+	read(t, reader)
 	if !p.config.Ready() || p.config.Index().Version != 9 {
 		t.Errorf("after it was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
 	}
@@ -58,10 +58,10 @@
 // until the operator had time to write a newer one again, and that no instance leaves the rotation
 // for it.
 func TestReadsOfACopyConfirmAfterAWhile(t *testing.T) {
-	p, tl, _, clock := restoredConfig(t, false)
+	p, reader, _, clock := restoredConfig(t, false)
 	before := p.config.Age()
 	clock.advance(time.Second)
-	read(t, tl)
+	read(t, reader)
 	if got := p.config.Age(); got != before+time.Second {
 		t.Errorf("a read of the copy confirmed it: age %v, was %v", got, before)
 	}
@@ -69,7 +69,7 @@
 	if !p.config.Ready() {
 		t.Errorf("not ready at age %v", p.config.Age())
 	}
-	read(t, tl)
+	read(t, reader)
 	if p.config.Age() != 0 {
 		t.Errorf("age %v though the operator had time to write again", p.config.Age())
 	}
@@ -81,20 +81,20 @@
 	for keep := 1; keep <= 4; keep++ {
 		clock, log := newFakeClock(), &fakeLog{era: 1}
 		p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-		tl := p.operator.reader(log, clock)
+		reader := p.operator.reader(log, clock)
 		for v := 1; v <= 4; v++ {
-			log.put("config", fmt.Sprint("config ", v))
-			read(t, tl)
+			log.add("config", fmt.Sprint("config ", v))
+			read(t, reader)
 		}
 		log.restore(keep)
-		read(t, tl)
-		log.put("config", fmt.Sprint("config ", keep)) // an earlier one comes first
-		read(t, tl)
+		read(t, reader)
+		log.add("config", fmt.Sprint("config ", keep)) // an earlier one comes first
+		read(t, reader)
 		if v := p.config.Index().Version; v != 4 {
 			t.Errorf("%d kept: version %d is in force", keep, v)
 		}
-		log.put("config", "config 4")
-		read(t, tl)
+		log.add("config", "config 4")
+		read(t, reader)
 		if p.config.Age() != 0 {
 			t.Errorf("%d kept: not confirmed after it was written again", keep)
 		}
@@ -106,8 +106,8 @@
 func TestInstanceThatStartsAfterARestoreWaitsForTheOperator(t *testing.T) {
 	knows, _, log, clock := restoredConfig(t, true)
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
-	tl := p.operator.reader(log, clock)
-	read(t, tl)
+	reader := p.operator.reader(log, clock)
+	read(t, reader)
 	if !p.config.Fresh() {
 		t.Fatal("not fresh with what the store has")
 	}
@@ -115,8 +115,8 @@
 	if p.config.Fresh() || p.config.Ready() {
 		t.Error("fresh by a configuration that others know to be an old one")
 	}
-	log.put("config", "config 9")
-	read(t, tl)
+	log.add("config", "config 9")
+	read(t, reader)
 	if !p.config.Fresh() || p.config.Index().Version != 9 {
 		t.Error("not fresh by the one that was written again")
 	}
@@ -124,7 +124,7 @@
 
 // TestInstanceThatWasToldKeepsThatWhenItIsCut holds that a configuration which is known to be an old one
 // does not become fresh once nobody can tell that any more.
-func TestInstanceThatWasToldKeepsThatWhenItIsCut(t *testing.T) {
+func TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable(t *testing.T) {
 	_, _, log, clock := restoredConfig(t, true)
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
 	read(t, p.operator.reader(log, clock))
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -25,12 +25,12 @@
 func TestConnectionsAreNotKeptWhereDescriptorsRunOut(t *testing.T) {
 	clock := newFakeClock()
 	known := NewKnowledge(clock, time.Second)
-	st := newStarting()
+	st := newStartGate()
 	st.release()
 	const kept = 10
-	e := &Edge{headers: noHeaders{}, config: known, clock: clock, starting: st, stopping: &shutdown{},
-		conns:   newCallerConns(reservedDescriptors + kept/idleConnFraction),
-		journal: &telemetry{clock: clock, config: known, registry: metrics.NewRegistry()}}
+	e := &Edge{headers: noHeaders{}, config: known, clock: clock, startGate: st, shutdown: &shutdown{},
+		conns:     newCallerConns(reservedDescriptors + kept/idleConnFraction),
+		telemetry: &telemetry{clock: clock, config: known, registry: metrics.NewRegistry()}}
 	srv := httptest.NewUnstartedServer(e)
 	srv.Config.ConnState = e.conns.track
 	srv.Start()
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/cuts_test.go
@@ -9,7 +9,7 @@
 )
 
 // startedRollout is an instance that knows of a roll-out of the shop to v2.
-func startedRollout(t *testing.T, name string, clock *fakeClock) *parts {
+func startRollout(t *testing.T, name string, clock *fakeClock) *parts {
 	t.Helper()
 	p := newParts(name, clock, &fakeLog{}, &fakeLog{})
 	p.rollouts.statusRead = true
@@ -37,7 +37,7 @@
 // answers of several instances.
 func TestCrashOfAServerIsOneFailure(t *testing.T) {
 	clock := newFakeClock()
-	a, b := startedRollout(t, "a", clock), startedRollout(t, "b", clock)
+	a, b := startRollout(t, "a", clock), startRollout(t, "b", clock)
 	for _, p := range []*parts{a, b} {
 		for range 36 {
 			p.observe("v2", passthrough.Observed{})
@@ -59,7 +59,7 @@
 // answers all the time.
 func TestVersionThatCutsAnswersOffIsBad(t *testing.T) {
 	clock := newFakeClock()
-	a := startedRollout(t, "a", clock)
+	a := startRollout(t, "a", clock)
 	for i := range 30 {
 		clock.advance(time.Second)
 		a.observe("v1", passthrough.Observed{})
@@ -74,7 +74,7 @@
 
 // TestFailuresCountEach holds that answers which a server failed by itself count one by one.
 func TestFailuresCountEach(t *testing.T) {
-	a := startedRollout(t, "a", newFakeClock())
+	a := startRollout(t, "a", newFakeClock())
 	for range 7 {
 		a.observe("v2", passthrough.Observed{Bad: true, Server: "s"})
 		a.observe("v2", passthrough.Observed{})
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -25,8 +25,8 @@
 		o.drained[domain] = true
 	}
 	o.driver.Tell(passthrough.Drained{Domains: slices.Sorted(maps.Keys(o.drained))})
-	o.journal.gauge("drained_domains", len(o.drained))
-	o.journal.emit(event, slog.String("domain", domain), slog.Uint64("offset", offset),
+	o.telemetry.gauge("drained_domains", len(o.drained))
+	o.telemetry.emit(event, slog.String("domain", domain), slog.Uint64("offset", offset),
 		slog.Bool("known", slices.Contains(o.domains, domain)))
 }
 
@@ -58,7 +58,7 @@
 		case o.clock.Now().Before(o.keepUntil):
 			if !o.keptLogged[domain] {
 				o.keptLogged[domain] = true
-				o.journal.logStateKept("drained", domain, "the store has no order for it")
+				o.telemetry.logStateKept("drained", domain, "the store has no order for it")
 			}
 		default:
 			const unknownOffset = 0 // the record that took it back is not kept
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -78,30 +78,30 @@
 func TestDrainOrderOutlivesARestore(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{era: 1}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-	tl := p.operator.reader(log, clock)
+	reader := p.operator.reader(log, clock)
 	drained := func(want ...string) {
 		t.Helper()
-		read(t, tl)
+		read(t, reader)
 		if len(p.operator.drained) != len(want) || len(want) > 0 && !p.operator.drained[want[0]] {
 			t.Errorf("drained %v, want %v", p.operator.drained, want)
 		}
 	}
-	log.put("config", "config 1")
+	log.add("config", "config 1")
 	drained()
-	log.put("drain/a", "{}")
+	log.add("drain/a", "{}")
 	drained("a")
 	log.restore(1)
 	drained("a")
 	clock.advance(keepDrainedFor / 2)
-	log.put("drain/a", "{}")
+	log.add("drain/a", "{}")
 	drained("a")
 	clock.advance(keepDrainedFor)
 	drained("a")
-	log.put("drain/a", "")
+	log.add("drain/a", "")
 	drained()
 	log.restore(2)
 	drained("a")
-	log.put("drain/a", "")
+	log.add("drain/a", "")
 	drained()
 	log.restore(2)
 	drained("a")
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -15,7 +15,7 @@
 	// observe and crash tell the other instances, cooled and limited the log.
 	onObserved     func(passthrough.Observed)
 	onCrash        func(passthrough.CrashSeen)
-	cooled         func(passthrough.Cooled)
+	onSlowStart    func(passthrough.Cooled)
 	onLimitChanged func(passthrough.LimitChanged)
 
 	mu      sync.Mutex
@@ -39,7 +39,7 @@
 	return &Driver{
 		clock: clock, world: passthrough.New(cfg), tickets: map[passthrough.RequestID]*ticket{},
 		requestServerRead: func() {}, onObserved: func(passthrough.Observed) {}, onCrash: func(passthrough.CrashSeen) {},
-		cooled: func(passthrough.Cooled) {}, onLimitChanged: func(passthrough.LimitChanged) {},
+		onSlowStart: func(passthrough.Cooled) {}, onLimitChanged: func(passthrough.LimitChanged) {},
 	}
 }
 
@@ -91,7 +91,7 @@
 }
 
 // bar is the confidence under which the request's answer is dropped now.
-func (d *Driver) bar(t *ticket) float64 {
+func (d *Driver) confidenceThreshold(t *ticket) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.world.Bar(t.id)
@@ -127,7 +127,7 @@
 		case passthrough.Suspect:
 			d.requestServerRead()
 		case passthrough.Cooled:
-			d.cooled(c)
+			d.onSlowStart(c)
 		case passthrough.LimitChanged:
 			d.onLimitChanged(c)
 		}
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -15,16 +15,16 @@
 
 // Edge is the callers' side.
 type Edge struct {
-	headers Headers
-	config  *Knowledge
-	driver  *Driver
-	dialer  *dialer
-	clock   Clock
-	journal *telemetry
+	headers   Headers
+	config    *Knowledge
+	driver    *Driver
+	dialer    *dialer
+	clock     Clock
+	telemetry *telemetry
 	// starting holds requests back until the process knows what it needs.
-	starting *startGate
+	startGate *startGate
 	// stopping says how far the end of the process is.
-	stopping *shutdown
+	shutdown *shutdown
 	// conns counts callers' connections.
 	conns *callerConns
 }
@@ -80,13 +80,13 @@
 	if e.conns.overLimit() {
 		w.Header().Set("Connection", "close")
 	}
-	e.starting.wait(req.Context())
-	if no := e.admit(c); no != nil {
-		e.refuse(w, c, *no)
+	e.startGate.wait(req.Context())
+	if denied := e.admit(c); denied != nil {
+		e.refuse(w, c, *denied)
 		return
 	}
-	if no := e.readBody(w, c); no != nil {
-		e.refuse(w, c, *no)
+	if denied := e.readBody(w, c); denied != nil {
+		e.refuse(w, c, *denied)
 		return
 	}
 	e.run(w, c)
@@ -94,19 +94,19 @@
 
 // admit finds the route and the team, by the configuration in force.
 func (e *Edge) admit(c *call) *refusal {
-	route, no := e.resolve(c)
+	route, denied := e.resolve(c)
 	c.route = route
-	if no != nil {
-		return no
+	if denied != nil {
+		return denied
 	}
-	if e.stopping.refuses(route.Kind) {
+	if e.shutdown.refuses(route.Kind) {
 		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonStopping, retryElsewhereAfter}
 	}
 	wait := route.Timeout
 	if c.caller.Wait > 0 {
 		wait = min(wait, c.caller.Wait)
 	}
-	c.deadline = e.stopping.capDeadline(c.arrived.Add(wait))
+	c.deadline = e.shutdown.capDeadline(c.arrived.Add(wait))
 	return nil
 }
 
@@ -150,12 +150,12 @@
 		return &refusal{status: http.StatusBadRequest, reason: reasonNoAttemptID}
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, c.request.Body, c.maxBody))
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge}
 	case err != nil:
-		e.journal.callerLost(c, err)
+		e.telemetry.callerLost(c, err)
 		panic(http.ErrAbortHandler) // the caller has broken off; there is nobody to answer
 	}
 	c.body = body
@@ -163,18 +163,18 @@
 }
 
 // refuse answers without having run the request.
-func (e *Edge) refuse(w http.ResponseWriter, c *call, no refusal) {
-	e.journal.refused(c, no)
+func (e *Edge) refuse(w http.ResponseWriter, c *call, refused refusal) {
+	e.telemetry.refused(c, refused)
 	h := w.Header()
-	if no.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(no.retryAfter.Seconds(), 'f', 3, 64))
+	if refused.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	if no.reason == passthrough.ReasonStopping {
+	if refused.reason == passthrough.ReasonStopping {
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	w.WriteHeader(no.status)
-	writeAll(w, []byte(string(no.reason)+"\n"))
+	w.WriteHeader(refused.status)
+	writeAll(w, []byte(string(refused.reason)+"\n"))
 }
 
 // writeAll writes to a caller. A caller that has gone shows by its context too, and no
@@ -205,15 +205,15 @@
 	if c.team != nil {
 		team = c.team.Name
 	}
-	place := c.caller.Session
-	if place == "" {
-		place = c.caller.Attempt
+	key := c.caller.Session
+	if key == "" {
+		key = c.caller.Attempt
 	}
 	r := passthrough.Request{
 		Route: c.route, Service: c.route.Pick(hashFraction("service" + c.caller.Attempt)),
 		Team: team, Rank: passthrough.Rank(c.team, c.route), Session: c.caller.Session,
 		PromptTokens: c.caller.PromptTokens, MaxTokens: c.caller.MaxTokens,
-		Share:       hashFraction("roll-out" + place),
+		Share:       hashFraction("roll-out" + key),
 		Fingerprint: hashOf(c.path, c.caller.Key, string(c.body)),
 		Target:      c.arrived.Add(c.route.Target), Deadline: c.deadline,
 		ModelOpen: c.caller.ModelOpen && len(c.route.Sizes) > 0,
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -29,8 +29,8 @@
 
 // run asks for decisions and follows them until one final answer is out.
 func (e *Edge) run(w http.ResponseWriter, c *call) {
-	left := c.deadline.Sub(e.clock.Now())
-	ctx, cancel := context.WithTimeout(c.request.Context(), max(left, 0))
+	remaining := c.deadline.Sub(e.clock.Now())
+	ctx, cancel := context.WithTimeout(c.request.Context(), max(remaining, 0))
 	defer cancel()
 	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{lastEvent: c.caller.LastEvent}}
 	r := c.decisionRequest()
@@ -71,7 +71,7 @@
 // expired ends a request whose time has passed, or whose caller has gone.
 func (x *exchange) expire() {
 	if x.call.request.Context().Err() != nil {
-		x.edge.journal.callerLost(x.call, x.ctx.Err())
+		x.edge.telemetry.callerLost(x.call, x.ctx.Err())
 		panic(http.ErrAbortHandler)
 	}
 	if !x.mayHaveRun {
@@ -82,11 +82,11 @@
 }
 
 // refuse ends a request that has not run.
-func (x *exchange) refuse(no refusal) {
+func (x *exchange) refuse(refused refusal) {
 	if x.stream.begun {
-		x.abort(no.reason)
+		x.abort(refused.reason)
 	}
-	x.edge.refuse(x.w, x.call, no)
+	x.edge.refuse(x.w, x.call, refused)
 }
 
 // finish ends a request that ran or may have run, with the backend server's own failure
@@ -96,7 +96,7 @@
 		x.fail(http.StatusBadGateway, reasonMayHaveRun)
 		return
 	}
-	x.edge.journal.finished(x.call, x.lastFailure.status, reason)
+	x.edge.telemetry.finished(x.call, x.lastFailure.status, reason)
 	x.writeAnswer(x.lastFailure)
 }
 
@@ -105,7 +105,7 @@
 	if x.stream.begun {
 		x.abort(reason)
 	}
-	x.edge.journal.finished(x.call, status, reason)
+	x.edge.telemetry.finished(x.call, status, reason)
 	x.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(status)
 	writeAll(x.w, []byte(string(reason)+"\n"))
@@ -113,7 +113,7 @@
 
 // abort breaks the caller's connection, so that a part of an answer does not look whole.
 func (x *exchange) abort(reason passthrough.Reason) {
-	x.edge.journal.finished(x.call, 0, reason)
+	x.edge.telemetry.finished(x.call, 0, reason)
 	panic(http.ErrAbortHandler)
 }
 
@@ -142,17 +142,17 @@
 
 // dispatch runs one attempt, unless the configuration forbids it by now.
 func (x *exchange) dispatch(d passthrough.Dispatch) bool {
-	if _, no := x.edge.resolve(x.call); no != nil {
+	if _, denied := x.edge.resolve(x.call); denied != nil {
 		if x.mayHaveRun {
-			x.fail(http.StatusBadGateway, no.reason)
+			x.fail(http.StatusBadGateway, denied.reason)
 			return true
 		}
-		x.refuse(*no)
+		x.refuse(*denied)
 		return true
 	}
 	a := x.newAttempt(d)
 	out := a.run(x.ctx)
-	x.edge.journal.attempted(x.call, d, out)
+	x.edge.telemetry.attempted(x.call, d, out)
 	x.mayHaveRun = x.mayHaveRun || out.result.Ran()
 	if out.load != nil && !out.loadReported {
 		x.edge.driver.Tell(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
@@ -171,7 +171,7 @@
 	}
 	x.edge.driver.Tell(passthrough.Ended{
 		Request: x.ticket.id, Result: out.result, Begun: x.stream.begun,
-		Misdirected: out.misdirected, Leaving: out.leaving, Cut: out.cut, Pace: out.pace,
+		Misdirected: out.misdirected, Leaving: out.leaving, Cut: out.connectionLost, Pace: out.eventInterval,
 		Confidence: out.confidence, Limit: limit,
 	})
 	if out.result != passthrough.Completed {
@@ -188,7 +188,7 @@
 		status = out.answer.status
 		x.writeAnswer(out.answer)
 	}
-	x.edge.journal.finished(x.call, status, "")
+	x.edge.telemetry.finished(x.call, status, "")
 }
 
 // attempt prepares one attempt.
@@ -198,16 +198,16 @@
 	if c.team != nil {
 		team = c.team.Name
 	}
-	after := int64(-1)
+	lastEvent := int64(-1)
 	if x.stream.begun {
-		after = x.stream.lastEvent
+		lastEvent = x.stream.lastEvent
 	}
 	now := x.edge.clock.Now()
 	return &attempt{
-		exchange: x, server: d.Server, startedAt: now, patience: d.Patience,
+		exchange: x, server: d.Server, startedAt: now, firstByteTimeout: d.Patience,
 		header: x.edge.headers.WriteAttempt(c.request.Header, seam.Attempt{
 			Server: d.Server.ID, Team: team, Left: c.deadline.Sub(now), Model: d.Model,
-			Priority: passthrough.Rank(c.team, c.route), LastEvent: after,
+			Priority: passthrough.Rank(c.team, c.route), LastEvent: lastEvent,
 		}),
 	}
 }
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -35,10 +35,10 @@
 
 // fakeLog is a topic in memory.
 type fakeLog struct {
-	mu      sync.Mutex
-	records []keyedlog.Record
-	first   uint64
-	era     uint64
+	mu        sync.Mutex
+	records   []keyedlog.Record
+	firstKept uint64
+	era       uint64
 	// read, newest and appended are errors of the next calls.
 	readErrs, newestErrs, appendErrs []error
 	// lose does the next append and gives the error all the same.
@@ -47,7 +47,7 @@
 	beforeAppend func()
 }
 
-func next(errs *[]error) error {
+func popErr(errs *[]error) error {
 	if len(*errs) == 0 {
 		return nil
 	}
@@ -59,13 +59,13 @@
 func (l *fakeLog) Read(_ context.Context, from keyedlog.Position, _ time.Duration) (keyedlog.Batch, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := next(&l.readErrs); err != nil {
+	if err := popErr(&l.readErrs); err != nil {
 		return keyedlog.Batch{}, err
 	}
 	if !from.IsOf(l.era) {
 		return keyedlog.Batch{}, keyedlog.ErrRestored
 	}
-	if from.Offset < l.first {
+	if from.Offset < l.firstKept {
 		return keyedlog.Batch{}, keyedlog.ErrGone
 	}
 	out := keyedlog.Batch{Next: l.end()}
@@ -76,7 +76,7 @@
 func (l *fakeLog) Newest(context.Context) (keyedlog.Snapshot, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := next(&l.newestErrs); err != nil {
+	if err := popErr(&l.newestErrs); err != nil {
 		return keyedlog.Snapshot{}, err
 	}
 	last := map[string]keyedlog.Record{}
@@ -102,7 +102,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	err := next(&l.appendErrs)
+	err := popErr(&l.appendErrs)
 	if err != nil && !l.appendDespiteErr {
 		return err
 	}
@@ -129,7 +129,7 @@
 	l.era++
 }
 
-func (l *fakeLog) put(key, value string) {
+func (l *fakeLog) add(key, value string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, keyedlog.Record{Key: key, Value: []byte(value), Offset: uint64(len(l.records))})
@@ -192,21 +192,21 @@
 	observations *observationStore
 	rollouts     *rollouts
 	operator     *operator
-	journal      *telemetry
+	telemetry    *telemetry
 }
 
 // newParts puts an instance together on the given logs.
 func newParts(name string, clock *fakeClock, status, observations keyedlog.Log) *parts {
 	p := &parts{clock: clock}
 	p.config = NewKnowledge(clock, 5*time.Second)
-	p.journal = &telemetry{clock: clock, config: p.config, registry: metrics.NewRegistry()}
+	p.telemetry = &telemetry{clock: clock, config: p.config, registry: metrics.NewRegistry()}
 	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
-	p.observations = newObservationStore(name, observations, p.driver, p.journal, clock)
+	p.observations = newObservationStore(name, observations, p.driver, p.telemetry, clock)
 	p.driver.onObserved, p.driver.onCrash = p.observations.recordAnswer, p.observations.recordCrash
-	p.servers = newList(fakeRecords{}, p.driver, newDialer(clock), p.journal, clock, 2*time.Second, newStarting())
-	p.rollouts = newRollouts(fakeRecords{}, status, p.driver, p.servers, p.observations, p.journal, clock,
+	p.servers = newServerList(fakeRecords{}, p.driver, newDialer(clock), p.telemetry, clock, 2*time.Second, newStartGate())
+	p.rollouts = newRollouts(fakeRecords{}, status, p.driver, p.servers, p.observations, p.telemetry, clock,
 		passthrough.Exposure{Share: 0.15, Tolerance: 30})
-	p.operator = &operator{records: fakeRecords{}, config: p.config, driver: p.driver, rollouts: p.rollouts, journal: p.journal, starting: newStarting(),
+	p.operator = &operator{records: fakeRecords{}, config: p.config, driver: p.driver, rollouts: p.rollouts, telemetry: p.telemetry, startGate: newStartGate(),
 		clock:        clock,
 		restoreGuard: &restoreGuard{clock: clock, config: p.config},
 		drained:      map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: []string{"a", "b"}, isCollector: func() bool { return false }, readsStore: func() bool { return true }}
--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -14,7 +14,7 @@
 // reader follows the others' observations.
 func (b *observationStore) reader(clock Clock, active func() bool) *topicReader {
 	t := &topicReader{
-		name: topicObservations, log: b.log, clock: clock, journal: b.journal, maxRetry: slowRetryDelay,
+		name: topicObservations, log: b.log, clock: clock, telemetry: b.telemetry, maxRetry: slowRetryDelay,
 		onRecord:   b.apply,
 		onRead:     func(began time.Time, _ int) { b.markRead(began) },
 		onRecovery: b.onRecovery, onRestore: b.onRestore,
@@ -97,7 +97,7 @@
 	}
 	var s observationSet
 	if err := json.Unmarshal(r.Value, &s); err != nil {
-		b.journal.emit(logging.EventRecordRejected, slog.String("key", r.Key), slog.String(logging.KeyError, err.Error()))
+		b.telemetry.emit(logging.EventRecordRejected, slog.String("key", r.Key), slog.String(logging.KeyError, err.Error()))
 		return
 	}
 	if s.Instance == b.instance && s.CrashFingerprint != 0 {
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -15,11 +15,11 @@
 // instance goes back, and in the end all have the newest version.
 func TestConfigurationHistories(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { runConfigurations(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { playConfigurations(t, seed) })
 	}
 }
 
-func runConfigurations(t *testing.T, seed uint64) {
+func playConfigurations(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	clock, log := newFakeClock(), &fakeLog{}
 	type instance struct {
@@ -33,22 +33,22 @@
 	}
 	fleet := []*instance{start(0), start(1), start(2)}
 	newest := uint64(1)
-	log.put("config", "config 1")
+	log.add("config", "config 1")
 	for range 200 {
 		clock.advance(time.Duration(rng.IntN(300)) * time.Millisecond)
 		i := rng.IntN(len(fleet))
 		switch rng.IntN(9) {
 		case 0:
 			newest += uint64(1 + rng.IntN(5))
-			log.put("config", fmt.Sprint("config ", newest))
+			log.add("config", fmt.Sprint("config ", newest))
 		case 1:
 			// A record that arrives late, and one that cannot be read.
-			log.put("late", "???")
-			log.put("order/x", "???")
+			log.add("late", "???")
+			log.add("order/x", "???")
 		case 2:
 			log.readErrs = append(log.readErrs, keyedlog.ErrUnknown)
 		case 3:
-			log.first = uint64(len(log.records)) // all but the newest are dropped
+			log.firstKept = uint64(len(log.records)) // all but the newest are dropped
 		case 4:
 			if rng.IntN(4) == 0 {
 				fleet[i] = start(i)
@@ -75,16 +75,16 @@
 // crashes were told, it runs no more, and the unlucky ones are not shut out.
 func TestQuarantineHistories(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { runQuarantine(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { playQuarantine(t, seed) })
 	}
 }
 
-func runQuarantine(t *testing.T, seed uint64) {
+func playQuarantine(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	clock, observations := newFakeClock(), &fakeLog{}
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 1, Timeout: time.Second, Target: time.Second}
 	var fleet []*parts
-	var tails []*topicReader
+	var readers []*topicReader
 	for i := range 4 {
 		p := newParts(fmt.Sprint("instance-", i), clock, &fakeLog{}, observations)
 		var list []passthrough.Server
@@ -92,11 +92,11 @@
 			list = append(list, passthrough.Server{ID: fmt.Sprint("s", n), Address: "127.0.0.1:1", Service: "shop", Slots: 50, Born: 1})
 		}
 		p.driver.Tell(passthrough.Listed{Servers: list}, passthrough.Fleet{Instances: 4})
-		tl := p.observations.reader(clock, p.rollouts.active)
-		if err := tl.readOnce(t.Context()); err != nil {
+		reader := p.observations.reader(clock, p.rollouts.active)
+		if err := reader.readOnce(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		fleet, tails = append(fleet, p), append(tails, tl)
+		fleet, readers = append(fleet, p), append(readers, reader)
 	}
 	// send sends a request at some instance and ends it as given; it says whether it ran.
 	send := func(fingerprint uint64, end passthrough.Ended) bool {
@@ -115,23 +115,23 @@
 	crashes, late := 0, 0
 	for range 60 {
 		clock.advance(time.Duration(rng.IntN(120)) * time.Millisecond)
-		told := crashes >= 3
-		if told { // the instances' reads and writes have gone through since
+		known := crashes >= 3
+		if known { // the instances' reads and writes have gone through since
 			for i, p := range fleet {
 				if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
 					t.Fatal(err)
 				}
 				_ = i
 			}
-			for _, tl := range tails {
-				if err := tl.readOnce(t.Context()); err != nil {
+			for _, reader := range readers {
+				if err := reader.readOnce(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		if send(1, crash) {
 			crashes++
-			if told {
+			if known {
 				late++
 			}
 		}
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -75,7 +75,7 @@
 }
 
 // cooled tells that servers are taken for cold. The driver calls it, so it must not block.
-func (j *telemetry) cooled(c passthrough.Cooled) {
+func (j *telemetry) slowStart(c passthrough.Cooled) {
 	j.count("cooled." + string(c.Why))
 	j.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
 		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.For.Milliseconds()), slog.String(keyReason, string(c.Why)))
@@ -88,7 +88,7 @@
 }
 
 // limitChanged tells of a server's rate limit. The driver calls it, so it must not block.
-func (j *telemetry) limitChanged(c passthrough.LimitChanged) {
+func (j *telemetry) rateLimitChanged(c passthrough.LimitChanged) {
 	if !c.Limit.Limited {
 		j.count("limit_ended")
 		j.emit(logging.EventServerUnlimited, slog.String(keyServer, c.Server), slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
@@ -104,11 +104,11 @@
 	j.emit(logging.EventRecordRejected, slog.String("from", from), slog.String(logging.KeyError, err.Error()))
 }
 
-func (j *telemetry) refused(c *call, no refusal) {
-	j.count("refused." + string(no.reason))
+func (j *telemetry) refused(c *call, ref refusal) {
+	j.count("refused." + string(ref.reason))
 	j.emit(logging.EventPassRefused, j.requestAttrs(c,
-		slog.Int("status", no.status), slog.String(keyReason, string(no.reason)),
-		slog.Int64("retry_after_ms", no.retryAfter.Milliseconds()))...)
+		slog.Int("status", ref.status), slog.String(keyReason, string(ref.reason)),
+		slog.Int64("retry_after_ms", ref.retryAfter.Milliseconds()))...)
 }
 
 func (j *telemetry) attempted(c *call, d passthrough.Dispatch, out outcome) {
@@ -122,7 +122,7 @@
 		slog.Int("load", d.Load), slog.Int64("load_age_ms", d.LoadAge.Milliseconds()),
 		slog.Int64("first_ms", out.firstByte.Milliseconds()))
 	if d.Model != "" {
-		attrs = append(attrs, slog.String("model", d.Model), slog.Float64("confidence", out.confidence), slog.Float64("bar", math.Round(100*out.bar)/100),
+		attrs = append(attrs, slog.String("model", d.Model), slog.Float64("confidence", out.confidence), slog.Float64("bar", math.Round(100*out.confidenceThreshold)/100),
 			slog.Float64("taken", math.Round(100*d.Taken)/100),
 			slog.Int64("wait_ms", d.Wait.Milliseconds()), slog.Int64("mean_wait_ms", d.MeanWait.Milliseconds()), slog.Float64("repeats_left", math.Round(d.Repeats)),
 			slog.Int("prompt_tokens", c.caller.PromptTokens), slog.Int("most_tokens", c.caller.MaxTokens))
@@ -137,8 +137,8 @@
 	if out.load != nil {
 		attrs = append(attrs, slog.Int("told_running", out.load.Running), slog.Int("told_waiting", out.load.Waiting))
 	}
-	if out.pace > 0 {
-		attrs = append(attrs, slog.Int64("pace_ms", out.pace.Milliseconds()))
+	if out.eventInterval > 0 {
+		attrs = append(attrs, slog.Int64("pace_ms", out.eventInterval.Milliseconds()))
 	}
 	if out.err != nil {
 		attrs = append(attrs, slog.String(logging.KeyError, out.err.Error()))
--- a/router/internal/passthrough/knowledge_test.go
+++ b/router/internal/passthrough/knowledge_test.go
@@ -49,24 +49,24 @@
 	}
 }
 
-func TestOperatorsTailGoesOnAfterDroppedRecords(t *testing.T) {
+func TestOperatorReaderGoesOnAfterDroppedRecords(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-	log.put("config", "config 1")
-	tl := p.operator.reader(log, clock)
-	step := func() error { return tl.readOnce(t.Context()) }
+	log.add("config", "config 1")
+	reader := p.operator.reader(log, clock)
+	step := func() error { return reader.readOnce(t.Context()) }
 	if err := step(); err != nil || p.config.Index().Version != 1 {
 		t.Fatalf("%v", err)
 	}
-	log.put("config", "config 2")
-	log.put("order/x", "nonsense")
-	log.put("config", "config 5")
-	log.put("config", "config 4")
+	log.add("config", "config 2")
+	log.add("order/x", "nonsense")
+	log.add("config", "config 5")
+	log.add("config", "config 4")
 	if err := step(); err != nil || p.config.Index().Version != 5 {
 		t.Fatalf("version %d, %v", p.config.Index().Version, err)
 	}
-	log.put("config", "config 8")
-	log.first = uint64(len(log.records))
+	log.add("config", "config 8")
+	log.firstKept = uint64(len(log.records))
 	if err := step(); err != nil || p.config.Index().Version != 8 {
 		t.Fatalf("after dropped records: version %d, %v", p.config.Index().Version, err)
 	}
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -37,15 +37,15 @@
 
 // list follows the list of backend servers.
 type serverList struct {
-	records Records
-	driver  *Driver
-	dialer  *dialer
-	journal *telemetry
-	clock   Clock
-	drain   time.Duration
-	wake    chan struct{}
+	records   Records
+	driver    *Driver
+	dialer    *dialer
+	telemetry *telemetry
+	clock     Clock
+	drain     time.Duration
+	wake      chan struct{}
 	// starting is told when the list was read first.
-	starting *startGate
+	startGate *startGate
 	// alone says whether this instance reads the store, and for itself only; follows that it
 	// reads from another instance.
 	readsAlone    func() bool
@@ -67,9 +67,9 @@
 	unreadable       map[string]bool
 }
 
-func newList(records Records, driver *Driver, d *dialer, j *telemetry, clock Clock, drain time.Duration, st *startGate) *serverList {
+func newServerList(records Records, driver *Driver, d *dialer, j *telemetry, clock Clock, drain time.Duration, st *startGate) *serverList {
 	return &serverList{
-		records: records, driver: driver, dialer: d, journal: j, clock: clock, drain: drain, starting: st,
+		records: records, driver: driver, dialer: d, telemetry: j, clock: clock, drain: drain, startGate: st,
 		readsAlone: func() bool { return false }, readsFromPeer: func() bool { return false },
 		wake: make(chan struct{}, 1), entries: map[string]passthrough.Server{},
 		lapsed: map[string]time.Time{}, unreadable: map[string]bool{},
@@ -87,7 +87,7 @@
 
 func (l *serverList) reader(log keyedlog.Log, clock Clock) *topicReader {
 	t := &topicReader{
-		name: topicServers, log: log, clock: clock, journal: l.journal, wake: l.wake,
+		name: topicServers, log: log, clock: clock, telemetry: l.telemetry, wake: l.wake,
 		wait: l.wait, pause: l.pause,
 		onRecord: func(r keyedlog.Record) { l.apply(r) },
 	}
@@ -95,7 +95,7 @@
 	t.onRestore = l.onRestore
 	t.onRead = func(time.Time, int) {
 		l.publish()
-		l.starting.loaded(prerequisiteServers)
+		l.startGate.loaded(prerequisiteServers)
 	}
 	t.onRecovery = func(lost time.Duration) {
 		if lost > minLapseOutage {
@@ -176,8 +176,8 @@
 	if err != nil {
 		if !l.unreadable[r.Key] {
 			l.unreadable[r.Key] = true
-			l.journal.count("entry_ignored")
-			l.journal.emit(logging.EventEntryIgnored, slog.String(keyServer, r.Key), slog.String(logging.KeyError, err.Error()))
+			l.telemetry.count("entry_ignored")
+			l.telemetry.emit(logging.EventEntryIgnored, slog.String(keyServer, r.Key), slog.String(logging.KeyError, err.Error()))
 		}
 		l.drop(r.Key, "unreadable")
 		return
@@ -202,7 +202,7 @@
 	delete(l.tombstones, s.ID)
 	l.entries[s.ID] = s
 	l.changed = true
-	l.journal.emit(logging.EventServerListed, slog.String(keyServer, s.ID), slog.String("service", s.Service),
+	l.telemetry.emit(logging.EventServerListed, slog.String(keyServer, s.ID), slog.String("service", s.Service),
 		slog.String("software", s.Version), slog.Bool("draining", s.Draining), slog.Uint64("offset", offset))
 }
 
@@ -228,7 +228,7 @@
 	delete(l.entries, id)
 	delete(l.lapsed, id)
 	l.changed = true
-	l.journal.emit(logging.EventServerGone, slog.String(keyServer, id), slog.String(keyReason, why))
+	l.telemetry.emit(logging.EventServerGone, slog.String(keyServer, id), slog.String(keyReason, why))
 }
 
 // publish tells the decision of a changed list.
--- a/router/internal/passthrough/list_restore.go
+++ b/router/internal/passthrough/list_restore.go
@@ -59,7 +59,7 @@
 	}
 	if t, left := l.tombstones[s.ID]; left && t.born == s.Born {
 		l.unconfirmed[s.ID] = unconfirmedEntry{s, offset, l.clock.Now().Add(unconfirmedDelay)}
-		l.journal.logStateKept("server", s.ID, "it had left")
+		l.telemetry.logStateKept("server", s.ID, "it had left")
 		return s, false
 	}
 	return s, true
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/list_test.go
@@ -37,29 +37,29 @@
 func TestEntriesThatLapsedInAnOutageAreBelievedForAWhile(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-	tl := p.servers.reader(log, clock)
-	log.put("one", "server shop v1 ready")
-	log.put("two", "server shop v1 ready")
-	if err := tl.readOnce(t.Context()); err != nil {
+	reader := p.servers.reader(log, clock)
+	log.add("one", "server shop v1 ready")
+	log.add("two", "server shop v1 ready")
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	log.readErrs = []error{keyedlog.ErrNotDone}
-	tl.noteOutage(t.Context(), tl.readOnce(t.Context()))
+	reader.noteOutage(t.Context(), reader.readOnce(t.Context()))
 	clock.advance(4 * time.Second)
-	log.put("one", "") // both lapsed while the store was away
-	log.put("two", "")
-	if err := tl.readOnce(t.Context()); err != nil {
+	log.add("one", "") // both lapsed while the store was away
+	log.add("two", "")
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if !p.servers.has("one") || !p.servers.has("two") {
 		t.Fatalf("entries that may have lapsed are gone at once: %v", p.servers.entries)
 	}
-	log.put("one", "server shop v1 ready")
-	if err := tl.readOnce(t.Context()); err != nil {
+	log.add("one", "server shop v1 ready")
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	clock.advance(2 * time.Second)
-	if err := tl.readOnce(t.Context()); err != nil {
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if !p.servers.has("one") || p.servers.has("two") {
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -43,7 +43,7 @@
 
 // lost notes that the store did not answer on the instances.
 func (s *sharing) logStoreLost(err error) {
-	s.journal.emit(logging.EventStoreLost, slog.String("topic", topicInstances), slog.String(logging.KeyError, err.Error()))
+	s.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicInstances), slog.String(logging.KeyError, err.Error()))
 }
 
 // learn reads a failure domain's members from the store itself, and says whether it answered.
@@ -93,7 +93,7 @@
 	}
 	var m relay.Member
 	if err := json.Unmarshal(r.Value, &m); err != nil {
-		s.journal.emit(logging.EventRecordRejected, slog.String("key", r.Key), slog.String(logging.KeyError, err.Error()))
+		s.telemetry.emit(logging.EventRecordRejected, slog.String("key", r.Key), slog.String(logging.KeyError, err.Error()))
 		return
 	}
 	if m == s.self {
@@ -171,7 +171,7 @@
 // reader follows the members.
 func (s *sharing) reader(ctx context.Context) *topicReader {
 	return &topicReader{
-		name: topicInstances, log: s.instances, clock: s.clock, journal: s.journal,
+		name: topicInstances, log: s.instances, clock: s.clock, telemetry: s.telemetry,
 		wait: func() time.Duration { return membersReadWait }, maxRetry: slowRetryDelay,
 		pause:      func() time.Duration { return time.Second },
 		onRecord:   s.applyMember,
--- a/router/internal/passthrough/observationrow.go
+++ b/router/internal/passthrough/observationrow.go
@@ -25,12 +25,12 @@
 
 // MarshalJSON implements json.Marshaler.
 func (r observationRow) MarshalJSON() ([]byte, error) {
-	fresh, old := r.New, r.Old
+	newer, older := r.New, r.Old
 	return json.Marshal([rowLength]int64{
-		int64(fresh.Good), int64(fresh.Bad),
-		int64(fresh.First.N), toRowUnits(fresh.First.Sum), toRowUnits(fresh.First.Squares),
-		int64(fresh.Pace.N), toRowUnits(fresh.Pace.Sum), toRowUnits(fresh.Pace.Squares), int64(fresh.Pace.Slow),
-		int64(old.Good), int64(old.Bad), int64(old.Pace.N), int64(old.Pace.Slow),
+		int64(newer.Good), int64(newer.Bad),
+		int64(newer.First.N), toRowUnits(newer.First.Sum), toRowUnits(newer.First.Squares),
+		int64(newer.Pace.N), toRowUnits(newer.Pace.Sum), toRowUnits(newer.Pace.Squares), int64(newer.Pace.Slow),
+		int64(older.Good), int64(older.Bad), int64(older.Pace.N), int64(older.Pace.Slow),
 	})
 }
 
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestSheetRowKeepsWhatIsJudged(t *testing.T) {
+func TestObservationRowKeepsWhatVerdictsUse(t *testing.T) {
 	in := busyRow()
 	text, err := json.Marshal(in)
 	if err != nil {
@@ -45,7 +45,7 @@
 
 // TestSheetsOfAFleetAreSmall bounds what all instances of the target fleet write of a roll-out
 // of five routes: with 4 KB a second for control, a second's observations are 25 at most.
-func TestSheetsOfAFleetAreSmall(t *testing.T) {
+func TestObservationSetsOfAFleetAreSmall(t *testing.T) {
 	const most = 4096 / 6 // bytes: a sixth of a second's, beside heartbeats and configurations
 	s := observationSet{Instance: "edge-salle-trois-pistoles-120", ProcessStart: 1 << 60, Service: "model-engines", Target: "v2", Order: 1 << 20,
 		ElapsedMS: 23_500, Routes: map[string]observationRow{}}
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -23,7 +23,7 @@
 	processStart uint64
 	log          keyedlog.Log
 	driver       *Driver
-	journal      *telemetry
+	telemetry    *telemetry
 	clock        Clock
 
 	// fleet is the number of instances that share the topic.
@@ -68,7 +68,7 @@
 
 func newObservationStore(instance string, log keyedlog.Log, driver *Driver, j *telemetry, clock Clock) *observationStore {
 	return &observationStore{
-		instance: instance, processStart: uint64(clock.Now().UnixNano()), log: log, driver: driver, journal: j, clock: clock,
+		instance: instance, processStart: uint64(clock.Now().UnixNano()), log: log, driver: driver, telemetry: j, clock: clock,
 		own: map[string]*observationSet{}, others: map[string]observationSet{}, pendingCrashes: map[uint64]int{}, deleteAt: map[string]time.Time{},
 		wake: make(chan struct{}, 1), fleetSize: func() int { return 1 }, followerRecords: func() []keyedlog.Record { return nil },
 	}
@@ -119,7 +119,7 @@
 		records := append(b.pendingRecords(), b.followerRecords()...)
 		if len(records) > 0 {
 			if err := b.log.Append(ctx, keyedlog.Anywhere, records...); err != nil {
-				b.journal.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
+				b.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
 				b.markDirty()
 				b.markIncomplete()
 			}
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -8,11 +8,11 @@
 	"masticplank.example/decision/passthrough"
 )
 
-func TestBoardTellsCrashesToTheOthers(t *testing.T) {
+func TestStoreSharesCrashesWithPeers(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
 	a, b := newParts("a", clock, &fakeLog{}, observations), newParts("b", clock, &fakeLog{}, observations)
-	tl := b.observations.reader(clock, b.rollouts.active)
-	if err := tl.readOnce(t.Context()); err != nil {
+	reader := b.observations.reader(clock, b.rollouts.active)
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
@@ -21,7 +21,7 @@
 	if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
 	}
-	if err := tl.readOnce(t.Context()); err != nil {
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, Target: time.Second}
@@ -115,7 +115,7 @@
 	write(after)
 	clock.advance(time.Second)
 	after.rollouts.advance(t.Context(), after.rollouts.open["shop"])
-	if got := ends(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
+	if got := storedEnds(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Errorf("ends %v after six bad answers by two processes", got)
 	}
 	clock.advance(recordLifetime + time.Second)
@@ -142,12 +142,12 @@
 	p.rollouts.advance(t.Context(), r)
 	p.observeMany("v2", true, 8)
 	p.rollouts.advance(t.Context(), r)
-	if got := ends(status); len(got) != 0 {
+	if got := storedEnds(status); len(got) != 0 {
 		t.Fatalf("ends %v at once", got)
 	}
 	clock.advance(revertTimeout)
 	p.rollouts.advance(t.Context(), r)
-	if got := ends(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
+	if got := storedEnds(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Errorf("ends %v", got)
 	}
 }
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -13,13 +13,13 @@
 // operator follows the operator's records: the configuration, the roll-out orders, and the
 // failure domains that are to be drained.
 type operator struct {
-	records  Records
-	config   *Knowledge
-	driver   *Driver
-	rollouts *rollouts
-	journal  *telemetry
-	starting *startGate
-	clock    Clock
+	records   Records
+	config    *Knowledge
+	driver    *Driver
+	rollouts  *rollouts
+	telemetry *telemetry
+	startGate *startGate
+	clock     Clock
 	// trust says whether reads confirm the configuration.
 	restoreGuard *restoreGuard
 	// drained are the failure domains that get no new work, domains all that there are. ordered
@@ -62,7 +62,7 @@
 
 func (o *operator) reader(log keyedlog.Log, clock Clock) *topicReader {
 	return &topicReader{
-		name: topicOperator, log: log, clock: clock, journal: o.journal, wait: o.wait,
+		name: topicOperator, log: log, clock: clock, telemetry: o.telemetry, wait: o.wait,
 		onSnapshot: o.applySnapshot,
 		onRecord:   o.applyNew,
 		onRestore:  o.onRestore,
@@ -72,7 +72,7 @@
 				o.config.Confirm(began)
 			}
 			if o.config.Index() != nil {
-				o.starting.loaded(prerequisiteConfig)
+				o.startGate.loaded(prerequisiteConfig)
 			}
 		},
 	}
@@ -135,18 +135,18 @@
 	index, applied := o.config.Apply(c)
 	if !applied {
 		if c.Version < index.Version {
-			o.journal.logStateKept("configuration", strconv.FormatUint(index.Version, 10), "the store has an earlier one")
+			o.telemetry.logStateKept("configuration", strconv.FormatUint(index.Version, 10), "the store has an earlier one")
 		}
 		return
 	}
 	o.driver.Tell(passthrough.Configured{Index: index})
-	o.journal.count("config_applied")
-	o.journal.emit(logging.EventConfigApplied, slog.Uint64(keyVersion, c.Version),
+	o.telemetry.count("config_applied")
+	o.telemetry.emit(logging.EventConfigApplied, slog.Uint64(keyVersion, c.Version),
 		slog.Int("routes", len(c.Routes)), slog.Int("teams", len(c.Teams)), slog.Uint64("offset", r.Offset))
 }
 
 func (o *operator) reject(r keyedlog.Record, err error) {
-	o.journal.count("record_rejected")
-	o.journal.emit(logging.EventRecordRejected, slog.String("key", r.Key),
+	o.telemetry.count("record_rejected")
+	o.telemetry.emit(logging.EventRecordRejected, slog.String("key", r.Key),
 		slog.Uint64("offset", r.Offset), slog.String(logging.KeyError, err.Error()))
 }
--- a/router/internal/passthrough/register.go
+++ b/router/internal/passthrough/register.go
@@ -28,7 +28,7 @@
 // reader follows the register's topic, so that an end is known everywhere at once.
 func (m *rollouts) reader(log keyedlog.Log) *topicReader {
 	t := &topicReader{
-		name: topicStatus, log: log, clock: m.clock, journal: m.journal,
+		name: topicStatus, log: log, clock: m.clock, telemetry: m.telemetry,
 		wait: func() time.Duration { return idleReadWait }, maxRetry: slowRetryDelay,
 		pause:    func() time.Duration { return maxRetryDelay },
 		onRecord: m.applyStatus,
@@ -51,7 +51,7 @@
 func (m *rollouts) applyStatus(rec keyedlog.Record) {
 	service, target, phase, ok, err := m.records.Status(rec)
 	if err != nil {
-		m.journal.emit(logging.EventRecordRejected, slog.String("key", rec.Key), slog.String(logging.KeyError, err.Error()))
+		m.telemetry.emit(logging.EventRecordRejected, slog.String("key", rec.Key), slog.String(logging.KeyError, err.Error()))
 		return
 	}
 	if !ok {
@@ -142,7 +142,7 @@
 
 // unwritten tells why a roll-out's state is not in the register.
 func (m *rollouts) logUnwritten(r *rollout, why string) {
-	m.journal.emit(logging.EventRolloutUnwritten, slog.String("service", r.Service), slog.String(logging.KeyError, why))
+	m.telemetry.emit(logging.EventRolloutUnwritten, slog.String("service", r.Service), slog.String(logging.KeyError, why))
 }
 
 // announce notes that the register holds the roll-out.
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -25,7 +25,7 @@
 	status.beforeAppend = func() { b.rollouts.advance(t.Context(), b.rollouts.open["shop"]) }
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
-	if got := ends(status); len(got) != 1 {
+	if got := storedEnds(status); len(got) != 1 {
 		t.Fatalf("the register holds %d ends", len(got))
 	}
 	if x, y := a.rollouts.open["shop"].ended, b.rollouts.open["shop"].ended; x != y || x == 0 {
@@ -48,7 +48,7 @@
 		t.Error("ended without knowing it")
 	}
 	p.rollouts.advance(t.Context(), r)
-	if got := ends(status); len(got) != 1 || r.ended != passthrough.PhaseCompleted {
+	if got := storedEnds(status); len(got) != 1 || r.ended != passthrough.PhaseCompleted {
 		t.Errorf("ends %v, known %v", got, r.ended)
 	}
 }
@@ -58,11 +58,11 @@
 // another, and a version that was told to fail is never completed.
 func TestRegisterHistories(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { runHistory(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRegister(t, seed) })
 	}
 }
 
-func runHistory(t *testing.T, seed uint64) {
+func playRegister(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	bad := seed%2 == 0
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	got := ends(status)
+	got := storedEnds(status)
 	if len(got) != 1 {
 		t.Fatalf("the register holds %v", got)
 	}
--- a/router/internal/passthrough/restore_model_test.go
+++ b/router/internal/passthrough/restore_model_test.go
@@ -34,22 +34,22 @@
 type modelInstance struct {
 	*parts
 	operatorReader, listReader *topicReader
-	cut                        bool
+	disconnected               bool
 	// highest is the highest version that was in force in this process; startedAt when it began to read.
-	highest   uint64
-	startedAt time.Time
+	highestVersion uint64
+	startedAt      time.Time
 	// mayKnow is the highest version that it read, or could have been told of.
-	mayKnow int
+	knowableVersion int
 	// had are the servers that it knew, left those of them that it knows to have left.
-	had, left map[string]bool
+	listedServers, goneServers map[string]bool
 }
 
 // rewriteWithin is how long after a restore the operator has written again; within the time for
 // which reads of the copy confirm nothing.
-const rewriteWithin = time.Second
+const maxRewriteDelay = time.Second
 
 // rewriteLate is the same where the operator takes long.
-const rewriteLate = 12 * time.Second
+const maxSlowRewriteDelay = 12 * time.Second
 
 func newRestoreModel(t *rapid.T) *restoreModel {
 	m := &restoreModel{t: t, clock: newFakeClock(), operator: &fakeLog{era: 1}, servers: &fakeLog{era: 1},
@@ -63,12 +63,12 @@
 
 func (m *restoreModel) start(name string) *modelInstance {
 	p := newParts(name, m.clock, &fakeLog{}, &fakeLog{})
-	return &modelInstance{parts: p, operatorReader: p.operator.reader(m.operator, m.clock), listReader: p.servers.reader(m.servers, m.clock), startedAt: m.clock.Now(), had: map[string]bool{}, left: map[string]bool{}}
+	return &modelInstance{parts: p, operatorReader: p.operator.reader(m.operator, m.clock), listReader: p.servers.reader(m.servers, m.clock), startedAt: m.clock.Now(), listedServers: map[string]bool{}, goneServers: map[string]bool{}}
 }
 
 func (m *restoreModel) writeConfig(version int) {
 	m.version = version
-	m.operator.put("config", fmt.Sprint("config ", version))
+	m.operator.add("config", fmt.Sprint("config ", version))
 	if m.revokedAt[version].IsZero() {
 		m.revokedAt[version] = m.clock.Now()
 	}
@@ -84,33 +84,33 @@
 	if !m.entriesAt.IsZero() && !m.clock.Now().Before(m.entriesAt) {
 		m.entriesAt = time.Time{}
 		for id := range m.alive {
-			m.servers.put(id, "server shop v1 ready")
+			m.servers.add(id, "server shop v1 ready")
 		}
 		for id := range m.left {
-			m.servers.put(id, "")
+			m.servers.add(id, "")
 		}
 	}
 	lost := uint64(0)
-	tellable := m.operatorSettled() || m.countKnowing() > 0
+	reportable := m.operatorSettled() || m.countKnowing() > 0
 	for _, i := range m.instances {
-		if i.cut {
+		if i.disconnected {
 			continue
 		}
-		if tellable {
-			i.mayKnow = m.version
+		if reportable {
+			i.knowableVersion = m.version
 		}
 		if i.config.Index() == nil {
 			i.startedAt = m.clock.Now()
 		}
-		for _, tl := range []*topicReader{i.operatorReader, i.listReader} {
-			if err := tl.readOnce(m.t.Context()); err != nil {
+		for _, reader := range []*topicReader{i.operatorReader, i.listReader} {
+			if err := reader.readOnce(m.t.Context()); err != nil {
 				m.t.Fatal(err)
 			}
 		}
 		lost = max(lost, i.operator.restoreGuard.lostVersion())
 	}
 	for _, i := range m.instances {
-		if !i.cut {
+		if !i.disconnected {
 			i.config.NoteLostVersion(lost)
 		}
 	}
@@ -124,23 +124,23 @@
 		if index == nil {
 			continue
 		}
-		if index.Version < i.highest {
-			m.t.Fatalf("instance %d went back from version %d to %d", n, i.highest, index.Version)
+		if index.Version < i.highestVersion {
+			m.t.Fatalf("instance %d went back from version %d to %d", n, i.highestVersion, index.Version)
 		}
-		i.highest = index.Version
+		i.highestVersion = index.Version
 		next, written := m.revokedAt[int(index.Version)+1]
 		late := written && now.Sub(next) > i.config.Bound()
 		// One that started since cannot know what the store lost until another one can tell it.
-		untold := i.startedAt.After(next) && i.mayKnow <= int(index.Version)
-		if late && i.config.Fresh() && !untold {
+		uninformed := i.startedAt.After(next) && i.knowableVersion <= int(index.Version)
+		if late && i.config.Fresh() && !uninformed {
 			m.t.Fatalf("instance %d uses version %d, %v after %d was acknowledged", n, index.Version, now.Sub(next), index.Version+1)
 		}
 		for id := range m.left {
-			if i.left[id] && i.servers.has(id) {
+			if i.goneServers[id] && i.servers.has(id) {
 				m.t.Fatalf("instance %d uses server %s again, which had left", n, id)
 			}
-			i.left[id] = i.left[id] || i.had[id] && !i.servers.has(id)
-			i.had[id] = i.had[id] || i.servers.has(id)
+			i.goneServers[id] = i.goneServers[id] || i.listedServers[id] && !i.servers.has(id)
+			i.listedServers[id] = i.listedServers[id] || i.servers.has(id)
 		}
 	}
 }
@@ -150,16 +150,16 @@
 	m.operator.restore(rapid.IntRange(0, len(m.operator.records)).Draw(t, "records"))
 	m.servers.restore(rapid.IntRange(0, len(m.servers.records)).Draw(t, "entries"))
 	if m.entriesAt.IsZero() {
-		m.entriesAt = m.clock.Now().Add(span(t, int(rewriteWithin.Milliseconds())))
+		m.entriesAt = m.clock.Now().Add(drawDuration(t, int(maxRewriteDelay.Milliseconds())))
 	}
 	if m.operatorSettled() {
-		m.rewriteAt = m.clock.Now().Add(span(t, int(within.Milliseconds())))
-		m.slowRewrite = within > rewriteWithin
+		m.rewriteAt = m.clock.Now().Add(drawDuration(t, int(within.Milliseconds())))
+		m.slowRewrite = within > maxRewriteDelay
 	}
 }
 
 // span draws a time up to so many milliseconds.
-func span(t *rapid.T, most int) time.Duration {
+func drawDuration(t *rapid.T, most int) time.Duration {
 	return time.Duration(rapid.IntRange(0, most).Draw(t, "ms")) * time.Millisecond
 }
 
@@ -176,7 +176,7 @@
 
 func (m *restoreModel) knows(i *modelInstance) bool {
 	index := i.config.Index()
-	return !i.cut && index != nil && int(index.Version) == m.version
+	return !i.disconnected && index != nil && int(index.Version) == m.version
 }
 
 // maySpare says whether what the store lost is known without the instance: else nobody can know it
@@ -202,7 +202,7 @@
 	pick := func() *modelInstance { return m.instances[rapid.IntRange(0, len(m.instances)-1).Draw(t, "instance")] }
 	t.Repeat(map[string]func(*rapid.T){
 		"pass": func(t *rapid.T) {
-			m.pass(span(t, 700))
+			m.pass(drawDuration(t, 700))
 		},
 		"wait": func(t *rapid.T) {
 			for range 4 {
@@ -215,10 +215,10 @@
 				m.writeConfig(m.version + 1)
 			}
 		},
-		"restore": func(t *rapid.T) { m.restore(t, rewriteWithin) },
+		"restore": func(t *rapid.T) { m.restore(t, maxRewriteDelay) },
 		"slow restore": func(t *rapid.T) {
 			if m.countKnowing() == len(m.instances) {
-				m.restore(t, rewriteLate)
+				m.restore(t, maxSlowRewriteDelay)
 			}
 		},
 		"miss": func(t *rapid.T) { // an instance that misses what the store loses then
@@ -226,18 +226,18 @@
 			if !m.operatorSettled() {
 				return
 			}
-			i.cut = true
+			i.disconnected = true
 			m.writeConfig(m.version + 1)
-			m.pass(span(t, 700))
-			m.restore(t, rewriteWithin)
-			i.cut = false
-			m.pass(span(t, 700))
-			i.cut = true
+			m.pass(drawDuration(t, 700))
+			m.restore(t, maxRewriteDelay)
+			i.disconnected = false
+			m.pass(drawDuration(t, 700))
+			i.disconnected = true
 		},
 		"cut": func(*rapid.T) {
 			i := pick()
-			if i.cut || m.mayLose(i) {
-				i.cut = !i.cut
+			if i.disconnected || m.mayLose(i) {
+				i.disconnected = !i.disconnected
 			}
 		},
 		"kill": func(t *rapid.T) {
@@ -249,20 +249,20 @@
 		"server starts": func(*rapid.T) {
 			id := fmt.Sprint("s", len(m.alive)+len(m.left))
 			m.alive[id] = true
-			m.servers.put(id, "server shop v1 ready")
+			m.servers.add(id, "server shop v1 ready")
 		},
 		"server leaves": func(*rapid.T) {
 			for id := range m.alive {
 				delete(m.alive, id)
 				m.left[id] = true
-				m.servers.put(id, "")
+				m.servers.add(id, "")
 				return
 			}
 		},
 		"": func(*rapid.T) { m.check() },
 	})
 	for _, i := range m.instances {
-		i.cut = false
+		i.disconnected = false
 	}
 	for !m.operatorSettled() {
 		m.pass(250 * time.Millisecond)
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -19,7 +19,7 @@
 	driver       *Driver
 	servers      *serverList
 	observations *observationStore
-	journal      *telemetry
+	telemetry    *telemetry
 	clock        Clock
 	// limit bounds the requests that a version may get before its deadline.
 	exposure passthrough.Exposure
@@ -71,7 +71,7 @@
 
 func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, b *observationStore, j *telemetry, clock Clock, limit passthrough.Exposure) *rollouts {
 	return &rollouts{
-		records: records, statusLog: topic, driver: driver, servers: l, observations: b, journal: j, clock: clock,
+		records: records, statusLog: topic, driver: driver, servers: l, observations: b, telemetry: j, clock: clock,
 		exposure: limit, writesRegister: func() bool { return true }, open: map[string]*rollout{}, states: map[string]registerState{}, wake: make(chan struct{}, 1),
 	}
 }
@@ -92,7 +92,7 @@
 		m.applyState(r, st.phase)
 	}
 	m.driver.Tell(passthrough.RolloutSet{Rollout: r.plan})
-	m.journal.emit(logging.EventRolloutOrdered, slog.String("service", o.Service),
+	m.telemetry.emit(logging.EventRolloutOrdered, slog.String("service", o.Service),
 		slog.String("target", o.Target), slog.Int64("duration_ms", o.Duration.Milliseconds()), slog.Uint64("offset", offset))
 	m.wakeUp()
 }
@@ -237,8 +237,8 @@
 // mayComplete says whether the new version has the servers for all of the traffic: the
 // old ones are stopped at once.
 func (m *rollouts) mayComplete(r *rollout) bool {
-	fresh, old := m.servers.countServers(r.Service, r.Target)
-	return fresh > 0 && 2*fresh >= old
+	current, old := m.servers.countServers(r.Service, r.Target)
+	return current > 0 && 2*current >= old
 }
 
 func (m *rollouts) end(r *rollout, phase passthrough.Phase, seen view, how string) {
@@ -246,7 +246,7 @@
 	r.ended = phase
 	m.mu.Unlock()
 	m.observations.endRollout(r.Service)
-	m.journal.emit(logging.EventRolloutEnded, slog.String("service", r.Service), slog.String("target", r.Target),
+	m.telemetry.emit(logging.EventRolloutEnded, slog.String("service", r.Service), slog.String("target", r.Target),
 		slog.Bool("completed", phase == passthrough.PhaseCompleted), slog.String("how", how),
 		slog.Int("new_good", seen.newCounts.Good), slog.Int("new_bad", seen.newCounts.Bad),
 		slog.Any("first", seen.newCounts.First), slog.Any("pace", seen.newCounts.Pace),
@@ -265,7 +265,7 @@
 	if !step {
 		return
 	}
-	m.journal.emit(logging.EventRolloutStep, slog.String("service", r.Service), slog.String("target", r.Target),
+	m.telemetry.emit(logging.EventRolloutStep, slog.String("service", r.Service), slog.String("target", r.Target),
 		slog.Int("phase", int(plan.Phase)), slog.Float64("share", plan.Share), slog.Bool("first_half", plan.FirstHalf),
 		slog.Bool("held", plan.Held), slog.Any("pace", seen.newCounts.Pace),
 		slog.Int64("lead_ms", plan.LeadMost.Milliseconds()),
--- a/router/internal/passthrough/rollouts_restore.go
+++ b/router/internal/passthrough/rollouts_restore.go
@@ -56,7 +56,7 @@
 	r.earlierOffsets = append(r.earlierOffsets, r.offset)
 	r.offset = offset
 	m.observations.setOrderOffset(o.Service, offset)
-	m.journal.logStateKept("rollout", o.Service, "its order was written again")
+	m.telemetry.logStateKept("rollout", o.Service, "its order was written again")
 	return true
 }
 
@@ -94,7 +94,7 @@
 		m.clearRewrite(r)
 	case m.writePhase(ctx, r, phase, end):
 		m.clearRewrite(r)
-		m.journal.logStateKept("rollout_end", r.Service, "the store lacked it and has it again")
+		m.telemetry.logStateKept("rollout_end", r.Service, "the store lacked it and has it again")
 	}
 }
 
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -26,7 +26,7 @@
 func newRestoredFleet(t *testing.T, names ...string) *restoredFleet {
 	t.Helper()
 	f := &restoredFleet{t: t, clock: newFakeClock(), operator: &fakeLog{era: 1}, status: &fakeLog{era: 1}, observations: &fakeLog{era: 1}}
-	f.operator.put("config", "config 1")
+	f.operator.add("config", "config 1")
 	for _, name := range names {
 		f.start(name)
 	}
@@ -47,8 +47,8 @@
 func (f *restoredFleet) step() {
 	f.t.Helper()
 	for _, i := range f.instances {
-		for _, tl := range []*topicReader{i.operatorReader, i.statusReader, i.observationsReader} {
-			read(f.t, tl)
+		for _, reader := range []*topicReader{i.operatorReader, i.statusReader, i.observationsReader} {
+			read(f.t, reader)
 		}
 	}
 	for _, i := range f.instances {
@@ -66,8 +66,8 @@
 func TestOrderWrittenAgainIsTheSameRollout(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
 	copied := len(f.operator.records)
-	f.operator.put("other", "x")
-	f.operator.put("order/shop", orderValue)
+	f.operator.add("other", "x")
+	f.operator.add("order/shop", orderValue)
 	f.step()
 	f.instances[0].observeMany("v2", true, 1)
 	f.instances[1].observeMany("v2", true, 2)
@@ -80,7 +80,7 @@
 	f.status.restore(0)
 	f.observations.restore(0)
 	f.step()
-	f.operator.put("order/shop", orderValue)
+	f.operator.add("order/shop", orderValue)
 	for range 6 {
 		f.step()
 	}
@@ -111,14 +111,14 @@
 // by one instance, and that no other end is.
 func TestEndOfARolloutIsWrittenAgainOnce(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b", "c")
-	f.operator.put("order/shop", orderValue)
+	f.operator.add("order/shop", orderValue)
 	f.step()
 	copied := len(f.status.records)
 	f.instances[0].observeMany("v2", true, 20)
 	for range 8 {
 		f.step()
 	}
-	if got := ends(f.status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
+	if got := storedEnds(f.status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Fatalf("ends %v", got)
 	}
 	f.status.restore(copied)
@@ -131,7 +131,7 @@
 	for range 60 { // past the order's end
 		f.step()
 	}
-	if got := ends(f.status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
+	if got := storedEnds(f.status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Errorf("ends %v", got)
 	}
 	if got := late.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
@@ -143,7 +143,7 @@
 // after a restore, before they write again.
 func TestCountsOfACopyDoNotReplaceLaterOnes(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
-	f.operator.put("order/shop", orderValue)
+	f.operator.add("order/shop", orderValue)
 	f.step()
 	f.instances[0].observeMany("v2", true, 1)
 	f.step()
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -9,7 +9,7 @@
 )
 
 // ends are the ends that stand in the status topic, in order.
-func ends(l *fakeLog) []passthrough.Phase {
+func storedEnds(l *fakeLog) []passthrough.Phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []passthrough.Phase
@@ -50,8 +50,8 @@
 	b := newParts("b", clock, status, observations)
 	b.listServers()
 	b.rollouts.applyOrder(testOrder, 1)
-	tl := b.observations.reader(clock, b.rollouts.active)
-	if err := tl.readOnce(t.Context()); err != nil {
+	reader := b.observations.reader(clock, b.rollouts.active)
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	clock.advance(9500 * time.Millisecond)
@@ -68,7 +68,7 @@
 	p.rollouts.applyOrder(testOrder, 1)
 	clock.advance(19500 * time.Millisecond)
 	p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
-	if got := ends(status); len(got) != 0 {
+	if got := storedEnds(status); len(got) != 0 {
 		t.Errorf("ended with %v", got)
 	}
 }
@@ -79,7 +79,7 @@
 	clock, status := newFakeClock(), &fakeLog{}
 	writer, follower := newParts("a", clock, status, &fakeLog{}), newParts("b", clock, status, &fakeLog{})
 	follower.rollouts.writesRegister = func() bool { return false }
-	tl := follower.rollouts.reader(status)
+	reader := follower.rollouts.reader(status)
 	for _, p := range []*parts{writer, follower} {
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
@@ -87,7 +87,7 @@
 	step := func() {
 		t.Helper()
 		writer.rollouts.advance(t.Context(), writer.rollouts.open["shop"])
-		if err := tl.readOnce(t.Context()); err != nil {
+		if err := reader.readOnce(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		follower.rollouts.advance(t.Context(), follower.rollouts.open["shop"])
@@ -99,7 +99,7 @@
 	if got := follower.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
 		t.Errorf("the follower has %v", got)
 	}
-	if n := len(ends(status)); n != 1 {
+	if n := len(storedEnds(status)); n != 1 {
 		t.Errorf("%d ends written", n)
 	}
 }
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -37,13 +37,13 @@
 
 // server listens for callers, readiness and metrics.
 type server struct {
-	settings seam.Settings
-	edge     *Edge
-	config   *Knowledge
-	driver   *Driver
-	journal  *telemetry
-	registry gometrics.Registry
-	log      *logging.Async
+	settings  seam.Settings
+	edge      *Edge
+	config    *Knowledge
+	driver    *Driver
+	telemetry *telemetry
+	registry  gometrics.Registry
+	log       *logging.Async
 
 	ready        atomic.Bool
 	callers      *http.Server
@@ -68,9 +68,9 @@
 	if metricsAddress == "" {
 		return nil
 	}
-	page := mux.NewRouter()
-	page.HandleFunc("/metrics", s.serveMetrics).Methods(http.MethodGet)
-	return s.open(page, metricsAddress)
+	metricsPage := mux.NewRouter()
+	metricsPage.HandleFunc("/metrics", s.serveMetrics).Methods(http.MethodGet)
+	return s.open(metricsPage, metricsAddress)
 }
 
 func (s *server) open(h http.Handler, address string) error {
@@ -84,10 +84,10 @@
 	if err != nil {
 		return err
 	}
-	s.journal.emit(logging.EventListening, slog.String("addr", l.Addr().String()))
+	s.telemetry.emit(logging.EventListening, slog.String("addr", l.Addr().String()))
 	go func() {
 		if err := srv.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			s.journal.emit(logging.EventServeFailed, slog.String(logging.KeyError, err.Error()))
+			s.telemetry.emit(logging.EventServeFailed, slog.String(logging.KeyError, err.Error()))
 			s.onServeError(err)
 		}
 	}()
@@ -96,14 +96,14 @@
 
 // isReady answers the balancer.
 func (s *server) serveReadiness(w http.ResponseWriter, _ *http.Request) {
-	stopping := s.edge.stopping.begun()
+	stopping := s.edge.shutdown.begun()
 	ready := s.config.Ready() && !stopping
 	if s.ready.Swap(ready) != ready {
 		ev := logging.EventNotReady
 		if ready {
 			ev = logging.EventReady
 		}
-		s.journal.emit(ev, slog.Int64(keyAge, s.config.Age().Milliseconds()), slog.Bool("stopping", stopping))
+		s.telemetry.emit(ev, slog.Int64(keyAge, s.config.Age().Milliseconds()), slog.Bool("stopping", stopping))
 	}
 	if !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -118,19 +118,19 @@
 // connections are closed with an answer each.
 func (s *server) stop(began time.Time) {
 	grace := s.settings.Bounds.Grace - closeMargin
-	answered := began.Add(grace - answerMargin)
-	s.edge.stopping.begin(answered)
+	answerBy := began.Add(grace - answerMargin)
+	s.edge.shutdown.begin(answerBy)
 	_, running := s.driver.Load()
-	s.journal.emit(logging.EventDrainBegin, slog.Int("running", running))
+	s.telemetry.emit(logging.EventDrainBegin, slog.Int("running", running))
 	s.driver.Tell(passthrough.Stopping{At: began.Add(grace)})
 	time.Sleep(min(rotationDelay, grace/2))
-	s.edge.stopping.enter(phaseFinishing)
+	s.edge.shutdown.enter(phaseFinishing)
 	s.callers.SetKeepAlivesEnabled(false)
-	left := grace - s.edge.clock.Now().Sub(began)
-	ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
+	remaining := grace - s.edge.clock.Now().Sub(began)
+	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
 	defer cancel()
-	s.waitStreams(ctx, answered)
-	s.edge.stopping.enter(phaseClosing)
+	s.waitStreams(ctx, answerBy)
+	s.edge.shutdown.enter(phaseClosing)
 	s.waitIdle(ctx)
 	_, running = s.driver.Load()
 	_ = s.callers.Close() // what is still open has had the whole grace time
@@ -138,9 +138,9 @@
 		_ = srv.Close()
 	}
 	if running > 0 {
-		s.journal.emit(logging.EventDrainCut, slog.Int("running", running))
+		s.telemetry.emit(logging.EventDrainCut, slog.Int("running", running))
 	} else {
-		s.journal.emit(logging.EventDrainEnd)
+		s.telemetry.emit(logging.EventDrainEnd)
 	}
 }
 
@@ -178,6 +178,6 @@
 	gometrics.GetOrRegisterGauge("log.dropped", s.registry).Update(int64(s.log.Dropped()))
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	if err := metrics.Write(w, s.registry); err != nil {
-		s.journal.emit(logging.EventServeFailed, slog.String(logging.KeyError, err.Error()))
+		s.telemetry.emit(logging.EventServeFailed, slog.String(logging.KeyError, err.Error()))
 	}
 }
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -16,13 +16,13 @@
 
 // sharing lets the instances of a failure domain share their reads of the store.
 type sharing struct {
-	self    relay.Member
-	store   Store
-	members *relay.Members
-	client  *relay.Client
-	server  *relay.Server
-	journal *telemetry
-	clock   Clock
+	self      relay.Member
+	store     Store
+	members   *relay.Members
+	client    *relay.Client
+	server    *relay.Server
+	telemetry *telemetry
+	clock     Clock
 
 	operator     *relay.Log
 	servers      *relay.Log
@@ -72,7 +72,7 @@
 func newSharing(cfg seam.Settings, store Store, records Records, j *telemetry, clock Clock) *sharing {
 	s := &sharing{
 		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Zone, Address: cfg.Peers, Cores: cfg.Cores},
-		store: store, journal: j, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
+		store: store, telemetry: j, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
 		onPeers: func([]string) {},
 	}
 	for _, zone := range cfg.Zones {
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	s.journal.emit(logging.EventListening, slog.String("addr", l.Addr().String()))
+	s.telemetry.emit(logging.EventListening, slog.String("addr", l.Addr().String()))
 	go s.server.Serve(ctx, l)
 	return nil
 }
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -61,7 +61,7 @@
 }
 
 // startSharing starts an instance's sharing at a port of its own.
-func startSharing(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
+func startPeer(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
 	t.Helper()
 	j := &telemetry{clock: clock, config: NewKnowledge(clock, time.Second), registry: metrics.NewRegistry()}
 	cfg := seam.Settings{Instance: name, Zone: "a", Zones: []string{"a", "b"}, Peers: freePort(t), Cores: cores,
@@ -79,12 +79,12 @@
 // failure domain alone.
 func TestFollowersAreEnlistedTogether(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
-	collector := startSharing(t, st, clock, "strong", 0.8)
+	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
 	const count = 20
 	var followers []*sharing
 	for i := range count {
-		sh := startSharing(t, st, clock, fmt.Sprint("small", i), 0.2)
+		sh := startPeer(t, st, clock, fmt.Sprint("small", i), 0.2)
 		sh.join(t.Context(), false)
 		followers = append(followers, sh)
 	}
@@ -108,9 +108,9 @@
 // written its followers down.
 func TestInstanceIsToldAgainWhereItsCollectorLostIt(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
-	collector := startSharing(t, st, clock, "strong", 0.8)
+	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
-	sh := startSharing(t, st, clock, "small", 0.2)
+	sh := startPeer(t, st, clock, "small", 0.2)
 	sh.join(t.Context(), false)
 	collector.takeHeld(topicInstances) // lost
 	clock.advance(reannounceAfter + time.Second)
@@ -127,14 +127,14 @@
 	st, clock := &fakeStore{}, newFakeClock()
 	own := st.domain("a")
 	own.era = 1
-	sh := startSharing(t, st, clock, "strong", 0.8)
-	tl := sh.reader(t.Context())
+	sh := startPeer(t, st, clock, "strong", 0.8)
+	reader := sh.reader(t.Context())
 	sh.join(t.Context(), false)
-	read(t, tl)
+	read(t, reader)
 	for _, keep := range []int{1, 0} {
 		before := own.appends
 		own.restore(keep)
-		read(t, tl)
+		read(t, reader)
 		if told := own.appends - before; told != 1-keep || len(own.records) != 1 {
 			t.Errorf("%d kept: told %d times, %d records", keep, told, len(own.records))
 		}
--- a/router/internal/passthrough/starting.go
+++ b/router/internal/passthrough/starting.go
@@ -32,7 +32,7 @@
 	prerequisiteServers
 )
 
-func newStarting() *startGate {
+func newStartGate() *startGate {
 	s := &startGate{missing: map[prerequisite]bool{prerequisiteConfig: true, prerequisiteServers: true}, opened: make(chan struct{})}
 	s.release = sync.OnceFunc(func() { close(s.opened) })
 	time.AfterFunc(startTimeout, s.release)
--- a/router/internal/passthrough/starting_test.go
+++ b/router/internal/passthrough/starting_test.go
@@ -9,7 +9,7 @@
 
 func TestCallersWaitUntilTheProcessKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStarting()
+		s := newStartGate()
 		began := time.Now()
 		go func() {
 			time.Sleep(80 * time.Millisecond)
@@ -32,7 +32,7 @@
 
 func TestCallersAreNotHeldForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStarting()
+		s := newStartGate()
 		began := time.Now()
 		s.loaded(prerequisiteServers) // the configuration does not come
 		time.Sleep(startTimeout / 2)
@@ -43,7 +43,7 @@
 		s.wait(t.Context())
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
-		newStarting().wait(gone)
+		newStartGate().wait(gone)
 		if took := time.Since(began); took != startTimeout {
 			t.Errorf("held past the end, or for a caller who has gone: %v", took)
 		}
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -26,59 +26,59 @@
 	streamBufferSize = 4 << 10
 	// paceEvents is how many events tell a stream's pace: enough to level out a pause for
 	// another request's prompt, and two seconds of a version that is eight times slower.
-	paceEvents = 6
+	intervalEvents = 6
 	// eventLimit bounds one event.
 	maxEventBytes = 1 << 20
 )
 
 // relay hands a stream to the caller, whole events only, as they come.
-func (a *attempt) relayStream(resp *http.Response, said seam.Answer) outcome {
+func (a *attempt) relayStream(resp *http.Response, meta seam.Answer) outcome {
 	x := a.exchange
-	a.reportFirstByte(said)
-	if x.stream.begun || said.Confidence < 0 {
+	a.reportFirstByte(meta)
+	if x.stream.begun || meta.Confidence < 0 {
 		return a.relayEvents(resp)
 	}
-	bar := x.edge.driver.bar(x.ticket)
-	if said.Confidence < bar {
-		return outcome{result: passthrough.Dropped, bar: bar}
+	threshold := x.edge.driver.confidenceThreshold(x.ticket)
+	if meta.Confidence < threshold {
+		return outcome{result: passthrough.Dropped, confidenceThreshold: threshold}
 	}
 	out := a.relayEvents(resp)
-	out.bar = bar
+	out.confidenceThreshold = threshold
 	return out
 }
 
 // pass hands on the events.
 func (a *attempt) relayEvents(resp *http.Response) outcome {
 	x := a.exchange
-	var held []byte
+	var pending []byte
 	buf := make([]byte, streamBufferSize)
-	events, paced := 0, false
+	events, reported := 0, false
 	began := x.edge.clock.Now()
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
-			held = append(held, buf[:n]...)
-			ready, rest := splitEvents(held)
-			count, bad := x.checkOrder(ready)
-			if bad == nil && len(ready) > 0 {
+			pending = append(pending, buf[:n]...)
+			whole, partial := splitEvents(pending)
+			count, orderErr := x.checkOrder(whole)
+			if orderErr == nil && len(whole) > 0 {
 				x.writeHead(resp)
-				x.writeEvents(ready)
+				x.writeEvents(whole)
 				events += count
-				if events >= paceEvents && !paced {
-					paced = true
-					x.edge.driver.Tell(passthrough.Paced{Request: x.ticket.id, Pace: pace(x.edge.clock.Now().Sub(began), events)})
+				if events >= intervalEvents && !reported {
+					reported = true
+					x.edge.driver.Tell(passthrough.Paced{Request: x.ticket.id, Pace: eventInterval(x.edge.clock.Now().Sub(began), events)})
 				}
 			}
-			if bad != nil {
-				return outcome{result: passthrough.Broken, err: bad}
+			if orderErr != nil {
+				return outcome{result: passthrough.Broken, err: orderErr}
 			}
-			held = append(held[:0], rest...)
+			pending = append(pending[:0], partial...)
 		}
 		switch {
-		case err == nil && len(held) <= maxEventBytes:
+		case err == nil && len(pending) <= maxEventBytes:
 			continue
-		case errors.Is(err, io.EOF) && len(held) == 0 && events > 0:
-			return outcome{result: passthrough.Completed, pace: pace(x.edge.clock.Now().Sub(began), events)}
+		case errors.Is(err, io.EOF) && len(pending) == 0 && events > 0:
+			return outcome{result: passthrough.Completed, eventInterval: eventInterval(x.edge.clock.Now().Sub(began), events)}
 		case errors.Is(err, io.EOF):
 			return outcome{result: passthrough.Broken, err: errTruncatedEvent}
 		case err != nil:
@@ -94,20 +94,20 @@
 //
 // Load: streams of many seconds, at servers whose load changes within tenths of one. Harm
 // prevented: a load that is as old as the stream, taken for what the server has now.
-func (a *attempt) reportFirstByte(said seam.Answer) {
+func (a *attempt) reportFirstByte(meta seam.Answer) {
 	x := a.exchange
 	x.edge.driver.Tell(passthrough.FirstByte{
-		Request: x.ticket.id, After: a.firstByte, Load: said.Load, HasLoad: said.HasLoad,
-		Limit: said.Limit,
+		Request: x.ticket.id, After: a.firstByte, Load: meta.Load, HasLoad: meta.HasLoad,
+		Limit: meta.Limit,
 	})
 }
 
 // pace is the mean time between events.
-func pace(took time.Duration, events int) time.Duration {
+func eventInterval(elapsed time.Duration, events int) time.Duration {
 	if events < 2 {
 		return 0
 	}
-	return took / time.Duration(events-1)
+	return elapsed / time.Duration(events-1)
 }
 
 // begin sends the first backend server's head; a stream that goes on keeps it.
@@ -124,7 +124,7 @@
 func (x *exchange) writeEvents(events []byte) {
 	writeAll(x.w, events)
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
-		x.edge.journal.callerLost(x.call, err)
+		x.edge.telemetry.callerLost(x.call, err)
 	}
 }
 
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -24,10 +24,10 @@
 
 // topicReader follows a topic: the newest record of each key first, then every record.
 type topicReader struct {
-	name    string
-	log     keyedlog.Log
-	clock   Clock
-	journal *telemetry
+	name      string
+	log       keyedlog.Log
+	clock     Clock
+	telemetry *telemetry
 	// wait is how long a read is kept waiting for a record, pause the time between two
 	// reads.
 	wait  func() time.Duration
@@ -118,9 +118,9 @@
 // fromCopy notes that the log came back from a copy of an earlier state: what was read of it may be
 // missing there.
 func (t *topicReader) noteRestore(era uint64) {
-	t.journal.count("store_restored")
-	t.journal.gauge("store_era", int(era))
-	t.journal.emit(logging.EventStoreRestored, slog.String("topic", t.name),
+	t.telemetry.count("store_restored")
+	t.telemetry.gauge("store_era", int(era))
+	t.telemetry.emit(logging.EventStoreRestored, slog.String("topic", t.name),
 		slog.Uint64("era", era), slog.Uint64("era_before", t.next.Era), slog.Uint64("read_to", t.next.Offset))
 	if t.onRestore != nil {
 		t.onRestore()
@@ -142,7 +142,7 @@
 		return
 	}
 	t.lostSince = t.clock.Now()
-	t.journal.emit(logging.EventStoreLost, slog.String("topic", t.name), slog.String(logging.KeyError, err.Error()))
+	t.telemetry.emit(logging.EventStoreLost, slog.String("topic", t.name), slog.String(logging.KeyError, err.Error()))
 }
 
 // returned notes the end of an outage.
@@ -153,7 +153,7 @@
 	if t.onRecovery != nil {
 		t.onRecovery(t.clock.Now().Sub(t.lostSince))
 	}
-	t.journal.emit(logging.EventStoreRegained, slog.String("topic", t.name),
+	t.telemetry.emit(logging.EventStoreRegained, slog.String("topic", t.name),
 		slog.Int64("lost_ms", t.clock.Now().Sub(t.lostSince).Milliseconds()))
 	t.lostSince = time.Time{}
 }
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -56,7 +56,7 @@
 // isSilent asks the decision, by what was heard of the attempt and of its server.
 func (a *attempt) exceedsSilence() bool {
 	now := a.exchange.edge.clock.Now()
-	s := passthrough.Silence{Route: a.exchange.call.route, Patience: a.patience,
+	s := passthrough.Silence{Route: a.exchange.call.route, Patience: a.firstByteTimeout,
 		PromptTokens: a.exchange.call.caller.PromptTokens, Begun: a.conn.lastReceived.Load() != 0}
 	s.Attempt = now.Sub(a.startedAt)
 	if at := a.conn.lastReceived.Load(); at != 0 {
