--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -74,11 +74,11 @@
 		fx.Provide(
 			func() *logging.Async { return logging.NewAsync(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
-			func(c Clock) *Knowledge { return NewKnowledge(c, cfg.Bounds.Revoke) },
-			func(l *logging.Logger, c Clock, k *Knowledge, reg gometrics.Registry) *telemetry {
+			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.Revoke) },
+			func(l *logging.Logger, c Clock, k *ConfigState, reg gometrics.Registry) *telemetry {
 				return &telemetry{log: l, clock: c, config: k, registry: reg}
 			},
-			func(c Clock, k *Knowledge) *restoreGuard { return &restoreGuard{clock: c, config: k} },
+			func(c Clock, k *ConfigState) *restoreGuard { return &restoreGuard{clock: c, config: k} },
 			newDialer, newStartGate, provideSharing, provideDriver, provideObservationStore, provideServerList, provideRollouts, provideEdge, provideServer,
 		),
 		// The stop runs through these in reverse: the configuration must stay fresh until
@@ -107,13 +107,13 @@
 	return newSharing(cfg, p.Store, p.Records, j, c)
 }
 
-func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, k *Knowledge, trust *restoreGuard, j *telemetry, c Clock) *observationStore {
+func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, k *ConfigState, trust *restoreGuard, j *telemetry, c Clock) *observationStore {
 	b := newObservationStore(cfg.Instance, sh.observations, d, j, c)
 	b.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
 	b.fleetSize = sh.members.Count
 	sh.onHeld = b.wakeUp
-	sh.onFleetCount = func(n int) { d.Tell(passthrough.Fleet{Instances: n}) }
-	sh.onPeers = func(names []string) { d.Tell(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
+	sh.onFleetCount = func(n int) { d.Handle(passthrough.Fleet{Instances: n}) }
+	sh.onPeers = func(names []string) { d.Handle(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
 		out.LostConfig = trust.lostVersion()
@@ -121,7 +121,7 @@
 	}
 	take := func(others relay.Report) {
 		d.applyPeerReport(others)
-		k.NoteLostVersion(others.LostConfig)
+		k.ReportLostVersion(others.LostConfig)
 	}
 	sh.server.Loads = relay.NewLoads(sh.client, own, take)
 	sh.server.Loads.Unreadable = j.logUnreadableLoads
@@ -143,11 +143,11 @@
 	return m
 }
 
-func provideEdge(p Platform, cfg seam.Settings, k *Knowledge, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Edge {
-	return &Edge{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
+func provideEdge(p Platform, cfg seam.Settings, k *ConfigState, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Handler {
+	return &Handler{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
 }
 
-func provideServer(cfg seam.Settings, e *Edge, k *Knowledge, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
+func provideServer(cfg seam.Settings, e *Handler, k *ConfigState, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
 	s := &server{settings: cfg, edge: e, config: k, driver: d, telemetry: j, registry: reg, log: out, onServeError: func(error) {}}
 	return s
 }
@@ -170,7 +170,7 @@
 }
 
 // startReaders follows the store's topics, and carries roll-outs out.
-func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, k *Knowledge, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
+func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, k *ConfigState, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
 	op := &operator{
 		records: p.Records, config: k, driver: d, rollouts: m, telemetry: j, startGate: st,
 		clock: c, restoreGuard: trust,
@@ -206,7 +206,7 @@
 
 // watchSettings reads the settings file again on SIGHUP and when it has changed. Only the
 // bounds are taken over; addresses hold until the next start.
-func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, k *Knowledge, j *telemetry) {
+func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, k *ConfigState, j *telemetry) {
 	hup := make(chan os.Signal, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	reload := func() {
--- a/router/internal/passthrough/config_restore.go
+++ b/router/internal/passthrough/config_restore.go
@@ -15,7 +15,7 @@
 // leaves the rotation first, and then refuses requests with keys.
 type restoreGuard struct {
 	clock  Clock
-	config *Knowledge
+	config *ConfigState
 
 	mu sync.Mutex
 	// stored is the highest version that the store has.
--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -111,7 +111,7 @@
 	if !p.config.Fresh() {
 		t.Fatal("not fresh with what the store has")
 	}
-	p.config.NoteLostVersion(knows.operator.restoreGuard.lostVersion())
+	p.config.ReportLostVersion(knows.operator.restoreGuard.lostVersion())
 	if p.config.Fresh() || p.config.Ready() {
 		t.Error("fresh by a configuration that others know to be an old one")
 	}
@@ -128,7 +128,7 @@
 	_, _, log, clock := restoredConfig(t, true)
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
 	read(t, p.operator.reader(log, clock))
-	p.config.NoteLostVersion(9)
+	p.config.ReportLostVersion(9)
 	clock.advance(lostVersionTTL + time.Millisecond)
 	if p.config.Fresh() {
 		t.Error("fresh by a read of the copy")
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -24,11 +24,11 @@
 // callers do who come back after a refusal. Past the limit each is closed with its answer.
 func TestConnectionsAreNotKeptWhereDescriptorsRunOut(t *testing.T) {
 	clock := newFakeClock()
-	known := NewKnowledge(clock, time.Second)
+	known := NewConfigState(clock, time.Second)
 	st := newStartGate()
 	st.release()
 	const kept = 10
-	e := &Edge{headers: noHeaders{}, config: known, clock: clock, startGate: st, shutdown: &shutdown{},
+	e := &Handler{headers: noHeaders{}, config: known, clock: clock, startGate: st, shutdown: &shutdown{},
 		conns:     newCallerConns(reservedDescriptors + kept/idleConnFraction),
 		telemetry: &telemetry{clock: clock, config: known, registry: metrics.NewRegistry()}}
 	srv := httptest.NewUnstartedServer(e)
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -24,7 +24,7 @@
 		event = logging.EventDomainDrained
 		o.drained[domain] = true
 	}
-	o.driver.Tell(passthrough.Drained{Domains: slices.Sorted(maps.Keys(o.drained))})
+	o.driver.Handle(passthrough.Drained{Domains: slices.Sorted(maps.Keys(o.drained))})
 	o.telemetry.gauge("drained_domains", len(o.drained))
 	o.telemetry.emit(event, slog.String("domain", domain), slog.Uint64("offset", offset),
 		slog.Bool("known", slices.Contains(o.domains, domain)))
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -64,7 +64,7 @@
 }
 
 // Tell gives events to the world.
-func (d *Driver) Tell(events ...passthrough.Event) {
+func (d *Driver) Handle(events ...passthrough.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tick(events...)
@@ -87,7 +87,7 @@
 
 // takeReport takes in what the others tell.
 func (d *Driver) applyPeerReport(others relay.Report) {
-	d.Tell(passthrough.PeerLoads{Loads: others.Loads, Instances: others.Instances}, passthrough.PeerLimits{Limits: others.Limits})
+	d.Handle(passthrough.PeerLoads{Loads: others.Loads, Instances: others.Instances}, passthrough.PeerLimits{Limits: others.Limits})
 }
 
 // bar is the confidence under which the request's answer is dropped now.
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -14,9 +14,9 @@
 )
 
 // Edge is the callers' side.
-type Edge struct {
+type Handler struct {
 	headers   Headers
-	config    *Knowledge
+	config    *ConfigState
 	driver    *Driver
 	dialer    *dialer
 	clock     Clock
@@ -70,7 +70,7 @@
 const retryElsewhereAfter = 200 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
-func (e *Edge) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (e *Handler) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	c := &call{request: req, caller: e.headers.ReadCaller(req.Header), arrived: e.clock.Now()}
 	c.uri = req.RequestURI
 	if !strings.HasPrefix(c.uri, "/") {
@@ -93,7 +93,7 @@
 }
 
 // admit finds the route and the team, by the configuration in force.
-func (e *Edge) admit(c *call) *refusal {
+func (e *Handler) admit(c *call) *refusal {
 	route, denied := e.resolve(c)
 	c.route = route
 	if denied != nil {
@@ -113,7 +113,7 @@
 // look finds the route and the team by the configuration as it is now, and says why the
 // request must not run, if so. It is asked at arrival and before each dispatch. While the
 // configuration is too old, nothing is refused for good by it.
-func (e *Edge) resolve(c *call) (*passthrough.Route, *refusal) {
+func (e *Handler) resolve(c *call) (*passthrough.Route, *refusal) {
 	index := e.config.Index()
 	if index == nil {
 		return nil, &refusal{http.StatusServiceUnavailable, reasonNoConfig, retryElsewhereAfter}
@@ -137,7 +137,7 @@
 }
 
 // denied refuses for good, unless the configuration may be an old one.
-func (e *Edge) deny(status int, reason passthrough.Reason) *refusal {
+func (e *Handler) deny(status int, reason passthrough.Reason) *refusal {
 	if !e.config.Fresh() {
 		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
 	}
@@ -145,7 +145,7 @@
 }
 
 // readBody reads the body whole: a request that is to run again must be at hand.
-func (e *Edge) readBody(w http.ResponseWriter, c *call) *refusal {
+func (e *Handler) readBody(w http.ResponseWriter, c *call) *refusal {
 	if c.caller.Attempt == "" {
 		return &refusal{status: http.StatusBadRequest, reason: reasonNoAttemptID}
 	}
@@ -163,7 +163,7 @@
 }
 
 // refuse answers without having run the request.
-func (e *Edge) refuse(w http.ResponseWriter, c *call, refused refusal) {
+func (e *Handler) refuse(w http.ResponseWriter, c *call, refused refusal) {
 	e.telemetry.refused(c, refused)
 	h := w.Header()
 	if refused.retryAfter > 0 {
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -12,7 +12,7 @@
 
 // exchange carries one request from its admission to its final answer.
 type exchange struct {
-	edge   *Edge
+	edge   *Handler
 	call   *call
 	ticket *ticket
 	w      http.ResponseWriter
@@ -28,7 +28,7 @@
 }
 
 // run asks for decisions and follows them until one final answer is out.
-func (e *Edge) run(w http.ResponseWriter, c *call) {
+func (e *Handler) run(w http.ResponseWriter, c *call) {
 	remaining := c.deadline.Sub(e.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(remaining, 0))
 	defer cancel()
@@ -37,7 +37,7 @@
 	x.ticket = e.driver.open(r)
 	defer e.driver.close(x.ticket)
 	x.queueTimer = time.AfterFunc(passthrough.MaxWait(&r, e.clock.Now()), func() {
-		e.driver.Tell(passthrough.Waited{Request: x.ticket.id})
+		e.driver.Handle(passthrough.Waited{Request: x.ticket.id})
 	})
 	defer x.queueTimer.Stop()
 	for !x.step() {
@@ -155,21 +155,21 @@
 	x.edge.telemetry.attempted(x.call, d, out)
 	x.mayHaveRun = x.mayHaveRun || out.result.Ran()
 	if out.load != nil && !out.loadReported {
-		x.edge.driver.Tell(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
+		x.edge.driver.Handle(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
 	}
 	limit := out.limit
 	if out.loadReported {
 		limit = nil
 	}
 	if x.ctx.Err() != nil && out.result != passthrough.Completed {
-		x.edge.driver.Tell(passthrough.Ended{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
+		x.edge.driver.Handle(passthrough.Ended{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
 		x.expire()
 		return true
 	}
 	if out.answer != nil {
 		x.lastFailure = out.answer
 	}
-	x.edge.driver.Tell(passthrough.Ended{
+	x.edge.driver.Handle(passthrough.Ended{
 		Request: x.ticket.id, Result: out.result, Begun: x.stream.begun,
 		Misdirected: out.misdirected, Leaving: out.leaving, Cut: out.connectionLost, Pace: out.eventInterval,
 		Confidence: out.confidence, Limit: limit,
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -186,7 +186,7 @@
 // parts are an instance's parts without its sockets.
 type parts struct {
 	clock        *fakeClock
-	config       *Knowledge
+	config       *ConfigState
 	driver       *Driver
 	servers      *serverList
 	observations *observationStore
@@ -198,7 +198,7 @@
 // newParts puts an instance together on the given logs.
 func newParts(name string, clock *fakeClock, status, observations keyedlog.Log) *parts {
 	p := &parts{clock: clock}
-	p.config = NewKnowledge(clock, 5*time.Second)
+	p.config = NewConfigState(clock, 5*time.Second)
 	p.telemetry = &telemetry{clock: clock, config: p.config, registry: metrics.NewRegistry()}
 	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
 	p.observations = newObservationStore(name, observations, p.driver, p.telemetry, clock)
--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -104,11 +104,11 @@
 		return
 	}
 	if s.CrashFingerprint != 0 {
-		b.driver.Tell(passthrough.Crashes{Fingerprint: s.CrashFingerprint, Count: s.CrashCount})
+		b.driver.Handle(passthrough.Crashes{Fingerprint: s.CrashFingerprint, Count: s.CrashCount})
 		return
 	}
 	if len(s.Sessions) > 0 {
-		b.driver.Tell(passthrough.SessionsOpen{Sessions: s.Sessions})
+		b.driver.Handle(passthrough.SessionsOpen{Sessions: s.Sessions})
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -91,7 +91,7 @@
 		for n := range 30 {
 			list = append(list, passthrough.Server{ID: fmt.Sprint("s", n), Address: "127.0.0.1:1", Service: "shop", Slots: 50, Born: 1})
 		}
-		p.driver.Tell(passthrough.Listed{Servers: list}, passthrough.Fleet{Instances: 4})
+		p.driver.Handle(passthrough.Listed{Servers: list}, passthrough.Fleet{Instances: 4})
 		reader := p.observations.reader(clock, p.rollouts.active)
 		if err := reader.readOnce(t.Context()); err != nil {
 			t.Fatal(err)
@@ -108,7 +108,7 @@
 			return false
 		}
 		end.Request = tk.id
-		d.Tell(end)
+		d.Handle(end)
 		return true
 	}
 	crash := passthrough.Ended{Result: passthrough.Broken, Cut: true}
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -16,7 +16,7 @@
 type telemetry struct {
 	log      *logging.Logger
 	clock    Clock
-	config   *Knowledge
+	config   *ConfigState
 	registry gometrics.Registry
 }
 
--- a/router/internal/passthrough/knowledge.go
+++ b/router/internal/passthrough/knowledge.go
@@ -11,7 +11,7 @@
 //
 // The age counts from the start of the last read that confirmed it: a configuration that
 // was written while the read was on its way may be missing from the answer.
-type Knowledge struct {
+type ConfigState struct {
 	clock Clock
 	bound atomic.Int64 // nanoseconds for which a key may be used unconfirmed
 	index atomic.Pointer[passthrough.Index]
@@ -33,24 +33,24 @@
 )
 
 // NewKnowledge returns the knowledge of nothing; revoke is the revocation bound.
-func NewKnowledge(clock Clock, revoke time.Duration) *Knowledge {
-	k := &Knowledge{clock: clock}
+func NewConfigState(clock Clock, revoke time.Duration) *ConfigState {
+	k := &ConfigState{clock: clock}
 	k.SetBound(revoke)
 	return k
 }
 
 // SetBound changes the revocation bound.
-func (k *Knowledge) SetBound(revoke time.Duration) { k.bound.Store(int64(revoke)) }
+func (k *ConfigState) SetBound(revoke time.Duration) { k.bound.Store(int64(revoke)) }
 
 // Bound is the revocation bound.
-func (k *Knowledge) Bound() time.Duration { return time.Duration(k.bound.Load()) }
+func (k *ConfigState) Bound() time.Duration { return time.Duration(k.bound.Load()) }
 
 // Index is the configuration in force, or nil while none is known.
-func (k *Knowledge) Index() *passthrough.Index { return k.index.Load() }
+func (k *ConfigState) Index() *passthrough.Index { return k.index.Load() }
 
 // Apply puts a configuration in force, unless a newer one is. It says whether it did.
 // Only the reader of the operator's records calls it.
-func (k *Knowledge) Apply(c passthrough.Config) (*passthrough.Index, bool) {
+func (k *ConfigState) Apply(c passthrough.Config) (*passthrough.Index, bool) {
 	if old := k.index.Load(); old != nil && c.Version <= old.Version {
 		return old, false
 	}
@@ -60,7 +60,7 @@
 }
 
 // Confirm notes that a read which began at the time showed what is known to be current.
-func (k *Knowledge) Confirm(began time.Time) {
+func (k *ConfigState) Confirm(began time.Time) {
 	if k.isSuperseded() {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // Age is how old the word on the configuration is.
-func (k *Knowledge) Age() time.Duration {
+func (k *ConfigState) Age() time.Duration {
 	at := k.confirmedAt.Load()
 	if at == 0 {
 		return time.Duration(1<<63 - 1)
@@ -85,7 +85,7 @@
 // NoteLostVersion takes in the highest version that another instance knows and that the store lacks since
 // it came back from a copy; 0 for none. What this instance confirmed by the copy does not count then,
 // also once nobody can tell it any more.
-func (k *Knowledge) NoteLostVersion(version uint64) {
+func (k *ConfigState) ReportLostVersion(version uint64) {
 	if version == 0 {
 		return
 	}
@@ -100,18 +100,18 @@
 //
 // Load: an instance that starts right after the store came back from a copy. Harm prevented: keys
 // that were taken away, accepted by the configuration of the copy.
-func (k *Knowledge) isSuperseded() bool {
+func (k *ConfigState) isSuperseded() bool {
 	told := time.Unix(0, k.lostReportedAt.Load())
 	index := k.index.Load()
 	return index != nil && index.Version < k.lostVersion.Load() && k.clock.Now().Sub(told) < lostVersionTTL
 }
 
 // Fresh says whether keys may be used.
-func (k *Knowledge) Fresh() bool { return k.ageWithin(refuseFraction) }
+func (k *ConfigState) Fresh() bool { return k.ageWithin(refuseFraction) }
 
 // Ready says whether callers should be sent here.
-func (k *Knowledge) Ready() bool { return k.Index() != nil && k.ageWithin(unreadyFraction) }
+func (k *ConfigState) Ready() bool { return k.Index() != nil && k.ageWithin(unreadyFraction) }
 
-func (k *Knowledge) ageWithin(part float64) bool {
+func (k *ConfigState) ageWithin(part float64) bool {
 	return float64(k.Age()) < part*float64(k.bound.Load())
 }
--- a/router/internal/passthrough/knowledge_test.go
+++ b/router/internal/passthrough/knowledge_test.go
@@ -11,7 +11,7 @@
 
 func TestKnowledgeIsAsOldAsTheStartOfItsRead(t *testing.T) {
 	clock := newFakeClock()
-	k := NewKnowledge(clock, 5*time.Second)
+	k := NewConfigState(clock, 5*time.Second)
 	if k.Fresh() || k.Ready() {
 		t.Error("fresh before anything is known")
 	}
@@ -37,7 +37,7 @@
 }
 
 func TestConfigurationNeverGoesBack(t *testing.T) {
-	k := NewKnowledge(newFakeClock(), time.Second)
+	k := NewConfigState(newFakeClock(), time.Second)
 	k.Apply(passthrough.Config{Version: 7})
 	for _, version := range []uint64{3, 7} {
 		if _, applied := k.Apply(passthrough.Config{Version: version}); applied {
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -14,7 +14,7 @@
 // failure domains that are to be drained.
 type operator struct {
 	records   Records
-	config    *Knowledge
+	config    *ConfigState
 	driver    *Driver
 	rollouts  *rollouts
 	telemetry *telemetry
@@ -139,7 +139,7 @@
 		}
 		return
 	}
-	o.driver.Tell(passthrough.Configured{Index: index})
+	o.driver.Handle(passthrough.Configured{Index: index})
 	o.telemetry.count("config_applied")
 	o.telemetry.emit(logging.EventConfigApplied, slog.Uint64(keyVersion, c.Version),
 		slog.Int("routes", len(c.Routes)), slog.Int("teams", len(c.Teams)), slog.Uint64("offset", r.Offset))
--- a/router/internal/passthrough/restore_model_test.go
+++ b/router/internal/passthrough/restore_model_test.go
@@ -111,7 +111,7 @@
 	}
 	for _, i := range m.instances {
 		if !i.disconnected {
-			i.config.NoteLostVersion(lost)
+			i.config.ReportLostVersion(lost)
 		}
 	}
 }
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -91,7 +91,7 @@
 	if st, ok := m.states[o.Service]; ok && st.target == o.Target {
 		m.applyState(r, st.phase)
 	}
-	m.driver.Tell(passthrough.RolloutSet{Rollout: r.plan})
+	m.driver.Handle(passthrough.RolloutSet{Rollout: r.plan})
 	m.telemetry.emit(logging.EventRolloutOrdered, slog.String("service", o.Service),
 		slog.String("target", o.Target), slog.Int64("duration_ms", o.Duration.Milliseconds()), slog.Uint64("offset", offset))
 	m.wakeUp()
@@ -261,7 +261,7 @@
 	step := plan.Phase != r.plan.Phase || plan.FirstHalf != r.plan.FirstHalf || plan.Opening != r.plan.Opening ||
 		plan.Held != r.plan.Held || (plan.Share > 0) != (r.plan.Share > 0)
 	r.plan = plan
-	m.driver.Tell(passthrough.RolloutSet{Rollout: plan})
+	m.driver.Handle(passthrough.RolloutSet{Rollout: plan})
 	if !step {
 		return
 	}
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -38,8 +38,8 @@
 // server listens for callers, readiness and metrics.
 type server struct {
 	settings  seam.Settings
-	edge      *Edge
-	config    *Knowledge
+	edge      *Handler
+	config    *ConfigState
 	driver    *Driver
 	telemetry *telemetry
 	registry  gometrics.Registry
@@ -122,7 +122,7 @@
 	s.edge.shutdown.begin(answerBy)
 	_, running := s.driver.Load()
 	s.telemetry.emit(logging.EventDrainBegin, slog.Int("running", running))
-	s.driver.Tell(passthrough.Stopping{At: began.Add(grace)})
+	s.driver.Handle(passthrough.Stopping{At: began.Add(grace)})
 	time.Sleep(min(rotationDelay, grace/2))
 	s.edge.shutdown.enter(phaseFinishing)
 	s.callers.SetKeepAlivesEnabled(false)
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -63,7 +63,7 @@
 // startSharing starts an instance's sharing at a port of its own.
 func startPeer(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
 	t.Helper()
-	j := &telemetry{clock: clock, config: NewKnowledge(clock, time.Second), registry: metrics.NewRegistry()}
+	j := &telemetry{clock: clock, config: NewConfigState(clock, time.Second), registry: metrics.NewRegistry()}
 	cfg := seam.Settings{Instance: name, Zone: "a", Zones: []string{"a", "b"}, Peers: freePort(t), Cores: cores,
 		Bounds: seam.Bounds{Revoke: time.Second, Drain: time.Second}}
 	sh := newSharing(cfg, st, fakeRecords{}, j, clock)
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -66,7 +66,7 @@
 				events += count
 				if events >= intervalEvents && !reported {
 					reported = true
-					x.edge.driver.Tell(passthrough.Paced{Request: x.ticket.id, Pace: eventInterval(x.edge.clock.Now().Sub(began), events)})
+					x.edge.driver.Handle(passthrough.Paced{Request: x.ticket.id, Pace: eventInterval(x.edge.clock.Now().Sub(began), events)})
 				}
 			}
 			if orderErr != nil {
@@ -96,7 +96,7 @@
 // prevented: a load that is as old as the stream, taken for what the server has now.
 func (a *attempt) reportFirstByte(meta seam.Answer) {
 	x := a.exchange
-	x.edge.driver.Tell(passthrough.FirstByte{
+	x.edge.driver.Handle(passthrough.FirstByte{
 		Request: x.ticket.id, After: a.firstByte, Load: meta.Load, HasLoad: meta.HasLoad,
 		Limit: meta.Limit,
 	})
