--- a/coordination/fold/bench_test.go
+++ b/coordination/fold/bench_test.go
@@ -11,38 +11,38 @@
 )
 
 // perBatch is how many records a group commit carries under load.
-const perBatch = 100
+const recordsPerBatch = 100
 
 // flow makes entries whose keys live until n of them do, so that in a steady
 // state each new register replaces one that expires.
-type flow struct {
-	n    int
-	next int
-	life time.Duration
+type workload struct {
+	n        int
+	next     int
+	lifetime time.Duration
 }
 
-func newFlow(n int) *flow {
-	return &flow{n: n, life: 10 * time.Hour}
+func newWorkload(n int) *workload {
+	return &workload{n: n, lifetime: 10 * time.Hour}
 }
 
-func (f *flow) batch() (time.Time, record.Batch) {
+func (f *workload) batch() (time.Time, record.Batch) {
 	b := record.Batch{Writer: "instance-1"}
-	for range perBatch {
+	for range recordsPerBatch {
 		r := record.Record{
 			Kind:     record.KindPut,
 			Key:      record.Key(fmt.Sprintf("session/team-%02d/018f9c1e-7b2a-7c3d-9e4f-%012d", f.next%10, f.next)),
 			Value:    []byte("model-a@2026-11"),
-			Lifetime: f.life,
+			Lifetime: f.lifetime,
 		}
 		r.Nonce = record.Nonce{1, byte(f.next), byte(f.next >> 8), byte(f.next >> 16), byte(f.next >> 24)}
 		b.Records = append(b.Records, r)
 		f.next++
 	}
-	at := start.Add(time.Duration(float64(f.life) / float64(f.n) * float64(f.next)))
+	at := start.Add(time.Duration(float64(f.lifetime) / float64(f.n) * float64(f.next)))
 	return at, b
 }
 
-func fill(b *testing.B, f *flow) *State {
+func fill(b *testing.B, f *workload) *State {
 	s := New(DefaultConfig(), Options{})
 	for f.next < f.n {
 		at, batch := f.batch()
@@ -76,7 +76,7 @@
 
 func benchFold(b *testing.B, n int, decode bool) {
 	before := heapInUse()
-	f := newFlow(n)
+	f := newWorkload(n)
 	s := fill(b, f)
 	perKey := float64(heapInUse()-before) / float64(n)
 	const chunk = 1000
@@ -104,7 +104,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			done += perBatch
+			done += recordsPerBatch
 		}
 	}
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "records/s")
@@ -115,7 +115,7 @@
 // BenchmarkSnapshot is the cost of a checkpoint and its size per key.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{1_000, 100_000} {
-		s := fill(b, newFlow(n))
+		s := fill(b, newWorkload(n))
 		b.Run(fmt.Sprintf("encode/keys=%d", n), func(b *testing.B) {
 			size := 0
 			for b.Loop() {
--- a/coordination/fold/checkpoint.go
+++ b/coordination/fold/checkpoint.go
@@ -11,22 +11,22 @@
 	// partSize is how much of a snapshot one checkpoint record carries. A
 	// large state spreads over several appends, so other records are not held
 	// up behind one huge append.
-	partSize = 512 << 10
+	partBytes = 512 << 10
 	// maxParts follows from MaxSnapshot.
-	maxParts = MaxSnapshot/partSize + 1
+	maxParts = MaxSnapshot/partBytes + 1
 	// maxOpen is how many unfinished checkpoints an Assembler keeps. Writers
 	// append theirs one after the other; a few may overlap.
-	maxOpen = 4
+	maxPartialCheckpoints = 4
 )
 
 // wirePart is the value of a checkpoint record. Parts with one nonce belong
 // together.
 type wirePart struct {
-	_     struct{} `cbor:",toarray"`
-	Next  uint64
-	Part  uint64
-	Parts uint64
-	Data  []byte
+	_          struct{} `cbor:",toarray"`
+	NextOffset uint64
+	Part       uint64
+	Parts      uint64
+	Data       []byte
 }
 
 // Checkpoint returns the records that carry the state as of now. A reader that
@@ -36,11 +36,11 @@
 	if err != nil {
 		return nil, err
 	}
-	parts := (len(snapshot) + partSize - 1) / partSize
+	parts := (len(snapshot) + partBytes - 1) / partBytes
 	out := make([]record.Record, 0, parts)
 	for i := range parts {
-		data := snapshot[i*partSize : min((i+1)*partSize, len(snapshot))]
-		value, err := cbor.Marshal(wirePart{Next: s.next, Part: uint64(i), Parts: uint64(parts), Data: data})
+		data := snapshot[i*partBytes : min((i+1)*partBytes, len(snapshot))]
+		value, err := cbor.Marshal(wirePart{NextOffset: s.next, Part: uint64(i), Parts: uint64(parts), Data: data})
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
@@ -63,7 +63,7 @@
 	if err := snapshotDecMode.Unmarshal(r.Value, &w); err != nil {
 		return w, false
 	}
-	if w.Parts == 0 || w.Parts > maxParts || w.Part >= w.Parts || len(w.Data) > partSize {
+	if w.Parts == 0 || w.Parts > maxParts || w.Part >= w.Parts || len(w.Data) > partBytes {
 		return w, false
 	}
 	return w, true
@@ -74,16 +74,16 @@
 // is the state after a prefix, and the reader folds the rest of the log on it.
 // The zero value is ready. Not safe for concurrent use.
 type Assembler struct {
-	open []*openCheckpoint
-	best []byte
-	next uint64
+	partial    []*partialCheckpoint
+	latest     []byte
+	nextOffset uint64
 }
 
-type openCheckpoint struct {
-	nonce record.Nonce
-	next  uint64
-	parts [][]byte
-	have  int
+type partialCheckpoint struct {
+	nonce      record.Nonce
+	nextOffset uint64
+	parts      [][]byte
+	received   int
 }
 
 // Add takes one record; others than checkpoints and malformed parts are
@@ -98,48 +98,48 @@
 		return
 	}
 	o.parts[w.Part] = w.Data
-	o.have++
-	if o.have == len(o.parts) {
+	o.received++
+	if o.received == len(o.parts) {
 		a.finish(o)
 	}
 }
 
 // Best returns the complete checkpoint with the highest Next.
 func (a *Assembler) Best() (snapshot []byte, next uint64, ok bool) {
-	return a.best, a.next, a.best != nil
+	return a.latest, a.nextOffset, a.latest != nil
 }
 
-func (a *Assembler) find(nonce record.Nonce, w *wirePart) *openCheckpoint {
-	for _, o := range a.open {
+func (a *Assembler) find(nonce record.Nonce, w *wirePart) *partialCheckpoint {
+	for _, o := range a.partial {
 		if o.nonce != nonce {
 			continue
 		}
-		if o.next != w.Next || len(o.parts) != int(w.Parts) {
+		if o.nextOffset != w.NextOffset || len(o.parts) != int(w.Parts) {
 			return nil
 		}
 		return o
 	}
-	if len(a.open) == maxOpen {
-		a.open = a.open[1:]
+	if len(a.partial) == maxPartialCheckpoints {
+		a.partial = a.partial[1:]
 	}
-	o := &openCheckpoint{nonce: nonce, next: w.Next, parts: make([][]byte, w.Parts)}
-	a.open = append(a.open, o)
+	o := &partialCheckpoint{nonce: nonce, nextOffset: w.NextOffset, parts: make([][]byte, w.Parts)}
+	a.partial = append(a.partial, o)
 	return o
 }
 
-func (a *Assembler) finish(o *openCheckpoint) {
-	for i, other := range a.open {
+func (a *Assembler) finish(o *partialCheckpoint) {
+	for i, other := range a.partial {
 		if other == o {
-			a.open = append(a.open[:i:i], a.open[i+1:]...)
+			a.partial = append(a.partial[:i:i], a.partial[i+1:]...)
 			break
 		}
 	}
-	if a.best != nil && o.next <= a.next {
+	if a.latest != nil && o.nextOffset <= a.nextOffset {
 		return
 	}
 	var snapshot []byte
 	for _, p := range o.parts {
 		snapshot = append(snapshot, p...)
 	}
-	a.best, a.next = snapshot, o.next
+	a.latest, a.nextOffset = snapshot, o.nextOffset
 }
--- a/coordination/fold/clock.go
+++ b/coordination/fold/clock.go
@@ -2,7 +2,7 @@
 
 // maxStamp bounds a stamped time (the year 3111), so that sums of times and
 // lifetimes never overflow.
-const maxStamp = 1 << 55
+const maxTimestampMicros = 1 << 55
 
 // clock is the log's time in microseconds. It only grows.
 //
@@ -20,8 +20,8 @@
 	skew int64
 	now  int64
 	// waiting is the jump not confirmed yet; waitingWriter is empty for none.
-	waiting       int64
-	waitingWriter string
+	pendingJump   int64
+	pendingWriter string
 }
 
 // observe takes the times of one entry; logTime is zero where there is none.
@@ -30,31 +30,31 @@
 		c.advance(logTime)
 		return
 	}
-	if stamped <= 0 || stamped > maxStamp || stamped <= c.now {
+	if stamped <= 0 || stamped > maxTimestampMicros || stamped <= c.now {
 		return
 	}
 	if c.now == 0 || stamped <= c.now+c.skew {
 		c.advance(stamped)
 		return
 	}
-	c.jump(stamped, writer)
+	c.observeJump(stamped, writer)
 }
 
-func (c *clock) jump(stamped int64, writer string) {
-	if c.waitingWriter == "" || c.waitingWriter == writer {
-		c.waiting, c.waitingWriter = stamped, writer
+func (c *clock) observeJump(stamped int64, writer string) {
+	if c.pendingWriter == "" || c.pendingWriter == writer {
+		c.pendingJump, c.pendingWriter = stamped, writer
 		return
 	}
-	lesser := min(stamped, c.waiting)
-	if stamped > c.waiting {
-		c.waiting, c.waitingWriter = stamped, writer
+	lesser := min(stamped, c.pendingJump)
+	if stamped > c.pendingJump {
+		c.pendingJump, c.pendingWriter = stamped, writer
 	}
 	c.advance(lesser)
 }
 
 func (c *clock) advance(t int64) {
 	c.now = max(c.now, t)
-	if c.waiting <= c.now {
-		c.waiting, c.waitingWriter = 0, ""
+	if c.pendingJump <= c.now {
+		c.pendingJump, c.pendingWriter = 0, ""
 	}
 }
--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -55,7 +55,7 @@
 	return r
 }
 
-func lasting(r record.Record, d time.Duration) record.Record {
+func withLifetime(r record.Record, d time.Duration) record.Record {
 	r.Lifetime = d
 	return r
 }
@@ -104,12 +104,12 @@
 			{210 * s, put("session/a", 1), VerdictWon},
 		},
 		"expiry is exact": {
-			{0, lasting(put("session/a", 1), 1500*time.Millisecond), VerdictWon},
+			{0, withLifetime(put("session/a", 1), 1500*time.Millisecond), VerdictWon},
 			{1499 * time.Millisecond, put("session/a", 2), VerdictLost},
 			{1500 * time.Millisecond, put("session/a", 2), VerdictWon},
 		},
 		"time never goes back": {
-			{5 * s, lasting(put("session/a", 1), s), VerdictWon},
+			{5 * s, withLifetime(put("session/a", 1), s), VerdictWon},
 			{6 * s, put("session/b", 1), VerdictWon},
 			{0, put("session/a", 2), VerdictWon},
 		},
@@ -127,7 +127,7 @@
 			{210 * s, claim("claim/t/a", 2, 10*s), VerdictVoid},
 		},
 		"a bill lives for the retention": {
-			{0, lasting(put("bill/t/a", 1), s), VerdictWon},
+			{0, withLifetime(put("bill/t/a", 1), s), VerdictWon},
 			{199 * s, put("bill/t/a", 2), VerdictLost},
 			{199 * s, release("bill/t/a", 1), VerdictVoid},
 			{199 * s, put("bill/t/a", 2), VerdictLost},
--- a/coordination/fold/property_test.go
+++ b/coordination/fold/property_test.go
@@ -14,15 +14,15 @@
 
 // model is the rule in its plainest form: no index, no wheel, no hash.
 type model struct {
-	now      time.Time
-	live     map[record.Key]Register
-	dead     map[proposal]time.Time
-	parent   string
-	position uint64
+	now            time.Time
+	live           map[record.Key]Register
+	released       map[proposal]time.Time
+	manifestDigest string
+	generation     uint64
 }
 
 func newModel() *model {
-	return &model{live: map[record.Key]Register{}, dead: map[proposal]time.Time{}}
+	return &model{live: map[record.Key]Register{}, released: map[proposal]time.Time{}}
 }
 
 // tick takes the time of an entry, also of one without records.
@@ -48,11 +48,11 @@
 		if m.live[r.Key].Nonce == r.Nonce {
 			delete(m.live, r.Key)
 		}
-		m.dead[p] = m.now.Add(2*testConfig.ClaimWindow + testConfig.ClockSkew)
+		m.released[p] = m.now.Add(2*testConfig.ClaimWindow + testConfig.ClockSkew)
 		return false
 	}
 	_, taken := m.live[r.Key]
-	if r.Kind != record.KindPut || taken || m.dead[p].After(m.now) {
+	if r.Kind != record.KindPut || taken || m.released[p].After(m.now) {
 		return false
 	}
 	life := r.Lifetime
@@ -66,11 +66,11 @@
 	case record.ClassBill:
 		life = testConfig.Retention
 	case record.ClassManifest:
-		if r.Key != record.ManifestKey(m.position+1, m.parent) {
+		if r.Key != record.ManifestKey(m.generation+1, m.manifestDigest) {
 			return false
 		}
-		m.position++
-		m.parent = record.ManifestDigest(r.Value)
+		m.generation++
+		m.manifestDigest = record.ManifestDigest(r.Value)
 		life = 0
 	}
 	reg := Register{Key: r.Key, Nonce: r.Nonce, Offset: offset}
@@ -91,7 +91,7 @@
 		r.KeyTime = now.Add(-time.Duration(rapid.IntRange(-15, 120).Draw(t, "age")) * time.Second)
 	case "manifest":
 		back := uint64(rapid.IntRange(0, 2).Draw(t, "back"))
-		r.Key = record.ManifestKey(m.position+2-back, m.parent)
+		r.Key = record.ManifestKey(m.generation+2-back, m.manifestDigest)
 	default:
 		r.Lifetime = time.Duration(rapid.IntRange(0, 40_000).Draw(t, "life")) * time.Millisecond
 	}
@@ -188,9 +188,9 @@
 // reader that started from a snapshot and never had that reference.
 func TestCollectionLeavesTheSameStateAtEveryReader(t *testing.T) {
 	f := newFeed(t)
-	f.apply(0, lasting(put("session/a", 1), 1200*time.Millisecond))
+	f.apply(0, withLifetime(put("session/a", 1), 1200*time.Millisecond))
 	f.apply(0, release("session/a", 1))
-	f.apply(0, lasting(put("session/b", 1), 2100*time.Millisecond))
+	f.apply(0, withLifetime(put("session/b", 1), 2100*time.Millisecond))
 	second, err := Restore(testConfig, Options{}, mustSnapshot(t, f.s))
 	if err != nil {
 		t.Fatal(err)
@@ -219,7 +219,7 @@
 	s := New(testConfig, Options{})
 	for i := range keys {
 		r := put(record.Key("session/"+string(rune('a'+i))), 1)
-		r.Value = bytes.Repeat([]byte{byte(i)}, partSize/2)
+		r.Value = bytes.Repeat([]byte{byte(i)}, partBytes/2)
 		if _, err := s.ApplyBatch(uint64(i), start, &record.Batch{Writer: "w", Records: []record.Record{r}}, nil); err != nil {
 			t.Fatal(err)
 		}
--- a/coordination/fold/registers.go
+++ b/coordination/fold/registers.go
@@ -8,7 +8,7 @@
 
 // live is the row of key, or nil if there is none or it has expired. An expired
 // row that waits for its bucket is removed, which makes room for a new winner.
-func (s *State) live(key record.Key) *row {
+func (s *State) liveRow(key record.Key) *row {
 	w := s.table.find(key)
 	if w == nil {
 		return nil
@@ -34,7 +34,7 @@
 	if s.generation == 0 {
 		return Register{}, false
 	}
-	return s.Lookup(s.manifest)
+	return s.Lookup(s.manifestKey)
 }
 
 // Registers returns the live registers of class in the order of their offsets.
--- a/coordination/fold/rules.go
+++ b/coordination/fold/rules.go
@@ -10,27 +10,27 @@
 
 // rules holds what differs between classes; times are in microseconds.
 type rules struct {
-	window        int64
-	skew          int64
-	retention     int64
-	billLife      int64
-	claimLife     int64
-	tombstoneLife int64
+	claimWindow       int64
+	skew              int64
+	retention         int64
+	billLifetime      int64
+	claimLifetime     int64
+	tombstoneLifetime int64
 }
 
 func newRules(cfg Config) rules {
 	r := rules{
-		window:    cfg.ClaimWindow.Microseconds(),
-		skew:      cfg.ClockSkew.Microseconds(),
-		retention: cfg.Retention.Microseconds(),
-		billLife:  cfg.BillLife.Microseconds(),
+		claimWindow:  cfg.ClaimWindow.Microseconds(),
+		skew:         cfg.ClockSkew.Microseconds(),
+		retention:    cfg.Retention.Microseconds(),
+		billLifetime: cfg.BillLife.Microseconds(),
 	}
 	// A key may be claimed from skew before its time until a window past it,
 	// so a claim is kept for longer than any other Put of its key can win.
-	r.claimLife = 2*r.window + r.skew
+	r.claimLifetime = 2*r.claimWindow + r.skew
 	// A Put may lie in the log no longer than the retention, and a claim can
 	// win no later than its window: past both, a tombstone has no more to void.
-	r.tombstoneLife = max(r.retention, r.claimLife)
+	r.tombstoneLifetime = max(r.retention, r.claimLifetime)
 	return r
 }
 
@@ -40,11 +40,11 @@
 	case record.ClassManifest:
 		return 0
 	case record.ClassClaim:
-		return now + r.claimLife
+		return now + r.claimLifetime
 	case record.ClassBill:
 		// Nobody but the ledger's reader needs a bill for longer, and bills are
 		// most of all records: see Config.BillLife.
-		return now + r.billLife
+		return now + r.billLifetime
 	}
 	if lifetime == 0 {
 		return 0
@@ -54,7 +54,7 @@
 
 // kept is what stays of a value in memory. Bills are read from the stream, and
 // there are many: only the fact that one was taken stays.
-func (r *rules) kept(class record.Class, value []byte) []byte {
+func (r *rules) storedValue(class record.Class, value []byte) []byte {
 	if class == record.ClassBill {
 		return nil
 	}
@@ -62,12 +62,12 @@
 }
 
 // final says that a winner of the class can't be released.
-func (r *rules) final(class record.Class) bool {
+func (r *rules) irrevocable(class record.Class) bool {
 	return class == record.ClassManifest || class == record.ClassBill
 }
 
 // check judges a Put whose key is free; zero means that it wins.
-func (s *State) check(class record.Class, r *record.Record) Verdict {
+func (s *State) checkPut(class record.Class, r *record.Record) Verdict {
 	switch class {
 	case record.ClassClaim:
 		if !s.rules.claimable(s.clock.now, record.Micros(r.KeyTime)) {
@@ -91,7 +91,7 @@
 	if keyTime <= 0 {
 		return false
 	}
-	return now-keyTime <= r.window && keyTime-now <= r.skew
+	return now-keyTime <= r.claimWindow && keyTime-now <= r.skew
 }
 
 // checkManifest admits only the child of the manifest in force, so generations
@@ -104,7 +104,7 @@
 	if generation <= s.generation && generation > 0 {
 		return VerdictLost
 	}
-	if generation != s.generation+1 || parent != s.digest {
+	if generation != s.generation+1 || parent != s.manifestDigest {
 		return VerdictVoid
 	}
 	return 0
@@ -113,11 +113,11 @@
 // supersede makes r the manifest in force. The one before stays for the
 // retention without its value, so that a late retry of its Put is known.
 func (s *State) supersede(r *record.Record) {
-	if old := s.table.find(s.manifest); old != nil && s.generation > 0 {
-		s.table.expire(old, s.clock.now+s.rules.retention)
+	if old := s.table.find(s.manifestKey); old != nil && s.generation > 0 {
+		s.table.setExpiry(old, s.clock.now+s.rules.retention)
 	}
-	s.manifest = r.Key
-	s.digest = record.ManifestDigest(r.Value)
+	s.manifestKey = r.Key
+	s.manifestDigest = record.ManifestDigest(r.Value)
 	s.generation++
 }
 
--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -19,27 +19,27 @@
 	// can hold beside the state that it replaces.
 	MaxSnapshot = 96 << 20
 	// maxRows bounds the registers and tombstones of a snapshot.
-	maxRows = 4_000_000
+	maxSnapshotRows = 4_000_000
 )
 
 // wireSnapshot is a State in order of keys: equal states give equal bytes.
 type wireSnapshot struct {
-	_             struct{} `cbor:",toarray"`
-	Version       uint64
-	Window        int64
-	Skew          int64
-	Retention     int64
-	Next          uint64
-	Now           int64
-	Waiting       int64
-	WaitingWriter string
-	Generation    uint64
-	Manifest      string
-	Digest        string
-	Malformed     uint64
-	Hash          uint64
-	Rows          []wireRow
-	Tombstones    []wireTombstone
+	_              struct{} `cbor:",toarray"`
+	Version        uint64
+	ClaimWindow    int64
+	ClockSkew      int64
+	Retention      int64
+	NextOffset     uint64
+	Now            int64
+	PendingJump    int64
+	PendingWriter  string
+	Generation     uint64
+	ManifestKey    string
+	ManifestDigest string
+	Malformed      uint64
+	Hash           uint64
+	Rows           []wireRow
+	Tombstones     []wireTombstone
 }
 
 type wireRow struct {
@@ -65,7 +65,7 @@
 func mustSnapshotDecMode() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxNestedLevels:  4,
-		MaxArrayElements: maxRows,
+		MaxArrayElements: maxSnapshotRows,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 	}.DecMode()
@@ -78,21 +78,21 @@
 // Snapshot encodes the state: equal states give equal bytes.
 func (s *State) Snapshot() ([]byte, error) {
 	w := wireSnapshot{
-		Version:       snapshotVersion,
-		Window:        s.rules.window,
-		Skew:          s.rules.skew,
-		Retention:     s.rules.retention,
-		Next:          s.next,
-		Now:           s.clock.now,
-		Waiting:       s.clock.waiting,
-		WaitingWriter: s.clock.waitingWriter,
-		Generation:    s.generation,
-		Manifest:      string(s.manifest),
-		Digest:        s.digest,
-		Malformed:     s.malformed,
-		Hash:          s.table.hash,
-		Rows:          s.wireRows(),
-		Tombstones:    s.wireTombstones(),
+		Version:        snapshotVersion,
+		ClaimWindow:    s.rules.claimWindow,
+		ClockSkew:      s.rules.skew,
+		Retention:      s.rules.retention,
+		NextOffset:     s.next,
+		Now:            s.clock.now,
+		PendingJump:    s.clock.pendingJump,
+		PendingWriter:  s.clock.pendingWriter,
+		Generation:     s.generation,
+		ManifestKey:    string(s.manifestKey),
+		ManifestDigest: s.manifestDigest,
+		Malformed:      s.malformed,
+		Hash:           s.table.hash,
+		Rows:           s.wireRows(),
+		Tombstones:     s.wireTombstones(),
 	}
 	data, err := cbor.Marshal(w)
 	if err != nil {
@@ -154,10 +154,10 @@
 	if err := s.checkHeader(&w); err != nil {
 		return nil, err
 	}
-	s.next = w.Next
+	s.next = w.NextOffset
 	s.clock.now = w.Now
-	s.clock.waiting, s.clock.waitingWriter = w.Waiting, w.WaitingWriter
-	s.generation, s.manifest, s.digest = w.Generation, record.Key(w.Manifest), w.Digest
+	s.clock.pendingJump, s.clock.pendingWriter = w.PendingJump, w.PendingWriter
+	s.generation, s.manifestKey, s.manifestDigest = w.Generation, record.Key(w.ManifestKey), w.ManifestDigest
 	s.malformed = w.Malformed
 	if err := s.restoreRows(w.Rows); err != nil {
 		return nil, err
@@ -172,10 +172,10 @@
 	if w.Version != snapshotVersion {
 		return trace.Wrap(ErrSnapshot, "version %d", w.Version)
 	}
-	if w.Window != s.rules.window || w.Skew != s.rules.skew || w.Retention != s.rules.retention {
+	if w.ClaimWindow != s.rules.claimWindow || w.ClockSkew != s.rules.skew || w.Retention != s.rules.retention {
 		return trace.Wrap(ErrSnapshot, "made with other bounds")
 	}
-	if w.Now < 0 || w.Now > maxStamp || len(w.WaitingWriter) > record.MaxWriter {
+	if w.Now < 0 || w.Now > maxTimestampMicros || len(w.PendingWriter) > record.MaxWriter {
 		return trace.Wrap(ErrSnapshot, "time out of range")
 	}
 	return nil
@@ -217,11 +217,11 @@
 			return trace.Wrap(ErrSnapshot, "tombstone %d", i)
 		}
 		copy(p.nonce[:], w.Nonce)
-		if _, twice := s.tombstones[p]; twice {
+		if _, duplicate := s.tombstones[p]; duplicate {
 			return trace.Wrap(ErrSnapshot, "tombstone %d stands twice", i)
 		}
 		s.tombstones[p] = w.Expires
-		s.buried.add(w.Expires, p)
+		s.tombstoneExpiries.add(w.Expires, p)
 	}
 	return nil
 }
@@ -231,14 +231,14 @@
 		return trace.Wrap(ErrSnapshot, "hash differs")
 	}
 	if s.generation == 0 {
-		if s.manifest != "" || s.digest != "" {
+		if s.manifestKey != "" || s.manifestDigest != "" {
 			return trace.Wrap(ErrSnapshot, "manifest without a generation")
 		}
 		return nil
 	}
-	w := s.table.find(s.manifest)
-	generation, _, err := record.ParseManifestKey(s.manifest)
-	if w == nil || err != nil || generation != s.generation || record.ManifestDigest(w.value) != s.digest {
+	w := s.table.find(s.manifestKey)
+	generation, _, err := record.ParseManifestKey(s.manifestKey)
+	if w == nil || err != nil || generation != s.generation || record.ManifestDigest(w.value) != s.manifestDigest {
 		return trace.Wrap(ErrSnapshot, "manifest does not match its generation")
 	}
 	return nil
--- a/coordination/fold/state.go
+++ b/coordination/fold/state.go
@@ -35,13 +35,13 @@
 	next  uint64
 	table table
 	// tombstones void the Puts of released nonces; the value is the expiry.
-	tombstones map[proposal]int64
-	buried     wheel[proposal]
+	tombstones        map[proposal]int64
+	tombstoneExpiries timingWheel[proposal]
 	// manifest is the key of the manifest in force; digest is its value's.
-	manifest   record.Key
-	digest     string
-	generation uint64
-	malformed  uint64
+	manifestKey    record.Key
+	manifestDigest string
+	generation     uint64
+	malformed      uint64
 }
 
 // proposal names one Put: retries of it carry the same key and nonce.
@@ -55,13 +55,13 @@
 func New(cfg Config, opts Options) *State {
 	cfg = cfg.withDefaults()
 	return &State{
-		cfg:        cfg,
-		opts:       opts,
-		rules:      newRules(cfg),
-		clock:      clock{skew: cfg.ClockSkew.Microseconds()},
-		table:      newTable(),
-		tombstones: map[proposal]int64{},
-		buried:     newWheel[proposal](),
+		cfg:               cfg,
+		opts:              opts,
+		rules:             newRules(cfg),
+		clock:             clock{skew: cfg.ClockSkew.Microseconds()},
+		table:             newTable(),
+		tombstones:        map[proposal]int64{},
+		tombstoneExpiries: newTimingWheel[proposal](),
 	}
 }
 
@@ -112,7 +112,7 @@
 		return out, trace.Wrap(ErrGap, "offset %d, want %d", offset, s.next)
 	}
 	s.clock.observe(record.Micros(logTime), record.Micros(b.Stamped), b.Writer)
-	s.collect()
+	s.collectExpired()
 	for i := range b.Records {
 		out = append(out, s.applyRecord(offset, b.Writer, &b.Records[i]))
 	}
@@ -135,23 +135,23 @@
 // winner and not of a window that has closed since.
 func (s *State) put(offset uint64, writer string, r *record.Record) Change {
 	p := proposal{r.Key, r.Nonce}
-	if s.isTombstone(p) {
+	if s.isReleased(p) {
 		return Change{Verdict: VerdictVoid, Record: *r}
 	}
-	if w := s.live(r.Key); w != nil {
-		return taken(w, r)
+	if w := s.liveRow(r.Key); w != nil {
+		return changeForTaken(w, r)
 	}
 	class := r.Key.Class()
-	if verdict := s.check(class, r); verdict != 0 {
-		return Change{Verdict: verdict, Record: *r, Register: s.rival(verdict)}
+	if verdict := s.checkPut(class, r); verdict != 0 {
+		return Change{Verdict: verdict, Record: *r, Register: s.manifestWinner(verdict)}
 	}
-	w := s.win(class, offset, writer, r)
+	w := s.insertWinner(class, offset, writer, r)
 	c := Change{Verdict: VerdictWon, Record: *r, Register: w.register()}
 	c.Register.Value = r.Value
 	return c
 }
 
-func taken(w *row, r *record.Record) Change {
+func changeForTaken(w *row, r *record.Record) Change {
 	c := Change{Verdict: VerdictLost, Record: *r, Register: w.register()}
 	if w.nonce == r.Nonce {
 		c.Verdict = VerdictDuplicate
@@ -161,7 +161,7 @@
 
 // rival is what a Put lost against where its own key has no register: a
 // manifest of a generation that is past loses to the one in force.
-func (s *State) rival(v Verdict) Register {
+func (s *State) manifestWinner(v Verdict) Register {
 	if v != VerdictLost {
 		return Register{}
 	}
@@ -169,11 +169,11 @@
 	return m
 }
 
-func (s *State) win(class record.Class, offset uint64, writer string, r *record.Record) *row {
+func (s *State) insertWinner(class record.Class, offset uint64, writer string, r *record.Record) *row {
 	w := row{
 		key:     r.Key,
 		nonce:   r.Nonce,
-		value:   s.rules.kept(class, r.Value),
+		value:   s.rules.storedValue(class, r.Value),
 		writer:  writer,
 		offset:  offset,
 		at:      s.clock.now,
@@ -189,15 +189,15 @@
 // Manifests and bills that have won are not taken back: one must never revert,
 // and the other must never be charged anew.
 func (s *State) release(r *record.Record) Change {
-	w := s.live(r.Key)
+	w := s.liveRow(r.Key)
 	if w != nil && w.nonce == r.Nonce {
-		if s.rules.final(r.Key.Class()) {
+		if s.rules.irrevocable(r.Key.Class()) {
 			return Change{Verdict: VerdictVoid, Record: *r, Register: w.register()}
 		}
 		s.table.remove(w)
 		w = nil
 	}
-	s.bury(proposal{r.Key, r.Nonce})
+	s.addTombstone(proposal{r.Key, r.Nonce})
 	c := Change{Verdict: VerdictReleased, Record: *r}
 	if w != nil {
 		c.Register = w.register()
@@ -205,13 +205,13 @@
 	return c
 }
 
-func (s *State) bury(p proposal) {
-	expires := s.clock.now + s.rules.tombstoneLife
+func (s *State) addTombstone(p proposal) {
+	expires := s.clock.now + s.rules.tombstoneLifetime
 	s.tombstones[p] = expires
-	s.buried.add(expires, p)
+	s.tombstoneExpiries.add(expires, p)
 }
 
-func (s *State) isTombstone(p proposal) bool {
+func (s *State) isReleased(p proposal) bool {
 	if len(s.tombstones) == 0 {
 		return false
 	}
@@ -221,7 +221,7 @@
 
 // collect drops what has expired a whole bucket ago. It runs at each entry, by
 // the log's time, so that equal prefixes leave equal tables and digests.
-func (s *State) collect() {
+func (s *State) collectExpired() {
 	now := s.clock.now
 	s.table.expiries.collect(now, func(i uint32) {
 		w := &s.table.rows[i]
@@ -229,7 +229,7 @@
 			s.table.remove(w)
 		}
 	})
-	s.buried.collect(now, func(p proposal) {
+	s.tombstoneExpiries.collect(now, func(p proposal) {
 		if expires, ok := s.tombstones[p]; ok && collectable(expires, now) {
 			delete(s.tombstones, p)
 		}
--- a/coordination/fold/table.go
+++ b/coordination/fold/table.go
@@ -43,7 +43,7 @@
 	rows     []row
 	free     []uint32
 	index    map[record.Key]uint32
-	expiries wheel[uint32]
+	expiries timingWheel[uint32]
 	hash     uint64
 	writers  map[string]string
 }
@@ -51,7 +51,7 @@
 func newTable() table {
 	return table{
 		index:    map[record.Key]uint32{},
-		expiries: newWheel[uint32](),
+		expiries: newTimingWheel[uint32](),
 		writers:  map[string]string{},
 	}
 }
@@ -68,7 +68,7 @@
 // good until the next insert.
 func (t *table) insert(w row) *row {
 	w.writer = t.intern(w.writer)
-	i := t.slot()
+	i := t.allocate()
 	t.rows[i] = w
 	t.index[w.key] = i
 	if w.expires != 0 {
@@ -78,7 +78,7 @@
 	return &t.rows[i]
 }
 
-func (t *table) slot() uint32 {
+func (t *table) allocate() uint32 {
 	if n := len(t.free); n > 0 {
 		i := t.free[n-1]
 		t.free = t.free[:n-1]
@@ -99,7 +99,7 @@
 }
 
 // expire sets when w expires, and drops its value.
-func (t *table) expire(w *row, expires int64) {
+func (t *table) setExpiry(w *row, expires int64) {
 	w.value = nil
 	w.expires = expires
 	t.expiries.add(expires, t.index[w.key])
--- a/coordination/fold/wheel.go
+++ b/coordination/fold/wheel.go
@@ -4,23 +4,23 @@
 
 // bucketWidth is the wheel's step in microseconds. A register may stay in
 // memory that long past its expiry; lookups compare the exact time.
-const bucketWidth = 1_000_000
+const bucketMicros = 1_000_000
 
 // wheel orders references by the second in which they expire. Adding costs one
 // map access and collecting one step for each reference, whatever the number
 // held: a full scan of a million registers at each entry would not do.
-type wheel[T any] struct {
+type timingWheel[T any] struct {
 	buckets map[int64][]T
 	order   bucketHeap
 }
 
-func newWheel[T any]() wheel[T] {
-	return wheel[T]{buckets: map[int64][]T{}}
+func newTimingWheel[T any]() timingWheel[T] {
+	return timingWheel[T]{buckets: map[int64][]T{}}
 }
 
 // add files ref under the time expires, in microseconds.
-func (w *wheel[T]) add(expires int64, ref T) {
-	b := expires / bucketWidth
+func (w *timingWheel[T]) add(expires int64, ref T) {
+	b := expires / bucketMicros
 	refs, ok := w.buckets[b]
 	if !ok {
 		heap.Push(&w.order, b)
@@ -29,8 +29,8 @@
 }
 
 // collect calls f for each reference in a bucket that lies wholly before now.
-func (w *wheel[T]) collect(now int64, f func(T)) {
-	for len(w.order) > 0 && (w.order[0]+1)*bucketWidth <= now {
+func (w *timingWheel[T]) collect(now int64, f func(T)) {
+	for len(w.order) > 0 && (w.order[0]+1)*bucketMicros <= now {
 		b := heap.Pop(&w.order).(int64)
 		refs := w.buckets[b]
 		delete(w.buckets, b)
@@ -45,7 +45,7 @@
 // so this, and not being referred to, decides; otherwise a reader that started
 // from a snapshot, and lacks the old references, would hold another state.
 func collectable(expires, now int64) bool {
-	return (expires/bucketWidth+1)*bucketWidth <= now
+	return (expires/bucketMicros+1)*bucketMicros <= now
 }
 
 // bucketHeap is a min-heap of bucket numbers.
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -7,7 +7,7 @@
 
 // maxPending bounds the heads that wait to be folded. Long polls bring a few a
 // second; where folding lags by more, the oldest ones are the first to count.
-const maxPending = 64
+const maxPendingHeads = 64
 
 // Tracker holds what was seen. Safe for concurrent use; the zero value is not
 // valid, see New. Call Tick several times in F.
@@ -16,32 +16,32 @@
 	self  string
 	bound time.Duration
 
-	folded  uint64
-	pending []headSeen
+	folded       uint64
+	pendingHeads []observedHead
 	// confirmed is the time of the youngest confirmation.
-	confirmed time.Time
+	confirmedAt time.Time
 
 	readAt   time.Time
 	failedAt time.Time
 
 	live    map[string]bool
-	listed  bool
-	vouches map[string]heardVouch
+	hasList bool
+	answers map[string]peerAnswer
 
-	ticked time.Time
+	lastTick time.Time
 	// resumed is when the last pause was found; nothing before it counts.
-	resumed time.Time
+	resumedAt time.Time
 }
 
 // headSeen is a head of the log and when it was read.
-type headSeen struct {
+type observedHead struct {
 	at   time.Time
 	head uint64
 }
 
-type heardVouch struct {
-	at    time.Time
-	vouch Vouch
+type peerAnswer struct {
+	at     time.Time
+	status Vouch
 }
 
 // Report is a Mode with what it rests on.
@@ -60,7 +60,7 @@
 	if cfg.Bound <= 0 {
 		cfg.Bound = DefaultBound
 	}
-	return &Tracker{self: cfg.Self, bound: cfg.Bound, vouches: map[string]heardVouch{}}
+	return &Tracker{self: cfg.Self, bound: cfg.Bound, answers: map[string]peerAnswer{}}
 }
 
 // HeadRead: the log was asked at the time at, and its head is head.
@@ -68,7 +68,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.readAt = latest(t.readAt, at)
-	t.see(headSeen{at, head})
+	t.observeHead(observedHead{at, head})
 }
 
 // ReadFailed: at the time at, a read of the log was given up.
@@ -86,15 +86,15 @@
 		return
 	}
 	t.folded = next
-	left := t.pending[:0]
-	for _, h := range t.pending {
+	left := t.pendingHeads[:0]
+	for _, h := range t.pendingHeads {
 		if h.head <= next {
-			t.confirmed = latest(t.confirmed, h.at)
+			t.confirmedAt = latest(t.confirmedAt, h.at)
 		} else {
 			left = append(left, h)
 		}
 	}
-	t.pending = left
+	t.pendingHeads = left
 }
 
 // Vouched: a peer that was asked at the time at answered v. A vouch counts for
@@ -105,14 +105,14 @@
 	if v.Peer == t.self || v.Peer == "" {
 		return
 	}
-	if known, ok := t.vouches[v.Peer]; ok && known.at.After(at) {
+	if known, ok := t.answers[v.Peer]; ok && known.at.After(at) {
 		return
 	}
 	if t.live[v.Peer] {
-		t.vouches[v.Peer] = heardVouch{at, v}
+		t.answers[v.Peer] = peerAnswer{at, v}
 	}
 	if v.HeadAge >= 0 && v.HeadAge <= t.bound {
-		t.see(headSeen{at.Add(-v.HeadAge), v.Head})
+		t.observeHead(observedHead{at.Add(-v.HeadAge), v.Head})
 	}
 }
 
@@ -122,16 +122,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	// An empty list is a fault of the list, not a fleet of one.
-	t.listed = len(names) > 0
+	t.hasList = len(names) > 0
 	t.live = map[string]bool{}
 	for _, name := range names {
 		if name != "" && name != t.self {
 			t.live[name] = true
 		}
 	}
-	for name := range t.vouches {
+	for name := range t.answers {
 		if !t.live[name] {
-			delete(t.vouches, name)
+			delete(t.answers, name)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 func (t *Tracker) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tick(now)
+	t.observeTick(now)
 }
 
 // Mode is what the instance may do at the time now. It finds a pause too, so
@@ -153,20 +153,20 @@
 func (t *Tracker) Report(now time.Time) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if pauseOf(t.ticked, now) > t.bound/2 {
-		t.tick(now)
+	if pauseBetween(t.lastTick, now) > t.bound/2 {
+		t.observeTick(now)
 	}
 	r := Report{Age: -1, Live: len(t.live) + 1}
-	if !t.confirmed.IsZero() {
-		r.Age = now.Sub(t.confirmed)
+	if !t.confirmedAt.IsZero() {
+		r.Age = now.Sub(t.confirmedAt)
 	}
-	if t.recent(now, t.confirmed) {
+	if t.recent(now, t.confirmedAt) {
 		r.Mode = ModeFresh
 		return r
 	}
 	reachable := false
-	r.Answering, reachable = t.poll(now)
-	if t.listed && !reachable && 2*r.Answering > r.Live {
+	r.Answering, reachable = t.countUnreachable(now)
+	if t.hasList && !reachable && 2*r.Answering > r.Live {
 		r.Mode = ModeOutage
 	}
 	return r
@@ -175,48 +175,48 @@
 // poll counts who says now that the log can't be reached. The second result is
 // true if anybody who answered reaches it, or knows of a record that the own
 // state lacks: such a record may be a manifest, and comes from that peer first.
-func (t *Tracker) poll(now time.Time) (answering int, reachable bool) {
+func (t *Tracker) countUnreachable(now time.Time) (unreachable int, reachable bool) {
 	if t.recent(now, t.failedAt) && t.failedAt.After(t.readAt) {
-		answering++
+		unreachable++
 	}
-	for _, heard := range t.vouches {
-		if !t.recent(now, heard.at) {
+	for _, answer := range t.answers {
+		if !t.recent(now, answer.at) {
 			continue
 		}
-		if heard.vouch.LogReachable || heard.vouch.Head > t.folded {
-			return answering, true
+		if answer.status.LogReachable || answer.status.Head > t.folded {
+			return unreachable, true
 		}
-		answering++
+		unreachable++
 	}
-	return answering, answering == 0
+	return unreachable, unreachable == 0
 }
 
 // recent: at most F ago, and not before the last pause.
 func (t *Tracker) recent(now, at time.Time) bool {
-	return !at.IsZero() && !at.Before(t.resumed) && now.Sub(at) <= t.bound
+	return !at.IsZero() && !at.Before(t.resumedAt) && now.Sub(at) <= t.bound
 }
 
-func (t *Tracker) see(h headSeen) {
+func (t *Tracker) observeHead(h observedHead) {
 	if h.head <= t.folded {
-		t.confirmed = latest(t.confirmed, h.at)
+		t.confirmedAt = latest(t.confirmedAt, h.at)
 		return
 	}
-	if len(t.pending) < maxPending {
-		t.pending = append(t.pending, h)
+	if len(t.pendingHeads) < maxPendingHeads {
+		t.pendingHeads = append(t.pendingHeads, h)
 	}
 }
 
-func (t *Tracker) tick(now time.Time) {
-	if pauseOf(t.ticked, now) > t.bound/2 {
-		t.resumed = now
+func (t *Tracker) observeTick(now time.Time) {
+	if pauseBetween(t.lastTick, now) > t.bound/2 {
+		t.resumedAt = now
 	}
-	t.ticked = latest(t.ticked, now)
+	t.lastTick = latest(t.lastTick, now)
 }
 
 // pauseOf is the time between two ticks by whichever clock says more: the
 // monotonic clock stands still while a virtual machine is suspended, and the
 // wall clock does not.
-func pauseOf(before, now time.Time) time.Duration {
+func pauseBetween(before, now time.Time) time.Duration {
 	if before.IsZero() {
 		return 0
 	}
--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -8,14 +8,14 @@
 var start = time.Unix(1_800_000_000, 0)
 
 // script drives a Tracker by seconds after start, ticking each 100 ms.
-type script struct {
+type scenario struct {
 	t   *testing.T
 	tr  *Tracker
 	now time.Time
 }
 
-func newScript(t *testing.T, live ...string) *script {
-	s := &script{t, New(Config{Self: "me"}), start}
+func newScenario(t *testing.T, live ...string) *scenario {
+	s := &scenario{t, New(Config{Self: "me"}), start}
 	s.tr.Tick(s.now)
 	if live != nil {
 		s.tr.Live(live)
@@ -23,7 +23,7 @@
 	return s
 }
 
-func (s *script) run(seconds float64, each func()) {
+func (s *scenario) run(seconds float64, each func()) {
 	end := s.now.Add(time.Duration(seconds * float64(time.Second)))
 	for s.now.Before(end) {
 		s.now = s.now.Add(100 * time.Millisecond)
@@ -34,16 +34,16 @@
 	}
 }
 
-func (s *script) vouch(peer string, head uint64, age time.Duration, reachable bool) {
+func (s *scenario) peer(peer string, head uint64, age time.Duration, reachable bool) {
 	s.tr.Vouched(s.now, Vouch{Peer: peer, Head: head, HeadAge: age, LogReachable: reachable})
 }
 
-func (s *script) fresh() {
+func (s *scenario) fresh() {
 	s.tr.HeadRead(s.now, 10)
 	s.tr.Folded(10)
 }
 
-func (s *script) want(m Mode) {
+func (s *scenario) want(m Mode) {
 	s.t.Helper()
 	if r := s.tr.Report(s.now); r.Mode != m {
 		s.t.Errorf("at %v: %+v, want mode %d", s.now.Sub(start), r, m)
@@ -53,13 +53,13 @@
 var fleet = []string{"me", "a", "b", "c"}
 
 func TestModes(t *testing.T) {
-	tests := map[string]func(s *script){
-		"nothing seen": func(s *script) {
+	tests := map[string]func(s *scenario){
+		"nothing seen": func(s *scenario) {
 			s.want(ModeStale)
 			s.run(10, nil)
 			s.want(ModeStale)
 		},
-		"head read but not folded": func(s *script) {
+		"head read but not folded": func(s *scenario) {
 			s.tr.HeadRead(s.now, 10)
 			s.want(ModeStale)
 			s.tr.Folded(9)
@@ -67,114 +67,114 @@
 			s.tr.Folded(10)
 			s.want(ModeFresh)
 		},
-		"folding a head late confirms the time it was read": func(s *script) {
+		"folding a head late confirms the time it was read": func(s *scenario) {
 			s.tr.HeadRead(s.now, 10)
 			s.run(6, nil)
 			s.tr.Folded(10)
 			s.want(ModeStale)
 		},
-		"fresh for F and no longer": func(s *script) {
+		"fresh for F and no longer": func(s *scenario) {
 			s.fresh()
 			s.run(5, nil)
 			s.want(ModeFresh)
 			s.run(0.1, nil)
 			s.want(ModeStale)
 		},
-		"log down for all": func(s *script) {
+		"log down for all": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("a", 10, time.Minute, false)
-				s.vouch("b", 9, time.Minute, false)
+				s.peer("a", 10, time.Minute, false)
+				s.peer("b", 9, time.Minute, false)
 			})
 			s.want(ModeOutage)
 			s.fresh()
 			s.want(ModeFresh)
 		},
-		"log down, half of the list answers": func(s *script) {
+		"log down, half of the list answers": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("a", 10, time.Minute, false)
+				s.peer("a", 10, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
-		"log down, who answers is not in the list": func(s *script) {
+		"log down, who answers is not in the list": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("x", 10, time.Minute, false)
-				s.vouch("y", 10, time.Minute, false)
+				s.peer("x", 10, time.Minute, false)
+				s.peer("y", 10, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
-		"log down, one peer reaches it and is ahead": func(s *script) {
+		"log down, one peer reaches it and is ahead": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("a", 10, time.Minute, false)
-				s.vouch("b", 10, time.Minute, false)
-				s.vouch("c", 11, 0, true)
+				s.peer("a", 10, time.Minute, false)
+				s.peer("b", 10, time.Minute, false)
+				s.peer("c", 11, 0, true)
 			})
 			s.want(ModeStale)
 		},
-		"log down, a peer has folded more": func(s *script) {
+		"log down, a peer has folded more": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("a", 10, time.Minute, false)
-				s.vouch("b", 11, time.Minute, false)
+				s.peer("a", 10, time.Minute, false)
+				s.peer("b", 11, time.Minute, false)
 			})
 			s.want(ModeStale)
 			s.tr.Folded(11)
 			s.want(ModeOutage)
 		},
-		"log down, own read does not know it": func(s *script) {
+		"log down, own read does not know it": func(s *scenario) {
 			s.run(6, func() {
-				s.vouch("a", 0, time.Minute, false)
-				s.vouch("b", 0, time.Minute, false)
+				s.peer("a", 0, time.Minute, false)
+				s.peer("b", 0, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
-		"old answers do not make a majority": func(s *script) {
+		"old answers do not make a majority": func(s *scenario) {
 			s.fresh()
-			s.vouch("a", 10, time.Minute, false)
-			s.vouch("b", 10, time.Minute, false)
+			s.peer("a", 10, time.Minute, false)
+			s.peer("b", 10, time.Minute, false)
 			s.run(6, func() { s.tr.ReadFailed(s.now) })
 			s.want(ModeStale)
 		},
-		"cut from the log, a peer vouches": func(s *script) {
+		"cut from the log, a peer vouches": func(s *scenario) {
 			s.fresh()
 			s.run(20, func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("a", 10, time.Second, true)
+				s.peer("a", 10, time.Second, true)
 			})
 			s.want(ModeFresh)
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("a", 11, time.Second, true)
+				s.peer("a", 11, time.Second, true)
 			})
 			s.want(ModeStale)
 			s.tr.Folded(11)
 			s.want(ModeFresh)
 		},
-		"a vouch is as old as its head": func(s *script) {
+		"a vouch is as old as its head": func(s *scenario) {
 			s.tr.Folded(10)
-			s.vouch("a", 10, 4*time.Second, true)
+			s.peer("a", 10, 4*time.Second, true)
 			s.want(ModeFresh)
 			s.run(1.1, nil)
 			s.want(ModeStale)
-			s.vouch("a", 10, 6*time.Second, true)
+			s.peer("a", 10, 6*time.Second, true)
 			s.want(ModeStale)
-			s.vouch("a", 10, -time.Hour, true)
+			s.peer("a", 10, -time.Hour, true)
 			s.want(ModeStale)
 		},
-		"cut from all": func(s *script) {
+		"cut from all": func(s *scenario) {
 			s.fresh()
 			s.run(60, func() { s.tr.ReadFailed(s.now) })
 			s.want(ModeStale)
 		},
-		"paused and resumed": func(s *script) {
+		"paused and resumed": func(s *scenario) {
 			s.fresh()
 			s.now = s.now.Add(2600 * time.Millisecond)
 			s.want(ModeStale)
@@ -185,17 +185,17 @@
 			s.tr.HeadRead(s.now, 10)
 			s.want(ModeFresh)
 		},
-		"a pause shorter than F/2": func(s *script) {
+		"a pause shorter than F/2": func(s *scenario) {
 			s.fresh()
 			s.now = s.now.Add(2400 * time.Millisecond)
 			s.want(ModeFresh)
 		},
-		"paused during an outage": func(s *script) {
+		"paused during an outage": func(s *scenario) {
 			s.fresh()
 			down := func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("a", 10, time.Minute, false)
-				s.vouch("b", 10, time.Minute, false)
+				s.peer("a", 10, time.Minute, false)
+				s.peer("b", 10, time.Minute, false)
 			}
 			s.run(6, down)
 			s.now = s.now.Add(3 * time.Second)
@@ -203,19 +203,19 @@
 			down()
 			s.want(ModeOutage)
 		},
-		"a name that left the list": func(s *script) {
+		"a name that left the list": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.vouch("a", 10, time.Minute, false)
-				s.vouch("b", 10, time.Minute, false)
+				s.peer("a", 10, time.Minute, false)
+				s.peer("b", 10, time.Minute, false)
 			})
 			s.tr.Live([]string{"me", "b", "c", "d"})
 			s.want(ModeStale)
 		},
 	}
 	for name, f := range tests {
-		t.Run(name, func(t *testing.T) { f(newScript(t, fleet...)) })
+		t.Run(name, func(t *testing.T) { f(newScenario(t, fleet...)) })
 	}
 }
 
@@ -231,7 +231,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newScript(t, tt.live...)
+			s := newScenario(t, tt.live...)
 			if tt.live != nil {
 				s.tr.Live(tt.live)
 			}
@@ -244,11 +244,11 @@
 
 // TestSuspendedMachine: the monotonic clock stood still, the wall clock ran on.
 func TestSuspendedMachine(t *testing.T) {
-	s := newScript(t, fleet...)
+	s := newScenario(t, fleet...)
 	s.fresh()
 	now := time.Now()
 	before := now.Round(0).Add(-time.Hour)
-	if got := pauseOf(before, now); got < time.Hour {
+	if got := pauseBetween(before, now); got < time.Hour {
 		t.Errorf("pause of %v", got)
 	}
 }
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -39,7 +39,7 @@
 	if n <= 0 {
 		return nil
 	}
-	if i := pickOutside(rng, self.Domain, others); i >= 0 {
+	if i := pickOtherDomain(rng, self.Domain, others); i >= 0 {
 		others[0], others[i] = others[i], others[0]
 	} else {
 		swapRandom(rng, others, 0)
@@ -51,7 +51,7 @@
 }
 
 // pickOutside draws the index of a peer outside domain; -1 if there is none.
-func pickOutside(rng *rand.Rand, domain string, peers []Peer) int {
+func pickOtherDomain(rng *rand.Rand, domain string, peers []Peer) int {
 	chosen, seen := -1, 0
 	for i, p := range peers {
 		if p.Domain == domain {
--- a/coordination/history/cluster.go
+++ b/coordination/history/cluster.go
@@ -19,50 +19,50 @@
 
 // cluster is a few nodes on one log that goes wrong, in a synctest bubble.
 type cluster struct {
-	t     *testing.T
-	log   *logtest.Log
-	seed  uint64
-	began time.Time
+	t         *testing.T
+	log       *logtest.Log
+	seed      uint64
+	startTime time.Time
 
-	mu    sync.Mutex
-	slots []*node.Node
-	names []string
-	born  int
+	mu      sync.Mutex
+	nodes   []*node.Node
+	names   []string
+	started int
 	// archive holds the entries that were trimmed from the log.
 	archive []platformlog.Entry
 }
 
 const (
-	slots      = 3
-	clients    = 5
-	opsPerUser = 8
+	nodeCount    = 3
+	clientCount  = 5
+	opsPerClient = 8
 )
 
 // run makes one seeded history: work runs in clients goroutines while faults
 // strike; afterwards the log is healthy again and all nodes must agree.
-func run(t *testing.T, seed uint64, work func(c *cluster, rng *rand.Rand, client int), check func(c *cluster)) {
+func runHistory(t *testing.T, seed uint64, work func(c *cluster, rng *rand.Rand, client int), check func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := &cluster{t: t, log: logtest.New(), seed: seed, began: time.Now()}
+		c := &cluster{t: t, log: logtest.New(), seed: seed, startTime: time.Now()}
 		// Every other log gives no times of its own.
 		c.log.SetTimeless(seed%2 == 1)
-		c.slots, c.names = make([]*node.Node, slots), make([]string, slots)
-		for i := range slots {
+		c.nodes, c.names = make([]*node.Node, nodeCount), make([]string, nodeCount)
+		for i := range nodeCount {
 			c.replace(i)
 		}
 		var wg sync.WaitGroup
-		for client := range clients {
+		for client := range clientCount {
 			wg.Go(func() { work(c, rand.New(rand.NewPCG(seed, uint64(client))), client) })
 		}
 		stop := make(chan struct{})
 		var chaos sync.WaitGroup
-		chaos.Go(func() { c.faults(rand.New(rand.NewPCG(seed, 99)), stop) })
+		chaos.Go(func() { c.injectFaults(rand.New(rand.NewPCG(seed, 99)), stop) })
 		wg.Wait()
 		close(stop)
 		chaos.Wait()
 		c.heal()
 		check(c)
-		for _, n := range c.slots {
+		for _, n := range c.nodes {
 			c.kill(n)
 		}
 	})
@@ -71,14 +71,14 @@
 // replace kills the node of a slot, with no flush, and starts a new one.
 func (c *cluster) replace(slot int) {
 	c.mu.Lock()
-	old := c.slots[slot]
-	c.born++
-	name := fmt.Sprintf("n%d", c.born)
+	old := c.nodes[slot]
+	c.started++
+	name := fmt.Sprintf("n%d", c.started)
 	c.mu.Unlock()
 	if old != nil {
 		c.kill(old)
 	}
-	n, err := node.New(c.log.Client(name), node.Config{Name: name}, node.WithSeed(c.seed+uint64(c.born)))
+	n, err := node.New(c.log.Client(name), node.Config{Name: name}, node.WithSeed(c.seed+uint64(c.started)))
 	if err == nil {
 		err = n.Start(c.t.Context())
 	}
@@ -88,7 +88,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slots[slot], c.names[slot] = n, name
+	c.nodes[slot], c.names[slot] = n, name
 }
 
 func (c *cluster) kill(n *node.Node) {
@@ -100,18 +100,18 @@
 func (c *cluster) node(slot int) *node.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.slots[slot%slots]
+	return c.nodes[slot%nodeCount]
 }
 
 // faults strikes at random until stop is closed.
-func (c *cluster) faults(rng *rand.Rand, stop chan struct{}) {
+func (c *cluster) injectFaults(rng *rand.Rand, stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(time.Duration(rng.IntN(300)) * time.Millisecond):
 		}
-		slot := rng.IntN(slots)
+		slot := rng.IntN(nodeCount)
 		switch rng.IntN(15) {
 		case 0:
 			c.log.LoseReplies(1 + rng.IntN(3))
@@ -182,7 +182,7 @@
 }
 
 // whole is a log with all entries, trimmed or not.
-func (c *cluster) whole() *logtest.Log {
+func (c *cluster) fullLog() *logtest.Log {
 	log := logtest.New()
 	for _, e := range append(c.archive, c.log.Entries()...) {
 		log.Inject(e.Data)
@@ -201,7 +201,7 @@
 	time.Sleep(time.Minute)
 	synctest.Wait()
 	want := c.replay().Digest()
-	for i, n := range c.slots {
+	for i, n := range c.nodes {
 		if got := n.Digest(); got != want {
 			c.t.Errorf("seed %d: node %s is at %+v, a replay at %+v", c.seed, c.names[i], got, want)
 		}
@@ -220,7 +220,7 @@
 }
 
 // each calls f for each record of key in the log, trimmed or not.
-func (c *cluster) each(key record.Key, f func(e platformlog.Entry, writer string, r record.Record)) {
+func (c *cluster) eachRecord(key record.Key, f func(e platformlog.Entry, writer string, r record.Record)) {
 	for _, e := range append(c.archive, c.log.Entries()...) {
 		b, err := record.Decode(e.Data)
 		if err != nil {
@@ -235,19 +235,19 @@
 }
 
 // records lists what the log has of key.
-func (c *cluster) records(key record.Key) []string {
+func (c *cluster) describeRecords(key record.Key) []string {
 	var out []string
-	c.each(key, func(e platformlog.Entry, writer string, r record.Record) {
-		at := e.Time.Sub(c.began)
+	c.eachRecord(key, func(e platformlog.Entry, writer string, r record.Record) {
+		at := e.Time.Sub(c.startTime)
 		out = append(out, fmt.Sprintf("log %d at %v by %s: kind=%d nonce=%x", e.Offset, at, writer, r.Kind, r.Nonce[:4]))
 	})
 	return out
 }
 
 // copies counts the Puts of each nonce of key in the log.
-func (c *cluster) copies(key record.Key) map[record.Nonce]int {
+func (c *cluster) countPuts(key record.Key) map[record.Nonce]int {
 	out := map[record.Nonce]int{}
-	c.each(key, func(_ platformlog.Entry, _ string, r record.Record) {
+	c.eachRecord(key, func(_ platformlog.Entry, _ string, r record.Record) {
 		if r.Kind == record.KindPut {
 			out[r.Nonce]++
 		}
@@ -255,4 +255,4 @@
 	return out
 }
 
-func (c *cluster) clock() int64 { return int64(time.Since(c.began)) }
+func (c *cluster) elapsed() int64 { return int64(time.Since(c.startTime)) }
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -59,22 +59,22 @@
 	model := registerModel.ToModel()
 	final := c.replay()
 	for _, ops := range registerModel.Partition(r.ops) {
-		key := ops[0].Input.(step).key
+		key := ops[0].Input.(registerOp).key
 		holder, _ := final.Lookup(key)
 		for _, op := range ops {
-			if saidNo(op) && op.Input.(step).nonce == holder.Nonce {
+			if toldRefused(op) && op.Input.(registerOp).nonce == holder.Nonce {
 				t.Errorf("seed %d: %s is held by %x, who was told no", c.seed, key, holder.Nonce[:4])
 			}
 		}
-		if !porcupine.CheckOperations(model, append(ops, lateCopies(ops, c.copies(key))...)) {
+		if !porcupine.CheckOperations(model, append(ops, lateCopies(ops, c.countPuts(key))...)) {
 			t.Errorf("seed %d: the history of %s is not that of a register", c.seed, key)
-			explain(t, c, key, ops)
+			logHistory(t, c, key, ops)
 		}
 	}
 }
 
 // saidNo: the caller was told that its Put lost or is void.
-func saidNo(op porcupine.Operation) bool {
+func toldRefused(op porcupine.Operation) bool {
 	res, ok := op.Output.(node.Result)
 	return ok && (res.Outcome == node.OutcomeLost || res.Outcome == node.OutcomeVoid)
 }
@@ -87,28 +87,28 @@
 func lateCopies(ops []porcupine.Operation, copies map[record.Nonce]int) []porcupine.Operation {
 	var out []porcupine.Operation
 	for _, op := range ops {
-		in := op.Input.(step)
-		if !saidNo(op) || copies[in.nonce] < 2 {
+		in := op.Input.(registerOp)
+		if !toldRefused(op) || copies[in.nonce] < 2 {
 			continue
 		}
 		late := porcupine.Operation{Input: in, Call: op.Call, Return: op.Return}
 		late.ClientId, late.Output = 2000+op.ClientId, node.Result{Outcome: node.OutcomeUnknown}
 		gone := porcupine.Operation{ClientId: 3000 + op.ClientId, Call: op.Call, Return: op.Return}
-		gone.Input = step{in.key, in.nonce, true}
+		gone.Input = registerOp{in.key, in.nonce, true}
 		out = append(out, late, gone)
 	}
 	return out
 }
 
-func explain(t *testing.T, c *cluster, key record.Key, ops []porcupine.Operation) {
+func logHistory(t *testing.T, c *cluster, key record.Key, ops []porcupine.Operation) {
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	for _, op := range ops {
-		in := op.Input.(step)
+		in := op.Input.(registerOp)
 		res, _ := op.Output.(node.Result)
 		t.Logf("%v to %v: release=%v nonce=%x outcome=%d of %x", time.Duration(op.Call),
 			time.Duration(op.Return), in.release, in.nonce[:4], res.Outcome, res.Register.Nonce[:4])
 	}
-	for _, line := range c.records(key) {
+	for _, line := range c.describeRecords(key) {
 		t.Log(line)
 	}
 }
@@ -122,16 +122,16 @@
 // propose makes one Put with a deadline of its own and records it. A Put of
 // unknown outcome is released.
 func (r *recorder) propose(c *cluster, rng *rand.Rand, client int, rec record.Record) node.Result {
-	n := c.node(rng.IntN(slots))
+	n := c.node(rng.IntN(nodeCount))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(2000))*time.Millisecond)
 	defer cancel()
-	call := c.clock()
+	call := c.elapsed()
 	res := n.Put(ctx, rec)
-	returned := c.clock()
+	returned := c.elapsed()
 	if res.Outcome == node.OutcomeUnknown {
 		returned = math.MaxInt64
 	}
-	in := step{key: rec.Key, nonce: rec.Nonce}
+	in := registerOp{key: rec.Key, nonce: rec.Nonce}
 	r.add(porcupine.Operation{ClientId: client, Input: in, Call: call, Output: res, Return: returned})
 	if res.Outcome == node.OutcomeUnknown {
 		r.release(c, n, client, rec)
@@ -142,9 +142,9 @@
 // release counts from its call until any later time: it takes effect when the
 // log has it, or never if its process is killed first.
 func (r *recorder) release(c *cluster, n *node.Node, client int, rec record.Record) {
-	call := c.clock()
+	call := c.elapsed()
 	n.Release(rec.Key, rec.Nonce)
-	in := step{rec.Key, rec.Nonce, true}
+	in := registerOp{rec.Key, rec.Nonce, true}
 	r.add(porcupine.Operation{ClientId: 1000 + client, Input: in, Call: call, Return: math.MaxInt64})
 }
 
@@ -154,17 +154,17 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
 		work := func(c *cluster, rng *rand.Rand, client int) {
-			for op := range opsPerUser {
+			for op := range opsPerClient {
 				key := record.Key(fmt.Sprintf("session/%d", rng.IntN(4)))
 				n := nonce(rng, client, op)
 				res := r.propose(c, rng, client, record.Record{Key: key, Nonce: n})
 				if res.Outcome == node.OutcomeWon && rng.IntN(2) == 0 {
-					r.release(c, c.node(rng.IntN(slots)), client, record.Record{Key: key, Nonce: n})
+					r.release(c, c.node(rng.IntN(nodeCount)), client, record.Record{Key: key, Nonce: n})
 				}
 				time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
 			}
 		}
-		run(t, seed, work, func(c *cluster) { r.check(t, c) })
+		runHistory(t, seed, work, func(c *cluster) { r.check(t, c) })
 	})
 }
 
@@ -173,17 +173,17 @@
 func TestManifests(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
-		seen := watchGenerations(t)
+		seen := newGenerationWatch(t)
 		work := func(c *cluster, rng *rand.Rand, client int) {
-			for op := range opsPerUser {
-				n := c.node(rng.IntN(slots))
-				seen.look(n)
+			for op := range opsPerClient {
+				n := c.node(rng.IntN(nodeCount))
+				seen.observe(n)
 				r.publish(c, rng, n, client, op)
-				seen.look(n)
+				seen.observe(n)
 				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 			}
 		}
-		run(t, seed, work, func(*cluster) {
+		runHistory(t, seed, work, func(*cluster) {
 			if !porcupine.CheckOperations(manifestModel.ToModel(), r.ops) {
 				t.Errorf("seed %d: the history is not one chain of manifests", seed)
 			}
@@ -192,7 +192,7 @@
 }
 
 func (r *recorder) publish(c *cluster, rng *rand.Rand, n *node.Node, client, op int) {
-	in := publish{value: fmt.Sprintf("manifest of %d, %d", client, op)}
+	in := publishOp{value: fmt.Sprintf("manifest of %d, %d", client, op)}
 	if m, ok := n.Manifest(); ok {
 		in.parent, _, _ = record.ParseManifestKey(m.Key)
 		in.digest = record.ManifestDigest(m.Value)
@@ -204,9 +204,9 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	call := c.clock()
+	call := c.elapsed()
 	res := n.Put(ctx, rec)
-	returned := c.clock()
+	returned := c.elapsed()
 	if res.Outcome == node.OutcomeUnknown {
 		returned = math.MaxInt64
 	}
@@ -214,17 +214,17 @@
 }
 
 // generations checks that no node's generation ever goes back.
-type generations struct {
+type generationWatch struct {
 	t    *testing.T
 	mu   sync.Mutex
 	seen map[*node.Node]uint64
 }
 
-func watchGenerations(t *testing.T) *generations {
-	return &generations{t: t, seen: map[*node.Node]uint64{}}
+func newGenerationWatch(t *testing.T) *generationWatch {
+	return &generationWatch{t: t, seen: map[*node.Node]uint64{}}
 }
 
-func (g *generations) look(n *node.Node) {
+func (g *generationWatch) observe(n *node.Node) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := n.Digest().Generation
@@ -235,7 +235,7 @@
 }
 
 // books counts, per request, what callers would see: runs and bills.
-type books struct {
+type billing struct {
 	mu    sync.Mutex
 	runs  map[string]int
 	bills map[string]record.Record
@@ -248,9 +248,9 @@
 func TestClaimsAndBills(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
-		b := &books{runs: map[string]int{}, bills: map[string]record.Record{}}
+		b := &billing{runs: map[string]int{}, bills: map[string]record.Record{}}
 		work := func(c *cluster, rng *rand.Rand, client int) {
-			for op := range opsPerUser {
+			for op := range opsPerClient {
 				request := fmt.Sprintf("r%d", rng.IntN(8))
 				rec := record.Record{
 					Key:     record.Key("claim/t/" + request),
@@ -258,12 +258,12 @@
 					KeyTime: time.Now(),
 				}
 				if r.propose(c, rng, client, rec).Outcome == node.OutcomeWon {
-					b.ran(t, c, rng, request)
+					b.bill(t, c, rng, request)
 				}
 				time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
 			}
 		}
-		run(t, seed, work, func(c *cluster) {
+		runHistory(t, seed, work, func(c *cluster) {
 			r.check(t, c)
 			b.check(t, c)
 		})
@@ -272,7 +272,7 @@
 
 // ran bills a run: the first try may fail in any way, and is not waited for.
 // Sometimes a copy with other content is billed too, as by a second run.
-func (b *books) ran(t *testing.T, c *cluster, rng *rand.Rand, request string) {
+func (b *billing) bill(t *testing.T, c *cluster, rng *rand.Rand, request string) {
 	bill := ledger.Bill{Team: "t", Request: request, CostMicros: 7, Attempts: 1}
 	rec, err := bill.Record()
 	if err != nil {
@@ -284,13 +284,13 @@
 	b.mu.Unlock()
 	for range 1 + rng.IntN(2) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(500))*time.Millisecond)
-		c.node(rng.IntN(slots)).Put(ctx, rec)
+		c.node(rng.IntN(nodeCount)).Put(ctx, rec)
 		cancel()
 	}
 }
 
 // check flushes what two buffers hold of all bills, then reads the ledger.
-func (b *books) check(t *testing.T, c *cluster) {
+func (b *billing) check(t *testing.T, c *cluster) {
 	for request, n := range b.runs {
 		if n > 1 {
 			t.Errorf("seed %d: %s ran %d times", c.seed, request, n)
@@ -308,7 +308,7 @@
 		}
 	}
 	exported := map[string]int{}
-	_, err := ledger.Export(context.Background(), c.whole().Client("export"), fold.DefaultConfig(), 0, func(l ledger.Line) error {
+	_, err := ledger.Export(context.Background(), c.fullLog().Client("export"), fold.DefaultConfig(), 0, func(l ledger.Line) error {
 		exported[l.Request]++
 		return nil
 	})
--- a/coordination/history/models.go
+++ b/coordination/history/models.go
@@ -10,7 +10,7 @@
 // The sequential models that histories are checked against.
 
 // step is one operation on a register: a Put, or a Release.
-type step struct {
+type registerOp struct {
 	key     record.Key
 	nonce   record.Nonce
 	release bool
@@ -19,13 +19,13 @@
 // registerState is a register with one winner at most. dead holds the released
 // nonces in a comparable form.
 type registerState struct {
-	winner record.Nonce
-	dead   string
+	winner   record.Nonce
+	released string
 }
 
-func (s registerState) isDead(n record.Nonce) bool {
-	for i := 0; i+len(n) <= len(s.dead); i += len(n) {
-		if s.dead[i:i+len(n)] == string(n[:]) {
+func (s registerState) isReleased(n record.Nonce) bool {
+	for i := 0; i+len(n) <= len(s.released); i += len(n) {
+		if s.released[i:i+len(n)] == string(n[:]) {
 			return true
 		}
 	}
@@ -37,7 +37,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[record.Key][]porcupine.Operation{}
 		for _, op := range history {
-			key := op.Input.(step).key
+			key := op.Input.(registerOp).key
 			byKey[key] = append(byKey[key], op)
 		}
 		var out [][]porcupine.Operation
@@ -48,17 +48,17 @@
 	},
 	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, output any) []any {
-		s, in := state.(registerState), input.(step)
+		s, in := state.(registerState), input.(registerOp)
 		if in.release {
 			if s.winner == in.nonce {
 				s.winner = record.Nonce{}
 			}
-			s.dead += string(in.nonce[:])
+			s.released += string(in.nonce[:])
 			return []any{s}
 		}
 		res := output.(node.Result)
-		free := s.winner == record.Nonce{} && !s.isDead(in.nonce)
-		won := registerState{in.nonce, s.dead}
+		free := s.winner == record.Nonce{} && !s.isReleased(in.nonce)
+		won := registerState{in.nonce, s.released}
 		switch res.Outcome {
 		case node.OutcomeWon:
 			if free {
@@ -83,7 +83,7 @@
 }
 
 // publish is one try to replace the manifest of generation parent.
-type publish struct {
+type publishOp struct {
 	parent uint64
 	digest string
 	value  string
@@ -98,7 +98,7 @@
 var manifestModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{manifestState{}} },
 	Step: func(state, input, output any) []any {
-		s, in, res := state.(manifestState), input.(publish), output.(node.Result)
+		s, in, res := state.(manifestState), input.(publishOp), output.(node.Result)
 		fits := s.generation == in.parent && s.digest == in.digest
 		next := manifestState{in.parent + 1, record.ManifestDigest([]byte(in.value))}
 		switch res.Outcome {
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -50,7 +50,7 @@
 	defaultPauseGuard = 2 * time.Second
 	// keepTerms is how many durations a term's register outlives its lease, so
 	// that a late copy of its Put finds it taken.
-	keepTerms = 60
+	termRetentionDurations = 60
 )
 
 func (c Config) withDefaults() Config {
@@ -92,11 +92,11 @@
 
 // term is what one register of the lease says.
 type term struct {
-	number uint64
-	holder string
-	length time.Duration
-	offset uint64
-	nonce  record.Nonce
+	number   uint64
+	holder   string
+	duration time.Duration
+	offset   uint64
+	nonce    record.Nonce
 }
 
 // state is the lease as one instance knows it. Pure: the caller brings the
@@ -107,64 +107,64 @@
 	known   bool
 	// blocked is until when the holder may believe in its lease, by the time
 	// at which the own instance read it.
-	blocked time.Time
+	blockedUntil time.Time
 	// mine: the current term is the own; validUntil is when to stop.
-	mine       bool
+	held       bool
 	validUntil time.Time
 	// ordersFrom is when an engine without fencing may get the first order.
-	ordersFrom time.Time
-	vacant     bool
+	ordersAllowedFrom time.Time
+	handedOver        bool
 }
 
 // won takes a term that was read from the log at the time now. sent is when the
 // own instance sent its Put, zero for other's terms.
-func (s *state) won(now time.Time, t term, sent time.Time) {
+func (s *state) observeTerm(now time.Time, t term, sent time.Time) {
 	if s.known && t.offset <= s.current.offset {
 		return
 	}
-	renewed := s.mine && t.holder == s.cfg.Holder && inside(now, s.validUntil)
-	handedOver := s.vacant
+	renewed := s.held && t.holder == s.cfg.Holder && certainlyBefore(now, s.validUntil)
+	afterHandOver := s.handedOver
 	s.current, s.known = t, true
-	s.vacant = t.holder == ""
-	if s.vacant {
-		s.mine, s.blocked = false, time.Time{}
+	s.handedOver = t.holder == ""
+	if s.handedOver {
+		s.held, s.blockedUntil = false, time.Time{}
 		return
 	}
-	s.blocked = now.Add(t.length)
-	s.mine = t.holder == s.cfg.Holder && !sent.IsZero()
-	if !s.mine {
+	s.blockedUntil = now.Add(t.duration)
+	s.held = t.holder == s.cfg.Holder && !sent.IsZero()
+	if !s.held {
 		return
 	}
-	s.validUntil = sent.Add(t.length - s.cfg.ClockBound - s.cfg.PauseGuard)
-	if !renewed && !handedOver {
-		s.ordersFrom = now.Add(t.length + s.cfg.ClockBound + s.cfg.PauseGuard)
+	s.validUntil = sent.Add(t.duration - s.cfg.ClockBound - s.cfg.PauseGuard)
+	if !renewed && !afterHandOver {
+		s.ordersAllowedFrom = now.Add(t.duration + s.cfg.ClockBound + s.cfg.PauseGuard)
 	}
-	if handedOver {
-		s.ordersFrom = now
+	if afterHandOver {
+		s.ordersAllowedFrom = now
 	}
 }
 
 // released takes the Release of a term: its writer never acted on it. Whoever
 // held the term before may, so the block stays.
-func (s *state) released(nonce record.Nonce) {
+func (s *state) observeRelease(nonce record.Nonce) {
 	if s.known && s.current.nonce == nonce {
-		s.mine = false
+		s.held = false
 	}
 }
 
 // takeable is from when the own instance may take the next term.
-func (s *state) takeable(now time.Time) bool {
-	return !s.known || s.mine || past(now, s.blocked)
+func (s *state) mayAcquire(now time.Time) bool {
+	return !s.known || s.held || certainlyReached(now, s.blockedUntil)
 }
 
 // check decides whether an order may be sent now, under which fencing number.
 func (s *state) check(now time.Time, engine Engine) (uint64, Refusal) {
 	switch {
-	case !s.mine:
+	case !s.held:
 		return 0, NotHolder
-	case !inside(now, s.validUntil):
+	case !certainlyBefore(now, s.validUntil):
 		return 0, Lapsed
-	case engine == EngineIgnores && !past(now, s.ordersFrom):
+	case engine == EngineIgnores && !certainlyReached(now, s.ordersAllowedFrom):
 		return 0, Waiting
 	default:
 		return s.current.offset, Allowed
@@ -174,10 +174,10 @@
 // inside and past compare by both clocks, and each errs to the safe side: the
 // monotonic clock stands still while a virtual machine is suspended, and the
 // wall clock may be set.
-func inside(now, end time.Time) bool {
+func certainlyBefore(now, end time.Time) bool {
 	return now.Before(end) && now.Round(0).Before(end.Round(0))
 }
 
-func past(now, end time.Time) bool {
+func certainlyReached(now, end time.Time) bool {
 	return !now.Before(end) && !now.Round(0).Before(end.Round(0))
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -189,49 +189,49 @@
 }
 
 // world is a log of terms read by contenders with lags and pauses of their own.
-type world struct {
-	rng   *rand.Rand
-	now   time.Time
-	terms []term
-	peers []*contender
+type simulation struct {
+	rng        *rand.Rand
+	now        time.Time
+	terms      []term
+	contenders []*contender
 }
 
 type contender struct {
 	state   state
 	read    int
-	pending *proposed
+	pending *pendingPut
 	// lastOrder is when an order sent under the last check may arrive.
 	lastOrder time.Time
 }
 
 // proposed is a Put that lands in the log at the time lands.
-type proposed struct {
-	sent  time.Time
-	lands time.Time
-	term  term
+type pendingPut struct {
+	sentAt  time.Time
+	landsAt time.Time
+	term    term
 }
 
 // step lets one contender act: read some of the log, take or renew, or send an
 // order that arrives up to PauseGuard after its check.
-func (w *world) step(t *testing.T) {
+func (w *simulation) step(t *testing.T) {
 	w.now = w.now.Add(time.Duration(w.rng.IntN(1500)) * time.Millisecond)
-	i := w.rng.IntN(len(w.peers))
-	c := w.peers[i]
-	for _, p := range w.peers {
+	i := w.rng.IntN(len(w.contenders))
+	c := w.contenders[i]
+	for _, p := range w.contenders {
 		w.land(p)
 	}
 	for c.read < len(w.terms) && w.rng.IntN(4) > 0 {
 		c.readNext(w)
 	}
-	if c.pending == nil && c.state.takeable(w.now) && w.rng.IntN(2) == 0 {
+	if c.pending == nil && c.state.mayAcquire(w.now) && w.rng.IntN(2) == 0 {
 		late := time.Duration(w.rng.IntN(3000)) * time.Millisecond
-		next := term{number: c.state.current.number + 1, holder: c.state.cfg.Holder, length: c.state.cfg.Duration}
-		c.pending = &proposed{sent: w.now, lands: w.now.Add(late), term: next}
+		next := term{number: c.state.current.number + 1, holder: c.state.cfg.Holder, duration: c.state.cfg.Duration}
+		c.pending = &pendingPut{sentAt: w.now, landsAt: w.now.Add(late), term: next}
 	}
 	if _, refusal := c.state.check(w.now, EngineIgnores); refusal != Allowed {
 		return
 	}
-	for j, other := range w.peers {
+	for j, other := range w.contenders {
 		if j != i && !w.now.After(other.lastOrder) {
 			t.Fatalf("%d may order at %v while an order of %d may arrive until %v", i, w.now, j, other.lastOrder)
 		}
@@ -240,9 +240,9 @@
 }
 
 // land appends a pending Put once its time has come, if its term is free.
-func (w *world) land(c *contender) {
+func (w *simulation) land(c *contender) {
 	p := c.pending
-	if p == nil || p.term.offset != 0 || w.now.Before(p.lands) {
+	if p == nil || p.term.offset != 0 || w.now.Before(p.landsAt) {
 		return
 	}
 	for _, have := range w.terms {
@@ -255,15 +255,15 @@
 	w.terms = append(w.terms, p.term)
 }
 
-func (c *contender) readNext(w *world) {
+func (c *contender) readNext(w *simulation) {
 	next := w.terms[c.read]
 	c.read++
 	var sent time.Time
 	if p := c.pending; p != nil && p.term.offset == next.offset {
-		sent = p.sent
+		sent = p.sentAt
 		c.pending = nil
 	}
-	c.state.won(w.now, next, sent)
+	c.state.observeTerm(w.now, next, sent)
 }
 
 // TestOneOrderAtATime: over seeded runs of lagging readers, late appends and
@@ -272,15 +272,15 @@
 func TestOneOrderAtATime(t *testing.T) {
 	orders := 0
 	for seed := range uint64(300) {
-		w := &world{rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(1_800_000_000, 0)}
+		w := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(1_800_000_000, 0)}
 		for i := range 3 {
 			cfg := Config{Name: "x", Holder: fmt.Sprint(i)}.withDefaults()
-			w.peers = append(w.peers, &contender{state: state{cfg: cfg}})
+			w.contenders = append(w.contenders, &contender{state: state{cfg: cfg}})
 		}
 		for range 400 {
 			w.step(t)
 		}
-		for _, c := range w.peers {
+		for _, c := range w.contenders {
 			if !c.lastOrder.IsZero() {
 				orders++
 			}
@@ -295,9 +295,9 @@
 	m := &Manager{cfg: Config{Name: "x", Holder: "a"}.withDefaults()}
 	f.Add("lease/x/1", []byte{0x82, 0x61, 0x61, 0x01})
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		got, ok := m.parse(fold.Register{Key: record.Key(key), Value: value})
-		if ok && got.length < 0 {
-			t.Errorf("a term of %v", got.length)
+		got, ok := m.parseTerm(fold.Register{Key: record.Key(key), Value: value})
+		if ok && got.duration < 0 {
+			t.Errorf("a term of %v", got.duration)
 		}
 	})
 }
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -43,11 +43,11 @@
 	now   func() time.Time
 
 	// proposing serialises the own Puts.
-	proposing sync.Mutex
+	proposeMu sync.Mutex
 	mu        sync.Mutex
 	state     state
 	// sent holds when the Puts of this process were sent, by nonce.
-	sent map[record.Nonce]time.Time
+	sentAt map[record.Nonce]time.Time
 }
 
 // New returns a Manager that follows the lease from now on. now is the clock;
@@ -61,15 +61,15 @@
 	}
 	cfg = cfg.withDefaults()
 	m := &Manager{
-		store: store,
-		cfg:   cfg,
-		now:   now,
-		state: state{cfg: cfg},
-		sent:  map[record.Nonce]time.Time{},
+		store:  store,
+		cfg:    cfg,
+		now:    now,
+		state:  state{cfg: cfg},
+		sentAt: map[record.Nonce]time.Time{},
 	}
-	m.stop = store.Watch(record.ClassLease, m.changed)
+	m.stop = store.Watch(record.ClassLease, m.onChange)
 	for _, reg := range store.Registers(record.ClassLease) {
-		m.read(reg)
+		m.observeRegister(reg)
 	}
 	return m, nil
 }
@@ -89,37 +89,37 @@
 // one. It reports whether the own instance holds the lease after it. A Put with
 // unknown outcome is released: a term that was not read back is not held.
 func (m *Manager) Take(ctx context.Context) bool {
-	m.proposing.Lock()
-	defer m.proposing.Unlock()
+	m.proposeMu.Lock()
+	defer m.proposeMu.Unlock()
 	m.mu.Lock()
-	ok := m.state.takeable(m.now())
+	ok := m.state.mayAcquire(m.now())
 	next := m.state.current.number + 1
 	m.mu.Unlock()
 	if !ok {
 		return false
 	}
-	return m.propose(ctx, next, wireTerm{Holder: m.cfg.Holder, Duration: int64(m.cfg.Duration)})
+	return m.putTerm(ctx, next, wireTerm{Holder: m.cfg.Holder, Duration: int64(m.cfg.Duration)})
 }
 
 // HandOver gives the lease up, so that the next holder need not wait. The
 // caller must have no order on its way. From the call on, Check refuses.
 func (m *Manager) HandOver(ctx context.Context) bool {
-	m.proposing.Lock()
-	defer m.proposing.Unlock()
+	m.proposeMu.Lock()
+	defer m.proposeMu.Unlock()
 	m.mu.Lock()
-	mine := m.state.mine && inside(m.now(), m.state.validUntil)
+	held := m.state.held && certainlyBefore(m.now(), m.state.validUntil)
 	next := m.state.current.number + 1
-	m.state.mine = false
+	m.state.held = false
 	m.mu.Unlock()
-	if !mine {
+	if !held {
 		return false
 	}
-	return m.propose(ctx, next, wireTerm{})
+	return m.putTerm(ctx, next, wireTerm{})
 }
 
 // propose puts the term number, which must have been read together with what
 // allows it: read later, it may follow a term that nobody has judged.
-func (m *Manager) propose(ctx context.Context, number uint64, w wireTerm) bool {
+func (m *Manager) putTerm(ctx context.Context, number uint64, w wireTerm) bool {
 	value, err := cbor.Marshal(w)
 	if err != nil {
 		return false
@@ -128,10 +128,10 @@
 		Key:      m.key(number),
 		Nonce:    record.NewNonce(),
 		Value:    value,
-		Lifetime: keepTerms * m.cfg.Duration,
+		Lifetime: termRetentionDurations * m.cfg.Duration,
 	}
 	m.mu.Lock()
-	m.sent[r.Nonce] = m.now()
+	m.sentAt[r.Nonce] = m.now()
 	m.mu.Unlock()
 	res := m.store.Put(ctx, r)
 	if res.Outcome == node.OutcomeUnknown {
@@ -140,9 +140,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if res.Outcome == node.OutcomeUnknown {
-		m.state.released(r.Nonce)
+		m.state.observeRelease(r.Nonce)
 	}
-	delete(m.sent, r.Nonce)
+	delete(m.sentAt, r.Nonce)
 	return res.Outcome == node.OutcomeWon
 }
 
@@ -150,25 +150,25 @@
 	return record.Key(string(record.ClassLease) + "/" + m.cfg.Name + "/" + strconv.FormatUint(number, 10))
 }
 
-func (m *Manager) changed(c fold.Change) {
+func (m *Manager) onChange(c fold.Change) {
 	switch c.Verdict {
 	case fold.VerdictWon:
-		m.read(c.Register)
+		m.observeRegister(c.Register)
 	case fold.VerdictReleased:
 		m.mu.Lock()
-		m.state.released(c.Record.Nonce)
+		m.state.observeRelease(c.Record.Nonce)
 		m.mu.Unlock()
 	}
 }
 
-func (m *Manager) read(reg fold.Register) {
-	t, ok := m.parse(reg)
+func (m *Manager) observeRegister(reg fold.Register) {
+	t, ok := m.parseTerm(reg)
 	if !ok {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state.won(m.now(), t, m.sent[reg.Nonce])
+	m.state.observeTerm(m.now(), t, m.sentAt[reg.Nonce])
 }
 
 // unknownHolder stands for the writer of a term that can't be read: its number
@@ -176,7 +176,7 @@
 const unknownHolder = "?"
 
 // parse reads a term of this lease; those of others are ignored.
-func (m *Manager) parse(reg fold.Register) (term, bool) {
+func (m *Manager) parseTerm(reg fold.Register) (term, bool) {
 	prefix := string(record.ClassLease) + "/" + m.cfg.Name + "/"
 	rest, ok := strings.CutPrefix(string(reg.Key), prefix)
 	if !ok {
@@ -191,6 +191,6 @@
 		w = wireTerm{Holder: unknownHolder, Duration: int64(m.cfg.Duration)}
 	}
 	// No instance takes a lease for so long; it must not block the name for good.
-	length := min(time.Duration(w.Duration), keepTerms*m.cfg.Duration)
-	return term{number, w.Holder, length, reg.Offset, reg.Nonce}, true
+	duration := min(time.Duration(w.Duration), termRetentionDurations*m.cfg.Duration)
+	return term{number, w.Holder, duration, reg.Offset, reg.Nonce}, true
 }
--- a/coordination/ledger/bill.go
+++ b/coordination/ledger/bill.go
@@ -36,7 +36,7 @@
 const MicrosPerUnit = 1_000_000
 
 // maxField bounds a bill's names in bytes; escaped they must fit in a key.
-const maxField = 128
+const maxFieldBytes = 128
 
 // MaxValue bounds an encoded bill in bytes: four names and the numbers. A longer
 // one comes from somebody else, and would take more memory than is counted.
@@ -81,7 +81,7 @@
 		return trace.Wrap(ErrBill, "no team or no request id")
 	}
 	for _, f := range []string{b.Team, b.Request, b.Version, b.Service} {
-		if len(f) > maxField {
+		if len(f) > maxFieldBytes {
 			return trace.Wrap(ErrBill, "field of %d bytes", len(f))
 		}
 	}
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -27,7 +27,7 @@
 	DefaultBytes = 16 << 20
 	// maxHeldBill is the most that one bill takes; a reservation takes it whole,
 	// since the bill's size is not known yet.
-	maxHeldBill = record.MaxKey + MaxValue
+	maxHeldBillBytes = record.MaxKey + MaxValue
 )
 
 // Limits bound a Buffer; 0 means the default.
@@ -51,31 +51,31 @@
 // would be lost: a full buffer refuses work, never a bill. Safe for concurrent
 // use.
 type Buffer struct {
-	put    PutFunc
-	copyTo CopyFunc
-	limits Limits
+	put      PutFunc
+	sendCopy CopyFunc
+	limits   Limits
 
 	mu       sync.Mutex
-	held     map[heldID]record.Record
+	held     map[billID]record.Record
 	bytes    int
 	reserved int
 }
 
 // heldID is one proposal. Two bills of one request are two proposals: the log
 // decides between them, not the buffer.
-type heldID struct {
+type billID struct {
 	key   record.Key
 	nonce record.Nonce
 }
 
-func idOf(r record.Record) heldID { return heldID{r.Key, r.Nonce} }
+func idOf(r record.Record) billID { return billID{r.Key, r.Nonce} }
 
 func sizeOf(r record.Record) int { return len(r.Key) + len(r.Value) }
 
 // NewBuffer returns an empty Buffer; a nil copyTo means that no peer gets a
 // copy.
-func NewBuffer(limits Limits, put PutFunc, copyTo CopyFunc) *Buffer {
-	return &Buffer{put: put, copyTo: copyTo, limits: limits.withDefaults(), held: map[heldID]record.Record{}}
+func NewBuffer(limits Limits, put PutFunc, sendCopy CopyFunc) *Buffer {
+	return &Buffer{put: put, sendCopy: sendCopy, limits: limits.withDefaults(), held: map[billID]record.Record{}}
 }
 
 // Accept keeps a copy for a peer; the same bill again changes nothing. Errors
@@ -92,7 +92,7 @@
 	if b.full() {
 		return trace.Wrap(ErrFull)
 	}
-	b.keep(bill)
+	b.add(bill)
 	return nil
 }
 
@@ -132,11 +132,11 @@
 func (b *Buffer) fullFor(open int) bool {
 	open += b.reserved
 	tooMany := len(b.held)+open >= b.limits.Bills
-	return tooMany || b.bytes+(open+1)*maxHeldBill > b.limits.Bytes
+	return tooMany || b.bytes+(open+1)*maxHeldBillBytes > b.limits.Bytes
 }
 
 // keep returns false where the bill was held before.
-func (b *Buffer) keep(bill record.Record) (added bool) {
+func (b *Buffer) add(bill record.Record) (added bool) {
 	if _, have := b.held[idOf(bill)]; have {
 		return false
 	}
@@ -146,7 +146,7 @@
 }
 
 // settle drops a bill: the log has it, or a peer keeps it instead.
-func (b *Buffer) settle(bill record.Record) {
+func (b *Buffer) remove(bill record.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, have := b.held[idOf(bill)]; have {
--- a/coordination/ledger/export.go
+++ b/coordination/ledger/export.go
@@ -36,7 +36,7 @@
 }
 
 // exportPage is how many entries one read asks for.
-const exportPage = 512
+const exportPageEntries = 512
 
 // Export reads the log to its head and calls emit for each bill that counts, in
 // log order, from offset from on. It folds from the oldest offset kept, since a
@@ -44,7 +44,7 @@
 // give each bill once. An error of emit ends it and is returned.
 func Export(ctx context.Context, log platformlog.Log, cfg fold.Config, from uint64, emit func(Line) error) (Summary, error) {
 	e := exporter{from: from, emit: emit}
-	first, err := firstKept(ctx, log)
+	first, err := oldestOffset(ctx, log)
 	if err != nil {
 		return e.sum, err
 	}
@@ -57,7 +57,7 @@
 	cfg.BillLife = cfg.Retention
 	state := fold.NewFrom(cfg, fold.Options{}, first)
 	for {
-		page, err := log.Read(ctx, e.sum.Next, exportPage, 0)
+		page, err := log.Read(ctx, e.sum.Next, exportPageEntries, 0)
 		if err != nil {
 			return e.sum, trace.Wrap(err)
 		}
@@ -66,7 +66,7 @@
 			if err != nil {
 				return e.sum, err
 			}
-			if err := e.entry(changes); err != nil {
+			if err := e.addEntry(changes); err != nil {
 				return e.sum, err
 			}
 			e.sum.Next = entry.Offset + 1
@@ -78,7 +78,7 @@
 }
 
 // firstKept asks for offset 0 and learns the oldest offset from the answer.
-func firstKept(ctx context.Context, log platformlog.Log) (uint64, error) {
+func oldestOffset(ctx context.Context, log platformlog.Log) (uint64, error) {
 	page, err := log.Read(ctx, 0, 1, 0)
 	if err != nil && !errors.Is(err, platformlog.ErrTrimmed) {
 		return 0, trace.Wrap(err)
@@ -92,7 +92,7 @@
 	sum  Summary
 }
 
-func (e *exporter) entry(changes []fold.Change) error {
+func (e *exporter) addEntry(changes []fold.Change) error {
 	for i := range changes {
 		c := &changes[i]
 		if c.Record.Kind != record.KindPut || c.Record.Key.Class() != record.ClassBill {
@@ -105,14 +105,14 @@
 		if c.Register.Offset < e.from {
 			continue
 		}
-		if err := e.bill(c); err != nil {
+		if err := e.emitBill(c); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (e *exporter) bill(c *fold.Change) error {
+func (e *exporter) emitBill(c *fold.Change) error {
 	b, err := Parse(c.Record)
 	if err != nil {
 		e.sum.Malformed++
--- a/coordination/ledger/flush.go
+++ b/coordination/ledger/flush.go
@@ -15,7 +15,7 @@
 	// flushWidth is how many Puts one flush has under way: they share groups,
 	// so the width sets how many bills an append carries, and leaves room in
 	// the node's queue for the records of new requests.
-	flushWidth = 256
+	flushConcurrency = 256
 	// flushTimeout bounds one Put of a flush.
 	flushTimeout = 5 * time.Second
 )
@@ -37,7 +37,7 @@
 
 func (b *Buffer) flushAll(ctx context.Context, bills []record.Record) {
 	var g errgroup.Group
-	g.SetLimit(flushWidth)
+	g.SetLimit(flushConcurrency)
 	var failed atomic.Bool
 	for _, bill := range bills {
 		if failed.Load() {
@@ -61,7 +61,7 @@
 	defer cancel()
 	switch b.put(ctx, bill).Outcome {
 	case node.OutcomeWon, node.OutcomeLost:
-		b.settle(bill)
+		b.remove(bill)
 		return true
 	default:
 		return false
@@ -76,8 +76,8 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if b.copyOut(ctx, bill) == nil {
-			b.settle(bill)
+		if b.copyToPeer(ctx, bill) == nil {
+			b.remove(bill)
 		}
 	}
 	return b.Len()
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -160,7 +160,7 @@
 // a held bill does not take of it is free again.
 func TestBufferIsBoundedInBytes(t *testing.T) {
 	first := mustRecord(t, bill("a", 1))
-	b := NewBuffer(Limits{Bytes: maxHeldBill + sizeOf(first)}, nil, nil)
+	b := NewBuffer(Limits{Bytes: maxHeldBillBytes + sizeOf(first)}, nil, nil)
 	room, err := b.Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -183,8 +183,8 @@
 	if err := b.Accept(long); !errors.Is(err, ErrBill) {
 		t.Errorf("long value: %v", err)
 	}
-	b.settle(first)
-	b.settle(first)
+	b.remove(first)
+	b.remove(first)
 	if b.bytes != sizeOf(mustRecord(t, bill("b", 1))) || b.Full() {
 		t.Errorf("%d bytes counted", b.bytes)
 	}
@@ -194,7 +194,7 @@
 func TestFullForOpenRequests(t *testing.T) {
 	for name, limits := range map[string]Limits{
 		"in count": {Bills: 4},
-		"in bytes": {Bytes: 4 * maxHeldBill},
+		"in bytes": {Bytes: 4 * maxHeldBillBytes},
 	} {
 		b := NewBuffer(limits, nil, nil)
 		room, err := b.Reserve()
@@ -269,21 +269,21 @@
 		return node.Result{Outcome: node.OutcomeUnknown}
 	}
 	b := NewBuffer(Limits{}, put, func(context.Context, record.Record) error { return nil })
-	for i := range 10 * flushWidth {
+	for i := range 10 * flushConcurrency {
 		if err := b.Accept(mustRecord(t, bill(fmt.Sprint(i), 1))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if left := b.Flush(t.Context()); left != 10*flushWidth || puts != 1 {
+	if left := b.Flush(t.Context()); left != 10*flushConcurrency || puts != 1 {
 		t.Errorf("log down: %d left after %d puts", left, puts)
 	}
 	puts, takes = 0, 5
-	if left := b.Flush(t.Context()); left != 10*flushWidth-5 || puts > 5+2*flushWidth {
+	if left := b.Flush(t.Context()); left != 10*flushConcurrency-5 || puts > 5+2*flushConcurrency {
 		t.Errorf("log down midway: %d left after %d puts", left, puts)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if left := b.HandOver(ended); left != 10*flushWidth-5 {
+	if left := b.HandOver(ended); left != 10*flushConcurrency-5 {
 		t.Errorf("no time: %d left", left)
 	}
 	if left := b.HandOver(t.Context()); left != 0 || b.bytes != 0 {
--- a/coordination/ledger/reservation.go
+++ b/coordination/ledger/reservation.go
@@ -41,8 +41,8 @@
 // Hold keeps the bill and hands one copy to a peer. It never fails to keep it;
 // copied says whether a peer has it too, so that it outlives this process.
 func (r *Reservation) Hold(ctx context.Context, bill record.Record) (copied bool) {
-	used, _ := r.keep(bill)
-	return used && r.buffer.copyOut(ctx, bill) == nil
+	used, _ := r.use(bill)
+	return used && r.buffer.copyToPeer(ctx, bill) == nil
 }
 
 // HoldTwice keeps the bill here and at a peer, or fails. After an error this
@@ -53,34 +53,34 @@
 		r.Cancel()
 		return err
 	}
-	used, added := r.keep(bill)
+	used, added := r.use(bill)
 	if !used {
 		return trace.Wrap(ErrFull, "the reservation was used before")
 	}
-	err := r.buffer.copyOut(ctx, bill)
+	err := r.buffer.copyToPeer(ctx, bill)
 	if err != nil && added {
-		r.buffer.settle(bill)
+		r.buffer.remove(bill)
 	}
 	return err
 }
 
 // keep turns the reservation into the held bill.
-func (r *Reservation) keep(bill record.Record) (used, added bool) {
+func (r *Reservation) use(bill record.Record) (used, added bool) {
 	r.once.Do(func() {
 		r.buffer.mu.Lock()
 		defer r.buffer.mu.Unlock()
 		r.buffer.reserved--
-		used, added = true, r.buffer.keep(bill)
+		used, added = true, r.buffer.add(bill)
 	})
 	return used, added
 }
 
 // copyOut has a peer keep a copy. Errors wrap ErrNoCopy.
-func (b *Buffer) copyOut(ctx context.Context, bill record.Record) error {
-	if b.copyTo == nil {
+func (b *Buffer) copyToPeer(ctx context.Context, bill record.Record) error {
+	if b.sendCopy == nil {
 		return trace.Wrap(ErrNoCopy, "no peers")
 	}
-	if err := b.copyTo(ctx, bill); err != nil {
+	if err := b.sendCopy(ctx, bill); err != nil {
 		return trace.Wrap(ErrNoCopy, "%v", err)
 	}
 	return nil
--- a/coordination/ledger/writer.go
+++ b/coordination/ledger/writer.go
@@ -23,12 +23,12 @@
 type Writer struct {
 	log   platformlog.Log
 	cfg   WriterConfig
-	queue chan *pending
+	queue chan *pendingBill
 	// failedAt is when the last append failed, in Unix nanoseconds; 0 when it
 	// did not.
 	failedAt atomic.Int64
 	// last is the append loop's own.
-	last time.Time
+	lastAppend time.Time
 }
 
 // WriterConfig of a Writer. Zero fields take the defaults named at each.
@@ -43,20 +43,20 @@
 }
 
 const (
-	defaultWriterLinger = 20 * time.Millisecond
-	defaultWriterCall   = 2 * time.Second
+	defaultWriterLinger  = 20 * time.Millisecond
+	defaultAppendTimeout = 2 * time.Second
 	// writerQueue is how many bills may wait for the next append: one batch.
-	writerQueue = record.MaxRecords
+	writerQueueBills = record.MaxRecords
 	// writerRest is waited after a failed append, so that a log that is down is
 	// not asked by every bill.
-	writerRest = 100 * time.Millisecond
+	appendRetryDelay = 100 * time.Millisecond
 	// writerProbe is how long a failed append keeps bills from the log: they are
 	// held at once meanwhile, without a wait for each.
-	writerProbe = time.Second
+	unreachablePeriod = time.Second
 )
 
 // pending is one bill that waits for its append.
-type pending struct {
+type pendingBill struct {
 	record record.Record
 	// done has room for the one outcome, so a waiter that has left blocks nobody.
 	done chan error
@@ -68,23 +68,23 @@
 		cfg.Linger = func() time.Duration { return defaultWriterLinger }
 	}
 	if cfg.CallTimeout <= 0 {
-		cfg.CallTimeout = defaultWriterCall
+		cfg.CallTimeout = defaultAppendTimeout
 	}
-	return &Writer{log: log, cfg: cfg, queue: make(chan *pending, writerQueue)}
+	return &Writer{log: log, cfg: cfg, queue: make(chan *pendingBill, writerQueueBills)}
 }
 
 // Reachable is false for a while after an append that failed; then the next bill
 // asks the log again.
 func (w *Writer) Reachable() bool {
 	failed := w.failedAt.Load()
-	return failed == 0 || time.Now().UnixNano()-failed > int64(writerProbe)
+	return failed == 0 || time.Now().UnixNano()-failed > int64(unreachablePeriod)
 }
 
 // Put appends a bill with others. OutcomeWon says that it is in the log,
 // OutcomeVoid that it never was handed over, OutcomeUnknown that it may be in;
 // putting it again is harmless. It is a PutFunc.
 func (w *Writer) Put(ctx context.Context, r record.Record) node.Result {
-	p := &pending{record: r, done: make(chan error, 1)}
+	p := &pendingBill{record: r, done: make(chan error, 1)}
 	select {
 	case w.queue <- p:
 	case <-ctx.Done():
@@ -115,10 +115,10 @@
 	for {
 		select {
 		case p := <-w.queue:
-			w.pace(ctx)
-			w.append(w.gather(p))
+			w.waitLinger(ctx)
+			w.appendGroup(w.collectGroup(p))
 		case <-ctx.Done():
-			w.drain()
+			w.appendQueued()
 			return
 		}
 	}
@@ -126,8 +126,8 @@
 
 // pace keeps the fleet's appends within its budget. After an idle linger the
 // first bill goes out at once.
-func (w *Writer) pace(ctx context.Context) {
-	timer := time.NewTimer(time.Until(w.last.Add(w.cfg.Linger())))
+func (w *Writer) waitLinger(ctx context.Context) {
+	timer := time.NewTimer(time.Until(w.lastAppend.Add(w.cfg.Linger())))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -136,8 +136,8 @@
 }
 
 // gather takes what else waits.
-func (w *Writer) gather(first *pending) []*pending {
-	group := []*pending{first}
+func (w *Writer) collectGroup(first *pendingBill) []*pendingBill {
+	group := []*pendingBill{first}
 	for len(group) < record.MaxRecords {
 		select {
 		case p := <-w.queue:
@@ -149,17 +149,17 @@
 	return group
 }
 
-func (w *Writer) drain() {
+func (w *Writer) appendQueued() {
 	select {
 	case p := <-w.queue:
-		w.append(w.gather(p))
+		w.appendGroup(w.collectGroup(p))
 	default:
 	}
 }
 
-func (w *Writer) append(group []*pending) {
-	w.last = time.Now()
-	err := w.write(group)
+func (w *Writer) appendGroup(group []*pendingBill) {
+	w.lastAppend = time.Now()
+	err := w.appendBatch(group)
 	w.failedAt.Store(0)
 	if err != nil {
 		w.failedAt.Store(time.Now().UnixNano())
@@ -168,11 +168,11 @@
 		p.done <- err
 	}
 	if err != nil {
-		time.Sleep(writerRest)
+		time.Sleep(appendRetryDelay)
 	}
 }
 
-func (w *Writer) write(group []*pending) error {
+func (w *Writer) appendBatch(group []*pendingBill) error {
 	batch := record.Batch{Writer: w.cfg.Name, Stamped: time.Now()}
 	for _, p := range group {
 		batch.Records = append(batch.Records, p.record)
--- a/coordination/record/codec_test.go
+++ b/coordination/record/codec_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func put(key Key, n byte) Record {
+func putRecord(key Key, n byte) Record {
 	return Record{Kind: KindPut, Key: key, Nonce: Nonce{n}}
 }
 
@@ -75,9 +75,9 @@
 		"long writer":           {Batch{Writer: strings.Repeat("w", MaxWriter+1)}, ErrTooLarge},
 		"too many records":      {Batch{Writer: "w", Records: make([]Record, MaxRecords+1)}, ErrTooLarge},
 		"zero record":           {Batch{Writer: "w", Records: make([]Record, 1)}, ErrInvalid},
-		"long key":              {Batch{Writer: "w", Records: []Record{put(long, 1)}}, ErrTooLarge},
-		"key without class":     {Batch{Writer: "w", Records: []Record{put("x", 1)}}, ErrInvalid},
-		"no nonce":              {Batch{Writer: "w", Records: []Record{put("a/x", 0)}}, ErrInvalid},
+		"long key":              {Batch{Writer: "w", Records: []Record{putRecord(long, 1)}}, ErrTooLarge},
+		"key without class":     {Batch{Writer: "w", Records: []Record{putRecord("x", 1)}}, ErrInvalid},
+		"no nonce":              {Batch{Writer: "w", Records: []Record{putRecord("a/x", 0)}}, ErrInvalid},
 		"checkpoint with a key": {Batch{Writer: "w", Records: []Record{{Kind: KindCheckpoint, Key: "a/x"}}}, ErrInvalid},
 		"negative lifetime":     {Batch{Writer: "w", Records: []Record{{Kind: KindPut, Lifetime: -1}}}, ErrInvalid},
 		"long value":            {Batch{Writer: "w", Records: []Record{{Kind: KindPut, Value: make([]byte, MaxValue+1)}}}, ErrTooLarge},
@@ -92,7 +92,7 @@
 }
 
 func TestDecodeRefuses(t *testing.T) {
-	good, err := Encode(Batch{Writer: "w", Records: []Record{put("a/x", 1)}})
+	good, err := Encode(Batch{Writer: "w", Records: []Record{putRecord("a/x", 1)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	good, _ := Encode(Batch{Writer: "w", Stamped: time.Unix(9, 0), Records: []Record{put("a/x", 1)}})
+	good, _ := Encode(Batch{Writer: "w", Stamped: time.Unix(9, 0), Records: []Record{putRecord("a/x", 1)}})
 	f.Add(good)
 	f.Add([]byte{0x84})
 	f.Fuzz(func(t *testing.T, data []byte) {
