--- a/coordination/examples/claim/main.go
+++ b/coordination/examples/claim/main.go
@@ -50,15 +50,15 @@
 			return err
 		}
 	}
-	_, err := ledger.Export(ctx, service.Client("export"), fold.DefaultConfig(), 0, func(l ledger.Line) error {
-		fmt.Printf("ledger: %s %s %d micros\n", l.Team, l.Request, l.CostMicros)
+	_, err := ledger.Export(ctx, service.Client("export"), fold.DefaultConfig(), 0, func(l ledger.ExportedBill) error {
+		fmt.Printf("ledger: %s %s %d micros\n", l.Team, l.RequestID, l.CostMicros)
 		return nil
 	})
 	return err
 }
 
 func bill(ctx context.Context, n *node.Node) error {
-	b := ledger.Bill{Team: "weavers", Request: "reserve-17", Service: "stock", CostMicros: 1500, Attempts: 1}
+	b := ledger.Bill{Team: "weavers", RequestID: "reserve-17", Service: "stock", CostMicros: 1500, Attempts: 1}
 	r, err := b.Record()
 	if err != nil {
 		return err
--- a/coordination/faultmatrix/bed.go
+++ b/coordination/faultmatrix/bed.go
@@ -60,7 +60,7 @@
 func (b *bed) begin(name string) *instance {
 	b.t.Helper()
 	in := &instance{name: name, tracker: freshness.New(freshness.Config{Self: name})}
-	in.tracker.Live(fleet)
+	in.tracker.SetLiveInstances(fleet)
 	refuse := func(r record.Record, _ *fold.State) error {
 		if string(r.Value) == "invalid" {
 			return errors.New("invalid")
@@ -207,7 +207,7 @@
 
 func (b *bed) bill() record.Record {
 	b.t.Helper()
-	bill := ledger.Bill{Team: "t", Request: "r", CostMicros: 5, Attempts: 1}
+	bill := ledger.Bill{Team: "t", RequestID: "r", CostMicros: 5, Attempts: 1}
 	r, err := bill.Record()
 	if err != nil {
 		b.t.Fatal(err)
@@ -219,7 +219,7 @@
 func (b *bed) billed(n int) {
 	b.t.Helper()
 	got := 0
-	_, err := ledger.Export(context.Background(), b.log.Client("export"), foldConfig, 0, func(ledger.Line) error {
+	_, err := ledger.Export(context.Background(), b.log.Client("export"), foldConfig, 0, func(ledger.ExportedBill) error {
 		got++
 		return nil
 	})
@@ -233,9 +233,9 @@
 	b.t.Helper()
 	var copyTo ledger.CopyFunc
 	if peer != nil {
-		copyTo = func(_ context.Context, r record.Record) error { return peer.Accept(r) }
+		copyTo = func(_ context.Context, r record.Record) error { return peer.AcceptCopy(r) }
 	}
-	buf := ledger.NewBuffer(ledger.Limits{Bills: 1}, in.Put, copyTo)
+	buf := ledger.NewBuffer(ledger.BufferLimits{MaxBills: 1}, in.Put, copyTo)
 	room, err := buf.Reserve()
 	if err != nil {
 		b.t.Fatal(err)
--- a/coordination/faultmatrix/bill_test.go
+++ b/coordination/faultmatrix/bill_test.go
@@ -15,7 +15,7 @@
 	{"bill", "append", "kill", func(b *bed) {
 		// Killed with the append under way, with a copy at a peer: once.
 		a, c := b.start("a"), b.start("c")
-		peer := ledger.NewBuffer(ledger.Limits{}, c.Put, nil)
+		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		b.buffer(a, peer)
 		b.log.FailAppends(logtest.AppendLate)
 		done := b.going(a, b.bill())
@@ -27,7 +27,7 @@
 	}},
 	{"bill", "before append", "kill", func(b *bed) {
 		a, c := b.start("a"), b.start("c")
-		peer := ledger.NewBuffer(ledger.Limits{}, c.Put, nil)
+		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		b.buffer(a, peer)
 		b.kill(a)
 		b.flush(peer, 0)
@@ -35,7 +35,7 @@
 	}},
 	{"bill", "read back", "kill", func(b *bed) {
 		a, c := b.start("a"), b.start("c")
-		peer := ledger.NewBuffer(ledger.Limits{}, c.Put, nil)
+		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		b.buffer(a, peer)
 		b.put(a, b.bill(), node.OutcomeWon)
 		b.kill(a)
@@ -44,7 +44,7 @@
 	}},
 	{"bill", "append", "cut", func(b *bed) {
 		a, c := b.start("a"), b.start("c")
-		peer := ledger.NewBuffer(ledger.Limits{}, c.Put, nil)
+		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		own := b.buffer(a, peer)
 		b.log.Cut("a", true)
 		b.put(a, b.bill(), node.OutcomeVoid)
@@ -57,7 +57,7 @@
 	}},
 	{"bill", "append", "freeze", func(b *bed) {
 		a, c := b.start("a"), b.start("c")
-		peer := ledger.NewBuffer(ledger.Limits{}, c.Put, nil)
+		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		own := b.buffer(a, peer)
 		b.flush(peer, 0)
 		b.freeze(a, 10*time.Minute)
@@ -67,11 +67,11 @@
 	}},
 	{"bill", "append", "log down", func(b *bed) {
 		a, c := b.start("a"), b.start("c")
-		peer := ledger.NewBuffer(ledger.Limits{}, c.Put, nil)
+		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		b.log.SetDown(true)
 		own := b.buffer(a, peer)
 		b.flush(own, 1)
-		if _, err := own.Reserve(); !errors.Is(err, ledger.ErrFull) {
+		if _, err := own.Reserve(); !errors.Is(err, ledger.ErrBufferFull) {
 			b.t.Errorf("a full buffer takes work: %v", err)
 		}
 		b.log.SetDown(false)
@@ -106,14 +106,14 @@
 	{"bill", "append", "second run", func(b *bed) {
 		// An idempotent request that ran at two instances: one bill, the first.
 		a, c := b.start("a"), b.start("c")
-		other := ledger.Bill{Team: "t", Request: "r", CostMicros: 9, Attempts: 2}
+		other := ledger.Bill{Team: "t", RequestID: "r", CostMicros: 9, Attempts: 2}
 		r, err := other.Record()
 		if err != nil {
 			b.t.Fatal(err)
 		}
 		b.put(a, b.bill(), node.OutcomeWon)
-		held := ledger.NewBuffer(ledger.Limits{}, c.Put, nil)
-		if err := held.Accept(r); err != nil {
+		held := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
+		if err := held.AcceptCopy(r); err != nil {
 			b.t.Fatal(err)
 		}
 		b.flush(held, 0)
--- a/coordination/faultmatrix/start_test.go
+++ b/coordination/faultmatrix/start_test.go
@@ -115,7 +115,7 @@
 		c := b.begin("c")
 		time.Sleep(20 * time.Second)
 		b.notReady(c)
-		if n := c.Digest().Next; n != 0 {
+		if n := c.Digest().NextOffset; n != 0 {
 			b.t.Errorf("it took the stale checkpoint, at %d", n)
 		}
 		before := a.Digest().Hash
@@ -190,7 +190,7 @@
 	return m
 }
 
-func (b *bed) order(m *lease.Manager, e lease.Engine, want lease.Refusal) uint64 {
+func (b *bed) order(m *lease.Manager, e lease.FencingSupport, want lease.CheckResult) uint64 {
 	b.t.Helper()
 	fence, got := m.Check(e)
 	if got != want {
@@ -201,7 +201,7 @@
 
 func (b *bed) take(m *lease.Manager, want bool) {
 	b.t.Helper()
-	if got := m.Take(b.t.Context()); got != want {
+	if got := m.Acquire(b.t.Context()); got != want {
 		b.t.Errorf("took the lease: %v, want %v", got, want)
 	}
 }
@@ -212,16 +212,16 @@
 		a, c := b.start("a"), b.start("c")
 		old, next := b.manager(a), b.manager(c)
 		b.take(old, true)
-		first := b.order(old, lease.EngineFences, lease.Allowed)
+		first := b.order(old, lease.FencingEnforced, lease.Allowed)
 		b.freeze(a, 11*time.Second)
-		b.order(old, lease.EngineFences, lease.Lapsed)
+		b.order(old, lease.FencingEnforced, lease.Expired)
 		b.take(next, true)
-		if second := b.order(next, lease.EngineFences, lease.Allowed); second <= first {
+		if second := b.order(next, lease.FencingEnforced, lease.Allowed); second <= first {
 			b.t.Errorf("fencing number %d after %d", second, first)
 		}
-		b.order(next, lease.EngineIgnores, lease.Waiting)
+		b.order(next, lease.FencingIgnored, lease.WaitingForPredecessor)
 		time.Sleep(5 * time.Second)
-		b.order(old, lease.EngineFences, lease.NotHolder)
+		b.order(old, lease.FencingEnforced, lease.NotHolder)
 		b.take(old, false)
 	}},
 	{"order", "take", "kill", func(b *bed) {
@@ -232,18 +232,18 @@
 		b.take(next, false)
 		time.Sleep(10 * time.Second)
 		b.take(next, true)
-		b.order(next, lease.EngineIgnores, lease.Waiting)
+		b.order(next, lease.FencingIgnored, lease.WaitingForPredecessor)
 		time.Sleep(7 * time.Second)
 		b.take(next, true)
 		time.Sleep(5200 * time.Millisecond)
-		b.order(next, lease.EngineIgnores, lease.Allowed)
+		b.order(next, lease.FencingIgnored, lease.Allowed)
 	}},
 	{"order", "take", "lost reply", func(b *bed) {
 		a, c := b.start("a"), b.start("c")
 		b.log.FailAppends(logtest.AppendReplyLost)
 		m := b.manager(a)
 		b.take(m, true)
-		b.order(m, lease.EngineFences, lease.Allowed)
+		b.order(m, lease.FencingEnforced, lease.Allowed)
 		b.take(b.manager(c), false)
 	}},
 	{"order", "renew", "log down", func(b *bed) {
@@ -253,9 +253,9 @@
 		b.log.SetDown(true)
 		time.Sleep(4 * time.Second)
 		b.take(m, false)
-		b.order(m, lease.EngineFences, lease.Allowed)
+		b.order(m, lease.FencingEnforced, lease.Allowed)
 		time.Sleep(4 * time.Second)
-		b.order(m, lease.EngineFences, lease.Lapsed)
+		b.order(m, lease.FencingEnforced, lease.Expired)
 	}},
 	{"order", "renew", "cut", func(b *bed) {
 		a, c := b.start("a"), b.start("c")
@@ -263,7 +263,7 @@
 		b.take(old, true)
 		b.log.Cut("a", true)
 		time.Sleep(10 * time.Second)
-		b.order(old, lease.EngineFences, lease.Lapsed)
+		b.order(old, lease.FencingEnforced, lease.Expired)
 		b.take(next, true)
 	}},
 }
--- a/coordination/fold/checkpoint.go
+++ b/coordination/fold/checkpoint.go
@@ -13,7 +13,7 @@
 	// up behind one huge append.
 	partBytes = 512 << 10
 	// maxParts follows from MaxSnapshot.
-	maxParts = MaxSnapshot/partBytes + 1
+	maxParts = MaxSnapshotBytes/partBytes + 1
 	// maxOpen is how many unfinished checkpoints an Assembler keeps. Writers
 	// append theirs one after the other; a few may overlap.
 	maxPartialCheckpoints = 4
@@ -51,7 +51,7 @@
 
 // CheckpointPart says which part of how many r carries; ok is false where r is
 // no part of a checkpoint.
-func CheckpointPart(r *record.Record) (part, parts int, ok bool) {
+func ParseCheckpointPart(r *record.Record) (part, parts int, ok bool) {
 	w, ok := parsePart(r)
 	return int(w.Part), int(w.Parts), ok
 }
@@ -73,7 +73,7 @@
 // with the highest Next. Which one it is does not matter for the outcome: each
 // is the state after a prefix, and the reader folds the rest of the log on it.
 // The zero value is ready. Not safe for concurrent use.
-type Assembler struct {
+type CheckpointAssembler struct {
 	partial    []*partialCheckpoint
 	latest     []byte
 	nextOffset uint64
@@ -88,7 +88,7 @@
 
 // Add takes one record; others than checkpoints and malformed parts are
 // ignored.
-func (a *Assembler) Add(r *record.Record) {
+func (a *CheckpointAssembler) Add(r *record.Record) {
 	w, ok := parsePart(r)
 	if !ok {
 		return
@@ -105,11 +105,11 @@
 }
 
 // Best returns the complete checkpoint with the highest Next.
-func (a *Assembler) Best() (snapshot []byte, next uint64, ok bool) {
+func (a *CheckpointAssembler) Latest() (snapshot []byte, next uint64, ok bool) {
 	return a.latest, a.nextOffset, a.latest != nil
 }
 
-func (a *Assembler) find(nonce record.Nonce, w *wirePart) *partialCheckpoint {
+func (a *CheckpointAssembler) find(nonce record.Nonce, w *wirePart) *partialCheckpoint {
 	for _, o := range a.partial {
 		if o.nonce != nonce {
 			continue
@@ -127,7 +127,7 @@
 	return o
 }
 
-func (a *Assembler) finish(o *partialCheckpoint) {
+func (a *CheckpointAssembler) finish(o *partialCheckpoint) {
 	for i, other := range a.partial {
 		if other == o {
 			a.partial = append(a.partial[:i:i], a.partial[i+1:]...)
--- a/coordination/fold/fold.go
+++ b/coordination/fold/fold.go
@@ -30,7 +30,7 @@
 	// later winner of any key, so it serves as a fencing number.
 	Offset uint64
 	// At is the log's time of the winning Put; Expires is zero for never.
-	At      time.Time
+	LogTime time.Time
 	Expires time.Time
 }
 
@@ -66,7 +66,7 @@
 // Digest summarises a state for comparison between peers.
 type Digest struct {
 	// Next is the offset that will be folded next.
-	Next uint64
+	NextOffset uint64
 	// Generation is the number of the manifest in force.
 	Generation uint64
 	// Hash covers the live registers; equal Next and unlike Hash is a broken
@@ -88,15 +88,15 @@
 	// at most the Retention: long enough that the retries of a bill, and the
 	// copies that peers held, meet it. Whoever reads the ledger keeps them for
 	// the Retention, so a doubled bill is void there however late it comes.
-	BillLife time.Duration
+	BillLifetime time.Duration
 }
 
 // DefaultConfig returns the defaults given at Config's fields.
 func DefaultConfig() Config {
 	return Config{
-		ClaimWindow: 12 * time.Hour,
-		ClockSkew:   30 * time.Second,
-		Retention:   24 * time.Hour,
-		BillLife:    10 * time.Minute,
+		ClaimWindow:  12 * time.Hour,
+		ClockSkew:    30 * time.Second,
+		Retention:    24 * time.Hour,
+		BillLifetime: 10 * time.Minute,
 	}
 }
--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -237,10 +237,10 @@
 	if _, err := s.Apply(platformlog.Entry{Offset: 0, Data: []byte("junk")}, nil); err != nil {
 		t.Fatal(err)
 	}
-	if s.Malformed() != 1 || s.Digest().Next != 1 {
-		t.Errorf("malformed %d, next %d", s.Malformed(), s.Digest().Next)
+	if s.MalformedEntries() != 1 || s.Digest().NextOffset != 1 {
+		t.Errorf("malformed %d, next %d", s.MalformedEntries(), s.Digest().NextOffset)
 	}
-	if _, err := s.Apply(platformlog.Entry{Offset: 5}, nil); !errors.Is(err, ErrGap) {
+	if _, err := s.Apply(platformlog.Entry{Offset: 5}, nil); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("gap: %v", err)
 	}
 }
@@ -263,8 +263,8 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFeed(t)
 			for i, st := range stamps {
-				f.batch(time.Time{}, record.Batch{Writer: st.writer, Stamped: start.Add(st.after)})
-				if got := f.s.Now().Sub(start); got != st.want {
+				f.batch(time.Time{}, record.Batch{Writer: st.writer, WriterTime: start.Add(st.after)})
+				if got := f.s.LogTime().Sub(start); got != st.want {
 					t.Fatalf("step %d: log time %v, want %v", i, got, st.want)
 				}
 			}
@@ -278,7 +278,7 @@
 	b := record.Batch{Writer: "w", Records: []record.Record{put("session/a", 1), put("session/a", 2), put("session/b", 2)}}
 	f.batch(start, b)
 	a, _ := f.s.Lookup("session/a")
-	if a.Offset != 1 || a.Nonce != (record.Nonce{1}) || a.Writer != "w" || !a.At.Equal(start) {
+	if a.Offset != 1 || a.Nonce != (record.Nonce{1}) || a.Writer != "w" || !a.LogTime.Equal(start) {
 		t.Errorf("got %+v", a)
 	}
 	if regs := f.s.Registers("session"); len(regs) != 3 || regs[0].Key != "session/x" {
--- a/coordination/fold/property_test.go
+++ b/coordination/fold/property_test.go
@@ -237,18 +237,18 @@
 	if len(newParts) < 3 {
 		t.Fatalf("%d parts", len(newParts))
 	}
-	var a Assembler
+	var a CheckpointAssembler
 	// Parts of two writers overlap, one comes twice, one is junk.
 	a.Add(&record.Record{Kind: record.KindCheckpoint, Value: []byte("junk")})
 	a.Add(&newParts[0])
 	a.Add(&newParts[0])
 	for i := range oldParts {
-		if _, _, ok := a.Best(); ok {
+		if _, _, ok := a.Latest(); ok {
 			t.Fatal("complete too soon")
 		}
 		a.Add(&oldParts[i])
 	}
-	if _, next, _ := a.Best(); next != 3 {
+	if _, next, _ := a.Latest(); next != 3 {
 		t.Fatalf("best at %d, want 3", next)
 	}
 	for i := range newParts[1:] {
@@ -258,7 +258,7 @@
 	for i := range oldParts {
 		a.Add(&oldParts[i])
 	}
-	data, next, ok := a.Best()
+	data, next, ok := a.Latest()
 	if !ok || next != 5 {
 		t.Fatalf("best at %d, %v", next, ok)
 	}
@@ -276,7 +276,7 @@
 	other := testConfig
 	other.Retention++
 	other.Retention += time.Second
-	if _, err := Restore(other, Options{}, good); !errors.Is(err, ErrSnapshot) {
+	if _, err := Restore(other, Options{}, good); !errors.Is(err, ErrInvalidSnapshot) {
 		t.Errorf("other bounds: %v", err)
 	}
 	// Any single damaged byte is either refused or harmless in form; it never
@@ -313,9 +313,9 @@
 	}
 	f.Add(parts[0].Value)
 	f.Fuzz(func(t *testing.T, value []byte) {
-		var a Assembler
+		var a CheckpointAssembler
 		a.Add(&record.Record{Kind: record.KindCheckpoint, Value: value})
-		if data, _, ok := a.Best(); ok {
+		if data, _, ok := a.Latest(); ok {
 			_, _ = Restore(testConfig, Options{}, data)
 		}
 	})
--- a/coordination/fold/registers.go
+++ b/coordination/fold/registers.go
@@ -46,17 +46,17 @@
 
 // Digest summarises the state.
 func (s *State) Digest() Digest {
-	return Digest{Next: s.next, Generation: s.generation, Hash: s.table.hash}
+	return Digest{NextOffset: s.next, Generation: s.generation, Hash: s.table.hash}
 }
 
 // Len is the number of registers held.
 func (s *State) Len() int { return len(s.table.index) }
 
 // Malformed counts the entries that were no valid batch.
-func (s *State) Malformed() uint64 { return s.malformed }
+func (s *State) MalformedEntries() uint64 { return s.malformed }
 
 // Now is the log's time.
-func (s *State) Now() time.Time { return record.FromMicros(s.clock.now) }
+func (s *State) LogTime() time.Time { return record.FromMicros(s.clock.now) }
 
 // Config returns the bounds that the state was made with.
 func (s *State) Config() Config { return s.cfg }
--- a/coordination/fold/rules.go
+++ b/coordination/fold/rules.go
@@ -23,7 +23,7 @@
 		claimWindow:  cfg.ClaimWindow.Microseconds(),
 		skew:         cfg.ClockSkew.Microseconds(),
 		retention:    cfg.Retention.Microseconds(),
-		billLifetime: cfg.BillLife.Microseconds(),
+		billLifetime: cfg.BillLifetime.Microseconds(),
 	}
 	// A key may be claimed from skew before its time until a window past it,
 	// so a claim is kept for longer than any other Put of its key can win.
--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -11,13 +11,13 @@
 )
 
 // ErrSnapshot means that bytes are no snapshot that this reader can take.
-var ErrSnapshot = errors.New("fold: malformed snapshot")
+var ErrInvalidSnapshot = errors.New("fold: malformed snapshot")
 
 const (
 	snapshotVersion = 1
 	// MaxSnapshot is the longest snapshot in bytes: what an instance of 256 MB
 	// can hold beside the state that it replaces.
-	MaxSnapshot = 96 << 20
+	MaxSnapshotBytes = 96 << 20
 	// maxRows bounds the registers and tombstones of a snapshot.
 	maxSnapshotRows = 4_000_000
 )
@@ -98,8 +98,8 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if len(data) > MaxSnapshot {
-		return nil, trace.Wrap(ErrSnapshot, "%d bytes are beyond the limit", len(data))
+	if len(data) > MaxSnapshotBytes {
+		return nil, trace.Wrap(ErrInvalidSnapshot, "%d bytes are beyond the limit", len(data))
 	}
 	return data, nil
 }
@@ -143,12 +143,12 @@
 // the manifest's place; a snapshot forged as a whole is for mutual TLS to keep
 // out.
 func Restore(cfg Config, opts Options, snapshot []byte) (*State, error) {
-	if len(snapshot) > MaxSnapshot {
-		return nil, trace.Wrap(ErrSnapshot, "%d bytes are beyond the limit", len(snapshot))
+	if len(snapshot) > MaxSnapshotBytes {
+		return nil, trace.Wrap(ErrInvalidSnapshot, "%d bytes are beyond the limit", len(snapshot))
 	}
 	var w wireSnapshot
 	if err := snapshotDecMode.Unmarshal(snapshot, &w); err != nil {
-		return nil, trace.Wrap(ErrSnapshot, "%v", err)
+		return nil, trace.Wrap(ErrInvalidSnapshot, "%v", err)
 	}
 	s := New(cfg, opts)
 	if err := s.checkHeader(&w); err != nil {
@@ -170,13 +170,13 @@
 
 func (s *State) checkHeader(w *wireSnapshot) error {
 	if w.Version != snapshotVersion {
-		return trace.Wrap(ErrSnapshot, "version %d", w.Version)
+		return trace.Wrap(ErrInvalidSnapshot, "version %d", w.Version)
 	}
 	if w.ClaimWindow != s.rules.claimWindow || w.ClockSkew != s.rules.skew || w.Retention != s.rules.retention {
-		return trace.Wrap(ErrSnapshot, "made with other bounds")
+		return trace.Wrap(ErrInvalidSnapshot, "made with other bounds")
 	}
-	if w.Now < 0 || w.Now > maxTimestampMicros || len(w.PendingWriter) > record.MaxWriter {
-		return trace.Wrap(ErrSnapshot, "time out of range")
+	if w.Now < 0 || w.Now > maxTimestampMicros || len(w.PendingWriter) > record.MaxWriterBytes {
+		return trace.Wrap(ErrInvalidSnapshot, "time out of range")
 	}
 	return nil
 }
@@ -185,7 +185,7 @@
 	for i := range rows {
 		w := &rows[i]
 		if i > 0 && rows[i-1].Key >= w.Key {
-			return trace.Wrap(ErrSnapshot, "registers out of order")
+			return trace.Wrap(ErrInvalidSnapshot, "registers out of order")
 		}
 		r := row{
 			key:     record.Key(w.Key),
@@ -195,10 +195,10 @@
 			at:      w.At,
 			expires: w.Expires,
 		}
-		bad := len(w.Nonce) != len(r.nonce) || len(w.Key) > record.MaxKey || len(w.Value) > record.MaxValue ||
-			len(w.Writer) > record.MaxWriter || r.key.Class() == "" || w.Offset >= s.next || w.Expires < 0
+		bad := len(w.Nonce) != len(r.nonce) || len(w.Key) > record.MaxKeyBytes || len(w.Value) > record.MaxValueBytes ||
+			len(w.Writer) > record.MaxWriterBytes || r.key.Class() == "" || w.Offset >= s.next || w.Expires < 0
 		if bad {
-			return trace.Wrap(ErrSnapshot, "register %d", i)
+			return trace.Wrap(ErrInvalidSnapshot, "register %d", i)
 		}
 		copy(r.nonce[:], w.Nonce)
 		if len(w.Value) == 0 {
@@ -213,12 +213,12 @@
 	for i := range tombstones {
 		w := &tombstones[i]
 		p := proposal{key: record.Key(w.Key)}
-		if len(w.Nonce) != len(p.nonce) || len(w.Key) > record.MaxKey || w.Expires < 0 {
-			return trace.Wrap(ErrSnapshot, "tombstone %d", i)
+		if len(w.Nonce) != len(p.nonce) || len(w.Key) > record.MaxKeyBytes || w.Expires < 0 {
+			return trace.Wrap(ErrInvalidSnapshot, "tombstone %d", i)
 		}
 		copy(p.nonce[:], w.Nonce)
 		if _, duplicate := s.tombstones[p]; duplicate {
-			return trace.Wrap(ErrSnapshot, "tombstone %d stands twice", i)
+			return trace.Wrap(ErrInvalidSnapshot, "tombstone %d stands twice", i)
 		}
 		s.tombstones[p] = w.Expires
 		s.tombstoneExpiries.add(w.Expires, p)
@@ -228,18 +228,18 @@
 
 func (s *State) checkRestored(hash uint64) error {
 	if s.table.hash != hash {
-		return trace.Wrap(ErrSnapshot, "hash differs")
+		return trace.Wrap(ErrInvalidSnapshot, "hash differs")
 	}
 	if s.generation == 0 {
 		if s.manifestKey != "" || s.manifestDigest != "" {
-			return trace.Wrap(ErrSnapshot, "manifest without a generation")
+			return trace.Wrap(ErrInvalidSnapshot, "manifest without a generation")
 		}
 		return nil
 	}
 	w := s.table.find(s.manifestKey)
 	generation, _, err := record.ParseManifestKey(s.manifestKey)
 	if w == nil || err != nil || generation != s.generation || record.ManifestDigest(w.value) != s.manifestDigest {
-		return trace.Wrap(ErrSnapshot, "manifest does not match its generation")
+		return trace.Wrap(ErrInvalidSnapshot, "manifest does not match its generation")
 	}
 	return nil
 }
--- a/coordination/fold/state.go
+++ b/coordination/fold/state.go
@@ -13,7 +13,7 @@
 )
 
 // ErrGap means that an entry was offered out of its order.
-var ErrGap = errors.New("fold: entry is not the next one")
+var ErrOutOfOrder = errors.New("fold: entry is not the next one")
 
 // Validator judges the content of a Put that would otherwise win. It must be
 // pure: what it returns may depend on nothing but its arguments, since every
@@ -68,7 +68,7 @@
 // NewFrom returns a state that starts at the entry next, as if nothing had come
 // before. It is right only for classes whose registers live no longer than the
 // log keeps records (bills), for a reader that starts at the oldest entry kept.
-func NewFrom(cfg Config, opts Options, next uint64) *State {
+func NewAtOffset(cfg Config, opts Options, next uint64) *State {
 	s := New(cfg, opts)
 	s.next = next
 	return s
@@ -85,10 +85,10 @@
 	if c.Retention <= 0 {
 		c.Retention = d.Retention
 	}
-	if c.BillLife <= 0 {
-		c.BillLife = d.BillLife
+	if c.BillLifetime <= 0 {
+		c.BillLifetime = d.BillLifetime
 	}
-	c.BillLife = min(c.BillLife, c.Retention)
+	c.BillLifetime = min(c.BillLifetime, c.Retention)
 	return c
 }
 
@@ -96,7 +96,7 @@
 // that is no valid batch changes nothing but the time. The one error is ErrGap.
 func (s *State) Apply(e platformlog.Entry, out []Change) ([]Change, error) {
 	if e.Offset != s.next {
-		return out, trace.Wrap(ErrGap, "offset %d, want %d", e.Offset, s.next)
+		return out, trace.Wrap(ErrOutOfOrder, "offset %d, want %d", e.Offset, s.next)
 	}
 	b, err := record.Decode(e.Data)
 	if err != nil {
@@ -109,9 +109,9 @@
 // ApplyBatch is Apply for an entry that was decoded already.
 func (s *State) ApplyBatch(offset uint64, logTime time.Time, b *record.Batch, out []Change) ([]Change, error) {
 	if offset != s.next {
-		return out, trace.Wrap(ErrGap, "offset %d, want %d", offset, s.next)
+		return out, trace.Wrap(ErrOutOfOrder, "offset %d, want %d", offset, s.next)
 	}
-	s.clock.observe(record.Micros(logTime), record.Micros(b.Stamped), b.Writer)
+	s.clock.observe(record.Micros(logTime), record.Micros(b.WriterTime), b.Writer)
 	s.collectExpired()
 	for i := range b.Records {
 		out = append(out, s.applyRecord(offset, b.Writer, &b.Records[i]))
--- a/coordination/fold/table.go
+++ b/coordination/fold/table.go
@@ -28,7 +28,7 @@
 		Value:   w.value,
 		Writer:  w.writer,
 		Offset:  w.offset,
-		At:      record.FromMicros(w.at),
+		LogTime: record.FromMicros(w.at),
 		Expires: record.FromMicros(w.expires),
 	}
 }
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -51,8 +51,8 @@
 	Age time.Duration
 	// Answering counts the live instances, oneself included, that say they
 	// can't reach the log; Live is the size of the list.
-	Answering int
-	Live      int
+	LogUnreachable int
+	LiveInstances  int
 }
 
 // New returns a Tracker that has seen nothing: ModeStale.
@@ -118,7 +118,7 @@
 
 // Live sets the list of live instances; it may name oneself. It lags, which is
 // why it only sets how many must answer.
-func (t *Tracker) Live(names []string) {
+func (t *Tracker) SetLiveInstances(names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	// An empty list is a fault of the list, not a fleet of one.
@@ -156,7 +156,7 @@
 	if pauseBetween(t.lastTick, now) > t.bound/2 {
 		t.observeTick(now)
 	}
-	r := Report{Age: -1, Live: len(t.live) + 1}
+	r := Report{Age: -1, LiveInstances: len(t.live) + 1}
 	if !t.confirmedAt.IsZero() {
 		r.Age = now.Sub(t.confirmedAt)
 	}
@@ -165,8 +165,8 @@
 		return r
 	}
 	reachable := false
-	r.Answering, reachable = t.countUnreachable(now)
-	if t.hasList && !reachable && 2*r.Answering > r.Live {
+	r.LogUnreachable, reachable = t.countUnreachable(now)
+	if t.hasList && !reachable && 2*r.LogUnreachable > r.LiveInstances {
 		r.Mode = ModeOutage
 	}
 	return r
--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -18,7 +18,7 @@
 	s := &scenario{t, New(Config{Self: "me"}), start}
 	s.tr.Tick(s.now)
 	if live != nil {
-		s.tr.Live(live)
+		s.tr.SetLiveInstances(live)
 	}
 	return s
 }
@@ -210,7 +210,7 @@
 				s.peer("a", 10, time.Minute, false)
 				s.peer("b", 10, time.Minute, false)
 			})
-			s.tr.Live([]string{"me", "b", "c", "d"})
+			s.tr.SetLiveInstances([]string{"me", "b", "c", "d"})
 			s.want(ModeStale)
 		},
 	}
@@ -233,7 +233,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, tt.live...)
 			if tt.live != nil {
-				s.tr.Live(tt.live)
+				s.tr.SetLiveInstances(tt.live)
 			}
 			s.fresh()
 			s.run(6, func() { s.tr.ReadFailed(s.now) })
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -82,18 +82,18 @@
 	RelationAhead
 	// RelationBroken: the same prefix gave two states. This can't be while all
 	// run the same rules; neither state is to be trusted.
-	RelationBroken
+	RelationDiverged
 )
 
 // Compare relates the own digest to a peer's.
 func Compare(own, peer fold.Digest) Relation {
 	switch {
-	case own.Next < peer.Next:
+	case own.NextOffset < peer.NextOffset:
 		return RelationBehind
-	case own.Next > peer.Next:
+	case own.NextOffset > peer.NextOffset:
 		return RelationAhead
 	case own != peer:
-		return RelationBroken
+		return RelationDiverged
 	default:
 		return RelationEqual
 	}
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -66,12 +66,12 @@
 }
 
 func TestCompare(t *testing.T) {
-	own := fold.Digest{Next: 5, Generation: 2, Hash: 9}
+	own := fold.Digest{NextOffset: 5, Generation: 2, Hash: 9}
 	tests := map[Relation]fold.Digest{
-		RelationEqual:  own,
-		RelationBehind: {Next: 6, Generation: 2, Hash: 1},
-		RelationAhead:  {Next: 4, Generation: 2, Hash: 9},
-		RelationBroken: {Next: 5, Generation: 2, Hash: 8},
+		RelationEqual:    own,
+		RelationBehind:   {NextOffset: 6, Generation: 2, Hash: 1},
+		RelationAhead:    {NextOffset: 4, Generation: 2, Hash: 9},
+		RelationDiverged: {NextOffset: 5, Generation: 2, Hash: 8},
 	}
 	for want, peer := range tests {
 		if got := Compare(own, peer); got != want {
--- a/coordination/history/cluster.go
+++ b/coordination/history/cluster.go
@@ -152,7 +152,7 @@
 // trim drops what the last whole checkpoint in the log stands for.
 func (c *cluster) trim() {
 	entries := c.log.Entries()
-	var found fold.Assembler
+	var found fold.CheckpointAssembler
 	for _, e := range entries {
 		b, err := record.Decode(e.Data)
 		if err != nil {
@@ -162,7 +162,7 @@
 			found.Add(&b.Records[i])
 		}
 	}
-	_, next, ok := found.Best()
+	_, next, ok := found.Latest()
 	if !ok || next <= entries[0].Offset {
 		return
 	}
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -273,7 +273,7 @@
 // ran bills a run: the first try may fail in any way, and is not waited for.
 // Sometimes a copy with other content is billed too, as by a second run.
 func (b *billing) bill(t *testing.T, c *cluster, rng *rand.Rand, request string) {
-	bill := ledger.Bill{Team: "t", Request: request, CostMicros: 7, Attempts: 1}
+	bill := ledger.Bill{Team: "t", RequestID: request, CostMicros: 7, Attempts: 1}
 	rec, err := bill.Record()
 	if err != nil {
 		t.Error(err)
@@ -297,9 +297,9 @@
 		}
 	}
 	for slot := range 2 {
-		buffer := ledger.NewBuffer(ledger.Limits{}, c.node(slot).Put, nil)
+		buffer := ledger.NewBuffer(ledger.BufferLimits{}, c.node(slot).Put, nil)
 		for _, rec := range b.bills {
-			if err := buffer.Accept(rec); err != nil {
+			if err := buffer.AcceptCopy(rec); err != nil {
 				t.Error(err)
 			}
 		}
@@ -308,8 +308,8 @@
 		}
 	}
 	exported := map[string]int{}
-	_, err := ledger.Export(context.Background(), c.fullLog().Client("export"), fold.DefaultConfig(), 0, func(l ledger.Line) error {
-		exported[l.Request]++
+	_, err := ledger.Export(context.Background(), c.fullLog().Client("export"), fold.DefaultConfig(), 0, func(l ledger.ExportedBill) error {
+		exported[l.RequestID]++
 		return nil
 	})
 	if err != nil {
--- a/coordination/lease/example_test.go
+++ b/coordination/lease/example_test.go
@@ -25,11 +25,11 @@
 		panic(err)
 	}
 	defer m.Close()
-	fmt.Println("taken:", m.Take(ctx))
-	fence, refusal := m.Check(lease.EngineFences)
+	fmt.Println("taken:", m.Acquire(ctx))
+	fence, refusal := m.Check(lease.FencingEnforced)
 	fmt.Println("may order, fencing number:", refusal == lease.Allowed, fence)
-	_, refusal = m.Check(lease.EngineIgnores)
-	fmt.Println("engine without fencing waits:", refusal == lease.Waiting)
+	_, refusal = m.Check(lease.FencingIgnored)
+	fmt.Println("engine without fencing waits:", refusal == lease.WaitingForPredecessor)
 	// Output:
 	// taken: true
 	// may order, fencing number: true 0
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -38,10 +38,10 @@
 	Duration time.Duration
 	// ClockBound is how far two clocks may drift apart in one term. Default
 	// 100 ms: 1% of it, several times what a machine's clock does.
-	ClockBound time.Duration
+	MaxClockDrift time.Duration
 	// PauseGuard is the longest pause between a check and its order's arrival
 	// that an engine without fencing is guarded against. Default 2 s.
-	PauseGuard time.Duration
+	MaxPause time.Duration
 }
 
 const (
@@ -57,37 +57,37 @@
 	if c.Duration <= 0 {
 		c.Duration = defaultDuration
 	}
-	if c.ClockBound <= 0 {
-		c.ClockBound = defaultClockBound
+	if c.MaxClockDrift <= 0 {
+		c.MaxClockDrift = defaultClockBound
 	}
-	if c.PauseGuard <= 0 {
-		c.PauseGuard = defaultPauseGuard
+	if c.MaxPause <= 0 {
+		c.MaxPause = defaultPauseGuard
 	}
 	return c
 }
 
 // Engine says what a backend server does with a fencing number.
-type Engine uint8
+type FencingSupport uint8
 
 const (
 	// EngineFences: it refuses orders with a number lower than one it has seen.
-	EngineFences Engine = iota + 1
+	FencingEnforced FencingSupport = iota + 1
 	// EngineIgnores: it takes any order.
-	EngineIgnores
+	FencingIgnored
 )
 
 // Refusal says why no order may be sent now.
-type Refusal uint8
+type CheckResult uint8
 
 const (
 	// Allowed: the order may be sent.
-	Allowed Refusal = iota
+	Allowed CheckResult = iota
 	// NotHolder: another instance, or none, holds the lease.
 	NotHolder
 	// Lapsed: too little is left of the own term.
-	Lapsed
+	Expired
 	// Waiting: the one before may still act on an engine without fencing.
-	Waiting
+	WaitingForPredecessor
 )
 
 // term is what one register of the lease says.
@@ -135,9 +135,9 @@
 	if !s.held {
 		return
 	}
-	s.validUntil = sent.Add(t.duration - s.cfg.ClockBound - s.cfg.PauseGuard)
+	s.validUntil = sent.Add(t.duration - s.cfg.MaxClockDrift - s.cfg.MaxPause)
 	if !renewed && !afterHandOver {
-		s.ordersAllowedFrom = now.Add(t.duration + s.cfg.ClockBound + s.cfg.PauseGuard)
+		s.ordersAllowedFrom = now.Add(t.duration + s.cfg.MaxClockDrift + s.cfg.MaxPause)
 	}
 	if afterHandOver {
 		s.ordersAllowedFrom = now
@@ -158,14 +158,14 @@
 }
 
 // check decides whether an order may be sent now, under which fencing number.
-func (s *state) check(now time.Time, engine Engine) (uint64, Refusal) {
+func (s *state) check(now time.Time, engine FencingSupport) (uint64, CheckResult) {
 	switch {
 	case !s.held:
 		return 0, NotHolder
 	case !certainlyBefore(now, s.validUntil):
-		return 0, Lapsed
-	case engine == EngineIgnores && !certainlyReached(now, s.ordersAllowedFrom):
-		return 0, Waiting
+		return 0, Expired
+	case engine == FencingIgnored && !certainlyReached(now, s.ordersAllowedFrom):
+		return 0, WaitingForPredecessor
 	default:
 		return s.current.offset, Allowed
 	}
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -46,7 +46,7 @@
 	return log, ms, nodes
 }
 
-func wantCheck(t *testing.T, m *Manager, e Engine, want Refusal) uint64 {
+func wantCheck(t *testing.T, m *Manager, e FencingSupport, want CheckResult) uint64 {
 	t.Helper()
 	fence, got := m.Check(e)
 	if got != want {
@@ -57,7 +57,7 @@
 
 func wantTake(t *testing.T, m *Manager, want bool) {
 	t.Helper()
-	if got := m.Take(t.Context()); got != want {
+	if got := m.Acquire(t.Context()); got != want {
 		t.Fatalf("%s took the lease: %v, want %v", m.cfg.Holder, got, want)
 	}
 	synctest.Wait() // for the others to read it
@@ -67,30 +67,30 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, _ := managers(t, 2)
 		a, b := ms[0], ms[1]
-		wantCheck(t, a, EngineFences, NotHolder)
+		wantCheck(t, a, FencingEnforced, NotHolder)
 		wantTake(t, a, true)
 		wantTake(t, b, false)
-		first := wantCheck(t, a, EngineFences, Allowed)
-		wantCheck(t, a, EngineIgnores, Waiting)
+		first := wantCheck(t, a, FencingEnforced, Allowed)
+		wantCheck(t, a, FencingIgnored, WaitingForPredecessor)
 		time.Sleep(5 * time.Second)
 		wantTake(t, a, true)
-		if second := wantCheck(t, a, EngineFences, Allowed); second <= first {
+		if second := wantCheck(t, a, FencingEnforced, Allowed); second <= first {
 			t.Errorf("fencing numbers %d, then %d", first, second)
 		}
 		// A renewal does not begin the wait anew: 12.1 s after the first term.
 		time.Sleep(7099 * time.Millisecond)
-		wantCheck(t, a, EngineIgnores, Waiting)
+		wantCheck(t, a, FencingIgnored, WaitingForPredecessor)
 		time.Sleep(2 * time.Millisecond)
-		wantCheck(t, a, EngineIgnores, Allowed)
+		wantCheck(t, a, FencingIgnored, Allowed)
 		// The holder stops ClockBound and PauseGuard before its end.
 		time.Sleep(799 * time.Millisecond)
-		wantCheck(t, a, EngineFences, Lapsed)
+		wantCheck(t, a, FencingEnforced, Expired)
 		wantTake(t, b, false)
 		time.Sleep(2100 * time.Millisecond)
 		wantTake(t, b, true)
-		wantCheck(t, a, EngineFences, NotHolder)
-		wantCheck(t, b, EngineFences, Allowed)
-		wantCheck(t, b, EngineIgnores, Waiting)
+		wantCheck(t, a, FencingEnforced, NotHolder)
+		wantCheck(t, b, FencingEnforced, Allowed)
+		wantCheck(t, b, FencingIgnored, WaitingForPredecessor)
 	})
 }
 
@@ -105,10 +105,10 @@
 		if !a.HandOver(t.Context()) {
 			t.Fatal("not handed over")
 		}
-		wantCheck(t, a, EngineFences, NotHolder)
+		wantCheck(t, a, FencingEnforced, NotHolder)
 		time.Sleep(time.Second)
 		wantTake(t, b, true)
-		wantCheck(t, b, EngineIgnores, Allowed)
+		wantCheck(t, b, FencingIgnored, Allowed)
 	})
 }
 
@@ -124,7 +124,7 @@
 	_, ms, _ := managers(t, 3)
 	won := make(chan bool, len(ms))
 	for _, m := range ms {
-		go func() { won <- m.Take(t.Context()) }()
+		go func() { won <- m.Acquire(t.Context()) }()
 	}
 	n := 0
 	for range ms {
@@ -145,9 +145,9 @@
 		log.SetDown(true)
 		time.Sleep(5 * time.Second)
 		wantTake(t, ms[0], false)
-		wantCheck(t, ms[0], EngineFences, Allowed)
+		wantCheck(t, ms[0], FencingEnforced, Allowed)
 		time.Sleep(3 * time.Second)
-		wantCheck(t, ms[0], EngineFences, Lapsed)
+		wantCheck(t, ms[0], FencingEnforced, Expired)
 	})
 }
 
@@ -159,9 +159,9 @@
 		sent := time.Now()
 		wantTake(t, ms[0], true)
 		time.Sleep(time.Until(sent.Add(7899 * time.Millisecond)))
-		wantCheck(t, ms[0], EngineFences, Allowed)
+		wantCheck(t, ms[0], FencingEnforced, Allowed)
 		time.Sleep(time.Millisecond)
-		wantCheck(t, ms[0], EngineFences, Lapsed)
+		wantCheck(t, ms[0], FencingEnforced, Expired)
 	})
 }
 
@@ -182,7 +182,7 @@
 
 func TestNewRefuses(t *testing.T) {
 	for _, cfg := range []Config{{Holder: "a"}, {Name: "a/b", Holder: "a"}, {Name: "a"}} {
-		if _, err := New(nil, cfg, nil); !errors.Is(err, ErrName) {
+		if _, err := New(nil, cfg, nil); !errors.Is(err, ErrInvalidConfig) {
 			t.Errorf("%+v: %v", cfg, err)
 		}
 	}
@@ -228,7 +228,7 @@
 		next := term{number: c.state.current.number + 1, holder: c.state.cfg.Holder, duration: c.state.cfg.Duration}
 		c.pending = &pendingPut{sentAt: w.now, landsAt: w.now.Add(late), term: next}
 	}
-	if _, refusal := c.state.check(w.now, EngineIgnores); refusal != Allowed {
+	if _, refusal := c.state.check(w.now, FencingIgnored); refusal != Allowed {
 		return
 	}
 	for j, other := range w.contenders {
@@ -236,7 +236,7 @@
 			t.Fatalf("%d may order at %v while an order of %d may arrive until %v", i, w.now, j, other.lastOrder)
 		}
 	}
-	c.lastOrder = w.now.Add(c.state.cfg.PauseGuard)
+	c.lastOrder = w.now.Add(c.state.cfg.MaxPause)
 }
 
 // land appends a pending Put once its time has come, if its term is free.
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -17,7 +17,7 @@
 )
 
 // ErrName means that a lease's name or holder is unusable.
-var ErrName = errors.New("lease: empty name, slash in the name, or no holder")
+var ErrInvalidConfig = errors.New("lease: empty name, slash in the name, or no holder")
 
 // Store is what a Manager needs of *node.Node.
 type Store interface {
@@ -54,7 +54,7 @@
 // nil means time.Now. Errors wrap ErrName.
 func New(store Store, cfg Config, now func() time.Time) (*Manager, error) {
 	if cfg.Name == "" || strings.Contains(cfg.Name, "/") || cfg.Holder == "" {
-		return nil, trace.Wrap(ErrName)
+		return nil, trace.Wrap(ErrInvalidConfig)
 	}
 	if now == nil {
 		now = time.Now
@@ -79,7 +79,7 @@
 
 // Check decides, right before an order is sent, whether it may be, and under
 // which fencing number. It costs no I/O.
-func (m *Manager) Check(engine Engine) (fence uint64, r Refusal) {
+func (m *Manager) Check(engine FencingSupport) (fence uint64, r CheckResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.check(m.now(), engine)
@@ -88,7 +88,7 @@
 // Take tries for the next term if the current one is over, or renews the own
 // one. It reports whether the own instance holds the lease after it. A Put with
 // unknown outcome is released: a term that was not read back is not held.
-func (m *Manager) Take(ctx context.Context) bool {
+func (m *Manager) Acquire(ctx context.Context) bool {
 	m.proposeMu.Lock()
 	defer m.proposeMu.Unlock()
 	m.mu.Lock()
--- a/coordination/ledger/bill.go
+++ b/coordination/ledger/bill.go
@@ -25,9 +25,9 @@
 var (
 	// ErrBill means that a bill lacks its team or request id, or that a record
 	// holds no bill.
-	ErrBill = errors.New("ledger: invalid bill")
+	ErrInvalidBill = errors.New("ledger: invalid bill")
 	// ErrFull means that the outage buffer has no room; new work is refused.
-	ErrFull = errors.New("ledger: outage buffer is full")
+	ErrBufferFull = errors.New("ledger: outage buffer is full")
 	// ErrNoCopy means that no peer keeps a copy of a bill.
 	ErrNoCopy = errors.New("ledger: no peer keeps a copy")
 )
@@ -40,13 +40,13 @@
 
 // MaxValue bounds an encoded bill in bytes: four names and the numbers. A longer
 // one comes from somebody else, and would take more memory than is counted.
-const MaxValue = 1 << 10
+const MaxBillBytes = 1 << 10
 
 // Bill is what one completed request costs its team, all attempts and cascade
 // steps included.
 type Bill struct {
-	Team    string `json:"team"`
-	Request string `json:"request"`
+	Team      string `json:"team"`
+	RequestID string `json:"request"`
 	// Version that gave the answer; empty for a plain service.
 	Version string `json:"version,omitempty"`
 	Service string `json:"service,omitempty"`
@@ -76,39 +76,39 @@
 }
 
 // Check reports what a bill lacks. Errors wrap ErrBill.
-func (b *Bill) Check() error {
-	if b.Team == "" || b.Request == "" {
-		return trace.Wrap(ErrBill, "no team or no request id")
+func (b *Bill) Validate() error {
+	if b.Team == "" || b.RequestID == "" {
+		return trace.Wrap(ErrInvalidBill, "no team or no request id")
 	}
-	for _, f := range []string{b.Team, b.Request, b.Version, b.Service} {
+	for _, f := range []string{b.Team, b.RequestID, b.Version, b.Service} {
 		if len(f) > maxFieldBytes {
-			return trace.Wrap(ErrBill, "field of %d bytes", len(f))
+			return trace.Wrap(ErrInvalidBill, "field of %d bytes", len(f))
 		}
 	}
 	if b.CostMicros < 0 {
-		return trace.Wrap(ErrBill, "negative cost")
+		return trace.Wrap(ErrInvalidBill, "negative cost")
 	}
-	if len(Key(b.Team, b.Request)) > record.MaxKey {
-		return trace.Wrap(ErrBill, "names too long")
+	if len(BillKey(b.Team, b.RequestID)) > record.MaxKeyBytes {
+		return trace.Wrap(ErrInvalidBill, "names too long")
 	}
 	return nil
 }
 
 // Key is the register of a request's bill. Slashes in names are escaped, so no
 // two requests share a key.
-func Key(team, request string) record.Key {
+func BillKey(team, request string) record.Key {
 	return record.Key(string(record.ClassBill) + "/" + url.PathEscape(team) + "/" + url.PathEscape(request))
 }
 
 // Record is the bill's Put, with the same nonce whenever it is made from the
 // same bill. Errors wrap ErrBill.
 func (b *Bill) Record() (record.Record, error) {
-	if err := b.Check(); err != nil {
+	if err := b.Validate(); err != nil {
 		return record.Record{}, err
 	}
 	value, err := cbor.Marshal(wireBill{
 		Team:         b.Team,
-		Request:      b.Request,
+		Request:      b.RequestID,
 		Version:      b.Version,
 		Service:      b.Service,
 		PromptTokens: b.PromptTokens,
@@ -118,30 +118,30 @@
 		Canceled:     b.Canceled,
 	})
 	if err != nil {
-		return record.Record{}, trace.Wrap(ErrBill, "%v", err)
+		return record.Record{}, trace.Wrap(ErrInvalidBill, "%v", err)
 	}
 	sum := sha256.Sum256(value)
-	r := record.Record{Kind: record.KindPut, Key: Key(b.Team, b.Request), Value: value}
+	r := record.Record{Kind: record.KindPut, Key: BillKey(b.Team, b.RequestID), Value: value}
 	copy(r.Nonce[:], sum[:])
 	return r, nil
 }
 
 // Parse reads the bill that r puts. Errors wrap ErrBill; a bill under another
 // request's key is one.
-func Parse(r record.Record) (Bill, error) {
+func ParseBill(r record.Record) (Bill, error) {
 	if r.Kind != record.KindPut || !strings.HasPrefix(string(r.Key), string(record.ClassBill)+"/") {
-		return Bill{}, trace.Wrap(ErrBill, "not the Put of a bill")
+		return Bill{}, trace.Wrap(ErrInvalidBill, "not the Put of a bill")
 	}
-	if len(r.Key) > record.MaxKey || len(r.Value) > MaxValue {
-		return Bill{}, trace.Wrap(ErrBill, "key of %d and value of %d bytes", len(r.Key), len(r.Value))
+	if len(r.Key) > record.MaxKeyBytes || len(r.Value) > MaxBillBytes {
+		return Bill{}, trace.Wrap(ErrInvalidBill, "key of %d and value of %d bytes", len(r.Key), len(r.Value))
 	}
 	var w wireBill
 	if err := cbor.Unmarshal(r.Value, &w); err != nil {
-		return Bill{}, trace.Wrap(ErrBill, "%v", err)
+		return Bill{}, trace.Wrap(ErrInvalidBill, "%v", err)
 	}
 	b := Bill{
 		Team:         w.Team,
-		Request:      w.Request,
+		RequestID:    w.Request,
 		Version:      w.Version,
 		Service:      w.Service,
 		PromptTokens: w.PromptTokens,
@@ -150,11 +150,11 @@
 		Attempts:     w.Attempts,
 		Canceled:     w.Canceled,
 	}
-	if err := b.Check(); err != nil {
+	if err := b.Validate(); err != nil {
 		return Bill{}, err
 	}
-	if Key(b.Team, b.Request) != r.Key {
-		return Bill{}, trace.Wrap(ErrBill, "bill under another request's key")
+	if BillKey(b.Team, b.RequestID) != r.Key {
+		return Bill{}, trace.Wrap(ErrInvalidBill, "bill under another request's key")
 	}
 	return b, nil
 }
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -21,27 +21,27 @@
 const (
 	// DefaultBills is how many bills an instance holds in an outage: about ten
 	// minutes of 100 requests a second.
-	DefaultBills = 60_000
+	DefaultMaxBills = 60_000
 	// DefaultBytes bounds their memory: the default count of bills of some 250
 	// bytes, which is more than usual names take.
-	DefaultBytes = 16 << 20
+	DefaultMaxBytes = 16 << 20
 	// maxHeldBill is the most that one bill takes; a reservation takes it whole,
 	// since the bill's size is not known yet.
-	maxHeldBillBytes = record.MaxKey + MaxValue
+	maxHeldBillBytes = record.MaxKeyBytes + MaxBillBytes
 )
 
 // Limits bound a Buffer; 0 means the default.
-type Limits struct {
-	Bills int
-	Bytes int
+type BufferLimits struct {
+	MaxBills int
+	MaxBytes int
 }
 
-func (l Limits) withDefaults() Limits {
-	if l.Bills <= 0 {
-		l.Bills = DefaultBills
+func (l BufferLimits) withDefaults() BufferLimits {
+	if l.MaxBills <= 0 {
+		l.MaxBills = DefaultMaxBills
 	}
-	if l.Bytes <= 0 {
-		l.Bytes = DefaultBytes
+	if l.MaxBytes <= 0 {
+		l.MaxBytes = DefaultMaxBytes
 	}
 	return l
 }
@@ -53,7 +53,7 @@
 type Buffer struct {
 	put      PutFunc
 	sendCopy CopyFunc
-	limits   Limits
+	limits   BufferLimits
 
 	mu       sync.Mutex
 	held     map[billID]record.Record
@@ -74,14 +74,14 @@
 
 // NewBuffer returns an empty Buffer; a nil copyTo means that no peer gets a
 // copy.
-func NewBuffer(limits Limits, put PutFunc, sendCopy CopyFunc) *Buffer {
+func NewBuffer(limits BufferLimits, put PutFunc, sendCopy CopyFunc) *Buffer {
 	return &Buffer{put: put, sendCopy: sendCopy, limits: limits.withDefaults(), held: map[billID]record.Record{}}
 }
 
 // Accept keeps a copy for a peer; the same bill again changes nothing. Errors
 // wrap ErrBill or ErrFull.
-func (b *Buffer) Accept(bill record.Record) error {
-	if _, err := Parse(bill); err != nil {
+func (b *Buffer) AcceptCopy(bill record.Record) error {
+	if _, err := ParseBill(bill); err != nil {
 		return err
 	}
 	b.mu.Lock()
@@ -90,18 +90,18 @@
 		return nil
 	}
 	if b.full() {
-		return trace.Wrap(ErrFull)
+		return trace.Wrap(ErrBufferFull)
 	}
 	b.add(bill)
 	return nil
 }
 
 // Full says that no room for another bill can be had.
-func (b *Buffer) Full() bool { return b.FullFor(0) }
+func (b *Buffer) Full() bool { return b.FullWithOpen(0) }
 
 // FullFor says the same where open requests without a reservation will each need
 // room for a bill too: all of them may end while the log takes nothing.
-func (b *Buffer) FullFor(open int) bool {
+func (b *Buffer) FullWithOpen(open int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.fullFor(open)
@@ -131,8 +131,8 @@
 
 func (b *Buffer) fullFor(open int) bool {
 	open += b.reserved
-	tooMany := len(b.held)+open >= b.limits.Bills
-	return tooMany || b.bytes+(open+1)*maxHeldBillBytes > b.limits.Bytes
+	tooMany := len(b.held)+open >= b.limits.MaxBills
+	return tooMany || b.bytes+(open+1)*maxHeldBillBytes > b.limits.MaxBytes
 }
 
 // keep returns false where the bill was held before.
--- a/coordination/ledger/example_test.go
+++ b/coordination/ledger/example_test.go
@@ -8,7 +8,7 @@
 
 // One bill is one proposal, whoever makes the record.
 func ExampleBill_Record() {
-	b := ledger.Bill{Team: "weavers", Request: "r-1", Version: "draft@3", OutputTokens: 210, CostMicros: 420, Attempts: 1}
+	b := ledger.Bill{Team: "weavers", RequestID: "r-1", Version: "draft@3", OutputTokens: 210, CostMicros: 420, Attempts: 1}
 	own, _ := b.Record()
 	copied, _ := b.Record()
 	fmt.Println(own.Key, own.Nonce == copied.Nonce)
--- a/coordination/ledger/export.go
+++ b/coordination/ledger/export.go
@@ -13,7 +13,7 @@
 )
 
 // Line is one bill of an export.
-type Line struct {
+type ExportedBill struct {
 	Offset uint64    `json:"offset"`
 	At     time.Time `json:"at"`
 	Writer string    `json:"writer"`
@@ -21,12 +21,12 @@
 }
 
 // Summary tells what an export covered.
-type Summary struct {
+type ExportSummary struct {
 	// First is the oldest offset that the log still kept; bills before it were
 	// for earlier exports.
-	First uint64
+	FirstOffset uint64
 	// Next is where the next export starts (its From).
-	Next uint64
+	NextOffset uint64
 	// Bills were exported, Duplicates were void.
 	Bills      int
 	Duplicates int
@@ -42,22 +42,22 @@
 // log order, from offset from on. It folds from the oldest offset kept, since a
 // copy after from may be of a bill before it; two exports in a row therefore
 // give each bill once. An error of emit ends it and is returned.
-func Export(ctx context.Context, log platformlog.Log, cfg fold.Config, from uint64, emit func(Line) error) (Summary, error) {
+func Export(ctx context.Context, log platformlog.Log, cfg fold.Config, from uint64, emit func(ExportedBill) error) (ExportSummary, error) {
 	e := exporter{from: from, emit: emit}
 	first, err := oldestOffset(ctx, log)
 	if err != nil {
 		return e.sum, err
 	}
-	e.sum.First, e.sum.Next = first, first
+	e.sum.FirstOffset, e.sum.NextOffset = first, first
 	// The reader keeps bills for as long as the log does: it is here that a copy
 	// which comes late is void.
 	if cfg.Retention <= 0 {
 		cfg.Retention = fold.DefaultConfig().Retention
 	}
-	cfg.BillLife = cfg.Retention
-	state := fold.NewFrom(cfg, fold.Options{}, first)
+	cfg.BillLifetime = cfg.Retention
+	state := fold.NewAtOffset(cfg, fold.Options{}, first)
 	for {
-		page, err := log.Read(ctx, e.sum.Next, exportPageEntries, 0)
+		page, err := log.Read(ctx, e.sum.NextOffset, exportPageEntries, 0)
 		if err != nil {
 			return e.sum, trace.Wrap(err)
 		}
@@ -69,9 +69,9 @@
 			if err := e.addEntry(changes); err != nil {
 				return e.sum, err
 			}
-			e.sum.Next = entry.Offset + 1
+			e.sum.NextOffset = entry.Offset + 1
 		}
-		if len(page.Entries) == 0 || e.sum.Next >= page.Head {
+		if len(page.Entries) == 0 || e.sum.NextOffset >= page.Head {
 			return e.sum, nil
 		}
 	}
@@ -88,8 +88,8 @@
 
 type exporter struct {
 	from uint64
-	emit func(Line) error
-	sum  Summary
+	emit func(ExportedBill) error
+	sum  ExportSummary
 }
 
 func (e *exporter) addEntry(changes []fold.Change) error {
@@ -113,11 +113,11 @@
 }
 
 func (e *exporter) emitBill(c *fold.Change) error {
-	b, err := Parse(c.Record)
+	b, err := ParseBill(c.Record)
 	if err != nil {
 		e.sum.Malformed++
 		return nil
 	}
 	e.sum.Bills++
-	return e.emit(Line{Offset: c.Register.Offset, At: c.Register.At, Writer: c.Register.Writer, Bill: b})
+	return e.emit(ExportedBill{Offset: c.Register.Offset, At: c.Register.LogTime, Writer: c.Register.Writer, Bill: b})
 }
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -22,7 +22,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func bill(request string, cost int64) Bill {
-	return Bill{Team: "weave/rs", Request: request, Version: "m@1", OutputTokens: 7, CostMicros: cost, Attempts: 1}
+	return Bill{Team: "weave/rs", RequestID: request, Version: "m@1", OutputTokens: 7, CostMicros: cost, Attempts: 1}
 }
 
 func mustRecord(t testing.TB, b Bill) record.Record {
@@ -37,7 +37,7 @@
 func TestBillRoundTrip(t *testing.T) {
 	b := bill("r/1", 5)
 	r := mustRecord(t, b)
-	got, err := Parse(r)
+	got, err := ParseBill(r)
 	if err != nil || got != b {
 		t.Fatalf("got %+v, %v", got, err)
 	}
@@ -47,22 +47,22 @@
 	if other := mustRecord(t, bill("r/1", 6)); other.Nonce == r.Nonce || other.Key != r.Key {
 		t.Error("another bill of the request is not told apart")
 	}
-	if Key("a/b", "c") == Key("a", "b/c") {
+	if BillKey("a/b", "c") == BillKey("a", "b/c") {
 		t.Error("two requests share a key")
 	}
 }
 
 func TestBillRefuses(t *testing.T) {
-	for _, b := range []Bill{{}, {Team: "t"}, {Team: "t", Request: "r", CostMicros: -1}} {
-		if _, err := b.Record(); !errors.Is(err, ErrBill) {
+	for _, b := range []Bill{{}, {Team: "t"}, {Team: "t", RequestID: "r", CostMicros: -1}} {
+		if _, err := b.Record(); !errors.Is(err, ErrInvalidBill) {
 			t.Errorf("%+v: %v", b, err)
 		}
 	}
 	moved := mustRecord(t, bill("a", 1))
-	moved.Key = Key("weave/rs", "b")
-	junk := record.Record{Kind: record.KindPut, Key: Key("t", "r"), Value: []byte("junk")}
+	moved.Key = BillKey("weave/rs", "b")
+	junk := record.Record{Kind: record.KindPut, Key: BillKey("t", "r"), Value: []byte("junk")}
 	for _, r := range []record.Record{moved, junk, {}} {
-		if _, err := Parse(r); !errors.Is(err, ErrBill) {
+		if _, err := ParseBill(r); !errors.Is(err, ErrInvalidBill) {
 			t.Errorf("%s: %v", r.Key, err)
 		}
 	}
@@ -77,14 +77,14 @@
 	log.Inject(data)
 }
 
-func export(t *testing.T, log *logtest.Log, from uint64) (map[string]int64, Summary) {
+func export(t *testing.T, log *logtest.Log, from uint64) (map[string]int64, ExportSummary) {
 	t.Helper()
 	got := map[string]int64{}
-	sum, err := Export(t.Context(), log.Client("x"), fold.DefaultConfig(), from, func(l Line) error {
-		if _, twice := got[l.Request]; twice {
-			t.Errorf("%s is exported twice", l.Request)
+	sum, err := Export(t.Context(), log.Client("x"), fold.DefaultConfig(), from, func(l ExportedBill) error {
+		if _, twice := got[l.RequestID]; twice {
+			t.Errorf("%s is exported twice", l.RequestID)
 		}
-		got[l.Request] = l.CostMicros
+		got[l.RequestID] = l.CostMicros
 		return nil
 	})
 	if err != nil {
@@ -99,20 +99,20 @@
 	inject(t, log, a)
 	inject(t, log, a, b, mustRecord(t, bill("a", 99)))
 	inject(t, log, record.Record{Kind: record.KindRelease, Key: a.Key, Nonce: a.Nonce})
-	inject(t, log, a, record.Record{Kind: record.KindPut, Key: Key("t", "bad"), Nonce: record.Nonce{1}})
+	inject(t, log, a, record.Record{Kind: record.KindPut, Key: BillKey("t", "bad"), Nonce: record.Nonce{1}})
 	log.Inject([]byte("junk"))
 	got, sum := export(t, log, 0)
 	if len(got) != 2 || got["a"] != 1 || got["b"] != 2 {
 		t.Errorf("exported %v", got)
 	}
-	if want := (Summary{First: 0, Next: 5, Bills: 2, Duplicates: 3, Malformed: 1}); sum != want {
+	if want := (ExportSummary{FirstOffset: 0, NextOffset: 5, Bills: 2, Duplicates: 3, Malformed: 1}); sum != want {
 		t.Errorf("summary %+v, want %+v", sum, want)
 	}
 	// The next export starts behind it; late copies of what it had are void.
 	inject(t, log, b, mustRecord(t, bill("c", 3)))
 	log.Trim(1)
-	got, sum = export(t, log, sum.Next)
-	if len(got) != 1 || got["c"] != 3 || sum.First != 1 {
+	got, sum = export(t, log, sum.NextOffset)
+	if len(got) != 1 || got["c"] != 3 || sum.FirstOffset != 1 {
 		t.Errorf("second export %v, %+v", got, sum)
 	}
 }
@@ -127,16 +127,16 @@
 }
 
 func TestBufferIsBoundedBeforeTheWork(t *testing.T) {
-	b := NewBuffer(Limits{Bills: 2}, nil, nil)
+	b := NewBuffer(BufferLimits{MaxBills: 2}, nil, nil)
 	r1, err1 := b.Reserve()
 	r2, err2 := b.Reserve()
 	if err1 != nil || err2 != nil {
 		t.Fatal(err1, err2)
 	}
-	if _, err := b.Reserve(); !errors.Is(err, ErrFull) {
+	if _, err := b.Reserve(); !errors.Is(err, ErrBufferFull) {
 		t.Errorf("third: %v", err)
 	}
-	if err := b.Accept(mustRecord(t, bill("x", 1))); !errors.Is(err, ErrFull) {
+	if err := b.AcceptCopy(mustRecord(t, bill("x", 1))); !errors.Is(err, ErrBufferFull) {
 		t.Errorf("copy for a peer: %v", err)
 	}
 	if r1.Hold(t.Context(), mustRecord(t, bill("a", 1))) {
@@ -145,13 +145,13 @@
 	r1.Cancel()
 	r2.Cancel()
 	r2.Cancel()
-	if err := b.Accept(mustRecord(t, bill("b", 1))); err != nil {
+	if err := b.AcceptCopy(mustRecord(t, bill("b", 1))); err != nil {
 		t.Error(err)
 	}
-	if _, err := b.Reserve(); !errors.Is(err, ErrFull) || b.Len() != 2 {
+	if _, err := b.Reserve(); !errors.Is(err, ErrBufferFull) || b.Len() != 2 {
 		t.Errorf("held %d, %v", b.Len(), err)
 	}
-	if err := b.Accept(record.Record{Kind: record.KindPut}); !errors.Is(err, ErrBill) {
+	if err := b.AcceptCopy(record.Record{Kind: record.KindPut}); !errors.Is(err, ErrInvalidBill) {
 		t.Errorf("junk of a peer: %v", err)
 	}
 }
@@ -160,7 +160,7 @@
 // a held bill does not take of it is free again.
 func TestBufferIsBoundedInBytes(t *testing.T) {
 	first := mustRecord(t, bill("a", 1))
-	b := NewBuffer(Limits{Bytes: maxHeldBillBytes + sizeOf(first)}, nil, nil)
+	b := NewBuffer(BufferLimits{MaxBytes: maxHeldBillBytes + sizeOf(first)}, nil, nil)
 	room, err := b.Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -172,15 +172,15 @@
 	if b.Full() {
 		t.Error("full, with room for the largest bill")
 	}
-	if err := b.Accept(mustRecord(t, bill("b", 1))); err != nil {
+	if err := b.AcceptCopy(mustRecord(t, bill("b", 1))); err != nil {
 		t.Error(err)
 	}
-	if err := b.Accept(mustRecord(t, bill("c", 1))); !errors.Is(err, ErrFull) {
+	if err := b.AcceptCopy(mustRecord(t, bill("c", 1))); !errors.Is(err, ErrBufferFull) {
 		t.Errorf("past the bytes: %v", err)
 	}
 	long := first
-	long.Value = make([]byte, MaxValue+1)
-	if err := b.Accept(long); !errors.Is(err, ErrBill) {
+	long.Value = make([]byte, MaxBillBytes+1)
+	if err := b.AcceptCopy(long); !errors.Is(err, ErrInvalidBill) {
 		t.Errorf("long value: %v", err)
 	}
 	b.remove(first)
@@ -192,9 +192,9 @@
 
 // TestFullForOpenRequests: each open request counts as a bill to come.
 func TestFullForOpenRequests(t *testing.T) {
-	for name, limits := range map[string]Limits{
-		"in count": {Bills: 4},
-		"in bytes": {Bytes: 4 * maxHeldBillBytes},
+	for name, limits := range map[string]BufferLimits{
+		"in count": {MaxBills: 4},
+		"in bytes": {MaxBytes: 4 * maxHeldBillBytes},
 	} {
 		b := NewBuffer(limits, nil, nil)
 		room, err := b.Reserve()
@@ -202,12 +202,12 @@
 			t.Fatal(err)
 		}
 		for open, want := range []bool{false, false, false, true} {
-			if got := b.FullFor(open); got != want {
+			if got := b.FullWithOpen(open); got != want {
 				t.Errorf("%s: full for %d open: %v", name, open, got)
 			}
 		}
 		room.Cancel()
-		if b.FullFor(3) || !b.FullFor(4) {
+		if b.FullWithOpen(3) || !b.FullWithOpen(4) {
 			t.Errorf("%s: a reservation given back still counts", name)
 		}
 	}
@@ -231,10 +231,10 @@
 		{"no peer answers", noPeer, false, ErrNoCopy, 0},
 		{"no peer answers, held for one", noPeer, true, ErrNoCopy, 1},
 	} {
-		b := NewBuffer(Limits{}, nil, c.copyTo)
+		b := NewBuffer(BufferLimits{}, nil, c.copyTo)
 		r := mustRecord(t, bill("a", 1))
 		if c.before {
-			if err := b.Accept(r); err != nil {
+			if err := b.AcceptCopy(r); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -242,10 +242,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := room.HoldTwice(t.Context(), r); !errors.Is(err, c.want) || b.Len() != c.held || b.reserved != 0 {
+		if err := room.HoldWithCopy(t.Context(), r); !errors.Is(err, c.want) || b.Len() != c.held || b.reserved != 0 {
 			t.Errorf("%s: %v, %d held, %d reserved", c.name, err, b.Len(), b.reserved)
 		}
-		if room.HoldTwice(t.Context(), r) == nil {
+		if room.HoldWithCopy(t.Context(), r) == nil {
 			t.Errorf("%s: used twice", c.name)
 		}
 	}
@@ -268,9 +268,9 @@
 		}
 		return node.Result{Outcome: node.OutcomeUnknown}
 	}
-	b := NewBuffer(Limits{}, put, func(context.Context, record.Record) error { return nil })
+	b := NewBuffer(BufferLimits{}, put, func(context.Context, record.Record) error { return nil })
 	for i := range 10 * flushConcurrency {
-		if err := b.Accept(mustRecord(t, bill(fmt.Sprint(i), 1))); err != nil {
+		if err := b.AcceptCopy(mustRecord(t, bill(fmt.Sprint(i), 1))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -310,8 +310,8 @@
 					return n
 				}
 				a, b := start("a"), start("b")
-				peer := NewBuffer(Limits{}, b.Put, nil)
-				own := NewBuffer(Limits{}, a.Put, func(_ context.Context, r record.Record) error { return peer.Accept(r) })
+				peer := NewBuffer(BufferLimits{}, b.Put, nil)
+				own := NewBuffer(BufferLimits{}, a.Put, func(_ context.Context, r record.Record) error { return peer.AcceptCopy(r) })
 				log.SetDown(true)
 				for i := range 500 {
 					res, err := own.Reserve()
@@ -355,7 +355,7 @@
 	good := mustRecord(f, bill("a", 1))
 	f.Add(string(good.Key), good.Value)
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		b, err := Parse(record.Record{Kind: record.KindPut, Key: record.Key(key), Value: value})
+		b, err := ParseBill(record.Record{Kind: record.KindPut, Key: record.Key(key), Value: value})
 		if err != nil {
 			return
 		}
@@ -375,7 +375,7 @@
 		var running sync.WaitGroup
 		running.Go(func() { w.Run(ctx) })
 		for _, tokens := range []uint64{5, 7} {
-			bill := &Bill{Team: "weavers", Request: "r1", OutputTokens: tokens}
+			bill := &Bill{Team: "weavers", RequestID: "r1", OutputTokens: tokens}
 			r, err := bill.Record()
 			if err != nil {
 				t.Fatal(err)
@@ -388,7 +388,7 @@
 		var got []uint64
 		for _, cfg := range []fold.Config{{}, fold.DefaultConfig()} {
 			got = nil
-			_, err := Export(t.Context(), log.Client("reader"), cfg, 0, func(l Line) error {
+			_, err := Export(t.Context(), log.Client("reader"), cfg, 0, func(l ExportedBill) error {
 				got = append(got, l.OutputTokens)
 				return nil
 			})
--- a/coordination/ledger/log.go
+++ b/coordination/ledger/log.go
@@ -10,7 +10,7 @@
 // Log takes bills. Writer is one with a stream of its own, StoreLog one that
 // shares the log of all other records. Implementations are safe for concurrent
 // use.
-type Log interface {
+type BillLog interface {
 	// Put is a PutFunc.
 	Put(ctx context.Context, r record.Record) node.Result
 	// Reachable says whether it is worth a wait to put a bill now.
--- a/coordination/ledger/reservation.go
+++ b/coordination/ledger/reservation.go
@@ -22,7 +22,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.full() {
-		return nil, trace.Wrap(ErrFull)
+		return nil, trace.Wrap(ErrBufferFull)
 	}
 	b.reserved++
 	return &Reservation{buffer: b}, nil
@@ -48,14 +48,14 @@
 // HoldTwice keeps the bill here and at a peer, or fails. After an error this
 // buffer holds what it held before: where it kept the same bill for a peer
 // already, it still does.
-func (r *Reservation) HoldTwice(ctx context.Context, bill record.Record) error {
-	if _, err := Parse(bill); err != nil {
+func (r *Reservation) HoldWithCopy(ctx context.Context, bill record.Record) error {
+	if _, err := ParseBill(bill); err != nil {
 		r.Cancel()
 		return err
 	}
 	used, added := r.use(bill)
 	if !used {
-		return trace.Wrap(ErrFull, "the reservation was used before")
+		return trace.Wrap(ErrBufferFull, "the reservation was used before")
 	}
 	err := r.buffer.copyToPeer(ctx, bill)
 	if err != nil && added {
--- a/coordination/ledger/writer.go
+++ b/coordination/ledger/writer.go
@@ -39,7 +39,7 @@
 	// follows the number of instances. Default 20 ms.
 	Linger func() time.Duration
 	// CallTimeout bounds one append. Default 2 s.
-	CallTimeout time.Duration
+	AppendTimeout time.Duration
 }
 
 const (
@@ -67,8 +67,8 @@
 	if cfg.Linger == nil {
 		cfg.Linger = func() time.Duration { return defaultWriterLinger }
 	}
-	if cfg.CallTimeout <= 0 {
-		cfg.CallTimeout = defaultAppendTimeout
+	if cfg.AppendTimeout <= 0 {
+		cfg.AppendTimeout = defaultAppendTimeout
 	}
 	return &Writer{log: log, cfg: cfg, queue: make(chan *pendingBill, writerQueueBills)}
 }
@@ -173,7 +173,7 @@
 }
 
 func (w *Writer) appendBatch(group []*pendingBill) error {
-	batch := record.Batch{Writer: w.cfg.Name, Stamped: time.Now()}
+	batch := record.Batch{Writer: w.cfg.Name, WriterTime: time.Now()}
 	for _, p := range group {
 		batch.Records = append(batch.Records, p.record)
 	}
@@ -181,7 +181,7 @@
 	if err != nil {
 		return errors.Join(platformlog.ErrNotAppended, err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), w.cfg.CallTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), w.cfg.AppendTimeout)
 	defer cancel()
 	_, err = w.log.Append(ctx, data)
 	return err
--- a/coordination/ledger/writer_test.go
+++ b/coordination/ledger/writer_test.go
@@ -32,7 +32,7 @@
 			var running sync.WaitGroup
 			running.Go(func() { w.Run(ctx) })
 			c.fault(log)
-			bill := &Bill{Team: "weavers", Request: "r1"}
+			bill := &Bill{Team: "weavers", RequestID: "r1"}
 			r, err := bill.Record()
 			if err != nil {
 				t.Fatal(err)
@@ -57,7 +57,7 @@
 
 func exported(t *testing.T, log *logtest.Log) int {
 	t.Helper()
-	sum, err := Export(context.Background(), log.Client("reader"), fold.DefaultConfig(), 0, func(Line) error { return nil })
+	sum, err := Export(context.Background(), log.Client("reader"), fold.DefaultConfig(), 0, func(ExportedBill) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 		running.Go(func() { w.Run(ctx) })
 		for i := range bills {
 			putting.Go(func() {
-				bill := &Bill{Team: "weavers", Request: fmt.Sprint(i)}
+				bill := &Bill{Team: "weavers", RequestID: fmt.Sprint(i)}
 				r, err := bill.Record()
 				if err != nil {
 					t.Error(err)
--- a/coordination/node/append.go
+++ b/coordination/node/append.go
@@ -101,7 +101,7 @@
 }
 
 func (n *Node) write(ctx context.Context, records []record.Record) error {
-	data, err := record.Encode(record.Batch{Writer: n.cfg.Name, Stamped: time.Now(), Records: records})
+	data, err := record.Encode(record.Batch{Writer: n.cfg.Name, WriterTime: time.Now(), Records: records})
 	if err != nil {
 		// Put has checked each record, so this is a group that grew too large;
 		// nothing of it was handed over.
--- a/coordination/node/checkpoint.go
+++ b/coordination/node/checkpoint.go
@@ -42,7 +42,7 @@
 // count. Two writers whose parts alternate count as none, which costs one more
 // checkpoint.
 func (p *checkpointPolicy) seen(now time.Time, r *record.Record) {
-	part, parts, ok := fold.CheckpointPart(r)
+	part, parts, ok := fold.ParseCheckpointPart(r)
 	if !ok {
 		return
 	}
@@ -85,7 +85,7 @@
 func (n *Node) Checkpoint() error {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	if n.state.Digest().Next == 0 {
+	if n.state.Digest().NextOffset == 0 {
 		return nil
 	}
 	parts, err := n.state.Checkpoint(record.NewNonce())
@@ -121,7 +121,7 @@
 }
 
 func (n *Node) findCheckpoint(ctx context.Context, first uint64) (snapshot []byte, next uint64, err error) {
-	var found fold.Assembler
+	var found fold.CheckpointAssembler
 	for from := first; ; {
 		page, err := n.read(ctx, from, 0)
 		if err != nil {
@@ -135,14 +135,14 @@
 			break
 		}
 	}
-	snapshot, next, ok := found.Best()
+	snapshot, next, ok := found.Latest()
 	if !ok {
 		return nil, 0, trace.Wrap(ErrNoCheckpoint)
 	}
 	return snapshot, next, nil
 }
 
-func collectParts(found *fold.Assembler, data []byte) {
+func collectParts(found *fold.CheckpointAssembler, data []byte) {
 	b, err := record.Decode(data)
 	if err != nil {
 		return
@@ -171,13 +171,13 @@
 	defer n.folding.Unlock()
 	n.mu.Lock()
 	old := n.state
-	if state.Digest().Next <= old.Digest().Next || state.Digest().Generation < old.Digest().Generation {
+	if state.Digest().NextOffset <= old.Digest().NextOffset || state.Digest().Generation < old.Digest().Generation {
 		n.mu.Unlock()
-		return trace.Wrap(ErrNotAhead, "at %d, own state at %d", state.Digest().Next, old.Digest().Next)
+		return trace.Wrap(ErrNotAhead, "at %d, own state at %d", state.Digest().NextOffset, old.Digest().NextOffset)
 	}
 	n.state = state
 	if !n.status.hasTarget {
-		n.status.target, n.status.hasTarget = state.Digest().Next, true
+		n.status.target, n.status.hasTarget = state.Digest().NextOffset, true
 	}
 	n.mu.Unlock()
 	n.tellRestored(old, state)
--- a/coordination/node/doubt.go
+++ b/coordination/node/doubt.go
@@ -36,7 +36,7 @@
 		return
 	}
 	head, err := a.readHead(ctx)
-	next := a.node.Digest().Next
+	next := a.node.Digest().NextOffset
 	kept := a.doubts[:0]
 	for _, d := range a.doubts {
 		if d.due.After(now) {
@@ -67,7 +67,7 @@
 
 // readHead asks the log for its head.
 func (a *appender) readHead(ctx context.Context) (uint64, error) {
-	page, err := a.node.read(ctx, a.node.Digest().Next, 0)
+	page, err := a.node.read(ctx, a.node.Digest().NextOffset, 0)
 	return page.Head, err
 }
 
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -79,7 +79,7 @@
 
 // New returns a Node at the log's beginning. Errors wrap ErrConfig.
 func New(log platformlog.Log, cfg Config, opts ...Option) (*Node, error) {
-	if cfg.Name == "" || len(cfg.Name) > record.MaxWriter {
+	if cfg.Name == "" || len(cfg.Name) > record.MaxWriterBytes {
 		return nil, trace.Wrap(ErrConfig, "name of %d bytes", len(cfg.Name))
 	}
 	cfg = cfg.withDefaults()
@@ -152,7 +152,7 @@
 // Put implements Store.
 func (n *Node) Put(ctx context.Context, r record.Record) Result {
 	r.Kind = record.KindPut
-	if r.Check() != nil || ctx.Err() != nil || n.isStopping() {
+	if r.Validate() != nil || ctx.Err() != nil || n.isStopping() {
 		return Result{Outcome: OutcomeVoid}
 	}
 	p, ok := n.proposals.add(r)
@@ -231,7 +231,7 @@
 func (n *Node) Now() time.Time {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return n.state.Now()
+	return n.state.LogTime()
 }
 
 // Digest implements Store.
@@ -247,8 +247,8 @@
 	defer n.mu.RUnlock()
 	d := n.state.Digest()
 	return Status{
-		Next:         d.Next,
-		Head:         max(n.status.head, d.Next),
+		Next:         d.NextOffset,
+		Head:         max(n.status.head, d.NextOffset),
 		Generation:   d.Generation,
 		Hash:         d.Hash,
 		LastHeadRead: n.status.readAt,
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -85,7 +85,7 @@
 			t.Error("they disagree on the winner")
 		}
 		synctest.Wait()
-		if a.Digest() != b.Digest() || a.Digest().Next == 0 {
+		if a.Digest() != b.Digest() || a.Digest().NextOffset == 0 {
 			t.Errorf("digests %+v and %+v", a.Digest(), b.Digest())
 		}
 	})
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -24,7 +24,7 @@
 		late := fl.node("late")
 		late.Watch("session", func(c fold.Change) { heard = append(heard, c.Register.Key) })
 		time.Sleep(time.Minute)
-		if late.isReady() || late.Digest().Next != 0 {
+		if late.isReady() || late.Digest().NextOffset != 0 {
 			t.Fatal("it took a log with a hole for whole")
 		}
 		// A checkpoint that does not reach what is kept changes nothing.
@@ -124,11 +124,11 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		var found fold.Assembler
+		var found fold.CheckpointAssembler
 		for _, e := range fl.log.Entries() {
 			collectParts(&found, e.Data)
 		}
-		if _, _, ok := found.Best(); !ok {
+		if _, _, ok := found.Latest(); !ok {
 			t.Error("no checkpoint while there is load")
 		}
 		wg.Wait()
@@ -188,7 +188,7 @@
 		if err := a.Restore(snapshot); err != nil {
 			t.Fatal(err)
 		}
-		if next := a.Digest().Next; next != 2 {
+		if next := a.Digest().NextOffset; next != 2 {
 			t.Fatalf("restored to %d, want to be past the own record", next)
 		}
 		if res := <-done; res.Outcome != OutcomeLost || res.Register.Nonce != (record.Nonce{2}) {
@@ -245,7 +245,7 @@
 		if s := late.Status(); s.LogReachable || s.Next != 1 || s.Head != 1 {
 			t.Errorf("status %+v", s)
 		}
-		if err := late.Restore([]byte("junk")); !errors.Is(err, fold.ErrSnapshot) {
+		if err := late.Restore([]byte("junk")); !errors.Is(err, fold.ErrInvalidSnapshot) {
 			t.Errorf("junk: %v", err)
 		}
 	})
--- a/coordination/node/tail.go
+++ b/coordination/node/tail.go
@@ -30,7 +30,7 @@
 
 // readOnce makes one long poll and folds what it brought.
 func (n *Node) readOnce(ctx context.Context) error {
-	next := n.Digest().Next
+	next := n.Digest().NextOffset
 	sent := time.Now()
 	page, err := n.read(ctx, next, n.pollWait())
 	if errors.Is(err, platformlog.ErrTrimmed) {
@@ -101,7 +101,7 @@
 // the node's first read: everything accepted before the start is then in force.
 func (n *Node) noteReady() {
 	n.mu.RLock()
-	next := n.state.Digest().Next
+	next := n.state.Digest().NextOffset
 	reached := n.status.hasTarget && next >= n.status.target
 	n.mu.RUnlock()
 	n.observer.Folded(next)
@@ -117,7 +117,7 @@
 	n.folding.Lock()
 	defer n.folding.Unlock()
 	n.mu.Lock()
-	if e.Offset < n.state.Digest().Next {
+	if e.Offset < n.state.Digest().NextOffset {
 		n.mu.Unlock()
 		return nil
 	}
--- a/coordination/record/codec.go
+++ b/coordination/record/codec.go
@@ -13,11 +13,11 @@
 const codecVersion = 1
 
 // MaxWriter is the longest name of a writer in bytes.
-const MaxWriter = 128
+const MaxWriterBytes = 128
 
 // MaxBatch is the longest encoded batch in bytes. It leaves room for one value
 // of MaxValue and the small records that share its append.
-const MaxBatch = MaxValue + 1<<20
+const MaxBatchBytes = MaxValueBytes + 1<<20
 
 // wireBatch and wireRecord are the encoded forms: arrays, so that no field name
 // travels, with times in microseconds since 1970 and zero for none.
@@ -74,13 +74,13 @@
 // would refuse, so that no writer appends a batch which readers drop. Errors
 // wrap ErrInvalid or ErrTooLarge.
 func Encode(b Batch) ([]byte, error) {
-	if err := b.Check(); err != nil {
+	if err := b.Validate(); err != nil {
 		return nil, err
 	}
 	w := wireBatch{
 		Version: codecVersion,
 		Writer:  b.Writer,
-		Stamped: Micros(b.Stamped),
+		Stamped: Micros(b.WriterTime),
 		Records: make([]wireRecord, len(b.Records)),
 	}
 	for i := range b.Records {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, trace.Wrap(ErrInvalid, "%v", err)
 	}
-	if len(data) > MaxBatch {
+	if len(data) > MaxBatchBytes {
 		return nil, trace.Wrap(ErrTooLarge, "batch of %d bytes", len(data))
 	}
 	return data, nil
@@ -99,7 +99,7 @@
 // Decode reads a batch. It holds no reference to data. Errors wrap
 // ErrMalformed, ErrInvalid or ErrTooLarge; the batch is then void as a whole.
 func Decode(data []byte) (Batch, error) {
-	if len(data) > MaxBatch {
+	if len(data) > MaxBatchBytes {
 		return Batch{}, trace.Wrap(ErrTooLarge, "batch of %d bytes", len(data))
 	}
 	var w wireBatch
@@ -110,24 +110,24 @@
 		return Batch{}, trace.Wrap(ErrMalformed, "codec version %d", w.Version)
 	}
 	b := Batch{
-		Writer:  w.Writer,
-		Stamped: FromMicros(w.Stamped),
-		Records: make([]Record, len(w.Records)),
+		Writer:     w.Writer,
+		WriterTime: FromMicros(w.Stamped),
+		Records:    make([]Record, len(w.Records)),
 	}
 	for i := range w.Records {
 		if err := fromWire(&w.Records[i], &b.Records[i]); err != nil {
 			return Batch{}, err
 		}
 	}
-	if err := b.Check(); err != nil {
+	if err := b.Validate(); err != nil {
 		return Batch{}, err
 	}
 	return b, nil
 }
 
 // Check reports the first field of b that breaks a limit or its kind's rules.
-func (b *Batch) Check() error {
-	if len(b.Writer) > MaxWriter {
+func (b *Batch) Validate() error {
+	if len(b.Writer) > MaxWriterBytes {
 		return trace.Wrap(ErrTooLarge, "writer of %d bytes", len(b.Writer))
 	}
 	if b.Writer == "" {
@@ -137,7 +137,7 @@
 		return trace.Wrap(ErrTooLarge, "%d records", len(b.Records))
 	}
 	for i := range b.Records {
-		if err := b.Records[i].Check(); err != nil {
+		if err := b.Records[i].Validate(); err != nil {
 			return err
 		}
 	}
@@ -145,11 +145,11 @@
 }
 
 // Check reports the first field of r that breaks a limit or its kind's rules.
-func (r *Record) Check() error {
-	if len(r.Key) > MaxKey {
+func (r *Record) Validate() error {
+	if len(r.Key) > MaxKeyBytes {
 		return trace.Wrap(ErrTooLarge, "key of %d bytes", len(r.Key))
 	}
-	if len(r.Value) > MaxValue {
+	if len(r.Value) > MaxValueBytes {
 		return trace.Wrap(ErrTooLarge, "value of %d bytes", len(r.Value))
 	}
 	if r.Lifetime < 0 {
--- a/coordination/record/codec_test.go
+++ b/coordination/record/codec_test.go
@@ -35,9 +35,9 @@
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Batch{
-			Writer:  rapid.StringMatching(`[a-z]{1,10}`).Draw(t, "writer"),
-			Stamped: FromMicros(rapid.Int64Range(1, 1<<55).Draw(t, "stamped")),
-			Records: rapid.SliceOfN(rapid.Custom(genRecord), 0, 8).Draw(t, "records"),
+			Writer:     rapid.StringMatching(`[a-z]{1,10}`).Draw(t, "writer"),
+			WriterTime: FromMicros(rapid.Int64Range(1, 1<<55).Draw(t, "stamped")),
+			Records:    rapid.SliceOfN(rapid.Custom(genRecord), 0, 8).Draw(t, "records"),
 		}
 		data, err := Encode(in)
 		if err != nil {
@@ -66,13 +66,13 @@
 }
 
 func TestEncodeRefuses(t *testing.T) {
-	long := Key("a/" + strings.Repeat("x", MaxKey))
+	long := Key("a/" + strings.Repeat("x", MaxKeyBytes))
 	tests := map[string]struct {
 		batch Batch
 		want  error
 	}{
 		"no writer":             {Batch{}, ErrInvalid},
-		"long writer":           {Batch{Writer: strings.Repeat("w", MaxWriter+1)}, ErrTooLarge},
+		"long writer":           {Batch{Writer: strings.Repeat("w", MaxWriterBytes+1)}, ErrTooLarge},
 		"too many records":      {Batch{Writer: "w", Records: make([]Record, MaxRecords+1)}, ErrTooLarge},
 		"zero record":           {Batch{Writer: "w", Records: make([]Record, 1)}, ErrInvalid},
 		"long key":              {Batch{Writer: "w", Records: []Record{putRecord(long, 1)}}, ErrTooLarge},
@@ -80,7 +80,7 @@
 		"no nonce":              {Batch{Writer: "w", Records: []Record{putRecord("a/x", 0)}}, ErrInvalid},
 		"checkpoint with a key": {Batch{Writer: "w", Records: []Record{{Kind: KindCheckpoint, Key: "a/x"}}}, ErrInvalid},
 		"negative lifetime":     {Batch{Writer: "w", Records: []Record{{Kind: KindPut, Lifetime: -1}}}, ErrInvalid},
-		"long value":            {Batch{Writer: "w", Records: []Record{{Kind: KindPut, Value: make([]byte, MaxValue+1)}}}, ErrTooLarge},
+		"long value":            {Batch{Writer: "w", Records: []Record{{Kind: KindPut, Value: make([]byte, MaxValueBytes+1)}}}, ErrTooLarge},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 			{Kind: 1, Key: "a/x", Nonce: []byte{1}}}}), ErrMalformed},
 		"unknown kind": {marshal(wireBatch{Version: 1, Writer: "w", Records: []wireRecord{
 			{Kind: 9, Key: "a/x", Nonce: make([]byte, 16)}}}), ErrInvalid},
-		"too long": {make([]byte, MaxBatch+1), ErrTooLarge},
+		"too long": {make([]byte, MaxBatchBytes+1), ErrTooLarge},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -131,7 +131,7 @@
 	if first == second || first == (Nonce{}) {
 		t.Error("a new nonce is not new")
 	}
-	from, again, other := NonceFrom("a", "bc"), NonceFrom("a", "bc"), NonceFrom("ab", "c")
+	from, again, other := DeriveNonce("a", "bc"), DeriveNonce("a", "bc"), DeriveNonce("ab", "c")
 	if from != again || from == other {
 		t.Error("a nonce does not follow from its parts")
 	}
@@ -151,7 +151,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	good, _ := Encode(Batch{Writer: "w", Stamped: time.Unix(9, 0), Records: []Record{putRecord("a/x", 1)}})
+	good, _ := Encode(Batch{Writer: "w", WriterTime: time.Unix(9, 0), Records: []Record{putRecord("a/x", 1)}})
 	f.Add(good)
 	f.Add([]byte{0x84})
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/coordination/record/nonce.go
+++ b/coordination/record/nonce.go
@@ -17,7 +17,7 @@
 // and however often, such as one publication of a manifest. Such a nonce must
 // not be released by a process that gives up: the others' retries would be void
 // as well.
-func NonceFrom(parts ...string) Nonce {
+func DeriveNonce(parts ...string) Nonce {
 	h := sha256.New()
 	for _, p := range parts {
 		var length [8]byte
--- a/coordination/record/record.go
+++ b/coordination/record/record.go
@@ -60,16 +60,16 @@
 	Writer string
 	// Stamped is the writer's clock at the append. The fold uses it only where
 	// the log gives no time of its own.
-	Stamped time.Time
-	Records []Record
+	WriterTime time.Time
+	Records    []Record
 }
 
 // Limits of the codec; a batch beyond them is refused by Encode and Decode.
 const (
 	// MaxKey is the longest key in bytes.
-	MaxKey = 512
+	MaxKeyBytes = 512
 	// MaxValue is the longest value in bytes. A manifest is the largest.
-	MaxValue = 4 << 20
+	MaxValueBytes = 4 << 20
 	// MaxRecords is the most records in one batch.
 	MaxRecords = 10_000
 )
--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -72,7 +72,7 @@
 		req:    req,
 		key:    key,
 		start:  time.Now(),
-		bill:   ledger.Bill{Team: c.team.ID, Request: key.id},
+		bill:   ledger.Bill{Team: c.team.ID, RequestID: key.id},
 	}
 }
 
--- a/router/internal/billing/billing.go
+++ b/router/internal/billing/billing.go
@@ -34,12 +34,12 @@
 
 // Biller records bills. It is safe for concurrent use.
 type Biller struct {
-	log    ledger.Log
+	log    ledger.BillLog
 	holder Holder
 }
 
 // New returns a biller.
-func New(log ledger.Log, holder Holder) *Biller {
+func New(log ledger.BillLog, holder Holder) *Biller {
 	return &Biller{log: log, holder: holder}
 }
 
--- a/router/internal/billing/billing_test.go
+++ b/router/internal/billing/billing_test.go
@@ -55,7 +55,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
-			bill := ledger.Bill{Team: "weavers", Request: "r1"}
+			bill := ledger.Bill{Team: "weavers", RequestID: "r1"}
 			err := New(&c.log, &c.log).Record(t.Context(), bill)
 			if (err == nil) != c.durable || c.log.nput != c.puts || c.log.nhold != c.holds {
 				t.Errorf("%s: error %v, %d puts, %d holds", name, err, c.log.nput, c.log.nhold)
--- a/router/internal/cli/ledgercmd/ledgercmd.go
+++ b/router/internal/cli/ledgercmd/ledgercmd.go
@@ -58,9 +58,9 @@
 		return cli.Exit(cli.StatusFailed, err)
 	}
 	fmt.Fprintf(cmd.ErrOrStderr(), "%d bills, %d void copies, %d malformed; next: --from %d\n",
-		sum.Bills, sum.Duplicates, sum.Malformed, sum.Next)
-	if from > 0 && from < sum.First {
-		fmt.Fprintf(cmd.ErrOrStderr(), "warning: the log keeps nothing before offset %d; bills from %d on may be missing\n", sum.First, from)
+		sum.Bills, sum.Duplicates, sum.Malformed, sum.NextOffset)
+	if from > 0 && from < sum.FirstOffset {
+		fmt.Fprintf(cmd.ErrOrStderr(), "warning: the log keeps nothing before offset %d; bills from %d on may be missing\n", sum.FirstOffset, from)
 	}
 	if sum.Malformed > 0 {
 		return cli.Exitf(cli.StatusPartial, "%d malformed bills", sum.Malformed)
@@ -68,19 +68,19 @@
 	return nil
 }
 
-func jsonLines(cmd *cobra.Command) func(ledger.Line) error {
+func jsonLines(cmd *cobra.Command) func(ledger.ExportedBill) error {
 	enc := json.NewEncoder(cmd.OutOrStdout())
-	return func(l ledger.Line) error { return enc.Encode(l) }
+	return func(l ledger.ExportedBill) error { return enc.Encode(l) }
 }
 
-func textLines(cmd *cobra.Command) func(ledger.Line) error {
-	return func(l ledger.Line) error {
+func textLines(cmd *cobra.Command) func(ledger.ExportedBill) error {
+	return func(l ledger.ExportedBill) error {
 		what := l.Version
 		if what == "" {
 			what = l.Service
 		}
 		_, err := fmt.Fprintf(cmd.OutOrStdout(), "%d %s %s %s %s tokens %d cost %.6f\n", l.Offset, l.At.UTC().Format("2006-01-02T15:04:05Z"),
-			l.Team, l.Request, what, l.OutputTokens, float64(l.CostMicros)/ledger.MicrosPerUnit)
+			l.Team, l.RequestID, what, l.OutputTokens, float64(l.CostMicros)/ledger.MicrosPerUnit)
 		return err
 	}
 }
--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -28,7 +28,7 @@
 
 	Settings  settings.Settings
 	Store     node.Store
-	Bills     ledger.Log
+	Bills     ledger.BillLog
 	Directory *directory.Directory
 	Gate      *gate.Gate
 	Driver    *driver.Driver
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -85,7 +85,7 @@
 
 // newBills is where bills go: a log of their own where the settings name one,
 // which keeps them out of what every instance reads.
-func newBills(lc fx.Lifecycle, cfg settings.Settings, store node.Store, dir *directory.Directory) ledger.Log {
+func newBills(lc fx.Lifecycle, cfg settings.Settings, store node.Store, dir *directory.Directory) ledger.BillLog {
 	if cfg.Platform.BillLogURL == "" {
 		return ledger.StoreLog{Store: store}
 	}
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -104,4 +104,4 @@
 	return snapshot
 }
 
-func newBiller(log ledger.Log, p *peer.Node) *billing.Biller { return billing.New(log, p) }
+func newBiller(log ledger.BillLog, p *peer.Node) *billing.Biller { return billing.New(log, p) }
--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -43,8 +43,8 @@
 			"weavers": {{modelLarge: versionOld, modelSmall: versionSmall}},
 		}},
 		ledger: ledger{bills: map[string][]bills.Bill{
-			"s": {{Team: "weavers", Request: "s", Version: versionOld, OutputTokens: 5}},
-			"t": {{Team: "clerks", Request: "t", Service: serviceShop}},
+			"s": {{Team: "weavers", RequestID: "s", Version: versionOld, OutputTokens: 5}},
+			"t": {{Team: "clerks", RequestID: "t", Service: serviceShop}},
 		}},
 		runs:   map[string]int{"t": 1},
 		broken: map[string][]string{},
@@ -75,8 +75,8 @@
 			c.ledger.bills["s"] = append(c.ledger.bills["s"], c.ledger.bills["s"]...)
 		}, []string{promiseBilled}},
 		{"wrong version billed", func(c *checker, _ []result) { c.ledger.bills["s"][0].Version = versionSmall }, []string{promiseBilled}},
-		{"billed for nothing", func(c *checker, _ []result) { c.ledger.bills["?"] = []bills.Bill{{Request: "?"}} }, []string{promiseBilled}},
-		{"refused but billed", func(c *checker, _ []result) { c.ledger.bills["f"] = []bills.Bill{{Request: "f"}} }, []string{promiseNotRun}},
+		{"billed for nothing", func(c *checker, _ []result) { c.ledger.bills["?"] = []bills.Bill{{RequestID: "?"}} }, []string{promiseBilled}},
+		{"refused but billed", func(c *checker, _ []result) { c.ledger.bills["f"] = []bills.Bill{{RequestID: "f"}} }, []string{promiseNotRun}},
 		{"refused but run", func(c *checker, r []result) {
 			r[1].outcome, r[2].outcome = "refused", "refused"
 			delete(c.ledger.bills, "t")
--- a/router/internal/demo/ledger.go
+++ b/router/internal/demo/ledger.go
@@ -42,8 +42,8 @@
 func export(ctx context.Context, logURL string) (ledger, error) {
 	l := ledger{bills: map[string][]bills.Bill{}}
 	client := platform.NewLogClient(logURL)
-	sum, err := bills.Export(ctx, client, fold.DefaultConfig(), 0, func(line bills.Line) error {
-		l.bills[line.Request] = append(l.bills[line.Request], line.Bill)
+	sum, err := bills.Export(ctx, client, fold.DefaultConfig(), 0, func(line bills.ExportedBill) error {
+		l.bills[line.RequestID] = append(l.bills[line.RequestID], line.Bill)
 		return nil
 	})
 	if err == nil && sum.Malformed > 0 {
--- a/router/internal/faultmatrix/caller.go
+++ b/router/internal/faultmatrix/caller.go
@@ -212,8 +212,8 @@
 func (b *bed) bills() map[string]int {
 	b.t.Helper()
 	out := map[string]int{}
-	_, err := ledger.Export(context.Background(), b.log.Client("export"), fold.DefaultConfig(), 0, func(l ledger.Line) error {
-		out[l.Request]++
+	_, err := ledger.Export(context.Background(), b.log.Client("export"), fold.DefaultConfig(), 0, func(l ledger.ExportedBill) error {
+		out[l.RequestID]++
 		return nil
 	})
 	if err != nil {
--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -202,22 +202,22 @@
 	{"life", "catch up", "lapsed lease", func(b *bed) {
 		// The holder of the orders' lease is paused past it, and does not send.
 		a, c := b.manager("a"), b.manager("c")
-		if !a.Take(b.t.Context()) {
+		if !a.Acquire(b.t.Context()) {
 			b.t.Fatal("no lease")
 		}
-		old, _ := a.Check(lease.EngineFences)
+		old, _ := a.Check(lease.FencingEnforced)
 		b.freeze(b.instances["a"], func() { time.Sleep(time.Minute) })
-		if _, r := a.Check(lease.EngineFences); r != lease.Lapsed {
+		if _, r := a.Check(lease.FencingEnforced); r != lease.Expired {
 			b.t.Errorf("the old holder may send: %d", r)
 		}
-		if !c.Take(b.t.Context()) {
+		if !c.Acquire(b.t.Context()) {
 			b.t.Error("the lease did not lapse")
 		}
-		if fence, r := c.Check(lease.EngineFences); r != lease.Allowed || fence <= old {
+		if fence, r := c.Check(lease.FencingEnforced); r != lease.Allowed || fence <= old {
 			b.t.Errorf("fence %d after %d, %d", fence, old, r)
 		}
 		b.heal()
-		if _, r := a.Check(lease.EngineFences); r != lease.NotHolder {
+		if _, r := a.Check(lease.FencingEnforced); r != lease.NotHolder {
 			b.t.Errorf("the old holder thinks that it holds: %d", r)
 		}
 	}},
--- a/router/internal/gate/gate.go
+++ b/router/internal/gate/gate.go
@@ -78,7 +78,7 @@
 func (g *Gate) Live(peers []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tracker.Live(peers)
+	g.tracker.SetLiveInstances(peers)
 	g.mode()
 }
 
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -121,13 +121,13 @@
 type fakeLease struct {
 	takes   bool
 	fence   uint64
-	refusal lease.Refusal
-	asked   lease.Engine
+	refusal lease.CheckResult
+	asked   lease.FencingSupport
 }
 
-func (l *fakeLease) Take(context.Context) bool     { return l.takes }
+func (l *fakeLease) Acquire(context.Context) bool  { return l.takes }
 func (l *fakeLease) HandOver(context.Context) bool { return true }
-func (l *fakeLease) Check(e lease.Engine) (uint64, lease.Refusal) {
+func (l *fakeLease) Check(e lease.FencingSupport) (uint64, lease.CheckResult) {
 	l.asked = e
 	return l.fence, l.refusal
 }
@@ -141,13 +141,13 @@
 		domain string
 		lease  fakeLease
 		sent   string
-		asked  lease.Engine
+		asked  lease.FencingSupport
 	}{
-		{"holder", "gasabo", fakeLease{takes: true, fence: 7}, "7", lease.EngineFences},
-		{"engines ignore fencing", "kicukiro", fakeLease{takes: true, fence: 7}, "7", lease.EngineIgnores},
+		{"holder", "gasabo", fakeLease{takes: true, fence: 7}, "7", lease.FencingEnforced},
+		{"engines ignore fencing", "kicukiro", fakeLease{takes: true, fence: 7}, "7", lease.FencingIgnored},
 		{"not the holder", "gasabo", fakeLease{}, "", 0},
-		{"lapsed after the plan", "gasabo", fakeLease{takes: true, refusal: lease.Lapsed}, "", lease.EngineFences},
-		{"waits after taking over", "kicukiro", fakeLease{takes: true, refusal: lease.Waiting}, "", lease.EngineIgnores},
+		{"lapsed after the plan", "gasabo", fakeLease{takes: true, refusal: lease.Expired}, "", lease.FencingEnforced},
+		{"waits after taking over", "kicukiro", fakeLease{takes: true, refusal: lease.WaitingForPredecessor}, "", lease.FencingIgnored},
 	} {
 		sent := ""
 		srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -168,18 +168,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
 		first, second := manager(t, log, "entry-1"), manager(t, log, "entry-2")
-		if !first.Take(t.Context()) {
+		if !first.Acquire(t.Context()) {
 			t.Fatal("first did not get the lease")
 		}
-		oldFence, refusal := first.Check(lease.EngineFences)
+		oldFence, refusal := first.Check(lease.FencingEnforced)
 		if refusal != lease.Allowed {
 			t.Fatalf("first: %v", refusal)
 		}
 		// first pauses here, between its check and its order.
-		for !second.Take(t.Context()) {
+		for !second.Acquire(t.Context()) {
 			time.Sleep(time.Second)
 		}
-		newFence, _ := second.Check(lease.EngineFences)
+		newFence, _ := second.Check(lease.FencingEnforced)
 		if newFence <= oldFence {
 			t.Fatalf("fencing number %d after %d", newFence, oldFence)
 		}
@@ -190,7 +190,7 @@
 		if code := putTo(e, oldFence, "small@1"); code != http.StatusConflict {
 			t.Errorf("old holder: %d", code)
 		}
-		if _, refusal := first.Check(lease.EngineFences); refusal == lease.Allowed {
+		if _, refusal := first.Check(lease.FencingEnforced); refusal == lease.Allowed {
 			t.Error("the old holder still thinks that it may send")
 		}
 	})
--- a/router/internal/orders/sender.go
+++ b/router/internal/orders/sender.go
@@ -34,8 +34,8 @@
 
 // Lease is the right to send; *lease.Manager is it.
 type Lease interface {
-	Take(ctx context.Context) bool
-	Check(engine lease.Engine) (fence uint64, r lease.Refusal)
+	Acquire(ctx context.Context) bool
+	Check(engine lease.FencingSupport) (fence uint64, r lease.CheckResult)
 	HandOver(ctx context.Context) bool
 }
 
@@ -104,7 +104,7 @@
 	if index == nil || index.Manifest.Orders == nil {
 		return
 	}
-	if !s.lease.Take(ctx) {
+	if !s.lease.Acquire(ctx) {
 		return
 	}
 	kind := engineKind(index.Manifest.Orders, s.domain)
@@ -114,11 +114,11 @@
 	}
 }
 
-func engineKind(o *manifest.Orders, domain string) lease.Engine {
+func engineKind(o *manifest.Orders, domain string) lease.FencingSupport {
 	if slices.Contains(o.FencedDomains, domain) {
-		return lease.EngineFences
+		return lease.FencingEnforced
 	}
-	return lease.EngineIgnores
+	return lease.FencingIgnored
 }
 
 func engines(servers []wire.ListedServer) []Engine {
@@ -139,7 +139,7 @@
 }
 
 // send checks the lease right before the order goes out.
-func (s *Sender) send(ctx context.Context, kind lease.Engine, o Order, servers []wire.ListedServer) {
+func (s *Sender) send(ctx context.Context, kind lease.FencingSupport, o Order, servers []wire.ListedServer) {
 	if s.settling(o.Engine) {
 		return
 	}
--- a/router/internal/peer/bench_test.go
+++ b/router/internal/peer/bench_test.go
@@ -32,7 +32,7 @@
 	for _, i := range f {
 		// Numbers as long as a year's log makes them.
 		i.store.set(func(s *fakeStore) {
-			s.digest = fold.Digest{Next: 6_000_000_000, Generation: 24_000_000, Hash: math.MaxUint64}
+			s.digest = fold.Digest{NextOffset: 6_000_000_000, Generation: 24_000_000, Hash: math.MaxUint64}
 			s.status.Head = 6_000_000_000
 		})
 	}
--- a/router/internal/peer/bills.go
+++ b/router/internal/peer/bills.go
@@ -24,13 +24,13 @@
 	// maxHeldBytes bounds their memory.
 	maxHeldBytes = 16 << 20
 	// maxHoldBytes bounds the message that carries one bill.
-	maxHoldBytes = 4 * (record.MaxKey + ledger.MaxValue)
+	maxHoldBytes = 4 * (record.MaxKeyBytes + ledger.MaxBillBytes)
 	// holdTries is how many peers are asked to keep a copy, one after another.
 	holdTries = 3
 )
 
 func newHeld(put ledger.PutFunc, copyTo ledger.CopyFunc) *ledger.Buffer {
-	return ledger.NewBuffer(ledger.Limits{Bills: maxHeld, Bytes: maxHeldBytes}, put, copyTo)
+	return ledger.NewBuffer(ledger.BufferLimits{MaxBills: maxHeld, MaxBytes: maxHeldBytes}, put, copyTo)
 }
 
 // Hold keeps a bill here and at one peer until the log takes it. A nil error
@@ -51,16 +51,16 @@
 	if err != nil {
 		return err
 	}
-	return room.HoldTwice(ctx, r)
+	return room.HoldWithCopy(ctx, r)
 }
 
 // accept keeps a second copy of another instance's bill, and only a bill: held
 // records are written to the log in this instance's name, so another class
 // would let one instance write what it likes through another.
 func (n *Node) accept(r record.Record) error {
-	err := n.held.Accept(r)
+	err := n.held.AcceptCopy(r)
 	switch {
-	case errors.Is(err, ledger.ErrFull):
+	case errors.Is(err, ledger.ErrBufferFull):
 		return failure(CodeFull, "no room to hold bills")
 	case err != nil:
 		return invalid(trace.UserMessage(err))
@@ -70,7 +70,7 @@
 
 // copyOut has one peer keep a copy.
 func (n *Node) copyOut(ctx context.Context, r record.Record) error {
-	batch := record.Batch{Writer: n.self.ID, Stamped: n.Now(), Records: []record.Record{r}}
+	batch := record.Batch{Writer: n.self.ID, WriterTime: n.Now(), Records: []record.Record{r}}
 	data, err := record.Encode(batch)
 	if err != nil {
 		return trace.Wrap(err)
--- a/router/internal/peer/fixture_test.go
+++ b/router/internal/peer/fixture_test.go
@@ -183,7 +183,7 @@
 }
 
 func bill(n byte) record.Record {
-	b := ledger.Bill{Team: "ecole", Request: fmt.Sprint(n), CostMicros: 1, Attempts: 1}
+	b := ledger.Bill{Team: "ecole", RequestID: fmt.Sprint(n), CostMicros: 1, Attempts: 1}
 	r, err := b.Record()
 	if err != nil {
 		panic(err)
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -45,7 +45,7 @@
 // holdParams encodes one record for bill.hold.
 func holdParams(t testing.TB, records ...record.Record) string {
 	t.Helper()
-	data, err := record.Encode(record.Batch{Writer: "w", Stamped: fixed, Records: records})
+	data, err := record.Encode(record.Batch{Writer: "w", WriterTime: fixed, Records: records})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	junk, moved, long := bill(1), bill(1), bill(1)
 	junk.Value = []byte(`{"cost":1}`)
 	moved.Key = bill(2).Key
-	long.Value = make([]byte, ledger.MaxValue+1)
+	long.Value = make([]byte, ledger.MaxBillBytes+1)
 	for name, c := range map[string]struct {
 		raw  []byte
 		code int
--- a/router/internal/peer/messages.go
+++ b/router/internal/peer/messages.go
@@ -32,7 +32,7 @@
 }
 
 func (s State) digest() fold.Digest {
-	return fold.Digest{Next: s.Next, Generation: s.Generation, Hash: s.Hash}
+	return fold.Digest{NextOffset: s.Next, Generation: s.Generation, Hash: s.Hash}
 }
 
 // Word is an instance's answer to state.digest and fresh.vouch: its state, and
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -57,7 +57,7 @@
 type Deps struct {
 	Store node.Store
 	// Bills takes the bills that were held; nil for the Store's log.
-	Bills ledger.Log
+	Bills ledger.BillLog
 	// Instances gives the platform's list; it may hold the own instance.
 	Instances func() []wire.ListedInstance
 	Vouches   Vouches
@@ -241,7 +241,7 @@
 	d := n.store.Digest()
 	return State{
 		From:       n.self.ID,
-		Next:       d.Next,
+		Next:       d.NextOffset,
 		Generation: d.Generation,
 		Hash:       d.Hash,
 		Board:      n.board.hash(n.Now()),
@@ -262,6 +262,6 @@
 
 // Full says that no more bills can be held, so that new work must be refused.
 // open requests are under way here, and each may yet have to hold its bill.
-func (n *Node) Full(open int) bool { return n.held.FullFor(open) }
+func (n *Node) Full(open int) bool { return n.held.FullWithOpen(open) }
 
 func peerAttr(id string) slog.Attr { return slog.String("peer", id) }
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -80,10 +80,10 @@
 		{"bad state", false, []byte("evil"), nil},
 	} {
 		f := fleet(t, 3, nil)
-		f[0].store.set(func(s *fakeStore) { s.status.LogReachable = c.reachable; s.digest.Next = 5 })
-		f[1].store.set(func(s *fakeStore) { s.digest.Next = 8 })
+		f[0].store.set(func(s *fakeStore) { s.status.LogReachable = c.reachable; s.digest.NextOffset = 5 })
+		f[1].store.set(func(s *fakeStore) { s.digest.NextOffset = 8 })
 		f[2].store.set(func(s *fakeStore) {
-			s.digest, s.snapshot = fold.Digest{Next: 9, Generation: 1}, c.snapshot
+			s.digest, s.snapshot = fold.Digest{NextOffset: 9, Generation: 1}, c.snapshot
 		})
 		f[0].round()
 		if !bytes.Equal(f[0].store.restored, c.want) {
@@ -100,7 +100,7 @@
 	f := fleet(t, 2, nil)
 	f[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
 	f[1].store.set(func(s *fakeStore) {
-		s.digest.Next, s.snapshot = 9, append([]byte("good"), make([]byte, transferRate/2)...)
+		s.digest.NextOffset, s.snapshot = 9, append([]byte("good"), make([]byte, transferRate/2)...)
 	})
 	for i, c := range []struct {
 		pass time.Duration
@@ -134,14 +134,14 @@
 		other fold.Digest
 		want  int
 	}{
-		{"alike", fold.Digest{Next: 5, Hash: 1}, 0},
-		{"elsewhere", fold.Digest{Next: 6, Hash: 2}, 0},
-		{"unlike", fold.Digest{Next: 5, Hash: 2}, 1},
+		{"alike", fold.Digest{NextOffset: 5, Hash: 1}, 0},
+		{"elsewhere", fold.Digest{NextOffset: 6, Hash: 2}, 0},
+		{"unlike", fold.Digest{NextOffset: 5, Hash: 2}, 1},
 	} {
 		f := fleet(t, 2, nil)
 		var out bytes.Buffer
 		f[0].Log = logging.New(&out, settings.Default().Log)
-		f[0].store.set(func(s *fakeStore) { s.digest = fold.Digest{Next: 5, Hash: 1} })
+		f[0].store.set(func(s *fakeStore) { s.digest = fold.Digest{NextOffset: 5, Hash: 1} })
 		f[1].store.set(func(s *fakeStore) { s.digest = c.other })
 		for range 3 {
 			f[0].round()
@@ -158,13 +158,13 @@
 }
 
 func TestPiecesOfASnapshotBelongTogether(t *testing.T) {
-	store := &fakeStore{digest: fold.Digest{Next: 4}, snapshot: make([]byte, pieceBytes+1)}
+	store := &fakeStore{digest: fold.Digest{NextOffset: 4}, snapshot: make([]byte, pieceBytes+1)}
 	s := &snapshots{store: store}
 	first, err := s.piece(FetchParams{After: 3}, fixed)
 	if err != nil || first.Total != pieceBytes+1 || len(first.Data) != pieceBytes {
 		t.Fatalf("got %d of %d, %v", len(first.Data), first.Total, err)
 	}
-	store.set(func(f *fakeStore) { f.digest.Next, f.snapshot = 9, []byte("newer") })
+	store.set(func(f *fakeStore) { f.digest.NextOffset, f.snapshot = 9, []byte("newer") })
 	rest, err := s.piece(FetchParams{After: 3, Snapshot: 4, Offset: pieceBytes}, fixed)
 	if err != nil || len(rest.Data) != 1 {
 		t.Errorf("second piece: got %d bytes, %v", len(rest.Data), err)
@@ -204,7 +204,7 @@
 	cut, reader := f[1].store, f[2].store
 	cut.set(func(s *fakeStore) { s.status.LogReachable, s.restores = false, make(chan struct{}, 1) })
 	f[0].store.set(func(s *fakeStore) {
-		s.digest, s.snapshot = fold.Digest{Next: 9, Generation: 3}, []byte("good")
+		s.digest, s.snapshot = fold.Digest{NextOffset: 9, Generation: 3}, []byte("good")
 	})
 	f[0].store.watch(fold.Change{Verdict: fold.VerdictLost})
 	f[0].store.watch(fold.Change{Verdict: fold.VerdictWon})
@@ -440,7 +440,7 @@
 func TestDrainLeavesNoBillBehind(t *testing.T) {
 	for name, reachable := range map[string]bool{"into the log": true, "to a peer": false} {
 		f := fleet(t, 2, nil)
-		if err := f[0].held.Accept(bill(1)); err != nil {
+		if err := f[0].held.AcceptCopy(bill(1)); err != nil {
 			t.Fatal(err)
 		}
 		f[0].store.set(func(s *fakeStore) { s.status.LogReachable = reachable })
--- a/router/internal/peer/real_test.go
+++ b/router/internal/peer/real_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if err := f[0].held.Accept(bill(1)); err != nil {
+		if err := f[0].held.AcceptCopy(bill(1)); err != nil {
 			t.Fatal(err)
 		}
 		if left := f[0].held.Flush(context.Background()); left != 0 {
--- a/router/internal/peer/round.go
+++ b/router/internal/peer/round.go
@@ -149,7 +149,7 @@
 			best = a
 		}
 	}
-	if best.word.Next <= n.store.Digest().Next || n.Now().Before(n.noTransferBefore) {
+	if best.word.Next <= n.store.Digest().NextOffset || n.Now().Before(n.noTransferBefore) {
 		return
 	}
 	if err := n.fetchState(ctx, best.peer.Peer); err != nil {
@@ -184,5 +184,5 @@
 
 // diverged says that two folds of the same entries came to unlike states.
 func diverged(a, b fold.Digest) bool {
-	return a.Next == b.Next && a.Hash != b.Hash
+	return a.NextOffset == b.NextOffset && a.Hash != b.Hash
 }
--- a/router/internal/peer/transfer.go
+++ b/router/internal/peer/transfer.go
@@ -54,7 +54,7 @@
 	if fresh && s.next > after {
 		return nil
 	}
-	next := s.store.Digest().Next
+	next := s.store.Digest().NextOffset
 	if next <= after {
 		return errGone
 	}
@@ -91,7 +91,7 @@
 func (n *Node) fetchState(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTime)
 	defer cancel()
-	params := FetchParams{From: n.self.ID, After: n.store.Digest().Next}
+	params := FetchParams{From: n.self.ID, After: n.store.Digest().NextOffset}
 	var data []byte
 	defer func() { n.noTransferBefore = n.Now().Add(restAfter(len(data))) }()
 	for {
@@ -114,7 +114,7 @@
 // fits refuses pieces that would not end, or not fit together.
 func fits(asked FetchParams, got FetchResult) error {
 	switch {
-	case got.Total <= 0 || got.Total > fold.MaxSnapshot:
+	case got.Total <= 0 || got.Total > fold.MaxSnapshotBytes:
 		return trace.LimitExceeded("snapshot of %d bytes", got.Total)
 	case len(got.Data) == 0 || asked.Offset+int64(len(got.Data)) > got.Total:
 		return trace.BadParameter("piece out of bounds")
--- a/router/internal/publish/publish.go
+++ b/router/internal/publish/publish.go
@@ -140,7 +140,7 @@
 // publicationNonce is the same for each try of one pipeline run, so that a try
 // whose reply was lost and its repetition are one proposal.
 func publicationNonce(publication string) record.Nonce {
-	return record.NonceFrom("publication", publication)
+	return record.DeriveNonce("publication", publication)
 }
 
 func (p *Publisher) result(kind outcome.Kind, code, message string) Result {
