--- a/decision/passthrough/canary_test.go
+++ b/decision/passthrough/canary_test.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-func rolloutBench(t *testing.T) *bench {
-	b := newBench(t, Settings{})
+func newRolloutHarness(t *testing.T) *harness {
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := servers("llm", 4, 50)
 	list[2].Version, list[3].Version = "v2", "v2"
-	b.tell(Listed{list})
+	b.tick(Listed{list})
 	return b
 }
 
-func canary(first bool) RolloutSet {
+func canaryUpdate(first bool) RolloutSet {
 	return RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.2, FirstHalf: first}}
 }
 
 func TestCanaryGetsItsShareByHash(t *testing.T) {
-	b := rolloutBench(t)
-	b.tell(canary(true))
+	b := newRolloutHarness(t)
+	b.tick(canaryUpdate(true))
 	for i := range 100 {
 		share := float64(i) / 100
 		id := b.arrive(streamRoute(), func(r *Request) { r.Share = share })
 		if got, want := b.dispatched(id).Server.Version == "v2", share < 0.2; got != want {
 			t.Errorf("share %v: new version %v", share, got)
 		}
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
 }
 
 func TestSessionsKeepTheirVersionThroughTheFirstHalf(t *testing.T) {
-	b := rolloutBench(t)
-	b.pass(20 * time.Second)
+	b := newRolloutHarness(t)
+	b.advance(20 * time.Second)
 	in := func(session string) func(*Request) {
 		return func(r *Request) { r.Session, r.Share = session, 0.05 }
 	}
 	run := func(session string) string {
 		id := b.arrive(streamRoute(), in(session))
 		v := b.dispatched(id).Server.Version
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 		return v
 	}
 	for i := range 10 {
-		b.tell(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+		b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
 		run(fmt.Sprint("open-", i))
 	}
-	b.tell(canary(true))
+	b.tick(canaryUpdate(true))
 	for i := range 10 {
 		if v := run(fmt.Sprint("open-", i)); v != "v1" {
 			t.Errorf("open session moved to %s", v)
@@ -57,7 +57,7 @@
 			t.Errorf("new session of the canary's share went to %s", v)
 		}
 	}
-	b.tell(canary(false))
+	b.tick(canaryUpdate(false))
 	for i := range 10 {
 		if v := run(fmt.Sprint("new-", i)); v != "v2" {
 			t.Errorf("session of the new version moved back to %s", v)
@@ -66,10 +66,10 @@
 }
 
 func TestNoSessionMovesBeforeTheOpenOnesAreKnown(t *testing.T) {
-	b := rolloutBench(t)
-	set := canary(true)
+	b := newRolloutHarness(t)
+	set := canaryUpdate(true)
 	set.Rollout.Opening = true
-	b.tell(set)
+	b.tick(set)
 	id := b.arrive(streamRoute(), func(r *Request) { r.Session, r.Share = "s", 0.01 })
 	if v := b.dispatched(id).Server.Version; v != "v1" {
 		t.Errorf("a session that may be open went to %s", v)
@@ -79,72 +79,72 @@
 // TestSessionOpenAtAnotherInstanceStays holds for sessions whose requests come to any
 // instance.
 func TestSessionOpenAtAnotherInstanceStays(t *testing.T) {
-	there, here := rolloutBench(t), rolloutBench(t)
+	there, here := newRolloutHarness(t), newRolloutHarness(t)
 	in := func(r *Request) { r.Session, r.Share = "s", 0.01 }
-	there.tell(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+	there.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
 	there.arrive(streamRoute(), in)
 	there.arrive(streamRoute(), func(r *Request) { r.Session, r.Share = "outside", 0.5 })
 	open := there.world.OpenSessions("llm", "v2", 0.2)
 	if len(open) != 1 || open[0] != "s" {
 		t.Fatalf("open sessions in the share: %v", open)
 	}
-	here.tell(canary(true))
-	here.tell(SessionsOpen{Sessions: open})
+	here.tick(canaryUpdate(true))
+	here.tick(SessionsOpen{Sessions: open})
 	if v := here.dispatched(here.arrive(streamRoute(), in)).Server.Version; v != "v1" {
 		t.Errorf("moved to %s", v)
 	}
 }
 
 // goToTheOldVersion holds that so many requests of the canary's share go to v1.
-func (b *bench) goToTheOldVersion(count int) {
+func (b *harness) requireOldVersion(count int) {
 	b.t.Helper()
 	for range count {
 		id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0 })
 		if v := b.dispatched(id).Server.Version; v != "v1" {
 			b.t.Fatalf("sent to %s", v)
 		}
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
 }
 
 func TestRevertedVersionGetsNothing(t *testing.T) {
-	b := rolloutBench(t)
-	b.tell(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
-	b.goToTheOldVersion(50)
+	b := newRolloutHarness(t)
+	b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+	b.requireOldVersion(50)
 }
 
 // TestOldServersGoneWithoutAWord holds for an instance that starts when a roll-out has been
 // completed, before it knows.
 func TestOldServersGoneWithoutAWord(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := servers("llm", 2, 8)
 	for i := range list {
 		list[i].Version = "v2"
 	}
 	unknown := Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, FirstHalf: true}
-	b.tell(Listed{list}, RolloutSet{unknown})
+	b.tick(Listed{list}, RolloutSet{unknown})
 	b.dispatched(b.arrive(streamRoute(), nil))
 	unknown.Phase = PhaseReverted
-	b.tell(RolloutSet{unknown})
+	b.tick(RolloutSet{unknown})
 	b.refused(b.arrive(streamRoute(), nil), ReasonNoServer)
 }
 
 func TestNothingGoesToTheNewVersionBeforeThePhaseIsKnown(t *testing.T) {
-	b := rolloutBench(t)
-	b.tell(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, FirstHalf: true}})
-	b.goToTheOldVersion(20)
+	b := newRolloutHarness(t)
+	b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, FirstHalf: true}})
+	b.requireOldVersion(20)
 }
 
 // TestRequestKeepsItsVersionWhenTheOrderComes holds for a request that is sent again, here
 // to a larger model, after an order that came while it ran.
 func TestRequestKeepsItsVersionWhenTheOrderComes(t *testing.T) {
-	b := rolloutBench(t)
-	b.tell(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+	b := newRolloutHarness(t)
+	b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
 	id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0 })
 	b.dispatched(id)
-	b.tell(canary(true))
-	b.tell(Ended{Request: id, Result: Dropped})
+	b.tick(canaryUpdate(true))
+	b.tick(Ended{Request: id, Result: Dropped})
 	if v := b.dispatched(id).Server.Version; v != "v1" {
 		t.Errorf("moved to %s", v)
 	}
@@ -153,34 +153,34 @@
 // TestRevertedVersionStaysOutOfTheNextRollout holds while the servers of a reverted version
 // are still there when the next order comes.
 func TestRevertedVersionStaysOutOfTheNextRollout(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := servers("llm", 6, 50)
 	list[2].Version, list[3].Version, list[4].Version, list[5].Version = "v2", "v2", "v3", "v3"
-	b.tell(Listed{list}, RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
-	b.tell(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v3"}, Phase: PhaseCanary, Share: 0.2}})
+	b.tick(Listed{list}, RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+	b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v3"}, Phase: PhaseCanary, Share: 0.2}})
 	for i := range 50 {
 		id := b.arrive(streamRoute(), func(r *Request) { r.Share = float64(i) / 50 })
 		if v := b.dispatched(id).Server.Version; v == "v2" {
 			t.Fatal("sent to the reverted version")
 		}
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
 }
 
 // TestCanaryGoesToSeveralServers holds that one slow server alone is not all that is seen of
 // a version, however small the canary's share.
 func TestCanaryGoesToSeveralServers(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := servers("llm", 24, 50)
 	for i := range 12 {
 		list[i].Version = "v2"
 	}
-	b.tell(Listed{list}, canary(true))
-	set := canary(true)
+	b.tick(Listed{list}, canaryUpdate(true))
+	set := canaryUpdate(true)
 	set.Rollout.Share = 0.045
-	b.tell(set)
+	b.tick(set)
 	seen := map[string]bool{}
 	for i := range 60 {
 		id := b.arrive(streamRoute(), func(r *Request) { r.Share, r.Affinity = 0.01, uint64(i+1) })
@@ -189,9 +189,9 @@
 			t.Fatalf("sent to %s", d.Server.Version)
 		}
 		seen[d.Server.ID] = true
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
-	if len(seen) != canaryLeast {
+	if len(seen) != minCanaryServers {
 		t.Errorf("the canary went to %d servers", len(seen))
 	}
 }
--- a/decision/passthrough/cascade.go
+++ b/decision/passthrough/cascade.go
@@ -5,13 +5,13 @@
 // routeStats is what is learnt of a route's answers.
 type routeStats struct {
 	// first is the usual time to the first event, by size.
-	first map[int]*usualTimes
+	firstByte map[int]*baselineTimes
 	// took is the mean time to the whole answer, from the request's arrival, in seconds.
-	took mean
-	next nextStats
+	responseTime movingAverage
+	escalation   escalationStats
 }
 
-func (w *World) stats(route string) *routeStats {
+func (w *World) statsOf(route string) *routeStats {
 	st := w.routes[route]
 	if st == nil {
 		st = &routeStats{}
@@ -21,44 +21,44 @@
 }
 
 // usual is how long the route's whole answers take, times a factor.
-func (w *World) usual(route *Route, factor float64) time.Duration {
-	return seconds(factor * w.stats(route.Name).took.value)
+func (w *World) expectedDuration(route *Route, factor float64) time.Duration {
+	return seconds(factor * w.statsOf(route.Name).responseTime.value)
 }
 
 // firstOf is the usual time to the first event of answers like the request's.
-func (w *World) firstOf(r *request) *usualTimes {
-	return bySize(&w.stats(r.Route.Name).first, r.size)
+func (w *World) firstByteBaseline(r *request) *baselineTimes {
+	return rowFor(&w.statsOf(r.Route.Name).firstByte, r.model)
 }
 
 // firstByte notes the time to an answer's first byte.
-func (w *World) firstByte(e FirstByte) {
+func (w *World) observeFirstByte(e FirstByte) {
 	r := w.requests[e.Request]
 	if r == nil || r.server == nil {
 		return
 	}
-	r.first = e.After
-	w.domainAnswers(r.server)
-	r.service.reads.began(r, e)
-	r.hasRead()
-	w.noteLimit(r.server, r.sent, e.Limit)
+	r.firstByte = e.After
+	w.domainResponded(r.server)
+	r.service.prefill.observeFirstByte(r, e)
+	r.endPrefill()
+	w.observeLimit(r.server, r.sent, e.Limit)
 	if e.HasLoad {
 		w.setReportedLoad(r.server, e.Load)
 	}
-	r.level = levelOf(r.server.reported)
-	w.free(r.service)
+	r.loadLevel = loadLevelOf(r.server.reported)
+	w.markFreed(r.service)
 }
 
 const (
 	// barEven is the engine's own even odds on its answer. Measured by asking each of three
 	// models for the same load: answers to requests that a model is too weak for lie below
 	// it, but for one in twenty.
-	barEven = 0.5
+	evenConfidence = 0.5
 	// barMargin is added since a weak answer costs its whole worth, and an answer replaced
 	// for nothing only a second prompt.
-	barMargin = 0.04
+	confidenceMargin = 0.04
 	// sureFrom is the confidence from which on an answer is kept, where there is room for a
 	// larger model.
-	sureFrom = barEven + barMargin
+	minConfidence = evenConfidence + confidenceMargin
 )
 
 // chooseSize is the index of the model to ask.
@@ -69,16 +69,16 @@
 // first; its answer is dropped where it doubts it itself, as long as nothing was sent. What
 // was dropped once is asked of a larger one, however full the servers are: the smallest
 // would give the same answer again.
-func (w *World) chooseSize(r *request, room float64) int {
+func (w *World) chooseModel(r *request, room float64) int {
 	last := len(r.Route.Sizes) - 1
 	switch {
-	case r.next > 0 && r.onlyTry():
+	case r.nextModel > 0 && r.lastAttempt():
 		return last
-	case r.next > 0:
-		return r.next
+	case r.nextModel > 0:
+		return r.nextModel
 	case room <= 0:
 		return 0
-	case r.onlyTry():
+	case r.lastAttempt():
 		return last
 	}
 	return 0
@@ -86,7 +86,7 @@
 
 // onlyTry says that no other attempt may follow the one that is being made, so that a weak
 // answer could not be replaced.
-func (r *request) onlyTry() bool {
+func (r *request) lastAttempt() bool {
 	return r.attempts >= r.Route.MaxAttempts || !r.Route.Repeatable()
 }
 
@@ -99,28 +99,28 @@
 // read prompts for the largest model, two seconds of them each, before anyone notices.
 func (w *World) Bar(id RequestID) float64 {
 	r := w.requests[id]
-	if r == nil || r.server == nil || r.size == plainSize {
+	if r == nil || r.server == nil || r.model == noModel {
 		return 0
 	}
-	if r.size >= len(r.Route.Sizes)-1 || r.onlyTry() {
+	if r.model >= len(r.Route.Sizes)-1 || r.lastAttempt() {
 		return 0
 	}
 	if !r.service.budget.Spares(w.now) {
 		return 0
 	}
-	f := filled(r.service, w.look(r.service))
-	if !w.largestEnds(r, f.wait) {
+	f := occupancyOf(r.service, w.viewServers(r.service))
+	if !w.largestInTime(r, f.prefillWait) {
 		return 0
 	}
-	return sureFrom * f.room(r)
+	return minConfidence * f.headroom(r)
 }
 
 // endsPart is the part of the time to the deadline in which the largest model must begin its
 // answer, for the rest of it to come too.
-const endsPart = 0.5
+const escalationFraction = 0.5
 
 // largestEnds says whether the largest model's answer would come before the deadline.
-func (w *World) largestEnds(r *request, wait float64) bool {
-	begins := wait + r.service.reads.perToken(len(r.Route.Sizes)-1)*float64(r.PromptTokens)
-	return begins < endsPart*r.Deadline.Sub(w.now).Seconds()
+func (w *World) largestInTime(r *request, wait float64) bool {
+	begins := wait + r.service.prefill.perToken(len(r.Route.Sizes)-1)*float64(r.PromptTokens)
+	return begins < escalationFraction*r.Deadline.Sub(w.now).Seconds()
 }
--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -6,24 +6,24 @@
 )
 
 // fillBudget sends requests that fill the retry budget.
-func (b *bench) fillBudget() {
+func (b *harness) fillRetryBudget() {
 	b.t.Helper()
 	for range 20 {
-		b.tell(Ended{Request: b.arrive(streamRoute(), nil), Result: Completed})
+		b.tick(Ended{Request: b.arrive(streamRoute(), nil), Result: Completed})
 	}
 }
 
 func TestSmallestModelFirstThenTheLargest(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 3, 8)})
-	b.fillBudget()
+	b.tick(Listed{servers("llm", 3, 8)})
+	b.fillRetryBudget()
 	id := b.arrive(streamRoute(), nil)
 	first := b.dispatched(id)
-	if bar := b.world.Bar(id); first.Model != "small" || bar <= barEven || bar >= 1 {
+	if bar := b.world.Bar(id); first.Model != "small" || bar <= evenConfidence || bar >= 1 {
 		t.Errorf("first: model %q, bar %v", first.Model, bar)
 	}
-	b.tell(Ended{Request: id, Result: Dropped})
+	b.tick(Ended{Request: id, Result: Dropped})
 	second := b.dispatched(id)
 	if bar := b.world.Bar(id); second.Model != "large" || bar != 0 {
 		t.Errorf("second: model %q, bar %v", second.Model, bar)
@@ -31,9 +31,9 @@
 }
 
 func TestNothingIsDroppedWithoutBudgetForTheRepeat(t *testing.T) {
-	b := newBench(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 1, RetryWindow: 1e9})
+	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 1, RetryWindow: 1e9})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 3, 8)})
+	b.tick(Listed{servers("llm", 3, 8)})
 	id := b.arrive(streamRoute(), nil)
 	b.dispatched(id)
 	if bar := b.world.Bar(id); bar != 0 {
@@ -42,11 +42,11 @@
 }
 
 func TestOneAttemptAsksTheLargest(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	route := streamRoute()
 	route.MaxAttempts = 1
 	b.configure(route)
-	b.tell(Listed{servers("llm", 3, 8)})
+	b.tick(Listed{servers("llm", 3, 8)})
 	id := b.arrive(route, nil)
 	if d, bar := b.dispatched(id), b.world.Bar(id); d.Model != "large" || bar != 0 {
 		t.Errorf("model %q, bar %v", d.Model, bar)
@@ -54,11 +54,11 @@
 }
 
 func TestWhatMayNotRunTwiceAsksTheLargest(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	route := streamRoute()
 	route.Resumable = false
 	b.configure(route)
-	b.tell(Listed{servers("llm", 3, 8)})
+	b.tick(Listed{servers("llm", 3, 8)})
 	id := b.arrive(route, nil)
 	if d, bar := b.dispatched(id), b.world.Bar(id); d.Model != "large" || bar != 0 {
 		t.Errorf("model %q, bar %v", d.Model, bar)
@@ -66,11 +66,11 @@
 }
 
 func TestFullServersAreAskedForTheSmallestModel(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	route := streamRoute()
 	route.MaxAttempts = 1
 	b.configure(route)
-	b.tell(Listed{servers("llm", 1, 8)})
+	b.tick(Listed{servers("llm", 1, 8)})
 	model := ""
 	for range 8 {
 		model = b.dispatched(b.arrive(route, nil)).Model
@@ -83,34 +83,34 @@
 // TestOneCrowdedServerIsNoFullService sends one prompt's requests to one server: its last
 // places, too, go by the cascade while the other servers have room.
 func TestOneCrowdedServerIsNoFullService(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 8, 8)})
-	b.fillBudget()
+	b.tick(Listed{servers("llm", 8, 8)})
+	b.fillRetryBudget()
 	for _, s := range servers("llm", 8, 8)[1:] {
-		b.tell(LoadReported{Server: s.ID, Load: Load{Running: 3, Slots: 8}})
+		b.tick(LoadReported{Server: s.ID, Load: Load{Running: 3, Slots: 8}})
 	}
-	b.tell(LoadReported{Server: "llm-0", Load: Load{Running: 7, Slots: 8}})
+	b.tick(LoadReported{Server: "llm-0", Load: Load{Running: 7, Slots: 8}})
 	crowded := b.world.servers["llm-0"]
 	r := &request{Request: Request{Route: streamRoute(), Deadline: b.now.Add(time.Second)}, service: crowded.service, server: crowded}
 	b.world.requests[0] = r
-	r.size = b.world.chooseSize(r, filled(r.service, b.world.look(r.service)).room(r))
-	if bar := b.world.Bar(0); r.size != 0 || bar == 0 {
-		t.Errorf("size %d with the bar %v, want the smallest with a bar", r.size, bar)
+	r.model = b.world.chooseModel(r, occupancyOf(r.service, b.world.viewServers(r.service)).headroom(r))
+	if bar := b.world.Bar(0); r.model != 0 || bar == 0 {
+		t.Errorf("size %d with the bar %v, want the smallest with a bar", r.model, bar)
 	}
 }
 
 // TestWhatWasDroppedIsNeverAskedOfTheSmallestAgain: it would doubt its answer again.
 func TestWhatWasDroppedIsNeverAskedOfTheSmallestAgain(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 2, 8)})
-	b.fillBudget()
+	b.tick(Listed{servers("llm", 2, 8)})
+	b.fillRetryBudget()
 	id := b.arrive(streamRoute(), nil)
 	for range 13 {
 		b.arrive(streamRoute(), nil)
 	}
-	b.tell(Ended{Request: id, Result: Dropped})
+	b.tick(Ended{Request: id, Result: Dropped})
 	if d := b.dispatched(id); d.Model != "large" {
 		t.Errorf("asked of %q on full servers, want the largest", d.Model)
 	}
@@ -126,23 +126,23 @@
 		{0, 0.5, 1}, {0, 0.875, 0.5}, {0, 1, 0},
 		{1, 0.5, 1}, {1, 0.88, 0}, {2, 0.5, 1}, {2, 0.76, 0}, {9, 0.76, 0},
 	} {
-		if got := byPlaces.room(c.rank, c.taken); got < c.want-0.01 || got > c.want+0.01 {
+		if got := utilizationRamp.headroom(c.rank, c.taken); got < c.want-0.01 || got > c.want+0.01 {
 			t.Errorf("rank %d with %v taken: room %v, want %v", c.rank, c.taken, got, c.want)
 		}
 	}
 }
 
 // drop ends an answer that its engine doubted.
-func (b *bench) drop(id RequestID, confidence float64) {
-	b.tell(Ended{Request: id, Result: Dropped, Confidence: confidence})
+func (b *harness) dropAnswer(id RequestID, confidence float64) {
+	b.tick(Ended{Request: id, Result: Dropped, Confidence: confidence})
 }
 
 // roomyBench has engines and a retry budget that do not bind.
-func roomyBench(t *testing.T) *bench {
+func newRoomyHarness(t *testing.T) *harness {
 	t.Helper()
-	b := newBench(t, Settings{Seed: 1, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second, SessionLife: time.Second})
+	b := newHarness(t, Settings{Seed: 1, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second, SessionLife: time.Second})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 3, 800)})
+	b.tick(Listed{servers("llm", 3, 800)})
 	return b
 }
 
@@ -150,17 +150,17 @@
 // is a little too hard for it alone. Where the middle model doubts its answer too, the largest
 // is asked, and so are all others.
 func TestTheMiddleModelIsAskedWhereTheSmallestWasNearlySure(t *testing.T) {
-	b := roomyBench(t)
+	b := newRoomyHarness(t)
 	near, far := b.arrive(streamRoute(), nil), b.arrive(streamRoute(), nil)
-	b.drop(near, 0.5)
-	b.drop(far, 0.1)
+	b.dropAnswer(near, 0.5)
+	b.dropAnswer(far, 0.1)
 	if d := b.dispatched(near); d.Model != "middle" || b.world.Bar(near) == 0 {
 		t.Errorf("nearly sure: asked %q with the bar %v", d.Model, b.world.Bar(near))
 	}
 	if d := b.dispatched(far); d.Model != "large" {
 		t.Errorf("far from sure: asked %q", d.Model)
 	}
-	b.drop(near, 0.4)
+	b.dropAnswer(near, 0.4)
 	if d := b.dispatched(near); d.Model != "large" || b.world.Bar(near) != 0 {
 		t.Errorf("doubted twice: asked %q with the bar %v", d.Model, b.world.Bar(near))
 	}
@@ -168,16 +168,16 @@
 
 // TestAMiddleModelThatIsNeverSureIsAskedNoMore learns from what the middle model says.
 func TestAMiddleModelThatIsNeverSureIsAskedNoMore(t *testing.T) {
-	b := roomyBench(t)
+	b := newRoomyHarness(t)
 	asked := 0
 	for range 30 {
 		id := b.arrive(streamRoute(), nil)
-		b.drop(id, 0.5)
+		b.dropAnswer(id, 0.5)
 		if b.dispatched(id).Model == "middle" {
 			asked++
-			b.drop(id, 0.3)
+			b.dropAnswer(id, 0.3)
 		}
-		b.tell(Ended{Request: id, Result: Completed, Confidence: 0.9})
+		b.tick(Ended{Request: id, Result: Completed, Confidence: 0.9})
 	}
 	if asked == 0 || asked > 6 {
 		t.Errorf("the middle model was asked %d times in vain", asked)
@@ -186,14 +186,14 @@
 
 // TestNoMiddleModelWithoutAThirdAttempt: its answer could not be replaced.
 func TestNoMiddleModelWithoutAThirdAttempt(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	route := streamRoute()
 	route.MaxAttempts = 2
 	b.configure(route)
-	b.tell(Listed{servers("llm", 3, 8)})
-	b.fillBudget()
+	b.tick(Listed{servers("llm", 3, 8)})
+	b.fillRetryBudget()
 	id := b.arrive(route, nil)
-	b.drop(id, 0.5)
+	b.dropAnswer(id, 0.5)
 	if d := b.dispatched(id); d.Model != "large" {
 		t.Errorf("asked %q", d.Model)
 	}
@@ -202,20 +202,20 @@
 // TestInstanceThatGetsLittleDropsWeakAnswers plays one of 300 instances with a request each four
 // seconds, all of them weak: half of these may be asked of a larger model.
 func TestInstanceThatGetsLittleDropsWeakAnswers(t *testing.T) {
-	b := newBench(t, Settings{Seed: 1, RetryRatio: 0.765, RetrySlack: 156, RetryWindow: 10 * time.Second, SessionLife: time.Second})
-	b.tell(Fleet{Instances: 300})
+	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0.765, RetrySlack: 156, RetryWindow: 10 * time.Second, SessionLife: time.Second})
+	b.tick(Fleet{Instances: 300})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 3, 8)})
+	b.tick(Listed{servers("llm", 3, 8)})
 	const requests = 40
 	dropped := 0
 	for range requests {
-		b.pass(4 * time.Second)
+		b.advance(4 * time.Second)
 		id := b.arrive(streamRoute(), nil)
 		if b.world.Bar(id) > 0 {
 			dropped++
-			b.tell(Ended{Request: id, Result: Dropped})
+			b.tick(Ended{Request: id, Result: Dropped})
 		}
-		b.tell(Ended{Request: id, Result: Completed, Confidence: 1})
+		b.tick(Ended{Request: id, Result: Completed, Confidence: 1})
 	}
 	if dropped < requests/2 {
 		t.Errorf("%d of %d weak answers could be dropped", dropped, requests)
--- a/decision/passthrough/crashes.go
+++ b/decision/passthrough/crashes.go
@@ -10,12 +10,12 @@
 	// crashLimit is how many backend servers a request may seem to have crashed
 	// before it is refused. One or two broken connections in a row are common where
 	// answers get lost; three of the same request, with no answer between, are not.
-	crashLimit = 3
+	crashThreshold = 3
 	// crashMemory is how long a crash counts: such a request comes again within
 	// seconds, and one that was unlucky must not be shut out for long.
 	crashMemory = 20 * time.Second
 	// crashTable bounds the fingerprints that are kept.
-	crashTable = 4096
+	maxFingerprints = 4096
 )
 
 // crashes counts, by fingerprint, the attempts in a row that broke off.
@@ -23,7 +23,7 @@
 // Load: one request that crashes each backend server that runs it, and is sent again.
 // Harm prevented: all backend servers down, one after the other.
 type crashes struct {
-	seen *simplelru.LRU[uint64, crashRow]
+	rows *simplelru.LRU[uint64, crashRow]
 }
 
 type crashRow struct {
@@ -32,27 +32,27 @@
 }
 
 func newCrashes() crashes {
-	lru, err := simplelru.NewLRU[uint64, crashRow](crashTable, nil)
+	lru, err := simplelru.NewLRU[uint64, crashRow](maxFingerprints, nil)
 	if err != nil {
 		panic(err) // the library fails only for a size below 1
 	}
-	return crashes{seen: lru}
+	return crashes{rows: lru}
 }
 
 // broke notes one more attempt that broke off.
-func (c *crashes) broke(fingerprint uint64, count int, now time.Time) {
-	row, _ := c.seen.Get(fingerprint)
+func (c *crashes) record(fingerprint uint64, count int, now time.Time) {
+	row, _ := c.rows.Get(fingerprint)
 	if now.Sub(row.at) > crashMemory {
 		row.count = 0
 	}
-	c.seen.Add(fingerprint, crashRow{count: row.count + count, at: now})
+	c.rows.Add(fingerprint, crashRow{count: row.count + count, at: now})
 }
 
 // forget drops what is held against a request that some backend server has answered.
-func (c *crashes) forget(fingerprint uint64) { c.seen.Remove(fingerprint) }
+func (c *crashes) forget(fingerprint uint64) { c.rows.Remove(fingerprint) }
 
 // barred says whether the request must not run any more.
-func (c *crashes) barred(fingerprint uint64, now time.Time) bool {
-	row, ok := c.seen.Get(fingerprint)
-	return ok && row.count >= crashLimit && now.Sub(row.at) <= crashMemory
+func (c *crashes) quarantined(fingerprint uint64, now time.Time) bool {
+	row, ok := c.rows.Get(fingerprint)
+	return ok && row.count >= crashThreshold && now.Sub(row.at) <= crashMemory
 }
--- a/decision/passthrough/drained.go
+++ b/decision/passthrough/drained.go
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, s := range w.services {
-		w.free(s)
+		w.markFreed(s)
 	}
 }
 
@@ -35,9 +35,9 @@
 		if s.Zone != domain {
 			continue
 		}
-		if s.beginSlowStart(s.assumedStart(), w.now) {
+		if s.beginSlowStart(s.assumedSlowStart(), w.now) {
 			count++
-			span = max(span, s.assumedStart())
+			span = max(span, s.assumedSlowStart())
 		}
 	}
 	if count > 0 {
@@ -48,22 +48,22 @@
 // lostServer notes that a server could not be reached, or broke off: it may start again at any
 // moment. Where several of a failure domain are lost and none there answers, all of it is taken
 // to be starting again: most instances have not asked each of its servers meanwhile.
-func (w *World) lostServer(s *server) {
+func (w *World) serverLost(s *server) {
 	if s.service.slowStart.span <= 0 {
 		return
 	}
-	w.cool(s, s.assumedStart(), WhyLost)
-	lost := w.lost[s.Zone]
+	w.enterSlowStart(s, s.assumedSlowStart(), WhyLost)
+	lost := w.lostServers[s.Zone]
 	if lost == nil {
 		lost = map[*server]bool{}
-		w.lost[s.Zone] = lost
+		w.lostServers[s.Zone] = lost
 	}
 	lost[s] = true
-	if len(lost) >= domainLostAfter {
-		delete(w.lost, s.Zone)
+	if len(lost) >= domainLostThreshold {
+		delete(w.lostServers, s.Zone)
 		w.beginDomainSlowStart(s.Zone, WhyDomainLost)
 	}
 }
 
 // domainAnswers notes that a server has answered: its failure domain is there.
-func (w *World) domainAnswers(s *server) { delete(w.lost, s.Zone) }
+func (w *World) domainResponded(s *server) { delete(w.lostServers, s.Zone) }
--- a/decision/passthrough/drained_test.go
+++ b/decision/passthrough/drained_test.go
@@ -14,12 +14,12 @@
 }
 
 func TestDrainedDomainGetsNothingNew(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := inDomains(servers("llm", 6, 8), "a", "b", "c")
-	b.tell(Listed{list}, Drained{[]string{"a"}})
+	b.tick(Listed{list}, Drained{[]string{"a"}})
 	late := servers("llm", 7, 8)[6]
-	b.tell(Listed{append(list, late)}) // in domain a, and listed after the order
+	b.tick(Listed{append(list, late)}) // in domain a, and listed after the order
 	for range 20 {
 		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.Zone == "a" {
 			t.Fatalf("%s got a request", d.Server.ID)
@@ -28,30 +28,30 @@
 }
 
 func TestDrainedDomainGetsNoRetry(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tell(Listed{inDomains(servers("llm", 2, 8), "a", "b")})
-	b.tell(Drained{[]string{"b"}})
+	b.tick(Listed{inDomains(servers("llm", 2, 8), "a", "b")})
+	b.tick(Drained{[]string{"b"}})
 	id := b.arrive(streamRoute(), nil)
-	b.tell(Ended{Request: id, Result: Broken, Begun: true, Cut: true})
+	b.tick(Ended{Request: id, Result: Broken, Begun: true, Cut: true})
 	if d := b.dispatched(id); d.Server.Zone != "a" {
 		t.Errorf("a resumed stream went to the drained failure domain")
 	}
 }
 
 func TestWhatWaitsGoesElsewhere(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{inDomains(servers("shop", 2, 1), "a", "b")})
+	b.tick(Listed{inDomains(servers("shop", 2, 1), "a", "b")})
 	var running []RequestID
 	for range 4 { // a place and one that waits at each
 		running = append(running, b.arrive(plainRoute(), nil))
 	}
 	waiting := b.arrive(plainRoute(), nil)
-	b.tell(Drained{[]string{"a"}})
+	b.tick(Drained{[]string{"a"}})
 	for _, id := range running {
 		if b.dispatched(id).Server.Zone == "a" {
-			b.tell(Ended{Request: id, Result: Completed})
+			b.tick(Ended{Request: id, Result: Completed})
 		}
 	}
 	if b.last(waiting) != nil {
@@ -59,7 +59,7 @@
 	}
 	for _, id := range running {
 		if b.dispatched(id).Server.Zone == "b" {
-			b.tell(Ended{Request: id, Result: Completed})
+			b.tick(Ended{Request: id, Result: Completed})
 		}
 	}
 	if d := b.dispatched(waiting); d.Server.Zone != "b" {
@@ -70,29 +70,29 @@
 // TestServiceWithoutServersIsRefusedAtOnce holds that callers learn at once, and when to come
 // back, where the orders leave a service nothing.
 func TestServiceWithoutServersIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{inDomains(servers("shop", 3, 6), "a", "b", "c")}, Drained{[]string{"a", "b", "c"}})
+	b.tick(Listed{inDomains(servers("shop", 3, 6), "a", "b", "c")}, Drained{[]string{"a", "b", "c"}})
 	if r := b.refused(b.arrive(plainRoute(), nil), ReasonNoServer); r.RetryAfter <= 0 {
 		t.Errorf("come back after %v", r.RetryAfter)
 	}
-	b.tell(Drained{[]string{"a", "c"}})
+	b.tick(Drained{[]string{"a", "c"}})
 	if d := b.dispatched(b.arrive(plainRoute(), nil)); d.Server.Zone != "b" {
 		t.Errorf("went to %q", d.Server.Zone)
 	}
 }
 
 func TestOrderForAnUnknownDomainChangesNothing(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{servers("shop", 1, 6)}, Drained{[]string{"moon"}})
+	b.tick(Listed{servers("shop", 1, 6)}, Drained{[]string{"moon"}})
 	b.dispatched(b.arrive(plainRoute(), nil))
 }
 
 // TestDrainedNewVersionIsNoReasonToRefuse plays a roll-out whose new servers all stand in the
 // drained failure domain.
 func TestDrainedNewVersionIsNoReasonToRefuse(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := inDomains(servers("llm", 4, 8), "a", "b")
 	for i := range list {
@@ -101,7 +101,7 @@
 		}
 	}
 	order := Order{Service: "llm", Target: "v2", Duration: 20 * time.Second}
-	b.tell(Listed{list}, Drained{[]string{"b"}}, RolloutSet{Rollout{Order: order, Phase: PhaseCanary, Share: 1}})
+	b.tick(Listed{list}, Drained{[]string{"b"}}, RolloutSet{Rollout{Order: order, Phase: PhaseCanary, Share: 1}})
 	for range 10 {
 		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.Zone != "a" {
 			t.Fatalf("went to %q", d.Server.Zone)
@@ -112,9 +112,9 @@
 // TestDomainTakenBackIsFedSlowly holds that all of a failure domain's servers count as cold once
 // it is taken back, though no entry says so yet.
 func TestDomainTakenBackIsFedSlowly(t *testing.T) {
-	b, _ := newWarmUpBench(t, "i0", 1)
-	b.tell(Listed{inDomains(servers("llm", 2, 8), "a", "b")}, Drained{[]string{"a"}})
-	b.tell(Drained{})
+	b, _ := newSlowStartHarness(t, "i0", 1)
+	b.tick(Listed{inDomains(servers("llm", 2, 8), "a", "b")}, Drained{[]string{"a"}})
+	b.tick(Drained{})
 	near := 0
 	for range 40 {
 		if b.dispatched(b.arrive(streamRoute(), nil)).Server.Zone == "a" {
--- a/decision/passthrough/engine_test.go
+++ b/decision/passthrough/engine_test.go
@@ -18,21 +18,21 @@
 	simTokens  = 2000
 	// simCalm is what the engines bear a second with the large model for every second
 	// request: 6.7 ms and half of 67 ms for each.
-	simCalm = 150.0
+	simCapacity = 150.0
 )
 
 // simCallers is a kind of callers.
-type simCallers struct {
+type simCallerKind struct {
 	team string
 	rank int
 	rate float64
 	// again is how often a refused caller asks again at once, whatever it is told.
-	again int
+	retries int
 }
 
 // simTally is what became of a kind's requests.
 type simTally struct {
-	asked, inTarget, late, weak, refused, cut int
+	sent, inTarget, late, weak, refused, failed int
 	// hints are the times after which refused callers were told to come back.
 	hints []time.Duration
 }
@@ -43,17 +43,17 @@
 }
 
 func (t simTally) served() float64 {
-	return float64(t.inTarget+t.late+t.weak) / float64(max(t.asked, 1))
+	return float64(t.inTarget+t.late+t.weak) / float64(max(t.sent, 1))
 }
 
 // simJob is an attempt at an engine.
 type simJob struct {
-	b     *bench
-	id    RequestID
-	model string
-	sent  time.Time
-	left  float64 // milliseconds to read
-	need  float64 // milliseconds to generate
+	b         *harness
+	id        RequestID
+	model     string
+	sent      time.Time
+	prefillMS float64 // milliseconds to read
+	decodeMS  float64 // milliseconds to generate
 	// events that it makes, from began on.
 	events float64
 	began  time.Time
@@ -70,46 +70,46 @@
 
 // simRequest is a caller's request.
 type simRequest struct {
-	kind    int
-	hard    bool
-	target  time.Time
-	end     time.Time
-	waits   time.Time
-	waiting bool
-	again   int
+	kind          int
+	hard          bool
+	target        time.Time
+	deadline      time.Time
+	queueDeadline time.Time
+	waiting       bool
+	retries       int
 }
 
 // sim plays callers, instances and engines together, on one clock.
 type sim struct {
-	rng     *rand.Rand
-	route   *Route
-	benches []*bench
-	engines map[string]*simEngine
-	kinds   []simCallers
-	tallies []simTally
-	reqs    map[*bench]map[RequestID]*simRequest
-	seen    map[*bench]int
+	rng      *rand.Rand
+	route    *Route
+	benches  []*harness
+	engines  map[string]*simEngine
+	kinds    []simCallerKind
+	tallies  []simTally
+	requests map[*harness]map[RequestID]*simRequest
+	handled  map[*harness]int
 	// oldest is the first request that may still be open.
-	oldest map[*bench]RequestID
+	oldest map[*harness]RequestID
 	now    time.Time
 	// tokens is the length of prompts.
 	tokens int
 	// shares says that the instances tell each other their loads each shareEvery.
-	shares bool
-	shared time.Time
+	sharesLoads bool
+	sharedAt    time.Time
 	// rollout is one that is played beside the load, nil for none.
 	rollout *simRollout
 }
 
-func newSim(t *testing.T, instances int, kinds []simCallers) *sim {
+func newSim(t *testing.T, instances int, kinds []simCallerKind) *sim {
 	t.Helper()
 	return newSimOf(t, instances, simEngines, kinds)
 }
 
-func newSimOf(t *testing.T, instances, engines int, kinds []simCallers) *sim {
+func newSimOf(t *testing.T, instances, engines int, kinds []simCallerKind) *sim {
 	t.Helper()
 	s := &sim{rng: rand.New(rand.NewPCG(7, 7)), kinds: kinds, tallies: make([]simTally, len(kinds)),
-		engines: map[string]*simEngine{}, reqs: map[*bench]map[RequestID]*simRequest{}, seen: map[*bench]int{}, oldest: map[*bench]RequestID{}, now: testStart, tokens: simTokens}
+		engines: map[string]*simEngine{}, requests: map[*harness]map[RequestID]*simRequest{}, handled: map[*harness]int{}, oldest: map[*harness]RequestID{}, now: testStart, tokens: simTokens}
 	s.route = streamRoute()
 	s.route.Target, s.route.Timeout = 2*time.Second, 8*time.Second
 	s.route.Sizes = []string{"small", "large"}
@@ -118,19 +118,19 @@
 		s.engines[srv.ID] = &simEngine{}
 	}
 	for i := range instances {
-		b := newBench(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 50, RetryWindow: 10 * time.Second, SessionLife: time.Second})
-		b.tell(Fleet{Instances: instances})
+		b := newHarness(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 50, RetryWindow: 10 * time.Second, SessionLife: time.Second})
+		b.tick(Fleet{Instances: instances})
 		c := Config{Version: 1, Services: []Service{{Name: "llm", Slots: simSlots}}, Routes: []Route{*s.route}}
-		b.tell(Configured{NewIndex(c)})
-		b.tell(Listed{list})
+		b.tick(Configured{NewIndex(c)})
+		b.tick(Listed{list})
 		s.benches = append(s.benches, b)
-		s.reqs[b] = map[RequestID]*simRequest{}
+		s.requests[b] = map[RequestID]*simRequest{}
 	}
 	return s
 }
 
 // seed makes it another play of the same.
-func (s *sim) seed(seed uint64) { s.rng = rand.New(rand.NewPCG(7, 7+seed)) }
+func (s *sim) setSeed(seed uint64) { s.rng = rand.New(rand.NewPCG(7, 7+seed)) }
 
 // play runs so long, with the kinds' rates times the factor.
 func (s *sim) play(length time.Duration, factor float64) {
@@ -141,7 +141,7 @@
 			b.now = s.now
 		}
 		for _, srv := range s.benches[0].world.services["llm"].servers {
-			s.engine(s.engines[srv.ID])
+			s.stepEngine(s.engines[srv.ID])
 		}
 		s.timers()
 		s.share()
@@ -150,7 +150,7 @@
 		}
 		for i, k := range s.kinds {
 			for owed[i] += k.rate * factor * simStep.Seconds(); owed[i] >= 1; owed[i]-- {
-				s.arrive(i, k.again, s.rng.IntN(2) == 0)
+				s.arrive(i, k.retries, s.rng.IntN(2) == 0)
 			}
 		}
 	}
@@ -161,10 +161,10 @@
 
 // share tells each instance what all others had at the engines.
 func (s *sim) share() {
-	if !s.shares || s.now.Sub(s.shared) < shareEvery {
+	if !s.sharesLoads || s.now.Sub(s.sharedAt) < shareEvery {
 		return
 	}
-	s.shared = s.now
+	s.sharedAt = s.now
 	own := make([][]PeerLoad, len(s.benches))
 	for i, b := range s.benches {
 		own[i] = b.world.OwnLoads()
@@ -179,17 +179,17 @@
 				}
 			}
 		}
-		b.tell(PeerLoads{Loads: slices.Collect(maps.Values(sums)), Instances: len(s.benches) - 1})
-		s.follow(b)
+		b.tick(PeerLoads{Loads: slices.Collect(maps.Values(sums)), Instances: len(s.benches) - 1})
+		s.carryOut(b)
 	}
 }
 
 func (s *sim) arrive(kind, again int, hard bool) {
 	b := s.benches[s.rng.IntN(len(s.benches))]
-	s.tallies[kind].asked++
-	r := &simRequest{kind: kind, hard: hard, again: again, target: s.now.Add(s.route.Target), end: s.now.Add(s.route.Timeout), waiting: true}
-	r.waits = s.now.Add(MaxWait(&Request{Target: r.target, Deadline: r.end}, s.now))
-	s.reqs[b][b.next+1] = r
+	s.tallies[kind].sent++
+	r := &simRequest{kind: kind, hard: hard, retries: again, target: s.now.Add(s.route.Target), deadline: s.now.Add(s.route.Timeout), waiting: true}
+	r.queueDeadline = s.now.Add(MaxWait(&Request{Target: r.target, Deadline: r.deadline}, s.now))
+	s.requests[b][b.next+1] = r
 	b.arrive(s.route, func(q *Request) {
 		q.Team, q.Rank, q.PromptTokens, q.MaxTokens = s.kinds[kind].team, s.kinds[kind].rank, s.tokens, 4*simEvents
 		q.Affinity, q.SharedTokens = uint64(1+s.rng.IntN(200)), s.tokens/10
@@ -197,36 +197,36 @@
 			q.Share = s.rng.Float64()
 		}
 	})
-	s.follow(b)
+	s.carryOut(b)
 }
 
 // timers ends waits in queues and passed deadlines.
 func (s *sim) timers() {
 	for _, b := range s.benches {
-		for s.oldest[b] <= b.next && s.reqs[b][s.oldest[b]] == nil {
+		for s.oldest[b] <= b.next && s.requests[b][s.oldest[b]] == nil {
 			s.oldest[b]++
 		}
 		for id := s.oldest[b]; id <= b.next; id++ {
-			r := s.reqs[b][id]
+			r := s.requests[b][id]
 			if r == nil {
 				continue
 			}
 			switch {
-			case !s.now.Before(r.end):
-				s.tallies[r.kind].cut++
-				delete(s.reqs[b], id)
+			case !s.now.Before(r.deadline):
+				s.tallies[r.kind].failed++
+				delete(s.requests[b], id)
 				s.drop(b, id)
-				b.tell(Left{id})
-			case r.waiting && !s.now.Before(r.waits):
-				r.waits = r.end
-				b.tell(Waited{id})
+				b.tick(Left{id})
+			case r.waiting && !s.now.Before(r.queueDeadline):
+				r.queueDeadline = r.deadline
+				b.tick(Waited{id})
 			}
 		}
-		s.follow(b)
+		s.carryOut(b)
 	}
 }
 
-func (s *sim) drop(b *bench, id RequestID) {
+func (s *sim) drop(b *harness, id RequestID) {
 	keep := func(list []*simJob) []*simJob {
 		out := list[:0]
 		for _, j := range list {
@@ -242,21 +242,21 @@
 }
 
 // follow carries out an instance's commands.
-func (s *sim) follow(b *bench) {
-	for s.seen[b] < len(b.all) {
-		c := b.all[s.seen[b]]
-		s.seen[b]++
+func (s *sim) carryOut(b *harness) {
+	for s.handled[b] < len(b.allCommands) {
+		c := b.allCommands[s.handled[b]]
+		s.handled[b]++
 		switch c := c.(type) {
 		case Dispatch:
-			s.reqs[b][c.Request].waiting = false
+			s.requests[b][c.Request].waiting = false
 			perToken := 1.0 / 300
 			if c.Model == "large" {
 				perToken = 1.0 / 30
 			}
 			e := s.engines[c.Server.ID]
 			j := &simJob{b: b, id: c.Request, model: c.Model, sent: s.now, version: c.Server.Version,
-				left: float64(s.tokens) * perToken, need: simEvents * 15 * (0.5 + s.rng.Float64())}
-			j.events = j.need / 15
+				prefillMS: float64(s.tokens) * perToken, decodeMS: simEvents * 15 * (0.5 + s.rng.Float64())}
+			j.events = j.decodeMS / 15
 			if s.rollout != nil {
 				s.rollout.sent(j)
 			}
@@ -266,37 +266,37 @@
 				s.rollout.observed(c)
 			}
 		case Refuse:
-			r := s.reqs[b][c.Request]
-			delete(s.reqs[b], c.Request)
+			r := s.requests[b][c.Request]
+			delete(s.requests[b], c.Request)
 			t := &s.tallies[r.kind]
 			t.refused++
 			t.hints = append(t.hints, c.RetryAfter)
-			if r.again > 0 {
-				s.arrive(r.kind, r.again-1, r.hard)
+			if r.retries > 0 {
+				s.arrive(r.kind, r.retries-1, r.hard)
 			}
 		case Finish:
-			r := s.reqs[b][c.Request]
-			delete(s.reqs[b], c.Request)
-			s.tallies[r.kind].cut++
+			r := s.requests[b][c.Request]
+			delete(s.requests[b], c.Request)
+			s.tallies[r.kind].failed++
 		}
 	}
 }
 
 // paceWhileReading is the part of its pace at which an engine generates meanwhile: a step of
 // 4 ms takes the time of a chunk more.
-var paceWhileReading = map[string]float64{"small": 0.25, "large": 0.03}
+var decodeSpeedDuringPrefill = map[string]float64{"small": 0.25, "large": 0.03}
 
 // engine plays one step of an engine.
-func (s *sim) engine(e *simEngine) {
+func (s *sim) stepEngine(e *simEngine) {
 	step := float64(simStep.Milliseconds())
 	decode := step
 	for left := step; left > 0 && len(e.queue) > 0; {
 		j := e.queue[0]
-		decode = step * paceWhileReading[j.model]
-		used := min(left, j.left)
-		j.left -= used
+		decode = step * decodeSpeedDuringPrefill[j.model]
+		used := min(left, j.prefillMS)
+		j.prefillMS -= used
 		left -= used
-		if j.left > 0 {
+		if j.prefillMS > 0 {
 			break
 		}
 		e.queue = e.queue[1:]
@@ -304,32 +304,32 @@
 	}
 	kept := e.running[:0]
 	for _, j := range e.running {
-		j.need -= decode
-		if j.need > 0 {
+		j.decodeMS -= decode
+		if j.decodeMS > 0 {
 			kept = append(kept, j)
 			continue
 		}
-		s.answered(j)
+		s.complete(j)
 	}
 	e.running = kept
 }
 
 // begin is an answer's head.
 func (s *sim) begin(e *simEngine, j *simJob) {
-	r := s.reqs[j.b][j.id]
+	r := s.requests[j.b][j.id]
 	if r == nil {
 		return
 	}
 	load := Load{Running: len(e.running) + 1, Waiting: len(e.queue), Slots: simSlots}
-	j.b.tell(FirstByte{Request: j.id, After: s.now.Sub(j.sent) + 50*time.Millisecond, Load: load, HasLoad: true})
+	j.b.tick(FirstByte{Request: j.id, After: s.now.Sub(j.sent) + 50*time.Millisecond, Load: load, HasLoad: true})
 	weak := r.hard && j.model == "small"
 	confidence := 0.6 + 0.3*s.rng.Float64()
 	if weak {
 		confidence -= 0.5
 	}
 	if confidence < j.b.world.Bar(j.id) {
-		j.b.tell(Ended{Request: j.id, Result: Dropped})
-		s.follow(j.b)
+		j.b.tick(Ended{Request: j.id, Result: Dropped})
+		s.carryOut(j.b)
 		return
 	}
 	if s.now.After(r.target) {
@@ -337,15 +337,15 @@
 	}
 	j.began = s.now
 	e.running = append(e.running, j)
-	s.follow(j.b)
+	s.carryOut(j.b)
 }
 
-func (s *sim) answered(j *simJob) {
-	r := s.reqs[j.b][j.id]
+func (s *sim) complete(j *simJob) {
+	r := s.requests[j.b][j.id]
 	if r == nil {
 		return
 	}
-	delete(s.reqs[j.b], j.id)
+	delete(s.requests[j.b], j.id)
 	t := &s.tallies[r.kind]
 	switch {
 	case r.hard && j.model == "small":
@@ -358,6 +358,6 @@
 	if s.rollout != nil {
 		s.rollout.answered(j)
 	}
-	j.b.tell(Ended{Request: j.id, Result: Completed, Pace: seconds(s.now.Sub(j.began).Seconds() / j.events)})
-	s.follow(j.b)
+	j.b.tick(Ended{Request: j.id, Result: Completed, Pace: seconds(s.now.Sub(j.began).Seconds() / j.events)})
+	s.carryOut(j.b)
 }
--- a/decision/passthrough/evidence.go
+++ b/decision/passthrough/evidence.go
@@ -55,7 +55,7 @@
 
 // recent is how far back the counts reach that are judged beside the whole: long enough
 // for five bad answers of a canary, short beside a good first half of a roll-out.
-const recent = 5 * time.Second
+const recentWindow = 5 * time.Second
 
 // Bad takes in the sums of now, which the caller must not change later, and says whether the
 // new version is bad, on some route or on all. That is final.
@@ -66,15 +66,15 @@
 	if e.bad {
 		return true
 	}
-	lately := e.lately(now, sums)
+	lately := e.recentCounts(now, sums)
 	e.past = append(e.past, pastSums{now, sums})
-	e.bad = judgeRoutes(sums) || judgeRoutes(lately)
+	e.bad = anyRouteBad(sums) || anyRouteBad(lately)
 	return e.bad
 }
 
 // lately is what came in the recent time.
-func (e *Evidence) lately(now time.Time, sums map[string]Pair) map[string]Pair {
-	for len(e.past) > 1 && now.Sub(e.past[1].at) >= recent {
+func (e *Evidence) recentCounts(now time.Time, sums map[string]Pair) map[string]Pair {
+	for len(e.past) > 1 && now.Sub(e.past[1].at) >= recentWindow {
 		e.past = e.past[1:]
 	}
 	out := map[string]Pair{}
@@ -88,7 +88,7 @@
 }
 
 // judgeRoutes says whether the new version is bad, on some route or on all.
-func judgeRoutes(sums map[string]Pair) bool {
+func anyRouteBad(sums map[string]Pair) bool {
 	for _, p := range sums {
 		if Judge(p.New, p.Old) {
 			return true
--- a/decision/passthrough/fill.go
+++ b/decision/passthrough/fill.go
@@ -3,14 +3,14 @@
 // fade gives up the largest model as a measure of load grows: freely asked up to full less
 // width, never from full on. Each lower rank has step less, down to lowRank: where not all can
 // have the largest model, those that matter most do.
-type fade struct{ full, step, width float64 }
+type loadRamp struct{ full, step, width float64 }
 
-const lowRank = 2
+const lowestPriority = 2
 
 // room is how far the largest model may be asked for a request of the rank: 1 where there is
 // room for it, less while load grows, 0 where there is none.
-func (f fade) room(rank int, load float64) float64 {
-	full := f.full - f.step*float64(min(rank, lowRank))
+func (f loadRamp) headroom(rank int, load float64) float64 {
+	full := f.full - f.step*float64(min(rank, lowestPriority))
 	return min(max((full-load)/f.width, 0), 1)
 }
 
@@ -21,7 +21,7 @@
 	// own places 12 in 100 answers were weak ones on a day with half of all places free. An
 	// instance knows the load of 90 servers to a fifth of their places only, and a step there
 	// would have all of them turn at once.
-	byPlaces = fade{full: 1, step: 0.12, width: 0.25}
+	utilizationRamp = loadRamp{full: 1, step: 0.12, width: 0.25}
 	// byWait goes by the mean wait of prompts, as a part of the route's target.
 	//
 	// Load: more prompts than the largest model can read, at engines with places free: an
@@ -29,23 +29,23 @@
 	// largest model that hold up everything else, so that nearly all answers come late. An
 	// answer that is dropped waits once more, and takes ten times as long: from half of the
 	// target on it would be late.
-	byWait = fade{full: 0.45, step: 0.05, width: 0.25}
+	prefillWaitRamp = loadRamp{full: 0.45, step: 0.05, width: 0.25}
 )
 
 // fill is how full a service's engines are.
-type fill struct {
+type occupancy struct {
 	// taken is the part of all places that is taken.
-	taken float64
+	utilization float64
 	// wait is the mean wait of prompts, in seconds.
-	wait float64
+	prefillWait float64
 	// places is how many there are.
-	places int
+	slots int
 }
 
 // plusOne takes one more place.
-func (f fill) plusOne() fill {
-	if f.places > 0 {
-		f.taken += 1 / float64(f.places)
+func (f occupancy) withOneMore() occupancy {
+	if f.slots > 0 {
+		f.utilization += 1 / float64(f.slots)
 	}
 	return f
 }
@@ -54,9 +54,9 @@
 // later, and of less, than the word of all instances, but it errs alike on all days, and how much
 // may be asked of the largest model goes by it. By the others' word, which changes with each
 // prompt, more prompts left their failure domain, and more weak answers were kept.
-func filled(s *service, views []view) fill {
+func occupancyOf(s *service, views []serverView) occupancy {
 	if s.slots <= 0 || len(views) == 0 {
-		return fill{}
+		return occupancy{}
 	}
 	load, wait := 0.0, 0.0
 	for _, v := range views {
@@ -64,10 +64,10 @@
 		wait += v.own.wait
 	}
 	places := len(views) * s.slots
-	return fill{taken: load / float64(places), wait: wait / float64(len(views)), places: places}
+	return occupancy{utilization: load / float64(places), prefillWait: wait / float64(len(views)), slots: places}
 }
 
 // room is how far the largest model may be asked for the request: 1 for freely, 0 for never.
-func (f fill) room(r *request) float64 {
-	return min(byPlaces.room(r.Rank, f.taken), byWait.room(r.Rank, f.wait/r.Route.Target.Seconds()))
+func (f occupancy) headroom(r *request) float64 {
+	return min(utilizationRamp.headroom(r.Rank, f.utilization), prefillWaitRamp.headroom(r.Rank, f.prefillWait/r.Route.Target.Seconds()))
 }
--- a/decision/passthrough/filter.go
+++ b/decision/passthrough/filter.go
@@ -9,17 +9,17 @@
 // candidates lists the servers that may take the request and have a free place. Sick ones
 // are left out, and those that the request has tried, as long as others are there: where
 // all look sick, it is the requests or the network, and a try is better than a refusal.
-func (w *World) candidates(r *request, views []view) []view {
-	fits, mostUnread := w.fitting(r), r.mostUnread(w.now)
-	var spare, last []view
-	w.drawn = w.drawn[:0]
+func (w *World) candidates(r *request, views []serverView) []serverView {
+	fits, mostUnread := w.versionFilter(r), r.maxPrefillWait(w.now)
+	var spare, last []serverView
+	w.eligible = w.eligible[:0]
 	for _, v := range views {
 		if !v.hasRoom() || v.wait > mostUnread || !fits(v.server) || !w.allowSlowStart(v.server) || !w.allowLimit(v.server) {
 			continue
 		}
 		switch tried := slices.Contains(r.tried, v.server); {
-		case !tried && !v.server.health.barred(w.now):
-			w.drawn = append(w.drawn, v)
+		case !tried && !v.server.health.ejected(w.now):
+			w.eligible = append(w.eligible, v)
 		case !tried:
 			spare = append(spare, v)
 		default:
@@ -27,8 +27,8 @@
 		}
 	}
 	switch {
-	case len(w.drawn) > 0:
-		return w.drawn
+	case len(w.eligible) > 0:
+		return w.eligible
 	case len(spare) > 0:
 		return spare
 	}
@@ -37,7 +37,7 @@
 
 // hasRoom says whether the server can take one more, by what is known of it: what is only
 // likely of a server must shut nobody out, since who sends nothing there hears nothing.
-func (v view) hasRoom() bool {
+func (v serverView) hasRoom() bool {
 	s := v.server
 	slots := s.Slots
 	if s.service.engine && s.service.slots > 0 {
--- a/decision/passthrough/harness_test.go
+++ b/decision/passthrough/harness_test.go
@@ -7,14 +7,14 @@
 )
 
 // bench drives a world by hand, on a clock of its own.
-type bench struct {
+type harness struct {
 	t     *testing.T
 	world *World
 	now   time.Time
 	next  RequestID
 	// commands by request, in order.
-	got map[RequestID][]Command
-	all []Command
+	commands    map[RequestID][]Command
+	allCommands []Command
 	// dispatchedAt are the times of all dispatches.
 	dispatchedAt []time.Time
 }
@@ -22,34 +22,34 @@
 // testStart is any time.
 var testStart = time.Unix(1_000_000, 0)
 
-func newBench(t *testing.T, cfg Settings) *bench {
+func newHarness(t *testing.T, cfg Settings) *harness {
 	t.Helper()
 	if cfg.RetryWindow == 0 {
 		cfg = Settings{Seed: 1, RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second}
 	}
-	b := &bench{t: t, world: New(cfg), now: testStart, got: map[RequestID][]Command{}}
-	b.tell(Fleet{Instances: 1})
+	b := &harness{t: t, world: New(cfg), now: testStart, commands: map[RequestID][]Command{}}
+	b.tick(Fleet{Instances: 1})
 	return b
 }
 
-func (b *bench) tell(events ...Event) []Command {
+func (b *harness) tick(events ...Event) []Command {
 	out := append([]Command(nil), b.world.Tick(b.now, events...)...)
 	for _, c := range out {
-		b.all = append(b.all, c)
+		b.allCommands = append(b.allCommands, c)
 		switch c := c.(type) {
 		case Dispatch:
-			b.got[c.Request] = append(b.got[c.Request], c)
+			b.commands[c.Request] = append(b.commands[c.Request], c)
 			b.dispatchedAt = append(b.dispatchedAt, b.now)
 		case Refuse:
-			b.got[c.Request] = append(b.got[c.Request], c)
+			b.commands[c.Request] = append(b.commands[c.Request], c)
 		case Finish:
-			b.got[c.Request] = append(b.got[c.Request], c)
+			b.commands[c.Request] = append(b.commands[c.Request], c)
 		}
 	}
 	return out
 }
 
-func (b *bench) pass(d time.Duration) { b.now = b.now.Add(d) }
+func (b *harness) advance(d time.Duration) { b.now = b.now.Add(d) }
 
 // servers lists so many servers of a service, with ids "service-0" on.
 func servers(service string, count, slots int) []Server {
@@ -80,16 +80,16 @@
 		Backends: []Backend{{"llm", 1}}}
 }
 
-func (b *bench) configure(routes ...*Route) {
+func (b *harness) configure(routes ...*Route) {
 	c := Config{Version: 1, Services: []Service{{Name: "llm", Slots: 8}, {Name: "shop"}}}
 	for _, r := range routes {
 		c.Routes = append(c.Routes, *r)
 	}
-	b.tell(Configured{NewIndex(c)})
+	b.tick(Configured{NewIndex(c)})
 }
 
 // arrive sends a request on the route; change may set more.
-func (b *bench) arrive(route *Route, change func(*Request)) RequestID {
+func (b *harness) arrive(route *Route, change func(*Request)) RequestID {
 	b.next++
 	r := Request{ID: b.next, Route: route, Service: route.Backends[0].Service, Team: "team",
 		Target: b.now.Add(route.Target), Deadline: b.now.Add(route.Timeout),
@@ -97,20 +97,20 @@
 	if change != nil {
 		change(&r)
 	}
-	b.tell(Arrived{r})
+	b.tick(Arrived{r})
 	return b.next
 }
 
 // last is the newest command on the request, or nil.
-func (b *bench) last(id RequestID) Command {
-	list := b.got[id]
+func (b *harness) last(id RequestID) Command {
+	list := b.commands[id]
 	if len(list) == 0 {
 		return nil
 	}
 	return list[len(list)-1]
 }
 
-func (b *bench) dispatched(id RequestID) Dispatch {
+func (b *harness) dispatched(id RequestID) Dispatch {
 	b.t.Helper()
 	d, ok := b.last(id).(Dispatch)
 	if !ok {
@@ -119,7 +119,7 @@
 	return d
 }
 
-func (b *bench) refused(id RequestID, want Reason) Refuse {
+func (b *harness) refused(id RequestID, want Reason) Refuse {
 	b.t.Helper()
 	r, ok := b.last(id).(Refuse)
 	if !ok || r.Reason != want {
@@ -128,7 +128,7 @@
 	return r
 }
 
-func (b *bench) finished(id RequestID) {
+func (b *harness) finished(id RequestID) {
 	b.t.Helper()
 	if _, ok := b.last(id).(Finish); !ok {
 		b.t.Fatalf("request %d: got %#v, want a finish", id, b.last(id))
--- a/decision/passthrough/level.go
+++ b/decision/passthrough/level.go
@@ -15,11 +15,11 @@
 )
 
 // level is how many steps a stated load has reached.
-type level struct{ waiting, running int }
+type loadLevel struct{ waiting, running int }
 
 // levelOf cuts a server's word on its load.
-func levelOf(load Load) level {
-	var l level
+func loadLevelOf(load Load) loadLevel {
+	var l loadLevel
 	for _, step := range waitSteps {
 		if load.Waiting >= step {
 			l.waiting++
@@ -34,20 +34,20 @@
 }
 
 // usualAnswers is how many answers of the old version make a usual time.
-const usualAnswers = 4
+const minBaselineCount = 4
 
 // usualTimes are the mean logarithms of the old version's times, by load.
-type usualTimes [len(waitSteps) + 1][len(runSteps) + 1]mean
+type baselineTimes [len(waitSteps) + 1][len(runSteps) + 1]movingAverage
 
 // add takes in one time of the old version.
-func (u *usualTimes) add(l level, x float64) { u[l.waiting][l.running].add(x) }
+func (u *baselineTimes) add(l loadLevel, x float64) { u[l.waiting][l.running].add(x) }
 
 // at is the usual time at a load, or at the next higher one of which enough was seen: that
 // takes a version for faster than it is, never for slower.
-func (u *usualTimes) at(l level) (usual float64, ok bool) {
+func (u *baselineTimes) at(l loadLevel) (usual float64, ok bool) {
 	for waiting := l.waiting; waiting < len(u); waiting++ {
 		for running := l.running; running < len(u[waiting]); running++ {
-			if m := u[waiting][running]; m.n >= usualAnswers {
+			if m := u[waiting][running]; m.n >= minBaselineCount {
 				return m.value, true
 			}
 		}
--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -9,30 +9,30 @@
 )
 
 // caller is one kind of requests of a load.
-type caller struct {
+type plainCaller struct {
 	team      string
 	rank      int
 	perSecond func(at time.Duration) float64
 }
 
 // tally is what became of a kind's requests, as its callers see it.
-type tally struct {
-	asked, inTarget, late, refused int
+type plainTally struct {
+	sent, inTarget, late, refused int
 	// waits are the times until a refusal.
 	waits []time.Duration
 }
 
-func (t tally) served() float64 { return float64(t.inTarget+t.late) / float64(max(t.asked, 1)) }
+func (t plainTally) served() float64 { return float64(t.inTarget+t.late) / float64(max(t.sent, 1)) }
 
 // replay runs a load on plain servers of the given slots and service time, a millisecond at
 // a time, and returns what became of each kind.
-func replay(t *testing.T, count, slots int, work, length time.Duration, callers []caller) []tally {
-	b := newBench(t, Settings{})
+func playPlainLoad(t *testing.T, count, slots int, work, length time.Duration, callers []plainCaller) []plainTally {
+	b := newHarness(t, Settings{})
 	route := plainRoute()
 	b.configure(route)
-	b.tell(Listed{servers("shop", count, slots)})
+	b.tick(Listed{servers("shop", count, slots)})
 	rng := rand.New(rand.NewPCG(3, 3))
-	out := make([]tally, len(callers))
+	out := make([]plainTally, len(callers))
 	kind := map[RequestID]int{}
 	arrived := map[RequestID]time.Time{}
 	type job struct {
@@ -42,8 +42,8 @@
 	var jobs []job
 	seen := 0
 	follow := func() {
-		for ; seen < len(b.all); seen++ {
-			switch c := b.all[seen].(type) {
+		for ; seen < len(b.allCommands); seen++ {
+			switch c := b.allCommands[seen].(type) {
 			case Dispatch:
 				took := time.Duration((0.7 + 0.6*rng.Float64()) * float64(work))
 				jobs = append(jobs, job{c.Request, b.now.Add(took)})
@@ -57,7 +57,7 @@
 	start := b.now
 	owed := make([]float64, len(callers))
 	for b.now.Sub(start) < length {
-		b.pass(time.Millisecond)
+		b.advance(time.Millisecond)
 		jobs = slices.DeleteFunc(jobs, func(j job) bool {
 			if j.until.After(b.now) {
 				return false
@@ -68,13 +68,13 @@
 			} else {
 				tl.late++
 			}
-			b.tell(Ended{Request: j.id, Result: Completed, Pace: work})
+			b.tick(Ended{Request: j.id, Result: Completed, Pace: work})
 			return true
 		})
 		follow()
 		for id, at := range arrived { // the queue's patience, as the edge's timer keeps it
-			if r := b.world.requests[id]; r != nil && r.waiting && b.now.Sub(at) >= MaxWait(&Request{Target: at.Add(route.Target), Deadline: at.Add(route.Timeout)}, at) {
-				b.tell(Waited{id})
+			if r := b.world.requests[id]; r != nil && r.queued && b.now.Sub(at) >= MaxWait(&Request{Target: at.Add(route.Target), Deadline: at.Add(route.Timeout)}, at) {
+				b.tick(Waited{id})
 			}
 			if b.world.requests[id] == nil && !slices.ContainsFunc(jobs, func(j job) bool { return j.id == id }) {
 				delete(arrived, id)
@@ -83,7 +83,7 @@
 		follow()
 		for i, c := range callers {
 			for owed[i] += c.perSecond(b.now.Sub(start)) / 1000; owed[i] >= 1; owed[i]-- {
-				out[i].asked++
+				out[i].sent++
 				kind[b.next+1], arrived[b.next+1] = i, b.now
 				b.arrive(route, func(r *Request) { r.Team, r.Rank = c.team, c.rank })
 			}
@@ -93,7 +93,7 @@
 	return out
 }
 
-func steady(rate float64) func(time.Duration) float64 {
+func constantRate(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
@@ -111,10 +111,10 @@
 		}
 		return 200
 	}
-	got := replay(t, testServers, testSlots, testWork, 7*time.Second, []caller{{"a", 0, rush}})[0]
+	got := playPlainLoad(t, testServers, testSlots, testWork, 7*time.Second, []plainCaller{{"a", 0, rush}})[0]
 	// In the rush 3000 come and 1200 can be answered; the 1000 of the rest all can.
 	if got.inTarget < 1900 {
-		t.Errorf("%d of %d in time, %d late, %d refused", got.inTarget, got.asked, got.late, got.refused)
+		t.Errorf("%d of %d in time, %d late, %d refused", got.inTarget, got.sent, got.late, got.refused)
 	}
 	if got.late > 50 {
 		t.Errorf("%d answers came late: the queue is too long", got.late)
@@ -127,11 +127,11 @@
 }
 
 func TestLargeTeamDoesNotPushOutSmallOnes(t *testing.T) {
-	callers := []caller{{"large", 0, steady(1600)}}
+	callers := []plainCaller{{"large", 0, constantRate(1600)}}
 	for i := range 4 {
-		callers = append(callers, caller{fmt.Sprint("small-", i), 0, steady(40)})
+		callers = append(callers, plainCaller{fmt.Sprint("small-", i), 0, constantRate(40)})
 	}
-	got := replay(t, testServers, testSlots, testWork, 4*time.Second, callers)
+	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, callers)
 	for i, tl := range got[1:] {
 		if tl.served() < 0.9 {
 			t.Errorf("small team %d: %.2f served beside a large one with %.2f", i, tl.served(), got[0].served())
@@ -143,8 +143,8 @@
 }
 
 func TestUrgentWorkGoesFirstAndTheRestIsNotStarved(t *testing.T) {
-	got := replay(t, testServers, testSlots, testWork, 4*time.Second, []caller{
-		{"a", 0, steady(420)}, {"b", 2, steady(600)},
+	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{
+		{"a", 0, constantRate(420)}, {"b", 2, constantRate(600)},
 	})
 	if got[0].served() < 0.93 {
 		t.Errorf("urgent: %.2f served", got[0].served())
@@ -155,27 +155,27 @@
 }
 
 func TestCalmLoadIsAllServed(t *testing.T) {
-	got := replay(t, testServers, testSlots, testWork, 4*time.Second, []caller{{"a", 0, steady(300)}})[0]
+	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{{"a", 0, constantRate(300)}})[0]
 	if got.refused > 0 || got.late > 0 {
-		t.Errorf("%d refused, %d late of %d at half of the capacity", got.refused, got.late, got.asked)
+		t.Errorf("%d refused, %d late of %d at half of the capacity", got.refused, got.late, got.sent)
 	}
 }
 
 // TestStreamsThatWouldBeCutAreSentOn stops an instance while streams of six seconds come:
 // those that cannot end in time learn at once to go elsewhere, plain calls are served.
 func TestStreamsThatWouldBeCutAreSentOn(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	stream, plain := streamRoute(), plainRoute()
 	b.configure(stream, plain)
-	b.tell(Listed{append(servers("llm", 3, 8), servers("shop", 3, 8)...)})
+	b.tick(Listed{append(servers("llm", 3, 8), servers("shop", 3, 8)...)})
 	for range 20 {
 		id := b.arrive(stream, nil)
-		b.pass(6 * time.Second)
-		b.tell(Ended{Request: id, Result: Completed})
+		b.advance(6 * time.Second)
+		b.tick(Ended{Request: id, Result: Completed})
 	}
-	b.tell(Stopping{At: b.now.Add(10 * time.Second)})
+	b.tick(Stopping{At: b.now.Add(10 * time.Second)})
 	b.dispatched(b.arrive(stream, nil))
-	b.pass(3 * time.Second)
+	b.advance(3 * time.Second)
 	if r := b.refused(b.arrive(stream, nil), ReasonStopping); r.RetryAfter <= 0 {
 		t.Error("no word on when to come back")
 	}
--- a/decision/passthrough/overload_test.go
+++ b/decision/passthrough/overload_test.go
@@ -12,7 +12,7 @@
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	peak := 0.0
 	for _, factor := range []float64{1, 1.5, 2.2, 3.5, 5, 8, 12} {
-		s := newSim(t, 3, []simCallers{{team: "a", rate: simCalm}})
+		s := newSim(t, 3, []simCallerKind{{team: "a", rate: simCapacity}})
 		const length = 6 * time.Second
 		s.play(2*time.Second, 0.8)
 		s.tallies[0] = simTally{}
@@ -20,13 +20,13 @@
 		got := s.tallies[0]
 		credit := got.credit() / length.Seconds()
 		t.Logf("x %.1f: %d asked, %d in time, %d late, %d weak, %d refused, %d cut: %.0f a second",
-			factor, got.asked, got.inTarget, got.late, got.weak, got.refused, got.cut, credit)
+			factor, got.sent, got.inTarget, got.late, got.weak, got.refused, got.failed, credit)
 		peak = max(peak, credit)
 		if credit < 0.9*peak {
 			t.Errorf("at %.1f times the load callers get %.0f a second, of %.0f at less", factor, credit, peak)
 		}
-		if got.cut > got.asked/20 {
-			t.Errorf("at %.1f times the load %d of %d waited to their deadline for nothing", factor, got.cut, got.asked)
+		if got.failed > got.sent/20 {
+			t.Errorf("at %.1f times the load %d of %d waited to their deadline for nothing", factor, got.failed, got.sent)
 		}
 	}
 }
@@ -34,22 +34,22 @@
 // TestHotTeamPaysForItsOwnBurst has one team ask for ten times what the engines bear, beside
 // four that ask for little.
 func TestHotTeamPaysForItsOwnBurst(t *testing.T) {
-	kinds := []simCallers{{team: "hot", rate: 10 * simCalm}}
+	kinds := []simCallerKind{{team: "hot", rate: 10 * simCapacity}}
 	for i := range 4 {
-		kinds = append(kinds, simCallers{team: fmt.Sprint("small-", i), rate: simCalm / 10})
+		kinds = append(kinds, simCallerKind{team: fmt.Sprint("small-", i), rate: simCapacity / 10})
 	}
 	s := newSim(t, 3, kinds)
 	s.play(6*time.Second, 1)
 	for i, got := range s.tallies[1:] {
 		if got.served() < 0.85 {
-			t.Errorf("small team %d: %.2f served of %d, beside %.2f of the hot one's", i, got.served(), got.asked, s.tallies[0].served())
+			t.Errorf("small team %d: %.2f served of %d, beside %.2f of the hot one's", i, got.served(), got.sent, s.tallies[0].served())
 		}
 	}
 }
 
 // TestUrgentPromptsGoFirst has the engines full of requests of the last rank.
 func TestUrgentPromptsGoFirst(t *testing.T) {
-	s := newSim(t, 3, []simCallers{{team: "a", rank: 0, rate: 2 * simCalm}, {team: "b", rank: 2, rate: 10 * simCalm}})
+	s := newSim(t, 3, []simCallerKind{{team: "a", rank: 0, rate: 2 * simCapacity}, {team: "b", rank: 2, rate: 10 * simCapacity}})
 	s.play(6*time.Second, 1)
 	urgent, rest := s.tallies[0], s.tallies[1]
 	if urgent.served() < 0.85 || urgent.served() < rest.served() {
@@ -63,10 +63,10 @@
 // TestRepeatsAtOnceDoNotCrowdOutFirstTries has two teams ask for as much, one of which asks
 // again four times at once whenever it is refused.
 func TestRepeatsAtOnceDoNotCrowdOutFirstTries(t *testing.T) {
-	s := newSim(t, 3, []simCallers{{team: "patient", rate: 4 * simCalm}, {team: "pushy", rate: 4 * simCalm, again: 4}})
+	s := newSim(t, 3, []simCallerKind{{team: "patient", rate: 4 * simCapacity}, {team: "pushy", rate: 4 * simCapacity, retries: 4}})
 	s.play(6*time.Second, 1)
 	patient, pushy := s.tallies[0], s.tallies[1]
-	first := float64(patient.asked)
+	first := float64(patient.sent)
 	served := float64(patient.inTarget + patient.late + patient.weak)
 	if served < 0.5*first || served < 0.9*float64(pushy.inTarget+pushy.late+pushy.weak) {
 		t.Errorf("patient callers got %.0f answers to %.0f requests, pushy ones %d", served, first, pushy.inTarget+pushy.late+pushy.weak)
@@ -83,18 +83,18 @@
 // five seconds.
 func TestLongPromptsAreNotPiledUpAtEngines(t *testing.T) {
 	const bears = simEngines * 300_000 / 12_000
-	s := newSim(t, 3, []simCallers{{team: "a", rate: 4 * bears}})
+	s := newSim(t, 3, []simCallerKind{{team: "a", rate: 4 * bears}})
 	s.tokens = 12_000
 	s.play(2*time.Second, 1)
 	s.tallies[0] = simTally{}
 	s.play(6*time.Second, 1)
 	got := s.tallies[0]
 	inTime := got.inTarget + got.weak
-	t.Logf("%d asked, %d in time, %d late, %d refused, %d cut", got.asked, inTime, got.late, got.refused, got.cut)
+	t.Logf("%d asked, %d in time, %d late, %d refused, %d cut", got.sent, inTime, got.late, got.refused, got.failed)
 	if float64(inTime) < 0.7*6*bears {
 		t.Errorf("%d answers in time, of %d that the engines bear", inTime, 6*bears)
 	}
-	if got.late+got.cut > inTime/5 {
-		t.Errorf("%d late and %d cut, beside %d in time", got.late, got.cut, inTime)
+	if got.late+got.failed > inTime/5 {
+		t.Errorf("%d late and %d cut, beside %d in time", got.late, got.failed, inTime)
 	}
 }
--- a/decision/passthrough/peerload.go
+++ b/decision/passthrough/peerload.go
@@ -13,7 +13,7 @@
 
 // peerLoadLife is how long a report of the other instances' loads counts: most prompts are read by
 // then.
-const peerLoadLife = 700 * time.Millisecond
+const peerLoadTTL = 700 * time.Millisecond
 
 // peerCoverage is the part of the other instances that a report must cover: one that covers too few
 // under-counts load.
@@ -21,12 +21,12 @@
 
 // peerReport is what the other instances report to have at a server.
 type peerReport struct {
-	requests float64
-	reading  float64 // seconds
+	requests    float64
+	prefillTime float64 // seconds
 }
 
 // keyOf stands for the server among instances.
-func (s *server) keyOf() uint32 {
+func (s *server) peerKey() uint32 {
 	const lowBits = 32
 	return uint32(s.hash >> lowBits)
 }
@@ -41,7 +41,7 @@
 			continue
 		}
 		told[s] = true
-		out = append(out, PeerLoad{Key: s.keyOf(), Requests: s.own, Reading: seconds(s.remaining(w.now))})
+		out = append(out, PeerLoad{Key: s.peerKey(), Requests: s.ownRequests, Reading: seconds(s.prefillRemaining(w.now))})
 	}
 	return out
 }
@@ -53,24 +53,24 @@
 // prompts that hold up an engine for most of one. Harm prevented: two instances that send such
 // prompts to one engine, each taking it for idle, while others are.
 func (w *World) applyPeerLoads(e PeerLoads) {
-	if float64(e.Instances) < peerCoverage*float64(w.fleet-1) {
+	if float64(e.Instances) < peerCoverage*float64(w.fleetSize-1) {
 		return
 	}
 	w.peerLoadsAt = w.now
-	for _, s := range w.named {
+	for _, s := range w.reportedByPeers {
 		s.peers = peerReport{}
 	}
-	w.named = w.named[:0]
+	w.reportedByPeers = w.reportedByPeers[:0]
 	for _, l := range e.Loads {
-		if s := w.byKey[l.Key]; s != nil {
-			s.peers = peerReport{requests: float64(l.Requests), reading: l.Reading.Seconds()}
-			w.named = append(w.named, s)
+		if s := w.serversByKey[l.Key]; s != nil {
+			s.peers = peerReport{requests: float64(l.Requests), prefillTime: l.Reading.Seconds()}
+			w.reportedByPeers = append(w.reportedByPeers, s)
 		}
 	}
 	for _, s := range w.services {
-		w.free(s)
+		w.markFreed(s)
 	}
 }
 
 // knowsPeerLoads says whether the report of the other instances' loads is fresh.
-func (w *World) knowsPeerLoads() bool { return passed(w.peerLoadsAt, w.now, peerLoadLife) < 1 }
+func (w *World) peerLoadsFresh() bool { return elapsedFraction(w.peerLoadsAt, w.now, peerLoadTTL) < 1 }
--- a/decision/passthrough/peerload_test.go
+++ b/decision/passthrough/peerload_test.go
@@ -14,16 +14,16 @@
 	for _, factor := range []float64{0.5, 1} {
 		var bad [2]float64
 		for i, shares := range []bool{false, true} {
-			s := newSimOf(t, instances, engines, []simCallers{{team: "a", rate: simCalm * engines / simEngines / 3}})
-			s.tokens, s.shares = 3*simTokens, shares
+			s := newSimOf(t, instances, engines, []simCallerKind{{team: "a", rate: simCapacity * engines / simEngines / 3}})
+			s.tokens, s.sharesLoads = 3*simTokens, shares
 			s.route.Target = 700 * time.Millisecond
 			s.play(2*time.Second, factor)
 			s.tallies[0] = simTally{}
 			s.play(length, factor)
 			got := s.tallies[0]
-			bad[i] = float64(got.late+got.weak+got.refused+got.cut) / float64(got.inTarget+got.late+got.weak+got.refused+got.cut)
+			bad[i] = float64(got.late+got.weak+got.refused+got.failed) / float64(got.inTarget+got.late+got.weak+got.refused+got.failed)
 			t.Logf("x %.1f, shares %v: %d in time, %d late, %d weak, %d refused, %d cut",
-				factor, shares, got.inTarget, got.late, got.weak, got.refused, got.cut)
+				factor, shares, got.inTarget, got.late, got.weak, got.refused, got.failed)
 		}
 		if bad[1] >= bad[0] {
 			t.Errorf("at %.1f times the load %.3f of the answers are late or weak with shared loads, %.3f without", factor, bad[1], bad[0])
@@ -34,14 +34,14 @@
 // TestWordOfAFewIsNotTaken holds that an engine does not pass for idle since most instances are not
 // heard.
 func TestWordOfAFewIsNotTaken(t *testing.T) {
-	b := newBench(t, Settings{})
-	b.tell(Fleet{Instances: 60})
+	b := newHarness(t, Settings{})
+	b.tick(Fleet{Instances: 60})
 	for _, heard := range []int{0, 20, 40, 53} {
-		if b.tell(PeerLoads{Instances: heard}); b.world.knowsPeerLoads() {
+		if b.tick(PeerLoads{Instances: heard}); b.world.peerLoadsFresh() {
 			t.Errorf("the word of %d of 59 is taken", heard)
 		}
 	}
-	if b.tell(PeerLoads{Instances: 54}); !b.world.knowsPeerLoads() {
+	if b.tick(PeerLoads{Instances: 54}); !b.world.peerLoadsFresh() {
 		t.Error("the word of 54 of 59 is not taken")
 	}
 }
@@ -49,17 +49,17 @@
 // TestOldWordOfOthersIsForgotten holds that a server is judged by its own answers again once the
 // others fall silent.
 func TestOldWordOfOthersIsForgotten(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 2, 8)})
+	b.tick(Listed{servers("llm", 2, 8)})
 	busy := b.world.servers["llm-0"]
-	b.tell(PeerLoads{Loads: []PeerLoad{{Key: busy.keyOf(), Requests: 8, Reading: time.Second}}})
+	b.tick(PeerLoads{Loads: []PeerLoad{{Key: busy.peerKey(), Requests: 8, Reading: time.Second}}})
 	for range 6 {
 		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.ID == "llm-0" {
 			t.Fatal("went to the engine that is full by the others' word")
 		}
 	}
-	b.pass(peerLoadLife)
+	b.advance(peerLoadTTL)
 	found := false
 	for range 8 {
 		found = found || b.dispatched(b.arrive(streamRoute(), nil)).Server.ID == "llm-0"
--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -13,7 +13,7 @@
 // waitSlack is how many seconds longer than the mean a prompt may wait at a server that is
 // preferred for what its cache holds: a shared prompt of 6,000 tokens takes the smallest model
 // 20 ms to read again, and the largest 200.
-const waitSlack = 0.15
+const prefillWaitSlack = 0.15
 
 // pick chooses a server, if one has a free place.
 //
@@ -22,56 +22,56 @@
 // sending to the one that looked idle. A request goes to the server that a hash of its
 // shared prompt names, so that all instances agree without a word, and on to the next by
 // the hash once that one has more than its part.
-func (w *World) pick(r *request, views []view, f fill) (v view, ok bool) {
+func (w *World) pickServer(r *request, views []serverView, f occupancy) (v serverView, ok bool) {
 	list := w.candidates(r, views)
 	if len(list) == 0 {
-		return view{}, false
+		return serverView{}, false
 	}
-	if v, ok := w.unheard(list); ok {
+	if v, ok := w.pickStaleLimited(list); ok {
 		return v, true
 	}
 	if r.Affinity != 0 {
-		return w.pickByPrompt(r, list, f), true
+		return w.pickByPrefix(r, list, f), true
 	}
 	return w.pickByLoad(list), true
 }
 
 // pickByPrompt prefers the server that the hash names, in the own failure domain where
 // there is time for that, among those within the bound; else it takes the least loaded.
-func (w *World) pickByPrompt(r *request, list []view, f fill) view {
-	bound, wait := bound(list), meanWait(list)
-	keepNear := staysNear(r, f.wait)
-	best, near, least := none, none, 0
+func (w *World) pickByPrefix(r *request, list []serverView, f occupancy) serverView {
+	bound, wait := loadBound(list), meanPrefillWait(list)
+	keepNear := staysLocal(r, f.prefillWait)
+	best, near, least := noIndex, noIndex, 0
 	var bestScore, nearScore uint64
 	for i, v := range list {
 		if v.weight < list[least].weight {
 			least = i
 		}
-		if v.weight > bound || v.wait > wait+waitSlack {
+		if v.weight > bound || v.wait > wait+prefillWaitSlack {
 			continue
 		}
 		score := mix(v.server.hash ^ r.Affinity)
-		if best == none || score > bestScore {
+		if best == noIndex || score > bestScore {
 			best, bestScore = i, score
 		}
-		if keepNear && v.server.Zone == w.cfg.Zone && (near == none || score > nearScore) {
+		if keepNear && v.server.Zone == w.cfg.Zone && (near == noIndex || score > nearScore) {
 			near, nearScore = i, score
 		}
 	}
 	switch {
-	case near != none:
+	case near != noIndex:
 		return list[near]
-	case best != none:
+	case best != noIndex:
 		return list[best]
 	}
 	return list[least]
 }
 
 // none is the index of no server.
-const none = -1
+const noIndex = -1
 
 // meanWait is the mean wait of prompts at the servers of the list, in seconds.
-func meanWait(list []view) float64 {
+func meanPrefillWait(list []serverView) float64 {
 	sum := 0.0
 	for _, v := range list {
 		sum += v.wait
@@ -80,7 +80,7 @@
 }
 
 // bound is the weight up to which a server of the list may be preferred for its cache.
-func bound(list []view) float64 {
+func loadBound(list []serverView) float64 {
 	sum := 0.0
 	for _, v := range list {
 		sum += v.weight
@@ -93,13 +93,13 @@
 	// shared stays in its failure domain; one of which a tenth is shared may at ten times
 	// that, but for nearMost: a failure domain with more than its part of the load must not
 	// keep it then.
-	nearWait = 0.06
-	nearMost = 0.25
+	localPrefillWait    = 0.06
+	maxLocalPrefillWait = 0.25
 )
 
 // readAgainMost is how many seconds a server may spend on reading a request's shared prompt
 // once more in each failure domain, for the prompt's bytes to stay in one.
-const readAgainMost = 0.1
+const maxRepeatedPrefill = 0.1
 
 // staysNear says whether the request is kept in the own failure domain.
 //
@@ -110,31 +110,31 @@
 // its own failure domain too. So do long prompts that a larger model is to read, ten times as
 // slowly as the smallest, however idle the engines are: what an engine generates for others
 // stands still meanwhile.
-func staysNear(r *request, wait float64) bool {
-	readAgain := r.service.reads.perToken(r.next) * float64(r.SharedTokens)
-	if readAgain > readAgainMost {
+func staysLocal(r *request, wait float64) bool {
+	readAgain := r.service.prefill.perToken(r.nextModel) * float64(r.SharedTokens)
+	if readAgain > maxRepeatedPrefill {
 		return false
 	}
 	shared := 1.0
 	if r.PromptTokens > 0 {
 		shared = min(float64(r.SharedTokens)/float64(r.PromptTokens), 1)
 	}
-	return shared*wait < nearWait && wait < nearMost
+	return shared*wait < localPrefillWait && wait < maxLocalPrefillWait
 }
 
 // nearWeight is the part of a request by which a server in the own failure domain is
 // preferred: it saves 3 ms and bytes between failure domains.
-const nearWeight = 0.4
+const localPreference = 0.4
 
 // pickByLoad takes the better of two drawn servers; of few it looks at all.
-func (w *World) pickByLoad(list []view) view {
+func (w *World) pickByLoad(list []serverView) serverView {
 	const fewServers = 8 // a scan costs no more than two draws
 	draws := 2
 	if len(list) <= fewServers {
 		draws = len(list)
 	}
 	start := w.rng.IntN(len(list))
-	var best view
+	var best serverView
 	bestWeight := math.Inf(1)
 	for i := range draws {
 		v := list[(start+i)%len(list)]
@@ -143,7 +143,7 @@
 		}
 		weight := v.weight
 		if v.server.Zone == w.cfg.Zone {
-			weight -= nearWeight
+			weight -= localPreference
 		}
 		if weight < bestWeight {
 			best, bestWeight = v, weight
--- a/decision/passthrough/place.go
+++ b/decision/passthrough/place.go
@@ -4,46 +4,46 @@
 
 // place sends the request to a server with a free place. It says no where there is none
 // now.
-func (w *World) place(r *request) bool {
-	views := w.look(r.service)
-	f := filled(r.service, views)
-	v, ok := w.pick(r, views, f)
+func (w *World) tryDispatch(r *request) bool {
+	views := w.viewServers(r.service)
+	f := occupancyOf(r.service, views)
+	v, ok := w.pickServer(r, views, f)
 	if !ok {
 		return false
 	}
 	s := v.server
-	if r.waiting {
+	if r.queued {
 		r.service.queue.take(r)
-		r.waiting = false
+		r.queued = false
 	}
-	r.service.pace.drain.left(w.now)
+	r.service.intervals.departures.record(w.now)
 	r.server = s
 	r.version = s.Version
 	r.sent = w.now
-	r.first = 0
-	r.paced = false
+	r.firstByte = 0
+	r.intervalReported = false
 	r.attempts++
-	r.tries++
-	s.own++
+	r.dispatches++
+	s.ownRequests++
 	w.recordSlowStart(s)
 	w.recordLimit(s)
-	w.noteSession(r, s.Version)
+	w.recordSession(r, s.Version)
 	cmd := Dispatch{
-		Request: r.ID, Server: s.Server, Attempt: r.tries,
-		Patience: patience(r), Load: int(v.load) + 1, Wait: seconds(v.wait),
+		Request: r.ID, Server: s.Server, Attempt: r.dispatches,
+		Patience: firstByteTimeout(r), Load: int(v.load) + 1, Wait: seconds(v.wait),
 		Limit: s.limit.RateLimit,
 	}
 	if !s.reportedAt.IsZero() {
 		cmd.LoadAge = w.now.Sub(s.reportedAt)
 	}
 	if r.ModelOpen && len(r.Route.Sizes) > 0 {
-		f = f.plusOne()
-		cmd.Taken, cmd.MeanWait, cmd.Repeats = f.taken, seconds(f.wait), r.service.budget.Left(w.now)
-		r.size = w.chooseSize(r, f.room(r))
-		cmd.Model = r.Route.Sizes[r.size]
+		f = f.withOneMore()
+		cmd.Taken, cmd.MeanWait, cmd.Repeats = f.utilization, seconds(f.prefillWait), r.service.budget.Left(w.now)
+		r.model = w.chooseModel(r, f.headroom(r))
+		cmd.Model = r.Route.Sizes[r.model]
 	}
 	if r.service.engine {
-		w.toRead(r, v)
+		w.beginPrefill(r, v)
 	} else {
 		r.service.throttle.recordDispatch(w.now)
 	}
@@ -54,18 +54,18 @@
 const (
 	// silentPart is the part of the time to the target for which a repeatable plain
 	// request waits for the first byte of an answer before it is tried elsewhere.
-	silentPart = 2.5
+	firstByteTimeoutFactor = 2.5
 	// silentLeast bounds that time from below: a slow server is no dead one.
-	silentLeast = 400 * time.Millisecond
+	minFirstByteTimeout = 400 * time.Millisecond
 )
 
 // patience is how long an attempt may stay silent before another server is asked.
 //
 // Load: a server that hangs or has gone dark. Harm prevented: a caller who waits for it
 // to the end. Only what may run again is given up.
-func patience(r *request) time.Duration {
+func firstByteTimeout(r *request) time.Duration {
 	if r.Route.Kind != KindIdempotent || r.attempts >= r.Route.MaxAttempts {
 		return 0
 	}
-	return max(time.Duration(silentPart*float64(r.Route.Target)), silentLeast)
+	return max(time.Duration(firstByteTimeoutFactor*float64(r.Route.Target)), minFirstByteTimeout)
 }
--- a/decision/passthrough/place_test.go
+++ b/decision/passthrough/place_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestSharedPromptsGoToOneServerUntilItHasMoreThanItsPart(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 6, 8)})
+	b.tick(Listed{servers("llm", 6, 8)})
 	seen := map[string]int{}
 	for range 20 {
 		id := b.arrive(streamRoute(), func(r *Request) { r.Affinity = 99 })
@@ -30,9 +30,9 @@
 func TestAllInstancesChooseTheSameServerForAPrompt(t *testing.T) {
 	want := ""
 	for seed := range uint64(5) {
-		b := newBench(t, Settings{Seed: seed, RetryRatio: 1, RetryWindow: time.Second})
+		b := newHarness(t, Settings{Seed: seed, RetryRatio: 1, RetryWindow: time.Second})
 		b.configure(streamRoute())
-		b.tell(Listed{servers("llm", 12, 8)})
+		b.tick(Listed{servers("llm", 12, 8)})
 		got := b.dispatched(b.arrive(streamRoute(), func(r *Request) { r.Affinity = 7 })).Server.ID
 		if want == "" {
 			want = got
@@ -44,55 +44,55 @@
 }
 
 func TestDrainingServerGetsNothing(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
 	list := servers("shop", 2, 6)
-	b.tell(Listed{list})
+	b.tick(Listed{list})
 	list[0].Draining = true
-	b.tell(Listed{list})
+	b.tick(Listed{list})
 	for range 10 {
 		id := b.arrive(plainRoute(), nil)
 		if server := b.dispatched(id).Server.ID; server != "shop-1" {
 			t.Fatalf("sent to %s", server)
 		}
-		b.tell(Ended{Request: id, Result: Completed})
-		b.pass(300 * time.Millisecond)
+		b.tick(Ended{Request: id, Result: Completed})
+		b.advance(300 * time.Millisecond)
 	}
 }
 
 func TestServerBornAgainBeginsAnew(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
 	list := servers("shop", 1, 6)
-	b.tell(Listed{list})
+	b.tick(Listed{list})
 	id := b.arrive(plainRoute(), nil)
-	b.tell(Ended{Request: id, Result: Rejected, Leaving: true})
-	b.pass(time.Second)
-	b.tell(Listed{list})
+	b.tick(Ended{Request: id, Result: Rejected, Leaving: true})
+	b.advance(time.Second)
+	b.tick(Listed{list})
 	b.refused(b.arrive(plainRoute(), nil), ReasonNoServer)
 	list[0].Born = 2
-	b.tell(Listed{list})
+	b.tick(Listed{list})
 	b.dispatched(b.arrive(plainRoute(), nil))
 }
 
 func TestLateEndOfAServerThatIsGoneIsHarmless(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{servers("shop", 1, 6)})
+	b.tick(Listed{servers("shop", 1, 6)})
 	id := b.arrive(plainRoute(), nil)
-	b.tell(Listed{nil})
-	b.tell(Ended{Request: id, Result: Broken, Cut: true})
+	b.tick(Listed{nil})
+	b.tick(Ended{Request: id, Result: Broken, Cut: true})
 	b.finished(id)
 }
 
 func TestFailingServerIsLeftOut(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	route := plainRoute()
 	b.configure(route)
-	b.tell(Listed{servers("shop", 3, 6)})
+	b.tick(Listed{servers("shop", 3, 6)})
 	sick, late := 0, 0
 	for i := range 200 {
-		b.pass(20 * time.Millisecond)
+		b.advance(20 * time.Millisecond)
 		id := b.arrive(route, nil)
 		for range 2 {
 			d, ok := b.last(id).(Dispatch)
@@ -100,14 +100,14 @@
 				break
 			}
 			if d.Server.ID != "shop-0" {
-				b.tell(Ended{Request: id, Result: Completed})
+				b.tick(Ended{Request: id, Result: Completed})
 				break
 			}
 			sick++
 			if i > 100 {
 				late++
 			}
-			b.tell(Ended{Request: id, Result: Failed})
+			b.tick(Ended{Request: id, Result: Failed})
 		}
 	}
 	if sick > 40 || late > 15 {
@@ -141,10 +141,10 @@
 }
 
 func TestSlowServerGetsLess(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	route := plainRoute()
 	b.configure(route)
-	b.tell(Listed{servers("shop", 3, 6)})
+	b.tick(Listed{servers("shop", 3, 6)})
 	got := map[string]int{}
 	type job struct {
 		id     RequestID
@@ -154,14 +154,14 @@
 	}
 	var jobs []job
 	for range 1500 { // 100 requests a second, 30 ms each, one server five times as slow
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 		keep := jobs[:0]
 		for _, j := range jobs {
 			if j.until.After(b.now) {
 				keep = append(keep, j)
 				continue
 			}
-			b.tell(Ended{Request: j.id, Result: Completed, Pace: j.took})
+			b.tick(Ended{Request: j.id, Result: Completed, Pace: j.took})
 		}
 		jobs = keep
 		id := b.arrive(route, nil)
@@ -179,43 +179,43 @@
 }
 
 func TestSickServersAreUsedWhereAllAreSick(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(onceRoute())
-	b.tell(Listed{servers("shop", 1, 6)})
+	b.tick(Listed{servers("shop", 1, 6)})
 	for range 10 {
 		id := b.arrive(onceRoute(), nil)
 		b.dispatched(id)
-		b.tell(Ended{Request: id, Result: Failed})
+		b.tick(Ended{Request: id, Result: Failed})
 	}
 }
 
 // TestRushThatIsOverRefusesNobody holds for plain servers whose load was told at the height
 // of a rush: calls of 30 ms are done long before the word on them is old.
 func TestRushThatIsOverRefusesNobody(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	route := plainRoute()
 	b.configure(route)
 	list := servers("shop", 2, 6)
-	b.tell(Listed{list})
+	b.tick(Listed{list})
 	for range 10 {
 		id := b.arrive(route, nil)
-		b.pass(30 * time.Millisecond)
-		b.tell(Ended{Request: id, Result: Completed, Pace: 30 * time.Millisecond})
+		b.advance(30 * time.Millisecond)
+		b.tick(Ended{Request: id, Result: Completed, Pace: 30 * time.Millisecond})
 	}
 	for _, s := range list {
-		b.tell(LoadReported{Server: s.ID, Load: Load{Running: 6, Waiting: 4, Slots: 6}})
+		b.tick(LoadReported{Server: s.ID, Load: Load{Running: 6, Waiting: 4, Slots: 6}})
 	}
-	b.pass(200 * time.Millisecond)
+	b.advance(200 * time.Millisecond)
 	b.dispatched(b.arrive(route, nil))
 }
 
 // largeEngines configures engines of 128 places.
-func (b *bench) largeEngines() {
-	b.tell(Configured{NewIndex(Config{Version: 1, Routes: []Route{*streamRoute()}, Services: []Service{{Name: "llm", Slots: 128}}})})
+func (b *harness) configureLargeEngines() {
+	b.tick(Configured{NewIndex(Config{Version: 1, Routes: []Route{*streamRoute()}, Services: []Service{{Name: "llm", Slots: 128}}})})
 }
 
 // domains lists engines in three failure domains, so many in each.
-func domains(each int) []Server {
+func threeDomains(each int) []Server {
 	list := servers("llm", 3*each, 128)
 	for i := range list {
 		list[i].Zone = string(rune('a' + i%3))
@@ -225,16 +225,16 @@
 
 // nearShare places prompts with so many shared tokens of 9,000 on idle engines that each
 // state how many others wait there, and gives the part that stayed in the failure domain.
-func nearShare(t *testing.T, shared, waiting int) float64 {
+func localShare(t *testing.T, shared, waiting int) float64 {
 	t.Helper()
-	b := newBench(t, Settings{Seed: 1, Zone: "a", RetryRatio: 1, RetryWindow: time.Second})
-	b.largeEngines()
-	b.tell(Listed{domains(4)})
+	b := newHarness(t, Settings{Seed: 1, Zone: "a", RetryRatio: 1, RetryWindow: time.Second})
+	b.configureLargeEngines()
+	b.tick(Listed{threeDomains(4)})
 	near := 0
 	const count = 60
 	for i := range count {
-		for _, s := range domains(4) {
-			b.tell(LoadReported{Server: s.ID, Load: Load{Running: 5 + waiting, Waiting: waiting, Slots: 128}})
+		for _, s := range threeDomains(4) {
+			b.tick(LoadReported{Server: s.ID, Load: Load{Running: 5 + waiting, Waiting: waiting, Slots: 128}})
 		}
 		id := b.arrive(streamRoute(), func(r *Request) {
 			r.Affinity, r.SharedTokens, r.PromptTokens = uint64(i+1), shared, 9000
@@ -242,7 +242,7 @@
 		if b.dispatched(id).Server.Zone == "a" {
 			near++
 		}
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
 	return float64(near) / count
 }
@@ -252,16 +252,16 @@
 // are held; when they are far behind, all do.
 func TestPromptsStayInTheFailureDomainWhileThereIsTime(t *testing.T) {
 	const little, much = 900, 6000
-	if got := nearShare(t, much, 0); got < 1 {
+	if got := localShare(t, much, 0); got < 1 {
 		t.Errorf("idle: %.2f stayed", got)
 	}
-	if got := nearShare(t, little, 4); got < 1 {
+	if got := localShare(t, little, 4); got < 1 {
 		t.Errorf("some wait, little shared: %.2f stayed", got)
 	}
-	if got := nearShare(t, much, 4); got > 0.5 {
+	if got := localShare(t, much, 4); got > 0.5 {
 		t.Errorf("some wait, much shared: %.2f stayed", got)
 	}
-	if got := nearShare(t, little, 20); got > 0.5 {
+	if got := localShare(t, little, 20); got > 0.5 {
 		t.Errorf("many wait: %.2f stayed", got)
 	}
 }
@@ -274,8 +274,8 @@
 		shared   int
 		together bool
 	}{{6000, true}, {600, false}} {
-		b := roomyBench(t)
-		b.tell(Listed{domains(4)})
+		b := newRoomyHarness(t)
+		b.tick(Listed{threeDomains(4)})
 		reads := map[string]map[string]bool{}
 		const prompts = 20
 		for _, zone := range []string{"a", "b"} {
@@ -287,9 +287,9 @@
 				if d := b.dispatched(id); d.Server.Zone != zone {
 					t.Fatalf("%d shared: the smallest model reads in %s, not at home", c.shared, d.Server.Zone)
 				}
-				b.drop(id, 0.1)
+				b.dropAnswer(id, 0.1)
 				d := b.dispatched(id)
-				b.tell(Ended{Request: id, Result: Completed})
+				b.tick(Ended{Request: id, Result: Completed})
 				key := fmt.Sprint(i)
 				if reads[key] == nil {
 					reads[key] = map[string]bool{}
@@ -312,39 +312,39 @@
 // TestPromptsLeaveAFailureDomainThatIsFull: one where all engines have twice the load of the
 // others keeps nothing back.
 func TestPromptsLeaveAFailureDomainThatIsFull(t *testing.T) {
-	b := newBench(t, Settings{Seed: 1, Zone: "a", RetryRatio: 1, RetryWindow: time.Second})
-	b.largeEngines()
-	b.tell(Listed{domains(4)})
-	for _, s := range domains(4) {
+	b := newHarness(t, Settings{Seed: 1, Zone: "a", RetryRatio: 1, RetryWindow: time.Second})
+	b.configureLargeEngines()
+	b.tick(Listed{threeDomains(4)})
+	for _, s := range threeDomains(4) {
 		load := Load{Running: 20, Slots: 128}
 		if s.Zone == "a" {
 			load.Running = 60
 		}
-		b.tell(LoadReported{Server: s.ID, Load: load})
+		b.tick(LoadReported{Server: s.ID, Load: load})
 	}
 	for i := range 20 {
 		id := b.arrive(streamRoute(), func(r *Request) { r.Affinity, r.PromptTokens = uint64(i+1), 1000 })
 		if d := b.dispatched(id); d.Server.Zone == "a" {
 			t.Fatalf("request %d stayed at an engine with three times the load of others", i)
 		}
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
 }
 
 // TestPromptsGoWhereTheyAreReadSoon: an engine with little running and many prompts waiting
 // gets none more, beside one with more running and none waiting.
 func TestPromptsGoWhereTheyAreReadSoon(t *testing.T) {
-	b := newBench(t, Settings{})
-	b.largeEngines()
-	b.tell(Listed{servers("llm", 2, 128)})
+	b := newHarness(t, Settings{})
+	b.configureLargeEngines()
+	b.tick(Listed{servers("llm", 2, 128)})
 	for i := range 20 {
-		b.tell(
+		b.tick(
 			LoadReported{Server: "llm-0", Load: Load{Running: 2, Waiting: 10, Slots: 128}},
 			LoadReported{Server: "llm-1", Load: Load{Running: 14, Slots: 128}})
 		id := b.arrive(streamRoute(), func(r *Request) { r.Affinity, r.PromptTokens = uint64(i+1), 9000 })
 		if d := b.dispatched(id); i > 0 && d.Server.ID == "llm-0" {
 			t.Errorf("request %d went to the engine with ten prompts to read", i)
 		}
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
 }
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -17,11 +17,11 @@
 	shopWork    = 30 * time.Millisecond
 	shopStep    = 5 * time.Millisecond
 	// shopBears is what they answer a second.
-	shopBears = shopServers * shopSlots * float64(time.Second) / float64(shopWork)
+	shopCapacity = shopServers * shopSlots * float64(time.Second) / float64(shopWork)
 )
 
 type shopJob struct {
-	b    *bench
+	b    *harness
 	id   RequestID
 	left time.Duration
 }
@@ -30,33 +30,33 @@
 type shopSim struct {
 	rng     *rand.Rand
 	route   *Route
-	benches []*bench
+	benches []*harness
 	servers map[string][]*shopJob
-	seen    map[*bench]int
-	arrived map[*bench]map[RequestID]time.Time
+	handled map[*harness]int
+	arrived map[*harness]map[RequestID]time.Time
 	now     time.Time
 
 	// hot is the part of the requests that team-0 sends, beside nine others; grey the part that
 	// the first server turns away.
-	hot, grey float64
+	hotShare, rejectShare float64
 
-	asked, inTarget, late, refused, failed int
-	turnedAway                             int
+	sent, inTarget, late, refused, failed int
+	turnedAway                            int
 	// small and smallServed count the other teams' requests.
-	small, smallServed int
-	teams              map[*bench]map[RequestID]string
+	smallSent, smallServed int
+	teams                  map[*harness]map[RequestID]string
 }
 
 func newShopSim(t *testing.T, instances int, route *Route) *shopSim {
 	s := &shopSim{rng: rand.New(rand.NewPCG(3, 3)), route: route, servers: map[string][]*shopJob{},
-		seen: map[*bench]int{}, arrived: map[*bench]map[RequestID]time.Time{}, teams: map[*bench]map[RequestID]string{}, now: testStart}
+		handled: map[*harness]int{}, arrived: map[*harness]map[RequestID]time.Time{}, teams: map[*harness]map[RequestID]string{}, now: testStart}
 	list := servers("shop", shopServers, shopSlots)
 	for i := range instances {
-		b := newBench(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 600, RetryWindow: 10 * time.Second, SessionLife: time.Second})
-		b.tell(Fleet{Instances: instances})
+		b := newHarness(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 600, RetryWindow: 10 * time.Second, SessionLife: time.Second})
+		b.tick(Fleet{Instances: instances})
 		c := Config{Version: 1, Services: []Service{{Name: "shop"}}, Routes: []Route{*route}}
-		b.tell(Configured{NewIndex(c)})
-		b.tell(Listed{list})
+		b.tick(Configured{NewIndex(c)})
+		b.tick(Listed{list})
 		s.benches = append(s.benches, b)
 		s.arrived[b] = map[RequestID]time.Time{}
 		s.teams[b] = map[RequestID]string{}
@@ -66,8 +66,8 @@
 
 // reset begins to count anew.
 func (s *shopSim) reset() {
-	s.asked, s.inTarget, s.late, s.refused, s.failed, s.turnedAway = 0, 0, 0, 0, 0, 0
-	s.small, s.smallServed = 0, 0
+	s.sent, s.inTarget, s.late, s.refused, s.failed, s.turnedAway = 0, 0, 0, 0, 0, 0
+	s.smallSent, s.smallServed = 0, 0
 }
 
 // play asks for so many times what the servers bear.
@@ -81,15 +81,15 @@
 		for i := range shopServers {
 			s.serve(s.benches[0].world.services["shop"].servers[i].ID)
 		}
-		for owed += factor * shopBears * shopStep.Seconds(); owed >= 1; owed-- {
+		for owed += factor * shopCapacity * shopStep.Seconds(); owed >= 1; owed-- {
 			b := s.benches[s.rng.IntN(len(s.benches))]
 			team := s.team()
-			s.asked++
+			s.sent++
 			s.arrived[b][b.next+1], s.teams[b][b.next+1] = s.now, team
 			b.arrive(s.route, func(r *Request) { r.Team = team })
-			s.follow(b)
+			s.carryOut(b)
 		}
-		s.waits()
+		s.expireQueueWaits()
 	}
 }
 
@@ -97,25 +97,25 @@
 
 // team draws a request's team.
 func (s *shopSim) team() string {
-	if s.rng.Float64() < s.hot {
+	if s.rng.Float64() < s.hotShare {
 		return hotTeam
 	}
-	s.small++
+	s.smallSent++
 	return fmt.Sprint("team-", 1+s.rng.IntN(9))
 }
 
 // waits ends the waits in queues.
-func (s *shopSim) waits() {
+func (s *shopSim) expireQueueWaits() {
 	for _, b := range s.benches {
 		if b.world.services["shop"].queue.len == 0 {
 			continue
 		}
 		for id, at := range s.arrived[b] {
-			if r := b.world.requests[id]; r != nil && r.waiting && s.now.Sub(at) >= MaxWait(&r.Request, at) {
-				b.tell(Waited{id})
+			if r := b.world.requests[id]; r != nil && r.queued && s.now.Sub(at) >= MaxWait(&r.Request, at) {
+				b.tick(Waited{id})
 			}
 		}
-		s.follow(b)
+		s.carryOut(b)
 	}
 }
 
@@ -131,12 +131,12 @@
 			continue
 		}
 		s.servers[id] = kept
-		s.answered(id, j, len(jobs)-1)
+		s.complete(id, j, len(jobs)-1)
 	}
 	s.servers[id] = kept
 }
 
-func (s *shopSim) answered(server string, j *shopJob, busy int) {
+func (s *shopSim) complete(server string, j *shopJob, busy int) {
 	at := s.arrived[j.b][j.id]
 	delete(s.arrived[j.b], j.id)
 	if s.now.Sub(at) <= s.route.Target {
@@ -148,14 +148,14 @@
 		s.smallServed++
 	}
 	load := Load{Running: min(busy, shopSlots), Waiting: max(busy-shopSlots, 0), Slots: shopSlots}
-	j.b.tell(LoadReported{Server: server, Load: load}, Ended{Request: j.id, Result: Completed, Pace: s.now.Sub(at)})
-	s.follow(j.b)
+	j.b.tick(LoadReported{Server: server, Load: load}, Ended{Request: j.id, Result: Completed, Pace: s.now.Sub(at)})
+	s.carryOut(j.b)
 }
 
-func (s *shopSim) follow(b *bench) {
-	for s.seen[b] < len(b.all) {
-		c := b.all[s.seen[b]]
-		s.seen[b]++
+func (s *shopSim) carryOut(b *harness) {
+	for s.handled[b] < len(b.allCommands) {
+		c := b.allCommands[s.handled[b]]
+		s.handled[b]++
 		switch c := c.(type) {
 		case Dispatch:
 			s.dispatch(b, c)
@@ -169,9 +169,9 @@
 	}
 }
 
-func (s *shopSim) dispatch(b *bench, c Dispatch) {
+func (s *shopSim) dispatch(b *harness, c Dispatch) {
 	id := c.Server.ID
-	isGrey := id == "shop-0" && s.rng.Float64() < s.grey
+	isGrey := id == "shop-0" && s.rng.Float64() < s.rejectShare
 	if len(s.servers[id]) < shopSlots+shopQueue && !isGrey {
 		work := time.Duration((0.5 + s.rng.Float64()) * float64(shopWork))
 		s.servers[id] = append(s.servers[id], &shopJob{b: b, id: c.Request, left: work})
@@ -179,11 +179,11 @@
 	}
 	s.turnedAway++
 	if s.rng.IntN(2) == 0 {
-		b.tell(Ended{Request: c.Request, Result: Broken, Cut: true})
+		b.tick(Ended{Request: c.Request, Result: Broken, Cut: true})
 		return
 	}
 	load := Load{Running: shopSlots, Waiting: shopQueue, Slots: shopSlots}
-	b.tell(LoadReported{Server: id, Load: load}, Ended{Request: c.Request, Result: Rejected})
+	b.tick(LoadReported{Server: id, Load: load}, Ended{Request: c.Request, Result: Rejected})
 }
 
 // TestFullPlainServersAreLeftAlone asks for up to eight times what five servers bear, by 100
@@ -200,12 +200,12 @@
 		s.play(length, factor)
 		served := float64(s.inTarget+s.late) / length.Seconds()
 		t.Logf("x %.1f: %d asked, %d in time, %d late, %d refused, %d failed, %d turned away: %.0f a second of %.0f",
-			factor, s.asked, s.inTarget, s.late, s.refused, s.failed, s.turnedAway, served, shopBears)
-		if factor > 1 && served < 0.85*shopBears {
-			t.Errorf("at %.1f times the load %.0f a second are served, of %.0f", factor, served, shopBears)
+			factor, s.sent, s.inTarget, s.late, s.refused, s.failed, s.turnedAway, served, shopCapacity)
+		if factor > 1 && served < 0.85*shopCapacity {
+			t.Errorf("at %.1f times the load %.0f a second are served, of %.0f", factor, served, shopCapacity)
 		}
-		if s.failed > s.asked/50 {
-			t.Errorf("at %.1f times the load %d of %d failed", factor, s.failed, s.asked)
+		if s.failed > s.sent/50 {
+			t.Errorf("at %.1f times the load %d of %d failed", factor, s.failed, s.sent)
 		}
 	}
 }
@@ -217,11 +217,11 @@
 	route.MaxAttempts, route.Timeout = 1, 1200*time.Millisecond
 	s := newShopSim(t, 20, route)
 	s.play(time.Second, 0.3)
-	s.hot = 15.0 / 16
+	s.hotShare = 15.0 / 16
 	s.play(time.Second, 5.33)
 	s.reset()
 	s.play(3*time.Second, 5.33)
-	if got := float64(s.smallServed) / float64(s.small); got < 0.7 {
+	if got := float64(s.smallServed) / float64(s.smallSent); got < 0.7 {
 		t.Errorf("%.2f of the small teams' requests served, beside %d of the hot one's", got, s.inTarget+s.late-s.smallServed)
 	}
 }
@@ -230,9 +230,9 @@
 // gets, at a usual load, with 300 instances that see a request a second each.
 func TestOneServerThatTurnsAwayIsNoReasonToRefuse(t *testing.T) {
 	s := newShopSim(t, 300, plainRoute())
-	s.grey = 0.5
+	s.rejectShare = 0.5
 	s.play(6*time.Second, 0.3)
-	if s.refused > s.asked/200 {
-		t.Errorf("%d of %d refused, with servers free", s.refused, s.asked)
+	if s.refused > s.sent/200 {
+		t.Errorf("%d of %d refused, with servers free", s.refused, s.sent)
 	}
 }
--- a/decision/passthrough/property_test.go
+++ b/decision/passthrough/property_test.go
@@ -8,8 +8,8 @@
 )
 
 // history drives a world by any events and checks what it commands.
-type history struct {
-	*bench
+type randomHistory struct {
+	*harness
 	rng    *rand.Rand
 	routes []*Route
 	list   []Server
@@ -19,7 +19,7 @@
 
 type liveRequest struct {
 	route   *Route
-	running string
+	server  string
 	ran     bool
 	sent    int
 	notSent int
@@ -40,18 +40,18 @@
 }
 
 func runInvariants(t *testing.T, rng *rand.Rand, steps int) {
-	h := &history{bench: newBench(t, Settings{}), rng: rng, live: map[RequestID]*liveRequest{}}
+	h := &randomHistory{harness: newHarness(t, Settings{}), rng: rng, live: map[RequestID]*liveRequest{}}
 	h.routes = []*Route{plainRoute(), onceRoute(), streamRoute()}
 	h.configure(h.routes...)
-	h.relist()
+	h.relistServers()
 	for range steps {
-		h.pass(time.Duration(rng.IntN(80)) * time.Millisecond)
+		h.advance(time.Duration(rng.IntN(80)) * time.Millisecond)
 		h.step()
 		h.checkCounts()
 	}
 }
 
-func (h *history) relist() {
+func (h *randomHistory) relistServers() {
 	h.list = h.list[:0]
 	for _, s := range append(servers("shop", 3, 2), servers("llm", 4, 3)...) {
 		if h.rng.IntN(5) == 0 {
@@ -64,47 +64,47 @@
 		}
 		h.list = append(h.list, s)
 	}
-	h.do(Listed{append([]Server(nil), h.list...)})
+	h.tickChecked(Listed{append([]Server(nil), h.list...)})
 }
 
-func (h *history) step() {
+func (h *randomHistory) step() {
 	switch h.rng.IntN(14) {
 	case 0:
-		h.relist()
+		h.relistServers()
 	case 1:
 		h.phase = []Phase{PhaseCanary, PhaseCompleted, PhaseReverted}[h.rng.IntN(3)]
-		h.do(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: h.phase, Share: 0.3}})
+		h.tickChecked(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: h.phase, Share: 0.3}})
 	case 2:
 		for id, r := range h.live {
-			if r.running != "" && h.rng.IntN(4) == 0 {
-				h.do(LoadReported{Server: r.running, Load: Load{Running: h.rng.IntN(5), Waiting: h.rng.IntN(3), Slots: 3}})
+			if r.server != "" && h.rng.IntN(4) == 0 {
+				h.tickChecked(LoadReported{Server: r.server, Load: Load{Running: h.rng.IntN(5), Waiting: h.rng.IntN(3), Slots: 3}})
 			}
 			_ = id
 		}
 	case 3:
-		h.one(func(id RequestID, _ *liveRequest) { h.do(Left{id}); delete(h.live, id) })
+		h.withLiveRequest(func(id RequestID, _ *liveRequest) { h.tickChecked(Left{id}); delete(h.live, id) })
 	case 4:
-		h.one(func(id RequestID, _ *liveRequest) { h.do(Waited{id}) })
+		h.withLiveRequest(func(id RequestID, _ *liveRequest) { h.tickChecked(Waited{id}) })
 	case 5, 6, 7, 8:
 		h.next++
 		route := h.routes[h.rng.IntN(len(h.routes))]
 		h.live[h.next] = &liveRequest{route: route}
-		h.do(Arrived{Request{
+		h.tickChecked(Arrived{Request{
 			ID: h.next, Route: route, Service: route.Backends[0].Service, Team: fmt.Sprint(h.rng.IntN(3)), Rank: h.rng.IntN(3),
 			Session: []string{"", "a", "b"}[h.rng.IntN(3)], Affinity: uint64(h.rng.IntN(3)), PromptTokens: h.rng.IntN(9000),
 			Share: h.rng.Float64(), Fingerprint: uint64(h.rng.IntN(30)), Target: h.now.Add(route.Target),
 			Deadline: h.now.Add(time.Duration(h.rng.IntN(3000)) * time.Millisecond), ModelOpen: len(route.Sizes) > 0,
 		}})
 	default:
-		h.one(func(id RequestID, r *liveRequest) {
-			if r.running == "" {
+		h.withLiveRequest(func(id RequestID, r *liveRequest) {
+			if r.server == "" {
 				return
 			}
 			result := Result(1 + h.rng.IntN(7))
 			if result == Dropped && r.route.Kind != KindStream {
 				result = Broken
 			}
-			r.running = ""
+			r.server = ""
 			r.ran = r.ran || result.Ran()
 			if result == NotSent {
 				r.notSent++
@@ -112,13 +112,13 @@
 			if result == Completed || result == Abandoned {
 				delete(h.live, id)
 			}
-			h.do(Ended{Request: id, Result: result, Cut: result == Broken && h.rng.IntN(2) == 0, Pace: time.Millisecond})
+			h.tickChecked(Ended{Request: id, Result: result, Cut: result == Broken && h.rng.IntN(2) == 0, Pace: time.Millisecond})
 		})
 	}
 }
 
 // one does something to some live request.
-func (h *history) one(do func(RequestID, *liveRequest)) {
+func (h *randomHistory) withLiveRequest(do func(RequestID, *liveRequest)) {
 	for id := h.next; id > 0 && id+40 > h.next; id-- {
 		if r := h.live[id]; r != nil && h.rng.IntN(3) == 0 {
 			do(id, r)
@@ -128,47 +128,47 @@
 }
 
 // do tells an event and checks every command.
-func (h *history) do(e Event) {
+func (h *randomHistory) tickChecked(e Event) {
 	h.t.Helper()
-	for _, c := range h.tell(e) {
+	for _, c := range h.tick(e) {
 		switch c := c.(type) {
 		case Dispatch:
 			h.dispatch(c)
 		case Refuse:
-			r := h.final(c.Request)
+			r := h.takeLive(c.Request)
 			if r.ran {
 				h.t.Fatalf("request %d was refused though it may have run", c.Request)
 			}
-			if c.RetryAfter < 0 || c.RetryAfter > 2*comeBackMost {
+			if c.RetryAfter < 0 || c.RetryAfter > 2*maxRetryAfter {
 				h.t.Fatalf("request %d: come back after %v", c.Request, c.RetryAfter)
 			}
 		case Finish:
-			if r := h.final(c.Request); !r.ran {
+			if r := h.takeLive(c.Request); !r.ran {
 				h.t.Fatalf("request %d was not refused though it has not run", c.Request)
 			}
 		}
 	}
 }
 
-func (h *history) final(id RequestID) *liveRequest {
+func (h *randomHistory) takeLive(id RequestID) *liveRequest {
 	r := h.live[id]
-	if r == nil || r.running != "" {
+	if r == nil || r.server != "" {
 		h.t.Fatalf("request %d got a second end, or one while it runs", id)
 	}
 	delete(h.live, id)
 	return r
 }
 
-func (h *history) dispatch(c Dispatch) {
+func (h *randomHistory) dispatch(c Dispatch) {
 	r := h.live[c.Request]
-	if r == nil || r.running != "" {
+	if r == nil || r.server != "" {
 		h.t.Fatalf("request %d was dispatched after its end, or twice", c.Request)
 	}
 	if r.ran && !r.route.Repeatable() {
 		// An engine's doubt is the one reason to ask again for what runs once a time.
 		h.t.Fatalf("request %d of route %s was sent again", c.Request, r.route.Name)
 	}
-	r.running = c.Server.ID
+	r.server = c.Server.ID
 	r.sent++
 	if r.sent-r.notSent > r.route.MaxAttempts {
 		h.t.Fatalf("request %d was sent %d times", c.Request, r.sent-r.notSent)
@@ -189,7 +189,7 @@
 }
 
 // checkCounts holds the servers' counts against the requests that run.
-func (h *history) checkCounts() {
+func (h *randomHistory) checkCounts() {
 	running := map[string]int{}
 	for _, r := range h.world.requests {
 		if r.server != nil && !r.server.gone {
@@ -197,14 +197,14 @@
 		}
 	}
 	for id, s := range h.world.servers {
-		if s.own != running[id] || len(s.unread) > s.own || s.backlog < 0 || len(s.unread) == 0 && s.backlog != 0 {
-			h.t.Fatalf("server %s counts %d, %d run there; %d unread, %v s to read", id, s.own, running[id], len(s.unread), s.backlog)
+		if s.ownRequests != running[id] || len(s.prefilling) > s.ownRequests || s.prefillBacklog < 0 || len(s.prefilling) == 0 && s.prefillBacklog != 0 {
+			h.t.Fatalf("server %s counts %d, %d run there; %d unread, %v s to read", id, s.ownRequests, running[id], len(s.prefilling), s.prefillBacklog)
 		}
 	}
 	for name, s := range h.world.services {
 		waiting := 0
 		for _, r := range h.world.requests {
-			if r.waiting && r.service == s {
+			if r.queued && r.service == s {
 				waiting++
 			}
 		}
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -15,39 +15,39 @@
 type queue struct {
 	group    fair.Group
 	accounts map[string]*fair.Account
-	ranks    []*rankQueue
+	classes  []*priorityClass
 	turn     int
 	len      int
 }
 
-type rankQueue struct {
-	rank  int
-	queue fair.Queue[*waiter]
-	flows map[string]*fair.Flow[*waiter]
+type priorityClass struct {
+	priority int
+	queue    fair.Queue[*queueEntry]
+	flows    map[string]*fair.Flow[*queueEntry]
 }
 
 // waiter is a request's place in the queue.
-type waiter struct {
-	item  fair.Item[*waiter]
-	r     *request
-	ranks *rankQueue
+type queueEntry struct {
+	item    fair.Item[*queueEntry]
+	request *request
+	class   *priorityClass
 }
 
 // lowTurn gives each so many-th place to the last rank first, so that work of a low rank
 // is slowed by a long rush of the higher ones and not stopped.
-const lowTurn = 8
+const lowPriorityTurn = 8
 
 func (q *queue) push(r *request, cost float64) {
 	rq, flow := q.flow(r)
-	wt := &waiter{r: r, ranks: rq}
+	wt := &queueEntry{request: r, class: rq}
 	wt.item.Value, wt.item.Cost = wt, max(cost, 1)
-	r.place = wt
+	r.queueEntry = wt
 	rq.queue.Push(flow, &wt.item)
 	q.len++
 }
 
 // flow finds the part of the queue that the request's team has at its rank.
-func (q *queue) flow(r *request) (*rankQueue, *fair.Flow[*waiter]) {
+func (q *queue) flow(r *request) (*priorityClass, *fair.Flow[*queueEntry]) {
 	if q.accounts == nil {
 		q.accounts = map[string]*fair.Account{}
 	}
@@ -56,10 +56,10 @@
 		account = q.group.NewAccount(1)
 		q.accounts[r.Team] = account
 	}
-	rq := q.rank(r.Rank)
+	rq := q.class(r.Rank)
 	flow := rq.flows[r.Team]
 	if flow == nil {
-		flow = &fair.Flow[*waiter]{}
+		flow = &fair.Flow[*queueEntry]{}
 		rq.queue.Init(flow, account)
 		rq.flows[r.Team] = flow
 	}
@@ -76,8 +76,8 @@
 	}
 	rq, flow := q.flow(r)
 	count := 0
-	for _, other := range q.ranks {
-		if other.rank < r.Rank {
+	for _, other := range q.classes {
+		if other.priority < r.Rank {
 			count += other.queue.Len()
 		}
 	}
@@ -89,18 +89,18 @@
 }
 
 // rank finds the queue of a rank; the ranks stand in order.
-func (q *queue) rank(rank int) *rankQueue {
+func (q *queue) class(rank int) *priorityClass {
 	at := 0
-	for at < len(q.ranks) && q.ranks[at].rank < rank {
+	for at < len(q.classes) && q.classes[at].priority < rank {
 		at++
 	}
-	if at < len(q.ranks) && q.ranks[at].rank == rank {
-		return q.ranks[at]
+	if at < len(q.classes) && q.classes[at].priority == rank {
+		return q.classes[at]
 	}
-	rq := &rankQueue{rank: rank, flows: map[string]*fair.Flow[*waiter]{}}
-	q.ranks = append(q.ranks, nil)
-	copy(q.ranks[at+1:], q.ranks[at:])
-	q.ranks[at] = rq
+	rq := &priorityClass{priority: rank, flows: map[string]*fair.Flow[*queueEntry]{}}
+	q.classes = append(q.classes, nil)
+	copy(q.classes[at+1:], q.classes[at:])
+	q.classes[at] = rq
 	return rq
 }
 
@@ -109,14 +109,14 @@
 	if q.len == 0 {
 		return nil
 	}
-	low := q.turn%lowTurn == lowTurn-1
-	for i := range q.ranks {
-		rq := q.ranks[i]
+	low := q.turn%lowPriorityTurn == lowPriorityTurn-1
+	for i := range q.classes {
+		rq := q.classes[i]
 		if low {
-			rq = q.ranks[len(q.ranks)-1-i]
+			rq = q.classes[len(q.classes)-1-i]
 		}
 		if it := rq.queue.Peek(); it != nil {
-			return it.Value.r
+			return it.Value.request
 		}
 	}
 	return nil
@@ -124,19 +124,19 @@
 
 // take removes the request whose turn it was, and charges its team.
 func (q *queue) take(r *request) {
-	r.place.ranks.queue.Pop()
-	r.place = nil
+	r.queueEntry.class.queue.Pop()
+	r.queueEntry = nil
 	q.turn++
 	q.len--
 }
 
 // remove takes a request out that need not wait any more.
 func (q *queue) remove(r *request) {
-	if r.place == nil {
+	if r.queueEntry == nil {
 		return
 	}
-	r.place.ranks.queue.Remove(&r.place.item)
-	r.place = nil
+	r.queueEntry.class.queue.Remove(&r.queueEntry.item)
+	r.queueEntry = nil
 	q.len--
 }
 
@@ -144,26 +144,26 @@
 	// waitPart is the part of the time to a request's target that it may spend in the
 	// queue: the rest is the backend server's. Past it a caller does better to come
 	// back, as one refusal with a time costs less than an answer that comes too late.
-	waitPart = 0.4
+	queueWaitFraction = 0.4
 	// waitMost bounds the wait of requests with distant targets.
-	waitMost = 3 * time.Second
+	queueWaitCap = 3 * time.Second
 )
 
 // MaxWait is how long the request may wait in the queue from now.
 func MaxWait(r *Request, now time.Time) time.Duration {
-	return max(min(time.Duration(waitPart*float64(r.timeLeft(now))), waitMost), 0)
+	return max(min(time.Duration(queueWaitFraction*float64(r.timeLeft(now))), queueWaitCap), 0)
 }
 
 // lateWait is the part of the time to the deadline that a request may still wait for once its
 // target has passed.
-const lateWait = 0.25
+const lateWaitFraction = 0.25
 
 // timeLeft is how long the request has from now for an answer in time, or, where it is too
 // late for that, for one at all.
 func (r *Request) timeLeft(now time.Time) time.Duration {
 	room := min(r.Target.Sub(now), r.Deadline.Sub(now))
 	if room <= 0 {
-		room = time.Duration(lateWait * float64(r.Deadline.Sub(now)))
+		room = time.Duration(lateWaitFraction * float64(r.Deadline.Sub(now)))
 	}
 	return room
 }
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -12,34 +12,34 @@
 const (
 	// limitPart is the part of a limit that is used: the instances may not agree for a moment on
 	// the subset, and requests that were sent apart may arrive together.
-	limitPart = 0.7
+	limitUtilization = 0.7
 	// limitSubsetLeast is how many instances send to a limited server at least: with one alone it
 	// would get nothing while that one is down.
-	limitSubsetLeast = 2
+	minLimitSubset = 2
 	// limitPerInstance is how much of a limit, in requests a second, there is in the subset for
 	// each instance, so that few requests of a small limit are sent at the same moment.
 	limitPerInstance = 2.0
 	// limitForAll is by how much a limit in requests a second may be below the number of instances
 	// for all of them to send to the server.
-	limitForAll = 2.0
+	limitAllMargin = 2.0
 	// limitBurst is how long an instance's part of a limit may add up, and limitBurstLeast how
 	// many requests that are at least.
-	limitBurst      = 500 * time.Millisecond
-	limitBurstLeast = 1.0
+	limitBurstDuration = 500 * time.Millisecond
+	minLimitBurst      = 1.0
 	// limitLeast is how many requests a second go to a server that takes fewer or none: only its
 	// answers tell that it takes more again.
-	limitLeast = 0.05
+	limitProbeRate = 0.05
 	// limitSilence is how long nobody may have heard of a limit for another subset to take over,
 	// beside the time in which each instance of the present one should have sent limitSilenceSends
 	// requests: all of these may be gone.
-	limitSilence      = 10 * time.Second
-	limitSilenceSends = 2
+	limitStaleAfter = 10 * time.Second
+	limitStaleSends = 2
 	// limitUnheard is how long nobody may have heard of a limit for the next request to go to its
 	// server, whatever else speaks against that.
-	limitUnheard = 5 * time.Second
+	limitProbeAfter = 5 * time.Second
 	// limitTold is how long after a server's answer the other instances are told of its limit, or
 	// of its end.
-	limitTold = 30 * time.Second
+	limitReportPeriod = 30 * time.Second
 )
 
 // serverLimit is a server's rate limit as this instance knows it.
@@ -50,23 +50,23 @@
 	statedAt time.Time
 	own      bool
 	// share is this instance's part in requests a second, as of shareAsOf.
-	share     float64
-	shareAsOf limitView
-	bucket    tokenBucket
+	share       float64
+	shareInputs limitShareInputs
+	bucket      tokenBucket
 }
 
 // limitView is what an instance's part of a limit depends on.
-type limitView struct {
+type limitShareInputs struct {
 	perSecond  float64
 	neighbours int
-	fleet      int
-	turn       uint64
+	fleetSize  int
+	rotation   uint64
 }
 
 // noteLimit takes in what a server's answer to a request sent at the time states. Answers
 // overtake each other: one without a limit ends it only if its request was sent after the limit
 // was stated.
-func (w *World) noteLimit(s *server, sent time.Time, stated RateLimit) {
+func (w *World) observeLimit(s *server, sent time.Time, stated RateLimit) {
 	if s == nil || !stated.Limited && (!s.limit.Limited || sent.Before(s.limit.statedAt)) {
 		return
 	}
@@ -76,9 +76,9 @@
 // applyPeerLimits takes in what other instances were told. The newest answer counts, whoever got it.
 func (w *World) applyPeerLimits(limits []PeerLimit) {
 	for _, l := range limits {
-		s := w.byKey[l.Key]
+		s := w.serversByKey[l.Key]
 		at := w.now.Add(-l.Age)
-		if s != nil && l.Age <= limitTold && at.After(s.limit.statedAt) {
+		if s != nil && l.Age <= limitReportPeriod && at.After(s.limit.statedAt) {
 			w.setLimit(s, l.Limit, at, false)
 		}
 	}
@@ -89,15 +89,15 @@
 func (w *World) setLimit(s *server, stated RateLimit, at time.Time, own bool) {
 	changed := stated != s.limit.RateLimit
 	s.limit.RateLimit, s.limit.statedAt, s.limit.own = stated, at, own
-	w.limited[s] = true
+	w.limitedServers[s] = true
 	if !changed {
 		return
 	}
 	if stated.Limited {
 		w.limitShare(s) // the bucket fills from now on
 	} else {
-		s.limit.share, s.limit.shareAsOf, s.limit.bucket = 0, limitView{}, tokenBucket{}
-		w.free(s.service)
+		s.limit.share, s.limit.shareInputs, s.limit.bucket = 0, limitShareInputs{}, tokenBucket{}
+		w.markFreed(s.service)
 	}
 	w.emit(LimitChanged{Server: s.ID, Limit: stated, Own: own, Age: w.now.Sub(at)})
 }
@@ -106,13 +106,13 @@
 // have ended.
 func (w *World) OwnLimits() []PeerLimit {
 	var out []PeerLimit
-	for s := range w.limited {
+	for s := range w.limitedServers {
 		age := w.now.Sub(s.limit.statedAt)
 		switch {
-		case s.gone, age > limitTold && !s.limit.Limited:
-			delete(w.limited, s)
-		case s.limit.own && age <= limitTold:
-			out = append(out, PeerLimit{Key: s.keyOf(), Limit: s.limit.RateLimit, Age: age})
+		case s.gone, age > limitReportPeriod && !s.limit.Limited:
+			delete(w.limitedServers, s)
+		case s.limit.own && age <= limitReportPeriod:
+			out = append(out, PeerLimit{Key: s.peerKey(), Limit: s.limit.RateLimit, Age: age})
 		}
 	}
 	return out
@@ -120,34 +120,34 @@
 
 // limitSubset is how many instances send to a server with the limit.
 func limitSubset(perSecond float64) int {
-	return max(int(perSecond/limitPerInstance)+1, limitSubsetLeast)
+	return max(int(perSecond/limitPerInstance)+1, minLimitSubset)
 }
 
 // usedLimit is how many requests a second all instances send to a server with the limit.
-func usedLimit(perSecond float64) float64 { return limitPart * max(perSecond, limitLeast) }
+func usedLimit(perSecond float64) float64 { return limitUtilization * max(perSecond, limitProbeRate) }
 
 // limitTurn counts the subsets that have passed since anyone heard of the server's limit.
-func (s *server) limitTurn(now time.Time) uint64 {
+func (s *server) limitRotation(now time.Time) uint64 {
 	each := usedLimit(s.limit.PerSecond) / float64(limitSubset(s.limit.PerSecond))
-	turn := limitSilence + seconds(limitSilenceSends/each)
+	turn := limitStaleAfter + seconds(limitStaleSends/each)
 	return uint64(max(now.Sub(s.limit.statedAt), 0) / turn)
 }
 
 // limitShare is this instance's part of a server's limit, in requests a second.
 func (w *World) limitShare(s *server) float64 {
-	view := limitView{s.limit.PerSecond, w.near.version, w.fleet, s.limitTurn(w.now)}
-	if view != s.limit.shareAsOf {
-		s.limit.shareAsOf = view
-		s.limit.share = w.partOfLimit(s, view.turn)
+	view := limitShareInputs{s.limit.PerSecond, w.neighbours.version, w.fleetSize, s.limitRotation(w.now)}
+	if view != s.limit.shareInputs {
+		s.limit.shareInputs = view
+		s.limit.share = w.computeLimitShare(s, view.rotation)
 		s.limit.bucket.setRate(s.limit.share, w.now)
 	}
 	return s.limit.share
 }
 
-func (w *World) partOfLimit(s *server, turn uint64) float64 {
+func (w *World) computeLimitShare(s *server, turn uint64) float64 {
 	used := usedLimit(s.limit.PerSecond)
-	if w.fleet > 0 && float64(w.fleet) <= s.limit.PerSecond+limitForAll {
-		return used / float64(w.fleet)
+	if w.fleetSize > 0 && float64(w.fleetSize) <= s.limit.PerSecond+limitAllMargin {
+		return used / float64(w.fleetSize)
 	}
 	zone, key := s.Zone, s.hash
 	if turn > 0 {
@@ -157,7 +157,7 @@
 	if !w.inSubset(zone, key, size) {
 		return 0
 	}
-	return used / float64(min(size, max(len(w.near.names), 1)))
+	return used / float64(min(size, max(len(w.neighbours.hashes), 1)))
 }
 
 // allowLimit says whether this instance may send to the server as far as its rate limit goes. One
@@ -173,7 +173,7 @@
 	if w.limitShare(s) <= 0 {
 		return false
 	}
-	at, ok := s.limit.bucket.next(w.now)
+	at, ok := s.limit.bucket.nextToken(w.now)
 	if !ok {
 		s.service.wakeBy(at)
 	}
@@ -191,21 +191,21 @@
 //
 // Load: many servers, so that the few instances that may send to one of them hardly ever choose it.
 // Harm prevented: a server that takes everything again and gets nothing for a minute.
-func (w *World) unheard(list []view) (v view, ok bool) {
-	if len(w.limited) == 0 {
-		return view{}, false
+func (w *World) pickStaleLimited(list []serverView) (v serverView, ok bool) {
+	if len(w.limitedServers) == 0 {
+		return serverView{}, false
 	}
 	for _, v := range list {
-		if l := &v.server.limit; l.Limited && w.now.Sub(l.statedAt) > limitUnheard {
+		if l := &v.server.limit; l.Limited && w.now.Sub(l.statedAt) > limitProbeAfter {
 			return v, true
 		}
 	}
-	return view{}, false
+	return serverView{}, false
 }
 
 // limitsHoldBack says whether the limits of a version's servers let none of them take a request
 // of this instance now.
-func (w *World) limitsHoldBack(s *service, version string) bool {
+func (w *World) limitsBlockVersion(s *service, version string) bool {
 	limited := false
 	for _, srv := range s.servers {
 		if srv.Version != version || !srv.usable(w.now) {
@@ -225,10 +225,10 @@
 // limitWait is how long the request waits for its turn where all servers that may take it are
 // limited; ok is false where one is not.
 func (w *World) limitWait(r *request) (wait time.Duration, ok bool) {
-	if len(w.limited) == 0 {
+	if len(w.limitedServers) == 0 {
 		return 0, false
 	}
-	fits := w.fitting(r)
+	fits := w.versionFilter(r)
 	rate, tokens := 0.0, 0.0
 	for _, s := range r.service.servers {
 		if !s.usable(w.now) || !fits(s) {
@@ -238,7 +238,7 @@
 			return 0, false
 		}
 		rate += w.limitShare(s)
-		tokens += s.limit.bucket.level(w.now)
+		tokens += s.limit.bucket.available(w.now)
 	}
 	if rate <= 0 {
 		return never, true
@@ -257,23 +257,23 @@
 
 // setRate changes the rate; a bucket that had none is empty.
 func (b *tokenBucket) setRate(rate float64, now time.Time) {
-	b.tokens = b.level(now)
+	b.tokens = b.available(now)
 	b.rate, b.at = rate, now
 }
 
 // level is the number of tokens now.
-func (b *tokenBucket) level(now time.Time) float64 {
+func (b *tokenBucket) available(now time.Time) float64 {
 	if b.rate <= 0 {
 		return 0
 	}
-	most := max(b.rate*limitBurst.Seconds(), limitBurstLeast)
+	most := max(b.rate*limitBurstDuration.Seconds(), minLimitBurst)
 	return min(b.tokens+b.rate*now.Sub(b.at).Seconds(), most)
 }
 
 // next refills the bucket, and says whether a token is in it, or when there will be one.
-func (b *tokenBucket) next(now time.Time) (at time.Time, ok bool) {
+func (b *tokenBucket) nextToken(now time.Time) (at time.Time, ok bool) {
 	const rounding = 1e-9
-	b.tokens, b.at = b.level(now), now
+	b.tokens, b.at = b.available(now), now
 	if b.tokens >= 1-rounding {
 		return now, true
 	}
--- a/decision/passthrough/ratelimit_bound_test.go
+++ b/decision/passthrough/ratelimit_bound_test.go
@@ -90,13 +90,13 @@
 	load := usualRate * float64(len(f.servers))
 	f.limits[f.servers[0].ID] = 1
 	f.play(2*time.Second, load)
-	f.mute = map[int]bool{}
+	f.silent = map[int]bool{}
 	for i, b := range f.instances {
 		if s := b.world.servers[f.servers[0].ID]; b.world.limitShare(s) > 0 {
-			f.mute[i] = true
+			f.silent[i] = true
 		}
 	}
-	if len(f.mute) == 0 {
+	if len(f.silent) == 0 {
 		t.Fatal("no instance sends to the limited server")
 	}
 	clear(f.limits)
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -23,21 +23,21 @@
 type limitFleet struct {
 	t         *testing.T
 	rng       *rand.Rand
-	instances []*bench
+	instances []*harness
 	servers   []Server
 	// limits are the limits in force, by server.
 	limits map[string]float64
 	// told is when an instance was first given an answer that states a limit, by instance and
 	// server.
-	told map[limitKey]time.Time
+	toldAt map[limitKey]time.Time
 	// arrivals are the requests that each server got.
 	arrivals map[string][]limitArrival
 	running  []limitRun
 	// seen counts the commands of each instance that were followed.
-	seen    []int
+	handled []int
 	refused int
 	// mute are instances that neither get requests nor tell the others anything.
-	mute map[int]bool
+	silent map[int]bool
 	// reports are what the instances said last, which is on its way to the others.
 	reports [][]PeerLimit
 }
@@ -71,7 +71,7 @@
 func newLimitFleet(t *testing.T, instances, count int, seed uint64, view func(f *limitFleet, all []string) []string) *limitFleet {
 	t.Helper()
 	f := &limitFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), limits: map[string]float64{},
-		told: map[limitKey]time.Time{}, arrivals: map[string][]limitArrival{}}
+		toldAt: map[limitKey]time.Time{}, arrivals: map[string][]limitArrival{}}
 	f.servers = servers("llm", count, 48)
 	for i := range f.servers {
 		f.servers[i].Zone = domainOf(i)
@@ -81,17 +81,17 @@
 		near[domainOf(i)] = append(near[domainOf(i)], fmt.Sprintf("i%d", i))
 	}
 	for i := range instances {
-		b := newBench(t, Settings{Seed: seed + uint64(i), Zone: domainOf(i), Domains: limitDomains,
+		b := newHarness(t, Settings{Seed: seed + uint64(i), Zone: domainOf(i), Domains: limitDomains,
 			RetryRatio: 0.9, RetrySlack: 56, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
 		names := near[domainOf(i)]
 		if view != nil {
 			names = view(f, names)
 		}
-		b.tell(Configured{NewIndex(Config{Version: 1, Routes: []Route{*streamRoute()}, Services: []Service{{Name: "llm", Slots: 48}}})},
+		b.tick(Configured{NewIndex(Config{Version: 1, Routes: []Route{*streamRoute()}, Services: []Service{{Name: "llm", Slots: 48}}})},
 			Fleet{Instances: instances}, Neighbours{Self: fmt.Sprintf("i%d", i), Names: names}, Listed{f.servers})
 		f.instances = append(f.instances, b)
 	}
-	f.seen = make([]int, instances)
+	f.handled = make([]int, instances)
 	return f
 }
 
@@ -107,13 +107,13 @@
 			f.report()
 		}
 		for _, b := range f.instances {
-			b.pass(step)
-			b.tell()
+			b.advance(step)
+			b.tick()
 		}
 		f.answer()
 		for owed += rate * step.Seconds(); owed >= 1; owed-- {
 			at := f.rng.IntN(len(f.instances))
-			if f.mute[at] {
+			if f.silent[at] {
 				continue
 			}
 			subject := f.rng.Uint64()%subjects + 1
@@ -121,7 +121,7 @@
 				r.Affinity, r.PromptTokens, r.SharedTokens = subject, 2000, 1000
 			})
 		}
-		f.follow()
+		f.carryOut()
 	}
 }
 
@@ -134,7 +134,7 @@
 	for i, b := range f.instances {
 		var others []PeerLimit
 		for j, said := range f.reports {
-			if j == i || f.mute[i] {
+			if j == i || f.silent[i] {
 				continue
 			}
 			for _, l := range said {
@@ -142,12 +142,12 @@
 				others = append(others, l)
 			}
 		}
-		b.tell(PeerLimits{others})
+		b.tick(PeerLimits{others})
 	}
 	f.reports = f.reports[:0]
 	for i, b := range f.instances {
 		said := b.world.OwnLimits()
-		if f.mute[i] {
+		if f.silent[i] {
 			said = nil
 		}
 		f.reports = append(f.reports, said)
@@ -157,11 +157,11 @@
 func (f *limitFleet) now() time.Time { return f.instances[0].now }
 
 // follow sends what the instances dispatched.
-func (f *limitFleet) follow() {
+func (f *limitFleet) carryOut() {
 	const headAfter, endAfter = 40 * time.Millisecond, 400 * time.Millisecond
 	for i, b := range f.instances {
-		for ; f.seen[i] < len(b.all); f.seen[i]++ {
-			switch c := b.all[f.seen[i]].(type) {
+		for ; f.handled[i] < len(b.allCommands); f.handled[i]++ {
+			switch c := b.allCommands[f.handled[i]].(type) {
 			case Dispatch:
 				f.arrivals[c.Server.ID] = append(f.arrivals[c.Server.ID], limitArrival{b.now, i})
 				f.running = append(f.running, limitRun{limitKey{i, c.Server.ID}, c.Request, b.now.Add(headAfter), b.now.Add(endAfter), false})
@@ -185,10 +185,10 @@
 	}
 	for _, run := range f.running {
 		if run.begun && !now.Before(run.end) {
-			f.instances[run.instance].tell(Ended{Request: run.request, Result: Completed, Begun: true, Confidence: 1})
+			f.instances[run.instance].tick(Ended{Request: run.request, Result: Completed, Begun: true, Confidence: 1})
 		}
 	}
-	f.follow()
+	f.carryOut()
 }
 
 // begin sends the head of an answer.
@@ -196,27 +196,27 @@
 	run.begun = true
 	b := f.instances[run.instance]
 	perSecond, limited := f.limits[run.server]
-	if _, told := f.told[run.limitKey]; limited && !told {
-		f.told[run.limitKey] = b.now
+	if _, told := f.toldAt[run.limitKey]; limited && !told {
+		f.toldAt[run.limitKey] = b.now
 	}
-	b.tell(FirstByte{Request: run.request, After: 40 * time.Millisecond, Limit: RateLimit{limited, perSecond}})
+	b.tick(FirstByte{Request: run.request, After: 40 * time.Millisecond, Limit: RateLimit{limited, perSecond}})
 	const doubted, broken = 0.25, 0.05
 	switch draw := f.rng.Float64(); {
 	case draw < doubted:
 		run.end = b.now
-		b.tell(Ended{Request: run.request, Result: Dropped, Confidence: 0.1})
+		b.tick(Ended{Request: run.request, Result: Dropped, Confidence: 0.1})
 	case draw < doubted+broken:
 		run.end = b.now
-		b.tell(Ended{Request: run.request, Result: Broken, Begun: true, Cut: true})
+		b.tick(Ended{Request: run.request, Result: Broken, Begun: true, Cut: true})
 	}
 }
 
 // most is the largest number of requests in a window that begins at the time or later, from
 // instances that had been told by then.
-func (f *limitFleet) most(server string, from time.Time) int {
+func (f *limitFleet) maxInWindow(server string, from time.Time) int {
 	var at []time.Time
 	for _, a := range f.arrivals[server] {
-		told, ok := f.told[limitKey{a.instance, server}]
+		told, ok := f.toldAt[limitKey{a.instance, server}]
 		if ok && !a.at.Before(from) && a.at.Sub(told) >= limitNotice {
 			at = append(at, a.at)
 		}
@@ -261,7 +261,7 @@
 	f.t.Helper()
 	for i, perSecond := range limitRates {
 		allowed := limitOvershoot*perSecond*limitWindow.Seconds() + limitSlack
-		if got := f.most(f.servers[i].ID, stated.Add(limitSettled)); float64(got) > allowed {
+		if got := f.maxInWindow(f.servers[i].ID, stated.Add(limitSettled)); float64(got) > allowed {
 			f.t.Errorf("%d instances: a server with a limit of %v a second got %d requests in %v, allowed %.1f",
 				len(f.instances), perSecond, got, limitWindow, allowed)
 		}
--- a/decision/passthrough/ratelimit_refuse_test.go
+++ b/decision/passthrough/ratelimit_refuse_test.go
@@ -7,37 +7,37 @@
 
 // limitedBench is an instance, alone or among others, before so many servers of the shop; all of
 // them state the limit.
-func limitedBench(t *testing.T, perSecond float64, count int, neighbours ...string) *bench {
+func newLimitedHarness(t *testing.T, perSecond float64, count int, neighbours ...string) *harness {
 	t.Helper()
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute(), streamRoute())
-	b.tell(Neighbours{Self: "i0", Names: append([]string{"i0"}, neighbours...)}, Fleet{Instances: 1 + len(neighbours)})
-	b.tell(Listed{servers("shop", count, 8)})
+	b.tick(Neighbours{Self: "i0", Names: append([]string{"i0"}, neighbours...)}, Fleet{Instances: 1 + len(neighbours)})
+	b.tick(Listed{servers("shop", count, 8)})
 	var limits []PeerLimit
 	for _, s := range b.world.servers {
-		limits = append(limits, PeerLimit{Key: s.keyOf(), Limit: RateLimit{Limited: true, PerSecond: perSecond}})
+		limits = append(limits, PeerLimit{Key: s.peerKey(), Limit: RateLimit{Limited: true, PerSecond: perSecond}})
 	}
-	b.tell(PeerLimits{limits})
+	b.tick(PeerLimits{limits})
 	return b
 }
 
 // TestAllServersLimited holds that what the servers' limits leave no room for is refused at once,
 // as not run, with a time after which there is room.
 func TestAllServersLimited(t *testing.T) {
-	b := limitedBench(t, 0.5, 3)
+	b := newLimitedHarness(t, 0.5, 3)
 	const seconds, perSecond = 20, 10
 	sent, refused, seen := 0, 0, 0
 	for range seconds * perSecond {
-		b.pass(time.Second / perSecond)
+		b.advance(time.Second / perSecond)
 		b.arrive(plainRoute(), nil)
-		for ; seen < len(b.all); seen++ {
-			switch c := b.all[seen].(type) {
+		for ; seen < len(b.allCommands); seen++ {
+			switch c := b.allCommands[seen].(type) {
 			case Dispatch:
 				sent++
-				b.tell(Ended{Request: c.Request, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 0.5}})
+				b.tick(Ended{Request: c.Request, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 0.5}})
 			case Refuse:
 				refused++
-				if c.Reason != ReasonLimited || c.RetryAfter < comeBackLeast {
+				if c.Reason != ReasonLimited || c.RetryAfter < minRetryAfter {
 					t.Fatalf("refused with %+v", c)
 				}
 			}
@@ -53,8 +53,8 @@
 func TestInstanceOutsideOfTheSubsetRefusesAtOnce(t *testing.T) {
 	refused := 0
 	for range 8 {
-		b := limitedBench(t, 1, 1, "i1", "i2", "i3", "i4", "i5", "i6", "i7", "i8", "i9")
-		b.pass(10 * time.Second)
+		b := newLimitedHarness(t, 1, 1, "i1", "i2", "i3", "i4", "i5", "i6", "i7", "i8", "i9")
+		b.advance(10 * time.Second)
 		id := b.arrive(plainRoute(), nil)
 		if r, ok := b.last(id).(Refuse); ok {
 			refused++
@@ -80,16 +80,16 @@
 		{"the end comes late", []time.Duration{3 * time.Second, time.Second}, []RateLimit{limit, {}}, false},
 		{"the end overtakes", []time.Duration{time.Second, 3 * time.Second}, []RateLimit{{}, limit}, false},
 		{"the limit is stated again", []time.Duration{3 * time.Second, 2 * time.Second, time.Second}, []RateLimit{limit, {}, limit}, true},
-		{"told too late", []time.Duration{limitTold + time.Second}, []RateLimit{limit}, false},
+		{"told too late", []time.Duration{limitReportPeriod + time.Second}, []RateLimit{limit}, false},
 	}
 	for _, tt := range tests {
-		b := newBench(t, Settings{})
+		b := newHarness(t, Settings{})
 		b.configure(plainRoute())
-		b.pass(time.Minute)
-		b.tell(Listed{servers("shop", 1, 8)})
+		b.advance(time.Minute)
+		b.tick(Listed{servers("shop", 1, 8)})
 		s := b.world.servers["shop-0"]
 		for i, age := range tt.ages {
-			b.tell(PeerLimits{[]PeerLimit{{Key: s.keyOf(), Limit: tt.said[i], Age: age}}})
+			b.tick(PeerLimits{[]PeerLimit{{Key: s.peerKey(), Limit: tt.said[i], Age: age}}})
 		}
 		if s.limit.Limited != tt.want {
 			t.Errorf("%s: limited %v", tt.name, s.limit.Limited)
@@ -103,10 +103,10 @@
 // TestLimitIsOfOneProcess holds that a server which starts again under its id states its limit
 // anew.
 func TestLimitIsOfOneProcess(t *testing.T) {
-	b := limitedBench(t, 1, 1)
+	b := newLimitedHarness(t, 1, 1)
 	again := servers("shop", 1, 8)
 	again[0].Born = 2
-	b.tell(Listed{again})
+	b.tick(Listed{again})
 	for range 8 {
 		b.dispatched(b.arrive(plainRoute(), nil))
 	}
@@ -115,22 +115,22 @@
 // TestLimitedCanaryDoesNotHoldUpItsCallers has all servers of a new version limited: what the
 // canary may not take now goes to the old version.
 func TestLimitedCanaryDoesNotHoldUpItsCallers(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := servers("llm", 6, 1000)
 	for i := range list[:3] {
 		list[i].Version = "v2"
 	}
-	b.tell(Neighbours{Self: "i0", Names: []string{"i0"}}, Listed{list},
+	b.tick(Neighbours{Self: "i0", Names: []string{"i0"}}, Listed{list},
 		RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.5}})
 	for i := range 3 {
-		key := b.world.servers[list[i].ID].keyOf()
-		b.tell(PeerLimits{[]PeerLimit{{Key: key, Limit: RateLimit{Limited: true, PerSecond: 0.2}}}})
+		key := b.world.servers[list[i].ID].peerKey()
+		b.tick(PeerLimits{[]PeerLimit{{Key: key, Limit: RateLimit{Limited: true, PerSecond: 0.2}}}})
 	}
 	for range 50 {
-		b.pass(20 * time.Millisecond)
+		b.advance(20 * time.Millisecond)
 		id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0.1 })
 		b.dispatched(id)
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
 }
--- a/decision/passthrough/ratelimit_test.go
+++ b/decision/passthrough/ratelimit_test.go
@@ -6,9 +6,9 @@
 )
 
 // limitChanges lists what the world told of rate limits.
-func limitChanges(b *bench) []LimitChanged {
+func limitChanges(b *harness) []LimitChanged {
 	var out []LimitChanged
-	for _, c := range b.all {
+	for _, c := range b.allCommands {
 		if c, ok := c.(LimitChanged); ok {
 			out = append(out, c)
 		}
@@ -19,22 +19,22 @@
 // TestLimitEndsWithAnAnswerToALaterRequest holds that an answer without a limit, which others with
 // one have overtaken, ends nothing.
 func TestLimitEndsWithAnAnswerToALaterRequest(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{servers("shop", 1, 8)})
+	b.tick(Listed{servers("shop", 1, 8)})
 	early, limited := b.arrive(plainRoute(), nil), b.arrive(plainRoute(), nil)
-	b.pass(10 * time.Millisecond)
-	b.tell(Ended{Request: limited, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 100}})
-	b.tell(Ended{Request: early, Result: Completed, Limit: &RateLimit{}})
+	b.advance(10 * time.Millisecond)
+	b.tick(Ended{Request: limited, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 100}})
+	b.tick(Ended{Request: early, Result: Completed, Limit: &RateLimit{}})
 	if got := limitChanges(b); len(got) != 1 || got[0].Limit.PerSecond != 100 {
 		t.Fatalf("got %+v", got)
 	}
-	b.pass(50 * time.Millisecond)
+	b.advance(50 * time.Millisecond)
 	later := b.arrive(plainRoute(), nil)
 	if !b.dispatched(later).Limit.Limited {
 		t.Error("a dispatch does not name the limit")
 	}
-	b.tell(Ended{Request: later, Result: Completed, Limit: &RateLimit{}})
+	b.tick(Ended{Request: later, Result: Completed, Limit: &RateLimit{}})
 	if got := limitChanges(b); len(got) != 2 || got[1].Limit.Limited {
 		t.Errorf("got %+v", got)
 	}
@@ -42,10 +42,10 @@
 
 // TestStreamStatesTheLimitWithItsHead holds that a limit is known long before the stream ends.
 func TestStreamStatesTheLimitWithItsHead(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 1, 8)})
-	b.tell(FirstByte{Request: b.arrive(streamRoute(), nil), Limit: RateLimit{Limited: true, PerSecond: 1.4}})
+	b.tick(Listed{servers("llm", 1, 8)})
+	b.tick(FirstByte{Request: b.arrive(streamRoute(), nil), Limit: RateLimit{Limited: true, PerSecond: 1.4}})
 	if got := limitChanges(b); len(got) != 1 || got[0].Limit.PerSecond != 1.4 {
 		t.Errorf("got %+v", got)
 	}
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -5,11 +5,11 @@
 // arrive admits a request: it is placed at once, waits, or is refused at once with when
 // to come back.
 func (w *World) arrive(in Request) {
-	r := &request{Request: in, arrived: w.now, size: plainSize}
+	r := &request{Request: in, arrived: w.now, model: noModel}
 	r.service = w.serviceOf(in.Service)
 	w.requests[r.ID] = r
 	r.service.budget.Request(w.now)
-	if w.crashes.barred(r.Fingerprint, w.now) {
+	if w.crashes.quarantined(r.Fingerprint, w.now) {
 		w.refuse(r, ReasonQuarantined)
 		return
 	}
@@ -17,7 +17,7 @@
 		w.refuse(r, ReasonDeadline)
 		return
 	}
-	if w.outlasts(r) {
+	if w.outlivesInstance(r) {
 		w.refuse(r, ReasonStopping)
 		return
 	}
@@ -25,26 +25,26 @@
 		w.refuse(r, ReasonServersFull)
 		return
 	}
-	if r.service.queue.len == 0 && w.place(r) {
+	if r.service.queue.len == 0 && w.tryDispatch(r) {
 		return
 	}
-	w.await(r)
+	w.enqueue(r)
 }
 
 // stretch is how much longer than the mean an answer may take: half of them take longer
 // than that.
-const stretch = 1.3
+const durationFactor = 1.3
 
 // outlasts says whether the request's answer would be cut by the end of this instance.
 //
 // Load: an instance that is told to stop, and gets requests until the balancer has noticed,
 // among them streams as long as all of its grace time. Harm prevented: a stream that is cut
 // midway, where a refusal sends the caller on to an instance that stays.
-func (w *World) outlasts(r *request) bool {
+func (w *World) outlivesInstance(r *request) bool {
 	if w.endsAt.IsZero() || r.Route.Kind != KindStream {
 		return false
 	}
-	return w.now.Add(w.usual(r.Route, stretch)).After(w.endsAt)
+	return w.now.Add(w.expectedDuration(r.Route, durationFactor)).After(w.endsAt)
 }
 
 // throttled counts the request, and says whether it is refused since its service turns too many
@@ -63,22 +63,22 @@
 // Load: demand over capacity. Harm prevented: callers who wait for an answer that comes
 // too late. The queue is as long as what drains within the wait that the request can
 // afford; who finds it longer learns at once when to come back.
-func (w *World) await(r *request) {
+func (w *World) enqueue(r *request) {
 	s := r.service
-	if reason := w.noneUsable(r); reason != "" {
-		w.giveUp(r, reason)
+	if reason := w.serverRefusal(r); reason != "" {
+		w.finishOrRefuse(r, reason)
 		return
 	}
-	if reason := w.waitsTooLong(r); reason != "" {
-		w.giveUp(r, reason)
+	if reason := w.waitRefusal(r); reason != "" {
+		w.finishOrRefuse(r, reason)
 		return
 	}
-	r.waiting = true
+	r.queued = true
 	s.queue.push(r, w.cost(r))
 }
 
 // waitsTooLong gives the reason why the request's turn would come too late; "" where it would not.
-func (w *World) waitsTooLong(r *request) Reason {
+func (w *World) waitRefusal(r *request) Reason {
 	longest := MaxWait(&r.Request, w.now)
 	if wait, limited := w.limitWait(r); limited {
 		if wait > longest {
@@ -86,7 +86,7 @@
 		}
 		return ""
 	}
-	if r.service.pace.drain.wait(r.service.queue.ahead(r)) > longest {
+	if r.service.intervals.departures.wait(r.service.queue.ahead(r)) > longest {
 		return ReasonBusy
 	}
 	return ""
@@ -94,8 +94,8 @@
 
 // noneUsable gives the reason why no server may take the request, now or when it has room; ""
 // where one may.
-func (w *World) noneUsable(r *request) Reason {
-	fits := w.fitting(r)
+func (w *World) serverRefusal(r *request) Reason {
+	fits := w.versionFilter(r)
 	reason := ReasonNoServer
 	for _, srv := range r.service.servers {
 		if !srv.usable(w.now) || !fits(srv) {
@@ -117,62 +117,62 @@
 
 // waited refuses a request that has waited for as long as it may, unless there is room by
 // now: what is known of engines ages, and no event tells when it has.
-func (w *World) waited(id RequestID) {
+func (w *World) queueWaitExpired(id RequestID) {
 	r := w.requests[id]
-	if r == nil || !r.waiting {
+	if r == nil || !r.queued {
 		return
 	}
 	r.service.queue.remove(r)
-	r.waiting = false
-	if !w.place(r) {
-		w.giveUp(r, ReasonBusy)
+	r.queued = false
+	if !w.tryDispatch(r) {
+		w.finishOrRefuse(r, ReasonBusy)
 	}
 }
 
 // leave forgets a request that nobody waits for. Its attempt's end comes by itself.
-func (w *World) leave(id RequestID) {
+func (w *World) cancel(id RequestID) {
 	r := w.requests[id]
 	if r == nil {
 		return
 	}
-	w.release(r)
-	w.drop(r)
+	w.releaseServer(r)
+	w.remove(r)
 }
 
 // drop takes a request out of all tables.
-func (w *World) drop(r *request) {
-	if r.waiting {
+func (w *World) remove(r *request) {
+	if r.queued {
 		r.service.queue.remove(r)
-		r.waiting = false
+		r.queued = false
 	}
 	delete(w.requests, r.ID)
 }
 
 // release takes the request's attempt off its server.
-func (w *World) release(r *request) {
+func (w *World) releaseServer(r *request) {
 	if r.server == nil {
 		return
 	}
-	r.hasRead()
-	r.server.own--
-	w.free(r.service)
+	r.endPrefill()
+	r.server.ownRequests--
+	w.markFreed(r.service)
 	r.server = nil
 }
 
 // free marks that a place may have become free.
-func (w *World) free(s *service) {
-	if !s.isFree && s.queue.len > 0 {
-		s.isFree = true
+func (w *World) markFreed(s *service) {
+	if !s.slotFreed && s.queue.len > 0 {
+		s.slotFreed = true
 		w.freed = append(w.freed, s)
 	}
 }
 
 // placeWaiting gives free places to those that wait.
-func (w *World) placeWaiting() {
+func (w *World) dispatchQueued() {
 	for _, s := range w.freed {
-		s.isFree = false
+		s.slotFreed = false
 		for r := s.queue.next(); r != nil; r = s.queue.next() {
-			if !w.place(r) {
+			if !w.tryDispatch(r) {
 				break
 			}
 		}
@@ -181,44 +181,44 @@
 
 // giveUp ends a request without another attempt: refused if it has not run, else with
 // what its last attempt left.
-func (w *World) giveUp(r *request, reason Reason) {
-	if !r.ran {
+func (w *World) finishOrRefuse(r *request, reason Reason) {
+	if !r.mayHaveRun {
 		w.refuse(r, reason)
 		return
 	}
 	w.emit(Finish{Request: r.ID, Reason: reason})
-	w.drop(r)
+	w.remove(r)
 }
 
 const (
 	// comeBackLeast and comeBackMost bound the time that a refused caller is told.
-	comeBackLeast = 150 * time.Millisecond
-	comeBackMost  = 5 * time.Second
+	minRetryAfter = 150 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
 	// comeBackPart is the part of its remaining time that a caller waits at most.
-	comeBackPart = 0.3
+	retryAfterFraction = 0.3
 	// comeBackSpread spreads the times of callers that were refused together, so that
 	// they do not come back together.
-	comeBackSpread = 0.5
+	retryAfterJitter = 0.5
 )
 
 // refuse ends a request that has not run, with when to come back.
 func (w *World) refuse(r *request, reason Reason) {
-	after := r.service.pace.drain.wait(r.service.queue.ahead(r))
+	after := r.service.intervals.departures.wait(r.service.queue.ahead(r))
 	switch reason {
 	case ReasonNoServer:
-		after = max(after, absentFor)
+		after = max(after, unreachableBackoff)
 	case ReasonWarmingUp:
 		after = max(after, w.slowStartEnds(r.service).Sub(w.now))
 	case ReasonLimited:
 		wait, _ := w.limitWait(r)
 		if wait == never {
-			wait = absentFor // another instance may be in a server's subset
+			wait = unreachableBackoff // another instance may be in a server's subset
 		}
 		after = max(after, wait)
 	}
-	after = max(after, comeBackLeast)
-	after = min(after, comeBackMost, time.Duration(comeBackPart*float64(r.Deadline.Sub(w.now))))
-	after += time.Duration(comeBackSpread * w.rng.Float64() * float64(after))
+	after = max(after, minRetryAfter)
+	after = min(after, maxRetryAfter, time.Duration(retryAfterFraction*float64(r.Deadline.Sub(w.now))))
+	after += time.Duration(retryAfterJitter * w.rng.Float64() * float64(after))
 	w.emit(Refuse{Request: r.ID, Reason: reason, RetryAfter: max(after, 0)})
-	w.drop(r)
+	w.remove(r)
 }
--- a/decision/passthrough/requests_test.go
+++ b/decision/passthrough/requests_test.go
@@ -7,24 +7,24 @@
 
 func TestOnceIsNotSentAgainAfterItMayHaveRun(t *testing.T) {
 	for _, result := range []Result{Failed, Broken} {
-		b := newBench(t, Settings{})
+		b := newHarness(t, Settings{})
 		b.configure(onceRoute())
-		b.tell(Listed{servers("shop", 3, 6)})
+		b.tick(Listed{servers("shop", 3, 6)})
 		id := b.arrive(onceRoute(), nil)
 		b.dispatched(id)
-		b.tell(Ended{Request: id, Result: result})
+		b.tick(Ended{Request: id, Result: result})
 		b.finished(id)
 	}
 }
 
 func TestOnceIsSentAgainWhenItHasNotRun(t *testing.T) {
 	for _, result := range []Result{NotSent, Rejected} {
-		b := newBench(t, Settings{})
+		b := newHarness(t, Settings{})
 		b.configure(onceRoute())
-		b.tell(Listed{servers("shop", 3, 6)})
+		b.tick(Listed{servers("shop", 3, 6)})
 		id := b.arrive(onceRoute(), nil)
 		first := b.dispatched(id)
-		b.tell(Ended{Request: id, Result: result})
+		b.tick(Ended{Request: id, Result: result})
 		second := b.dispatched(id)
 		if second.Attempt != 2 || second.Server.ID == first.Server.ID {
 			t.Errorf("%v: sent again as attempt %d to %s", result, second.Attempt, second.Server.ID)
@@ -33,34 +33,34 @@
 }
 
 func TestAttemptsAreBoundedAndRefusalIsOnlyForWhatHasNotRun(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{servers("shop", 5, 6)})
+	b.tick(Listed{servers("shop", 5, 6)})
 	ran := b.arrive(plainRoute(), nil)
-	b.tell(Ended{Request: ran, Result: Failed})
-	b.tell(Ended{Request: ran, Result: Rejected})
+	b.tick(Ended{Request: ran, Result: Failed})
+	b.tick(Ended{Request: ran, Result: Rejected})
 	b.finished(ran)
 	never := b.arrive(plainRoute(), nil)
-	b.tell(Ended{Request: never, Result: Rejected})
-	b.tell(Ended{Request: never, Result: Rejected})
+	b.tick(Ended{Request: never, Result: Rejected})
+	b.tick(Ended{Request: never, Result: Rejected})
 	b.refused(never, ReasonAttempts)
 }
 
 func TestUnreachableServersDoNotUseUpAttempts(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	route := onceRoute()
 	route.MaxAttempts = 1
 	b.configure(route)
-	b.tell(Listed{servers("shop", 3, 6)})
+	b.tick(Listed{servers("shop", 3, 6)})
 	id := b.arrive(route, nil)
-	b.tell(Ended{Request: id, Result: NotSent})
+	b.tick(Ended{Request: id, Result: NotSent})
 	if d := b.dispatched(id); d.Attempt != 2 {
 		t.Errorf("attempt %d, want 2", d.Attempt)
 	}
 }
 
 func TestNoServerIsRefusedAtOnceWithWhenToComeBack(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
 	id := b.arrive(plainRoute(), nil)
 	r := b.refused(id, ReasonNoServer)
@@ -70,56 +70,56 @@
 }
 
 func TestCrashingRequestIsRefusedAfterThreeCrashes(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{servers("shop", 5, 6)})
+	b.tick(Listed{servers("shop", 5, 6)})
 	const mark = 77
 	poison := func(r *Request) { r.Fingerprint = mark }
 	id := b.arrive(plainRoute(), poison)
-	b.tell(Ended{Request: id, Result: Broken, Cut: true})
-	b.tell(Ended{Request: id, Result: Broken, Cut: true})
+	b.tick(Ended{Request: id, Result: Broken, Cut: true})
+	b.tick(Ended{Request: id, Result: Broken, Cut: true})
 	b.finished(id)
-	b.tell(Crashes{Fingerprint: mark, Count: 1})
+	b.tick(Crashes{Fingerprint: mark, Count: 1})
 	again := b.arrive(plainRoute(), poison)
 	b.refused(again, ReasonQuarantined)
-	b.pass(crashMemory + time.Second)
-	b.tell(Listed{servers("shop", 5, 6)})
+	b.advance(crashMemory + time.Second)
+	b.tick(Listed{servers("shop", 5, 6)})
 	b.dispatched(b.arrive(plainRoute(), poison))
 }
 
 func TestAnswerClearsBrokenConnections(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{servers("shop", 5, 6)})
+	b.tick(Listed{servers("shop", 5, 6)})
 	same := func(r *Request) { r.Fingerprint = 5 }
 	for range 4 {
 		id := b.arrive(plainRoute(), same)
-		b.tell(Ended{Request: id, Result: Broken, Cut: true})
-		b.tell(Ended{Request: id, Result: Completed})
+		b.tick(Ended{Request: id, Result: Broken, Cut: true})
+		b.tick(Ended{Request: id, Result: Completed})
 	}
 	b.dispatched(b.arrive(plainRoute(), same))
 }
 
 func TestRetryBudgetHoldsInEveryWindow(t *testing.T) {
 	cfg := Settings{Seed: 1, RetryRatio: 0.3, RetrySlack: 2, RetryWindow: 10 * time.Second}
-	b := newBench(t, cfg)
+	b := newHarness(t, cfg)
 	route := plainRoute()
 	route.Target, route.Timeout = 10*time.Second, 20*time.Second
 	b.configure(route)
-	b.tell(Listed{servers("shop", 40, 50)})
+	b.tick(Listed{servers("shop", 40, 50)})
 	type mark struct {
 		at     time.Time
 		repeat bool
 	}
 	var marks []mark
 	for range 600 {
-		b.pass(50 * time.Millisecond)
+		b.advance(50 * time.Millisecond)
 		id := b.arrive(route, nil)
 		marks = append(marks, mark{b.now, false})
-		b.tell(Ended{Request: id, Result: Failed})
+		b.tick(Ended{Request: id, Result: Failed})
 		if d, ok := b.last(id).(Dispatch); ok && d.Attempt == 2 {
 			marks = append(marks, mark{b.now, true})
-			b.tell(Ended{Request: id, Result: Failed})
+			b.tick(Ended{Request: id, Result: Failed})
 		}
 	}
 	for i := range marks {
@@ -145,21 +145,21 @@
 }
 
 func TestDeadlineAlreadyPassed(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tell(Listed{servers("shop", 1, 1)})
+	b.tick(Listed{servers("shop", 1, 1)})
 	id := b.arrive(plainRoute(), func(r *Request) { r.Deadline = b.now })
 	b.refused(id, ReasonDeadline)
 }
 
 func TestSlackIsSharedByTheFleet(t *testing.T) {
-	b := newBench(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 23, RetryWindow: 10 * time.Second})
+	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 23, RetryWindow: 10 * time.Second})
 	b.configure(plainRoute())
-	b.tell(Listed{servers("shop", 40, 50)}, Fleet{Instances: 10})
+	b.tick(Listed{servers("shop", 40, 50)}, Fleet{Instances: 10})
 	repeats := 0
 	for range 30 {
 		id := b.arrive(plainRoute(), nil)
-		b.tell(Ended{Request: id, Result: Failed})
+		b.tick(Ended{Request: id, Result: Failed})
 		if d, ok := b.last(id).(Dispatch); ok && d.Attempt == 2 {
 			repeats++
 		}
--- a/decision/passthrough/rollout.go
+++ b/decision/passthrough/rollout.go
@@ -49,27 +49,27 @@
 const (
 	// canaryPart is the canary's part of the share that the platform allows: most of that
 	// is needed at the end, when all new work goes to the new version.
-	canaryPart = 0.3
+	canaryFraction = 0.3
 	// openingMost is how long the instances take to tell each other the open sessions: a
 	// write and a read of each, a second apart.
-	openingMost = 3 * time.Second
+	maxCollectingTime = 3 * time.Second
 	// openingPart bounds that in short roll-outs.
-	openingPart = 0.2
+	collectingFraction = 0.2
 	// completeBefore is how long before the deadline the end is written: time for two
 	// tries at a store that is slow.
-	completeBefore = time.Second
+	completionMargin = time.Second
 	// tolerancePart is the part of the tolerated number of requests that is used: what
 	// all instances saw is known a second late.
-	tolerancePart = 0.6
+	toleranceFraction = 0.6
 	// leadFactor stretches the time for which all requests could go to the new version:
 	// those of short routes turn to it later than that.
 	leadFactor = 1.35
 	// judgeAfter is the number of bad answers below which nothing is judged: single
 	// failures happen to good versions too.
-	judgeAfter = 5
+	minBadForVerdict = 5
 	// doubtAfter is the same at the end, where to complete cannot be taken back: two of
 	// eleven answers at most.
-	doubtAfter = 2
+	minBadAtCompletion = 2
 	// badFloor is the part of bad answers that a version is allowed in any case, and
 	// badFactor how many times the old version's part it may have: servers that fail
 	// and answers that get lost strike both.
@@ -77,11 +77,11 @@
 	badFactor = 2.5
 	// badBeyond bounds that: what strikes a good part of the old version's answers strikes the
 	// new one's about as often, and must not excuse it twice over.
-	badBeyond = 0.3
+	maxExcessBad = 0.3
 	// newAdded and oldAdded are the answers added to what was seen of each: an old version
 	// of which nothing was seen is taken for a good one.
-	newAdded = 1
-	oldAdded = 10
+	newPriorWeight = 1
+	oldPriorWeight = 10
 )
 
 // Judge says whether the new version is bad, by what all instances saw of both.
@@ -90,10 +90,10 @@
 // one route only. Harm prevented: callers who get its answers until a person notices. Recent
 // counts are judged too, so that a version that turns bad late is not excused by its start.
 func Judge(fresh, old Counts) bool {
-	if byFirst.over(fresh.First) || byPace.over(fresh.Pace) || slowMore(fresh.Pace, old.Pace) {
+	if firstByteTest.exceeds(fresh.First) || intervalTest.exceeds(fresh.Pace) || slowTooOften(fresh.Pace, old.Pace) {
 		return true
 	}
-	return failsMore(fresh, old, judgeAfter)
+	return failsTooOften(fresh, old, minBadForVerdict)
 }
 
 // slowMore says whether more of the new version's answers than of the old one's are slow by
@@ -102,25 +102,27 @@
 // Load: a version that is slow in a part of its answers, under a burst. Harm prevented: its
 // mean alone lies near the limit, as the other part is quick at servers that have little to
 // do: one slow by six in 60 of 100 was completed at 1.7 times the usual pace.
-func slowMore(fresh, old Shift) bool { return fresh.slow().more(old.slow(), judgeAfter) }
+func slowTooOften(fresh, old Shift) bool { return fresh.slow().exceeds(old.slow(), minBadForVerdict) }
 
 // failsMore says whether the new version fails more than the old one may, by so many bad
 // answers at least.
-func failsMore(fresh, old Counts, least int) bool { return fresh.failed().more(old.failed(), least) }
+func failsTooOften(fresh, old Counts, least int) bool {
+	return fresh.failed().exceeds(old.failed(), least)
+}
 
 // proportion is how many of a version's answers were bad in one way.
 type proportion struct{ bad, total int }
 
 // more says whether the new version has more bad answers than it is allowed beside the old one,
 // and so many at least.
-func (p proportion) more(old proportion, least int) bool {
-	usual := old.share(oldAdded)
-	return p.bad >= least && p.share(newAdded) > min(badFloor+badFactor*usual, usual+badBeyond)
+func (p proportion) exceeds(old proportion, least int) bool {
+	usual := old.smoothed(oldPriorWeight)
+	return p.bad >= least && p.smoothed(newPriorWeight) > min(badFloor+badFactor*usual, usual+maxExcessBad)
 }
 
 // share is the part of bad answers, with so many answers added, half a one of them bad, that a
 // few say little.
-func (p proportion) share(added float64) float64 {
+func (p proportion) smoothed(added float64) float64 {
 	return (float64(p.bad) + 0.5) / (float64(p.total) + added)
 }
 
@@ -135,20 +137,20 @@
 // Plan says how far a roll-out is after the time elapsed since its order, by what all
 // instances saw of both versions.
 func Plan(o Order, now time.Time, elapsed time.Duration, limit Exposure, fresh, old Counts, bad bool) Rollout {
-	complete := max(o.Duration-completeBefore, o.Duration/2)
-	r := Rollout{Order: o, Phase: PhaseCanary, Share: limit.Share * canaryPart}
+	complete := max(o.Duration-completionMargin, o.Duration/2)
+	r := Rollout{Order: o, Phase: PhaseCanary, Share: limit.Share * canaryFraction}
 	r.FirstHalf = elapsed < o.Duration/2
-	r.Opening = elapsed < min(openingMost, time.Duration(openingPart*float64(o.Duration)))
+	r.Opening = elapsed < min(maxCollectingTime, time.Duration(collectingFraction*float64(o.Duration)))
 	r.CompleteAt = now.Add(complete - elapsed)
-	r.LeadMost = lead(o, elapsed, limit, fresh, old)
-	doubted := byPace.doubts(fresh.Pace)
+	r.LeadMost = leadTime(o, elapsed, limit, fresh, old)
+	doubted := intervalTest.mayExceed(fresh.Pace)
 	if doubted {
 		r.CompleteAt, r.LeadMost = time.Time{}, 0
 	}
 	switch {
 	case bad:
 		r.Phase, r.Share = PhaseReverted, 0
-	case elapsed >= complete && failsMore(fresh, old, doubtAfter):
+	case elapsed >= complete && failsTooOften(fresh, old, minBadAtCompletion):
 		// Load: a version of which little was seen, as instances were killed or cut off.
 		// Harm prevented: one that failed two of seven answers completed all the same.
 		r.Phase, r.Share = PhaseReverted, 0
@@ -156,7 +158,7 @@
 		// Load: a version that looks slow under a burst in which little can be told. Harm
 		// prevented: old servers that are gone when it turns out to be slow. It may come late.
 		r.Held = elapsed >= complete
-		if fresh.suspects() >= suspectsMost {
+		if fresh.suspectCount() >= maxSuspects {
 			r.Share = 0
 		}
 	case elapsed >= complete:
@@ -168,20 +170,20 @@
 // suspectsMost is how many answers that failed or were slow a version in doubt may give before
 // it gets no more: the platform bears 50 of a bad version, and what all instances saw is known
 // some ten answers late.
-const suspectsMost = 40
+const maxSuspects = 40
 
 // suspects is the number of answers that a bad version would have given.
-func (c Counts) suspects() int { return c.Bad + c.Pace.Slow }
+func (c Counts) suspectCount() int { return c.Bad + c.Pace.Slow }
 
 // lead is how long before the end all requests may go to the new version, so that it gets
 // no more than the limit allows up to the deadline.
-func lead(o Order, elapsed time.Duration, limit Exposure, fresh, old Counts) time.Duration {
+func leadTime(o Order, elapsed time.Duration, limit Exposure, fresh, old Counts) time.Duration {
 	total := fresh.Total() + old.Total()
 	if total == 0 || elapsed <= 0 {
 		return 0
 	}
 	rate := float64(total) / elapsed.Seconds()
-	allowed := limit.Share*rate*o.Duration.Seconds() + tolerancePart*limit.Tolerance - float64(fresh.Total())
-	spare := time.Duration(allowed/rate*float64(time.Second)) - completeBefore
+	allowed := limit.Share*rate*o.Duration.Seconds() + toleranceFraction*limit.Tolerance - float64(fresh.Total())
+	spare := time.Duration(allowed/rate*float64(time.Second)) - completionMargin
 	return max(time.Duration(leadFactor*float64(spare)), 0)
 }
--- a/decision/passthrough/rollout_load_test.go
+++ b/decision/passthrough/rollout_load_test.go
@@ -14,19 +14,19 @@
 	order Order
 	start time.Time
 	// share of the new version's answers take by times as long; none where by is 0.
-	share, by float64
-
-	pooled   []simObserved
-	judge    Evidence
-	sums     map[string]Pair
-	lookedAt time.Time
-	end      Phase
-	endedAt  time.Time
+	share, factor float64
+
+	pending   []simObserved
+	evidence  Evidence
+	sums      map[string]Pair
+	plannedAt time.Time
+	end       Phase
+	endedAt   time.Time
 	// bad are the ends of slow answers of the new version, late the requests that it got
 	// longer than the bound after the 50th.
-	bad  []time.Time
-	late int
-	got  int
+	bad       []time.Time
+	overBound int
+	requests  int
 }
 
 // simObserved is an observation on its way to the other instances.
@@ -39,8 +39,8 @@
 	// simLag is how long after an answer all instances count it: a write and a read.
 	simLag = 2 * time.Second
 	// simBound is how long after its 50th bad answer a bad version may get requests.
-	simBound = 5 * time.Second
-	simFatal = 50
+	simBound    = 5 * time.Second
+	simBadLimit = 50
 )
 
 // startRollout adds the new version's engines and orders the roll-out.
@@ -53,7 +53,7 @@
 		list = append(list, fresh)
 	}
 	for _, b := range s.benches {
-		b.tell(Listed{list})
+		b.tick(Listed{list})
 	}
 	ro.sim, ro.start, ro.sums = s, s.now, map[string]Pair{}
 	ro.order = Order{Service: "llm", Target: "v2", Duration: 20 * time.Second}
@@ -65,14 +65,14 @@
 	if j.version != ro.order.Target {
 		return
 	}
-	ro.got++
-	if len(ro.bad) >= simFatal && ro.sim.now.Sub(ro.bad[simFatal-1]) > simBound {
-		ro.late++
+	ro.requests++
+	if len(ro.bad) >= simBadLimit && ro.sim.now.Sub(ro.bad[simBadLimit-1]) > simBound {
+		ro.overBound++
 	}
-	if ro.by > 0 && ro.sim.rng.Float64() < ro.share {
+	if ro.factor > 0 && ro.sim.rng.Float64() < ro.share {
 		j.slow = true
-		j.left *= ro.by
-		j.need *= ro.by
+		j.prefillMS *= ro.factor
+		j.decodeMS *= ro.factor
 	}
 }
 
@@ -83,24 +83,24 @@
 }
 
 func (ro *simRollout) observed(o Observed) {
-	ro.pooled = append(ro.pooled, simObserved{ro.sim.now, o})
+	ro.pending = append(ro.pending, simObserved{ro.sim.now, o})
 }
 
 // step plans anew, as each instance does.
 func (ro *simRollout) step() {
 	const every = 400 * time.Millisecond
 	now := ro.sim.now
-	if ro.end != 0 || now.Sub(ro.lookedAt) < every {
+	if ro.end != 0 || now.Sub(ro.plannedAt) < every {
 		return
 	}
-	ro.lookedAt = now
-	for len(ro.pooled) > 0 && now.Sub(ro.pooled[0].at) >= simLag {
-		o := ro.pooled[0].o
-		ro.pooled = ro.pooled[1:]
+	ro.plannedAt = now
+	for len(ro.pending) > 0 && now.Sub(ro.pending[0].at) >= simLag {
+		o := ro.pending[0].o
+		ro.pending = ro.pending[1:]
 		ro.sums[o.Route] = ro.sums[o.Route].Add(o, ro.order.Target)
 	}
 	sums := maps.Clone(ro.sums)
-	bad := ro.judge.Bad(now, sums)
+	bad := ro.evidence.Bad(now, sums)
 	all := Total(sums)
 	limit := Exposure{Share: 0.15, Tolerance: 30}
 	plan := Plan(ro.order, now, now.Sub(ro.start), limit, all.New, all.Old, bad)
@@ -108,16 +108,16 @@
 		ro.end, ro.endedAt = plan.Phase, now
 	}
 	for _, b := range ro.sim.benches {
-		b.tell(RolloutSet{plan})
+		b.tick(RolloutSet{plan})
 	}
 }
 
 // playRollout plays a roll-out of 20 s under so many times the load that the engines bear,
 // which begins a second before the order and lasts for 14 s.
 func playRollout(t *testing.T, seed uint64, load, share, by float64) *simRollout {
-	s := newSim(t, 3, []simCallers{{team: "a", rate: simCalm}})
-	s.seed(seed)
-	ro := &simRollout{share: share, by: by}
+	s := newSim(t, 3, []simCallerKind{{team: "a", rate: simCapacity}})
+	s.setSeed(seed)
+	ro := &simRollout{share: share, factor: by}
 	s.play(3*time.Second, 0.5)
 	s.play(time.Second, load)
 	s.startRollout(ro)
@@ -127,18 +127,18 @@
 }
 
 // slowKinds are versions that are slow in a part of their answers.
-var slowKinds = []struct{ share, by float64 }{{0.4, 8}, {0.6, 6}, {0.9, 4}, {0.5, 5}}
+var slowVersions = []struct{ share, by float64 }{{0.4, 8}, {0.6, 6}, {0.9, 4}, {0.5, 5}}
 
 // checkSlowVersions plays slow versions at a load. A bad version must not be completed, nor get
 // requests later than the bound after its 50th bad answer.
 func checkSlowVersions(t *testing.T, load float64) {
 	t.Helper()
-	for _, kind := range slowKinds {
+	for _, kind := range slowVersions {
 		completed, late := 0, 0
 		const seeds = 2
 		for seed := range uint64(seeds) {
 			ro := playRollout(t, seed, load, kind.share, kind.by)
-			late += ro.late
+			late += ro.overBound
 			if ro.end == PhaseCompleted {
 				completed++
 			}
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -40,7 +40,7 @@
 	limit := Exposure{Share: 0.15, Tolerance: 30}
 	for _, duration := range []time.Duration{12 * time.Second, 16 * time.Second, 24 * time.Second, 60 * time.Second} {
 		for _, perSecond := range []int{20, 50, 200} {
-			b := rolloutBench(t)
+			b := newRolloutHarness(t)
 			long, short := streamRoute(), streamRoute()
 			long.Name, short.Name = "long", "short"
 			b.configure(long, short)
@@ -49,7 +49,7 @@
 				list[i].Version = "v2"
 			}
 			c := Config{Version: 2, Services: []Service{{Name: "llm", Slots: 4000}}}
-			b.tell(Configured{NewIndex(c)}, Listed{list})
+			b.tick(Configured{NewIndex(c)}, Listed{list})
 			o := Order{Service: "llm", Target: "v2", Duration: duration}
 			start := b.now
 			var fresh, old Counts
@@ -61,14 +61,14 @@
 			step := time.Second / time.Duration(perSecond)
 			for i := 0; b.now.Sub(start) < duration; i++ {
 				elapsed := b.now.Sub(start)
-				b.tell(RolloutSet{Plan(o, b.now, elapsed, limit, fresh, old, false)})
+				b.tick(RolloutSet{Plan(o, b.now, elapsed, limit, fresh, old, false)})
 				keep := jobs[:0]
 				for _, j := range jobs {
 					if j.until.After(b.now) {
 						keep = append(keep, j)
 						continue
 					}
-					b.tell(Ended{Request: j.id, Result: Completed})
+					b.tick(Ended{Request: j.id, Result: Completed})
 				}
 				jobs = keep
 				route, took := long, 4*time.Second
@@ -82,7 +82,7 @@
 					old.Good++
 				}
 				jobs = append(jobs, job{id, b.now.Add(took)})
-				b.pass(step)
+				b.advance(step)
 			}
 			total := float64(fresh.Total() + old.Total())
 			if most := limit.Share*total + limit.Tolerance; float64(fresh.Total()) > most {
@@ -149,20 +149,20 @@
 // TestSilenceIsNoEvidenceOnAVersion holds that answers given up in an overload, which
 // strike every version, do not hide a bad one.
 func TestSilenceIsNoEvidenceOnAVersion(t *testing.T) {
-	b := newBench(t, Settings{})
+	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tell(Listed{servers("llm", 3, 8)},
+	b.tick(Listed{servers("llm", 3, 8)},
 		RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.1}})
 	id := b.arrive(streamRoute(), nil)
-	b.tell(Ended{Request: id, Result: Broken})
-	for _, c := range b.all {
+	b.tick(Ended{Request: id, Result: Broken})
+	for _, c := range b.allCommands {
 		if o, ok := c.(Observed); ok && o.Bad {
 			t.Fatalf("silence was told as bad: %+v", o)
 		}
 	}
-	b.tell(Ended{Request: id, Result: Failed})
+	b.tick(Ended{Request: id, Result: Failed})
 	bad := 0
-	for _, c := range b.all {
+	for _, c := range b.allCommands {
 		if o, ok := c.(Observed); ok && o.Bad {
 			bad++
 		}
@@ -178,7 +178,7 @@
 	for _, ratios := range [][]float64{{2, 3, 9, 2.5, 6, 4, 2, 3}, {1, 12, 8, 2, 9, 1.5, 3, 5, 2, 4, 1, 2}} {
 		var c Counts
 		for _, ratio := range ratios {
-			c = c.Add(Observed{First: one(ratio), Pace: one(1.1)})
+			c = c.Add(Observed{First: singleRatio(ratio), Pace: singleRatio(1.1)})
 		}
 		if Judge(c, Counts{Good: 100}) {
 			t.Errorf("judged bad by %v", ratios)
@@ -186,7 +186,7 @@
 	}
 	var slow Counts
 	for _, ratio := range []float64{3.1, 3.6, 4.2, 3.4, 3.8} {
-		slow = slow.Add(Observed{Pace: one(ratio)})
+		slow = slow.Add(Observed{Pace: singleRatio(ratio)})
 	}
 	if !Judge(slow, Counts{Good: 100}) {
 		t.Error("five answers at three and a half times the pace were not enough")
@@ -196,8 +196,8 @@
 // TestVersionThatEndsNothingIsFound holds for a version whose streams do not end within the
 // roll-out: the pace of their first events is told.
 func TestVersionThatEndsNothingIsFound(t *testing.T) {
-	b := rolloutBench(t)
-	b.tell(canary(true))
+	b := newRolloutHarness(t)
+	b.tick(canaryUpdate(true))
 	var told Counts
 	take := func(out []Command) {
 		for _, c := range out {
@@ -208,11 +208,11 @@
 	}
 	for i := range 24 {
 		id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0.9 })
-		take(b.tell(Paced{Request: id, Pace: 40 * time.Millisecond}))
-		take(b.tell(Ended{Request: id, Result: Completed, Pace: 40 * time.Millisecond}))
+		take(b.tick(Paced{Request: id, Pace: 40 * time.Millisecond}))
+		take(b.tick(Ended{Request: id, Result: Completed, Pace: 40 * time.Millisecond}))
 		if i%4 == 3 { // these go on and on
 			id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0.1 })
-			take(b.tell(Paced{Request: id, Pace: 400 * time.Millisecond}))
+			take(b.tick(Paced{Request: id, Pace: 400 * time.Millisecond}))
 		}
 	}
 	if told.Total() != 0 || told.Pace.N != 6 {
@@ -224,7 +224,7 @@
 }
 
 // one is the shift of a single ratio.
-func one(ratio float64) Shift {
+func singleRatio(ratio float64) Shift {
 	var s Shift
 	s.add(math.Log(ratio))
 	return s
@@ -232,15 +232,15 @@
 
 // slowBench runs answers of the old and the new version and returns what was told of the
 // new one.
-func slowBench(t *testing.T, fresh func(i int) (first, pace time.Duration)) Counts {
-	b := rolloutBench(t)
-	b.tell(canary(true))
+func playTimes(t *testing.T, fresh func(i int) (first, pace time.Duration)) Counts {
+	b := newRolloutHarness(t)
+	b.tick(canaryUpdate(true))
 	var told Counts
 	run := func(share float64, first, pace time.Duration) {
 		id := b.arrive(streamRoute(), func(r *Request) { r.Share = share })
-		b.pass(first)
-		b.tell(FirstByte{Request: id, After: first})
-		for _, c := range b.tell(Ended{Request: id, Result: Completed, Pace: pace}) {
+		b.advance(first)
+		b.tick(FirstByte{Request: id, After: first})
+		for _, c := range b.tick(Ended{Request: id, Result: Completed, Pace: pace}) {
 			if o, ok := c.(Observed); ok && o.Version == "v2" {
 				told = told.Add(o)
 			}
@@ -270,7 +270,7 @@
 		{"three times as slow between events", 50 * time.Millisecond, 120 * time.Millisecond, true},
 	}
 	for _, tt := range tests {
-		told := slowBench(t, func(int) (time.Duration, time.Duration) { return tt.first, tt.pace })
+		told := playTimes(t, func(int) (time.Duration, time.Duration) { return tt.first, tt.pace })
 		if got := Judge(told, Counts{Good: 60}); got != tt.want {
 			t.Errorf("%s: judged bad %v, want %v: %+v", tt.name, got, tt.want, told)
 		}
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -12,14 +12,14 @@
 		row := w.serviceOf(s.Name)
 		row.engine = s.Slots > 0
 		row.slots = s.Slots
-		w.setSlowStart(row, s)
+		w.configureSlowStart(row, s)
 	}
 }
 
 func (w *World) serviceOf(name string) *service {
 	s := w.services[name]
 	if s == nil {
-		s = &service{name: name, budget: NewBudget(w.cfg.RetryRatio, w.slack(), w.cfg.RetryWindow)}
+		s = &service{name: name, budget: NewBudget(w.cfg.RetryRatio, w.retrySlack(), w.cfg.RetryWindow)}
 		w.services[name] = s
 	}
 	return s
@@ -27,7 +27,7 @@
 
 // list takes over the list of backend servers. A server that started again under its id
 // begins anew: what was known of it is of the process before.
-func (w *World) list(list []Server) {
+func (w *World) setServers(list []Server) {
 	seen := make(map[string]bool, len(list))
 	for _, s := range list {
 		seen[s.ID] = true
@@ -37,17 +37,17 @@
 			told := s.WarmUp != row.WarmUp
 			row.Server = s
 			if told {
-				w.cool(row, s.WarmUp, WhyListed)
+				w.enterSlowStart(row, s.WarmUp, WhyListed)
 			}
 			continue
 		}
 		fresh := w.newServer(s)
 		w.servers[s.ID] = fresh
-		w.cool(fresh, s.WarmUp, WhyListed)
+		w.enterSlowStart(fresh, s.WarmUp, WhyListed)
 		if row != nil {
 			row.gone = true
 			fresh.slowStart.until = row.slowStart.until
-			w.cool(fresh, fresh.service.slowStart.span, WhyStarted)
+			w.enterSlowStart(fresh, fresh.service.slowStart.span, WhyStarted)
 		}
 	}
 	for id, row := range w.servers {
@@ -56,40 +56,40 @@
 			delete(w.servers, id)
 		}
 	}
-	w.regroup(list)
+	w.rebuildIndexes(list)
 }
 
 func (w *World) newServer(s Server) *server {
-	return &server{Server: s, service: w.serviceOf(s.Service), hash: hashText(s.ID), drained: w.drained[s.Zone]}
+	return &server{Server: s, service: w.serviceOf(s.Service), hash: hashString(s.ID), drained: w.drained[s.Zone]}
 }
 
 // cool takes one server for cold, and tells of it.
-func (w *World) cool(s *server, span time.Duration, why WhyCold) {
+func (w *World) enterSlowStart(s *server, span time.Duration, why WhyCold) {
 	if s.beginSlowStart(span, w.now) {
 		w.emit(Cooled{Server: s.ID, Domain: s.Zone, Servers: 1, For: span, Why: why})
 	}
 }
 
 // regroup fills the services' lists, in the list's order, and the keys.
-func (w *World) regroup(list []Server) {
+func (w *World) rebuildIndexes(list []Server) {
 	for _, s := range w.services {
 		s.servers = s.servers[:0]
 	}
-	clear(w.byKey)
+	clear(w.serversByKey)
 	for _, s := range list {
 		row := w.servers[s.ID]
-		w.byKey[row.keyOf()] = row
+		w.serversByKey[row.peerKey()] = row
 		row.service.servers = append(row.service.servers, row)
 	}
 	for _, s := range w.services {
-		w.free(s)
+		w.markFreed(s)
 	}
 }
 
 // observeLoad takes in the load that a server reports.
 func (w *World) observeLoad(e LoadReported) {
 	if s := w.servers[e.Server]; s != nil {
-		w.domainAnswers(s)
+		w.domainResponded(s)
 		if !s.service.engine {
 			s.service.throttle.observeLoad(e.Load, w.now)
 		}
@@ -99,48 +99,48 @@
 
 // setReportedLoad notes the load that a server reports now.
 func (w *World) setReportedLoad(s *server, load Load) {
-	s.reported, s.reportedAt, s.ownThen, s.unreadThen = load, w.now, s.own, len(s.unread)
-	s.service.reads.unread.add(s.othersUnread())
-	s.service.reads.heardAt = w.now
-	s.service.usualOthers.add(max(s.reportedOthers(), 0))
+	s.reported, s.reportedAt, s.ownAtReport, s.prefillingAtReport = load, w.now, s.ownRequests, len(s.prefilling)
+	s.service.prefill.meanOthersPrefilling.add(s.othersPrefilling())
+	s.service.prefill.lastReportAt = w.now
+	s.service.meanOthers.add(max(s.reportedOthers(), 0))
 	if load.Slots > 0 {
 		s.Slots = load.Slots
 	}
-	w.free(s.service)
+	w.markFreed(s.service)
 }
 
 const (
 	// loadLife is how long an engine's stated load counts: at 13 requests a second over 15
 	// servers an instance hears from each about once a second.
-	loadLife = 3 * time.Second
+	engineLoadTTL = 3 * time.Second
 	// loadAnswers is the same for a plain server, in answers, and at least loadLeast: a
 	// rush of 30 ms calls is over before another instance has heard of it. Believed for
 	// seconds, it had each of 81 instances refuse a tenth of the calls of idle servers.
-	loadAnswers = 6
-	loadLeast   = 60 * time.Millisecond
+	plainLoadResponses = 6
+	minPlainLoadTTL    = 60 * time.Millisecond
 )
 
 // loadLife is how long a stated load of the service's servers counts.
-func (s *service) loadLife() time.Duration {
+func (s *service) loadTTL() time.Duration {
 	if s.engine {
-		return loadLife
+		return engineLoadTTL
 	}
-	answers := seconds(loadAnswers * s.pace.of(plainSize).value)
-	return min(max(answers, loadLeast), loadLife)
+	answers := seconds(plainLoadResponses * s.intervals.average(noModel).value)
+	return min(max(answers, minPlainLoadTTL), engineLoadTTL)
 }
 
 // reportedOthers is what the server stated, without what this instance had there then.
 func (s *server) reportedOthers() float64 {
-	return float64(s.reported.Running + s.reported.Waiting - s.ownThen)
+	return float64(s.reported.Running + s.reported.Waiting - s.ownAtReport)
 }
 
 // usable says whether the server may get new work, sick or not.
 func (s *server) usable(now time.Time) bool {
-	return !s.gone && !s.Draining && !s.drained && !now.Before(s.shutUntil)
+	return !s.gone && !s.Draining && !s.drained && !now.Before(s.excludedUntil)
 }
 
 // hashText is a hash of a name that is alike at all instances.
-func hashText(text string) uint64 {
+func hashString(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text)) // never fails, by its contract
 	return mix(h.Sum64())
--- a/decision/passthrough/sessions.go
+++ b/decision/passthrough/sessions.go
@@ -4,14 +4,14 @@
 
 // sessionMemory is how long a session's version is kept after its last request, beyond
 // the platform's own bound: clocks differ, and an answer may end late.
-const sessionMemory = 2 * time.Second
+const sessionMargin = 2 * time.Second
 
 // sessionRow is where a session last ran.
 type sessionRow struct {
-	service string
-	version string
-	share   float64
-	until   time.Time
+	service         string
+	version         string
+	rolloutPosition float64
+	until           time.Time
 }
 
 // wantsNew says whether a request goes to the roll-out's target.
@@ -21,13 +21,13 @@
 // stay at the old version through the first half: the instances tell each other those in
 // the canary's share, a few each, before it gets any. All others in the share belong to
 // the new version, by a hash that is alike everywhere, and stay there.
-func (w *World) wantsNew(r *request, ro *Rollout) bool {
+func (w *World) wantsTarget(r *request, ro *Rollout) bool {
 	switch {
 	case ro.Phase == PhaseCompleted:
 		return true
 	case ro.Phase == PhaseReverted:
 		return false
-	case w.leads(r, ro):
+	case w.switchesEarly(r, ro):
 		return true
 	}
 	if r.version != "" {
@@ -36,7 +36,7 @@
 	if r.Session == "" {
 		return r.Share < ro.Share
 	}
-	if ro.Opening || w.keptOld[r.Session] {
+	if ro.Opening || w.keptOnOldVersion[r.Session] {
 		return false
 	}
 	row, known := w.sessions.Get(r.Session)
@@ -52,20 +52,20 @@
 // Load: streams of many seconds at servers that stop at once. Harm prevented: their
 // answers cut. The longest turn first, and nothing sooner than it must, since the new
 // version may yet turn out bad.
-func (w *World) leads(r *request, ro *Rollout) bool {
+func (w *World) switchesEarly(r *request, ro *Rollout) bool {
 	if ro.FirstHalf || ro.CompleteAt.IsZero() {
 		return false
 	}
-	return !w.now.Before(ro.CompleteAt.Add(-min(w.usual(r.Route, stretch), ro.LeadMost)))
+	return !w.now.Before(ro.CompleteAt.Add(-min(w.expectedDuration(r.Route, durationFactor), ro.LeadMost)))
 }
 
 // noteSession keeps the version that the session runs on.
-func (w *World) noteSession(r *request, version string) {
+func (w *World) recordSession(r *request, version string) {
 	if r.Session == "" {
 		return
 	}
-	until := r.Deadline.Add(w.cfg.SessionLife + sessionMemory)
-	w.sessions.Add(r.Session, sessionRow{service: r.service.name, version: version, share: r.Share, until: until})
+	until := r.Deadline.Add(w.cfg.SessionLife + sessionMargin)
+	w.sessions.Add(r.Session, sessionRow{service: r.service.name, version: version, rolloutPosition: r.Share, until: until})
 }
 
 // OpenSessions lists the sessions of a service that may be open at another version than
@@ -74,7 +74,7 @@
 	var out []string
 	for _, id := range w.sessions.Keys() {
 		row, ok := w.sessions.Peek(id)
-		if ok && row.service == service && row.version != target && row.share < share && w.now.Before(row.until) {
+		if ok && row.service == service && row.version != target && row.rolloutPosition < share && w.now.Before(row.until) {
 			out = append(out, id)
 		}
 	}
@@ -82,14 +82,14 @@
 }
 
 // keptLimit bounds the sessions that are kept at the old version in all roll-outs.
-const keptLimit = 1 << 16
+const maxKeptSessions = 1 << 16
 
 // keepOld takes in sessions that other instances saw open.
-func (w *World) keepOld(sessions []string) {
-	if len(w.keptOld) > keptLimit {
-		clear(w.keptOld)
+func (w *World) keepOnOldVersion(sessions []string) {
+	if len(w.keptOnOldVersion) > maxKeptSessions {
+		clear(w.keptOnOldVersion)
 	}
 	for _, id := range sessions {
-		w.keptOld[id] = true
+		w.keptOnOldVersion[id] = true
 	}
 }
--- a/decision/passthrough/silence.go
+++ b/decision/passthrough/silence.go
@@ -20,19 +20,19 @@
 const (
 	// gapTimes is how many times a stream's longest pause in time an attempt may stay
 	// silent once it began: a preempted request pauses for longer than the target.
-	gapTimes = 2.5
+	gapFactor = 2.5
 	// gapLeast bounds that from below.
-	gapLeast = 1500 * time.Millisecond
+	minGap = 1500 * time.Millisecond
 	// darkPart is the part of the target for which a server may be silent on all of its
 	// attempts before the first byte: a running server sends events all the time.
-	darkPart = 0.7
-	darkMost = 3 * time.Second
+	serverIdleFraction = 0.7
+	maxServerIdle      = 3 * time.Second
 	// readingTime is allowed for each prompt token beside that: a large model reads 19 a
 	// millisecond by itself, and less than half of that among others. Without it the
 	// largest prompts, of 50,000 tokens, were given up again and again.
-	readingTime = 120 * time.Microsecond
+	prefillAllowance = 120 * time.Microsecond
 	// firstTimes is how many times the target the first byte may take in any case.
-	firstTimes = 2
+	firstByteFactor = 2
 )
 
 // GiveUp says whether the attempt should be given up.
@@ -45,11 +45,11 @@
 		return s.Patience > 0 && !s.Begun && s.Attempt > s.Patience
 	}
 	if s.Begun {
-		return s.Attempt > max(time.Duration(gapTimes*float64(s.Route.TargetGap)), gapLeast)
+		return s.Attempt > max(time.Duration(gapFactor*float64(s.Route.TargetGap)), minGap)
 	}
-	reading := time.Duration(s.PromptTokens) * readingTime
-	if s.Server > min(time.Duration(darkPart*float64(s.Route.Target)), darkMost)+reading {
+	reading := time.Duration(s.PromptTokens) * prefillAllowance
+	if s.Server > min(time.Duration(serverIdleFraction*float64(s.Route.Target)), maxServerIdle)+reading {
 		return true
 	}
-	return s.Attempt > firstTimes*s.Route.Target+reading
+	return s.Attempt > firstByteFactor*s.Route.Target+reading
 }
--- a/decision/passthrough/slowstart.go
+++ b/decision/passthrough/slowstart.go
@@ -17,22 +17,22 @@
 	slowStartSubset = 3
 	// subsetViews is how many subsets there may be at once, as instances that start or leave are
 	// not known everywhere at the same moment.
-	subsetViews = 2
+	maxSubsetViews = 2
 	// slowStartWindow is the time in which an instance sends its part: a second, and some more
 	// for ways of unlike length.
 	slowStartWindow = 1200 * time.Millisecond
 	// startDelay is how long after the start of a server its entry may come in: it is written
 	// late, read by one instance, and read from that by the others.
-	startDelay = 2 * time.Second
+	restartReportDelay = 2 * time.Second
 	// domainLostAfter is how many servers of a failure domain must be lost, with no answer from
 	// any other there, for all of it to be taken for lost.
-	domainLostAfter = 3
+	domainLostThreshold = 3
 )
 
 // slowStartQuota is how many instances send to a server in slow start, and how many requests each
 // of them may send a second. The server takes rate a second, and bears most in one.
 func slowStartQuota(rate, most float64) (subset, quota int) {
-	total := max(int(min(rate, most/subsetViews)), 1)
+	total := max(int(min(rate, most/maxSubsetViews)), 1)
 	subset = min(total, slowStartSubset)
 	return subset, total / subset
 }
@@ -47,7 +47,7 @@
 }
 
 // setSlowStart takes over the limits that a configuration gives.
-func (w *World) setSlowStart(s *service, c Service) {
+func (w *World) configureSlowStart(s *service, c Service) {
 	s.slowStart.span = c.WarmUp
 	s.slowStart.subset, s.slowStart.quota = slowStartQuota(c.WarmUpRate, w.cfg.WarmUpBurst*c.WarmUpRate+w.cfg.WarmUpSlack)
 }
@@ -57,10 +57,10 @@
 	// until is when the server takes its full load, at the latest.
 	until time.Time
 	// recent are the times of this instance's last requests to it.
-	recent []time.Time
+	recentSends []time.Time
 	// inSubset says that this instance may send to it, as of the neighbours numbered subsetAsOf.
-	inSubset   bool
-	subsetAsOf int
+	inSubset      bool
+	subsetVersion int
 }
 
 // inSlowStart says whether the server may still be starting.
@@ -79,7 +79,9 @@
 
 // assumedStart is how long a server is in slow start that may start at any moment from now on:
 // until its entry would have told, and then would be over again.
-func (s *server) assumedStart() time.Duration { return s.service.slowStart.span + startDelay }
+func (s *server) assumedSlowStart() time.Duration {
+	return s.service.slowStart.span + restartReportDelay
+}
 
 // allowSlowStart says whether this instance may send to the server as far as its start goes. One
 // that has had its part may get more at a later time, which is noted.
@@ -94,25 +96,25 @@
 		return false
 	}
 	since := w.now.Add(-slowStartWindow)
-	s.slowStart.recent = slices.DeleteFunc(s.slowStart.recent, func(at time.Time) bool { return !at.After(since) })
-	if len(s.slowStart.recent) < s.service.slowStart.quota {
+	s.slowStart.recentSends = slices.DeleteFunc(s.slowStart.recentSends, func(at time.Time) bool { return !at.After(since) })
+	if len(s.slowStart.recentSends) < s.service.slowStart.quota {
 		return true
 	}
-	s.service.wakeBy(s.slowStart.recent[0].Add(slowStartWindow))
+	s.service.wakeBy(s.slowStart.recentSends[0].Add(slowStartWindow))
 	return false
 }
 
 // recordSlowStart counts a request that is sent to the server.
 func (w *World) recordSlowStart(s *server) {
 	if s.inSlowStart(w.now) {
-		s.slowStart.recent = append(s.slowStart.recent, w.now)
+		s.slowStart.recentSends = append(s.slowStart.recentSends, w.now)
 	}
 }
 
 // inSlowStartSubset says whether this instance is one of those that send to the server.
 func (w *World) inSlowStartSubset(s *server) bool {
-	if s.slowStart.subsetAsOf != w.near.version {
-		s.slowStart.subsetAsOf = w.near.version
+	if s.slowStart.subsetVersion != w.neighbours.version {
+		s.slowStart.subsetVersion = w.neighbours.version
 		s.slowStart.inSubset = w.inSubset(s.Zone, s.hash, s.service.slowStart.subset)
 	}
 	return s.slowStart.inSubset
@@ -142,7 +144,7 @@
 	for _, s := range w.services {
 		if at := s.wakeAt; !at.IsZero() && !w.now.Before(at) {
 			s.wakeAt = time.Time{}
-			w.free(s)
+			w.markFreed(s)
 		}
 	}
 }
