--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -9,38 +9,38 @@
 
 // The limits of the tests' cold servers: 15 requests in a second from all instances.
 const (
-	coldSpan  = 3 * time.Second
-	coldRate  = 6.9
-	coldBurst = 1.5
-	coldSlack = 5.0
-	coldMost  = coldRate*coldBurst + coldSlack
+	testSlowStartDuration = 3 * time.Second
+	testSlowStartRate     = 6.9
+	testSlowStartBurst    = 1.5
+	testSlowStartSlack    = 5.0
+	testSlowStartLimit    = testSlowStartRate*testSlowStartBurst + testSlowStartSlack
 )
 
 // warmUpConfig has a service whose servers start cold.
-func warmUpConfig() Config {
+func slowStartConfig() Config {
 	return Config{Version: 1, Routes: []Route{*streamRoute()},
-		Services: []Service{{Name: "llm", Slots: 1000, WarmUp: coldSpan, WarmUpRate: coldRate}}}
+		Services: []Service{{Name: "llm", Slots: 1000, WarmUp: testSlowStartDuration, WarmUpRate: testSlowStartRate}}}
 }
 
 // newWarmUpBench is an instance in failure domain "a" with so many neighbours, itself among them.
-func newWarmUpBench(t *testing.T, self string, neighbours int) (*bench, []string) {
+func newSlowStartHarness(t *testing.T, self string, neighbours int) (*harness, []string) {
 	t.Helper()
-	b := newBench(t, Settings{
-		Seed: 1, Zone: "a", Domains: []string{"a", "b", "c"}, WarmUpBurst: coldBurst, WarmUpSlack: coldSlack,
+	b := newHarness(t, Settings{
+		Seed: 1, Zone: "a", Domains: []string{"a", "b", "c"}, WarmUpBurst: testSlowStartBurst, WarmUpSlack: testSlowStartSlack,
 		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second,
 	})
 	var names []string
 	for i := range neighbours {
 		names = append(names, fmt.Sprintf("i%d", i))
 	}
-	b.tell(Configured{NewIndex(warmUpConfig())}, Neighbours{Self: self, Names: names})
+	b.tick(Configured{NewIndex(slowStartConfig())}, Neighbours{Self: self, Names: names})
 	return b, names
 }
 
 // cold says of servers that they have just started.
-func cold(list []Server) []Server {
+func inSlowStart(list []Server) []Server {
 	for i := range list {
-		list[i].WarmUp = coldSpan
+		list[i].WarmUp = testSlowStartDuration
 	}
 	return list
 }
@@ -48,12 +48,12 @@
 func TestFeedQuotaKeepsTheBound(t *testing.T) {
 	for _, rate := range []float64{0, 0.4, 1, 2, 3.3, 6.9, 20, 100} {
 		for _, burst := range []float64{1, 1.5, 3} {
-			most := rate*burst + coldSlack
+			most := rate*burst + testSlowStartSlack
 			subset, quota := slowStartQuota(rate, most)
 			if subset < 1 || quota < 1 {
 				t.Errorf("rate %v: a subset of %d, %d each", rate, subset, quota)
 			}
-			if got := float64(subsetViews * subset * quota); got > most {
+			if got := float64(maxSubsetViews * subset * quota); got > most {
 				t.Errorf("rate %v, burst %v: %v requests in a second, %v are borne", rate, burst, got, most)
 			}
 		}
@@ -68,9 +68,9 @@
 		for seed := range uint64(4) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			near := f.instances / f.domains
-			var worlds []*bench
+			var worlds []*harness
 			for i := range near {
-				b, names := newWarmUpBench(t, fmt.Sprintf("i%d", i), near)
+				b, names := newSlowStartHarness(t, fmt.Sprintf("i%d", i), near)
 				switch rng.IntN(3) {
 				case 0: // has not heard of those that started lately
 					names = append(names[:max(near*4/5, 1)], fmt.Sprintf("i%d", i))
@@ -79,15 +79,15 @@
 						names = append(names, fmt.Sprintf("gone%d", j))
 					}
 				}
-				b.tell(Neighbours{Self: fmt.Sprintf("i%d", i), Names: names})
-				b.tell(Listed{cold(inDomains(servers("llm", 1, 1000), "a"))})
+				b.tick(Neighbours{Self: fmt.Sprintf("i%d", i), Names: names})
+				b.tick(Listed{inSlowStart(inDomains(servers("llm", 1, 1000), "a"))})
 				worlds = append(worlds, b)
 			}
 			most, feeding := 0, 0
 			for range 25 { // 2.5 s
 				sent := 0
 				for _, b := range worlds {
-					b.pass(100 * time.Millisecond)
+					b.advance(100 * time.Millisecond)
 					for range 3 {
 						if _, ok := b.last(b.arrive(streamRoute(), nil)).(Dispatch); ok {
 							sent++
@@ -97,8 +97,8 @@
 				feeding += sent
 				most = max(most, sent)
 			}
-			if inSecond := inAnySecond(worlds); float64(inSecond) > coldMost {
-				t.Errorf("%d instances, seed %d: %d requests in a second, %.1f are borne", f.instances, seed, inSecond, coldMost)
+			if inSecond := maxInAnySecond(worlds); float64(inSecond) > testSlowStartLimit {
+				t.Errorf("%d instances, seed %d: %d requests in a second, %.1f are borne", f.instances, seed, inSecond, testSlowStartLimit)
 			}
 			if feeding == 0 {
 				t.Errorf("%d instances, seed %d: nobody sends to the server", f.instances, seed)
@@ -108,7 +108,7 @@
 }
 
 // inAnySecond is the most dispatches of all instances in any second, in steps of 100 ms.
-func inAnySecond(worlds []*bench) int {
+func maxInAnySecond(worlds []*harness) int {
 	counts := map[int]int{}
 	for _, b := range worlds {
 		for _, at := range b.dispatchedAt {
@@ -129,10 +129,10 @@
 
 // TestOtherServersTakeWhatAColdOneMayNot holds that a cold server is no reason to refuse.
 func TestOtherServersTakeWhatAColdOneMayNot(t *testing.T) {
-	b, _ := newWarmUpBench(t, "i0", 1)
+	b, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 3, 100)
-	list[0].WarmUp = coldSpan
-	b.tell(Listed{list})
+	list[0].WarmUp = testSlowStartDuration
+	b.tick(Listed{list})
 	for range 100 {
 		b.dispatched(b.arrive(streamRoute(), nil))
 	}
@@ -141,8 +141,8 @@
 // TestAllServersCold holds that, where all servers of the service are cold, what waits has its
 // turn as they may get more, and by rank.
 func TestAllServersCold(t *testing.T) {
-	b, _ := newWarmUpBench(t, "i0", 1)
-	b.tell(Listed{cold(servers("llm", 1, 100))})
+	b, _ := newSlowStartHarness(t, "i0", 1)
+	b.tick(Listed{inSlowStart(servers("llm", 1, 100))})
 	for range 2 {
 		b.dispatched(b.arrive(streamRoute(), nil))
 	}
@@ -151,8 +151,8 @@
 	if b.last(low) != nil || b.last(high) != nil {
 		t.Fatalf("got %#v and %#v, want both to wait", b.last(low), b.last(high))
 	}
-	b.pass(slowStartWindow)
-	b.tell()
+	b.advance(slowStartWindow)
+	b.tick()
 	b.dispatched(high)
 	b.dispatched(low)
 }
@@ -160,12 +160,12 @@
 // TestNobodyFeedsWithoutKnowingItsNeighbours holds that an instance which has just started, and
 // may be one of hundreds, refuses at once and says when to come back.
 func TestNobodyFeedsWithoutKnowingItsNeighbours(t *testing.T) {
-	b, _ := newWarmUpBench(t, "late", 1)
-	b.tell(Neighbours{Self: "late", Names: []string{"i0", "i1", "i2", "i3", "i4", "i5", "i6", "i7", "late"}})
+	b, _ := newSlowStartHarness(t, "late", 1)
+	b.tick(Neighbours{Self: "late", Names: []string{"i0", "i1", "i2", "i3", "i4", "i5", "i6", "i7", "late"}})
 	fed, refused := 0, 0
 	for i := range 40 {
-		s := cold(servers("llm", i+1, 8))[i:]
-		b.tell(Listed{s})
+		s := inSlowStart(servers("llm", i+1, 8))[i:]
+		b.tick(Listed{s})
 		switch c := b.last(b.arrive(streamRoute(), nil)).(type) {
 		case Dispatch:
 			fed++
@@ -179,22 +179,22 @@
 	if fed == 0 || fed > 25 {
 		t.Errorf("feeds %d of 40 servers, refuses at %d", fed, refused)
 	}
-	fresh := newBench(t, Settings{Seed: 1, Zone: "a", WarmUpBurst: coldBurst, WarmUpSlack: coldSlack,
+	fresh := newHarness(t, Settings{Seed: 1, Zone: "a", WarmUpBurst: testSlowStartBurst, WarmUpSlack: testSlowStartSlack,
 		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
-	fresh.tell(Configured{NewIndex(warmUpConfig())}, Listed{cold(servers("llm", 1, 8))})
+	fresh.tick(Configured{NewIndex(slowStartConfig())}, Listed{inSlowStart(servers("llm", 1, 8))})
 	fresh.refused(fresh.arrive(streamRoute(), nil), ReasonWarmingUp)
 }
 
 // TestServerIsWarmInTheEnd holds that the limit ends with the time that the entry gave, also
 // where the same entry is read again and again.
 func TestServerIsWarmInTheEnd(t *testing.T) {
-	b, _ := newWarmUpBench(t, "i0", 1)
-	list := cold(servers("llm", 1, 100))
+	b, _ := newSlowStartHarness(t, "i0", 1)
+	list := inSlowStart(servers("llm", 1, 100))
 	for range 4 {
-		b.tell(Listed{list})
-		b.pass(coldSpan / 4)
+		b.tick(Listed{list})
+		b.advance(testSlowStartDuration / 4)
 	}
-	b.pass(time.Millisecond)
+	b.advance(time.Millisecond)
 	for range 20 {
 		b.dispatched(b.arrive(streamRoute(), nil))
 	}
@@ -203,10 +203,10 @@
 // TestRefusedConnectionCountsAsAStart holds that a server which could not be reached is fed slowly
 // from then on, before its entry says anything.
 func TestRefusedConnectionCountsAsAStart(t *testing.T) {
-	b, _ := newWarmUpBench(t, "i0", 1)
-	b.tell(Listed{servers("llm", 1, 100)})
-	b.tell(Ended{Request: b.arrive(streamRoute(), nil), Result: NotSent})
-	b.pass(absentFor)
+	b, _ := newSlowStartHarness(t, "i0", 1)
+	b.tick(Listed{servers("llm", 1, 100)})
+	b.tick(Ended{Request: b.arrive(streamRoute(), nil), Result: NotSent})
+	b.advance(unreachableBackoff)
 	sent := 0
 	for range 20 {
 		if _, ok := b.last(b.arrive(streamRoute(), nil)).(Dispatch); ok {
@@ -222,20 +222,20 @@
 // unless others there still answer.
 func TestLostDomainIsFedSlowly(t *testing.T) {
 	for _, answers := range []bool{false, true} {
-		b, _ := newWarmUpBench(t, "i0", 1)
+		b, _ := newSlowStartHarness(t, "i0", 1)
 		list := inDomains(servers("llm", 12, 1000), "a", "b")
-		b.tell(Listed{list})
+		b.tick(Listed{list})
 		var ids []RequestID
-		for len(ids) < domainLostAfter {
+		for len(ids) < domainLostThreshold {
 			if id := b.arrive(streamRoute(), nil); b.dispatched(id).Server.Zone == "a" {
 				ids = append(ids, id)
 			}
 		}
 		for i, id := range ids {
-			if answers && i == domainLostAfter-1 {
-				b.tell(LoadReported{Server: list[10].ID})
+			if answers && i == domainLostThreshold-1 {
+				b.tick(LoadReported{Server: list[10].ID})
 			}
-			b.tell(Ended{Request: id, Result: Broken, Cut: true})
+			b.tick(Ended{Request: id, Result: Broken, Cut: true})
 		}
 		cooled := 0
 		for _, s := range b.world.servers {
@@ -251,13 +251,13 @@
 
 // TestRestartUnderTheSameIDIsCold holds that an entry with a later start is one of a cold server.
 func TestRestartUnderTheSameIDIsCold(t *testing.T) {
-	b, _ := newWarmUpBench(t, "i0", 1)
+	b, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 1, 8)
-	b.tell(Listed{list})
+	b.tick(Listed{list})
 	again := servers("llm", 1, 8)
 	again[0].Born = 2
-	b.tell(Listed{again})
-	if s := b.world.servers[list[0].ID]; !s.inSlowStart(b.now) || s.inSlowStart(b.now.Add(coldSpan)) {
+	b.tick(Listed{again})
+	if s := b.world.servers[list[0].ID]; !s.inSlowStart(b.now) || s.inSlowStart(b.now.Add(testSlowStartDuration)) {
 		t.Errorf("cold until %v", s.slowStart.until)
 	}
 }
--- a/decision/passthrough/subset.go
+++ b/decision/passthrough/subset.go
@@ -12,24 +12,24 @@
 // neighbours are the instances of this one's failure domain, itself among them.
 type neighbours struct {
 	// names are hashes of their names, own that of this instance's.
-	names []uint64
-	own   uint64
+	hashes []uint64
+	own    uint64
 	// version changes with the names; 0 as long as none are known.
 	version int
 }
 
 func (w *World) setNeighbours(e Neighbours) {
-	n := neighbours{own: hashText(e.Self), version: w.near.version + 1}
+	n := neighbours{own: hashString(e.Self), version: w.neighbours.version + 1}
 	for _, name := range e.Names {
-		n.names = append(n.names, hashText(name))
+		n.hashes = append(n.hashes, hashString(name))
 	}
-	w.near = n
+	w.neighbours = n
 }
 
 // rank is this instance's place among its neighbours for a key, 0 first.
-func (n *neighbours) rank(key uint64) int {
+func (n *neighbours) position(key uint64) int {
 	own, before := mix(n.own^key), 0
-	for _, name := range n.names {
+	for _, name := range n.hashes {
 		if mix(name^key) > own {
 			before++
 		}
@@ -41,7 +41,7 @@
 // domain, chosen by the key. An instance that does not know its neighbours is in no subset: it may
 // be one of hundreds.
 func (w *World) inSubset(zone string, key uint64, size int) bool {
-	return w.near.version > 0 && w.subsetDomain(zone, key) == w.cfg.Zone && w.near.rank(key) < size
+	return w.neighbours.version > 0 && w.subsetDomain(zone, key) == w.cfg.Zone && w.neighbours.position(key) < size
 }
 
 // subsetDomain is the failure domain of the instances that may send to a server: its own, or one by
@@ -51,6 +51,6 @@
 		return zone
 	}
 	return slices.MaxFunc(w.cfg.Domains, func(a, b string) int {
-		return cmp.Compare(mix(hashText(a)^key), mix(hashText(b)^key))
+		return cmp.Compare(mix(hashString(a)^key), mix(hashString(b)^key))
 	})
 }
--- a/decision/passthrough/tables.go
+++ b/decision/passthrough/tables.go
@@ -17,13 +17,13 @@
 	engine bool
 	slots  int
 	// usualOthers is the mean of what other instances have at a server.
-	usualOthers mean
-	pace        paceStats
-	reads       readStats
-	slowStart   slowStartLimits
+	meanOthers movingAverage
+	intervals  intervalStats
+	prefill    prefillStats
+	slowStart  slowStartLimits
 	// wakeAt is when what waits is tried again, as a server may get more then; zero for never.
-	wakeAt time.Time
-	isFree bool
+	wakeAt    time.Time
+	slotFreed bool
 }
 
 // server is a row of the backend servers.
@@ -31,21 +31,21 @@
 	Server
 	service *service
 	// own is this instance's attempts at the server.
-	own int
+	ownRequests int
 	// unread are this instance's requests there whose answer has not begun, backlog the seconds
 	// that their prompts take to be read, in full.
-	unread  []*request
-	backlog float64
+	prefilling     []*request
+	prefillBacklog float64
 	// reported is the load that it stated at reportedAt, when own was ownThen and unreadThen were unread.
-	reported   Load
-	reportedAt time.Time
-	ownThen    int
-	unreadThen int
+	reported           Load
+	reportedAt         time.Time
+	ownAtReport        int
+	prefillingAtReport int
 	// shutUntil keeps it out of the choice for a moment.
-	shutUntil time.Time
-	health    health
+	excludedUntil time.Time
+	health        health
 	// slow is the server's pace beside its service's mean.
-	slow mean
+	relativeTime movingAverage
 	// hash is the server's part of the affinity hash.
 	hash uint64
 	gone bool
@@ -67,34 +67,34 @@
 	arrived time.Time
 	sent    time.Time
 	// attempts counts dispatches that reached a backend server, tries all.
-	attempts int
-	tries    int
-	tried    []*server
+	attempts   int
+	dispatches int
+	tried      []*server
 	// ran says that it may have run.
-	ran bool
+	mayHaveRun bool
 	// size is the index of the model asked last, -1 for none.
-	size    int
-	waiting bool
-	place   *waiter
+	model      int
+	queued     bool
+	queueEntry *queueEntry
 	// first is the time to the current answer's first byte.
-	first time.Duration
+	firstByte time.Duration
 	// level is its server's load when the current answer began.
-	level level
+	loadLevel loadLevel
 	// paced says that the current answer's pace was told.
-	paced bool
+	intervalReported bool
 	// reading says that its prompt counts in its server's backlog, with work seconds; alone
 	// that no other of this instance's did then. Its first event is due at the time due.
-	reading bool
-	work    float64
-	alone   bool
-	due     time.Time
+	prefilling   bool
+	prefillTime  float64
+	prefillAlone bool
+	firstByteDue time.Time
 	// ownForecast is how many seconds its first event was thought to take, unscaled, by what
 	// this instance knows; sharedForecast is the same by the word of all, if byShared.
-	ownForecast    float64
-	sharedForecast float64
-	byShared       bool
+	ownForecast      float64
+	peerForecast     float64
+	usedPeerForecast bool
 	// next is the model to ask since a smaller one's answer was dropped, with the confidence
 	// doubt; 0 where none was.
-	next  int
-	doubt float64
+	nextModel         int
+	droppedConfidence float64
 }
--- a/decision/passthrough/throttle.go
+++ b/decision/passthrough/throttle.go
@@ -20,14 +20,14 @@
 	accepted decayingCount
 	// rejected is the number of requests that were not taken, crowded answers in part.
 	rejected decayingCount
-	ranks    []*demand
+	demands  []*demand
 }
 
 // demand is what was asked for at a rank, in all and by team. The ranks stand in order.
 type demand struct {
-	rank  int
-	all   decayingCount
-	teams map[string]*decayingCount
+	priority int
+	all      decayingCount
+	teams    map[string]*decayingCount
 }
 
 const (
@@ -41,15 +41,15 @@
 	// crowdedPart is the part of a request by which an answer from a crowded server counts as not
 	// taken: from a quarter of such answers on less is sent, so that answers come in time, before
 	// the server is full.
-	crowdedPart = 0.4
+	crowdedWeight = 0.4
 	// throttleAfter is how many requests must not have been taken lately for any to be refused:
 	// one is no sign of a full service.
-	throttleAfter = 2.0
+	throttleThreshold = 2.0
 	// lowPart is the part of what may be sent that is left to the lower ranks in any case.
-	lowPart = 1.0 / lowTurn
+	lowPriorityShare = 1.0 / lowPriorityTurn
 	// cutSign is how much must not have been taken lately for a broken connection to count too:
 	// half of one answer from a crowded server.
-	cutSign = crowdedPart / 2
+	connectionLostThreshold = crowdedWeight / 2
 	// throttleTeams bounds the teams that are counted.
 	throttleTeams = 4096
 )
@@ -72,7 +72,7 @@
 
 // observeDemand counts a request of a team.
 func (q *throttle) observeDemand(rank int, team string, now time.Time) {
-	asked := q.rank(rank)
+	asked := q.demandAt(rank)
 	asked.all.add(now, 1)
 	if len(asked.teams) > throttleTeams {
 		clear(asked.teams)
@@ -86,12 +86,12 @@
 }
 
 // rank finds what was asked for at a rank.
-func (q *throttle) rank(rank int) *demand {
-	at, found := slices.BinarySearchFunc(q.ranks, rank, func(a *demand, rank int) int { return cmp.Compare(a.rank, rank) })
+func (q *throttle) demandAt(rank int) *demand {
+	at, found := slices.BinarySearchFunc(q.demands, rank, func(a *demand, rank int) int { return cmp.Compare(a.priority, rank) })
 	if !found {
-		q.ranks = slices.Insert(q.ranks, at, &demand{rank: rank, teams: map[string]*decayingCount{}})
+		q.demands = slices.Insert(q.demands, at, &demand{priority: rank, teams: map[string]*decayingCount{}})
 	}
-	return q.ranks[at]
+	return q.demands[at]
 }
 
 // recordDispatch counts a request that went to a server.
@@ -101,7 +101,7 @@
 // connection, and so does one that a request has crashed: a broken connection counts beside
 // another sign of a full service, of the last second.
 func (q *throttle) observeEnd(e Ended, now time.Time) {
-	if e.Result == Rejected || e.Cut && q.rejected.valueAt(now) >= cutSign {
+	if e.Result == Rejected || e.Cut && q.rejected.valueAt(now) >= connectionLostThreshold {
 		q.reject(now, 1)
 	}
 }
@@ -116,19 +116,19 @@
 // as run, so that an answer takes twice its work.
 func (q *throttle) observeLoad(load Load, now time.Time) {
 	if load.Slots > 0 && load.Waiting >= load.Slots {
-		q.reject(now, crowdedPart)
+		q.reject(now, crowdedWeight)
 	}
 }
 
 // refuses says whether a team's request, which was counted, is refused; draw is a random part
 // of 1.
 func (q *throttle) refuses(rank int, team string, now time.Time, draw float64) bool {
-	if q.rejected.valueAt(now) < throttleAfter {
+	if q.rejected.valueAt(now) < throttleThreshold {
 		return false
 	}
 	allowed := throttleExcess*q.accepted.valueAt(now) + throttleProbes
-	asked := q.rank(rank)
-	left := max(allowed-q.above(rank, now), lowPart*allowed)
+	asked := q.demandAt(rank)
+	left := max(allowed-q.demandAbove(rank, now), lowPriorityShare*allowed)
 	if asked.all.valueAt(now) <= left {
 		return false
 	}
@@ -136,10 +136,10 @@
 }
 
 // above is what was asked for at higher ranks.
-func (q *throttle) above(rank int, now time.Time) float64 {
+func (q *throttle) demandAbove(rank int, now time.Time) float64 {
 	sum := 0.0
-	for _, other := range q.ranks {
-		if other.rank < rank {
+	for _, other := range q.demands {
+		if other.priority < rank {
 			sum += other.all.valueAt(now)
 		}
 	}
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -19,14 +19,14 @@
 // slowFrom is how many times as long as usual an answer takes that counts as slow by itself:
 // past the spread of paces at like load, of which 5 to 10 in 100 of a good version's are, and
 // below the four to eight times of versions that are slow in a part of their answers.
-const slowFrom = 2.5
+const slowRatio = 2.5
 
 // add takes in one logarithm of a ratio.
 func (s *Shift) add(x float64) {
 	s.N++
 	s.Sum += x
 	s.Squares += x * x
-	if x > math.Log(slowFrom) {
+	if x > math.Log(slowRatio) {
 		s.Slow++
 	}
 }
@@ -48,74 +48,74 @@
 func (s Shift) slow() proportion { return proportion{s.Slow, s.N} }
 
 // measure is how a kind of times is judged.
-type measure struct {
+type timingTest struct {
 	// answers is the least number that is judged.
-	answers int
+	minCount int
 	// limit is the ratio to the old version's times that a version may have.
-	limit float64
+	maxRatio float64
 	// variance is added to that of the logarithms: a few alike ones are no certainty.
-	variance float64
+	priorVariance float64
 }
 
 var (
 	// byPace judges the time between events, which depends on the server alone: good
 	// versions are within a fifth of the old one, slow ones at three and a half times.
-	byPace = measure{answers: 5, limit: 1.8, variance: 0.15}
+	intervalTest = timingTest{minCount: 5, maxRatio: 1.8, priorVariance: 0.15}
 	// byFirst judges the time to a first event. A cold cache costs up to twice as much, and
 	// a few long prompts ten times: eight answers of one route took good versions for slow
 	// ones in three of six roll-outs.
-	byFirst = measure{answers: 16, limit: 2.2, variance: 0.5}
+	firstByteTest = timingTest{minCount: 16, maxRatio: 2.2, priorVariance: 0.5}
 )
 
 const (
 	// shiftSpread is how many standard errors the mean must lie above the limit: it is looked
 	// at a hundred times in a roll-out, by route and by time.
-	shiftSpread = 3
+	verdictStdErrors = 3
 	// doubtSpread is how many it may lie below the limit for the version to be in doubt: a few
 	// answers of a good version are off by more in one roll-out of six, but seldom so far.
-	doubtSpread = 1
+	doubtStdErrors = 1
 )
 
 // over says whether the mean ratio is above the limit, beyond chance.
-func (m measure) over(s Shift) bool { return m.above(s, -shiftSpread) }
+func (m timingTest) exceeds(s Shift) bool { return m.meanAbove(s, -verdictStdErrors) }
 
 // doubts says whether the mean ratio may well be above the limit.
-func (m measure) doubts(s Shift) bool { return m.above(s, doubtSpread) }
+func (m timingTest) mayExceed(s Shift) bool { return m.meanAbove(s, doubtStdErrors) }
 
 // above says whether the mean ratio, with so many standard errors added, is above the limit.
-func (m measure) above(s Shift, errors float64) bool {
-	if s.N < m.answers {
+func (m timingTest) meanAbove(s Shift, errors float64) bool {
+	if s.N < m.minCount {
 		return false
 	}
 	n := float64(s.N)
 	mean := s.Sum / n
-	variance := max(s.Squares/n-mean*mean, 0) + m.variance
-	return mean+errors*math.Sqrt(variance/n) > math.Log(m.limit)
+	variance := max(s.Squares/n-mean*mean, 0) + m.priorVariance
+	return mean+errors*math.Sqrt(variance/n) > math.Log(m.maxRatio)
 }
 
 // onTrial says whether the server has the version that is being rolled out.
-func (w *World) onTrial(s *server) bool {
+func (w *World) runsTarget(s *server) bool {
 	ro := w.rollouts[s.Service]
 	return ro != nil && !ro.Phase.Ended() && s.Version == ro.Target
 }
 
 // tell takes in the times of an attempt that has ended, and tells of them while a roll-out is
 // in progress.
-func (w *World) tell(r *request, s *server, e Ended) {
+func (w *World) observeAttempt(r *request, s *server, e Ended) {
 	o := Observed{Service: r.service.name, Route: r.Route.Name, Version: s.Version, Bad: e.Result == Failed || e.Cut, Cut: e.Cut, Server: s.ID}
-	first, at := r.first, r.level
+	first, at := r.firstByte, r.loadLevel
 	if first == 0 {
-		first, at = w.now.Sub(r.sent), levelOf(s.reported) // it would have been later still
+		first, at = w.now.Sub(r.sent), loadLevelOf(s.reported) // it would have been later still
 	}
-	o.First = w.compare(s, w.firstOf(r), at, first)
-	if !r.paced {
-		o.Pace = w.compare(s, r.service.pace.usual(r.size), at, e.Pace)
+	o.First = w.compareWithBaseline(s, w.firstByteBaseline(r), at, first)
+	if !r.intervalReported {
+		o.Pace = w.compareWithBaseline(s, r.service.intervals.baseline(r.model), at, e.Pace)
 	}
-	w.observe(o)
+	w.emitObservation(o)
 }
 
 // observe tells of an answer while a roll-out of its service is in progress.
-func (w *World) observe(o Observed) {
+func (w *World) emitObservation(o Observed) {
 	if ro := w.rollouts[o.Service]; ro != nil && !ro.Phase.Ended() {
 		w.emit(o)
 	}
@@ -125,19 +125,19 @@
 //
 // Load: a version so slow that its streams do not end within the roll-out. Harm prevented:
 // that it is completed since nothing was seen of it: 3 of 28 answers had ended by then.
-func (w *World) paced(e Paced) {
+func (w *World) observeEventInterval(e Paced) {
 	r := w.requests[e.Request]
 	if r == nil || r.server == nil {
 		return
 	}
-	r.paced = true
-	w.observe(Observed{Service: r.service.name, Route: r.Route.Name, Version: r.server.Version, Early: true,
-		Pace: w.compare(r.server, r.service.pace.usual(r.size), r.level, e.Pace)})
+	r.intervalReported = true
+	w.emitObservation(Observed{Service: r.service.name, Route: r.Route.Name, Version: r.server.Version, Early: true,
+		Pace: w.compareWithBaseline(r.server, r.service.intervals.baseline(r.model), r.loadLevel, e.Pace)})
 }
 
 // compare sets an answer's time beside what is usual of the old version at like load, and
 // takes it into that if the server has the old version.
-func (w *World) compare(s *server, usual *usualTimes, at level, took time.Duration) Shift {
+func (w *World) compareWithBaseline(s *server, usual *baselineTimes, at loadLevel, took time.Duration) Shift {
 	var out Shift
 	if took <= 0 {
 		return out
@@ -146,7 +146,7 @@
 	if usually, ok := usual.at(at); ok {
 		out.add(x - usually)
 	}
-	if !w.onTrial(s) && !w.barred[versionKey{s.Service, s.Version}] {
+	if !w.runsTarget(s) && !w.revertedVersions[versionKey{s.Service, s.Version}] {
 		usual.add(at, x)
 	}
 	return out
--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -12,23 +12,23 @@
 // started lately may not know yet that the old servers are gone. A bad version gets
 // nothing even then.
 func (w *World) wantedVersion(r *request, ro *Rollout) string {
-	fresh, old := w.versions(r.service, ro.Target)
+	fresh, old := w.countVersions(r.service, ro.Target)
 	switch {
-	case ro.Phase == PhaseReverted, w.wantsNew(r, ro) && fresh == 0:
+	case ro.Phase == PhaseReverted, w.wantsTarget(r, ro) && fresh == 0:
 		return ""
-	case w.wantsNew(r, ro) && ro.Phase == PhaseCanary && old > 0 && w.limitsHoldBack(r.service, ro.Target):
+	case w.wantsTarget(r, ro) && ro.Phase == PhaseCanary && old > 0 && w.limitsBlockVersion(r.service, ro.Target):
 		return "" // the canary waits, not its share of the callers
-	case w.wantsNew(r, ro), old == 0:
+	case w.wantsTarget(r, ro), old == 0:
 		return ro.Target
 	}
 	return ""
 }
 
 // versions counts the servers that do not leave, at the version and at others.
-func (w *World) versions(s *service, target string) (at, others int) {
+func (w *World) countVersions(s *service, target string) (at, others int) {
 	for _, srv := range s.servers {
 		switch {
-		case srv.gone, srv.Draining, srv.drained, w.barred[versionKey{srv.Service, srv.Version}]:
+		case srv.gone, srv.Draining, srv.drained, w.revertedVersions[versionKey{srv.Service, srv.Version}]:
 		case srv.Version == target:
 			at++
 		default:
@@ -40,33 +40,33 @@
 
 // fitting says of a server whether it has the version that the request goes to. A version
 // that was reverted stays out while another one is rolled out: its servers leave late.
-func (w *World) fitting(r *request) func(*server) bool {
+func (w *World) versionFilter(r *request) func(*server) bool {
 	ro := w.rollouts[r.service.name]
 	if ro == nil {
 		return func(*server) bool { return true }
 	}
 	wants := w.wantedVersion(r, ro)
 	least := uint64(0)
-	if wants == ro.Target && ro.Phase == PhaseCanary && !w.leads(r, ro) {
-		least = w.canaryServers(r.service, ro)
+	if wants == ro.Target && ro.Phase == PhaseCanary && !w.switchesEarly(r, ro) {
+		least = w.canaryMinHash(r.service, ro)
 	}
 	return func(s *server) bool {
 		return (s.Version == ro.Target) == (wants == ro.Target) && s.hash >= least &&
-			!w.barred[versionKey{s.Service, s.Version}]
+			!w.revertedVersions[versionKey{s.Service, s.Version}]
 	}
 }
 
 // canaryLeast is the least number of servers that a canary goes to: by one alone, a slow
 // server cannot be told from a slow version. With one, good versions were taken back on two
 // of twelve calm days, on each play of them.
-const canaryLeast = 3
+const minCanaryServers = 3
 
 // canaryServers is the least hash of the servers that the canary's share goes to: as many
 // of the new ones as the share is of all requests.
 //
 // Load: a version that fails only under load, with a small share on as many servers as
 // the whole traffic has. Harm prevented: a canary that shows nothing, as its servers idle.
-func (w *World) canaryServers(s *service, ro *Rollout) uint64 {
+func (w *World) canaryMinHash(s *service, ro *Rollout) uint64 {
 	var hashes []uint64
 	for _, srv := range s.servers {
 		if srv.Version == ro.Target && srv.usable(w.now) {
@@ -77,6 +77,6 @@
 		return 0
 	}
 	slices.Sort(hashes)
-	count := max(int(math.Ceil(ro.Share*float64(len(hashes)))), canaryLeast)
+	count := max(int(math.Ceil(ro.Share*float64(len(hashes)))), minCanaryServers)
 	return hashes[max(len(hashes)-count, 0)]
 }
--- a/decision/passthrough/view.go
+++ b/decision/passthrough/view.go
@@ -4,7 +4,7 @@
 
 // view is a server as a decision sees it. All that depends on the time is worked out once a
 // decision: with 1,000 servers that is most of its cost.
-type view struct {
+type serverView struct {
 	server *server
 	// forecast is what the choice of a server goes by: the word of all instances where that is
 	// fresh, else the same as own, which is what this instance knows by itself.
@@ -25,82 +25,82 @@
 	known float64
 	// unscaled is how long a prompt waits there, in seconds, before that is scaled by what
 	// earlier forecasts were worth; wait is with that.
-	unscaled float64
-	wait     float64
+	unscaledWait float64
+	wait         float64
 }
 
 // readUnit is how many seconds of prompts that wait to be read weigh as much as one request
 // that runs: running, it takes some 50 us of each step.
-const readUnit = 0.06
+const prefillSecondsPerRequest = 0.06
 
 // look views the service's servers that may get work. The list is valid until the next look.
-func (w *World) look(s *service) []view {
-	by := w.knowledge(s)
+func (w *World) viewServers(s *service) []serverView {
+	by := w.forecastInput(s)
 	w.views = w.views[:0]
 	for _, srv := range s.servers {
 		if !srv.usable(w.now) {
 			continue
 		}
-		slowness := srv.slowness()
-		v := view{server: srv, own: by.ownForecast(srv, slowness)}
+		slowness := srv.slowdown()
+		v := serverView{server: srv, own: by.ownForecast(srv, slowness)}
 		v.forecast = v.own
-		if by.shared {
-			v.forecast = by.sharedForecast(srv, slowness)
+		if by.peersFresh {
+			v.forecast = by.peerForecast(srv, slowness)
 		}
-		v.weight = (v.load+1)*slowness + v.wait/readUnit
+		v.weight = (v.load+1)*slowness + v.wait/prefillSecondsPerRequest
 		w.views = append(w.views, v)
 	}
 	return w.views
 }
 
 // knowledge is what forecasts of a service's servers go by now.
-type knowledge struct {
+type forecastInput struct {
 	now     time.Time
 	service *service
 	// life is how long a stated load counts, usualUnread what other instances usually have
 	// waiting at a server.
-	life        time.Duration
-	usualUnread float64
-	ownScale    float64
+	reportTTL            time.Duration
+	meanOthersPrefilling float64
+	ownScale             float64
 	// shared says that the word of all instances is fresh.
-	shared      bool
-	sharedScale float64
+	peersFresh bool
+	peerScale  float64
 }
 
-func (w *World) knowledge(s *service) knowledge {
-	rs := &s.reads
-	return knowledge{
-		now: w.now, service: s, life: s.loadLife(),
-		usualUnread: rs.unread.value * (1 - passed(rs.heardAt, w.now, usualLife)),
-		ownScale:    scale(&rs.came),
-		shared:      s.engine && w.knowsPeerLoads(), sharedScale: scale(&rs.cameShared),
+func (w *World) forecastInput(s *service) forecastInput {
+	rs := &s.prefill
+	return forecastInput{
+		now: w.now, service: s, reportTTL: s.loadTTL(),
+		meanOthersPrefilling: rs.meanOthersPrefilling.value * (1 - elapsedFraction(rs.lastReportAt, w.now, meanPrefillTTL)),
+		ownScale:             forecastScale(&rs.ownAccuracy),
+		peersFresh:           s.engine && w.peerLoadsFresh(), peerScale: forecastScale(&rs.peerAccuracy),
 	}
 }
 
 // ownForecast is a server's forecast by what this instance knows by itself.
-func (k *knowledge) ownForecast(srv *server, slowness float64) forecast {
-	forgotten := passed(srv.reportedAt, k.now, k.life)
-	forgottenUnread := passed(srv.reportedAt, k.now, waitLife)
+func (k *forecastInput) ownForecast(srv *server, slowness float64) forecast {
+	forgotten := elapsedFraction(srv.reportedAt, k.now, k.reportTTL)
+	forgottenUnread := elapsedFraction(srv.reportedAt, k.now, reportedPrefillTTL)
 	stated := max(srv.reportedOthers(), 0) * (1 - forgotten)
-	unread := srv.othersUnread()*(1-forgottenUnread) + k.usualUnread*forgottenUnread
-	f := forecast{known: float64(srv.own) + stated}
-	f.load = f.known + k.service.usualOthers.value*forgotten
-	f.unscaled = (srv.backlog + unread*k.service.reads.work.value) * slowness
-	f.wait = f.unscaled * k.ownScale
+	unread := srv.othersPrefilling()*(1-forgottenUnread) + k.meanOthersPrefilling*forgottenUnread
+	f := forecast{known: float64(srv.ownRequests) + stated}
+	f.load = f.known + k.service.meanOthers.value*forgotten
+	f.unscaledWait = (srv.prefillBacklog + unread*k.service.prefill.meanPrefillTime.value) * slowness
+	f.wait = f.unscaledWait * k.ownScale
 	return f
 }
 
 // sharedForecast is a server's forecast by the word of all instances.
-func (k *knowledge) sharedForecast(srv *server, slowness float64) forecast {
-	load := float64(srv.own) + srv.peers.requests
+func (k *forecastInput) peerForecast(srv *server, slowness float64) forecast {
+	load := float64(srv.ownRequests) + srv.peers.requests
 	f := forecast{known: load, load: load}
-	f.unscaled = (srv.remaining(k.now) + srv.peers.reading) * slowness
-	f.wait = f.unscaled * k.sharedScale
+	f.unscaledWait = (srv.prefillRemaining(k.now) + srv.peers.prefillTime) * slowness
+	f.wait = f.unscaledWait * k.peerScale
 	return f
 }
 
 // passed is the part of a span that has passed since then, 1 where it never began.
-func passed(since, now time.Time, span time.Duration) float64 {
+func elapsedFraction(since, now time.Time, span time.Duration) float64 {
 	if since.IsZero() {
 		return 1
 	}
--- a/decision/passthrough/world.go
+++ b/decision/passthrough/world.go
@@ -29,7 +29,7 @@
 }
 
 // sessionTable bounds the sessions that are kept.
-const sessionTable = 8192
+const maxSessions = 8192
 
 // World holds the tables. It is not safe for concurrent use: one owner calls Tick.
 type World struct {
@@ -40,61 +40,61 @@
 	requests map[RequestID]*request
 	rollouts map[string]*Rollout
 	// barred are the versions that were reverted, by service.
-	barred   map[versionKey]bool
-	sessions *simplelru.LRU[string, sessionRow]
+	revertedVersions map[versionKey]bool
+	sessions         *simplelru.LRU[string, sessionRow]
 	// keptOld are sessions that stay at the old version in a roll-out's first half.
-	keptOld map[string]bool
-	crashes crashes
-	routes  map[string]*routeStats
+	keptOnOldVersion map[string]bool
+	crashes          crashes
+	routes           map[string]*routeStats
 	// drained are the failure domains that get no new work.
 	drained map[string]bool
 	// lost are the servers of each failure domain that were lost since one there answered.
-	lost map[string]map[*server]bool
-	near neighbours
+	lostServers map[string]map[*server]bool
+	neighbours  neighbours
 	// limited are the servers whose rate limit, or its end, other instances may have to be told.
-	limited map[*server]bool
+	limitedServers map[*server]bool
 	// peerLoadsAt is when the other instances' word on their loads came in, named the servers that it
 	// named, byKey all servers by what stands for them there.
-	peerLoadsAt time.Time
-	named       []*server
-	byKey       map[uint32]*server
+	peerLoadsAt     time.Time
+	reportedByPeers []*server
+	serversByKey    map[uint32]*server
 
 	// fleet is the number of instances, 0 where not known.
-	fleet int
+	fleetSize int
 	// endsAt is when this instance ends, where it was told.
-	endsAt time.Time
-	now    time.Time
-	out    []Command
+	endsAt   time.Time
+	now      time.Time
+	commands []Command
 	// freed are the services in which a place may have become free in this tick.
 	freed []*service
 	// views and drawn are kept between decisions to save allocations.
-	views []view
-	drawn []view
+	views    []serverView
+	eligible []serverView
 }
 
 // New returns an empty world: it refuses everything until it has been told a
 // configuration and backend servers.
 func New(cfg Settings) *World {
-	sessions, err := simplelru.NewLRU[string, sessionRow](sessionTable, nil)
+	sessions, err := simplelru.NewLRU[string, sessionRow](maxSessions, nil)
 	if err != nil {
 		panic(err) // the library fails only for a size below 1
 	}
 	const stream = 0x70617373 // any constant: one stream per world
 	return &World{
-		cfg:      cfg,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, stream)),
-		servers:  map[string]*server{},
-		services: map[string]*service{},
-		requests: map[RequestID]*request{},
-		rollouts: map[string]*Rollout{},
-		barred:   map[versionKey]bool{},
-		sessions: sessions,
-		keptOld:  map[string]bool{},
-		crashes:  newCrashes(),
-		routes:   map[string]*routeStats{},
-		lost:     map[string]map[*server]bool{},
-		limited:  map[*server]bool{},
-		byKey:    map[uint32]*server{},
+		cfg:              cfg,
+		rng:              rand.New(rand.NewPCG(cfg.Seed, stream)),
+		servers:          map[string]*server{},
+		services:         map[string]*service{},
+		requests:         map[RequestID]*request{},
+		rollouts:         map[string]*Rollout{},
+		revertedVersions: map[versionKey]bool{},
+		sessions:         sessions,
+		keptOnOldVersion: map[string]bool{},
+		crashes:          newCrashes(),
+		routes:           map[string]*routeStats{},
+		lostServers:      map[string]map[*server]bool{},
+		limitedServers:   map[*server]bool{},
+		serversByKey:     map[uint32]*server{},
 	}
 }
 
@@ -104,14 +104,14 @@
 	if now.After(w.now) {
 		w.now = now
 	}
-	w.out = w.out[:0]
+	w.commands = w.commands[:0]
 	w.freed = w.freed[:0]
 	for _, e := range in {
 		w.apply(e)
 	}
 	w.wakeWaiting()
-	w.placeWaiting()
-	return w.out
+	w.dispatchQueued()
+	return w.commands
 }
 
 func (w *World) apply(e Event) {
@@ -119,27 +119,27 @@
 	case Configured:
 		w.configure(e.Index)
 	case Listed:
-		w.list(e.Servers)
+		w.setServers(e.Servers)
 	case Arrived:
 		w.arrive(e.Request)
 	case Left:
-		w.leave(e.Request)
+		w.cancel(e.Request)
 	case Waited:
-		w.waited(e.Request)
+		w.queueWaitExpired(e.Request)
 	case Ended:
-		w.end(e)
+		w.attemptEnded(e)
 	case LoadReported:
 		w.observeLoad(e)
 	case FirstByte:
-		w.firstByte(e)
+		w.observeFirstByte(e)
 	case Paced:
-		w.paced(e)
+		w.observeEventInterval(e)
 	case Crashes:
-		w.crashes.broke(e.Fingerprint, e.Count, w.now)
+		w.crashes.record(e.Fingerprint, e.Count, w.now)
 	case Fleet:
-		w.share(e.Instances)
+		w.setFleetSize(e.Instances)
 	case SessionsOpen:
-		w.keepOld(e.Sessions)
+		w.keepOnOldVersion(e.Sessions)
 	case Stopping:
 		w.endsAt = e.At
 	case Drained:
@@ -155,20 +155,20 @@
 	}
 }
 
-func (w *World) emit(c Command) { w.out = append(w.out, c) }
+func (w *World) emit(c Command) { w.commands = append(w.commands, c) }
 
 func (w *World) setRollout(r Rollout) {
 	if old := w.rollouts[r.Service]; old == nil || old.Order != r.Order {
-		clear(w.keptOld)
+		clear(w.keptOnOldVersion)
 	}
 	key := versionKey{r.Service, r.Target}
 	if r.Phase == PhaseReverted {
-		w.barred[key] = true
+		w.revertedVersions[key] = true
 	} else {
-		delete(w.barred, key)
+		delete(w.revertedVersions, key)
 	}
 	w.rollouts[r.Service] = &r
-	w.free(w.serviceOf(r.Service))
+	w.markFreed(w.serviceOf(r.Service))
 }
 
 // Streams is the number of streams that wait or run.
@@ -186,7 +186,7 @@
 // servers.
 func (w *World) Waiting() (waiting, running int) {
 	for _, r := range w.requests {
-		if r.waiting {
+		if r.queued {
 			waiting++
 		} else {
 			running++
