--- a/decision/passthrough/bench_test.go
+++ b/decision/passthrough/bench_test.go
@@ -15,7 +15,7 @@
 			w := New(Settings{Seed: 1, RetryRatio: 0.9, RetrySlack: 200, RetryWindow: 10 * time.Second})
 			now := testStart
 			w.Tick(now, Configured{NewIndex(Config{Routes: []Route{*route}, Services: []Service{{Name: "llm", Slots: 16}}})},
-				Listed{servers("llm", count, 16)})
+				ServersListed{servers("llm", count, 16)})
 			for _, s := range servers("llm", count, 16) {
 				w.Tick(now, LoadReported{Server: s.ID, Load: Load{Running: 6, Slots: 16}})
 			}
@@ -23,11 +23,11 @@
 			for i := 0; b.Loop(); i++ {
 				id := RequestID(i + 1)
 				now = now.Add(time.Microsecond)
-				w.Tick(now, Arrived{Request{
-					ID: id, Route: route, Service: "llm", Affinity: uint64(i % 50), ModelOpen: true,
-					Target: now.Add(route.Target), Deadline: now.Add(route.Timeout), Fingerprint: uint64(id),
+				w.Tick(now, RequestArrived{Request{
+					ID: id, Route: route, Service: "llm", PrefixHash: uint64(i % 50), ChooseModel: true,
+					TargetTime: now.Add(route.TargetLatency), Deadline: now.Add(route.Timeout), Fingerprint: uint64(id),
 				}})
-				w.Tick(now, Ended{Request: id, Result: Completed})
+				w.Tick(now, AttemptEnded{Request: id, Result: Completed})
 			}
 		})
 	}
--- a/decision/passthrough/budget.go
+++ b/decision/passthrough/budget.go
@@ -12,7 +12,7 @@
 // prevented: repeats that keep it down. The bound holds over all instances without a
 // message, since each keeps it over its own requests and takes an equal part of the
 // slack.
-type Budget struct {
+type RetryBudget struct {
 	ratio       float64
 	slack       float64
 	bucketWidth time.Duration
@@ -47,12 +47,12 @@
 
 // NewBudget returns a budget: in each window as many repeats as ratio times the
 // requests, and slack more.
-func NewBudget(ratio, slack float64, window time.Duration) *Budget {
-	return &Budget{ratio: ratio, slack: slack, bucketWidth: max(window/budgetBuckets, time.Millisecond)}
+func NewRetryBudget(ratio, slack float64, window time.Duration) *RetryBudget {
+	return &RetryBudget{ratio: ratio, slack: slack, bucketWidth: max(window/budgetBuckets, time.Millisecond)}
 }
 
 // advance clears the parts of the window that have passed.
-func (b *Budget) advance(now time.Time) {
+func (b *RetryBudget) advance(now time.Time) {
 	at := now.UnixNano() / int64(b.bucketWidth)
 	passed := min(at-b.bucket, budgetBuckets)
 	for i := int64(1); i <= passed; i++ {
@@ -66,13 +66,13 @@
 }
 
 // Request counts a request for the service.
-func (b *Budget) Request(now time.Time) {
+func (b *RetryBudget) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.requests[b.bucket%budgetBuckets]++
 }
 
 // Left is the number of repeats that may go now.
-func (b *Budget) Left(now time.Time) float64 {
+func (b *RetryBudget) Remaining(now time.Time) float64 {
 	repeats := 0
 	whole := b.allowed(now)
 	for _, n := range b.retries {
@@ -82,7 +82,7 @@
 }
 
 // whole is the number of repeats that the window allows.
-func (b *Budget) allowed(now time.Time) float64 {
+func (b *RetryBudget) allowed(now time.Time) float64 {
 	b.advance(now)
 	firsts := 0
 	for _, n := range b.requests {
@@ -103,14 +103,14 @@
 //
 // Load: hundreds of instances, each with a request in some seconds. Harm prevented: a reserve that
 // none of them ever has, so that all their weak answers are kept.
-func (b *Budget) Spares(now time.Time) bool {
+func (b *RetryBudget) AllowsOptional(now time.Time) bool {
 	need := min(max(optionalReserveFraction*b.allowed(now), 1), optionalReserve)
-	return b.Left(now) >= need
+	return b.Remaining(now) >= need
 }
 
 // Spend takes one repeat, or says that none is left.
-func (b *Budget) Spend(now time.Time) bool {
-	if b.Left(now) < 1 {
+func (b *RetryBudget) Spend(now time.Time) bool {
+	if b.Remaining(now) < 1 {
 		return false
 	}
 	b.retries[b.bucket%budgetBuckets]++
--- a/decision/passthrough/budget_test.go
+++ b/decision/passthrough/budget_test.go
@@ -20,18 +20,18 @@
 		asked, kept := 0, 0
 		for seed := range uint64(instances) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			b, now := NewBudget(ratio, slack, window), testStart
+			b, now := NewRetryBudget(ratio, slack, window), testStart
 			for range count {
 				now = now.Add(time.Duration(rng.ExpFloat64() * float64(window) / float64(count)))
-				b.Request(now)
+				b.RecordRequest(now)
 				if rng.Float64() >= weak {
 					continue
 				}
 				asked++
-				if !b.Spares(now) || !b.Spend(now) {
+				if !b.AllowsOptional(now) || !b.Spend(now) {
 					kept++
 				}
-				if left := b.Left(now); left < 0 {
+				if left := b.Remaining(now); left < 0 {
 					t.Errorf("%d requests: %v repeats left", count, left)
 				}
 			}
--- a/decision/passthrough/canary_test.go
+++ b/decision/passthrough/canary_test.go
@@ -11,12 +11,12 @@
 	b.configure(streamRoute())
 	list := servers("llm", 4, 50)
 	list[2].Version, list[3].Version = "v2", "v2"
-	b.tick(Listed{list})
+	b.tick(ServersListed{list})
 	return b
 }
 
-func canaryUpdate(first bool) RolloutSet {
-	return RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.2, FirstHalf: first}}
+func canaryUpdate(first bool) RolloutUpdated {
+	return RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.2, FirstHalf: first}}
 }
 
 func TestCanaryGetsItsShareByHash(t *testing.T) {
@@ -24,11 +24,11 @@
 	b.tick(canaryUpdate(true))
 	for i := range 100 {
 		share := float64(i) / 100
-		id := b.arrive(streamRoute(), func(r *Request) { r.Share = share })
+		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = share })
 		if got, want := b.dispatched(id).Server.Version == "v2", share < 0.2; got != want {
 			t.Errorf("share %v: new version %v", share, got)
 		}
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 }
 
@@ -36,16 +36,16 @@
 	b := newRolloutHarness(t)
 	b.advance(20 * time.Second)
 	in := func(session string) func(*Request) {
-		return func(r *Request) { r.Session, r.Share = session, 0.05 }
+		return func(r *Request) { r.Session, r.RolloutPosition = session, 0.05 }
 	}
 	run := func(session string) string {
 		id := b.arrive(streamRoute(), in(session))
 		v := b.dispatched(id).Server.Version
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 		return v
 	}
 	for i := range 10 {
-		b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+		b.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
 		run(fmt.Sprint("open-", i))
 	}
 	b.tick(canaryUpdate(true))
@@ -68,9 +68,9 @@
 func TestNoSessionMovesBeforeTheOpenOnesAreKnown(t *testing.T) {
 	b := newRolloutHarness(t)
 	set := canaryUpdate(true)
-	set.Rollout.Opening = true
+	set.Rollout.CollectingSessions = true
 	b.tick(set)
-	id := b.arrive(streamRoute(), func(r *Request) { r.Session, r.Share = "s", 0.01 })
+	id := b.arrive(streamRoute(), func(r *Request) { r.Session, r.RolloutPosition = "s", 0.01 })
 	if v := b.dispatched(id).Server.Version; v != "v1" {
 		t.Errorf("a session that may be open went to %s", v)
 	}
@@ -80,16 +80,16 @@
 // instance.
 func TestSessionOpenAtAnotherInstanceStays(t *testing.T) {
 	there, here := newRolloutHarness(t), newRolloutHarness(t)
-	in := func(r *Request) { r.Session, r.Share = "s", 0.01 }
-	there.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+	in := func(r *Request) { r.Session, r.RolloutPosition = "s", 0.01 }
+	there.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
 	there.arrive(streamRoute(), in)
-	there.arrive(streamRoute(), func(r *Request) { r.Session, r.Share = "outside", 0.5 })
+	there.arrive(streamRoute(), func(r *Request) { r.Session, r.RolloutPosition = "outside", 0.5 })
 	open := there.world.OpenSessions("llm", "v2", 0.2)
 	if len(open) != 1 || open[0] != "s" {
 		t.Fatalf("open sessions in the share: %v", open)
 	}
 	here.tick(canaryUpdate(true))
-	here.tick(SessionsOpen{Sessions: open})
+	here.tick(PeerSessions{Sessions: open})
 	if v := here.dispatched(here.arrive(streamRoute(), in)).Server.Version; v != "v1" {
 		t.Errorf("moved to %s", v)
 	}
@@ -99,17 +99,17 @@
 func (b *harness) requireOldVersion(count int) {
 	b.t.Helper()
 	for range count {
-		id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0 })
+		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0 })
 		if v := b.dispatched(id).Server.Version; v != "v1" {
 			b.t.Fatalf("sent to %s", v)
 		}
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 }
 
 func TestRevertedVersionGetsNothing(t *testing.T) {
 	b := newRolloutHarness(t)
-	b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+	b.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
 	b.requireOldVersion(50)
 }
 
@@ -123,16 +123,16 @@
 		list[i].Version = "v2"
 	}
 	unknown := Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, FirstHalf: true}
-	b.tick(Listed{list}, RolloutSet{unknown})
+	b.tick(ServersListed{list}, RolloutUpdated{unknown})
 	b.dispatched(b.arrive(streamRoute(), nil))
 	unknown.Phase = PhaseReverted
-	b.tick(RolloutSet{unknown})
+	b.tick(RolloutUpdated{unknown})
 	b.refused(b.arrive(streamRoute(), nil), ReasonNoServer)
 }
 
 func TestNothingGoesToTheNewVersionBeforeThePhaseIsKnown(t *testing.T) {
 	b := newRolloutHarness(t)
-	b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, FirstHalf: true}})
+	b.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, FirstHalf: true}})
 	b.requireOldVersion(20)
 }
 
@@ -140,11 +140,11 @@
 // to a larger model, after an order that came while it ran.
 func TestRequestKeepsItsVersionWhenTheOrderComes(t *testing.T) {
 	b := newRolloutHarness(t)
-	b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
-	id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0 })
+	b.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+	id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0 })
 	b.dispatched(id)
 	b.tick(canaryUpdate(true))
-	b.tick(Ended{Request: id, Result: Dropped})
+	b.tick(AttemptEnded{Request: id, Result: Dropped})
 	if v := b.dispatched(id).Server.Version; v != "v1" {
 		t.Errorf("moved to %s", v)
 	}
@@ -157,14 +157,14 @@
 	b.configure(streamRoute())
 	list := servers("llm", 6, 50)
 	list[2].Version, list[3].Version, list[4].Version, list[5].Version = "v2", "v2", "v3", "v3"
-	b.tick(Listed{list}, RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
-	b.tick(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v3"}, Phase: PhaseCanary, Share: 0.2}})
+	b.tick(ServersListed{list}, RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
+	b.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v3"}, Phase: PhaseCanary, Share: 0.2}})
 	for i := range 50 {
-		id := b.arrive(streamRoute(), func(r *Request) { r.Share = float64(i) / 50 })
+		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = float64(i) / 50 })
 		if v := b.dispatched(id).Server.Version; v == "v2" {
 			t.Fatal("sent to the reverted version")
 		}
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 }
 
@@ -177,19 +177,19 @@
 	for i := range 12 {
 		list[i].Version = "v2"
 	}
-	b.tick(Listed{list}, canaryUpdate(true))
+	b.tick(ServersListed{list}, canaryUpdate(true))
 	set := canaryUpdate(true)
 	set.Rollout.Share = 0.045
 	b.tick(set)
 	seen := map[string]bool{}
 	for i := range 60 {
-		id := b.arrive(streamRoute(), func(r *Request) { r.Share, r.Affinity = 0.01, uint64(i+1) })
+		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition, r.PrefixHash = 0.01, uint64(i+1) })
 		d := b.dispatched(id)
 		if d.Server.Version != "v2" {
 			t.Fatalf("sent to %s", d.Server.Version)
 		}
 		seen[d.Server.ID] = true
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 	if len(seen) != minCanaryServers {
 		t.Errorf("the canary went to %d servers", len(seen))
--- a/decision/passthrough/cascade.go
+++ b/decision/passthrough/cascade.go
@@ -70,7 +70,7 @@
 // was dropped once is asked of a larger one, however full the servers are: the smallest
 // would give the same answer again.
 func (w *World) chooseModel(r *request, room float64) int {
-	last := len(r.Route.Sizes) - 1
+	last := len(r.Route.Models) - 1
 	switch {
 	case r.nextModel > 0 && r.lastAttempt():
 		return last
@@ -87,7 +87,7 @@
 // onlyTry says that no other attempt may follow the one that is being made, so that a weak
 // answer could not be replaced.
 func (r *request) lastAttempt() bool {
-	return r.attempts >= r.Route.MaxAttempts || !r.Route.Repeatable()
+	return r.attempts >= r.Route.MaxAttempts || !r.Route.Retryable()
 }
 
 // Bar is the confidence under which the answer that has begun is to be dropped, while nothing
@@ -97,15 +97,15 @@
 // Load: a rush that begins while answers of the smallest model are on their way. Harm
 // prevented: half of them dropped by what was known when they were sent: all engines then
 // read prompts for the largest model, two seconds of them each, before anyone notices.
-func (w *World) Bar(id RequestID) float64 {
+func (w *World) ConfidenceThreshold(id RequestID) float64 {
 	r := w.requests[id]
 	if r == nil || r.server == nil || r.model == noModel {
 		return 0
 	}
-	if r.model >= len(r.Route.Sizes)-1 || r.lastAttempt() {
+	if r.model >= len(r.Route.Models)-1 || r.lastAttempt() {
 		return 0
 	}
-	if !r.service.budget.Spares(w.now) {
+	if !r.service.budget.AllowsOptional(w.now) {
 		return 0
 	}
 	f := occupancyOf(r.service, w.viewServers(r.service))
@@ -121,6 +121,6 @@
 
 // largestEnds says whether the largest model's answer would come before the deadline.
 func (w *World) largestInTime(r *request, wait float64) bool {
-	begins := wait + r.service.prefill.perToken(len(r.Route.Sizes)-1)*float64(r.PromptTokens)
+	begins := wait + r.service.prefill.perToken(len(r.Route.Models)-1)*float64(r.PromptTokens)
 	return begins < escalationFraction*r.Deadline.Sub(w.now).Seconds()
 }
--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -9,23 +9,23 @@
 func (b *harness) fillRetryBudget() {
 	b.t.Helper()
 	for range 20 {
-		b.tick(Ended{Request: b.arrive(streamRoute(), nil), Result: Completed})
+		b.tick(AttemptEnded{Request: b.arrive(streamRoute(), nil), Result: Completed})
 	}
 }
 
 func TestSmallestModelFirstThenTheLargest(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 3, 8)})
+	b.tick(ServersListed{servers("llm", 3, 8)})
 	b.fillRetryBudget()
 	id := b.arrive(streamRoute(), nil)
 	first := b.dispatched(id)
-	if bar := b.world.Bar(id); first.Model != "small" || bar <= evenConfidence || bar >= 1 {
+	if bar := b.world.ConfidenceThreshold(id); first.Model != "small" || bar <= evenConfidence || bar >= 1 {
 		t.Errorf("first: model %q, bar %v", first.Model, bar)
 	}
-	b.tick(Ended{Request: id, Result: Dropped})
+	b.tick(AttemptEnded{Request: id, Result: Dropped})
 	second := b.dispatched(id)
-	if bar := b.world.Bar(id); second.Model != "large" || bar != 0 {
+	if bar := b.world.ConfidenceThreshold(id); second.Model != "large" || bar != 0 {
 		t.Errorf("second: model %q, bar %v", second.Model, bar)
 	}
 }
@@ -33,10 +33,10 @@
 func TestNothingIsDroppedWithoutBudgetForTheRepeat(t *testing.T) {
 	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 1, RetryWindow: 1e9})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 3, 8)})
+	b.tick(ServersListed{servers("llm", 3, 8)})
 	id := b.arrive(streamRoute(), nil)
 	b.dispatched(id)
-	if bar := b.world.Bar(id); bar != 0 {
+	if bar := b.world.ConfidenceThreshold(id); bar != 0 {
 		t.Errorf("bar %v with an empty budget", bar)
 	}
 }
@@ -46,9 +46,9 @@
 	route := streamRoute()
 	route.MaxAttempts = 1
 	b.configure(route)
-	b.tick(Listed{servers("llm", 3, 8)})
+	b.tick(ServersListed{servers("llm", 3, 8)})
 	id := b.arrive(route, nil)
-	if d, bar := b.dispatched(id), b.world.Bar(id); d.Model != "large" || bar != 0 {
+	if d, bar := b.dispatched(id), b.world.ConfidenceThreshold(id); d.Model != "large" || bar != 0 {
 		t.Errorf("model %q, bar %v", d.Model, bar)
 	}
 }
@@ -58,9 +58,9 @@
 	route := streamRoute()
 	route.Resumable = false
 	b.configure(route)
-	b.tick(Listed{servers("llm", 3, 8)})
+	b.tick(ServersListed{servers("llm", 3, 8)})
 	id := b.arrive(route, nil)
-	if d, bar := b.dispatched(id), b.world.Bar(id); d.Model != "large" || bar != 0 {
+	if d, bar := b.dispatched(id), b.world.ConfidenceThreshold(id); d.Model != "large" || bar != 0 {
 		t.Errorf("model %q, bar %v", d.Model, bar)
 	}
 }
@@ -70,7 +70,7 @@
 	route := streamRoute()
 	route.MaxAttempts = 1
 	b.configure(route)
-	b.tick(Listed{servers("llm", 1, 8)})
+	b.tick(ServersListed{servers("llm", 1, 8)})
 	model := ""
 	for range 8 {
 		model = b.dispatched(b.arrive(route, nil)).Model
@@ -85,7 +85,7 @@
 func TestOneCrowdedServerIsNoFullService(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 8, 8)})
+	b.tick(ServersListed{servers("llm", 8, 8)})
 	b.fillRetryBudget()
 	for _, s := range servers("llm", 8, 8)[1:] {
 		b.tick(LoadReported{Server: s.ID, Load: Load{Running: 3, Slots: 8}})
@@ -95,7 +95,7 @@
 	r := &request{Request: Request{Route: streamRoute(), Deadline: b.now.Add(time.Second)}, service: crowded.service, server: crowded}
 	b.world.requests[0] = r
 	r.model = b.world.chooseModel(r, occupancyOf(r.service, b.world.viewServers(r.service)).headroom(r))
-	if bar := b.world.Bar(0); r.model != 0 || bar == 0 {
+	if bar := b.world.ConfidenceThreshold(0); r.model != 0 || bar == 0 {
 		t.Errorf("size %d with the bar %v, want the smallest with a bar", r.model, bar)
 	}
 }
@@ -104,13 +104,13 @@
 func TestWhatWasDroppedIsNeverAskedOfTheSmallestAgain(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 2, 8)})
+	b.tick(ServersListed{servers("llm", 2, 8)})
 	b.fillRetryBudget()
 	id := b.arrive(streamRoute(), nil)
 	for range 13 {
 		b.arrive(streamRoute(), nil)
 	}
-	b.tick(Ended{Request: id, Result: Dropped})
+	b.tick(AttemptEnded{Request: id, Result: Dropped})
 	if d := b.dispatched(id); d.Model != "large" {
 		t.Errorf("asked of %q on full servers, want the largest", d.Model)
 	}
@@ -134,15 +134,15 @@
 
 // drop ends an answer that its engine doubted.
 func (b *harness) dropAnswer(id RequestID, confidence float64) {
-	b.tick(Ended{Request: id, Result: Dropped, Confidence: confidence})
+	b.tick(AttemptEnded{Request: id, Result: Dropped, Confidence: confidence})
 }
 
 // roomyBench has engines and a retry budget that do not bind.
 func newRoomyHarness(t *testing.T) *harness {
 	t.Helper()
-	b := newHarness(t, Settings{Seed: 1, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second, SessionLife: time.Second})
+	b := newHarness(t, Settings{Seed: 1, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 3, 800)})
+	b.tick(ServersListed{servers("llm", 3, 800)})
 	return b
 }
 
@@ -154,15 +154,15 @@
 	near, far := b.arrive(streamRoute(), nil), b.arrive(streamRoute(), nil)
 	b.dropAnswer(near, 0.5)
 	b.dropAnswer(far, 0.1)
-	if d := b.dispatched(near); d.Model != "middle" || b.world.Bar(near) == 0 {
-		t.Errorf("nearly sure: asked %q with the bar %v", d.Model, b.world.Bar(near))
+	if d := b.dispatched(near); d.Model != "middle" || b.world.ConfidenceThreshold(near) == 0 {
+		t.Errorf("nearly sure: asked %q with the bar %v", d.Model, b.world.ConfidenceThreshold(near))
 	}
 	if d := b.dispatched(far); d.Model != "large" {
 		t.Errorf("far from sure: asked %q", d.Model)
 	}
 	b.dropAnswer(near, 0.4)
-	if d := b.dispatched(near); d.Model != "large" || b.world.Bar(near) != 0 {
-		t.Errorf("doubted twice: asked %q with the bar %v", d.Model, b.world.Bar(near))
+	if d := b.dispatched(near); d.Model != "large" || b.world.ConfidenceThreshold(near) != 0 {
+		t.Errorf("doubted twice: asked %q with the bar %v", d.Model, b.world.ConfidenceThreshold(near))
 	}
 }
 
@@ -177,7 +177,7 @@
 			asked++
 			b.dropAnswer(id, 0.3)
 		}
-		b.tick(Ended{Request: id, Result: Completed, Confidence: 0.9})
+		b.tick(AttemptEnded{Request: id, Result: Completed, Confidence: 0.9})
 	}
 	if asked == 0 || asked > 6 {
 		t.Errorf("the middle model was asked %d times in vain", asked)
@@ -190,7 +190,7 @@
 	route := streamRoute()
 	route.MaxAttempts = 2
 	b.configure(route)
-	b.tick(Listed{servers("llm", 3, 8)})
+	b.tick(ServersListed{servers("llm", 3, 8)})
 	b.fillRetryBudget()
 	id := b.arrive(route, nil)
 	b.dropAnswer(id, 0.5)
@@ -202,20 +202,20 @@
 // TestInstanceThatGetsLittleDropsWeakAnswers plays one of 300 instances with a request each four
 // seconds, all of them weak: half of these may be asked of a larger model.
 func TestInstanceThatGetsLittleDropsWeakAnswers(t *testing.T) {
-	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0.765, RetrySlack: 156, RetryWindow: 10 * time.Second, SessionLife: time.Second})
-	b.tick(Fleet{Instances: 300})
+	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0.765, RetrySlack: 156, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
+	b.tick(FleetSize{Instances: 300})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 3, 8)})
+	b.tick(ServersListed{servers("llm", 3, 8)})
 	const requests = 40
 	dropped := 0
 	for range requests {
 		b.advance(4 * time.Second)
 		id := b.arrive(streamRoute(), nil)
-		if b.world.Bar(id) > 0 {
+		if b.world.ConfidenceThreshold(id) > 0 {
 			dropped++
-			b.tick(Ended{Request: id, Result: Dropped})
+			b.tick(AttemptEnded{Request: id, Result: Dropped})
 		}
-		b.tick(Ended{Request: id, Result: Completed, Confidence: 1})
+		b.tick(AttemptEnded{Request: id, Result: Completed, Confidence: 1})
 	}
 	if dropped < requests/2 {
 		t.Errorf("%d of %d weak answers could be dropped", dropped, requests)
--- a/decision/passthrough/config.go
+++ b/decision/passthrough/config.go
@@ -14,17 +14,17 @@
 	// KindIdempotent requests may run more than once.
 	KindIdempotent Kind = iota + 1
 	// KindOnce requests run at most once.
-	KindOnce
+	KindAtMostOnce
 	// KindStream answers are events that flow as they come.
 	KindStream
 )
 
 // Route sends the requests of a host below a path prefix to a service.
 type Route struct {
-	Name   string
-	Host   string
-	Prefix string
-	Kind   Kind
+	Name       string
+	Host       string
+	PathPrefix string
+	Kind       Kind
 	// Resumable streams may go on at another backend server.
 	Resumable bool
 	// Public routes need no key.
@@ -35,14 +35,14 @@
 	Timeout time.Duration
 	// Target is the time within which an answer has its full worth: to the whole
 	// answer, or to a stream's first event.
-	Target time.Duration
+	TargetLatency time.Duration
 	// TargetGap is the longest pause between events of a stream that is in time.
 	TargetGap time.Duration
 	// Priority is the rank, 0 first.
 	Priority int
 	// Sizes are the models that the router chooses from, smallest first; none where
 	// the caller names the model.
-	Sizes []string
+	Models []string
 	// Backends are the services with their weights.
 	Backends []Backend
 }
@@ -54,7 +54,7 @@
 }
 
 // Repeatable says whether a request of the route may run again after it may have run.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
@@ -65,8 +65,8 @@
 	Slots int
 	// WarmUp is how long after its start a server takes little, WarmUpRate how many requests a
 	// second it takes then; 0 where a start makes no difference.
-	WarmUp     time.Duration
-	WarmUpRate float64
+	SlowStartDuration time.Duration
+	SlowStartRate     float64
 }
 
 // Team is a customer with its keys.
@@ -74,8 +74,8 @@
 	Name string
 	Keys []string
 	// Priority takes the place of the route's where Ranked is set.
-	Priority int
-	Ranked   bool
+	Priority    int
+	HasPriority bool
 }
 
 // Limits bounds what a caller may send, and how long it may take.
@@ -111,7 +111,7 @@
 		x.hosts[host] = append(x.hosts[host], r)
 	}
 	for _, list := range x.hosts {
-		slices.SortStableFunc(list, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+		slices.SortStableFunc(list, func(a, b *Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
 	for i := range x.Teams {
 		for _, key := range x.Teams[i].Keys {
@@ -128,7 +128,7 @@
 		host = host[:i]
 	}
 	for _, r := range x.hosts[strings.ToLower(host)] {
-		if strings.HasPrefix(path, r.Prefix) {
+		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
 	}
@@ -143,8 +143,8 @@
 
 // Rank is the priority of the team's requests on the route: the team's where it has
 // one, else the route's.
-func Rank(t *Team, r *Route) int {
-	if t != nil && t.Ranked {
+func EffectivePriority(t *Team, r *Route) int {
+	if t != nil && t.HasPriority {
 		return t.Priority
 	}
 	return r.Priority
@@ -152,7 +152,7 @@
 
 // Pick chooses a service by weight; at is a fraction of 1. It returns "" where no
 // backend has a weight.
-func (r *Route) Pick(at float64) string {
+func (r *Route) PickService(at float64) string {
 	sum := 0.0
 	for _, b := range r.Backends {
 		sum += max(b.Weight, 0)
--- a/decision/passthrough/config_test.go
+++ b/decision/passthrough/config_test.go
@@ -4,10 +4,10 @@
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	x := NewIndex(Config{Routes: []Route{
-		{Name: "root", Host: "a.example", Prefix: "/"},
-		{Name: "shop", Host: "a.example", Prefix: "/shop/"},
-		{Name: "wool", Host: "a.example", Prefix: "/shop/wool/"},
-		{Name: "other", Host: "b.example", Prefix: "/shop/"},
+		{Name: "root", Host: "a.example", PathPrefix: "/"},
+		{Name: "shop", Host: "a.example", PathPrefix: "/shop/"},
+		{Name: "wool", Host: "a.example", PathPrefix: "/shop/wool/"},
+		{Name: "other", Host: "b.example", PathPrefix: "/shop/"},
 	}})
 	tests := []struct{ host, path, want string }{
 		{"a.example", "/shop/wool/1", "wool"},
@@ -31,24 +31,24 @@
 func TestWeights(t *testing.T) {
 	r := Route{Backends: []Backend{{"a", 90}, {"none", 0}, {"b", 10}}}
 	for at, want := range map[float64]string{0: "a", 0.89: "a", 0.91: "b", 0.999: "b"} {
-		if got := r.Pick(at); got != want {
+		if got := r.PickService(at); got != want {
 			t.Errorf("%v: %s, want %s", at, got, want)
 		}
 	}
-	if (&Route{}).Pick(0.5) != "" {
+	if (&Route{}).PickService(0.5) != "" {
 		t.Error("a route without backends picked one")
 	}
 }
 
 func TestKeysAndRanks(t *testing.T) {
-	x := NewIndex(Config{Teams: []Team{{Name: "t", Keys: []string{"k"}, Priority: 3, Ranked: true}, {Name: "u"}}})
+	x := NewIndex(Config{Teams: []Team{{Name: "t", Keys: []string{"k"}, Priority: 3, HasPriority: true}, {Name: "u"}}})
 	if x.Team("k") == nil || x.Team("") != nil || x.Team("x") != nil {
 		t.Error("keys are not found by their text alone")
 	}
 	if !x.NeedsKey(&Route{}) || x.NeedsKey(&Route{Public: true}) || NewIndex(Config{}).NeedsKey(&Route{}) {
 		t.Error("needs a key where it should not, or the other way round")
 	}
-	if Rank(x.Team("k"), &Route{Priority: 1}) != 3 || Rank(&Team{}, &Route{Priority: 1}) != 1 || Rank(nil, &Route{Priority: 2}) != 2 {
+	if EffectivePriority(x.Team("k"), &Route{Priority: 1}) != 3 || EffectivePriority(&Team{}, &Route{Priority: 1}) != 1 || EffectivePriority(nil, &Route{Priority: 2}) != 2 {
 		t.Error("the team's rank does not go before the route's")
 	}
 }
--- a/decision/passthrough/counts.go
+++ b/decision/passthrough/counts.go
@@ -5,32 +5,32 @@
 	Good int
 	Bad  int
 	// First and Pace compare its times with the old version's.
-	First Shift
-	Pace  Shift
+	FirstByte     LogRatioStats
+	EventInterval LogRatioStats
 }
 
 // Add counts one answer.
-func (c Counts) Add(o Observed) Counts {
+func (c Counts) Add(o Observation) Counts {
 	switch {
-	case o.Early:
+	case o.TimingOnly:
 	case o.Bad:
 		c.Bad++
 	default:
 		c.Good++
 	}
-	c.First, c.Pace = c.First.plus(o.First), c.Pace.plus(o.Pace)
+	c.FirstByte, c.EventInterval = c.FirstByte.plus(o.FirstByte), c.EventInterval.plus(o.EventInterval)
 	return c
 }
 
 // Plus sums two counts.
 func (c Counts) Plus(o Counts) Counts {
-	return Counts{Good: c.Good + o.Good, Bad: c.Bad + o.Bad, First: c.First.plus(o.First), Pace: c.Pace.plus(o.Pace)}
+	return Counts{Good: c.Good + o.Good, Bad: c.Bad + o.Bad, FirstByte: c.FirstByte.plus(o.FirstByte), EventInterval: c.EventInterval.plus(o.EventInterval)}
 }
 
 // since is what came since an earlier count. An instance that started again counts anew;
 // what it had counted is left out then.
 func (c Counts) since(o Counts) Counts {
-	return Counts{Good: max(c.Good-o.Good, 0), Bad: max(c.Bad-o.Bad, 0), First: c.First.since(o.First), Pace: c.Pace.since(o.Pace)}
+	return Counts{Good: max(c.Good-o.Good, 0), Bad: max(c.Bad-o.Bad, 0), FirstByte: c.FirstByte.since(o.FirstByte), EventInterval: c.EventInterval.since(o.EventInterval)}
 }
 
 // Total is the number of answers.
--- a/decision/passthrough/drained.go
+++ b/decision/passthrough/drained.go
@@ -15,11 +15,11 @@
 		w.drained[domain] = true
 	}
 	for _, s := range w.servers {
-		s.drained = w.drained[s.Zone]
+		s.drained = w.drained[s.Domain]
 	}
 	for domain := range before {
 		if !w.drained[domain] {
-			w.beginDomainSlowStart(domain, WhyDomainBack)
+			w.beginDomainSlowStart(domain, CauseDomainUndrained)
 		}
 	}
 	for _, s := range w.services {
@@ -28,11 +28,11 @@
 }
 
 // beginDomainSlowStart takes all servers of a failure domain for cold.
-func (w *World) beginDomainSlowStart(domain string, why WhyCold) {
+func (w *World) beginDomainSlowStart(domain string, why SlowStartCause) {
 	count := 0
 	var span time.Duration
 	for _, s := range w.servers {
-		if s.Zone != domain {
+		if s.Domain != domain {
 			continue
 		}
 		if s.beginSlowStart(s.assumedSlowStart(), w.now) {
@@ -41,7 +41,7 @@
 		}
 	}
 	if count > 0 {
-		w.emit(Cooled{Domain: domain, Servers: count, For: span, Why: why})
+		w.emit(SlowStartBegun{Domain: domain, Servers: count, Duration: span, Cause: why})
 	}
 }
 
@@ -52,18 +52,18 @@
 	if s.service.slowStart.span <= 0 {
 		return
 	}
-	w.enterSlowStart(s, s.assumedSlowStart(), WhyLost)
-	lost := w.lostServers[s.Zone]
+	w.enterSlowStart(s, s.assumedSlowStart(), CauseServerLost)
+	lost := w.lostServers[s.Domain]
 	if lost == nil {
 		lost = map[*server]bool{}
-		w.lostServers[s.Zone] = lost
+		w.lostServers[s.Domain] = lost
 	}
 	lost[s] = true
 	if len(lost) >= domainLostThreshold {
-		delete(w.lostServers, s.Zone)
-		w.beginDomainSlowStart(s.Zone, WhyDomainLost)
+		delete(w.lostServers, s.Domain)
+		w.beginDomainSlowStart(s.Domain, CauseDomainLost)
 	}
 }
 
 // domainAnswers notes that a server has answered: its failure domain is there.
-func (w *World) domainResponded(s *server) { delete(w.lostServers, s.Zone) }
+func (w *World) domainResponded(s *server) { delete(w.lostServers, s.Domain) }
--- a/decision/passthrough/drained_test.go
+++ b/decision/passthrough/drained_test.go
@@ -8,7 +8,7 @@
 // inDomains spreads the servers over failure domains.
 func inDomains(list []Server, domains ...string) []Server {
 	for i := range list {
-		list[i].Zone = domains[i%len(domains)]
+		list[i].Domain = domains[i%len(domains)]
 	}
 	return list
 }
@@ -17,11 +17,11 @@
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := inDomains(servers("llm", 6, 8), "a", "b", "c")
-	b.tick(Listed{list}, Drained{[]string{"a"}})
+	b.tick(ServersListed{list}, DomainsDrained{[]string{"a"}})
 	late := servers("llm", 7, 8)[6]
-	b.tick(Listed{append(list, late)}) // in domain a, and listed after the order
+	b.tick(ServersListed{append(list, late)}) // in domain a, and listed after the order
 	for range 20 {
-		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.Zone == "a" {
+		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.Domain == "a" {
 			t.Fatalf("%s got a request", d.Server.ID)
 		}
 	}
@@ -30,11 +30,11 @@
 func TestDrainedDomainGetsNoRetry(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tick(Listed{inDomains(servers("llm", 2, 8), "a", "b")})
-	b.tick(Drained{[]string{"b"}})
+	b.tick(ServersListed{inDomains(servers("llm", 2, 8), "a", "b")})
+	b.tick(DomainsDrained{[]string{"b"}})
 	id := b.arrive(streamRoute(), nil)
-	b.tick(Ended{Request: id, Result: Broken, Begun: true, Cut: true})
-	if d := b.dispatched(id); d.Server.Zone != "a" {
+	b.tick(AttemptEnded{Request: id, Result: Broken, Begun: true, ConnectionLost: true})
+	if d := b.dispatched(id); d.Server.Domain != "a" {
 		t.Errorf("a resumed stream went to the drained failure domain")
 	}
 }
@@ -42,28 +42,28 @@
 func TestWhatWaitsGoesElsewhere(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{inDomains(servers("shop", 2, 1), "a", "b")})
+	b.tick(ServersListed{inDomains(servers("shop", 2, 1), "a", "b")})
 	var running []RequestID
 	for range 4 { // a place and one that waits at each
 		running = append(running, b.arrive(plainRoute(), nil))
 	}
 	waiting := b.arrive(plainRoute(), nil)
-	b.tick(Drained{[]string{"a"}})
+	b.tick(DomainsDrained{[]string{"a"}})
 	for _, id := range running {
-		if b.dispatched(id).Server.Zone == "a" {
-			b.tick(Ended{Request: id, Result: Completed})
+		if b.dispatched(id).Server.Domain == "a" {
+			b.tick(AttemptEnded{Request: id, Result: Completed})
 		}
 	}
 	if b.last(waiting) != nil {
 		t.Fatalf("got %#v though only the drained failure domain has room", b.last(waiting))
 	}
 	for _, id := range running {
-		if b.dispatched(id).Server.Zone == "b" {
-			b.tick(Ended{Request: id, Result: Completed})
+		if b.dispatched(id).Server.Domain == "b" {
+			b.tick(AttemptEnded{Request: id, Result: Completed})
 		}
 	}
-	if d := b.dispatched(waiting); d.Server.Zone != "b" {
-		t.Errorf("what waited went to %q", d.Server.Zone)
+	if d := b.dispatched(waiting); d.Server.Domain != "b" {
+		t.Errorf("what waited went to %q", d.Server.Domain)
 	}
 }
 
@@ -72,20 +72,20 @@
 func TestServiceWithoutServersIsRefusedAtOnce(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{inDomains(servers("shop", 3, 6), "a", "b", "c")}, Drained{[]string{"a", "b", "c"}})
+	b.tick(ServersListed{inDomains(servers("shop", 3, 6), "a", "b", "c")}, DomainsDrained{[]string{"a", "b", "c"}})
 	if r := b.refused(b.arrive(plainRoute(), nil), ReasonNoServer); r.RetryAfter <= 0 {
 		t.Errorf("come back after %v", r.RetryAfter)
 	}
-	b.tick(Drained{[]string{"a", "c"}})
-	if d := b.dispatched(b.arrive(plainRoute(), nil)); d.Server.Zone != "b" {
-		t.Errorf("went to %q", d.Server.Zone)
+	b.tick(DomainsDrained{[]string{"a", "c"}})
+	if d := b.dispatched(b.arrive(plainRoute(), nil)); d.Server.Domain != "b" {
+		t.Errorf("went to %q", d.Server.Domain)
 	}
 }
 
 func TestOrderForAnUnknownDomainChangesNothing(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{servers("shop", 1, 6)}, Drained{[]string{"moon"}})
+	b.tick(ServersListed{servers("shop", 1, 6)}, DomainsDrained{[]string{"moon"}})
 	b.dispatched(b.arrive(plainRoute(), nil))
 }
 
@@ -96,15 +96,15 @@
 	b.configure(streamRoute())
 	list := inDomains(servers("llm", 4, 8), "a", "b")
 	for i := range list {
-		if list[i].Zone == "b" {
+		if list[i].Domain == "b" {
 			list[i].Version = "v2"
 		}
 	}
 	order := Order{Service: "llm", Target: "v2", Duration: 20 * time.Second}
-	b.tick(Listed{list}, Drained{[]string{"b"}}, RolloutSet{Rollout{Order: order, Phase: PhaseCanary, Share: 1}})
+	b.tick(ServersListed{list}, DomainsDrained{[]string{"b"}}, RolloutUpdated{Rollout{Order: order, Phase: PhaseCanary, Share: 1}})
 	for range 10 {
-		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.Zone != "a" {
-			t.Fatalf("went to %q", d.Server.Zone)
+		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.Domain != "a" {
+			t.Fatalf("went to %q", d.Server.Domain)
 		}
 	}
 }
@@ -113,11 +113,11 @@
 // it is taken back, though no entry says so yet.
 func TestDomainTakenBackIsFedSlowly(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
-	b.tick(Listed{inDomains(servers("llm", 2, 8), "a", "b")}, Drained{[]string{"a"}})
-	b.tick(Drained{})
+	b.tick(ServersListed{inDomains(servers("llm", 2, 8), "a", "b")}, DomainsDrained{[]string{"a"}})
+	b.tick(DomainsDrained{})
 	near := 0
 	for range 40 {
-		if b.dispatched(b.arrive(streamRoute(), nil)).Server.Zone == "a" {
+		if b.dispatched(b.arrive(streamRoute(), nil)).Server.Domain == "a" {
 			near++
 		}
 	}
--- a/decision/passthrough/ended.go
+++ b/decision/passthrough/ended.go
@@ -1,7 +1,7 @@
 package passthrough
 
 // end takes in an attempt's end, and decides what follows.
-func (w *World) attemptEnded(e Ended) {
+func (w *World) attemptEnded(e AttemptEnded) {
 	r := w.requests[e.Request]
 	if r == nil {
 		return
@@ -12,7 +12,7 @@
 	}
 	w.releaseServer(r)
 	w.recordOutcome(r, s, e)
-	r.mayHaveRun = r.mayHaveRun || e.Result.Ran() || e.Begun
+	r.mayHaveRun = r.mayHaveRun || e.Result.MayHaveRun() || e.Begun
 	switch e.Result {
 	case Completed:
 		w.learnEscalation(r, e.Confidence)
@@ -26,7 +26,7 @@
 	case Abandoned:
 		w.remove(r)
 	default:
-		if e.Result != NotSent && r.mayHaveRun && !r.Route.Repeatable() {
+		if e.Result != NotSent && r.mayHaveRun && !r.Route.Retryable() {
 			w.finishOrRefuse(r, ReasonAttempts)
 			return
 		}
@@ -35,7 +35,7 @@
 }
 
 // judge takes the end as evidence on the server, and tells others of it.
-func (w *World) recordOutcome(r *request, s *server, e Ended) {
+func (w *World) recordOutcome(r *request, s *server, e AttemptEnded) {
 	if s == nil || e.Result == Abandoned {
 		return
 	}
@@ -47,12 +47,12 @@
 		r.attempts--
 		s.excludedUntil = w.now.Add(unreachableBackoff)
 		w.serverLost(s)
-		w.emit(Suspect{Server: s.ID})
+		w.emit(RefreshServers{Server: s.ID})
 		return
 	}
 	if e.Leaving || e.Misdirected {
 		s.Draining = true
-		w.emit(Suspect{Server: s.ID})
+		w.emit(RefreshServers{Server: s.ID})
 	}
 	if !r.service.engine {
 		r.service.throttle.observeEnd(e, w.now)
@@ -64,12 +64,12 @@
 	bad := e.Result != Completed
 	s.health.record(!bad, w.now)
 	if !bad {
-		w.recordInterval(r, s, e.Pace)
+		w.recordInterval(r, s, e.EventInterval)
 	}
-	if e.Cut {
+	if e.ConnectionLost {
 		w.serverLost(s)
 		w.crashes.record(r.Fingerprint, 1, w.now)
-		w.emit(CrashSeen{Fingerprint: r.Fingerprint})
+		w.emit(CrashSuspected{Fingerprint: r.Fingerprint})
 	}
 	w.observeAttempt(r, s, e)
 }
--- a/decision/passthrough/engine_test.go
+++ b/decision/passthrough/engine_test.go
@@ -111,18 +111,18 @@
 	s := &sim{rng: rand.New(rand.NewPCG(7, 7)), kinds: kinds, tallies: make([]simTally, len(kinds)),
 		engines: map[string]*simEngine{}, requests: map[*harness]map[RequestID]*simRequest{}, handled: map[*harness]int{}, oldest: map[*harness]RequestID{}, now: testStart, tokens: simTokens}
 	s.route = streamRoute()
-	s.route.Target, s.route.Timeout = 2*time.Second, 8*time.Second
-	s.route.Sizes = []string{"small", "large"}
+	s.route.TargetLatency, s.route.Timeout = 2*time.Second, 8*time.Second
+	s.route.Models = []string{"small", "large"}
 	list := servers("llm", engines, simSlots)
 	for _, srv := range list {
 		s.engines[srv.ID] = &simEngine{}
 	}
 	for i := range instances {
-		b := newHarness(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 50, RetryWindow: 10 * time.Second, SessionLife: time.Second})
-		b.tick(Fleet{Instances: instances})
+		b := newHarness(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 50, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
+		b.tick(FleetSize{Instances: instances})
 		c := Config{Version: 1, Services: []Service{{Name: "llm", Slots: simSlots}}, Routes: []Route{*s.route}}
 		b.tick(Configured{NewIndex(c)})
-		b.tick(Listed{list})
+		b.tick(ServersListed{list})
 		s.benches = append(s.benches, b)
 		s.requests[b] = map[RequestID]*simRequest{}
 	}
@@ -175,7 +175,7 @@
 			for _, row := range rows {
 				if j != i {
 					sum := sums[row.Key]
-					sums[row.Key] = PeerLoad{Key: row.Key, Requests: sum.Requests + row.Requests, Reading: sum.Reading + row.Reading}
+					sums[row.Key] = PeerLoad{Key: row.Key, Requests: sum.Requests + row.Requests, PrefillTime: sum.PrefillTime + row.PrefillTime}
 				}
 			}
 		}
@@ -187,14 +187,14 @@
 func (s *sim) arrive(kind, again int, hard bool) {
 	b := s.benches[s.rng.IntN(len(s.benches))]
 	s.tallies[kind].sent++
-	r := &simRequest{kind: kind, hard: hard, retries: again, target: s.now.Add(s.route.Target), deadline: s.now.Add(s.route.Timeout), waiting: true}
-	r.queueDeadline = s.now.Add(MaxWait(&Request{Target: r.target, Deadline: r.deadline}, s.now))
+	r := &simRequest{kind: kind, hard: hard, retries: again, target: s.now.Add(s.route.TargetLatency), deadline: s.now.Add(s.route.Timeout), waiting: true}
+	r.queueDeadline = s.now.Add(MaxQueueWait(&Request{TargetTime: r.target, Deadline: r.deadline}, s.now))
 	s.requests[b][b.next+1] = r
 	b.arrive(s.route, func(q *Request) {
-		q.Team, q.Rank, q.PromptTokens, q.MaxTokens = s.kinds[kind].team, s.kinds[kind].rank, s.tokens, 4*simEvents
-		q.Affinity, q.SharedTokens = uint64(1+s.rng.IntN(200)), s.tokens/10
+		q.Team, q.Priority, q.PromptTokens, q.MaxTokens = s.kinds[kind].team, s.kinds[kind].rank, s.tokens, 4*simEvents
+		q.PrefixHash, q.PrefixTokens = uint64(1+s.rng.IntN(200)), s.tokens/10
 		if s.rollout != nil {
-			q.Share = s.rng.Float64()
+			q.RolloutPosition = s.rng.Float64()
 		}
 	})
 	s.carryOut(b)
@@ -216,10 +216,10 @@
 				s.tallies[r.kind].failed++
 				delete(s.requests[b], id)
 				s.drop(b, id)
-				b.tick(Left{id})
+				b.tick(RequestCancelled{id})
 			case r.waiting && !s.now.Before(r.queueDeadline):
 				r.queueDeadline = r.deadline
-				b.tick(Waited{id})
+				b.tick(QueueWaitExpired{id})
 			}
 		}
 		s.carryOut(b)
@@ -261,7 +261,7 @@
 				s.rollout.sent(j)
 			}
 			e.queue = append(e.queue, j)
-		case Observed:
+		case Observation:
 			if s.rollout != nil {
 				s.rollout.observed(c)
 			}
@@ -327,8 +327,8 @@
 	if weak {
 		confidence -= 0.5
 	}
-	if confidence < j.b.world.Bar(j.id) {
-		j.b.tick(Ended{Request: j.id, Result: Dropped})
+	if confidence < j.b.world.ConfidenceThreshold(j.id) {
+		j.b.tick(AttemptEnded{Request: j.id, Result: Dropped})
 		s.carryOut(j.b)
 		return
 	}
@@ -358,6 +358,6 @@
 	if s.rollout != nil {
 		s.rollout.answered(j)
 	}
-	j.b.tick(Ended{Request: j.id, Result: Completed, Pace: seconds(s.now.Sub(j.began).Seconds() / j.events)})
+	j.b.tick(AttemptEnded{Request: j.id, Result: Completed, EventInterval: seconds(s.now.Sub(j.began).Seconds() / j.events)})
 	s.carryOut(j.b)
 }
--- a/decision/passthrough/events.go
+++ b/decision/passthrough/events.go
@@ -9,18 +9,18 @@
 type Configured struct{ Index *Index }
 
 // Listed replaces the list of backend servers.
-type Listed struct{ Servers []Server }
+type ServersListed struct{ Servers []Server }
 
 // Arrived hands over a request. It is answered by one Dispatch or Refuse, at once or
 // when its turn comes, unless Left comes first.
-type Arrived struct{ Request Request }
+type RequestArrived struct{ Request Request }
 
 // Left says that nobody waits for the request any more.
-type Left struct{ Request RequestID }
+type RequestCancelled struct{ Request RequestID }
 
 // Ended closes a Dispatch. It is answered by a Dispatch, Refuse or Finish, unless the
 // result is Completed or Abandoned.
-type Ended struct {
+type AttemptEnded struct {
 	Request RequestID
 	Result  Result
 	// Begun says that a part of the answer went to the caller.
@@ -30,10 +30,10 @@
 	// Leaving says that the backend server is leaving.
 	Leaving bool
 	// Cut says that the connection broke, as it does when a backend server crashes.
-	Cut bool
+	ConnectionLost bool
 	// Pace is the mean time between the events of a stream, or the time of a whole
 	// plain answer; 0 where it is not known.
-	Pace time.Duration
+	EventInterval time.Duration
 	// Confidence is the engine's own in its answer, from 0 to 1; below 0 where not told.
 	Confidence float64
 	// Limit is what the answer states, nil where there is none or FirstByte has told it.
@@ -41,7 +41,7 @@
 }
 
 // Waited says that a request has waited in the queue for as long as MaxWait allows.
-type Waited struct{ Request RequestID }
+type QueueWaitExpired struct{ Request RequestID }
 
 // LoadReported is the load that a backend server reports.
 type LoadReported struct {
@@ -60,28 +60,28 @@
 }
 
 // Paced is the pace of a stream's first events: the mean time between them.
-type Paced struct {
-	Request RequestID
-	Pace    time.Duration
+type EventIntervalMeasured struct {
+	Request       RequestID
+	EventInterval time.Duration
 }
 
 // Crashes is the count of crashes by requests with this fingerprint at other instances.
-type Crashes struct {
+type PeerCrashes struct {
 	Fingerprint uint64
 	Count       int
 }
 
 // SessionsOpen names sessions that were open at the old version when an order came.
-type SessionsOpen struct{ Sessions []string }
+type PeerSessions struct{ Sessions []string }
 
 // Fleet is the number of instances that share the retry budget's slack.
-type Fleet struct{ Instances int }
+type FleetSize struct{ Instances int }
 
 // Stopping says that this instance ends at the time given.
 type Stopping struct{ At time.Time }
 
 // Drained replaces the failure domains whose servers get no new work.
-type Drained struct{ Domains []string }
+type DomainsDrained struct{ Domains []string }
 
 // Neighbours are the instances of this one's failure domain, itself among them.
 type Neighbours struct {
@@ -108,26 +108,26 @@
 type PeerLimits struct{ Limits []PeerLimit }
 
 // RolloutSet says how far a roll-out is.
-type RolloutSet struct{ Rollout Rollout }
-
-func (Configured) event()   {}
-func (Listed) event()       {}
-func (Arrived) event()      {}
-func (Left) event()         {}
-func (Waited) event()       {}
-func (Ended) event()        {}
-func (LoadReported) event() {}
-func (Paced) event()        {}
-func (FirstByte) event()    {}
-func (Crashes) event()      {}
-func (Fleet) event()        {}
-func (RolloutSet) event()   {}
-func (SessionsOpen) event() {}
-func (Stopping) event()     {}
-func (Drained) event()      {}
-func (PeerLoads) event()    {}
-func (PeerLimits) event()   {}
-func (Neighbours) event()   {}
+type RolloutUpdated struct{ Rollout Rollout }
+
+func (Configured) event()            {}
+func (ServersListed) event()         {}
+func (RequestArrived) event()        {}
+func (RequestCancelled) event()      {}
+func (QueueWaitExpired) event()      {}
+func (AttemptEnded) event()          {}
+func (LoadReported) event()          {}
+func (EventIntervalMeasured) event() {}
+func (FirstByte) event()             {}
+func (PeerCrashes) event()           {}
+func (FleetSize) event()             {}
+func (RolloutUpdated) event()        {}
+func (PeerSessions) event()          {}
+func (Stopping) event()              {}
+func (DomainsDrained) event()        {}
+func (PeerLoads) event()             {}
+func (PeerLimits) event()            {}
+func (Neighbours) event()            {}
 
 // Command is anything that a tick asks for. The set is closed.
 type Command interface{ command() }
@@ -141,20 +141,20 @@
 	// Model is the chosen one where the request leaves it open.
 	Model string
 	// Patience is how long the attempt may stay silent; 0 for no bound of its own.
-	Patience time.Duration
+	FirstByteTimeout time.Duration
 	// Load is the server's load as believed, with its age, for the log.
 	Load    int
 	LoadAge time.Duration
 	// Limit is the server's rate limit as known, for the log.
 	Limit RateLimit
 	// Wait is how long the prompt is thought to wait at the server for others to be read.
-	Wait time.Duration
+	PrefillWait time.Duration
 	// Taken is the part of the service's places that is taken, as believed, MeanWait the mean
 	// wait at its servers, and Repeats what the retry budget holds: what decided on the
 	// model.
-	Taken    float64
-	MeanWait time.Duration
-	Repeats  float64
+	Utilization     float64
+	MeanPrefillWait time.Duration
+	RetriesLeft     float64
 }
 
 // Refuse ends a request that has not run.
@@ -173,54 +173,54 @@
 
 // Observed is an end of an attempt that other instances should know of while a
 // roll-out is in progress.
-type Observed struct {
+type Observation struct {
 	Service string
 	Route   string
 	Version string
 	Bad     bool
 	// Cut says that the answer was cut off, as when Server crashes.
-	Cut    bool
-	Server string
+	ConnectionLost bool
+	Server         string
 	// Early says that the answer goes on, and is not counted yet.
-	Early bool
+	TimingOnly bool
 	// First and Pace compare the answer's times with the old version's, for answers of
 	// the new one.
-	First Shift
-	Pace  Shift
+	FirstByte     LogRatioStats
+	EventInterval LogRatioStats
 }
 
 // CrashSeen says that a request seems to have crashed a backend server.
-type CrashSeen struct {
+type CrashSuspected struct {
 	Fingerprint uint64
 }
 
 // Suspect says that the list of backend servers should be read at once.
-type Suspect struct{ Server string }
+type RefreshServers struct{ Server string }
 
 // WhyCold says why servers are taken for cold.
-type WhyCold string
+type SlowStartCause string
 
 // The reasons.
 const (
-	WhyListed     WhyCold = "listed"
-	WhyStarted    WhyCold = "started_again"
-	WhyLost       WhyCold = "lost"
-	WhyDomainLost WhyCold = "failure_domain_lost"
-	WhyDomainBack WhyCold = "failure_domain_taken_back"
+	CauseListed          SlowStartCause = "listed"
+	CauseRestarted       SlowStartCause = "started_again"
+	CauseServerLost      SlowStartCause = "lost"
+	CauseDomainLost      SlowStartCause = "failure_domain_lost"
+	CauseDomainUndrained SlowStartCause = "failure_domain_taken_back"
 )
 
 // Cooled says that servers which were warm are taken for cold from now on: one, or all of a
 // failure domain where Server is empty.
-type Cooled struct {
-	Server  string
-	Domain  string
-	Servers int
-	For     time.Duration
-	Why     WhyCold
+type SlowStartBegun struct {
+	Server   string
+	Domain   string
+	Servers  int
+	Duration time.Duration
+	Cause    SlowStartCause
 }
 
 // LimitChanged says that a server's rate limit is another one from now on.
-type LimitChanged struct {
+type RateLimitChanged struct {
 	Server string
 	Limit  RateLimit
 	// Own says that this instance was told by the server's answer, not by another instance; Age
@@ -229,11 +229,11 @@
 	Age time.Duration
 }
 
-func (Dispatch) command()     {}
-func (Refuse) command()       {}
-func (Finish) command()       {}
-func (Observed) command()     {}
-func (CrashSeen) command()    {}
-func (Suspect) command()      {}
-func (Cooled) command()       {}
-func (LimitChanged) command() {}
+func (Dispatch) command()         {}
+func (Refuse) command()           {}
+func (Finish) command()           {}
+func (Observation) command()      {}
+func (CrashSuspected) command()   {}
+func (RefreshServers) command()   {}
+func (SlowStartBegun) command()   {}
+func (RateLimitChanged) command() {}
--- a/decision/passthrough/evidence.go
+++ b/decision/passthrough/evidence.go
@@ -3,13 +3,13 @@
 import "time"
 
 // Pair is the answers of the new and of the old version.
-type Pair struct {
+type VersionCounts struct {
 	New Counts
 	Old Counts
 }
 
 // Add counts one answer, as the new version's if it has the target.
-func (p Pair) Add(o Observed, target string) Pair {
+func (p VersionCounts) Add(o Observation, target string) VersionCounts {
 	if o.Version == target {
 		p.New = p.New.Add(o)
 	} else {
@@ -19,18 +19,18 @@
 }
 
 // Plus sums two pairs.
-func (p Pair) Plus(o Pair) Pair {
-	return Pair{New: p.New.Plus(o.New), Old: p.Old.Plus(o.Old)}
+func (p VersionCounts) Plus(o VersionCounts) VersionCounts {
+	return VersionCounts{New: p.New.Plus(o.New), Old: p.Old.Plus(o.Old)}
 }
 
 // since is what came since an earlier pair.
-func (p Pair) since(o Pair) Pair {
-	return Pair{New: p.New.since(o.New), Old: p.Old.since(o.Old)}
+func (p VersionCounts) since(o VersionCounts) VersionCounts {
+	return VersionCounts{New: p.New.since(o.New), Old: p.Old.since(o.Old)}
 }
 
 // Total sums the routes' pairs.
-func Total(sums map[string]Pair) Pair {
-	var all Pair
+func SumRoutes(sums map[string]VersionCounts) VersionCounts {
+	var all VersionCounts
 	for _, p := range sums {
 		all = all.Plus(p)
 	}
@@ -50,7 +50,7 @@
 // pastSums is what all instances had seen at a time, by route.
 type pastSums struct {
 	at   time.Time
-	sums map[string]Pair
+	sums map[string]VersionCounts
 }
 
 // recent is how far back the counts reach that are judged beside the whole: long enough
@@ -62,7 +62,7 @@
 //
 // Load: a fault that cuts off the old version's answers while a bad version is taken back. Harm
 // prevented: the bad one let in again, as the old one looks no better by then.
-func (e *Evidence) Bad(now time.Time, sums map[string]Pair) bool {
+func (e *Evidence) Evaluate(now time.Time, sums map[string]VersionCounts) bool {
 	if e.bad {
 		return true
 	}
@@ -73,11 +73,11 @@
 }
 
 // lately is what came in the recent time.
-func (e *Evidence) recentCounts(now time.Time, sums map[string]Pair) map[string]Pair {
+func (e *Evidence) recentCounts(now time.Time, sums map[string]VersionCounts) map[string]VersionCounts {
 	for len(e.past) > 1 && now.Sub(e.past[1].at) >= recentWindow {
 		e.past = e.past[1:]
 	}
-	out := map[string]Pair{}
+	out := map[string]VersionCounts{}
 	if len(e.past) == 0 {
 		return out
 	}
@@ -88,12 +88,12 @@
 }
 
 // judgeRoutes says whether the new version is bad, on some route or on all.
-func anyRouteBad(sums map[string]Pair) bool {
+func anyRouteBad(sums map[string]VersionCounts) bool {
 	for _, p := range sums {
-		if Judge(p.New, p.Old) {
+		if IsBad(p.New, p.Old) {
 			return true
 		}
 	}
-	all := Total(sums)
-	return Judge(all.New, all.Old)
+	all := SumRoutes(sums)
+	return IsBad(all.New, all.Old)
 }
--- a/decision/passthrough/fill.go
+++ b/decision/passthrough/fill.go
@@ -69,5 +69,5 @@
 
 // room is how far the largest model may be asked for the request: 1 for freely, 0 for never.
 func (f occupancy) headroom(r *request) float64 {
-	return min(utilizationRamp.headroom(r.Rank, f.utilization), prefillWaitRamp.headroom(r.Rank, f.prefillWait/r.Route.Target.Seconds()))
+	return min(utilizationRamp.headroom(r.Priority, f.utilization), prefillWaitRamp.headroom(r.Priority, f.prefillWait/r.Route.TargetLatency.Seconds()))
 }
--- a/decision/passthrough/harness_test.go
+++ b/decision/passthrough/harness_test.go
@@ -25,10 +25,10 @@
 func newHarness(t *testing.T, cfg Settings) *harness {
 	t.Helper()
 	if cfg.RetryWindow == 0 {
-		cfg = Settings{Seed: 1, RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second}
+		cfg = Settings{Seed: 1, RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second}
 	}
 	b := &harness{t: t, world: New(cfg), now: testStart, commands: map[RequestID][]Command{}}
-	b.tick(Fleet{Instances: 1})
+	b.tick(FleetSize{Instances: 1})
 	return b
 }
 
@@ -57,7 +57,7 @@
 	for i := range count {
 		out = append(out, Server{
 			ID: fmt.Sprintf("%s-%d", service, i), Address: "127.0.0.1:1", Service: service,
-			Zone: "a", Version: "v1", Slots: slots, Born: 1,
+			Domain: "a", Version: "v1", Slots: slots, StartTime: 1,
 		})
 	}
 	return out
@@ -66,17 +66,17 @@
 // routes of the tests.
 func plainRoute() *Route {
 	return &Route{Name: "plain", Kind: KindIdempotent, MaxAttempts: 2, Timeout: time.Second,
-		Target: 150 * time.Millisecond, Backends: []Backend{{"shop", 1}}}
+		TargetLatency: 150 * time.Millisecond, Backends: []Backend{{"shop", 1}}}
 }
 
 func onceRoute() *Route {
-	return &Route{Name: "once", Kind: KindOnce, MaxAttempts: 3, Timeout: time.Second,
-		Target: 150 * time.Millisecond, Backends: []Backend{{"shop", 1}}}
+	return &Route{Name: "once", Kind: KindAtMostOnce, MaxAttempts: 3, Timeout: time.Second,
+		TargetLatency: 150 * time.Millisecond, Backends: []Backend{{"shop", 1}}}
 }
 
 func streamRoute() *Route {
 	return &Route{Name: "stream", Kind: KindStream, Resumable: true, MaxAttempts: 3, Timeout: 25 * time.Second,
-		Target: 4 * time.Second, TargetGap: 800 * time.Millisecond, Sizes: []string{"small", "middle", "large"},
+		TargetLatency: 4 * time.Second, TargetGap: 800 * time.Millisecond, Models: []string{"small", "middle", "large"},
 		Backends: []Backend{{"llm", 1}}}
 }
 
@@ -92,12 +92,12 @@
 func (b *harness) arrive(route *Route, change func(*Request)) RequestID {
 	b.next++
 	r := Request{ID: b.next, Route: route, Service: route.Backends[0].Service, Team: "team",
-		Target: b.now.Add(route.Target), Deadline: b.now.Add(route.Timeout),
-		Share: 0.5, Fingerprint: uint64(b.next), ModelOpen: len(route.Sizes) > 0}
+		TargetTime: b.now.Add(route.TargetLatency), Deadline: b.now.Add(route.Timeout),
+		RolloutPosition: 0.5, Fingerprint: uint64(b.next), ChooseModel: len(route.Models) > 0}
 	if change != nil {
 		change(&r)
 	}
-	b.tick(Arrived{r})
+	b.tick(RequestArrived{r})
 	return b.next
 }
 
--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -30,7 +30,7 @@
 	b := newHarness(t, Settings{})
 	route := plainRoute()
 	b.configure(route)
-	b.tick(Listed{servers("shop", count, slots)})
+	b.tick(ServersListed{servers("shop", count, slots)})
 	rng := rand.New(rand.NewPCG(3, 3))
 	out := make([]plainTally, len(callers))
 	kind := map[RequestID]int{}
@@ -63,18 +63,18 @@
 				return false
 			}
 			tl := &out[kind[j.id]]
-			if b.now.Sub(arrived[j.id]) <= route.Target {
+			if b.now.Sub(arrived[j.id]) <= route.TargetLatency {
 				tl.inTarget++
 			} else {
 				tl.late++
 			}
-			b.tick(Ended{Request: j.id, Result: Completed, Pace: work})
+			b.tick(AttemptEnded{Request: j.id, Result: Completed, EventInterval: work})
 			return true
 		})
 		follow()
 		for id, at := range arrived { // the queue's patience, as the edge's timer keeps it
-			if r := b.world.requests[id]; r != nil && r.queued && b.now.Sub(at) >= MaxWait(&Request{Target: at.Add(route.Target), Deadline: at.Add(route.Timeout)}, at) {
-				b.tick(Waited{id})
+			if r := b.world.requests[id]; r != nil && r.queued && b.now.Sub(at) >= MaxQueueWait(&Request{TargetTime: at.Add(route.TargetLatency), Deadline: at.Add(route.Timeout)}, at) {
+				b.tick(QueueWaitExpired{id})
 			}
 			if b.world.requests[id] == nil && !slices.ContainsFunc(jobs, func(j job) bool { return j.id == id }) {
 				delete(arrived, id)
@@ -85,7 +85,7 @@
 			for owed[i] += c.perSecond(b.now.Sub(start)) / 1000; owed[i] >= 1; owed[i]-- {
 				out[i].sent++
 				kind[b.next+1], arrived[b.next+1] = i, b.now
-				b.arrive(route, func(r *Request) { r.Team, r.Rank = c.team, c.rank })
+				b.arrive(route, func(r *Request) { r.Team, r.Priority = c.team, c.rank })
 			}
 		}
 		follow()
@@ -167,11 +167,11 @@
 	b := newHarness(t, Settings{})
 	stream, plain := streamRoute(), plainRoute()
 	b.configure(stream, plain)
-	b.tick(Listed{append(servers("llm", 3, 8), servers("shop", 3, 8)...)})
+	b.tick(ServersListed{append(servers("llm", 3, 8), servers("shop", 3, 8)...)})
 	for range 20 {
 		id := b.arrive(stream, nil)
 		b.advance(6 * time.Second)
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 	b.tick(Stopping{At: b.now.Add(10 * time.Second)})
 	b.dispatched(b.arrive(stream, nil))
--- a/decision/passthrough/nextsize.go
+++ b/decision/passthrough/nextsize.go
@@ -52,7 +52,7 @@
 // Harm prevented: the largest one's price and ten times the reading, where a middle one
 // answers as well.
 func (w *World) chooseEscalation(r *request, confidence float64) {
-	last := len(r.Route.Sizes) - 1
+	last := len(r.Route.Models) - 1
 	r.nextModel = last
 	middle := r.model + 1
 	if r.model != 0 || middle >= last || r.attempts+1 >= r.Route.MaxAttempts {
@@ -65,7 +65,7 @@
 
 // noteNext learns from how sure a middle model was.
 func (w *World) learnEscalation(r *request, confidence float64) {
-	if r.nextModel > 0 && r.model == r.nextModel && r.model < len(r.Route.Sizes)-1 && confidence >= 0 {
+	if r.nextModel > 0 && r.model == r.nextModel && r.model < len(r.Route.Models)-1 && confidence >= 0 {
 		w.statsOf(r.Route.Name).escalation.learn(r.droppedConfidence, confidence >= minConfidence)
 	}
 }
--- a/decision/passthrough/peerload.go
+++ b/decision/passthrough/peerload.go
@@ -7,8 +7,8 @@
 	// Key stands for the server: a part of the hash of its id, alike at all instances.
 	Key uint32
 	// Requests is how many they have there, Reading how long their prompts take to be read.
-	Requests int
-	Reading  time.Duration
+	Requests    int
+	PrefillTime time.Duration
 }
 
 // peerLoadLife is how long a report of the other instances' loads counts: most prompts are read by
@@ -41,7 +41,7 @@
 			continue
 		}
 		told[s] = true
-		out = append(out, PeerLoad{Key: s.peerKey(), Requests: s.ownRequests, Reading: seconds(s.prefillRemaining(w.now))})
+		out = append(out, PeerLoad{Key: s.peerKey(), Requests: s.ownRequests, PrefillTime: seconds(s.prefillRemaining(w.now))})
 	}
 	return out
 }
@@ -63,7 +63,7 @@
 	w.reportedByPeers = w.reportedByPeers[:0]
 	for _, l := range e.Loads {
 		if s := w.serversByKey[l.Key]; s != nil {
-			s.peers = peerReport{requests: float64(l.Requests), prefillTime: l.Reading.Seconds()}
+			s.peers = peerReport{requests: float64(l.Requests), prefillTime: l.PrefillTime.Seconds()}
 			w.reportedByPeers = append(w.reportedByPeers, s)
 		}
 	}
--- a/decision/passthrough/peerload_test.go
+++ b/decision/passthrough/peerload_test.go
@@ -16,7 +16,7 @@
 		for i, shares := range []bool{false, true} {
 			s := newSimOf(t, instances, engines, []simCallerKind{{team: "a", rate: simCapacity * engines / simEngines / 3}})
 			s.tokens, s.sharesLoads = 3*simTokens, shares
-			s.route.Target = 700 * time.Millisecond
+			s.route.TargetLatency = 700 * time.Millisecond
 			s.play(2*time.Second, factor)
 			s.tallies[0] = simTally{}
 			s.play(length, factor)
@@ -35,7 +35,7 @@
 // heard.
 func TestWordOfAFewIsNotTaken(t *testing.T) {
 	b := newHarness(t, Settings{})
-	b.tick(Fleet{Instances: 60})
+	b.tick(FleetSize{Instances: 60})
 	for _, heard := range []int{0, 20, 40, 53} {
 		if b.tick(PeerLoads{Instances: heard}); b.world.peerLoadsFresh() {
 			t.Errorf("the word of %d of 59 is taken", heard)
@@ -51,9 +51,9 @@
 func TestOldWordOfOthersIsForgotten(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 2, 8)})
+	b.tick(ServersListed{servers("llm", 2, 8)})
 	busy := b.world.servers["llm-0"]
-	b.tick(PeerLoads{Loads: []PeerLoad{{Key: busy.peerKey(), Requests: 8, Reading: time.Second}}})
+	b.tick(PeerLoads{Loads: []PeerLoad{{Key: busy.peerKey(), Requests: 8, PrefillTime: time.Second}}})
 	for range 6 {
 		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.ID == "llm-0" {
 			t.Fatal("went to the engine that is full by the others' word")
--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -30,7 +30,7 @@
 	if v, ok := w.pickStaleLimited(list); ok {
 		return v, true
 	}
-	if r.Affinity != 0 {
+	if r.PrefixHash != 0 {
 		return w.pickByPrefix(r, list, f), true
 	}
 	return w.pickByLoad(list), true
@@ -50,11 +50,11 @@
 		if v.weight > bound || v.wait > wait+prefillWaitSlack {
 			continue
 		}
-		score := mix(v.server.hash ^ r.Affinity)
+		score := mix(v.server.hash ^ r.PrefixHash)
 		if best == noIndex || score > bestScore {
 			best, bestScore = i, score
 		}
-		if keepNear && v.server.Zone == w.cfg.Zone && (near == noIndex || score > nearScore) {
+		if keepNear && v.server.Domain == w.cfg.Domain && (near == noIndex || score > nearScore) {
 			near, nearScore = i, score
 		}
 	}
@@ -111,13 +111,13 @@
 // slowly as the smallest, however idle the engines are: what an engine generates for others
 // stands still meanwhile.
 func staysLocal(r *request, wait float64) bool {
-	readAgain := r.service.prefill.perToken(r.nextModel) * float64(r.SharedTokens)
+	readAgain := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
 	if readAgain > maxRepeatedPrefill {
 		return false
 	}
 	shared := 1.0
 	if r.PromptTokens > 0 {
-		shared = min(float64(r.SharedTokens)/float64(r.PromptTokens), 1)
+		shared = min(float64(r.PrefixTokens)/float64(r.PromptTokens), 1)
 	}
 	return shared*wait < localPrefillWait && wait < maxLocalPrefillWait
 }
@@ -142,7 +142,7 @@
 			v = list[w.rng.IntN(len(list))]
 		}
 		weight := v.weight
-		if v.server.Zone == w.cfg.Zone {
+		if v.server.Domain == w.cfg.Domain {
 			weight -= localPreference
 		}
 		if weight < bestWeight {
--- a/decision/passthrough/place.go
+++ b/decision/passthrough/place.go
@@ -30,17 +30,17 @@
 	w.recordSession(r, s.Version)
 	cmd := Dispatch{
 		Request: r.ID, Server: s.Server, Attempt: r.dispatches,
-		Patience: firstByteTimeout(r), Load: int(v.load) + 1, Wait: seconds(v.wait),
+		FirstByteTimeout: firstByteTimeout(r), Load: int(v.load) + 1, PrefillWait: seconds(v.wait),
 		Limit: s.limit.RateLimit,
 	}
 	if !s.reportedAt.IsZero() {
 		cmd.LoadAge = w.now.Sub(s.reportedAt)
 	}
-	if r.ModelOpen && len(r.Route.Sizes) > 0 {
+	if r.ChooseModel && len(r.Route.Models) > 0 {
 		f = f.withOneMore()
-		cmd.Taken, cmd.MeanWait, cmd.Repeats = f.utilization, seconds(f.prefillWait), r.service.budget.Left(w.now)
+		cmd.Utilization, cmd.MeanPrefillWait, cmd.RetriesLeft = f.utilization, seconds(f.prefillWait), r.service.budget.Remaining(w.now)
 		r.model = w.chooseModel(r, f.headroom(r))
-		cmd.Model = r.Route.Sizes[r.model]
+		cmd.Model = r.Route.Models[r.model]
 	}
 	if r.service.engine {
 		w.beginPrefill(r, v)
@@ -67,5 +67,5 @@
 	if r.Route.Kind != KindIdempotent || r.attempts >= r.Route.MaxAttempts {
 		return 0
 	}
-	return max(time.Duration(firstByteTimeoutFactor*float64(r.Route.Target)), minFirstByteTimeout)
+	return max(time.Duration(firstByteTimeoutFactor*float64(r.Route.TargetLatency)), minFirstByteTimeout)
 }
--- a/decision/passthrough/place_test.go
+++ b/decision/passthrough/place_test.go
@@ -9,10 +9,10 @@
 func TestSharedPromptsGoToOneServerUntilItHasMoreThanItsPart(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 6, 8)})
+	b.tick(ServersListed{servers("llm", 6, 8)})
 	seen := map[string]int{}
 	for range 20 {
-		id := b.arrive(streamRoute(), func(r *Request) { r.Affinity = 99 })
+		id := b.arrive(streamRoute(), func(r *Request) { r.PrefixHash = 99 })
 		seen[b.dispatched(id).Server.ID]++
 	}
 	most := 0
@@ -32,8 +32,8 @@
 	for seed := range uint64(5) {
 		b := newHarness(t, Settings{Seed: seed, RetryRatio: 1, RetryWindow: time.Second})
 		b.configure(streamRoute())
-		b.tick(Listed{servers("llm", 12, 8)})
-		got := b.dispatched(b.arrive(streamRoute(), func(r *Request) { r.Affinity = 7 })).Server.ID
+		b.tick(ServersListed{servers("llm", 12, 8)})
+		got := b.dispatched(b.arrive(streamRoute(), func(r *Request) { r.PrefixHash = 7 })).Server.ID
 		if want == "" {
 			want = got
 		}
@@ -47,15 +47,15 @@
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
 	list := servers("shop", 2, 6)
-	b.tick(Listed{list})
+	b.tick(ServersListed{list})
 	list[0].Draining = true
-	b.tick(Listed{list})
+	b.tick(ServersListed{list})
 	for range 10 {
 		id := b.arrive(plainRoute(), nil)
 		if server := b.dispatched(id).Server.ID; server != "shop-1" {
 			t.Fatalf("sent to %s", server)
 		}
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 		b.advance(300 * time.Millisecond)
 	}
 }
@@ -64,24 +64,24 @@
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
 	list := servers("shop", 1, 6)
-	b.tick(Listed{list})
+	b.tick(ServersListed{list})
 	id := b.arrive(plainRoute(), nil)
-	b.tick(Ended{Request: id, Result: Rejected, Leaving: true})
+	b.tick(AttemptEnded{Request: id, Result: Rejected, Leaving: true})
 	b.advance(time.Second)
-	b.tick(Listed{list})
+	b.tick(ServersListed{list})
 	b.refused(b.arrive(plainRoute(), nil), ReasonNoServer)
-	list[0].Born = 2
-	b.tick(Listed{list})
+	list[0].StartTime = 2
+	b.tick(ServersListed{list})
 	b.dispatched(b.arrive(plainRoute(), nil))
 }
 
 func TestLateEndOfAServerThatIsGoneIsHarmless(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{servers("shop", 1, 6)})
+	b.tick(ServersListed{servers("shop", 1, 6)})
 	id := b.arrive(plainRoute(), nil)
-	b.tick(Listed{nil})
-	b.tick(Ended{Request: id, Result: Broken, Cut: true})
+	b.tick(ServersListed{nil})
+	b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
 	b.finished(id)
 }
 
@@ -89,7 +89,7 @@
 	b := newHarness(t, Settings{})
 	route := plainRoute()
 	b.configure(route)
-	b.tick(Listed{servers("shop", 3, 6)})
+	b.tick(ServersListed{servers("shop", 3, 6)})
 	sick, late := 0, 0
 	for i := range 200 {
 		b.advance(20 * time.Millisecond)
@@ -100,14 +100,14 @@
 				break
 			}
 			if d.Server.ID != "shop-0" {
-				b.tick(Ended{Request: id, Result: Completed})
+				b.tick(AttemptEnded{Request: id, Result: Completed})
 				break
 			}
 			sick++
 			if i > 100 {
 				late++
 			}
-			b.tick(Ended{Request: id, Result: Failed})
+			b.tick(AttemptEnded{Request: id, Result: Failed})
 		}
 	}
 	if sick > 40 || late > 15 {
@@ -119,22 +119,22 @@
 	stream, plain := streamRoute(), plainRoute()
 	tests := []struct {
 		name string
-		s    Silence
+		s    Inactivity
 		want bool
 	}{
-		{"stream's server speaks", Silence{Route: stream, Attempt: 5 * time.Second, Server: 100 * time.Millisecond}, false},
-		{"stream's server is dark", Silence{Route: stream, Attempt: 3 * time.Second, Server: 3 * time.Second}, true},
-		{"long prompt at a busy server", Silence{Route: stream, PromptTokens: 50000, Attempt: 7 * time.Second, Server: 7 * time.Second}, false},
-		{"long prompt at a dark server", Silence{Route: stream, PromptTokens: 50000, Attempt: 9 * time.Second, Server: 9 * time.Second}, true},
-		{"stream waits for twice its target", Silence{Route: stream, Attempt: 9 * time.Second}, true},
-		{"pause in time", Silence{Route: stream, Begun: true, Attempt: time.Second}, false},
-		{"pause too long", Silence{Route: stream, Begun: true, Attempt: 2100 * time.Millisecond}, true},
-		{"plain with patience", Silence{Route: plain, Patience: 400 * time.Millisecond, Attempt: 300 * time.Millisecond}, false},
-		{"plain without patience left", Silence{Route: plain, Patience: 400 * time.Millisecond, Attempt: 500 * time.Millisecond}, true},
-		{"plain last attempt", Silence{Route: plain, Attempt: 900 * time.Millisecond}, false},
+		{"stream's server speaks", Inactivity{Route: stream, AttemptIdle: 5 * time.Second, ServerIdle: 100 * time.Millisecond}, false},
+		{"stream's server is dark", Inactivity{Route: stream, AttemptIdle: 3 * time.Second, ServerIdle: 3 * time.Second}, true},
+		{"long prompt at a busy server", Inactivity{Route: stream, PromptTokens: 50000, AttemptIdle: 7 * time.Second, ServerIdle: 7 * time.Second}, false},
+		{"long prompt at a dark server", Inactivity{Route: stream, PromptTokens: 50000, AttemptIdle: 9 * time.Second, ServerIdle: 9 * time.Second}, true},
+		{"stream waits for twice its target", Inactivity{Route: stream, AttemptIdle: 9 * time.Second}, true},
+		{"pause in time", Inactivity{Route: stream, Begun: true, AttemptIdle: time.Second}, false},
+		{"pause too long", Inactivity{Route: stream, Begun: true, AttemptIdle: 2100 * time.Millisecond}, true},
+		{"plain with patience", Inactivity{Route: plain, FirstByteTimeout: 400 * time.Millisecond, AttemptIdle: 300 * time.Millisecond}, false},
+		{"plain without patience left", Inactivity{Route: plain, FirstByteTimeout: 400 * time.Millisecond, AttemptIdle: 500 * time.Millisecond}, true},
+		{"plain last attempt", Inactivity{Route: plain, AttemptIdle: 900 * time.Millisecond}, false},
 	}
 	for _, tt := range tests {
-		if got := tt.s.GiveUp(); got != tt.want {
+		if got := tt.s.TimedOut(); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
@@ -144,7 +144,7 @@
 	b := newHarness(t, Settings{})
 	route := plainRoute()
 	b.configure(route)
-	b.tick(Listed{servers("shop", 3, 6)})
+	b.tick(ServersListed{servers("shop", 3, 6)})
 	got := map[string]int{}
 	type job struct {
 		id     RequestID
@@ -161,7 +161,7 @@
 				keep = append(keep, j)
 				continue
 			}
-			b.tick(Ended{Request: j.id, Result: Completed, Pace: j.took})
+			b.tick(AttemptEnded{Request: j.id, Result: Completed, EventInterval: j.took})
 		}
 		jobs = keep
 		id := b.arrive(route, nil)
@@ -181,11 +181,11 @@
 func TestSickServersAreUsedWhereAllAreSick(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(onceRoute())
-	b.tick(Listed{servers("shop", 1, 6)})
+	b.tick(ServersListed{servers("shop", 1, 6)})
 	for range 10 {
 		id := b.arrive(onceRoute(), nil)
 		b.dispatched(id)
-		b.tick(Ended{Request: id, Result: Failed})
+		b.tick(AttemptEnded{Request: id, Result: Failed})
 	}
 }
 
@@ -196,11 +196,11 @@
 	route := plainRoute()
 	b.configure(route)
 	list := servers("shop", 2, 6)
-	b.tick(Listed{list})
+	b.tick(ServersListed{list})
 	for range 10 {
 		id := b.arrive(route, nil)
 		b.advance(30 * time.Millisecond)
-		b.tick(Ended{Request: id, Result: Completed, Pace: 30 * time.Millisecond})
+		b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: 30 * time.Millisecond})
 	}
 	for _, s := range list {
 		b.tick(LoadReported{Server: s.ID, Load: Load{Running: 6, Waiting: 4, Slots: 6}})
@@ -218,7 +218,7 @@
 func threeDomains(each int) []Server {
 	list := servers("llm", 3*each, 128)
 	for i := range list {
-		list[i].Zone = string(rune('a' + i%3))
+		list[i].Domain = string(rune('a' + i%3))
 	}
 	return list
 }
@@ -227,9 +227,9 @@
 // state how many others wait there, and gives the part that stayed in the failure domain.
 func localShare(t *testing.T, shared, waiting int) float64 {
 	t.Helper()
-	b := newHarness(t, Settings{Seed: 1, Zone: "a", RetryRatio: 1, RetryWindow: time.Second})
+	b := newHarness(t, Settings{Seed: 1, Domain: "a", RetryRatio: 1, RetryWindow: time.Second})
 	b.configureLargeEngines()
-	b.tick(Listed{threeDomains(4)})
+	b.tick(ServersListed{threeDomains(4)})
 	near := 0
 	const count = 60
 	for i := range count {
@@ -237,12 +237,12 @@
 			b.tick(LoadReported{Server: s.ID, Load: Load{Running: 5 + waiting, Waiting: waiting, Slots: 128}})
 		}
 		id := b.arrive(streamRoute(), func(r *Request) {
-			r.Affinity, r.SharedTokens, r.PromptTokens = uint64(i+1), shared, 9000
+			r.PrefixHash, r.PrefixTokens, r.PromptTokens = uint64(i+1), shared, 9000
 		})
-		if b.dispatched(id).Server.Zone == "a" {
+		if b.dispatched(id).Server.Domain == "a" {
 			near++
 		}
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 	return float64(near) / count
 }
@@ -275,21 +275,21 @@
 		together bool
 	}{{6000, true}, {600, false}} {
 		b := newRoomyHarness(t)
-		b.tick(Listed{threeDomains(4)})
+		b.tick(ServersListed{threeDomains(4)})
 		reads := map[string]map[string]bool{}
 		const prompts = 20
 		for _, zone := range []string{"a", "b"} {
-			b.world.cfg.Zone = zone
+			b.world.cfg.Domain = zone
 			for i := range prompts {
 				id := b.arrive(streamRoute(), func(r *Request) {
-					r.Affinity, r.SharedTokens, r.PromptTokens = uint64(i+1), c.shared, 2*c.shared
+					r.PrefixHash, r.PrefixTokens, r.PromptTokens = uint64(i+1), c.shared, 2*c.shared
 				})
-				if d := b.dispatched(id); d.Server.Zone != zone {
-					t.Fatalf("%d shared: the smallest model reads in %s, not at home", c.shared, d.Server.Zone)
+				if d := b.dispatched(id); d.Server.Domain != zone {
+					t.Fatalf("%d shared: the smallest model reads in %s, not at home", c.shared, d.Server.Domain)
 				}
 				b.dropAnswer(id, 0.1)
 				d := b.dispatched(id)
-				b.tick(Ended{Request: id, Result: Completed})
+				b.tick(AttemptEnded{Request: id, Result: Completed})
 				key := fmt.Sprint(i)
 				if reads[key] == nil {
 					reads[key] = map[string]bool{}
@@ -312,22 +312,22 @@
 // TestPromptsLeaveAFailureDomainThatIsFull: one where all engines have twice the load of the
 // others keeps nothing back.
 func TestPromptsLeaveAFailureDomainThatIsFull(t *testing.T) {
-	b := newHarness(t, Settings{Seed: 1, Zone: "a", RetryRatio: 1, RetryWindow: time.Second})
+	b := newHarness(t, Settings{Seed: 1, Domain: "a", RetryRatio: 1, RetryWindow: time.Second})
 	b.configureLargeEngines()
-	b.tick(Listed{threeDomains(4)})
+	b.tick(ServersListed{threeDomains(4)})
 	for _, s := range threeDomains(4) {
 		load := Load{Running: 20, Slots: 128}
-		if s.Zone == "a" {
+		if s.Domain == "a" {
 			load.Running = 60
 		}
 		b.tick(LoadReported{Server: s.ID, Load: load})
 	}
 	for i := range 20 {
-		id := b.arrive(streamRoute(), func(r *Request) { r.Affinity, r.PromptTokens = uint64(i+1), 1000 })
-		if d := b.dispatched(id); d.Server.Zone == "a" {
+		id := b.arrive(streamRoute(), func(r *Request) { r.PrefixHash, r.PromptTokens = uint64(i+1), 1000 })
+		if d := b.dispatched(id); d.Server.Domain == "a" {
 			t.Fatalf("request %d stayed at an engine with three times the load of others", i)
 		}
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 }
 
@@ -336,15 +336,15 @@
 func TestPromptsGoWhereTheyAreReadSoon(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configureLargeEngines()
-	b.tick(Listed{servers("llm", 2, 128)})
+	b.tick(ServersListed{servers("llm", 2, 128)})
 	for i := range 20 {
 		b.tick(
 			LoadReported{Server: "llm-0", Load: Load{Running: 2, Waiting: 10, Slots: 128}},
 			LoadReported{Server: "llm-1", Load: Load{Running: 14, Slots: 128}})
-		id := b.arrive(streamRoute(), func(r *Request) { r.Affinity, r.PromptTokens = uint64(i+1), 9000 })
+		id := b.arrive(streamRoute(), func(r *Request) { r.PrefixHash, r.PromptTokens = uint64(i+1), 9000 })
 		if d := b.dispatched(id); i > 0 && d.Server.ID == "llm-0" {
 			t.Errorf("request %d went to the engine with ten prompts to read", i)
 		}
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 }
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -52,11 +52,11 @@
 		handled: map[*harness]int{}, arrived: map[*harness]map[RequestID]time.Time{}, teams: map[*harness]map[RequestID]string{}, now: testStart}
 	list := servers("shop", shopServers, shopSlots)
 	for i := range instances {
-		b := newHarness(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 600, RetryWindow: 10 * time.Second, SessionLife: time.Second})
-		b.tick(Fleet{Instances: instances})
+		b := newHarness(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 600, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
+		b.tick(FleetSize{Instances: instances})
 		c := Config{Version: 1, Services: []Service{{Name: "shop"}}, Routes: []Route{*route}}
 		b.tick(Configured{NewIndex(c)})
-		b.tick(Listed{list})
+		b.tick(ServersListed{list})
 		s.benches = append(s.benches, b)
 		s.arrived[b] = map[RequestID]time.Time{}
 		s.teams[b] = map[RequestID]string{}
@@ -111,8 +111,8 @@
 			continue
 		}
 		for id, at := range s.arrived[b] {
-			if r := b.world.requests[id]; r != nil && r.queued && s.now.Sub(at) >= MaxWait(&r.Request, at) {
-				b.tick(Waited{id})
+			if r := b.world.requests[id]; r != nil && r.queued && s.now.Sub(at) >= MaxQueueWait(&r.Request, at) {
+				b.tick(QueueWaitExpired{id})
 			}
 		}
 		s.carryOut(b)
@@ -139,7 +139,7 @@
 func (s *shopSim) complete(server string, j *shopJob, busy int) {
 	at := s.arrived[j.b][j.id]
 	delete(s.arrived[j.b], j.id)
-	if s.now.Sub(at) <= s.route.Target {
+	if s.now.Sub(at) <= s.route.TargetLatency {
 		s.inTarget++
 	} else {
 		s.late++
@@ -148,7 +148,7 @@
 		s.smallServed++
 	}
 	load := Load{Running: min(busy, shopSlots), Waiting: max(busy-shopSlots, 0), Slots: shopSlots}
-	j.b.tick(LoadReported{Server: server, Load: load}, Ended{Request: j.id, Result: Completed, Pace: s.now.Sub(at)})
+	j.b.tick(LoadReported{Server: server, Load: load}, AttemptEnded{Request: j.id, Result: Completed, EventInterval: s.now.Sub(at)})
 	s.carryOut(j.b)
 }
 
@@ -179,11 +179,11 @@
 	}
 	s.turnedAway++
 	if s.rng.IntN(2) == 0 {
-		b.tick(Ended{Request: c.Request, Result: Broken, Cut: true})
+		b.tick(AttemptEnded{Request: c.Request, Result: Broken, ConnectionLost: true})
 		return
 	}
 	load := Load{Running: shopSlots, Waiting: shopQueue, Slots: shopSlots}
-	b.tick(LoadReported{Server: id, Load: load}, Ended{Request: c.Request, Result: Rejected})
+	b.tick(LoadReported{Server: id, Load: load}, AttemptEnded{Request: c.Request, Result: Rejected})
 }
 
 // TestFullPlainServersAreLeftAlone asks for up to eight times what five servers bear, by 100
--- a/decision/passthrough/property_test.go
+++ b/decision/passthrough/property_test.go
@@ -58,13 +58,13 @@
 			continue
 		}
 		s.Draining = h.rng.IntN(6) == 0
-		s.Born = int64(1 + h.rng.IntN(8)/7)
+		s.StartTime = int64(1 + h.rng.IntN(8)/7)
 		if h.rng.IntN(2) == 0 {
 			s.Version = "v2"
 		}
 		h.list = append(h.list, s)
 	}
-	h.tickChecked(Listed{append([]Server(nil), h.list...)})
+	h.tickChecked(ServersListed{append([]Server(nil), h.list...)})
 }
 
 func (h *randomHistory) step() {
@@ -73,7 +73,7 @@
 		h.relistServers()
 	case 1:
 		h.phase = []Phase{PhaseCanary, PhaseCompleted, PhaseReverted}[h.rng.IntN(3)]
-		h.tickChecked(RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: h.phase, Share: 0.3}})
+		h.tickChecked(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: h.phase, Share: 0.3}})
 	case 2:
 		for id, r := range h.live {
 			if r.server != "" && h.rng.IntN(4) == 0 {
@@ -82,18 +82,18 @@
 			_ = id
 		}
 	case 3:
-		h.withLiveRequest(func(id RequestID, _ *liveRequest) { h.tickChecked(Left{id}); delete(h.live, id) })
+		h.withLiveRequest(func(id RequestID, _ *liveRequest) { h.tickChecked(RequestCancelled{id}); delete(h.live, id) })
 	case 4:
-		h.withLiveRequest(func(id RequestID, _ *liveRequest) { h.tickChecked(Waited{id}) })
+		h.withLiveRequest(func(id RequestID, _ *liveRequest) { h.tickChecked(QueueWaitExpired{id}) })
 	case 5, 6, 7, 8:
 		h.next++
 		route := h.routes[h.rng.IntN(len(h.routes))]
 		h.live[h.next] = &liveRequest{route: route}
-		h.tickChecked(Arrived{Request{
-			ID: h.next, Route: route, Service: route.Backends[0].Service, Team: fmt.Sprint(h.rng.IntN(3)), Rank: h.rng.IntN(3),
-			Session: []string{"", "a", "b"}[h.rng.IntN(3)], Affinity: uint64(h.rng.IntN(3)), PromptTokens: h.rng.IntN(9000),
-			Share: h.rng.Float64(), Fingerprint: uint64(h.rng.IntN(30)), Target: h.now.Add(route.Target),
-			Deadline: h.now.Add(time.Duration(h.rng.IntN(3000)) * time.Millisecond), ModelOpen: len(route.Sizes) > 0,
+		h.tickChecked(RequestArrived{Request{
+			ID: h.next, Route: route, Service: route.Backends[0].Service, Team: fmt.Sprint(h.rng.IntN(3)), Priority: h.rng.IntN(3),
+			Session: []string{"", "a", "b"}[h.rng.IntN(3)], PrefixHash: uint64(h.rng.IntN(3)), PromptTokens: h.rng.IntN(9000),
+			RolloutPosition: h.rng.Float64(), Fingerprint: uint64(h.rng.IntN(30)), TargetTime: h.now.Add(route.TargetLatency),
+			Deadline: h.now.Add(time.Duration(h.rng.IntN(3000)) * time.Millisecond), ChooseModel: len(route.Models) > 0,
 		}})
 	default:
 		h.withLiveRequest(func(id RequestID, r *liveRequest) {
@@ -105,14 +105,14 @@
 				result = Broken
 			}
 			r.server = ""
-			r.ran = r.ran || result.Ran()
+			r.ran = r.ran || result.MayHaveRun()
 			if result == NotSent {
 				r.notSent++
 			}
 			if result == Completed || result == Abandoned {
 				delete(h.live, id)
 			}
-			h.tickChecked(Ended{Request: id, Result: result, Cut: result == Broken && h.rng.IntN(2) == 0, Pace: time.Millisecond})
+			h.tickChecked(AttemptEnded{Request: id, Result: result, ConnectionLost: result == Broken && h.rng.IntN(2) == 0, EventInterval: time.Millisecond})
 		})
 	}
 }
@@ -164,7 +164,7 @@
 	if r == nil || r.server != "" {
 		h.t.Fatalf("request %d was dispatched after its end, or twice", c.Request)
 	}
-	if r.ran && !r.route.Repeatable() {
+	if r.ran && !r.route.Retryable() {
 		// An engine's doubt is the one reason to ask again for what runs once a time.
 		h.t.Fatalf("request %d of route %s was sent again", c.Request, r.route.Name)
 	}
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -56,7 +56,7 @@
 		account = q.group.NewAccount(1)
 		q.accounts[r.Team] = account
 	}
-	rq := q.class(r.Rank)
+	rq := q.class(r.Priority)
 	flow := rq.flows[r.Team]
 	if flow == nil {
 		flow = &fair.Flow[*queueEntry]{}
@@ -77,7 +77,7 @@
 	rq, flow := q.flow(r)
 	count := 0
 	for _, other := range q.classes {
-		if other.priority < r.Rank {
+		if other.priority < r.Priority {
 			count += other.queue.Len()
 		}
 	}
@@ -150,7 +150,7 @@
 )
 
 // MaxWait is how long the request may wait in the queue from now.
-func MaxWait(r *Request, now time.Time) time.Duration {
+func MaxQueueWait(r *Request, now time.Time) time.Duration {
 	return max(min(time.Duration(queueWaitFraction*float64(r.timeLeft(now))), queueWaitCap), 0)
 }
 
@@ -161,7 +161,7 @@
 // timeLeft is how long the request has from now for an answer in time, or, where it is too
 // late for that, for one at all.
 func (r *Request) timeLeft(now time.Time) time.Duration {
-	room := min(r.Target.Sub(now), r.Deadline.Sub(now))
+	room := min(r.TargetTime.Sub(now), r.Deadline.Sub(now))
 	if room <= 0 {
 		room = time.Duration(lateWaitFraction * float64(r.Deadline.Sub(now)))
 	}
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -99,7 +99,7 @@
 		s.limit.share, s.limit.shareInputs, s.limit.bucket = 0, limitShareInputs{}, tokenBucket{}
 		w.markFreed(s.service)
 	}
-	w.emit(LimitChanged{Server: s.ID, Limit: stated, Own: own, Age: w.now.Sub(at)})
+	w.emit(RateLimitChanged{Server: s.ID, Limit: stated, Own: own, Age: w.now.Sub(at)})
 }
 
 // OwnLimits are the limits that this instance was told by servers' answers lately, and those that
@@ -149,7 +149,7 @@
 	if w.fleetSize > 0 && float64(w.fleetSize) <= s.limit.PerSecond+limitAllMargin {
 		return used / float64(w.fleetSize)
 	}
-	zone, key := s.Zone, s.hash
+	zone, key := s.Domain, s.hash
 	if turn > 0 {
 		zone, key = "", mix(s.hash+turn) // any failure domain: all instances of its own may be gone
 	}
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -74,21 +74,21 @@
 		toldAt: map[limitKey]time.Time{}, arrivals: map[string][]limitArrival{}}
 	f.servers = servers("llm", count, 48)
 	for i := range f.servers {
-		f.servers[i].Zone = domainOf(i)
+		f.servers[i].Domain = domainOf(i)
 	}
 	near := map[string][]string{}
 	for i := range instances {
 		near[domainOf(i)] = append(near[domainOf(i)], fmt.Sprintf("i%d", i))
 	}
 	for i := range instances {
-		b := newHarness(t, Settings{Seed: seed + uint64(i), Zone: domainOf(i), Domains: limitDomains,
-			RetryRatio: 0.9, RetrySlack: 56, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
+		b := newHarness(t, Settings{Seed: seed + uint64(i), Domain: domainOf(i), Domains: limitDomains,
+			RetryRatio: 0.9, RetrySlack: 56, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
 		names := near[domainOf(i)]
 		if view != nil {
 			names = view(f, names)
 		}
 		b.tick(Configured{NewIndex(Config{Version: 1, Routes: []Route{*streamRoute()}, Services: []Service{{Name: "llm", Slots: 48}}})},
-			Fleet{Instances: instances}, Neighbours{Self: fmt.Sprintf("i%d", i), Names: names}, Listed{f.servers})
+			FleetSize{Instances: instances}, Neighbours{Self: fmt.Sprintf("i%d", i), Names: names}, ServersListed{f.servers})
 		f.instances = append(f.instances, b)
 	}
 	f.handled = make([]int, instances)
@@ -118,7 +118,7 @@
 			}
 			subject := f.rng.Uint64()%subjects + 1
 			f.instances[at].arrive(streamRoute(), func(r *Request) {
-				r.Affinity, r.PromptTokens, r.SharedTokens = subject, 2000, 1000
+				r.PrefixHash, r.PromptTokens, r.PrefixTokens = subject, 2000, 1000
 			})
 		}
 		f.carryOut()
@@ -185,7 +185,7 @@
 	}
 	for _, run := range f.running {
 		if run.begun && !now.Before(run.end) {
-			f.instances[run.instance].tick(Ended{Request: run.request, Result: Completed, Begun: true, Confidence: 1})
+			f.instances[run.instance].tick(AttemptEnded{Request: run.request, Result: Completed, Begun: true, Confidence: 1})
 		}
 	}
 	f.carryOut()
@@ -204,10 +204,10 @@
 	switch draw := f.rng.Float64(); {
 	case draw < doubted:
 		run.end = b.now
-		b.tick(Ended{Request: run.request, Result: Dropped, Confidence: 0.1})
+		b.tick(AttemptEnded{Request: run.request, Result: Dropped, Confidence: 0.1})
 	case draw < doubted+broken:
 		run.end = b.now
-		b.tick(Ended{Request: run.request, Result: Broken, Begun: true, Cut: true})
+		b.tick(AttemptEnded{Request: run.request, Result: Broken, Begun: true, ConnectionLost: true})
 	}
 }
 
--- a/decision/passthrough/ratelimit_refuse_test.go
+++ b/decision/passthrough/ratelimit_refuse_test.go
@@ -11,8 +11,8 @@
 	t.Helper()
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute(), streamRoute())
-	b.tick(Neighbours{Self: "i0", Names: append([]string{"i0"}, neighbours...)}, Fleet{Instances: 1 + len(neighbours)})
-	b.tick(Listed{servers("shop", count, 8)})
+	b.tick(Neighbours{Self: "i0", Names: append([]string{"i0"}, neighbours...)}, FleetSize{Instances: 1 + len(neighbours)})
+	b.tick(ServersListed{servers("shop", count, 8)})
 	var limits []PeerLimit
 	for _, s := range b.world.servers {
 		limits = append(limits, PeerLimit{Key: s.peerKey(), Limit: RateLimit{Limited: true, PerSecond: perSecond}})
@@ -34,7 +34,7 @@
 			switch c := b.allCommands[seen].(type) {
 			case Dispatch:
 				sent++
-				b.tick(Ended{Request: c.Request, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 0.5}})
+				b.tick(AttemptEnded{Request: c.Request, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 0.5}})
 			case Refuse:
 				refused++
 				if c.Reason != ReasonLimited || c.RetryAfter < minRetryAfter {
@@ -86,7 +86,7 @@
 		b := newHarness(t, Settings{})
 		b.configure(plainRoute())
 		b.advance(time.Minute)
-		b.tick(Listed{servers("shop", 1, 8)})
+		b.tick(ServersListed{servers("shop", 1, 8)})
 		s := b.world.servers["shop-0"]
 		for i, age := range tt.ages {
 			b.tick(PeerLimits{[]PeerLimit{{Key: s.peerKey(), Limit: tt.said[i], Age: age}}})
@@ -105,8 +105,8 @@
 func TestLimitIsOfOneProcess(t *testing.T) {
 	b := newLimitedHarness(t, 1, 1)
 	again := servers("shop", 1, 8)
-	again[0].Born = 2
-	b.tick(Listed{again})
+	again[0].StartTime = 2
+	b.tick(ServersListed{again})
 	for range 8 {
 		b.dispatched(b.arrive(plainRoute(), nil))
 	}
@@ -121,16 +121,16 @@
 	for i := range list[:3] {
 		list[i].Version = "v2"
 	}
-	b.tick(Neighbours{Self: "i0", Names: []string{"i0"}}, Listed{list},
-		RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.5}})
+	b.tick(Neighbours{Self: "i0", Names: []string{"i0"}}, ServersListed{list},
+		RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.5}})
 	for i := range 3 {
 		key := b.world.servers[list[i].ID].peerKey()
 		b.tick(PeerLimits{[]PeerLimit{{Key: key, Limit: RateLimit{Limited: true, PerSecond: 0.2}}}})
 	}
 	for range 50 {
 		b.advance(20 * time.Millisecond)
-		id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0.1 })
+		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.1 })
 		b.dispatched(id)
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 }
--- a/decision/passthrough/ratelimit_test.go
+++ b/decision/passthrough/ratelimit_test.go
@@ -6,10 +6,10 @@
 )
 
 // limitChanges lists what the world told of rate limits.
-func limitChanges(b *harness) []LimitChanged {
-	var out []LimitChanged
+func limitChanges(b *harness) []RateLimitChanged {
+	var out []RateLimitChanged
 	for _, c := range b.allCommands {
-		if c, ok := c.(LimitChanged); ok {
+		if c, ok := c.(RateLimitChanged); ok {
 			out = append(out, c)
 		}
 	}
@@ -21,11 +21,11 @@
 func TestLimitEndsWithAnAnswerToALaterRequest(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{servers("shop", 1, 8)})
+	b.tick(ServersListed{servers("shop", 1, 8)})
 	early, limited := b.arrive(plainRoute(), nil), b.arrive(plainRoute(), nil)
 	b.advance(10 * time.Millisecond)
-	b.tick(Ended{Request: limited, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 100}})
-	b.tick(Ended{Request: early, Result: Completed, Limit: &RateLimit{}})
+	b.tick(AttemptEnded{Request: limited, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 100}})
+	b.tick(AttemptEnded{Request: early, Result: Completed, Limit: &RateLimit{}})
 	if got := limitChanges(b); len(got) != 1 || got[0].Limit.PerSecond != 100 {
 		t.Fatalf("got %+v", got)
 	}
@@ -34,7 +34,7 @@
 	if !b.dispatched(later).Limit.Limited {
 		t.Error("a dispatch does not name the limit")
 	}
-	b.tick(Ended{Request: later, Result: Completed, Limit: &RateLimit{}})
+	b.tick(AttemptEnded{Request: later, Result: Completed, Limit: &RateLimit{}})
 	if got := limitChanges(b); len(got) != 2 || got[1].Limit.Limited {
 		t.Errorf("got %+v", got)
 	}
@@ -44,7 +44,7 @@
 func TestStreamStatesTheLimitWithItsHead(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 1, 8)})
+	b.tick(ServersListed{servers("llm", 1, 8)})
 	b.tick(FirstByte{Request: b.arrive(streamRoute(), nil), Limit: RateLimit{Limited: true, PerSecond: 1.4}})
 	if got := limitChanges(b); len(got) != 1 || got[0].Limit.PerSecond != 1.4 {
 		t.Errorf("got %+v", got)
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -8,7 +8,7 @@
 	r := &request{Request: in, arrived: w.now, model: noModel}
 	r.service = w.serviceOf(in.Service)
 	w.requests[r.ID] = r
-	r.service.budget.Request(w.now)
+	r.service.budget.RecordRequest(w.now)
 	if w.crashes.quarantined(r.Fingerprint, w.now) {
 		w.refuse(r, ReasonQuarantined)
 		return
@@ -54,8 +54,8 @@
 	if r.service.engine {
 		return false // these are chosen by their load
 	}
-	q.observeDemand(r.Rank, r.Team, w.now)
-	return q.refuses(r.Rank, r.Team, w.now, w.rng.Float64())
+	q.observeDemand(r.Priority, r.Team, w.now)
+	return q.refuses(r.Priority, r.Team, w.now, w.rng.Float64())
 }
 
 // await queues a request whose turn comes later, or refuses it at once.
@@ -79,7 +79,7 @@
 
 // waitsTooLong gives the reason why the request's turn would come too late; "" where it would not.
 func (w *World) waitRefusal(r *request) Reason {
-	longest := MaxWait(&r.Request, w.now)
+	longest := MaxQueueWait(&r.Request, w.now)
 	if wait, limited := w.limitWait(r); limited {
 		if wait > longest {
 			return ReasonLimited
--- a/decision/passthrough/requests_test.go
+++ b/decision/passthrough/requests_test.go
@@ -9,10 +9,10 @@
 	for _, result := range []Result{Failed, Broken} {
 		b := newHarness(t, Settings{})
 		b.configure(onceRoute())
-		b.tick(Listed{servers("shop", 3, 6)})
+		b.tick(ServersListed{servers("shop", 3, 6)})
 		id := b.arrive(onceRoute(), nil)
 		b.dispatched(id)
-		b.tick(Ended{Request: id, Result: result})
+		b.tick(AttemptEnded{Request: id, Result: result})
 		b.finished(id)
 	}
 }
@@ -21,10 +21,10 @@
 	for _, result := range []Result{NotSent, Rejected} {
 		b := newHarness(t, Settings{})
 		b.configure(onceRoute())
-		b.tick(Listed{servers("shop", 3, 6)})
+		b.tick(ServersListed{servers("shop", 3, 6)})
 		id := b.arrive(onceRoute(), nil)
 		first := b.dispatched(id)
-		b.tick(Ended{Request: id, Result: result})
+		b.tick(AttemptEnded{Request: id, Result: result})
 		second := b.dispatched(id)
 		if second.Attempt != 2 || second.Server.ID == first.Server.ID {
 			t.Errorf("%v: sent again as attempt %d to %s", result, second.Attempt, second.Server.ID)
@@ -35,14 +35,14 @@
 func TestAttemptsAreBoundedAndRefusalIsOnlyForWhatHasNotRun(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{servers("shop", 5, 6)})
+	b.tick(ServersListed{servers("shop", 5, 6)})
 	ran := b.arrive(plainRoute(), nil)
-	b.tick(Ended{Request: ran, Result: Failed})
-	b.tick(Ended{Request: ran, Result: Rejected})
+	b.tick(AttemptEnded{Request: ran, Result: Failed})
+	b.tick(AttemptEnded{Request: ran, Result: Rejected})
 	b.finished(ran)
 	never := b.arrive(plainRoute(), nil)
-	b.tick(Ended{Request: never, Result: Rejected})
-	b.tick(Ended{Request: never, Result: Rejected})
+	b.tick(AttemptEnded{Request: never, Result: Rejected})
+	b.tick(AttemptEnded{Request: never, Result: Rejected})
 	b.refused(never, ReasonAttempts)
 }
 
@@ -51,9 +51,9 @@
 	route := onceRoute()
 	route.MaxAttempts = 1
 	b.configure(route)
-	b.tick(Listed{servers("shop", 3, 6)})
+	b.tick(ServersListed{servers("shop", 3, 6)})
 	id := b.arrive(route, nil)
-	b.tick(Ended{Request: id, Result: NotSent})
+	b.tick(AttemptEnded{Request: id, Result: NotSent})
 	if d := b.dispatched(id); d.Attempt != 2 {
 		t.Errorf("attempt %d, want 2", d.Attempt)
 	}
@@ -72,30 +72,30 @@
 func TestCrashingRequestIsRefusedAfterThreeCrashes(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{servers("shop", 5, 6)})
+	b.tick(ServersListed{servers("shop", 5, 6)})
 	const mark = 77
 	poison := func(r *Request) { r.Fingerprint = mark }
 	id := b.arrive(plainRoute(), poison)
-	b.tick(Ended{Request: id, Result: Broken, Cut: true})
-	b.tick(Ended{Request: id, Result: Broken, Cut: true})
+	b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
+	b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
 	b.finished(id)
-	b.tick(Crashes{Fingerprint: mark, Count: 1})
+	b.tick(PeerCrashes{Fingerprint: mark, Count: 1})
 	again := b.arrive(plainRoute(), poison)
 	b.refused(again, ReasonQuarantined)
 	b.advance(crashMemory + time.Second)
-	b.tick(Listed{servers("shop", 5, 6)})
+	b.tick(ServersListed{servers("shop", 5, 6)})
 	b.dispatched(b.arrive(plainRoute(), poison))
 }
 
 func TestAnswerClearsBrokenConnections(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{servers("shop", 5, 6)})
+	b.tick(ServersListed{servers("shop", 5, 6)})
 	same := func(r *Request) { r.Fingerprint = 5 }
 	for range 4 {
 		id := b.arrive(plainRoute(), same)
-		b.tick(Ended{Request: id, Result: Broken, Cut: true})
-		b.tick(Ended{Request: id, Result: Completed})
+		b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
+		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 	b.dispatched(b.arrive(plainRoute(), same))
 }
@@ -104,9 +104,9 @@
 	cfg := Settings{Seed: 1, RetryRatio: 0.3, RetrySlack: 2, RetryWindow: 10 * time.Second}
 	b := newHarness(t, cfg)
 	route := plainRoute()
-	route.Target, route.Timeout = 10*time.Second, 20*time.Second
+	route.TargetLatency, route.Timeout = 10*time.Second, 20*time.Second
 	b.configure(route)
-	b.tick(Listed{servers("shop", 40, 50)})
+	b.tick(ServersListed{servers("shop", 40, 50)})
 	type mark struct {
 		at     time.Time
 		repeat bool
@@ -116,10 +116,10 @@
 		b.advance(50 * time.Millisecond)
 		id := b.arrive(route, nil)
 		marks = append(marks, mark{b.now, false})
-		b.tick(Ended{Request: id, Result: Failed})
+		b.tick(AttemptEnded{Request: id, Result: Failed})
 		if d, ok := b.last(id).(Dispatch); ok && d.Attempt == 2 {
 			marks = append(marks, mark{b.now, true})
-			b.tick(Ended{Request: id, Result: Failed})
+			b.tick(AttemptEnded{Request: id, Result: Failed})
 		}
 	}
 	for i := range marks {
@@ -147,7 +147,7 @@
 func TestDeadlineAlreadyPassed(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
-	b.tick(Listed{servers("shop", 1, 1)})
+	b.tick(ServersListed{servers("shop", 1, 1)})
 	id := b.arrive(plainRoute(), func(r *Request) { r.Deadline = b.now })
 	b.refused(id, ReasonDeadline)
 }
@@ -155,11 +155,11 @@
 func TestSlackIsSharedByTheFleet(t *testing.T) {
 	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 23, RetryWindow: 10 * time.Second})
 	b.configure(plainRoute())
-	b.tick(Listed{servers("shop", 40, 50)}, Fleet{Instances: 10})
+	b.tick(ServersListed{servers("shop", 40, 50)}, FleetSize{Instances: 10})
 	repeats := 0
 	for range 30 {
 		id := b.arrive(plainRoute(), nil)
-		b.tick(Ended{Request: id, Result: Failed})
+		b.tick(AttemptEnded{Request: id, Result: Failed})
 		if d, ok := b.last(id).(Dispatch); ok && d.Attempt == 2 {
 			repeats++
 		}
@@ -175,7 +175,7 @@
 	for result, want := range map[Result]bool{
 		Completed: true, Failed: true, Broken: true, Dropped: true, NotSent: false, Rejected: false,
 	} {
-		if result.Ran() != want {
+		if result.MayHaveRun() != want {
 			t.Errorf("%v: %v", result, !want)
 		}
 	}
--- a/decision/passthrough/rollout.go
+++ b/decision/passthrough/rollout.go
@@ -37,13 +37,13 @@
 	// CompleteAt is when it is to be completed, and LeadMost bounds how long before that
 	// requests go to the new version already.
 	CompleteAt time.Time
-	LeadMost   time.Duration
+	MaxLead    time.Duration
 	// Held says that the roll-out's time is over, and what was seen of the new version neither
 	// clears nor condemns it.
 	Held bool
 	// Opening says that the instances still tell each other which sessions are open; the
 	// new version gets none meanwhile.
-	Opening bool
+	CollectingSessions bool
 }
 
 const (
@@ -89,8 +89,8 @@
 // Load: a version that fails in a part of its answers or is slow, at once, later, or on
 // one route only. Harm prevented: callers who get its answers until a person notices. Recent
 // counts are judged too, so that a version that turns bad late is not excused by its start.
-func Judge(fresh, old Counts) bool {
-	if firstByteTest.exceeds(fresh.First) || intervalTest.exceeds(fresh.Pace) || slowTooOften(fresh.Pace, old.Pace) {
+func IsBad(fresh, old Counts) bool {
+	if firstByteTest.exceeds(fresh.FirstByte) || intervalTest.exceeds(fresh.EventInterval) || slowTooOften(fresh.EventInterval, old.EventInterval) {
 		return true
 	}
 	return failsTooOften(fresh, old, minBadForVerdict)
@@ -102,7 +102,9 @@
 // Load: a version that is slow in a part of its answers, under a burst. Harm prevented: its
 // mean alone lies near the limit, as the other part is quick at servers that have little to
 // do: one slow by six in 60 of 100 was completed at 1.7 times the usual pace.
-func slowTooOften(fresh, old Shift) bool { return fresh.slow().exceeds(old.slow(), minBadForVerdict) }
+func slowTooOften(fresh, old LogRatioStats) bool {
+	return fresh.slow().exceeds(old.slow(), minBadForVerdict)
+}
 
 // failsMore says whether the new version fails more than the old one may, by so many bad
 // answers at least.
@@ -128,7 +130,7 @@
 
 // Exposure bounds the requests that a version may get before its roll-out's deadline, be
 // it good or bad: whether it is bad may show only under the whole load.
-type Exposure struct {
+type ExposureLimit struct {
 	// Share of all requests, and Tolerance beside it.
 	Share     float64
 	Tolerance float64
@@ -136,16 +138,16 @@
 
 // Plan says how far a roll-out is after the time elapsed since its order, by what all
 // instances saw of both versions.
-func Plan(o Order, now time.Time, elapsed time.Duration, limit Exposure, fresh, old Counts, bad bool) Rollout {
+func PlanRollout(o Order, now time.Time, elapsed time.Duration, limit ExposureLimit, fresh, old Counts, bad bool) Rollout {
 	complete := max(o.Duration-completionMargin, o.Duration/2)
 	r := Rollout{Order: o, Phase: PhaseCanary, Share: limit.Share * canaryFraction}
 	r.FirstHalf = elapsed < o.Duration/2
-	r.Opening = elapsed < min(maxCollectingTime, time.Duration(collectingFraction*float64(o.Duration)))
+	r.CollectingSessions = elapsed < min(maxCollectingTime, time.Duration(collectingFraction*float64(o.Duration)))
 	r.CompleteAt = now.Add(complete - elapsed)
-	r.LeadMost = leadTime(o, elapsed, limit, fresh, old)
-	doubted := intervalTest.mayExceed(fresh.Pace)
+	r.MaxLead = leadTime(o, elapsed, limit, fresh, old)
+	doubted := intervalTest.mayExceed(fresh.EventInterval)
 	if doubted {
-		r.CompleteAt, r.LeadMost = time.Time{}, 0
+		r.CompleteAt, r.MaxLead = time.Time{}, 0
 	}
 	switch {
 	case bad:
@@ -173,11 +175,11 @@
 const maxSuspects = 40
 
 // suspects is the number of answers that a bad version would have given.
-func (c Counts) suspectCount() int { return c.Bad + c.Pace.Slow }
+func (c Counts) suspectCount() int { return c.Bad + c.EventInterval.Slow }
 
 // lead is how long before the end all requests may go to the new version, so that it gets
 // no more than the limit allows up to the deadline.
-func leadTime(o Order, elapsed time.Duration, limit Exposure, fresh, old Counts) time.Duration {
+func leadTime(o Order, elapsed time.Duration, limit ExposureLimit, fresh, old Counts) time.Duration {
 	total := fresh.Total() + old.Total()
 	if total == 0 || elapsed <= 0 {
 		return 0
--- a/decision/passthrough/rollout_load_test.go
+++ b/decision/passthrough/rollout_load_test.go
@@ -18,7 +18,7 @@
 
 	pending   []simObserved
 	evidence  Evidence
-	sums      map[string]Pair
+	sums      map[string]VersionCounts
 	plannedAt time.Time
 	end       Phase
 	endedAt   time.Time
@@ -32,7 +32,7 @@
 // simObserved is an observation on its way to the other instances.
 type simObserved struct {
 	at time.Time
-	o  Observed
+	o  Observation
 }
 
 const (
@@ -53,9 +53,9 @@
 		list = append(list, fresh)
 	}
 	for _, b := range s.benches {
-		b.tick(Listed{list})
+		b.tick(ServersListed{list})
 	}
-	ro.sim, ro.start, ro.sums = s, s.now, map[string]Pair{}
+	ro.sim, ro.start, ro.sums = s, s.now, map[string]VersionCounts{}
 	ro.order = Order{Service: "llm", Target: "v2", Duration: 20 * time.Second}
 	s.rollout = ro
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-func (ro *simRollout) observed(o Observed) {
+func (ro *simRollout) observed(o Observation) {
 	ro.pending = append(ro.pending, simObserved{ro.sim.now, o})
 }
 
@@ -100,15 +100,15 @@
 		ro.sums[o.Route] = ro.sums[o.Route].Add(o, ro.order.Target)
 	}
 	sums := maps.Clone(ro.sums)
-	bad := ro.evidence.Bad(now, sums)
-	all := Total(sums)
-	limit := Exposure{Share: 0.15, Tolerance: 30}
-	plan := Plan(ro.order, now, now.Sub(ro.start), limit, all.New, all.Old, bad)
+	bad := ro.evidence.Evaluate(now, sums)
+	all := SumRoutes(sums)
+	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
+	plan := PlanRollout(ro.order, now, now.Sub(ro.start), limit, all.New, all.Old, bad)
 	if plan.Phase.Ended() {
 		ro.end, ro.endedAt = plan.Phase, now
 	}
 	for _, b := range ro.sim.benches {
-		b.tick(RolloutSet{plan})
+		b.tick(RolloutUpdated{plan})
 	}
 }
 
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -8,7 +8,7 @@
 
 func TestPlan(t *testing.T) {
 	o := Order{Service: "llm", Target: "v2", Duration: 24 * time.Second}
-	limit := Exposure{Share: 0.15, Tolerance: 30}
+	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
 	tests := []struct {
 		at    time.Duration
 		bad   bool
@@ -24,7 +24,7 @@
 		{23 * time.Second, true, PhaseReverted, false},
 	}
 	for _, tt := range tests {
-		r := Plan(o, testStart, tt.at, limit, Counts{Good: 10}, Counts{Good: 500}, tt.bad)
+		r := PlanRollout(o, testStart, tt.at, limit, Counts{Good: 10}, Counts{Good: 500}, tt.bad)
 		if r.Phase != tt.phase || r.FirstHalf != tt.first {
 			t.Errorf("%v bad %v: phase %v, first half %v", tt.at, tt.bad, r.Phase, r.FirstHalf)
 		}
@@ -37,7 +37,7 @@
 // TestExposureStaysInItsLimit plays roll-outs of versions that never show a bad answer, and
 // holds what they get up to the deadline against the limit.
 func TestExposureStaysInItsLimit(t *testing.T) {
-	limit := Exposure{Share: 0.15, Tolerance: 30}
+	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
 	for _, duration := range []time.Duration{12 * time.Second, 16 * time.Second, 24 * time.Second, 60 * time.Second} {
 		for _, perSecond := range []int{20, 50, 200} {
 			b := newRolloutHarness(t)
@@ -49,7 +49,7 @@
 				list[i].Version = "v2"
 			}
 			c := Config{Version: 2, Services: []Service{{Name: "llm", Slots: 4000}}}
-			b.tick(Configured{NewIndex(c)}, Listed{list})
+			b.tick(Configured{NewIndex(c)}, ServersListed{list})
 			o := Order{Service: "llm", Target: "v2", Duration: duration}
 			start := b.now
 			var fresh, old Counts
@@ -61,21 +61,21 @@
 			step := time.Second / time.Duration(perSecond)
 			for i := 0; b.now.Sub(start) < duration; i++ {
 				elapsed := b.now.Sub(start)
-				b.tick(RolloutSet{Plan(o, b.now, elapsed, limit, fresh, old, false)})
+				b.tick(RolloutUpdated{PlanRollout(o, b.now, elapsed, limit, fresh, old, false)})
 				keep := jobs[:0]
 				for _, j := range jobs {
 					if j.until.After(b.now) {
 						keep = append(keep, j)
 						continue
 					}
-					b.tick(Ended{Request: j.id, Result: Completed})
+					b.tick(AttemptEnded{Request: j.id, Result: Completed})
 				}
 				jobs = keep
 				route, took := long, 4*time.Second
 				if i%2 == 0 {
 					route, took = short, 500*time.Millisecond
 				}
-				id := b.arrive(route, func(r *Request) { r.Share = float64(i*37%100) / 100 })
+				id := b.arrive(route, func(r *Request) { r.RolloutPosition = float64(i*37%100) / 100 })
 				if b.dispatched(id).Server.Version == "v2" {
 					fresh.Good++
 				} else {
@@ -110,7 +110,7 @@
 		{"good with noise", Counts{Good: 60, Bad: 5}, Counts{Good: 600, Bad: 30}, false},
 	}
 	for _, tt := range tests {
-		if got := Judge(tt.fresh, tt.old); got != tt.want {
+		if got := IsBad(tt.fresh, tt.old); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
@@ -119,7 +119,7 @@
 // TestFaultsDoNotHideAFailingVersion holds that a version which fails 45 of 82 answers is bad,
 // though a fault has cut off a quarter of the old version's: counts of both kinds in one.
 func TestFaultsDoNotHideAFailingVersion(t *testing.T) {
-	if !Judge(Counts{Good: 32, Bad: 50}, Counts{Good: 2400, Bad: 870}) {
+	if !IsBad(Counts{Good: 32, Bad: 50}, Counts{Good: 2400, Bad: 870}) {
 		t.Error("a version that fails half of its answers passes beside an old one that a fault strikes")
 	}
 }
@@ -131,7 +131,7 @@
 	now := testStart
 	look := func(fresh, old Counts) bool {
 		now = now.Add(400 * time.Millisecond)
-		return e.Bad(now, map[string]Pair{"route": {New: fresh, Old: old}})
+		return e.Evaluate(now, map[string]VersionCounts{"route": {New: fresh, Old: old}})
 	}
 	if look(Counts{Good: 20, Bad: 2}, Counts{Good: 800, Bad: 10}) {
 		t.Fatal("bad by two of 22 answers")
@@ -151,19 +151,19 @@
 func TestSilenceIsNoEvidenceOnAVersion(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
-	b.tick(Listed{servers("llm", 3, 8)},
-		RolloutSet{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.1}})
+	b.tick(ServersListed{servers("llm", 3, 8)},
+		RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.1}})
 	id := b.arrive(streamRoute(), nil)
-	b.tick(Ended{Request: id, Result: Broken})
+	b.tick(AttemptEnded{Request: id, Result: Broken})
 	for _, c := range b.allCommands {
-		if o, ok := c.(Observed); ok && o.Bad {
+		if o, ok := c.(Observation); ok && o.Bad {
 			t.Fatalf("silence was told as bad: %+v", o)
 		}
 	}
-	b.tick(Ended{Request: id, Result: Failed})
+	b.tick(AttemptEnded{Request: id, Result: Failed})
 	bad := 0
 	for _, c := range b.allCommands {
-		if o, ok := c.(Observed); ok && o.Bad {
+		if o, ok := c.(Observation); ok && o.Bad {
 			bad++
 		}
 	}
@@ -178,17 +178,17 @@
 	for _, ratios := range [][]float64{{2, 3, 9, 2.5, 6, 4, 2, 3}, {1, 12, 8, 2, 9, 1.5, 3, 5, 2, 4, 1, 2}} {
 		var c Counts
 		for _, ratio := range ratios {
-			c = c.Add(Observed{First: singleRatio(ratio), Pace: singleRatio(1.1)})
+			c = c.Add(Observation{FirstByte: singleRatio(ratio), EventInterval: singleRatio(1.1)})
 		}
-		if Judge(c, Counts{Good: 100}) {
+		if IsBad(c, Counts{Good: 100}) {
 			t.Errorf("judged bad by %v", ratios)
 		}
 	}
 	var slow Counts
 	for _, ratio := range []float64{3.1, 3.6, 4.2, 3.4, 3.8} {
-		slow = slow.Add(Observed{Pace: singleRatio(ratio)})
+		slow = slow.Add(Observation{EventInterval: singleRatio(ratio)})
 	}
-	if !Judge(slow, Counts{Good: 100}) {
+	if !IsBad(slow, Counts{Good: 100}) {
 		t.Error("five answers at three and a half times the pace were not enough")
 	}
 }
@@ -201,31 +201,31 @@
 	var told Counts
 	take := func(out []Command) {
 		for _, c := range out {
-			if o, ok := c.(Observed); ok && o.Version == "v2" {
+			if o, ok := c.(Observation); ok && o.Version == "v2" {
 				told = told.Add(o)
 			}
 		}
 	}
 	for i := range 24 {
-		id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0.9 })
-		take(b.tick(Paced{Request: id, Pace: 40 * time.Millisecond}))
-		take(b.tick(Ended{Request: id, Result: Completed, Pace: 40 * time.Millisecond}))
+		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.9 })
+		take(b.tick(EventIntervalMeasured{Request: id, EventInterval: 40 * time.Millisecond}))
+		take(b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: 40 * time.Millisecond}))
 		if i%4 == 3 { // these go on and on
-			id := b.arrive(streamRoute(), func(r *Request) { r.Share = 0.1 })
-			take(b.tick(Paced{Request: id, Pace: 400 * time.Millisecond}))
+			id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.1 })
+			take(b.tick(EventIntervalMeasured{Request: id, EventInterval: 400 * time.Millisecond}))
 		}
 	}
-	if told.Total() != 0 || told.Pace.N != 6 {
+	if told.Total() != 0 || told.EventInterval.N != 6 {
 		t.Errorf("told %+v, want paces alone", told)
 	}
-	if !Judge(told, Counts{Good: 24}) {
+	if !IsBad(told, Counts{Good: 24}) {
 		t.Error("six streams at ten times the pace were not enough")
 	}
 }
 
 // one is the shift of a single ratio.
-func singleRatio(ratio float64) Shift {
-	var s Shift
+func singleRatio(ratio float64) LogRatioStats {
+	var s LogRatioStats
 	s.add(math.Log(ratio))
 	return s
 }
@@ -237,11 +237,11 @@
 	b.tick(canaryUpdate(true))
 	var told Counts
 	run := func(share float64, first, pace time.Duration) {
-		id := b.arrive(streamRoute(), func(r *Request) { r.Share = share })
+		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = share })
 		b.advance(first)
 		b.tick(FirstByte{Request: id, After: first})
-		for _, c := range b.tick(Ended{Request: id, Result: Completed, Pace: pace}) {
-			if o, ok := c.(Observed); ok && o.Version == "v2" {
+		for _, c := range b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: pace}) {
+			if o, ok := c.(Observation); ok && o.Version == "v2" {
 				told = told.Add(o)
 			}
 		}
@@ -271,7 +271,7 @@
 	}
 	for _, tt := range tests {
 		told := playTimes(t, func(int) (time.Duration, time.Duration) { return tt.first, tt.pace })
-		if got := Judge(told, Counts{Good: 60}); got != tt.want {
+		if got := IsBad(told, Counts{Good: 60}); got != tt.want {
 			t.Errorf("%s: judged bad %v, want %v: %+v", tt.name, got, tt.want, told)
 		}
 	}
@@ -280,7 +280,7 @@
 // TestLittleSeenOfABadVersionIsEnoughAtTheEnd holds that two bad answers of seven stop a
 // completion, and that one alone, or a usual share of many, does not.
 func TestLittleSeenOfABadVersionIsEnoughAtTheEnd(t *testing.T) {
-	order, limit := Order{Duration: 8 * time.Second}, Exposure{Share: 0.2, Tolerance: 30}
+	order, limit := Order{Duration: 8 * time.Second}, ExposureLimit{Share: 0.2, Tolerance: 30}
 	old := Counts{Good: 115}
 	cases := []struct {
 		fresh Counts
@@ -293,10 +293,10 @@
 		{Counts{Good: 60, Bad: 4}, PhaseCompleted},
 	}
 	for _, c := range cases {
-		if got := Plan(order, testStart, order.Duration, limit, c.fresh, old, Judge(c.fresh, old)); got.Phase != c.want {
+		if got := PlanRollout(order, testStart, order.Duration, limit, c.fresh, old, IsBad(c.fresh, old)); got.Phase != c.want {
 			t.Errorf("%+v: phase %v, want %v", c.fresh, got.Phase, c.want)
 		}
-		if got := Plan(order, testStart, order.Duration/2, limit, c.fresh, old, Judge(c.fresh, old)); got.Phase != PhaseCanary {
+		if got := PlanRollout(order, testStart, order.Duration/2, limit, c.fresh, old, IsBad(c.fresh, old)); got.Phase != PhaseCanary {
 			t.Errorf("%+v: phase %v halfway", c.fresh, got.Phase)
 		}
 	}
@@ -306,7 +306,7 @@
 // neither completed nor taken back at the end, and gets nothing more once it may have given all
 // the bad answers that are borne.
 func TestVersionInDoubtIsHeld(t *testing.T) {
-	order, limit := Order{Duration: 20 * time.Second}, Exposure{Share: 0.1, Tolerance: 30}
+	order, limit := Order{Duration: 20 * time.Second}, ExposureLimit{Share: 0.1, Tolerance: 30}
 	old := Counts{Good: 4000}
 	// The paces are e^0.55 = 1.7 times the usual in the mean, and spread.
 	doubtful := func(n int) Counts {
@@ -317,7 +317,7 @@
 				x = 1.05
 			}
 			c.Good++
-			c.Pace.add(x)
+			c.EventInterval.add(x)
 		}
 		return c
 	}
@@ -337,7 +337,7 @@
 		{"nothing seen of its pace", Counts{Good: 30}, order.Duration, false, true, PhaseCompleted},
 	}
 	for _, c := range cases {
-		got := Plan(order, testStart, c.at, limit, c.fresh, old, false)
+		got := PlanRollout(order, testStart, c.at, limit, c.fresh, old, false)
 		if got.Phase != c.phase || got.Held != c.held || (got.Share > 0) != c.share {
 			t.Errorf("%s: %+v", c.name, got)
 		}
--- a/decision/passthrough/seam/seam.go
+++ b/decision/passthrough/seam/seam.go
@@ -12,41 +12,41 @@
 // Caller is what a caller's headers say.
 type Caller struct {
 	// Attempt is the caller's id of this request.
-	Attempt string
+	RequestID string
 	// Key is the caller's key, empty for none.
 	Key string
 	// Wait is how long the caller waits; 0 where it did not say.
-	Wait time.Duration
+	Timeout time.Duration
 	// Session is empty for none.
 	Session string
 	// Subject is the last part of the prompt that other requests share; empty for none.
-	Subject string
+	Prefix string
 	// SubjectTokens is its length.
-	SubjectTokens int
+	PrefixTokens int
 	// PromptTokens and MaxTokens are the work; 0 where unknown.
 	PromptTokens int
 	MaxTokens    int
 	// ModelOpen says that the router chooses the model.
-	ModelOpen bool
+	ChooseModel bool
 	// LastEvent is the id of the last event that the caller has, -1 for none.
-	LastEvent int64
+	LastEventID int64
 }
 
 // Attempt is what the router tells a backend server.
 type Attempt struct {
-	Server   string
-	Team     string
-	Left     time.Duration
-	Model    string
-	Priority int
+	Server    string
+	Team      string
+	Remaining time.Duration
+	Model     string
+	Priority  int
 	// LastEvent is the id after which a stream goes on, -1 for the caller's own.
-	LastEvent int64
+	LastEventID int64
 }
 
 // Answer is what a backend server's answer says of itself.
-type Answer struct {
+type Response struct {
 	// Attempt is the echoed id.
-	Attempt string
+	RequestID string
 	// Signed says that the server signed the answer.
 	Signed bool
 	// NotRun says that it has not run the request.
--- a/decision/passthrough/seam/settings.go
+++ b/decision/passthrough/seam/settings.go
@@ -9,28 +9,28 @@
 	// FirstStart says that the whole system starts for the first time.
 	FirstStart bool
 	// Zone is its failure domain.
-	Zone string
+	Domain string
 	// Zones are all failure domains.
-	Zones []string
+	Domains []string
 	// Frontend and Readiness are the addresses to listen on.
-	Frontend  string
-	Readiness string
+	FrontendAddr  string
+	ReadinessAddr string
 	// Peers is the address to listen on for other instances; empty for none.
-	Peers string
+	PeerAddr string
 	// Store is the address of the platform's store.
-	Store string
+	StoreAddr string
 	// Cores is the part of a core that the process may use, MemoryBytes its memory.
 	Cores       float64
 	MemoryBytes int64
 	// Files is the number of descriptors that the process may have, 0 where not known.
-	Files  int
-	Bounds Bounds
+	MaxFiles int
+	Bounds   Bounds
 }
 
 // Bounds are the figures that the platform holds its services to.
 type Bounds struct {
 	// Revoke bounds how long a key works after a configuration without it.
-	Revoke time.Duration
+	RevocationDelay time.Duration
 	// Drain is how long a leaving backend server may still get requests.
 	Drain time.Duration
 	// Grace is the time between SIGTERM and SIGKILL.
@@ -45,8 +45,8 @@
 	CanaryTolerance float64
 	// WarmUpBurst times a cold server's rate, and WarmUpSlack beside that, is what it may get in
 	// one second from all instances.
-	WarmUpBurst float64
-	WarmUpSlack float64
+	SlowStartBurst float64
+	SlowStartSlack float64
 	// SessionLife is how long after its last request a session goes on.
-	SessionLife time.Duration
+	SessionTTL time.Duration
 }
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -19,7 +19,7 @@
 func (w *World) serviceOf(name string) *service {
 	s := w.services[name]
 	if s == nil {
-		s = &service{name: name, budget: NewBudget(w.cfg.RetryRatio, w.retrySlack(), w.cfg.RetryWindow)}
+		s = &service{name: name, budget: NewRetryBudget(w.cfg.RetryRatio, w.retrySlack(), w.cfg.RetryWindow)}
 		w.services[name] = s
 	}
 	return s
@@ -32,22 +32,22 @@
 	for _, s := range list {
 		seen[s.ID] = true
 		row := w.servers[s.ID]
-		if row != nil && row.Born == s.Born && row.Address == s.Address && row.Service == s.Service {
+		if row != nil && row.StartTime == s.StartTime && row.Address == s.Address && row.Service == s.Service {
 			s.Draining = s.Draining || row.Draining
-			told := s.WarmUp != row.WarmUp
+			told := s.SlowStartRemaining != row.SlowStartRemaining
 			row.Server = s
 			if told {
-				w.enterSlowStart(row, s.WarmUp, WhyListed)
+				w.enterSlowStart(row, s.SlowStartRemaining, CauseListed)
 			}
 			continue
 		}
 		fresh := w.newServer(s)
 		w.servers[s.ID] = fresh
-		w.enterSlowStart(fresh, s.WarmUp, WhyListed)
+		w.enterSlowStart(fresh, s.SlowStartRemaining, CauseListed)
 		if row != nil {
 			row.gone = true
 			fresh.slowStart.until = row.slowStart.until
-			w.enterSlowStart(fresh, fresh.service.slowStart.span, WhyStarted)
+			w.enterSlowStart(fresh, fresh.service.slowStart.span, CauseRestarted)
 		}
 	}
 	for id, row := range w.servers {
@@ -60,13 +60,13 @@
 }
 
 func (w *World) newServer(s Server) *server {
-	return &server{Server: s, service: w.serviceOf(s.Service), hash: hashString(s.ID), drained: w.drained[s.Zone]}
+	return &server{Server: s, service: w.serviceOf(s.Service), hash: hashString(s.ID), drained: w.drained[s.Domain]}
 }
 
 // cool takes one server for cold, and tells of it.
-func (w *World) enterSlowStart(s *server, span time.Duration, why WhyCold) {
+func (w *World) enterSlowStart(s *server, span time.Duration, why SlowStartCause) {
 	if s.beginSlowStart(span, w.now) {
-		w.emit(Cooled{Server: s.ID, Domain: s.Zone, Servers: 1, For: span, Why: why})
+		w.emit(SlowStartBegun{Server: s.ID, Domain: s.Domain, Servers: 1, Duration: span, Cause: why})
 	}
 }
 
--- a/decision/passthrough/sessions.go
+++ b/decision/passthrough/sessions.go
@@ -34,16 +34,16 @@
 		return r.version == ro.Target // it has begun, maybe before the order
 	}
 	if r.Session == "" {
-		return r.Share < ro.Share
+		return r.RolloutPosition < ro.Share
 	}
-	if ro.Opening || w.keptOnOldVersion[r.Session] {
+	if ro.CollectingSessions || w.keptOnOldVersion[r.Session] {
 		return false
 	}
 	row, known := w.sessions.Get(r.Session)
 	if known && w.now.Before(row.until) && row.service == r.service.name {
 		return row.version == ro.Target
 	}
-	return r.Share < ro.Share
+	return r.RolloutPosition < ro.Share
 }
 
 // leads says whether the request goes to the new version since it would still run at the
@@ -56,7 +56,7 @@
 	if ro.FirstHalf || ro.CompleteAt.IsZero() {
 		return false
 	}
-	return !w.now.Before(ro.CompleteAt.Add(-min(w.expectedDuration(r.Route, durationFactor), ro.LeadMost)))
+	return !w.now.Before(ro.CompleteAt.Add(-min(w.expectedDuration(r.Route, durationFactor), ro.MaxLead)))
 }
 
 // noteSession keeps the version that the session runs on.
@@ -64,8 +64,8 @@
 	if r.Session == "" {
 		return
 	}
-	until := r.Deadline.Add(w.cfg.SessionLife + sessionMargin)
-	w.sessions.Add(r.Session, sessionRow{service: r.service.name, version: version, rolloutPosition: r.Share, until: until})
+	until := r.Deadline.Add(w.cfg.SessionTTL + sessionMargin)
+	w.sessions.Add(r.Session, sessionRow{service: r.service.name, version: version, rolloutPosition: r.RolloutPosition, until: until})
 }
 
 // OpenSessions lists the sessions of a service that may be open at another version than
--- a/decision/passthrough/silence.go
+++ b/decision/passthrough/silence.go
@@ -3,18 +3,18 @@
 import "time"
 
 // Silence is what was last heard of an attempt that may run again elsewhere.
-type Silence struct {
+type Inactivity struct {
 	Route *Route
 	// Patience of the dispatch; 0 for no bound of its own.
-	Patience time.Duration
+	FirstByteTimeout time.Duration
 	// PromptTokens are to be read before the first byte.
 	PromptTokens int
 	// Begun says that the answer began.
 	Begun bool
 	// Attempt is the time since the attempt's last byte, or since its start; Server that
 	// since the server's last byte on any attempt, at most since this attempt's start.
-	Attempt time.Duration
-	Server  time.Duration
+	AttemptIdle time.Duration
+	ServerIdle  time.Duration
 }
 
 const (
@@ -40,16 +40,16 @@
 // Load: servers that go dark or hang, among others that are only busy. Harm prevented: a
 // caller who waits for a dead server; and, by moving those of a busy one, prompts that are
 // read twice just when there is no time for it.
-func (s Silence) GiveUp() bool {
+func (s Inactivity) TimedOut() bool {
 	if s.Route.Kind != KindStream {
-		return s.Patience > 0 && !s.Begun && s.Attempt > s.Patience
+		return s.FirstByteTimeout > 0 && !s.Begun && s.AttemptIdle > s.FirstByteTimeout
 	}
 	if s.Begun {
-		return s.Attempt > max(time.Duration(gapFactor*float64(s.Route.TargetGap)), minGap)
+		return s.AttemptIdle > max(time.Duration(gapFactor*float64(s.Route.TargetGap)), minGap)
 	}
 	reading := time.Duration(s.PromptTokens) * prefillAllowance
-	if s.Server > min(time.Duration(serverIdleFraction*float64(s.Route.Target)), maxServerIdle)+reading {
+	if s.ServerIdle > min(time.Duration(serverIdleFraction*float64(s.Route.TargetLatency)), maxServerIdle)+reading {
 		return true
 	}
-	return s.Attempt > firstByteFactor*s.Route.Target+reading
+	return s.AttemptIdle > firstByteFactor*s.Route.TargetLatency+reading
 }
--- a/decision/passthrough/slowstart.go
+++ b/decision/passthrough/slowstart.go
@@ -48,8 +48,8 @@
 
 // setSlowStart takes over the limits that a configuration gives.
 func (w *World) configureSlowStart(s *service, c Service) {
-	s.slowStart.span = c.WarmUp
-	s.slowStart.subset, s.slowStart.quota = slowStartQuota(c.WarmUpRate, w.cfg.WarmUpBurst*c.WarmUpRate+w.cfg.WarmUpSlack)
+	s.slowStart.span = c.SlowStartDuration
+	s.slowStart.subset, s.slowStart.quota = slowStartQuota(c.SlowStartRate, w.cfg.SlowStartBurst*c.SlowStartRate+w.cfg.SlowStartSlack)
 }
 
 // slowStart is what is known of a server's start.
@@ -115,7 +115,7 @@
 func (w *World) inSlowStartSubset(s *server) bool {
 	if s.slowStart.subsetVersion != w.neighbours.version {
 		s.slowStart.subsetVersion = w.neighbours.version
-		s.slowStart.inSubset = w.inSubset(s.Zone, s.hash, s.service.slowStart.subset)
+		s.slowStart.inSubset = w.inSubset(s.Domain, s.hash, s.service.slowStart.subset)
 	}
 	return s.slowStart.inSubset
 }
--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -19,15 +19,15 @@
 // warmUpConfig has a service whose servers start cold.
 func slowStartConfig() Config {
 	return Config{Version: 1, Routes: []Route{*streamRoute()},
-		Services: []Service{{Name: "llm", Slots: 1000, WarmUp: testSlowStartDuration, WarmUpRate: testSlowStartRate}}}
+		Services: []Service{{Name: "llm", Slots: 1000, SlowStartDuration: testSlowStartDuration, SlowStartRate: testSlowStartRate}}}
 }
 
 // newWarmUpBench is an instance in failure domain "a" with so many neighbours, itself among them.
 func newSlowStartHarness(t *testing.T, self string, neighbours int) (*harness, []string) {
 	t.Helper()
 	b := newHarness(t, Settings{
-		Seed: 1, Zone: "a", Domains: []string{"a", "b", "c"}, WarmUpBurst: testSlowStartBurst, WarmUpSlack: testSlowStartSlack,
-		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second,
+		Seed: 1, Domain: "a", Domains: []string{"a", "b", "c"}, SlowStartBurst: testSlowStartBurst, SlowStartSlack: testSlowStartSlack,
+		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second,
 	})
 	var names []string
 	for i := range neighbours {
@@ -40,7 +40,7 @@
 // cold says of servers that they have just started.
 func inSlowStart(list []Server) []Server {
 	for i := range list {
-		list[i].WarmUp = testSlowStartDuration
+		list[i].SlowStartRemaining = testSlowStartDuration
 	}
 	return list
 }
@@ -80,7 +80,7 @@
 					}
 				}
 				b.tick(Neighbours{Self: fmt.Sprintf("i%d", i), Names: names})
-				b.tick(Listed{inSlowStart(inDomains(servers("llm", 1, 1000), "a"))})
+				b.tick(ServersListed{inSlowStart(inDomains(servers("llm", 1, 1000), "a"))})
 				worlds = append(worlds, b)
 			}
 			most, feeding := 0, 0
@@ -131,8 +131,8 @@
 func TestOtherServersTakeWhatAColdOneMayNot(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 3, 100)
-	list[0].WarmUp = testSlowStartDuration
-	b.tick(Listed{list})
+	list[0].SlowStartRemaining = testSlowStartDuration
+	b.tick(ServersListed{list})
 	for range 100 {
 		b.dispatched(b.arrive(streamRoute(), nil))
 	}
@@ -142,11 +142,11 @@
 // turn as they may get more, and by rank.
 func TestAllServersCold(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
-	b.tick(Listed{inSlowStart(servers("llm", 1, 100))})
+	b.tick(ServersListed{inSlowStart(servers("llm", 1, 100))})
 	for range 2 {
 		b.dispatched(b.arrive(streamRoute(), nil))
 	}
-	low := b.arrive(streamRoute(), func(r *Request) { r.Rank = 2 })
+	low := b.arrive(streamRoute(), func(r *Request) { r.Priority = 2 })
 	high := b.arrive(streamRoute(), nil)
 	if b.last(low) != nil || b.last(high) != nil {
 		t.Fatalf("got %#v and %#v, want both to wait", b.last(low), b.last(high))
@@ -165,7 +165,7 @@
 	fed, refused := 0, 0
 	for i := range 40 {
 		s := inSlowStart(servers("llm", i+1, 8))[i:]
-		b.tick(Listed{s})
+		b.tick(ServersListed{s})
 		switch c := b.last(b.arrive(streamRoute(), nil)).(type) {
 		case Dispatch:
 			fed++
@@ -179,9 +179,9 @@
 	if fed == 0 || fed > 25 {
 		t.Errorf("feeds %d of 40 servers, refuses at %d", fed, refused)
 	}
-	fresh := newHarness(t, Settings{Seed: 1, Zone: "a", WarmUpBurst: testSlowStartBurst, WarmUpSlack: testSlowStartSlack,
-		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
-	fresh.tick(Configured{NewIndex(slowStartConfig())}, Listed{inSlowStart(servers("llm", 1, 8))})
+	fresh := newHarness(t, Settings{Seed: 1, Domain: "a", SlowStartBurst: testSlowStartBurst, SlowStartSlack: testSlowStartSlack,
+		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
+	fresh.tick(Configured{NewIndex(slowStartConfig())}, ServersListed{inSlowStart(servers("llm", 1, 8))})
 	fresh.refused(fresh.arrive(streamRoute(), nil), ReasonWarmingUp)
 }
 
@@ -191,7 +191,7 @@
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	list := inSlowStart(servers("llm", 1, 100))
 	for range 4 {
-		b.tick(Listed{list})
+		b.tick(ServersListed{list})
 		b.advance(testSlowStartDuration / 4)
 	}
 	b.advance(time.Millisecond)
@@ -204,8 +204,8 @@
 // from then on, before its entry says anything.
 func TestRefusedConnectionCountsAsAStart(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
-	b.tick(Listed{servers("llm", 1, 100)})
-	b.tick(Ended{Request: b.arrive(streamRoute(), nil), Result: NotSent})
+	b.tick(ServersListed{servers("llm", 1, 100)})
+	b.tick(AttemptEnded{Request: b.arrive(streamRoute(), nil), Result: NotSent})
 	b.advance(unreachableBackoff)
 	sent := 0
 	for range 20 {
@@ -224,10 +224,10 @@
 	for _, answers := range []bool{false, true} {
 		b, _ := newSlowStartHarness(t, "i0", 1)
 		list := inDomains(servers("llm", 12, 1000), "a", "b")
-		b.tick(Listed{list})
+		b.tick(ServersListed{list})
 		var ids []RequestID
 		for len(ids) < domainLostThreshold {
-			if id := b.arrive(streamRoute(), nil); b.dispatched(id).Server.Zone == "a" {
+			if id := b.arrive(streamRoute(), nil); b.dispatched(id).Server.Domain == "a" {
 				ids = append(ids, id)
 			}
 		}
@@ -235,7 +235,7 @@
 			if answers && i == domainLostThreshold-1 {
 				b.tick(LoadReported{Server: list[10].ID})
 			}
-			b.tick(Ended{Request: id, Result: Broken, Cut: true})
+			b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
 		}
 		cooled := 0
 		for _, s := range b.world.servers {
@@ -253,10 +253,10 @@
 func TestRestartUnderTheSameIDIsCold(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 1, 8)
-	b.tick(Listed{list})
+	b.tick(ServersListed{list})
 	again := servers("llm", 1, 8)
-	again[0].Born = 2
-	b.tick(Listed{again})
+	again[0].StartTime = 2
+	b.tick(ServersListed{again})
 	if s := b.world.servers[list[0].ID]; !s.inSlowStart(b.now) || s.inSlowStart(b.now.Add(testSlowStartDuration)) {
 		t.Errorf("cold until %v", s.slowStart.until)
 	}
--- a/decision/passthrough/subset.go
+++ b/decision/passthrough/subset.go
@@ -41,7 +41,7 @@
 // domain, chosen by the key. An instance that does not know its neighbours is in no subset: it may
 // be one of hundreds.
 func (w *World) inSubset(zone string, key uint64, size int) bool {
-	return w.neighbours.version > 0 && w.subsetDomain(zone, key) == w.cfg.Zone && w.neighbours.position(key) < size
+	return w.neighbours.version > 0 && w.subsetDomain(zone, key) == w.cfg.Domain && w.neighbours.position(key) < size
 }
 
 // subsetDomain is the failure domain of the instances that may send to a server: its own, or one by
--- a/decision/passthrough/tables.go
+++ b/decision/passthrough/tables.go
@@ -10,7 +10,7 @@
 	name    string
 	servers []*server
 	queue   queue
-	budget  *Budget
+	budget  *RetryBudget
 	// throttle bounds what is sent to a plain service.
 	throttle throttle
 	// engine says that it runs models, in batches.
--- a/decision/passthrough/throttle.go
+++ b/decision/passthrough/throttle.go
@@ -100,8 +100,8 @@
 // observeEnd takes in whether a server took the request. A full one turns it away, or resets the
 // connection, and so does one that a request has crashed: a broken connection counts beside
 // another sign of a full service, of the last second.
-func (q *throttle) observeEnd(e Ended, now time.Time) {
-	if e.Result == Rejected || e.Cut && q.rejected.valueAt(now) >= connectionLostThreshold {
+func (q *throttle) observeEnd(e AttemptEnded, now time.Time) {
+	if e.Result == Rejected || e.ConnectionLost && q.rejected.valueAt(now) >= connectionLostThreshold {
 		q.reject(now, 1)
 	}
 }
--- a/decision/passthrough/types.go
+++ b/decision/passthrough/types.go
@@ -7,7 +7,7 @@
 	ID      string
 	Address string
 	Service string
-	Zone    string
+	Domain  string
 	// Version of the server's software, which roll-outs replace.
 	Version string
 	// Slots is how many requests it runs at once; 0 where unknown.
@@ -16,10 +16,10 @@
 	Draining bool
 	// Born is the start of the server's process in Unix milliseconds, 0 where unknown:
 	// a server may start again under its id.
-	Born int64
+	StartTime int64
 	// WarmUp is how much longer the server was to take little after its start when its entry
 	// was written; 0 for one that is warm.
-	WarmUp time.Duration
+	SlowStartRemaining time.Duration
 }
 
 // Load is a backend server's word on itself.
@@ -50,27 +50,27 @@
 	Service string
 	Team    string
 	// Rank is the priority, 0 first.
-	Rank int
+	Priority int
 	// Session is empty where the request belongs to none.
 	Session string
 	// Affinity is a hash of the prompt's part that is shared with other requests; 0
 	// for none.
-	Affinity uint64
+	PrefixHash uint64
 	// SharedTokens is the part of PromptTokens that Affinity stands for.
-	SharedTokens int
+	PrefixTokens int
 	// PromptTokens and MaxTokens size the work; 0 where unknown.
 	PromptTokens int
 	MaxTokens    int
 	// Share places the request in a roll-out: a fraction of 1.
-	Share float64
+	RolloutPosition float64
 	// Fingerprint is a hash of path, caller and body.
 	Fingerprint uint64
 	// Target is when an answer loses a part of its worth, Deadline when it is worth
 	// nothing.
-	Target   time.Time
-	Deadline time.Time
+	TargetTime time.Time
+	Deadline   time.Time
 	// ModelOpen says that the router chooses the model among the route's sizes.
-	ModelOpen bool
+	ChooseModel bool
 }
 
 // Result is how one attempt ended.
@@ -104,7 +104,9 @@
 
 // Ran says whether the request may have run at the backend server. It is the one word on
 // that: what it holds true of must never be refused as not run.
-func (r Result) Ran() bool { return r == Completed || r == Failed || r == Broken || r == Dropped }
+func (r Result) MayHaveRun() bool {
+	return r == Completed || r == Failed || r == Broken || r == Dropped
+}
 
 // Reason says why a request was refused; the text is stable, for callers and logs.
 type Reason string
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -8,7 +8,7 @@
 // Shift sums up by how much a version's answers were slower than the old version's: the
 // logarithms of the ratios, whose mean is told from chance by their spread. Single answers
 // tell little, as times to a first event spread tenfold with the length of prompts.
-type Shift struct {
+type LogRatioStats struct {
 	N       int     `json:"n"`
 	Sum     float64 `json:"sum"`
 	Squares float64 `json:"squares"`
@@ -22,7 +22,7 @@
 const slowRatio = 2.5
 
 // add takes in one logarithm of a ratio.
-func (s *Shift) add(x float64) {
+func (s *LogRatioStats) add(x float64) {
 	s.N++
 	s.Sum += x
 	s.Squares += x * x
@@ -32,20 +32,20 @@
 }
 
 // plus sums two shifts.
-func (s Shift) plus(o Shift) Shift {
-	return Shift{N: s.N + o.N, Sum: s.Sum + o.Sum, Squares: s.Squares + o.Squares, Slow: s.Slow + o.Slow}
+func (s LogRatioStats) plus(o LogRatioStats) LogRatioStats {
+	return LogRatioStats{N: s.N + o.N, Sum: s.Sum + o.Sum, Squares: s.Squares + o.Squares, Slow: s.Slow + o.Slow}
 }
 
 // since is what came since an earlier sum, or nothing where that is not a part of it.
-func (s Shift) since(o Shift) Shift {
+func (s LogRatioStats) since(o LogRatioStats) LogRatioStats {
 	if s.N < o.N {
-		return Shift{}
+		return LogRatioStats{}
 	}
-	return Shift{N: s.N - o.N, Sum: s.Sum - o.Sum, Squares: s.Squares - o.Squares, Slow: s.Slow - o.Slow}
+	return LogRatioStats{N: s.N - o.N, Sum: s.Sum - o.Sum, Squares: s.Squares - o.Squares, Slow: s.Slow - o.Slow}
 }
 
 // slow is the slow ones among the answers.
-func (s Shift) slow() proportion { return proportion{s.Slow, s.N} }
+func (s LogRatioStats) slow() proportion { return proportion{s.Slow, s.N} }
 
 // measure is how a kind of times is judged.
 type timingTest struct {
@@ -77,13 +77,13 @@
 )
 
 // over says whether the mean ratio is above the limit, beyond chance.
-func (m timingTest) exceeds(s Shift) bool { return m.meanAbove(s, -verdictStdErrors) }
+func (m timingTest) exceeds(s LogRatioStats) bool { return m.meanAbove(s, -verdictStdErrors) }
 
 // doubts says whether the mean ratio may well be above the limit.
-func (m timingTest) mayExceed(s Shift) bool { return m.meanAbove(s, doubtStdErrors) }
+func (m timingTest) mayExceed(s LogRatioStats) bool { return m.meanAbove(s, doubtStdErrors) }
 
 // above says whether the mean ratio, with so many standard errors added, is above the limit.
-func (m timingTest) meanAbove(s Shift, errors float64) bool {
+func (m timingTest) meanAbove(s LogRatioStats, errors float64) bool {
 	if s.N < m.minCount {
 		return false
 	}
@@ -101,21 +101,21 @@
 
 // tell takes in the times of an attempt that has ended, and tells of them while a roll-out is
 // in progress.
-func (w *World) observeAttempt(r *request, s *server, e Ended) {
-	o := Observed{Service: r.service.name, Route: r.Route.Name, Version: s.Version, Bad: e.Result == Failed || e.Cut, Cut: e.Cut, Server: s.ID}
+func (w *World) observeAttempt(r *request, s *server, e AttemptEnded) {
+	o := Observation{Service: r.service.name, Route: r.Route.Name, Version: s.Version, Bad: e.Result == Failed || e.ConnectionLost, ConnectionLost: e.ConnectionLost, Server: s.ID}
 	first, at := r.firstByte, r.loadLevel
 	if first == 0 {
 		first, at = w.now.Sub(r.sent), loadLevelOf(s.reported) // it would have been later still
 	}
-	o.First = w.compareWithBaseline(s, w.firstByteBaseline(r), at, first)
+	o.FirstByte = w.compareWithBaseline(s, w.firstByteBaseline(r), at, first)
 	if !r.intervalReported {
-		o.Pace = w.compareWithBaseline(s, r.service.intervals.baseline(r.model), at, e.Pace)
+		o.EventInterval = w.compareWithBaseline(s, r.service.intervals.baseline(r.model), at, e.EventInterval)
 	}
 	w.emitObservation(o)
 }
 
 // observe tells of an answer while a roll-out of its service is in progress.
-func (w *World) emitObservation(o Observed) {
+func (w *World) emitObservation(o Observation) {
 	if ro := w.rollouts[o.Service]; ro != nil && !ro.Phase.Ended() {
 		w.emit(o)
 	}
@@ -125,20 +125,20 @@
 //
 // Load: a version so slow that its streams do not end within the roll-out. Harm prevented:
 // that it is completed since nothing was seen of it: 3 of 28 answers had ended by then.
-func (w *World) observeEventInterval(e Paced) {
+func (w *World) observeEventInterval(e EventIntervalMeasured) {
 	r := w.requests[e.Request]
 	if r == nil || r.server == nil {
 		return
 	}
 	r.intervalReported = true
-	w.emitObservation(Observed{Service: r.service.name, Route: r.Route.Name, Version: r.server.Version, Early: true,
-		Pace: w.compareWithBaseline(r.server, r.service.intervals.baseline(r.model), r.loadLevel, e.Pace)})
+	w.emitObservation(Observation{Service: r.service.name, Route: r.Route.Name, Version: r.server.Version, TimingOnly: true,
+		EventInterval: w.compareWithBaseline(r.server, r.service.intervals.baseline(r.model), r.loadLevel, e.EventInterval)})
 }
 
 // compare sets an answer's time beside what is usual of the old version at like load, and
 // takes it into that if the server has the old version.
-func (w *World) compareWithBaseline(s *server, usual *baselineTimes, at loadLevel, took time.Duration) Shift {
-	var out Shift
+func (w *World) compareWithBaseline(s *server, usual *baselineTimes, at loadLevel, took time.Duration) LogRatioStats {
+	var out LogRatioStats
 	if took <= 0 {
 		return out
 	}
--- a/decision/passthrough/world.go
+++ b/decision/passthrough/world.go
@@ -12,7 +12,7 @@
 	// Seed makes every random choice repeatable.
 	Seed uint64
 	// Zone is the instance's own failure domain, Domains all that have instances.
-	Zone    string
+	Domain  string
 	Domains []string
 	// RetryRatio, RetrySlack and RetryWindow bound repeats at a service: in each window
 	// as many as the ratio times the requests, and this instance's part of the slack,
@@ -21,11 +21,11 @@
 	RetrySlack  float64
 	RetryWindow time.Duration
 	// SessionLife is how long after its last request a session goes on.
-	SessionLife time.Duration
+	SessionTTL time.Duration
 	// WarmUpBurst times a cold server's rate, and WarmUpSlack beside that, is what it may get in
 	// one second from all instances.
-	WarmUpBurst float64
-	WarmUpSlack float64
+	SlowStartBurst float64
+	SlowStartSlack float64
 }
 
 // sessionTable bounds the sessions that are kept.
@@ -118,31 +118,31 @@
 	switch e := e.(type) {
 	case Configured:
 		w.configure(e.Index)
-	case Listed:
+	case ServersListed:
 		w.setServers(e.Servers)
-	case Arrived:
+	case RequestArrived:
 		w.arrive(e.Request)
-	case Left:
+	case RequestCancelled:
 		w.cancel(e.Request)
-	case Waited:
+	case QueueWaitExpired:
 		w.queueWaitExpired(e.Request)
-	case Ended:
+	case AttemptEnded:
 		w.attemptEnded(e)
 	case LoadReported:
 		w.observeLoad(e)
 	case FirstByte:
 		w.observeFirstByte(e)
-	case Paced:
+	case EventIntervalMeasured:
 		w.observeEventInterval(e)
-	case Crashes:
+	case PeerCrashes:
 		w.crashes.record(e.Fingerprint, e.Count, w.now)
-	case Fleet:
+	case FleetSize:
 		w.setFleetSize(e.Instances)
-	case SessionsOpen:
+	case PeerSessions:
 		w.keepOnOldVersion(e.Sessions)
 	case Stopping:
 		w.endsAt = e.At
-	case Drained:
+	case DomainsDrained:
 		w.setDrained(e.Domains)
 	case Neighbours:
 		w.setNeighbours(e)
@@ -150,7 +150,7 @@
 		w.applyPeerLoads(e)
 	case PeerLimits:
 		w.applyPeerLimits(e.Limits)
-	case RolloutSet:
+	case RolloutUpdated:
 		w.setRollout(e.Rollout)
 	}
 }
@@ -172,7 +172,7 @@
 }
 
 // Streams is the number of streams that wait or run.
-func (w *World) Streams() int {
+func (w *World) StreamCount() int {
 	count := 0
 	for _, r := range w.requests {
 		if r.Route.Kind == KindStream {
@@ -184,7 +184,7 @@
 
 // Waiting is the number of requests in the queues, and Running of those at backend
 // servers.
-func (w *World) Waiting() (waiting, running int) {
+func (w *World) RequestCounts() (waiting, running int) {
 	for _, r := range w.requests {
 		if r.queued {
 			waiting++
--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -74,7 +74,7 @@
 		fx.Provide(
 			func() *logging.Async { return logging.NewAsync(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
-			func(c Clock) *Knowledge { return NewKnowledge(c, cfg.Bounds.Revoke) },
+			func(c Clock) *Knowledge { return NewKnowledge(c, cfg.Bounds.RevocationDelay) },
 			func(l *logging.Logger, c Clock, k *Knowledge, reg gometrics.Registry) *journal {
 				return &journal{log: l, clock: c, known: k, reg: reg}
 			},
@@ -96,10 +96,10 @@
 func provideDriver(c Clock, cfg seam.Settings) *Driver {
 	const seedShift = 20
 	return NewDriver(c, passthrough.Settings{
-		Seed: hashOf(cfg.Instance) ^ uint64(c.Now().UnixNano()>>seedShift), Zone: cfg.Zone,
+		Seed: hashOf(cfg.Instance) ^ uint64(c.Now().UnixNano()>>seedShift), Domain: cfg.Domain,
 		RetryRatio: ratioPart * cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack,
-		RetryWindow: cfg.Bounds.RetryWindow, SessionLife: cfg.Bounds.SessionLife,
-		Domains: cfg.Zones, WarmUpBurst: cfg.Bounds.WarmUpBurst, WarmUpSlack: cfg.Bounds.WarmUpSlack,
+		RetryWindow: cfg.Bounds.RetryWindow, SessionTTL: cfg.Bounds.SessionTTL,
+		Domains: cfg.Domains, SlowStartBurst: cfg.Bounds.SlowStartBurst, SlowStartSlack: cfg.Bounds.SlowStartSlack,
 	})
 }
 
@@ -112,7 +112,7 @@
 	b.held = func() []keyedlog.Record { return sh.take(topicObservations) }
 	b.fleet = sh.members.Count
 	sh.wake = b.nudge
-	sh.counted = func(n int) { d.Tell(passthrough.Fleet{Instances: n}) }
+	sh.counted = func(n int) { d.Tell(passthrough.FleetSize{Instances: n}) }
 	sh.neighbours = func(names []string) { d.Tell(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
@@ -138,13 +138,13 @@
 }
 
 func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *list, b *observationStore, j *journal, c Clock) *rollouts {
-	m := newRollouts(p.Records, p.Store.Status(), d, l, b, j, c, passthrough.Exposure{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
+	m := newRollouts(p.Records, p.Store.Status(), d, l, b, j, c, passthrough.ExposureLimit{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
 	m.writes = sh.status.Direct
 	return m
 }
 
 func provideEdge(p Platform, cfg seam.Settings, k *Knowledge, d *Driver, dial *dialer, c Clock, j *journal, st *starting) *Edge {
-	return &Edge{headers: p.Headers, known: k, driver: d, dialer: dial, clock: c, journal: j, starting: st, stopping: &stopping{}, conns: newCallerConns(cfg.Files)}
+	return &Edge{headers: p.Headers, known: k, driver: d, dialer: dial, clock: c, journal: j, starting: st, stopping: &stopping{}, conns: newCallerConns(cfg.MaxFiles)}
 }
 
 func provideServer(cfg seam.Settings, e *Edge, k *Knowledge, d *Driver, j *journal, reg gometrics.Registry, out *logging.Async) *server {
@@ -157,7 +157,7 @@
 	s.failed = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // it fails only where the stop has begun
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			s.journal.emit(logging.EventStart, slog.String("zone", s.settings.Zone))
+			s.journal.emit(logging.EventStart, slog.String("zone", s.settings.Domain))
 			return s.start(readyPath, metrics)
 		},
 		OnStop: func(context.Context) error {
@@ -174,7 +174,7 @@
 	op := &operator{
 		records: p.Records, known: k, driver: d, rollouts: m, journal: j, starting: st,
 		clock: c, trust: trust,
-		drained: map[string]bool{}, ordered: map[string]bool{}, kept: map[string]bool{}, domains: cfg.Zones,
+		drained: map[string]bool{}, ordered: map[string]bool{}, kept: map[string]bool{}, domains: cfg.Domains,
 		collects: sh.server.Collects, direct: sh.operator.Direct,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -219,8 +219,8 @@
 			return
 		}
 		cfg = now
-		k.SetBound(now.Bounds.Revoke)
-		j.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.Revoke.Milliseconds()))
+		k.SetBound(now.Bounds.RevocationDelay)
+		j.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.RevocationDelay.Milliseconds()))
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -157,7 +157,7 @@
 	if said.HasLoad {
 		out.load = &said.Load
 	}
-	if said.Attempt == a.exchange.call.caller.Attempt && tellsLimit(resp.StatusCode, said) {
+	if said.RequestID == a.exchange.call.caller.RequestID && tellsLimit(resp.StatusCode, said) {
 		out.limit = &said.Limit
 	}
 	return out
@@ -165,15 +165,15 @@
 
 // tellsLimit says whether an answer tells of the server's rate limit, or that it has none. That it
 // has none only a success tells: what writes a refusal or a failure may not know.
-func tellsLimit(status int, said seam.Answer) bool {
+func tellsLimit(status int, said seam.Response) bool {
 	if said.Misdirected {
 		return false
 	}
 	return said.Limit.Limited || said.Signed && status < http.StatusMultipleChoices
 }
 
-func (a *attempt) classify(resp *http.Response, said seam.Answer) outcome {
-	if said.Attempt != a.exchange.call.caller.Attempt && !said.Misdirected {
+func (a *attempt) classify(resp *http.Response, said seam.Response) outcome {
+	if said.RequestID != a.exchange.call.caller.RequestID && !said.Misdirected {
 		return outcome{result: passthrough.Broken, err: errWrongAttempt}
 	}
 	if said.NotRun {
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -17,7 +17,7 @@
 
 func (noHeaders) ReadCaller(http.Header) seam.Caller                     { return seam.Caller{} }
 func (noHeaders) WriteAttempt(h http.Header, _ seam.Attempt) http.Header { return h }
-func (noHeaders) ReadAnswer(int, http.Header) seam.Answer                { return seam.Answer{} }
+func (noHeaders) ReadAnswer(int, http.Header) seam.Response              { return seam.Response{} }
 func (noHeaders) AnswerHeaders(h http.Header) http.Header                { return h }
 
 // TestConnectionsAreNotKeptWhereDescriptorsRunOut opens one connection after the other, as
--- a/router/internal/passthrough/crashnotes.go
+++ b/router/internal/passthrough/crashnotes.go
@@ -15,7 +15,7 @@
 )
 
 // crashed counts a crash. It must not block: the driver calls it.
-func (b *observationStore) crashed(c passthrough.CrashSeen) {
+func (b *observationStore) crashed(c passthrough.CrashSuspected) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.crash) < mostCrashes {
--- a/router/internal/passthrough/cuts.go
+++ b/router/internal/passthrough/cuts.go
@@ -26,7 +26,7 @@
 // Harm prevented: a good version taken back, since eight answers that broke with three servers
 // passed for eight failures of eighty. All that one server cuts off at about the same time counts
 // as one failure, whoever saw it; a version that cuts off answers again and again is still told.
-func (s *observationSet) noteCut(o passthrough.Observed) {
+func (s *observationSet) noteCut(o passthrough.Observation) {
 	key := cutKey(o.Server, s.ElapsedMS)
 	list := s.Cuts[o.Route]
 	if len(list) >= cutsMost || slices.Contains(list, key) {
@@ -54,7 +54,7 @@
 }
 
 // count adds each crash to the new version's bad answers.
-func (c cuts) count(sums map[string]passthrough.Pair) {
+func (c cuts) count(sums map[string]passthrough.VersionCounts) {
 	for route, keys := range c {
 		pair := sums[route]
 		pair.New.Bad += len(keys)
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/cuts_test.go
@@ -21,7 +21,7 @@
 // look takes stock of the roll-out, and returns what all instances saw.
 func (p *parts) look() view { return p.observations.view(p.rollouts.open["shop"], p.clock.Now()) }
 
-func (p *parts) sees(version string, o passthrough.Observed) {
+func (p *parts) sees(version string, o passthrough.Observation) {
 	o.Service, o.Route, o.Version = "shop", "r", version
 	p.observations.observed(o)
 }
@@ -40,12 +40,12 @@
 	a, b := startedRollout(t, "a", clock), startedRollout(t, "b", clock)
 	for _, p := range []*parts{a, b} {
 		for range 36 {
-			p.sees("v2", passthrough.Observed{})
-			p.sees("v1", passthrough.Observed{})
+			p.sees("v2", passthrough.Observation{})
+			p.sees("v1", passthrough.Observation{})
 		}
 		for server := range 3 {
 			for range 4 {
-				p.sees("v2", passthrough.Observed{Bad: true, Cut: true, Server: fmt.Sprint("s", server)})
+				p.sees("v2", passthrough.Observation{Bad: true, ConnectionLost: true, Server: fmt.Sprint("s", server)})
 			}
 		}
 	}
@@ -62,9 +62,9 @@
 	a := startedRollout(t, "a", clock)
 	for i := range 30 {
 		clock.pass(time.Second)
-		a.sees("v1", passthrough.Observed{})
-		a.sees("v2", passthrough.Observed{})
-		a.sees("v2", passthrough.Observed{Bad: true, Cut: true, Server: fmt.Sprint("s", i%3)})
+		a.sees("v1", passthrough.Observation{})
+		a.sees("v2", passthrough.Observation{})
+		a.sees("v2", passthrough.Observation{Bad: true, ConnectionLost: true, Server: fmt.Sprint("s", i%3)})
 		if a.look().bad {
 			return
 		}
@@ -76,9 +76,9 @@
 func TestFailuresCountEach(t *testing.T) {
 	a := startedRollout(t, "a", newFakeClock())
 	for range 7 {
-		a.sees("v2", passthrough.Observed{Bad: true, Server: "s"})
-		a.sees("v2", passthrough.Observed{})
-		a.sees("v1", passthrough.Observed{})
+		a.sees("v2", passthrough.Observation{Bad: true, Server: "s"})
+		a.sees("v2", passthrough.Observation{})
+		a.sees("v1", passthrough.Observation{})
 	}
 	if v := a.look(); v.fresh.Bad != 7 || !v.bad {
 		t.Errorf("%d bad answers, bad %v", v.fresh.Bad, v.bad)
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -24,7 +24,7 @@
 		event = logging.EventDomainDrained
 		o.drained[domain] = true
 	}
-	o.driver.Tell(passthrough.Drained{Domains: slices.Sorted(maps.Keys(o.drained))})
+	o.driver.Tell(passthrough.DomainsDrained{Domains: slices.Sorted(maps.Keys(o.drained))})
 	o.journal.gauge("drained_domains", len(o.drained))
 	o.journal.emit(event, slog.String("domain", domain), slog.Uint64("offset", offset),
 		slog.Bool("known", slices.Contains(o.domains, domain)))
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -13,10 +13,10 @@
 	// hurry asks for the list of backend servers to be read at once.
 	hurry func()
 	// observe and crash tell the other instances, cooled and limited the log.
-	observe func(passthrough.Observed)
-	crash   func(passthrough.CrashSeen)
-	cooled  func(passthrough.Cooled)
-	limited func(passthrough.LimitChanged)
+	observe func(passthrough.Observation)
+	crash   func(passthrough.CrashSuspected)
+	cooled  func(passthrough.SlowStartBegun)
+	limited func(passthrough.RateLimitChanged)
 
 	mu      sync.Mutex
 	world   *passthrough.World
@@ -38,8 +38,8 @@
 func NewDriver(clock Clock, cfg passthrough.Settings) *Driver {
 	return &Driver{
 		clock: clock, world: passthrough.New(cfg), tickets: map[passthrough.RequestID]*ticket{},
-		hurry: func() {}, observe: func(passthrough.Observed) {}, crash: func(passthrough.CrashSeen) {},
-		cooled: func(passthrough.Cooled) {}, limited: func(passthrough.LimitChanged) {},
+		hurry: func() {}, observe: func(passthrough.Observation) {}, crash: func(passthrough.CrashSuspected) {},
+		cooled: func(passthrough.SlowStartBegun) {}, limited: func(passthrough.RateLimitChanged) {},
 	}
 }
 
@@ -51,7 +51,7 @@
 	t := &ticket{id: d.lastID, commands: make(chan passthrough.Command, ticketRoom)}
 	d.tickets[t.id] = t
 	r.ID = t.id
-	d.tick(passthrough.Arrived{Request: r})
+	d.tick(passthrough.RequestArrived{Request: r})
 	return t
 }
 
@@ -59,7 +59,7 @@
 func (d *Driver) close(t *ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tick(passthrough.Left{Request: t.id})
+	d.tick(passthrough.RequestCancelled{Request: t.id})
 	delete(d.tickets, t.id)
 }
 
@@ -94,21 +94,21 @@
 func (d *Driver) bar(t *ticket) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.world.Bar(t.id)
+	return d.world.ConfidenceThreshold(t.id)
 }
 
 // Load counts the requests that wait and that run.
 func (d *Driver) Load() (waiting, running int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.world.Waiting()
+	return d.world.RequestCounts()
 }
 
 // Streams counts the streams that wait or run.
 func (d *Driver) Streams() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.world.Streams()
+	return d.world.StreamCount()
 }
 
 func (d *Driver) tick(events ...passthrough.Event) {
@@ -120,15 +120,15 @@
 			d.give(c.Request, c)
 		case passthrough.Finish:
 			d.give(c.Request, c)
-		case passthrough.Observed:
+		case passthrough.Observation:
 			d.observe(c)
-		case passthrough.CrashSeen:
+		case passthrough.CrashSuspected:
 			d.crash(c)
-		case passthrough.Suspect:
+		case passthrough.RefreshServers:
 			d.hurry()
-		case passthrough.Cooled:
+		case passthrough.SlowStartBegun:
 			d.cooled(c)
-		case passthrough.LimitChanged:
+		case passthrough.RateLimitChanged:
 			d.limited(c)
 		}
 	}
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -103,8 +103,8 @@
 		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonStopping, retrySoon}
 	}
 	wait := route.Timeout
-	if c.caller.Wait > 0 {
-		wait = min(wait, c.caller.Wait)
+	if c.caller.Timeout > 0 {
+		wait = min(wait, c.caller.Timeout)
 	}
 	c.deadline = e.stopping.bound(c.arrived.Add(wait))
 	return nil
@@ -146,7 +146,7 @@
 
 // readBody reads the body whole: a request that is to run again must be at hand.
 func (e *Edge) readBody(w http.ResponseWriter, c *call) *refusal {
-	if c.caller.Attempt == "" {
+	if c.caller.RequestID == "" {
 		return &refusal{status: http.StatusBadRequest, reason: reasonNoAttemptID}
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, c.request.Body, c.maxBody))
@@ -207,20 +207,20 @@
 	}
 	place := c.caller.Session
 	if place == "" {
-		place = c.caller.Attempt
+		place = c.caller.RequestID
 	}
 	r := passthrough.Request{
-		Route: c.route, Service: c.route.Pick(fraction("service" + c.caller.Attempt)),
-		Team: team, Rank: passthrough.Rank(c.team, c.route), Session: c.caller.Session,
+		Route: c.route, Service: c.route.PickService(fraction("service" + c.caller.RequestID)),
+		Team: team, Priority: passthrough.EffectivePriority(c.team, c.route), Session: c.caller.Session,
 		PromptTokens: c.caller.PromptTokens, MaxTokens: c.caller.MaxTokens,
-		Share:       fraction("roll-out" + place),
-		Fingerprint: hashOf(c.path, c.caller.Key, string(c.body)),
-		Target:      c.arrived.Add(c.route.Target), Deadline: c.deadline,
-		ModelOpen: c.caller.ModelOpen && len(c.route.Sizes) > 0,
-	}
-	if c.caller.Subject != "" {
-		r.Affinity = hashOf(c.caller.Subject)
-		r.SharedTokens = c.caller.SubjectTokens
+		RolloutPosition: fraction("roll-out" + place),
+		Fingerprint:     hashOf(c.path, c.caller.Key, string(c.body)),
+		TargetTime:      c.arrived.Add(c.route.TargetLatency), Deadline: c.deadline,
+		ChooseModel: c.caller.ChooseModel && len(c.route.Models) > 0,
+	}
+	if c.caller.Prefix != "" {
+		r.PrefixHash = hashOf(c.caller.Prefix)
+		r.PrefixTokens = c.caller.PrefixTokens
 	}
 	return r
 }
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -32,16 +32,16 @@
 	left := c.deadline.Sub(e.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(left, 0))
 	defer cancel()
-	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{last: c.caller.LastEvent}}
+	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{last: c.caller.LastEventID}}
 	r := c.describe()
 	x.ticket = e.driver.open(r)
 	defer e.driver.close(x.ticket)
-	x.patience = time.AfterFunc(passthrough.MaxWait(&r, e.clock.Now()), func() {
-		e.driver.Tell(passthrough.Waited{Request: x.ticket.id})
+	x.patience = time.AfterFunc(passthrough.MaxQueueWait(&r, e.clock.Now()), func() {
+		e.driver.Tell(passthrough.QueueWaitExpired{Request: x.ticket.id})
 	})
 	defer x.patience.Stop()
 	for !x.step() {
-		x.patience.Reset(passthrough.MaxWait(&r, e.clock.Now()))
+		x.patience.Reset(passthrough.MaxQueueWait(&r, e.clock.Now()))
 	}
 }
 
@@ -153,7 +153,7 @@
 	a := x.attempt(d)
 	out := a.run(x.ctx)
 	x.edge.journal.attempted(x.call, d, out)
-	x.ran = x.ran || out.result.Ran()
+	x.ran = x.ran || out.result.MayHaveRun()
 	if out.load != nil && !out.stream {
 		x.edge.driver.Tell(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
 	}
@@ -162,16 +162,16 @@
 		limit = nil
 	}
 	if x.ctx.Err() != nil && out.result != passthrough.Completed {
-		x.edge.driver.Tell(passthrough.Ended{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
+		x.edge.driver.Tell(passthrough.AttemptEnded{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
 		x.expired()
 		return true
 	}
 	if out.answer != nil {
 		x.last = out.answer
 	}
-	x.edge.driver.Tell(passthrough.Ended{
+	x.edge.driver.Tell(passthrough.AttemptEnded{
 		Request: x.ticket.id, Result: out.result, Begun: x.stream.begun,
-		Misdirected: out.misdirected, Leaving: out.leaving, Cut: out.cut, Pace: out.pace,
+		Misdirected: out.misdirected, Leaving: out.leaving, ConnectionLost: out.cut, EventInterval: out.pace,
 		Confidence: out.confidence, Limit: limit,
 	})
 	if out.result != passthrough.Completed {
@@ -204,10 +204,10 @@
 	}
 	now := x.edge.clock.Now()
 	return &attempt{
-		exchange: x, server: d.Server, began: now, patience: d.Patience,
+		exchange: x, server: d.Server, began: now, patience: d.FirstByteTimeout,
 		header: x.edge.headers.WriteAttempt(c.request.Header, seam.Attempt{
-			Server: d.Server.ID, Team: team, Left: c.deadline.Sub(now), Model: d.Model,
-			Priority: passthrough.Rank(c.team, c.route), LastEvent: after,
+			Server: d.Server.ID, Team: team, Remaining: c.deadline.Sub(now), Model: d.Model,
+			Priority: passthrough.EffectivePriority(c.team, c.route), LastEventID: after,
 		}),
 	}
 }
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -163,7 +163,7 @@
 }
 
 func (fakeRecords) Server(r keyedlog.Record) (passthrough.Server, error) {
-	s := passthrough.Server{ID: r.Key, Address: "127.0.0.1:1", Slots: 4, Born: 1}
+	s := passthrough.Server{ID: r.Key, Address: "127.0.0.1:1", Slots: 4, StartTime: 1}
 	state := ""
 	_, err := fmt.Sscanf(string(r.Value), "server %s %s %s", &s.Service, &s.Version, &state)
 	s.Draining = state == "draining"
@@ -200,12 +200,12 @@
 	p := &parts{clock: clock}
 	p.known = NewKnowledge(clock, 5*time.Second)
 	p.journal = &journal{clock: clock, known: p.known, reg: metrics.NewRegistry()}
-	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
+	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
 	p.observations = newObservationStore(name, observations, p.driver, p.journal, clock)
 	p.driver.observe, p.driver.crash = p.observations.observed, p.observations.crashed
 	p.list = newList(fakeRecords{}, p.driver, newDialer(clock), p.journal, clock, 2*time.Second, newStarting())
 	p.rollouts = newRollouts(fakeRecords{}, status, p.driver, p.list, p.observations, p.journal, clock,
-		passthrough.Exposure{Share: 0.15, Tolerance: 30})
+		passthrough.ExposureLimit{Share: 0.15, Tolerance: 30})
 	p.operator = &operator{records: fakeRecords{}, known: p.known, driver: p.driver, rollouts: p.rollouts, journal: p.journal, starting: newStarting(),
 		clock:   clock,
 		trust:   &configTrust{clock: clock, known: p.known},
--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -104,11 +104,11 @@
 		return
 	}
 	if s.Crash != 0 {
-		b.driver.Tell(passthrough.Crashes{Fingerprint: s.Crash, Count: s.Times})
+		b.driver.Tell(passthrough.PeerCrashes{Fingerprint: s.Crash, Count: s.Times})
 		return
 	}
 	if len(s.Sessions) > 0 {
-		b.driver.Tell(passthrough.SessionsOpen{Sessions: s.Sessions})
+		b.driver.Tell(passthrough.PeerSessions{Sessions: s.Sessions})
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -82,16 +82,16 @@
 func runQuarantine(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	clock, observations := newFakeClock(), &fakeLog{}
-	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 1, Timeout: time.Second, Target: time.Second}
+	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 1, Timeout: time.Second, TargetLatency: time.Second}
 	var fleet []*parts
 	var tails []*topicReader
 	for i := range 4 {
 		p := newParts(fmt.Sprint("instance-", i), clock, &fakeLog{}, observations)
 		var list []passthrough.Server
 		for n := range 30 {
-			list = append(list, passthrough.Server{ID: fmt.Sprint("s", n), Address: "127.0.0.1:1", Service: "shop", Slots: 50, Born: 1})
+			list = append(list, passthrough.Server{ID: fmt.Sprint("s", n), Address: "127.0.0.1:1", Service: "shop", Slots: 50, StartTime: 1})
 		}
-		p.driver.Tell(passthrough.Listed{Servers: list}, passthrough.Fleet{Instances: 4})
+		p.driver.Tell(passthrough.ServersListed{Servers: list}, passthrough.FleetSize{Instances: 4})
 		tl := p.observations.reader(clock, p.rollouts.active)
 		if err := tl.once(t.Context()); err != nil {
 			t.Fatal(err)
@@ -99,10 +99,10 @@
 		fleet, tails = append(fleet, p), append(tails, tl)
 	}
 	// send sends a request at some instance and ends it as given; it says whether it ran.
-	send := func(fingerprint uint64, end passthrough.Ended) bool {
+	send := func(fingerprint uint64, end passthrough.AttemptEnded) bool {
 		d := fleet[rng.IntN(len(fleet))].driver
 		tk := d.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: fingerprint,
-			Deadline: clock.Now().Add(time.Second), Target: clock.Now().Add(time.Second)})
+			Deadline: clock.Now().Add(time.Second), TargetTime: clock.Now().Add(time.Second)})
 		defer d.close(tk)
 		if _, ran := (<-tk.commands).(passthrough.Dispatch); !ran {
 			return false
@@ -111,7 +111,7 @@
 		d.Tell(end)
 		return true
 	}
-	crash := passthrough.Ended{Result: passthrough.Broken, Cut: true}
+	crash := passthrough.AttemptEnded{Result: passthrough.Broken, ConnectionLost: true}
 	crashes, late := 0, 0
 	for range 60 {
 		clock.pass(time.Duration(rng.IntN(120)) * time.Millisecond)
@@ -138,7 +138,7 @@
 		unlucky := uint64(100 + rng.IntN(5))
 		if rng.IntN(3) == 0 {
 			send(unlucky, crash)
-			send(unlucky, passthrough.Ended{Result: passthrough.Completed})
+			send(unlucky, passthrough.AttemptEnded{Result: passthrough.Completed})
 		}
 	}
 	if late > 0 {
@@ -147,7 +147,7 @@
 	if crashes > 3 {
 		t.Errorf("%d servers crashed", crashes)
 	}
-	if !send(999, passthrough.Ended{Result: passthrough.Completed}) {
+	if !send(999, passthrough.AttemptEnded{Result: passthrough.Completed}) {
 		t.Error("another request was shut out")
 	}
 }
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -37,7 +37,7 @@
 // which age, it was decided.
 func (j *journal) about(c *call, more ...slog.Attr) []slog.Attr {
 	out := make([]slog.Attr, 0, 6+len(more))
-	out = append(out, slog.String(keyRequest, c.caller.Attempt))
+	out = append(out, slog.String(keyRequest, c.caller.RequestID))
 	if c.route != nil {
 		out = append(out, slog.String(keyRoute, c.route.Name))
 	}
@@ -75,10 +75,10 @@
 }
 
 // cooled tells that servers are taken for cold. The driver calls it, so it must not block.
-func (j *journal) cooled(c passthrough.Cooled) {
-	j.count("cooled." + string(c.Why))
+func (j *journal) cooled(c passthrough.SlowStartBegun) {
+	j.count("cooled." + string(c.Cause))
 	j.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
-		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.For.Milliseconds()), slog.String(keyReason, string(c.Why)))
+		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.Duration.Milliseconds()), slog.String(keyReason, string(c.Cause)))
 }
 
 // stateKept tells of what is kept though a restored store says otherwise.
@@ -88,7 +88,7 @@
 }
 
 // limitChanged tells of a server's rate limit. The driver calls it, so it must not block.
-func (j *journal) limitChanged(c passthrough.LimitChanged) {
+func (j *journal) limitChanged(c passthrough.RateLimitChanged) {
 	if !c.Limit.Limited {
 		j.count("limit_ended")
 		j.emit(logging.EventServerUnlimited, slog.String(keyServer, c.Server), slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
@@ -123,8 +123,8 @@
 		slog.Int64("first_ms", out.first.Milliseconds()))
 	if d.Model != "" {
 		attrs = append(attrs, slog.String("model", d.Model), slog.Float64("confidence", out.confidence), slog.Float64("bar", math.Round(100*out.bar)/100),
-			slog.Float64("taken", math.Round(100*d.Taken)/100),
-			slog.Int64("wait_ms", d.Wait.Milliseconds()), slog.Int64("mean_wait_ms", d.MeanWait.Milliseconds()), slog.Float64("repeats_left", math.Round(d.Repeats)),
+			slog.Float64("taken", math.Round(100*d.Utilization)/100),
+			slog.Int64("wait_ms", d.PrefillWait.Milliseconds()), slog.Int64("mean_wait_ms", d.MeanPrefillWait.Milliseconds()), slog.Float64("repeats_left", math.Round(d.RetriesLeft)),
 			slog.Int("prompt_tokens", c.caller.PromptTokens), slog.Int("most_tokens", c.caller.MaxTokens))
 	}
 	if d.Limit.Limited {
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -251,7 +251,7 @@
 		out = append(out, s)
 	}
 	slices.SortFunc(out, func(a, b passthrough.Server) int { return cmp.Compare(a.ID, b.ID) })
-	l.driver.Tell(passthrough.Listed{Servers: out})
+	l.driver.Tell(passthrough.ServersListed{Servers: out})
 	l.dialer.forget(func(id string) bool { _, ok := l.entries[id]; return ok })
 }
 
--- a/router/internal/passthrough/list_restore.go
+++ b/router/internal/passthrough/list_restore.go
@@ -35,7 +35,7 @@
 			delete(l.tombstones, id)
 		}
 	}
-	l.tombstones[s.ID] = tombstone{s.Born, now}
+	l.tombstones[s.ID] = tombstone{s.StartTime, now}
 }
 
 // restored notes that the store came back from a copy.
@@ -53,11 +53,11 @@
 // reconcile merges an entry of a copy with what is known of the server: one that leaves still does, and
 // one that had left must write again, for which ok is false. The lock is held.
 func (l *list) reconcile(s passthrough.Server, offset uint64) (out passthrough.Server, ok bool) {
-	if old, known := l.entries[s.ID]; known && old.Born == s.Born {
+	if old, known := l.entries[s.ID]; known && old.StartTime == s.StartTime {
 		s.Draining = s.Draining || old.Draining
 		return s, true
 	}
-	if t, left := l.tombstones[s.ID]; left && t.born == s.Born {
+	if t, left := l.tombstones[s.ID]; left && t.born == s.StartTime {
 		l.unconfirmed[s.ID] = unconfirmedEntry{s, offset, l.clock.Now().Add(confirmAfter)}
 		l.journal.stateKept("server", s.ID, "it had left")
 		return s, false
--- a/router/internal/passthrough/observationrow.go
+++ b/router/internal/passthrough/observationrow.go
@@ -12,7 +12,7 @@
 // observationRow is a route's counts as they are written into an observation set: what is judged by, as whole
 // numbers in a fixed order. Hundreds of instances read the observations of all: written out with names
 // and all digits, 295 of them were 0.6 MB, which took the links of collectors a second.
-type observationRow passthrough.Pair
+type observationRow passthrough.VersionCounts
 
 // observationUnits is how many parts of one a sum of logarithms is rounded to.
 const observationUnits = 1000
@@ -28,9 +28,9 @@
 	fresh, old := r.New, r.Old
 	return json.Marshal([rowLength]int64{
 		int64(fresh.Good), int64(fresh.Bad),
-		int64(fresh.First.N), units(fresh.First.Sum), units(fresh.First.Squares),
-		int64(fresh.Pace.N), units(fresh.Pace.Sum), units(fresh.Pace.Squares), int64(fresh.Pace.Slow),
-		int64(old.Good), int64(old.Bad), int64(old.Pace.N), int64(old.Pace.Slow),
+		int64(fresh.FirstByte.N), units(fresh.FirstByte.Sum), units(fresh.FirstByte.Squares),
+		int64(fresh.EventInterval.N), units(fresh.EventInterval.Sum), units(fresh.EventInterval.Squares), int64(fresh.EventInterval.Slow),
+		int64(old.Good), int64(old.Bad), int64(old.EventInterval.N), int64(old.EventInterval.Slow),
 	})
 }
 
@@ -45,12 +45,12 @@
 	}
 	r.New = passthrough.Counts{
 		Good: int(in[0]), Bad: int(in[1]),
-		First: passthrough.Shift{N: int(in[2]), Sum: fromUnits(in[3]), Squares: fromUnits(in[4])},
-		Pace:  passthrough.Shift{N: int(in[5]), Sum: fromUnits(in[6]), Squares: fromUnits(in[7]), Slow: int(in[8])},
+		FirstByte:     passthrough.LogRatioStats{N: int(in[2]), Sum: fromUnits(in[3]), Squares: fromUnits(in[4])},
+		EventInterval: passthrough.LogRatioStats{N: int(in[5]), Sum: fromUnits(in[6]), Squares: fromUnits(in[7]), Slow: int(in[8])},
 	}
 	r.Old = passthrough.Counts{
 		Good: int(in[9]), Bad: int(in[10]),
-		Pace: passthrough.Shift{N: int(in[11]), Slow: int(in[12])},
+		EventInterval: passthrough.LogRatioStats{N: int(in[11]), Slow: int(in[12])},
 	}
 	return nil
 }
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -13,9 +13,9 @@
 func busyRow() observationRow {
 	return observationRow{
 		New: passthrough.Counts{Good: 120, Bad: 7,
-			First: passthrough.Shift{N: 127, Sum: -61.5271, Squares: 204.33391},
-			Pace:  passthrough.Shift{N: 101, Sum: 55.25, Squares: 91.118, Slow: 19}},
-		Old: passthrough.Counts{Good: 4021, Bad: 55, Pace: passthrough.Shift{N: 3320, Slow: 41}},
+			FirstByte:     passthrough.LogRatioStats{N: 127, Sum: -61.5271, Squares: 204.33391},
+			EventInterval: passthrough.LogRatioStats{N: 101, Sum: 55.25, Squares: 91.118, Slow: 19}},
+		Old: passthrough.Counts{Good: 4021, Bad: 55, EventInterval: passthrough.LogRatioStats{N: 3320, Slow: 41}},
 	}
 }
 
@@ -29,10 +29,10 @@
 	if err := json.Unmarshal(text, &out); err != nil {
 		t.Fatal(err)
 	}
-	if math.Abs(out.New.First.Sum-in.New.First.Sum) > 1.0/observationUnits || math.Abs(out.New.Pace.Squares-in.New.Pace.Squares) > 1.0/observationUnits {
+	if math.Abs(out.New.FirstByte.Sum-in.New.FirstByte.Sum) > 1.0/observationUnits || math.Abs(out.New.EventInterval.Squares-in.New.EventInterval.Squares) > 1.0/observationUnits {
 		t.Errorf("sums of %+v became %+v", in.New, out.New)
 	}
-	out.New.First, in.New.First, out.New.Pace, in.New.Pace = passthrough.Shift{}, passthrough.Shift{}, passthrough.Shift{N: out.New.Pace.N, Slow: out.New.Pace.Slow}, passthrough.Shift{N: in.New.Pace.N, Slow: in.New.Pace.Slow}
+	out.New.FirstByte, in.New.FirstByte, out.New.EventInterval, in.New.EventInterval = passthrough.LogRatioStats{}, passthrough.LogRatioStats{}, passthrough.LogRatioStats{N: out.New.EventInterval.N, Slow: out.New.EventInterval.Slow}, passthrough.LogRatioStats{N: in.New.EventInterval.N, Slow: in.New.EventInterval.Slow}
 	if out != in {
 		t.Errorf("%+v became %+v", in, out)
 	}
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -71,11 +71,11 @@
 		b.nudge()
 	}
 	out := view{elapsed: now.Sub(r.since)}
-	sums, crashes := map[string]passthrough.Pair{}, cuts{}
+	sums, crashes := map[string]passthrough.VersionCounts{}, cuts{}
 	add := func(s *observationSet) {
 		crashes.add(s.Cuts)
 		for route, row := range s.Routes {
-			sums[route] = sums[route].Plus(passthrough.Pair(row))
+			sums[route] = sums[route].Plus(passthrough.VersionCounts(row))
 		}
 	}
 	add(own)
@@ -84,9 +84,9 @@
 		out.elapsed = max(out.elapsed, time.Duration(s.ElapsedMS)*time.Millisecond+now.Sub(s.readAt))
 	}
 	crashes.count(sums)
-	all := passthrough.Total(sums)
+	all := passthrough.SumRoutes(sums)
 	out.fresh, out.old = all.New, all.Old
-	out.bad = own.evidence.Bad(now, sums)
+	out.bad = own.evidence.Evaluate(now, sums)
 	own.ElapsedMS = out.elapsed.Milliseconds()
 	return out
 }
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -75,18 +75,18 @@
 }
 
 // observed counts an answer. It must not block: the driver calls it.
-func (b *observationStore) observed(o passthrough.Observed) {
+func (b *observationStore) observed(o passthrough.Observation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.own[o.Service]
 	if s == nil {
 		return
 	}
-	if o.Cut && o.Version == s.Target {
+	if o.ConnectionLost && o.Version == s.Target {
 		s.noteCut(o)
-		o.Early = true // its times count, and the crash by itself
+		o.TimingOnly = true // its times count, and the crash by itself
 	}
-	s.Routes[o.Route] = observationRow(passthrough.Pair(s.Routes[o.Route]).Add(o, s.Target))
+	s.Routes[o.Route] = observationRow(passthrough.VersionCounts(s.Routes[o.Route]).Add(o, s.Target))
 	s.dirty = s.dirty || o.Version == s.Target
 }
 
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		a.observations.crashed(passthrough.CrashSeen{Fingerprint: 9})
+		a.observations.crashed(passthrough.CrashSuspected{Fingerprint: 9})
 	}
 	if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.due()...); err != nil {
 		t.Fatal(err)
@@ -24,8 +24,8 @@
 	if err := tl.once(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, Target: time.Second}
-	tk := b.driver.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: 9, Deadline: clock.Now().Add(time.Second), Target: clock.Now().Add(time.Second)})
+	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, TargetLatency: time.Second}
+	tk := b.driver.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: 9, Deadline: clock.Now().Add(time.Second), TargetTime: clock.Now().Add(time.Second)})
 	if c, ok := (<-tk.commands).(passthrough.Refuse); !ok || c.Reason != passthrough.ReasonQuarantined {
 		t.Errorf("got %+v", c)
 	}
@@ -64,7 +64,7 @@
 	clock, observations := newFakeClock(), &fakeLog{}
 	a := newParts("a", clock, &fakeLog{}, observations)
 	for range 3 {
-		a.observations.crashed(passthrough.CrashSeen{Fingerprint: 9})
+		a.observations.crashed(passthrough.CrashSuspected{Fingerprint: 9})
 	}
 	write := func() {
 		t.Helper()
@@ -77,8 +77,8 @@
 	if err := late.observations.reader(clock, late.rollouts.active).once(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, Target: time.Second}
-	tk := late.driver.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: 9, Deadline: clock.Now().Add(time.Second), Target: clock.Now().Add(time.Second)})
+	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, TargetLatency: time.Second}
+	tk := late.driver.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: 9, Deadline: clock.Now().Add(time.Second), TargetTime: clock.Now().Add(time.Second)})
 	if c, ok := (<-tk.commands).(passthrough.Refuse); !ok || c.Reason == passthrough.ReasonQuarantined {
 		t.Errorf("got %+v", c)
 	}
--- a/router/internal/passthrough/ports.go
+++ b/router/internal/passthrough/ports.go
@@ -13,7 +13,7 @@
 type Headers interface {
 	ReadCaller(h http.Header) seam.Caller
 	WriteAttempt(caller http.Header, a seam.Attempt) http.Header
-	ReadAnswer(status int, h http.Header) seam.Answer
+	ReadAnswer(status int, h http.Header) seam.Response
 	AnswerHeaders(h http.Header) http.Header
 }
 
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -22,7 +22,7 @@
 	journal      *journal
 	clock        Clock
 	// limit bounds the requests that a version may get before its deadline.
-	limit passthrough.Exposure
+	limit passthrough.ExposureLimit
 	// writes says whether this instance writes the register; the others of its failure
 	// domain only read it, which keeps the calls of a large fleet few.
 	writes func() bool
@@ -69,7 +69,7 @@
 // seconds of its 50th bad answer.
 const rolloutEvery = 400 * time.Millisecond
 
-func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *list, b *observationStore, j *journal, clock Clock, limit passthrough.Exposure) *rollouts {
+func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *list, b *observationStore, j *journal, clock Clock, limit passthrough.ExposureLimit) *rollouts {
 	return &rollouts{
 		records: records, topic: topic, driver: driver, list: l, observations: b, journal: j, clock: clock,
 		limit: limit, writes: func() bool { return true }, open: map[string]*rollout{}, status: map[string]state{}, wake: make(chan struct{}, 1),
@@ -86,12 +86,12 @@
 	r := &rollout{Order: o, offset: offset, since: m.clock.Now()}
 	// Until the register's topic was read, the new version gets nothing: an instance that starts
 	// in the middle of a roll-out knows neither its phase nor the open sessions.
-	r.plan = passthrough.Rollout{Order: o, Phase: passthrough.PhaseCanary, FirstHalf: true, Opening: true}
+	r.plan = passthrough.Rollout{Order: o, Phase: passthrough.PhaseCanary, FirstHalf: true, CollectingSessions: true}
 	m.open[o.Service] = r
 	if st, ok := m.status[o.Service]; ok && st.target == o.Target {
 		m.takeState(r, st.phase)
 	}
-	m.driver.Tell(passthrough.RolloutSet{Rollout: r.plan})
+	m.driver.Tell(passthrough.RolloutUpdated{Rollout: r.plan})
 	m.journal.emit(logging.EventRolloutOrdered, slog.String("service", o.Service),
 		slog.String("target", o.Target), slog.Int64("duration_ms", o.Duration.Milliseconds()), slog.Uint64("offset", offset))
 	m.wakeUp()
@@ -169,7 +169,7 @@
 	now := m.clock.Now()
 	seen := m.observations.view(r, now)
 	elapsed := max(now.Sub(r.since), seen.elapsed)
-	plan := passthrough.Plan(r.Order, now, elapsed, m.limit, seen.fresh, seen.old, seen.bad)
+	plan := passthrough.PlanRollout(r.Order, now, elapsed, m.limit, seen.fresh, seen.old, seen.bad)
 	told, announced, known := m.toldOf(r)
 	if told.Ended() {
 		plan.Phase = told
@@ -177,7 +177,7 @@
 		m.adopt(r, plan, seen)
 		return
 	}
-	if plan.Opening {
+	if plan.CollectingSessions {
 		m.observations.open(r.Service, m.driver.openSessions(r.Service, r.Target, plan.Share))
 	}
 	plan = r.late(plan, now)
@@ -212,7 +212,7 @@
 		r.finishAt = now.Add(lateLead)
 	}
 	if now.Before(r.finishAt) {
-		plan.Phase, plan.CompleteAt, plan.LeadMost = passthrough.PhaseCanary, r.finishAt, lateLead
+		plan.Phase, plan.CompleteAt, plan.MaxLead = passthrough.PhaseCanary, r.finishAt, lateLead
 	}
 	return plan
 }
@@ -249,7 +249,7 @@
 	m.journal.emit(logging.EventRolloutEnded, slog.String("service", r.Service), slog.String("target", r.Target),
 		slog.Bool("completed", phase == passthrough.PhaseCompleted), slog.String("how", how),
 		slog.Int("new_good", seen.fresh.Good), slog.Int("new_bad", seen.fresh.Bad),
-		slog.Any("first", seen.fresh.First), slog.Any("pace", seen.fresh.Pace),
+		slog.Any("first", seen.fresh.FirstByte), slog.Any("pace", seen.fresh.EventInterval),
 		slog.Int("old_good", seen.old.Good), slog.Int("old_bad", seen.old.Bad))
 }
 
@@ -258,16 +258,16 @@
 	if plan == r.plan {
 		return
 	}
-	step := plan.Phase != r.plan.Phase || plan.FirstHalf != r.plan.FirstHalf || plan.Opening != r.plan.Opening ||
+	step := plan.Phase != r.plan.Phase || plan.FirstHalf != r.plan.FirstHalf || plan.CollectingSessions != r.plan.CollectingSessions ||
 		plan.Held != r.plan.Held || (plan.Share > 0) != (r.plan.Share > 0)
 	r.plan = plan
-	m.driver.Tell(passthrough.RolloutSet{Rollout: plan})
+	m.driver.Tell(passthrough.RolloutUpdated{Rollout: plan})
 	if !step {
 		return
 	}
 	m.journal.emit(logging.EventRolloutStep, slog.String("service", r.Service), slog.String("target", r.Target),
 		slog.Int("phase", int(plan.Phase)), slog.Float64("share", plan.Share), slog.Bool("first_half", plan.FirstHalf),
-		slog.Bool("held", plan.Held), slog.Any("pace", seen.fresh.Pace),
-		slog.Int64("lead_ms", plan.LeadMost.Milliseconds()),
+		slog.Bool("held", plan.Held), slog.Any("pace", seen.fresh.EventInterval),
+		slog.Int64("lead_ms", plan.MaxLead.Milliseconds()),
 		slog.Int("new_good", seen.fresh.Good), slog.Int("new_bad", seen.fresh.Bad))
 }
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -30,7 +30,7 @@
 
 func (p *parts) see(version string, bad bool, count int) {
 	for range count {
-		p.observations.observed(passthrough.Observed{Service: "shop", Route: "r", Version: version, Bad: bad})
+		p.observations.observed(passthrough.Observation{Service: "shop", Route: "r", Version: version, Bad: bad})
 	}
 }
 
@@ -208,8 +208,8 @@
 	r := p.rollouts.open["shop"]
 	paced := func(count int, x float64) {
 		for range count {
-			s := passthrough.Shift{N: 1, Sum: x, Squares: x * x}
-			p.observations.observed(passthrough.Observed{Service: "shop", Route: "r", Version: "v2", Pace: s})
+			s := passthrough.LogRatioStats{N: 1, Sum: x, Squares: x * x}
+			p.observations.observed(passthrough.Observation{Service: "shop", Route: "r", Version: "v2", EventInterval: s})
 		}
 	}
 	look := func() passthrough.Phase {
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -57,12 +57,12 @@
 		Handler: s.edge, IdleTimeout: idleMost, ReadHeaderTimeout: headerMost, ConnState: s.edge.conns.track,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 	}
-	if err := s.listen(s.callers, s.settings.Frontend); err != nil {
+	if err := s.listen(s.callers, s.settings.FrontendAddr); err != nil {
 		return err
 	}
 	ready := mux.NewRouter()
 	ready.HandleFunc(readyPath, s.isReady).Methods(http.MethodGet)
-	if err := s.open(ready, s.settings.Readiness); err != nil {
+	if err := s.open(ready, s.settings.ReadinessAddr); err != nil {
 		return err
 	}
 	if metricsAddress == "" {
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -71,12 +71,12 @@
 
 func newSharing(cfg seam.Settings, store Store, records Records, j *journal, clock Clock) *sharing {
 	s := &sharing{
-		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Zone, Address: cfg.Peers, Cores: cfg.Cores},
+		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Domain, Address: cfg.PeerAddr, Cores: cfg.Cores},
 		store: store, journal: j, clock: clock, held: map[string][]keyedlog.Record{}, wake: func() {}, counted: func(int) {},
 		neighbours: func([]string) {},
 	}
-	for _, zone := range cfg.Zones {
-		if zone != cfg.Zone {
+	for _, zone := range cfg.Domains {
+		if zone != cfg.Domain {
 			s.elsewhere = append(s.elsewhere, zone)
 		}
 	}
@@ -94,13 +94,13 @@
 		caches[name] = relay.NewCache(clock.Now, same)
 		return relay.NewLog(name, log, s.client, caches[name], oldest, changed)
 	}
-	s.operator = topic(topicOperator, store.Operator(), part(oldestOperator, cfg.Bounds.Revoke))
+	s.operator = topic(topicOperator, store.Operator(), part(oldestOperator, cfg.Bounds.RevocationDelay))
 	s.servers = topic(topicServers, store.Servers(), part(oldestServers, cfg.Bounds.Drain))
 	s.servers.Far = true
 	s.operator.Urgent = true
 	s.status = topic(topicStatus, store.Status(), oldestOther)
 	s.observations = topic(topicObservations, store.Observations(), oldestOther)
-	s.instances = topic(topicInstances, store.Instances(cfg.Zone), oldestOther)
+	s.instances = topic(topicInstances, store.Instances(cfg.Domain), oldestOther)
 	s.server = relay.NewServer(clock.Now, caches, s.hold, s.members.Count)
 	return s
 }
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -64,8 +64,8 @@
 func startSharing(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
 	t.Helper()
 	j := &journal{clock: clock, known: NewKnowledge(clock, time.Second), reg: metrics.NewRegistry()}
-	cfg := seam.Settings{Instance: name, Zone: "a", Zones: []string{"a", "b"}, Peers: freePort(t), Cores: cores,
-		Bounds: seam.Bounds{Revoke: time.Second, Drain: time.Second}}
+	cfg := seam.Settings{Instance: name, Domain: "a", Domains: []string{"a", "b"}, PeerAddr: freePort(t), Cores: cores,
+		Bounds: seam.Bounds{RevocationDelay: time.Second, Drain: time.Second}}
 	sh := newSharing(cfg, st, fakeRecords{}, j, clock)
 	if err := sh.listen(t.Context()); err != nil {
 		t.Fatal(err)
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -32,7 +32,7 @@
 )
 
 // relay hands a stream to the caller, whole events only, as they come.
-func (a *attempt) relay(resp *http.Response, said seam.Answer) outcome {
+func (a *attempt) relay(resp *http.Response, said seam.Response) outcome {
 	x := a.exchange
 	a.tellBegun(said)
 	if x.stream.begun || said.Confidence < 0 {
@@ -66,7 +66,7 @@
 				events += count
 				if events >= paceEvents && !paced {
 					paced = true
-					x.edge.driver.Tell(passthrough.Paced{Request: x.ticket.id, Pace: pace(x.edge.clock.Now().Sub(began), events)})
+					x.edge.driver.Tell(passthrough.EventIntervalMeasured{Request: x.ticket.id, EventInterval: pace(x.edge.clock.Now().Sub(began), events)})
 				}
 			}
 			if bad != nil {
@@ -94,7 +94,7 @@
 //
 // Load: streams of many seconds, at servers whose load changes within tenths of one. Harm
 // prevented: a load that is as old as the stream, taken for what the server has now.
-func (a *attempt) tellBegun(said seam.Answer) {
+func (a *attempt) tellBegun(said seam.Response) {
 	x := a.exchange
 	x.edge.driver.Tell(passthrough.FirstByte{
 		Request: x.ticket.id, After: a.first, Load: said.Load, HasLoad: said.HasLoad,
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -21,7 +21,7 @@
 // watch starts watching the attempt, if the request may run again elsewhere.
 func (a *attempt) watch() *watch {
 	wt := &watch{}
-	if !a.exchange.call.route.Repeatable() {
+	if !a.exchange.call.route.Retryable() {
 		return wt
 	}
 	wt.mu.Lock()
@@ -56,12 +56,12 @@
 // isSilent asks the decision, by what was heard of the attempt and of its server.
 func (a *attempt) isSilent() bool {
 	now := a.exchange.edge.clock.Now()
-	s := passthrough.Silence{Route: a.exchange.call.route, Patience: a.patience,
+	s := passthrough.Inactivity{Route: a.exchange.call.route, FirstByteTimeout: a.patience,
 		PromptTokens: a.exchange.call.caller.PromptTokens, Begun: a.conn.heard.Load() != 0}
-	s.Attempt = now.Sub(a.began)
+	s.AttemptIdle = now.Sub(a.began)
 	if at := a.conn.heard.Load(); at != 0 {
-		s.Attempt = now.Sub(time.Unix(0, at))
+		s.AttemptIdle = now.Sub(time.Unix(0, at))
 	}
-	s.Server = now.Sub(time.Unix(0, max(a.conn.server.Load(), a.began.UnixNano())))
-	return s.GiveUp()
+	s.ServerIdle = now.Sub(time.Unix(0, max(a.conn.server.Load(), a.began.UnixNano())))
+	return s.TimedOut()
 }
--- a/router/internal/relay/loadrows.go
+++ b/router/internal/relay/loadrows.go
@@ -11,7 +11,7 @@
 	key := func(row passthrough.PeerLoad) uint32 { return row.Key }
 	return mergeRows(lists, key, func(a, b passthrough.PeerLoad) passthrough.PeerLoad {
 		a.Requests += b.Requests
-		a.Reading += b.Reading
+		a.PrefillTime += b.PrefillTime
 		return a
 	})
 }
@@ -20,7 +20,7 @@
 func packLoads(rows []passthrough.PeerLoad) []byte {
 	var out []byte
 	for _, row := range rows {
-		out = appendRow(out, row.Key, uint64(max(row.Requests, 0)), uint64(max(row.Reading.Milliseconds(), 0)))
+		out = appendRow(out, row.Key, uint64(max(row.Requests, 0)), uint64(max(row.PrefillTime.Milliseconds(), 0)))
 	}
 	return out
 }
@@ -37,7 +37,7 @@
 	err := readRows(text, func(key uint32, requests, reading uint64) error {
 		out = append(out, passthrough.PeerLoad{
 			Key: key, Requests: int(min(requests, mostRequests)),
-			Reading: time.Duration(min(reading, mostReading)) * time.Millisecond,
+			PrefillTime: time.Duration(min(reading, mostReading)) * time.Millisecond,
 		})
 		return nil
 	})
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -11,7 +11,7 @@
 )
 
 func loadRow(key uint32, requests int, reading time.Duration) passthrough.PeerLoad {
-	return passthrough.PeerLoad{Key: key, Requests: requests, Reading: reading}
+	return passthrough.PeerLoad{Key: key, Requests: requests, PrefillTime: reading}
 }
 
 func TestLoadsArePackedAndUnpacked(t *testing.T) {
@@ -39,7 +39,7 @@
 			return
 		}
 		for _, row := range plus(rows, rows) {
-			if row.Requests < 0 || row.Reading < 0 {
+			if row.Requests < 0 || row.PrefillTime < 0 {
 				t.Errorf("row %+v", row)
 			}
 		}
@@ -113,7 +113,7 @@
 		if nodes[name].instances != len(names)-1 {
 			t.Errorf("%s heard of %d instances", name, nodes[name].instances)
 		}
-		if len(got) != 1 || got[0].Requests != want || got[0].Reading != time.Duration(want)*time.Second {
+		if len(got) != 1 || got[0].Requests != want || got[0].PrefillTime != time.Duration(want)*time.Second {
 			t.Errorf("%s learnt %+v, want %d", name, got, want)
 		}
 	}
