--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -74,7 +74,7 @@
 		fx.Provide(
 			func() *logging.Async { return logging.NewAsync(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
-			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.Revoke) },
+			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.RevocationDelay) },
 			func(l *logging.Logger, c Clock, k *ConfigState, reg gometrics.Registry) *telemetry {
 				return &telemetry{log: l, clock: c, config: k, registry: reg}
 			},
@@ -96,10 +96,10 @@
 func provideDriver(c Clock, cfg seam.Settings) *Driver {
 	const seedShift = 20
 	return NewDriver(c, passthrough.Settings{
-		Seed: hashOf(cfg.Instance) ^ uint64(c.Now().UnixNano()>>seedShift), Zone: cfg.Zone,
+		Seed: hashOf(cfg.Instance) ^ uint64(c.Now().UnixNano()>>seedShift), Domain: cfg.Domain,
 		RetryRatio: retryRatioFraction * cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack,
-		RetryWindow: cfg.Bounds.RetryWindow, SessionLife: cfg.Bounds.SessionLife,
-		Domains: cfg.Zones, WarmUpBurst: cfg.Bounds.WarmUpBurst, WarmUpSlack: cfg.Bounds.WarmUpSlack,
+		RetryWindow: cfg.Bounds.RetryWindow, SessionTTL: cfg.Bounds.SessionTTL,
+		Domains: cfg.Domains, SlowStartBurst: cfg.Bounds.SlowStartBurst, SlowStartSlack: cfg.Bounds.SlowStartSlack,
 	})
 }
 
@@ -112,7 +112,7 @@
 	b.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
 	b.fleetSize = sh.members.Count
 	sh.onHeld = b.wakeUp
-	sh.onFleetCount = func(n int) { d.Handle(passthrough.Fleet{Instances: n}) }
+	sh.onFleetCount = func(n int) { d.Handle(passthrough.FleetSize{Instances: n}) }
 	sh.onPeers = func(names []string) { d.Handle(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
@@ -138,13 +138,13 @@
 }
 
 func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, b *observationStore, j *telemetry, c Clock) *rollouts {
-	m := newRollouts(p.Records, p.Store.Status(), d, l, b, j, c, passthrough.Exposure{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
+	m := newRollouts(p.Records, p.Store.Status(), d, l, b, j, c, passthrough.ExposureLimit{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
 	m.writesRegister = sh.status.Direct
 	return m
 }
 
 func provideEdge(p Platform, cfg seam.Settings, k *ConfigState, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Handler {
-	return &Handler{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
+	return &Handler{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.MaxFiles)}
 }
 
 func provideServer(cfg seam.Settings, e *Handler, k *ConfigState, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
@@ -157,7 +157,7 @@
 	s.onServeError = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // it fails only where the stop has begun
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			s.telemetry.emit(logging.EventStart, slog.String("zone", s.settings.Zone))
+			s.telemetry.emit(logging.EventStart, slog.String("zone", s.settings.Domain))
 			return s.start(readyPath, metrics)
 		},
 		OnStop: func(context.Context) error {
@@ -174,7 +174,7 @@
 	op := &operator{
 		records: p.Records, config: k, driver: d, rollouts: m, telemetry: j, startGate: st,
 		clock: c, restoreGuard: trust,
-		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Zones,
+		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Domains,
 		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -219,8 +219,8 @@
 			return
 		}
 		cfg = now
-		k.SetBound(now.Bounds.Revoke)
-		j.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.Revoke.Milliseconds()))
+		k.SetBound(now.Bounds.RevocationDelay)
+		j.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.RevocationDelay.Milliseconds()))
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -157,7 +157,7 @@
 	if meta.HasLoad {
 		out.load = &meta.Load
 	}
-	if meta.Attempt == a.exchange.call.caller.Attempt && reportsLimit(resp.StatusCode, meta) {
+	if meta.RequestID == a.exchange.call.caller.RequestID && reportsLimit(resp.StatusCode, meta) {
 		out.limit = &meta.Limit
 	}
 	return out
@@ -165,15 +165,15 @@
 
 // tellsLimit says whether an answer tells of the server's rate limit, or that it has none. That it
 // has none only a success tells: what writes a refusal or a failure may not know.
-func reportsLimit(status int, meta seam.Answer) bool {
+func reportsLimit(status int, meta seam.Response) bool {
 	if meta.Misdirected {
 		return false
 	}
 	return meta.Limit.Limited || meta.Signed && status < http.StatusMultipleChoices
 }
 
-func (a *attempt) classify(resp *http.Response, meta seam.Answer) outcome {
-	if meta.Attempt != a.exchange.call.caller.Attempt && !meta.Misdirected {
+func (a *attempt) classify(resp *http.Response, meta seam.Response) outcome {
+	if meta.RequestID != a.exchange.call.caller.RequestID && !meta.Misdirected {
 		return outcome{result: passthrough.Broken, err: errWrongAttempt}
 	}
 	if meta.NotRun {
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -32,16 +32,16 @@
 	remaining := c.deadline.Sub(e.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(remaining, 0))
 	defer cancel()
-	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{lastEvent: c.caller.LastEvent}}
+	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{lastEvent: c.caller.LastEventID}}
 	r := c.decisionRequest()
 	x.ticket = e.driver.open(r)
 	defer e.driver.close(x.ticket)
-	x.queueTimer = time.AfterFunc(passthrough.MaxWait(&r, e.clock.Now()), func() {
-		e.driver.Handle(passthrough.Waited{Request: x.ticket.id})
+	x.queueTimer = time.AfterFunc(passthrough.MaxQueueWait(&r, e.clock.Now()), func() {
+		e.driver.Handle(passthrough.QueueWaitExpired{Request: x.ticket.id})
 	})
 	defer x.queueTimer.Stop()
 	for !x.step() {
-		x.queueTimer.Reset(passthrough.MaxWait(&r, e.clock.Now()))
+		x.queueTimer.Reset(passthrough.MaxQueueWait(&r, e.clock.Now()))
 	}
 }
 
@@ -153,7 +153,7 @@
 	a := x.newAttempt(d)
 	out := a.run(x.ctx)
 	x.edge.telemetry.attempted(x.call, d, out)
-	x.mayHaveRun = x.mayHaveRun || out.result.Ran()
+	x.mayHaveRun = x.mayHaveRun || out.result.MayHaveRun()
 	if out.load != nil && !out.loadReported {
 		x.edge.driver.Handle(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
 	}
@@ -162,16 +162,16 @@
 		limit = nil
 	}
 	if x.ctx.Err() != nil && out.result != passthrough.Completed {
-		x.edge.driver.Handle(passthrough.Ended{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
+		x.edge.driver.Handle(passthrough.AttemptEnded{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
 		x.expire()
 		return true
 	}
 	if out.answer != nil {
 		x.lastFailure = out.answer
 	}
-	x.edge.driver.Handle(passthrough.Ended{
+	x.edge.driver.Handle(passthrough.AttemptEnded{
 		Request: x.ticket.id, Result: out.result, Begun: x.stream.begun,
-		Misdirected: out.misdirected, Leaving: out.leaving, Cut: out.connectionLost, Pace: out.eventInterval,
+		Misdirected: out.misdirected, Leaving: out.leaving, ConnectionLost: out.connectionLost, EventInterval: out.eventInterval,
 		Confidence: out.confidence, Limit: limit,
 	})
 	if out.result != passthrough.Completed {
@@ -204,10 +204,10 @@
 	}
 	now := x.edge.clock.Now()
 	return &attempt{
-		exchange: x, server: d.Server, startedAt: now, firstByteTimeout: d.Patience,
+		exchange: x, server: d.Server, startedAt: now, firstByteTimeout: d.FirstByteTimeout,
 		header: x.edge.headers.WriteAttempt(c.request.Header, seam.Attempt{
-			Server: d.Server.ID, Team: team, Left: c.deadline.Sub(now), Model: d.Model,
-			Priority: passthrough.Rank(c.team, c.route), LastEvent: lastEvent,
+			Server: d.Server.ID, Team: team, Remaining: c.deadline.Sub(now), Model: d.Model,
+			Priority: passthrough.EffectivePriority(c.team, c.route), LastEventID: lastEvent,
 		}),
 	}
 }
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -163,7 +163,7 @@
 }
 
 func (fakeRecords) Server(r keyedlog.Record) (passthrough.Server, error) {
-	s := passthrough.Server{ID: r.Key, Address: "127.0.0.1:1", Slots: 4, Born: 1}
+	s := passthrough.Server{ID: r.Key, Address: "127.0.0.1:1", Slots: 4, StartTime: 1}
 	state := ""
 	_, err := fmt.Sscanf(string(r.Value), "server %s %s %s", &s.Service, &s.Version, &state)
 	s.Draining = state == "draining"
@@ -200,12 +200,12 @@
 	p := &parts{clock: clock}
 	p.config = NewConfigState(clock, 5*time.Second)
 	p.telemetry = &telemetry{clock: clock, config: p.config, registry: metrics.NewRegistry()}
-	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionLife: 5 * time.Second})
+	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
 	p.observations = newObservationStore(name, observations, p.driver, p.telemetry, clock)
 	p.driver.onObserved, p.driver.onCrash = p.observations.recordAnswer, p.observations.recordCrash
 	p.servers = newServerList(fakeRecords{}, p.driver, newDialer(clock), p.telemetry, clock, 2*time.Second, newStartGate())
 	p.rollouts = newRollouts(fakeRecords{}, status, p.driver, p.servers, p.observations, p.telemetry, clock,
-		passthrough.Exposure{Share: 0.15, Tolerance: 30})
+		passthrough.ExposureLimit{Share: 0.15, Tolerance: 30})
 	p.operator = &operator{records: fakeRecords{}, config: p.config, driver: p.driver, rollouts: p.rollouts, telemetry: p.telemetry, startGate: newStartGate(),
 		clock:        clock,
 		restoreGuard: &restoreGuard{clock: clock, config: p.config},
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -22,7 +22,7 @@
 	telemetry    *telemetry
 	clock        Clock
 	// limit bounds the requests that a version may get before its deadline.
-	exposure passthrough.Exposure
+	exposure passthrough.ExposureLimit
 	// writes says whether this instance writes the register; the others of its failure
 	// domain only read it, which keeps the calls of a large fleet few.
 	writesRegister func() bool
@@ -69,7 +69,7 @@
 // seconds of its 50th bad answer.
 const rolloutInterval = 400 * time.Millisecond
 
-func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, b *observationStore, j *telemetry, clock Clock, limit passthrough.Exposure) *rollouts {
+func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, b *observationStore, j *telemetry, clock Clock, limit passthrough.ExposureLimit) *rollouts {
 	return &rollouts{
 		records: records, statusLog: topic, driver: driver, servers: l, observations: b, telemetry: j, clock: clock,
 		exposure: limit, writesRegister: func() bool { return true }, open: map[string]*rollout{}, states: map[string]registerState{}, wake: make(chan struct{}, 1),
@@ -86,12 +86,12 @@
 	r := &rollout{Order: o, offset: offset, orderedAt: m.clock.Now()}
 	// Until the register's topic was read, the new version gets nothing: an instance that starts
 	// in the middle of a roll-out knows neither its phase nor the open sessions.
-	r.plan = passthrough.Rollout{Order: o, Phase: passthrough.PhaseCanary, FirstHalf: true, Opening: true}
+	r.plan = passthrough.Rollout{Order: o, Phase: passthrough.PhaseCanary, FirstHalf: true, CollectingSessions: true}
 	m.open[o.Service] = r
 	if st, ok := m.states[o.Service]; ok && st.target == o.Target {
 		m.applyState(r, st.phase)
 	}
-	m.driver.Handle(passthrough.RolloutSet{Rollout: r.plan})
+	m.driver.Handle(passthrough.RolloutUpdated{Rollout: r.plan})
 	m.telemetry.emit(logging.EventRolloutOrdered, slog.String("service", o.Service),
 		slog.String("target", o.Target), slog.Int64("duration_ms", o.Duration.Milliseconds()), slog.Uint64("offset", offset))
 	m.wakeUp()
@@ -169,7 +169,7 @@
 	now := m.clock.Now()
 	seen := m.observations.view(r, now)
 	elapsed := max(now.Sub(r.orderedAt), seen.elapsed)
-	plan := passthrough.Plan(r.Order, now, elapsed, m.exposure, seen.newCounts, seen.oldCounts, seen.bad)
+	plan := passthrough.PlanRollout(r.Order, now, elapsed, m.exposure, seen.newCounts, seen.oldCounts, seen.bad)
 	told, announced, known := m.knownState(r)
 	if told.Ended() {
 		plan.Phase = told
@@ -177,7 +177,7 @@
 		m.applyPlan(r, plan, seen)
 		return
 	}
-	if plan.Opening {
+	if plan.CollectingSessions {
 		m.observations.addOpenSessions(r.Service, m.driver.openSessions(r.Service, r.Target, plan.Share))
 	}
 	plan = r.delayHeldEnd(plan, now)
@@ -212,7 +212,7 @@
 		r.finishAt = now.Add(heldRolloutLead)
 	}
 	if now.Before(r.finishAt) {
-		plan.Phase, plan.CompleteAt, plan.LeadMost = passthrough.PhaseCanary, r.finishAt, heldRolloutLead
+		plan.Phase, plan.CompleteAt, plan.MaxLead = passthrough.PhaseCanary, r.finishAt, heldRolloutLead
 	}
 	return plan
 }
@@ -249,7 +249,7 @@
 	m.telemetry.emit(logging.EventRolloutEnded, slog.String("service", r.Service), slog.String("target", r.Target),
 		slog.Bool("completed", phase == passthrough.PhaseCompleted), slog.String("how", how),
 		slog.Int("new_good", seen.newCounts.Good), slog.Int("new_bad", seen.newCounts.Bad),
-		slog.Any("first", seen.newCounts.First), slog.Any("pace", seen.newCounts.Pace),
+		slog.Any("first", seen.newCounts.FirstByte), slog.Any("pace", seen.newCounts.EventInterval),
 		slog.Int("old_good", seen.oldCounts.Good), slog.Int("old_bad", seen.oldCounts.Bad))
 }
 
@@ -258,16 +258,16 @@
 	if plan == r.plan {
 		return
 	}
-	step := plan.Phase != r.plan.Phase || plan.FirstHalf != r.plan.FirstHalf || plan.Opening != r.plan.Opening ||
+	step := plan.Phase != r.plan.Phase || plan.FirstHalf != r.plan.FirstHalf || plan.CollectingSessions != r.plan.CollectingSessions ||
 		plan.Held != r.plan.Held || (plan.Share > 0) != (r.plan.Share > 0)
 	r.plan = plan
-	m.driver.Handle(passthrough.RolloutSet{Rollout: plan})
+	m.driver.Handle(passthrough.RolloutUpdated{Rollout: plan})
 	if !step {
 		return
 	}
 	m.telemetry.emit(logging.EventRolloutStep, slog.String("service", r.Service), slog.String("target", r.Target),
 		slog.Int("phase", int(plan.Phase)), slog.Float64("share", plan.Share), slog.Bool("first_half", plan.FirstHalf),
-		slog.Bool("held", plan.Held), slog.Any("pace", seen.newCounts.Pace),
-		slog.Int64("lead_ms", plan.LeadMost.Milliseconds()),
+		slog.Bool("held", plan.Held), slog.Any("pace", seen.newCounts.EventInterval),
+		slog.Int64("lead_ms", plan.MaxLead.Milliseconds()),
 		slog.Int("new_good", seen.newCounts.Good), slog.Int("new_bad", seen.newCounts.Bad))
 }
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -32,7 +32,7 @@
 )
 
 // relay hands a stream to the caller, whole events only, as they come.
-func (a *attempt) relayStream(resp *http.Response, meta seam.Answer) outcome {
+func (a *attempt) relayStream(resp *http.Response, meta seam.Response) outcome {
 	x := a.exchange
 	a.reportFirstByte(meta)
 	if x.stream.begun || meta.Confidence < 0 {
@@ -66,7 +66,7 @@
 				events += count
 				if events >= intervalEvents && !reported {
 					reported = true
-					x.edge.driver.Handle(passthrough.Paced{Request: x.ticket.id, Pace: eventInterval(x.edge.clock.Now().Sub(began), events)})
+					x.edge.driver.Handle(passthrough.EventIntervalMeasured{Request: x.ticket.id, EventInterval: eventInterval(x.edge.clock.Now().Sub(began), events)})
 				}
 			}
 			if orderErr != nil {
@@ -94,7 +94,7 @@
 //
 // Load: streams of many seconds, at servers whose load changes within tenths of one. Harm
 // prevented: a load that is as old as the stream, taken for what the server has now.
-func (a *attempt) reportFirstByte(meta seam.Answer) {
+func (a *attempt) reportFirstByte(meta seam.Response) {
 	x := a.exchange
 	x.edge.driver.Handle(passthrough.FirstByte{
 		Request: x.ticket.id, After: a.firstByte, Load: meta.Load, HasLoad: meta.HasLoad,
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -21,7 +21,7 @@
 // watch starts watching the attempt, if the request may run again elsewhere.
 func (a *attempt) watchSilence() *silenceWatch {
 	wt := &silenceWatch{}
-	if !a.exchange.call.route.Repeatable() {
+	if !a.exchange.call.route.Retryable() {
 		return wt
 	}
 	wt.mu.Lock()
@@ -56,12 +56,12 @@
 // isSilent asks the decision, by what was heard of the attempt and of its server.
 func (a *attempt) exceedsSilence() bool {
 	now := a.exchange.edge.clock.Now()
-	s := passthrough.Silence{Route: a.exchange.call.route, Patience: a.firstByteTimeout,
+	s := passthrough.Inactivity{Route: a.exchange.call.route, FirstByteTimeout: a.firstByteTimeout,
 		PromptTokens: a.exchange.call.caller.PromptTokens, Begun: a.conn.lastReceived.Load() != 0}
-	s.Attempt = now.Sub(a.startedAt)
+	s.AttemptIdle = now.Sub(a.startedAt)
 	if at := a.conn.lastReceived.Load(); at != 0 {
-		s.Attempt = now.Sub(time.Unix(0, at))
+		s.AttemptIdle = now.Sub(time.Unix(0, at))
 	}
-	s.Server = now.Sub(time.Unix(0, max(a.conn.serverLastReceived.Load(), a.startedAt.UnixNano())))
-	return s.GiveUp()
+	s.ServerIdle = now.Sub(time.Unix(0, max(a.conn.serverLastReceived.Load(), a.startedAt.UnixNano())))
+	return s.TimedOut()
 }
