--- a/coordination/faultmatrix/bed.go
+++ b/coordination/faultmatrix/bed.go
@@ -19,12 +19,12 @@
 )
 
 // window is short, so that a cell can pass it.
-const window = 20 * time.Second
+const claimWindow = 20 * time.Second
 
-var foldConfig = fold.Config{ClaimWindow: window, ClockSkew: 5 * time.Second, Retention: time.Hour}
+var foldConfig = fold.Config{ClaimWindow: claimWindow, ClockSkew: 5 * time.Second, Retention: time.Hour}
 
 // bed is a few instances on one in-memory log, in a synctest bubble.
-type bed struct {
+type testbed struct {
 	t         *testing.T
 	log       *logtest.Log
 	instances map[string]*instance
@@ -45,8 +45,8 @@
 // fleet is the list of live instances that all of them are told.
 var fleet = []string{"a", "b", "c"}
 
-func newBed(t *testing.T) *bed {
-	b := &bed{t: t, log: logtest.New(), instances: map[string]*instance{}, stop: make(chan struct{})}
+func newTestbed(t *testing.T) *testbed {
+	b := &testbed{t: t, log: logtest.New(), instances: map[string]*instance{}, stop: make(chan struct{})}
 	t.Cleanup(func() {
 		close(b.stop)
 		for _, in := range b.instances {
@@ -57,7 +57,7 @@
 }
 
 // begin starts an instance without waiting for it; start waits.
-func (b *bed) begin(name string) *instance {
+func (b *testbed) startAsync(name string) *instance {
 	b.t.Helper()
 	in := &instance{name: name, tracker: freshness.New(freshness.Config{Self: name})}
 	in.tracker.SetLiveInstances(fleet)
@@ -81,18 +81,18 @@
 	b.mu.Lock()
 	b.instances[name] = in
 	b.mu.Unlock()
-	go b.tick(in)
+	go b.runTicker(in)
 	return in
 }
 
-func (b *bed) start(name string) *instance {
-	in := b.begin(name)
+func (b *testbed) start(name string) *instance {
+	in := b.startAsync(name)
 	<-in.Ready()
 	return in
 }
 
 // tick ticks in's tracker and lets it ask its peers, every 500 ms.
-func (b *bed) tick(in *instance) {
+func (b *testbed) runTicker(in *instance) {
 	ticker := time.NewTicker(500 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -102,13 +102,13 @@
 		case now := <-ticker.C:
 			if !in.frozen.Load() {
 				in.tracker.Tick(now)
-				b.ask(in, now)
+				b.exchangeVouches(in, now)
 			}
 		}
 	}
 }
 
-func (b *bed) ask(in *instance, now time.Time) {
+func (b *testbed) exchangeVouches(in *instance, now time.Time) {
 	for _, name := range fleet {
 		b.mu.Lock()
 		peer := b.instances[name]
@@ -123,14 +123,14 @@
 }
 
 // kill ends an instance with no flush.
-func (b *bed) kill(in *instance) {
+func (b *testbed) kill(in *instance) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = in.Stop(ctx)
 }
 
 // freeze pauses an instance for d: it neither ticks nor reaches the log.
-func (b *bed) freeze(in *instance, d time.Duration) {
+func (b *testbed) freeze(in *instance, d time.Duration) {
 	in.frozen.Store(true)
 	b.log.Cut(in.name, true)
 	time.Sleep(d)
@@ -138,12 +138,12 @@
 	in.frozen.Store(false)
 }
 
-func (b *bed) put(in *instance, r record.Record, want node.Outcome) node.Result {
+func (b *testbed) put(in *instance, r record.Record, want node.Outcome) node.Result {
 	b.t.Helper()
 	return b.putWithin(in, 10*time.Second, r, want)
 }
 
-func (b *bed) putWithin(in *instance, d time.Duration, r record.Record, want node.Outcome) node.Result {
+func (b *testbed) putWithin(in *instance, d time.Duration, r record.Record, want node.Outcome) node.Result {
 	b.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
@@ -155,14 +155,14 @@
 }
 
 // going starts a Put and returns once it is as far as it gets without time.
-func (b *bed) going(in *instance, r record.Record) <-chan node.Result {
+func (b *testbed) putAsync(in *instance, r record.Record) <-chan node.Result {
 	done := make(chan node.Result, 1)
 	go func() { done <- in.Put(context.Background(), r) }()
 	synctest.Wait()
 	return done
 }
 
-func (b *bed) mode(in *instance, want freshness.Mode) {
+func (b *testbed) checkMode(in *instance, want freshness.Mode) {
 	b.t.Helper()
 	if r := in.tracker.Report(time.Now()); r.Mode != want {
 		b.t.Errorf("%s is in %+v, want mode %d", in.name, r, want)
@@ -170,7 +170,7 @@
 }
 
 // agree waits and checks that the instances hold what a replay of the log gives.
-func (b *bed) agree(instances ...*instance) {
+func (b *testbed) checkAgreement(instances ...*instance) {
 	b.t.Helper()
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
@@ -197,7 +197,7 @@
 	return record.Record{Key: record.ManifestKey(generation, parent), Nonce: record.Nonce{nonce}, Value: []byte(value)}
 }
 
-func (b *bed) inForce(in *instance, want string) {
+func (b *testbed) checkInForce(in *instance, want string) {
 	b.t.Helper()
 	synctest.Wait()
 	if m, _ := in.Manifest(); string(m.Value) != want {
@@ -205,7 +205,7 @@
 	}
 }
 
-func (b *bed) bill() record.Record {
+func (b *testbed) bill() record.Record {
 	b.t.Helper()
 	bill := ledger.Bill{Team: "t", RequestID: "r", CostMicros: 5, Attempts: 1}
 	r, err := bill.Record()
@@ -216,7 +216,7 @@
 }
 
 // billed checks that the ledger has the one request n times.
-func (b *bed) billed(n int) {
+func (b *testbed) checkBilled(n int) {
 	b.t.Helper()
 	got := 0
 	_, err := ledger.Export(context.Background(), b.log.Client("export"), foldConfig, 0, func(ledger.ExportedBill) error {
@@ -229,24 +229,24 @@
 }
 
 // buffer holds the bill of a request, with a copy at peer if there is one.
-func (b *bed) buffer(in *instance, peer *ledger.Buffer) *ledger.Buffer {
+func (b *testbed) holdBill(in *instance, peer *ledger.Buffer) *ledger.Buffer {
 	b.t.Helper()
 	var copyTo ledger.CopyFunc
 	if peer != nil {
 		copyTo = func(_ context.Context, r record.Record) error { return peer.AcceptCopy(r) }
 	}
 	buf := ledger.NewBuffer(ledger.BufferLimits{MaxBills: 1}, in.Put, copyTo)
-	room, err := buf.Reserve()
+	reservation, err := buf.Reserve()
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	if copied := room.Hold(context.Background(), b.bill()); copied != (peer != nil) {
+	if copied := reservation.Hold(context.Background(), b.bill()); copied != (peer != nil) {
 		b.t.Errorf("copied to a peer: %v", copied)
 	}
 	return buf
 }
 
-func (b *bed) flush(buf *ledger.Buffer, left int) {
+func (b *testbed) checkFlush(buf *ledger.Buffer, left int) {
 	b.t.Helper()
 	if got := buf.Flush(context.Background()); got != left {
 		b.t.Errorf("%d bills left, want %d", got, left)
--- a/coordination/faultmatrix/matrix_test.go
+++ b/coordination/faultmatrix/matrix_test.go
@@ -15,7 +15,7 @@
 // cell is one fault at one step.
 type cell struct {
 	path, step, fault string
-	run               func(b *bed)
+	run               func(b *testbed)
 }
 
 func TestMatrix(t *testing.T) {
@@ -28,7 +28,7 @@
 			}
 			seen[name] = true
 			t.Run(name, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { c.run(newBed(t)) })
+				synctest.Test(t, func(t *testing.T) { c.run(newTestbed(t)) })
 			})
 		}
 	}
--- a/coordination/faultmatrix/publish_test.go
+++ b/coordination/faultmatrix/publish_test.go
@@ -12,10 +12,10 @@
 // publishCells: an accepted manifest is in force everywhere and never reverts;
 // an instance that can't know of it takes no new work.
 var publishCells = []cell{
-	{"publish", "append", "kill", func(b *bed) {
+	{"publish", "append", "kill", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		b.log.FailAppends(logtest.AppendLate)
-		done := b.going(a, manifest(1, "", 1, "one"))
+		done := b.putAsync(a, manifest(1, "", 1, "one"))
 		b.kill(a)
 		if res := <-done; res.Outcome != node.OutcomeUnknown {
 			b.t.Errorf("outcome %d", res.Outcome)
@@ -27,16 +27,16 @@
 			b.t.Errorf("generation %d", g)
 		}
 	}},
-	{"publish", "read back", "kill", func(b *bed) {
+	{"publish", "read back", "kill", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		b.kill(a)
 		time.Sleep(2 * foldConfig.Retention)
 		b.put(c, session(1), node.OutcomeWon)
-		b.inForce(c, "one")
-		b.inForce(b.start("b"), "one")
+		b.checkInForce(c, "one")
+		b.checkInForce(b.start("b"), "one")
 	}},
-	{"publish", "push", "cut from the log", func(b *bed) {
+	{"publish", "push", "cut from the log", func(b *testbed) {
 		// Peers vouch for a head that the cut one has not folded: not fresh,
 		// until it takes the state from one of them.
 		a, c := b.start("a"), b.start("c")
@@ -44,11 +44,11 @@
 		time.Sleep(2 * time.Second)
 		b.log.Cut("c", true)
 		time.Sleep(20 * time.Second)
-		b.mode(c, freshness.ModeFresh)
+		b.checkMode(c, freshness.ModeFresh)
 		b.put(a, manifest(2, "one", 2, "two"), node.OutcomeWon)
 		time.Sleep(freshness.DefaultBound + time.Second)
-		b.inForce(c, "one")
-		b.mode(c, freshness.ModeStale)
+		b.checkInForce(c, "one")
+		b.checkMode(c, freshness.ModeStale)
 		snapshot, err := a.Snapshot()
 		if err != nil {
 			b.t.Fatal(err)
@@ -57,81 +57,81 @@
 			b.t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		b.inForce(c, "two")
-		b.mode(c, freshness.ModeFresh)
+		b.checkInForce(c, "two")
+		b.checkMode(c, freshness.ModeFresh)
 	}},
-	{"publish", "push", "cut from all", func(b *bed) {
+	{"publish", "push", "cut from all", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		c.isolated.Store(true)
 		b.log.Cut("c", true)
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		time.Sleep(freshness.DefaultBound + time.Second)
-		b.mode(c, freshness.ModeStale)
-		b.mode(a, freshness.ModeFresh)
+		b.checkMode(c, freshness.ModeStale)
+		b.checkMode(a, freshness.ModeFresh)
 		b.log.Cut("c", false)
 		time.Sleep(5 * time.Second)
-		b.inForce(c, "one")
-		b.mode(c, freshness.ModeFresh)
+		b.checkInForce(c, "one")
+		b.checkMode(c, freshness.ModeFresh)
 	}},
-	{"publish", "read back", "freeze", func(b *bed) {
+	{"publish", "read back", "freeze", func(b *testbed) {
 		// Paused while another manifest takes effect: not fresh on resuming.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		time.Sleep(time.Second)
 		c.frozen.Store(true)
 		time.Sleep(3 * time.Second)
-		b.mode(c, freshness.ModeStale)
+		b.checkMode(c, freshness.ModeStale)
 		c.frozen.Store(false)
 		time.Sleep(2 * time.Second)
-		b.mode(c, freshness.ModeFresh)
+		b.checkMode(c, freshness.ModeFresh)
 	}},
-	{"publish", "append", "freeze", func(b *bed) {
+	{"publish", "append", "freeze", func(b *testbed) {
 		// A publisher that is paused with its append under way comes late.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		b.log.FailAppends(logtest.AppendLate)
-		done := b.going(a, manifest(2, "one", 2, "late"))
+		done := b.putAsync(a, manifest(2, "one", 2, "late"))
 		b.kill(a)
 		<-done
 		b.put(c, manifest(2, "one", 3, "two"), node.OutcomeWon)
 		time.Sleep(2 * logtest.LateBy)
-		b.inForce(c, "two")
+		b.checkInForce(c, "two")
 	}},
-	{"publish", "append", "log down", func(b *bed) {
+	{"publish", "append", "log down", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		time.Sleep(time.Second)
 		b.log.SetDown(true)
 		b.put(a, manifest(2, "one", 2, "two"), node.OutcomeVoid)
 		time.Sleep(freshness.DefaultBound + 2*time.Second)
-		b.inForce(c, "one")
+		b.checkInForce(c, "one")
 		// Two of three answer: outage mode, the last manifest stays in force.
-		b.mode(a, freshness.ModeOutage)
-		b.mode(c, freshness.ModeOutage)
+		b.checkMode(a, freshness.ModeOutage)
+		b.checkMode(c, freshness.ModeOutage)
 		c.isolated.Store(true)
 		time.Sleep(freshness.DefaultBound + time.Second)
-		b.mode(a, freshness.ModeStale)
+		b.checkMode(a, freshness.ModeStale)
 	}},
-	{"publish", "append", "slow", func(b *bed) {
+	{"publish", "append", "slow", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		b.log.SetSlow(1500 * time.Millisecond)
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
-		b.agree(a, c)
-		b.inForce(c, "one")
+		b.checkAgreement(a, c)
+		b.checkInForce(c, "one")
 	}},
-	{"publish", "append", "lost reply", func(b *bed) {
+	{"publish", "append", "lost reply", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		b.log.FailAppends(logtest.AppendReplyLost)
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
-		b.agree(a, c)
+		b.checkAgreement(a, c)
 		if g := c.Digest().Generation; g != 1 {
 			b.t.Errorf("generation %d", g)
 		}
 	}},
-	{"publish", "append", "operator race", func(b *bed) {
+	{"publish", "append", "operator race", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
-		first, second := b.going(a, manifest(1, "", 1, "one")), b.going(c, manifest(1, "", 2, "other"))
+		first, second := b.putAsync(a, manifest(1, "", 1, "one")), b.putAsync(c, manifest(1, "", 2, "other"))
 		x, y := <-first, <-second
 		if x.Outcome+y.Outcome != node.OutcomeWon+node.OutcomeLost {
 			b.t.Fatalf("outcomes %d and %d", x.Outcome, y.Outcome)
@@ -139,9 +139,9 @@
 		if x.Register.Nonce != y.Register.Nonce || len(y.Register.Value) == 0 {
 			b.t.Error("the loser is not told of the winner")
 		}
-		b.agree(a, c)
+		b.checkAgreement(a, c)
 	}},
-	{"publish", "append", "stale parent", func(b *bed) {
+	{"publish", "append", "stale parent", func(b *testbed) {
 		// An operator whose pipeline read an old manifest can't revert.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
@@ -150,13 +150,13 @@
 		b.put(c, manifest(2, "other", 5, "old"), node.OutcomeLost)
 		b.put(c, manifest(3, "one", 4, "old"), node.OutcomeVoid)
 		a.Release(record.ManifestKey(2, record.ManifestDigest([]byte("one"))), record.Nonce{2})
-		b.agree(a, c)
-		b.inForce(c, "two")
+		b.checkAgreement(a, c)
+		b.checkInForce(c, "two")
 	}},
-	{"publish", "append", "invalid content", func(b *bed) {
+	{"publish", "append", "invalid content", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "invalid"), node.OutcomeVoid)
 		b.put(c, manifest(1, "", 2, "one"), node.OutcomeWon)
-		b.agree(a, c)
+		b.checkAgreement(a, c)
 	}},
 }
--- a/coordination/faultmatrix/start_test.go
+++ b/coordination/faultmatrix/start_test.go
@@ -10,14 +10,14 @@
 )
 
 // fill makes a state of a manifest and some sessions.
-func (b *bed) fill(in *instance, from, to int) {
+func (b *testbed) putSessions(in *instance, from, to int) {
 	b.t.Helper()
 	for i := from; i < to; i++ {
 		b.put(in, session(i), node.OutcomeWon)
 	}
 }
 
-func (b *bed) notReady(in *instance) {
+func (b *testbed) checkNotReady(in *instance) {
 	b.t.Helper()
 	select {
 	case <-in.Ready():
@@ -28,51 +28,51 @@
 
 // startCells: a new instance is ready only with the whole state.
 var startCells = []cell{
-	{"start", "replay", "none", func(b *bed) {
+	{"start", "replay", "none", func(b *testbed) {
 		a := b.start("a")
-		b.fill(a, 0, 5)
-		b.agree(a, b.start("c"))
+		b.putSessions(a, 0, 5)
+		b.checkAgreement(a, b.start("c"))
 	}},
-	{"start", "replay", "slow", func(b *bed) {
+	{"start", "replay", "slow", func(b *testbed) {
 		a := b.start("a")
-		b.fill(a, 0, 5)
+		b.putSessions(a, 0, 5)
 		b.log.SetSlow(1500 * time.Millisecond)
-		c := b.begin("c")
+		c := b.startAsync("c")
 		time.Sleep(time.Second)
-		b.notReady(c)
+		b.checkNotReady(c)
 		<-c.Ready()
 		if c.Digest() != a.Digest() {
 			b.t.Error("ready before the head")
 		}
 	}},
-	{"start", "replay", "kill", func(b *bed) {
+	{"start", "replay", "kill", func(b *testbed) {
 		a := b.start("a")
-		b.fill(a, 0, 5)
+		b.putSessions(a, 0, 5)
 		b.log.SetSlow(time.Second)
-		b.kill(b.begin("c"))
+		b.kill(b.startAsync("c"))
 		b.log.SetSlow(0)
-		b.agree(a, b.start("c"))
+		b.checkAgreement(a, b.start("c"))
 	}},
-	{"start", "replay", "cut", func(b *bed) {
+	{"start", "replay", "cut", func(b *testbed) {
 		a := b.start("a")
-		b.fill(a, 0, 5)
+		b.putSessions(a, 0, 5)
 		b.log.Cut("c", true)
-		c := b.begin("c")
+		c := b.startAsync("c")
 		time.Sleep(20 * time.Second)
-		b.notReady(c)
-		b.mode(c, freshness.ModeStale)
+		b.checkNotReady(c)
+		b.checkMode(c, freshness.ModeStale)
 		b.log.Cut("c", false)
 		<-c.Ready()
-		b.agree(a, c)
+		b.checkAgreement(a, c)
 	}},
-	{"start", "replay", "log down", func(b *bed) {
+	{"start", "replay", "log down", func(b *testbed) {
 		a := b.start("a")
-		b.fill(a, 0, 5)
+		b.putSessions(a, 0, 5)
 		b.log.SetDown(true)
-		c := b.begin("c")
+		c := b.startAsync("c")
 		time.Sleep(20 * time.Second)
-		b.notReady(c)
-		b.mode(c, freshness.ModeStale)
+		b.checkNotReady(c)
+		b.checkMode(c, freshness.ModeStale)
 		snapshot, err := a.Snapshot()
 		if err != nil {
 			b.t.Fatal(err)
@@ -82,39 +82,39 @@
 		}
 		<-c.Ready()
 		time.Sleep(2 * time.Second)
-		b.mode(c, freshness.ModeOutage)
+		b.checkMode(c, freshness.ModeOutage)
 		b.log.SetDown(false)
-		b.agree(a, c)
-		b.mode(c, freshness.ModeFresh)
+		b.checkAgreement(a, c)
+		b.checkMode(c, freshness.ModeFresh)
 	}},
-	{"start", "replay", "trimmed", func(b *bed) {
+	{"start", "replay", "trimmed", func(b *testbed) {
 		a := b.start("a")
-		b.fill(a, 0, 5)
+		b.putSessions(a, 0, 5)
 		b.log.Trim(3)
-		c := b.begin("c")
+		c := b.startAsync("c")
 		time.Sleep(20 * time.Second)
-		b.notReady(c)
+		b.checkNotReady(c)
 		if err := a.Checkpoint(); err != nil {
 			b.t.Fatal(err)
 		}
 		<-c.Ready()
-		b.agree(a, c)
+		b.checkAgreement(a, c)
 	}},
-	{"start", "replay", "stale checkpoint", func(b *bed) {
+	{"start", "replay", "stale checkpoint", func(b *testbed) {
 		// A paused instance appends a checkpoint from before what is kept.
 		a := b.start("a")
-		b.fill(a, 0, 1)
+		b.putSessions(a, 0, 1)
 		if err := a.Checkpoint(); err != nil {
 			b.t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		stale := b.log.Entries()[1].Data
-		b.fill(a, 1, 5)
+		b.putSessions(a, 1, 5)
 		b.log.Trim(4)
 		b.log.Inject(stale)
-		c := b.begin("c")
+		c := b.startAsync("c")
 		time.Sleep(20 * time.Second)
-		b.notReady(c)
+		b.checkNotReady(c)
 		if n := c.Digest().NextOffset; n != 0 {
 			b.t.Errorf("it took the stale checkpoint, at %d", n)
 		}
@@ -125,63 +125,63 @@
 			b.t.Error("a stale checkpoint changed a reader's state")
 		}
 	}},
-	{"start", "catch up", "freeze past trimming", func(b *bed) {
+	{"start", "catch up", "freeze past trimming", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
-		b.fill(a, 0, 2)
+		b.putSessions(a, 0, 2)
 		c.frozen.Store(true)
 		b.log.Cut("c", true)
-		b.fill(a, 2, 6)
+		b.putSessions(a, 2, 6)
 		if err := a.Checkpoint(); err != nil {
 			b.t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		b.fill(a, 6, 8)
+		b.putSessions(a, 6, 8)
 		b.log.Trim(5)
 		c.frozen.Store(false)
 		b.log.Cut("c", false)
-		b.agree(a, c)
-		b.mode(c, freshness.ModeFresh)
+		b.checkAgreement(a, c)
+		b.checkMode(c, freshness.ModeFresh)
 	}},
-	{"start", "catch up", "log down past the retention", func(b *bed) {
+	{"start", "catch up", "log down past the retention", func(b *testbed) {
 		// After a long outage a checkpoint is due at once, and is appended.
 		a, c := b.start("a"), b.start("c")
-		b.fill(a, 0, 2)
+		b.putSessions(a, 0, 2)
 		b.log.SetDown(true)
 		time.Sleep(2 * foldConfig.Retention)
 		b.log.SetDown(false)
 		time.Sleep(5 * time.Second)
 		b.log.Trim(2)
-		b.agree(a, c, b.start("b"))
+		b.checkAgreement(a, c, b.start("b"))
 	}},
-	{"start", "checkpoint", "refused", func(b *bed) {
+	{"start", "checkpoint", "refused", func(b *testbed) {
 		// The one that is due is refused: it is tried again long before the
 		// records that it stands for are trimmed.
 		a := b.start("a")
-		b.fill(a, 0, 3)
+		b.putSessions(a, 0, 3)
 		time.Sleep(foldConfig.Retention / 8)
 		b.log.FailAppends(logtest.AppendRefused, logtest.AppendLost)
 		time.Sleep(foldConfig.Retention / 2)
 		b.log.Trim(3)
-		c := b.begin("c")
+		c := b.startAsync("c")
 		time.Sleep(10 * time.Second)
 		if c.Digest() != a.Digest() {
 			b.t.Error("no checkpoint in time")
 		}
 	}},
-	{"start", "checkpoint", "lost reply", func(b *bed) {
+	{"start", "checkpoint", "lost reply", func(b *testbed) {
 		a := b.start("a")
-		b.fill(a, 0, 3)
+		b.putSessions(a, 0, 3)
 		b.log.FailAppends(logtest.AppendReplyLost)
 		if err := a.Checkpoint(); err != nil {
 			b.t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		b.log.Trim(3)
-		b.agree(a, b.start("c"))
+		b.checkAgreement(a, b.start("c"))
 	}},
 }
 
-func (b *bed) manager(in *instance) *lease.Manager {
+func (b *testbed) manager(in *instance) *lease.Manager {
 	b.t.Helper()
 	m, err := lease.New(in, lease.Config{Name: "orders", Holder: in.name}, nil)
 	if err != nil {
@@ -190,7 +190,7 @@
 	return m
 }
 
-func (b *bed) order(m *lease.Manager, e lease.FencingSupport, want lease.CheckResult) uint64 {
+func (b *testbed) checkOrder(m *lease.Manager, e lease.FencingSupport, want lease.CheckResult) uint64 {
 	b.t.Helper()
 	fence, got := m.Check(e)
 	if got != want {
@@ -199,7 +199,7 @@
 	return fence
 }
 
-func (b *bed) take(m *lease.Manager, want bool) {
+func (b *testbed) checkAcquire(m *lease.Manager, want bool) {
 	b.t.Helper()
 	if got := m.Acquire(b.t.Context()); got != want {
 		b.t.Errorf("took the lease: %v, want %v", got, want)
@@ -208,62 +208,62 @@
 
 // orderCells: one sender of orders at a time.
 var orderCells = []cell{
-	{"order", "check", "lapsed lease", func(b *bed) {
+	{"order", "check", "lapsed lease", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		old, next := b.manager(a), b.manager(c)
-		b.take(old, true)
-		first := b.order(old, lease.FencingEnforced, lease.Allowed)
+		b.checkAcquire(old, true)
+		first := b.checkOrder(old, lease.FencingEnforced, lease.Allowed)
 		b.freeze(a, 11*time.Second)
-		b.order(old, lease.FencingEnforced, lease.Expired)
-		b.take(next, true)
-		if second := b.order(next, lease.FencingEnforced, lease.Allowed); second <= first {
+		b.checkOrder(old, lease.FencingEnforced, lease.Expired)
+		b.checkAcquire(next, true)
+		if second := b.checkOrder(next, lease.FencingEnforced, lease.Allowed); second <= first {
 			b.t.Errorf("fencing number %d after %d", second, first)
 		}
-		b.order(next, lease.FencingIgnored, lease.WaitingForPredecessor)
+		b.checkOrder(next, lease.FencingIgnored, lease.WaitingForPredecessor)
 		time.Sleep(5 * time.Second)
-		b.order(old, lease.FencingEnforced, lease.NotHolder)
-		b.take(old, false)
+		b.checkOrder(old, lease.FencingEnforced, lease.NotHolder)
+		b.checkAcquire(old, false)
 	}},
-	{"order", "take", "kill", func(b *bed) {
+	{"order", "take", "kill", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		old, next := b.manager(a), b.manager(c)
-		b.take(old, true)
+		b.checkAcquire(old, true)
 		b.kill(a)
-		b.take(next, false)
+		b.checkAcquire(next, false)
 		time.Sleep(10 * time.Second)
-		b.take(next, true)
-		b.order(next, lease.FencingIgnored, lease.WaitingForPredecessor)
+		b.checkAcquire(next, true)
+		b.checkOrder(next, lease.FencingIgnored, lease.WaitingForPredecessor)
 		time.Sleep(7 * time.Second)
-		b.take(next, true)
+		b.checkAcquire(next, true)
 		time.Sleep(5200 * time.Millisecond)
-		b.order(next, lease.FencingIgnored, lease.Allowed)
+		b.checkOrder(next, lease.FencingIgnored, lease.Allowed)
 	}},
-	{"order", "take", "lost reply", func(b *bed) {
+	{"order", "take", "lost reply", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		b.log.FailAppends(logtest.AppendReplyLost)
 		m := b.manager(a)
-		b.take(m, true)
-		b.order(m, lease.FencingEnforced, lease.Allowed)
-		b.take(b.manager(c), false)
+		b.checkAcquire(m, true)
+		b.checkOrder(m, lease.FencingEnforced, lease.Allowed)
+		b.checkAcquire(b.manager(c), false)
 	}},
-	{"order", "renew", "log down", func(b *bed) {
+	{"order", "renew", "log down", func(b *testbed) {
 		a := b.start("a")
 		m := b.manager(a)
-		b.take(m, true)
+		b.checkAcquire(m, true)
 		b.log.SetDown(true)
 		time.Sleep(4 * time.Second)
-		b.take(m, false)
-		b.order(m, lease.FencingEnforced, lease.Allowed)
+		b.checkAcquire(m, false)
+		b.checkOrder(m, lease.FencingEnforced, lease.Allowed)
 		time.Sleep(4 * time.Second)
-		b.order(m, lease.FencingEnforced, lease.Expired)
+		b.checkOrder(m, lease.FencingEnforced, lease.Expired)
 	}},
-	{"order", "renew", "cut", func(b *bed) {
+	{"order", "renew", "cut", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		old, next := b.manager(a), b.manager(c)
-		b.take(old, true)
+		b.checkAcquire(old, true)
 		b.log.Cut("a", true)
 		time.Sleep(10 * time.Second)
-		b.order(old, lease.FencingEnforced, lease.Expired)
-		b.take(next, true)
+		b.checkOrder(old, lease.FencingEnforced, lease.Expired)
+		b.checkAcquire(next, true)
 	}},
 }
--- a/coordination/node/checkpoint.go
+++ b/coordination/node/checkpoint.go
@@ -14,7 +14,7 @@
 
 // checkpointRetry is how soon a checkpoint that was not read back is tried
 // again.
-const checkpointRetry = time.Minute
+const checkpointRetryInterval = time.Minute
 
 // checkpointPolicy says when this instance appends a checkpoint: once none was
 // read, whole, for between a quarter and a half of the retention. The jitter
@@ -23,25 +23,25 @@
 // instance that was cut off for long comes due as soon as it has caught up.
 // Safe for concurrent use.
 type checkpointPolicy struct {
-	mu       sync.Mutex
-	interval time.Duration
-	last     time.Time
-	tried    time.Time
+	mu           sync.Mutex
+	interval     time.Duration
+	lastComplete time.Time
+	lastAttempt  time.Time
 	// nonce and have count the parts of the checkpoint being read.
-	nonce record.Nonce
-	have  int
+	nonce     record.Nonce
+	partsRead int
 }
 
 func newCheckpointPolicy(retention time.Duration, seed uint64) *checkpointPolicy {
 	quarter := retention / 4
 	jitter := time.Duration(rand.New(rand.NewPCG(seed, 3)).Int64N(int64(quarter)))
-	return &checkpointPolicy{interval: quarter + jitter, last: time.Now()}
+	return &checkpointPolicy{interval: quarter + jitter, lastComplete: time.Now()}
 }
 
 // seen notes one part of a checkpoint read from the log; only all parts of one
 // count. Two writers whose parts alternate count as none, which costs one more
 // checkpoint.
-func (p *checkpointPolicy) seen(now time.Time, r *record.Record) {
+func (p *checkpointPolicy) partRead(now time.Time, r *record.Record) {
 	part, parts, ok := fold.ParseCheckpointPart(r)
 	if !ok {
 		return
@@ -49,14 +49,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if part == 0 {
-		p.nonce, p.have = r.Nonce, 0
+		p.nonce, p.partsRead = r.Nonce, 0
 	}
 	if r.Nonce != p.nonce {
 		return
 	}
-	p.have++
-	if p.have == parts {
-		p.last = now
+	p.partsRead++
+	if p.partsRead == parts {
+		p.lastComplete = now
 	}
 }
 
@@ -64,16 +64,16 @@
 func (p *checkpointPolicy) due(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.last) < p.interval || now.Sub(p.tried) < checkpointRetry {
+	if now.Sub(p.lastComplete) < p.interval || now.Sub(p.lastAttempt) < checkpointRetryInterval {
 		return false
 	}
-	p.tried = now
+	p.lastAttempt = now
 	return true
 }
 
 // keepCheckpoint queues a checkpoint when one is due. Only a node that is ready
 // does: the state of one that is catching up helps nobody.
-func (n *Node) keepCheckpoint() error {
+func (n *Node) queueDueCheckpoint() error {
 	if !n.isReady() || !n.checkpoints.due(time.Now()) {
 		return nil
 	}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	n.proposals.addExtra(parts)
+	n.proposals.addCheckpointParts(parts)
 	return nil
 }
 
@@ -180,22 +180,22 @@
 		n.status.target, n.status.hasTarget = state.Digest().NextOffset, true
 	}
 	n.mu.Unlock()
-	n.tellRestored(old, state)
-	n.proposals.restored(state.Lookup)
-	n.noteReady()
+	n.notifyRestored(old, state)
+	n.proposals.stateRestored(state.Lookup)
+	n.checkReady()
 	return nil
 }
 
 // tellRestored tells the watchers of the registers that are new in state, as if
 // their Puts had been read.
-func (n *Node) tellRestored(old, state *fold.State) {
+func (n *Node) notifyRestored(old, state *fold.State) {
 	for _, class := range n.watchers.classes() {
 		for _, reg := range state.Registers(class) {
 			before, ok := old.Lookup(reg.Key)
 			if ok && before.Nonce == reg.Nonce && before.Offset == reg.Offset {
 				continue
 			}
-			n.watchers.tell(&fold.Change{
+			n.watchers.notify(&fold.Change{
 				Verdict:  fold.VerdictWon,
 				Record:   record.Record{Kind: record.KindPut, Key: reg.Key, Nonce: reg.Nonce, Value: reg.Value},
 				Register: reg,
--- a/coordination/node/config.go
+++ b/coordination/node/config.go
@@ -46,8 +46,8 @@
 	// backoffFirst and backoffMost bound the wait after a failed call. The
 	// most and a call's timeout together are under the freshness bound, so that
 	// what is known of the log's being down or back is never older than that.
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = time.Second
+	backoffInitial = 50 * time.Millisecond
+	backoffMax     = time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -107,7 +107,7 @@
 // WithLive sets how the node learns how many instances share the append
 // budget; f must be safe for concurrent use. Default: 8, today's fleet.
 func WithLive(f func() int) Option {
-	return func(n *Node) { n.live = f }
+	return func(n *Node) { n.instanceCount = f }
 }
 
 // WithSeed seeds the jitter of backoff and checkpoints.
--- a/coordination/node/doubt.go
+++ b/coordination/node/doubt.go
@@ -11,54 +11,54 @@
 // before, a second copy would often follow a first one that is merely unread,
 // and the second might win where the first was read back as the loser. A first
 // copy that comes later still is what the release in readBack is for.
-type doubt struct {
+type inDoubtGroup struct {
 	group group
 	due   time.Time
 	// head is the log's head as read after the append; asked says that it was.
-	head  uint64
-	asked bool
+	head      uint64
+	headKnown bool
 }
 
 // doubt keeps what the group settles until it is read back or sent again.
-func (a *appender) doubt(g group) {
+func (a *appender) addInDoubt(g group) {
 	g.records = nil
-	a.doubts = append(a.doubts, doubt{group: g, due: time.Now().Add(a.backoff.next())})
+	a.inDoubt = append(a.inDoubt, inDoubtGroup{group: g, due: time.Now().Add(a.backoff.next())})
 }
 
 // settleDoubts takes the doubts that are due a step further.
-func (a *appender) settleDoubts(ctx context.Context) {
-	if orphans := a.node.proposals.takeOrphans(); len(orphans) > 0 {
-		a.doubts = append(a.doubts, doubt{group: group{puts: orphans}, due: time.Now()})
+func (a *appender) resolveInDoubt(ctx context.Context) {
+	if orphans := a.node.proposals.takeSkipped(); len(orphans) > 0 {
+		a.inDoubt = append(a.inDoubt, inDoubtGroup{group: group{puts: orphans}, due: time.Now()})
 	}
 	now := time.Now()
-	a.doubts = slices.DeleteFunc(a.doubts, func(d doubt) bool { return !a.node.proposals.open(&d.group) })
-	if !slices.ContainsFunc(a.doubts, func(d doubt) bool { return !d.due.After(now) }) {
+	a.inDoubt = slices.DeleteFunc(a.inDoubt, func(d inDoubtGroup) bool { return !a.node.proposals.unresolved(&d.group) })
+	if !slices.ContainsFunc(a.inDoubt, func(d inDoubtGroup) bool { return !d.due.After(now) }) {
 		return
 	}
 	head, err := a.readHead(ctx)
 	next := a.node.Digest().NextOffset
-	kept := a.doubts[:0]
-	for _, d := range a.doubts {
+	kept := a.inDoubt[:0]
+	for _, d := range a.inDoubt {
 		if d.due.After(now) {
 			kept = append(kept, d)
 			continue
 		}
-		if !d.asked && err == nil {
-			d.head, d.asked = head, true
+		if !d.headKnown && err == nil {
+			d.head, d.headKnown = head, true
 		}
-		if d.asked && next >= d.head {
+		if d.headKnown && next >= d.head {
 			a.node.proposals.resend(&d.group)
 			continue
 		}
-		d.due = now.Add(a.recheck(d.asked))
+		d.due = now.Add(a.recheckDelay(d.headKnown))
 		kept = append(kept, d)
 	}
-	a.doubts = kept
+	a.inDoubt = kept
 }
 
 // recheck is when to look again: soon while the tail catches up with a head
 // that is known, and by the backoff while the log can't be read.
-func (a *appender) recheck(asked bool) time.Duration {
+func (a *appender) recheckDelay(asked bool) time.Duration {
 	if asked {
 		return a.node.cfg.Linger
 	}
@@ -73,8 +73,8 @@
 
 // nextDue is when the first doubt is due; there must be one.
 func (a *appender) nextDue() time.Time {
-	first := a.doubts[0].due
-	for _, d := range a.doubts {
+	first := a.inDoubt[0].due
+	for _, d := range a.inDoubt {
 		if d.due.Before(first) {
 			first = d.due
 		}
--- a/coordination/node/group.go
+++ b/coordination/node/group.go
@@ -32,22 +32,22 @@
 		p := ps.queue[0]
 		ps.queue = ps.queue[1:]
 		p.queued = false
-		if p.gone || p.verdict != nil {
+		if p.abandoned || p.pendingResult != nil {
 			continue
 		}
 		p.stage = stageSent
-		p.sends++
+		p.appends++
 		g.puts = append(g.puts, p)
 		g.records = append(g.records, p.record)
 	}
 	// One part of a checkpoint rides along, however full the group is: under
 	// constant load there is never room, and the log would be trimmed with no
 	// checkpoint in it.
-	if len(ps.extra) > 0 && len(g.records) < record.MaxRecords {
-		g.records = append(g.records, ps.extra[0])
-		ps.extra = ps.extra[1:]
+	if len(ps.checkpointParts) > 0 && len(g.records) < record.MaxRecords {
+		g.records = append(g.records, ps.checkpointParts[0])
+		ps.checkpointParts = ps.checkpointParts[1:]
 	}
-	if len(ps.queue)+len(ps.releases)+len(ps.extra) > 0 {
+	if len(ps.queue)+len(ps.releases)+len(ps.checkpointParts) > 0 {
 		ps.signal()
 	}
 	return g
@@ -58,11 +58,11 @@
 
 // refused settles a group that certainly had no effect: its Puts are void,
 // unless an earlier append of the same Put may still land.
-func (ps *proposals) refused(g *group) {
+func (ps *proposals) markRefused(g *group) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for _, p := range g.puts {
-		if p.unknown || p.gone {
+		if p.outcomeUnknown || p.abandoned {
 			continue
 		}
 		ps.forget(p)
@@ -72,11 +72,11 @@
 
 // lost notes that the group may or may not stand in the log. Its Puts stay
 // with their waiters until they are read back; resend offers them again.
-func (ps *proposals) lost(g *group) {
+func (ps *proposals) markUnknown(g *group) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for _, p := range g.puts {
-		p.unknown = true
+		p.outcomeUnknown = true
 	}
 }
 
@@ -86,12 +86,12 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for _, p := range g.puts {
-		if !p.gone && !p.queued && p.verdict == nil {
+		if !p.abandoned && !p.queued && p.pendingResult == nil {
 			ps.enqueue(p)
 		}
 	}
 	for _, r := range g.releases {
-		if ps.dead[proposalID{r.Key, r.Nonce}] {
+		if ps.pendingReleases[proposalID{r.Key, r.Nonce}] {
 			ps.releases = append(ps.releases, r)
 			ps.signal()
 		}
@@ -99,25 +99,25 @@
 }
 
 // takeOrphans empties the orphans.
-func (ps *proposals) takeOrphans() []*proposal {
+func (ps *proposals) takeSkipped() []*proposal {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	out := ps.orphans
-	ps.orphans = nil
+	out := ps.skipped
+	ps.skipped = nil
 	return out
 }
 
 // open reports whether g has anything left that was not read back.
-func (ps *proposals) open(g *group) bool {
+func (ps *proposals) unresolved(g *group) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for _, p := range g.puts {
-		if !p.gone && p.verdict == nil {
+		if !p.abandoned && p.pendingResult == nil {
 			return true
 		}
 	}
 	for _, r := range g.releases {
-		if ps.dead[proposalID{r.Key, r.Nonce}] {
+		if ps.pendingReleases[proposalID{r.Key, r.Nonce}] {
 			return true
 		}
 	}
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -25,22 +25,22 @@
 	ErrNoCheckpoint = errors.New("node: trimmed, and no checkpoint is left")
 	// ErrWentBack means that the log's head lies before what was read from it.
 	// The node keeps its state, and counts the log as not reachable.
-	ErrWentBack = errors.New("node: the log went back")
+	ErrHeadRegressed = errors.New("node: the log went back")
 	// ErrConfig means that New was given an unusable Config.
-	ErrConfig  = errors.New("node: invalid configuration")
-	errStarted = errors.New("node: started before")
+	ErrConfig         = errors.New("node: invalid configuration")
+	errAlreadyStarted = errors.New("node: started before")
 )
 
 // Node implements Store over a platformlog.Log. Make it with New, then Start
 // it; Stop ends its goroutines. Safe for concurrent use.
 type Node struct {
-	cfg      Config
-	log      platformlog.Log
-	options  fold.Options
-	observer Observer
-	logger   *slog.Logger
-	live     func() int
-	seed     uint64
+	cfg           Config
+	log           platformlog.Log
+	options       fold.Options
+	observer      Observer
+	logger        *slog.Logger
+	instanceCount func() int
+	seed          uint64
 
 	proposals   *proposals
 	watchers    watchers
@@ -84,16 +84,16 @@
 	}
 	cfg = cfg.withDefaults()
 	n := &Node{
-		cfg:       cfg,
-		log:       log,
-		options:   fold.Options{Validators: map[record.Class]fold.Validator{}},
-		observer:  noObserver{},
-		logger:    slog.New(slog.DiscardHandler),
-		live:      func() int { return defaultLive },
-		seed:      rand.Uint64(),
-		proposals: newProposals(cfg.MaxQueue, cfg.MaxReleases),
-		ready:     make(chan struct{}),
-		stopping:  make(chan struct{}),
+		cfg:           cfg,
+		log:           log,
+		options:       fold.Options{Validators: map[record.Class]fold.Validator{}},
+		observer:      noObserver{},
+		logger:        slog.New(slog.DiscardHandler),
+		instanceCount: func() int { return defaultInstanceCount },
+		seed:          rand.Uint64(),
+		proposals:     newProposals(cfg.MaxQueue, cfg.MaxReleases),
+		ready:         make(chan struct{}),
+		stopping:      make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(n)
@@ -104,7 +104,7 @@
 }
 
 // defaultLive is the fleet of today.
-const defaultLive = 8
+const defaultInstanceCount = 8
 
 // Start begins to tail the log and to append. It returns at once; see Ready.
 // ctx's values are kept, its end is not: Stop ends the node.
@@ -112,7 +112,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.started {
-		return trace.Wrap(errStarted)
+		return trace.Wrap(errAlreadyStarted)
 	}
 	n.started = true
 	ctx, n.cancel = context.WithCancel(context.WithoutCancel(ctx))
@@ -207,7 +207,7 @@
 	n.mu.RLock()
 	reg, ok := n.state.Lookup(key)
 	n.mu.RUnlock()
-	if ok && n.proposals.isDead(key, reg.Nonce) {
+	if ok && n.proposals.isReleased(key, reg.Nonce) {
 		return fold.Register{}, false
 	}
 	return reg, ok
@@ -228,7 +228,7 @@
 }
 
 // Now is the log's time as of the last folded entry.
-func (n *Node) Now() time.Time {
+func (n *Node) LogTime() time.Time {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return n.state.LogTime()
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -18,18 +18,18 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // fleet runs nodes on one in-memory log inside a synctest bubble.
-type fleet struct {
+type testCluster struct {
 	t   *testing.T
 	log *logtest.Log
 }
 
-func inBubble(t *testing.T, f func(t *testing.T, fl *fleet)) {
+func inBubble(t *testing.T, f func(t *testing.T, fl *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		f(t, &fleet{t, logtest.New()})
+		f(t, &testCluster{t, logtest.New()})
 	})
 }
 
-func (fl *fleet) node(name string, opts ...Option) *Node {
+func (fl *testCluster) node(name string, opts ...Option) *Node {
 	fl.t.Helper()
 	opts = append([]Option{WithSeed(uint64(len(name)) + uint64(name[0]))}, opts...)
 	n, err := New(fl.log.Client(name), Config{Name: name}, opts...)
@@ -43,7 +43,7 @@
 	return n
 }
 
-func (fl *fleet) stop(n *Node) {
+func (fl *testCluster) stop(n *Node) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if err := n.Stop(ctx); err != nil {
@@ -61,7 +61,7 @@
 	return ctx
 }
 
-func (fl *fleet) wantPut(n *Node, r record.Record, want Outcome) Result {
+func (fl *testCluster) mustPut(n *Node, r record.Record, want Outcome) Result {
 	fl.t.Helper()
 	res := n.Put(within(fl.t, 10*time.Second), r)
 	if res.Outcome != want {
@@ -71,7 +71,7 @@
 }
 
 func TestOneOfTwoWins(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
 		results := make(chan Result, 2)
 		for i, n := range []*Node{a, b} {
@@ -108,16 +108,16 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, fl *fleet) {
+			inBubble(t, func(t *testing.T, fl *testCluster) {
 				a, b := fl.node("a"), fl.node("b")
 				<-a.Ready()
 				<-b.Ready()
 				tt.fault(fl.log)
-				fl.wantPut(a, put("session/x", 1), tt.want)
+				fl.mustPut(a, put("session/x", 1), tt.want)
 				fl.log.SetDown(false)
 				fl.log.SetSlow(0)
 				time.Sleep(time.Minute)
-				fl.wantPut(b, put("session/x", 2), tt.after)
+				fl.mustPut(b, put("session/x", 2), tt.after)
 			})
 		})
 	}
@@ -126,13 +126,13 @@
 // TestVoidIsAtOnceWhileDown: the log is known to be down, so callers are not
 // held to their deadlines.
 func TestVoidIsAtOnceWhileDown(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
 		<-a.Ready()
 		fl.log.SetDown(true)
 		began := time.Now()
 		for i := range 20 {
-			fl.wantPut(a, put("session/x", byte(i+1)), OutcomeVoid)
+			fl.mustPut(a, put("session/x", byte(i+1)), OutcomeVoid)
 		}
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("20 refusals took %v", took)
@@ -143,7 +143,7 @@
 // TestReleaseOfUnknown: a released Put never wins, though its append lands
 // after the Release was given.
 func TestReleaseOfUnknown(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
 		<-a.Ready()
 		fl.log.SetSlow(1900 * time.Millisecond)
@@ -162,17 +162,17 @@
 		if len(fl.log.Entries()) != 2 {
 			t.Errorf("%d entries, want the Put and the Release", len(fl.log.Entries()))
 		}
-		fl.wantPut(b, put("session/x", 2), OutcomeWon)
-		if len(a.proposals.dead) != 0 {
+		fl.mustPut(b, put("session/x", 2), OutcomeWon)
+		if len(a.proposals.pendingReleases) != 0 {
 			t.Error("a release that was read back is still held")
 		}
 	})
 }
 
 func TestReleaseHoldsLocallyAtOnce(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
-		fl.wantPut(a, put("session/x", 1), OutcomeWon)
+		fl.mustPut(a, put("session/x", 1), OutcomeWon)
 		fl.log.SetDown(true)
 		a.Release("session/x", record.Nonce{1})
 		if _, ok := a.Lookup("session/x"); ok {
@@ -191,7 +191,7 @@
 
 // TestReleaseEndsTheWait: Release while the Put is in flight.
 func TestReleaseEndsTheWait(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
 		<-a.Ready()
 		fl.log.SetSlow(time.Second)
@@ -241,14 +241,14 @@
 // TestBudget: eight instances under full load stay within the log's appends a
 // second, and an idle one answers without waiting for a linger.
 func TestBudget(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		const seconds = 10
 		var nodes []*Node
 		for i := range 8 {
 			nodes = append(nodes, fl.node(fmt.Sprintf("n%d", i)))
 		}
 		began := time.Now()
-		fl.wantPut(nodes[0], put("session/idle", 1), OutcomeWon)
+		fl.mustPut(nodes[0], put("session/idle", 1), OutcomeWon)
 		if took := time.Since(began); took > time.Millisecond {
 			t.Errorf("the first Put of an idle writer took %v", took)
 		}
@@ -277,7 +277,7 @@
 
 // TestPlannedStopSettles: a Put under way at a planned stop is read back.
 func TestPlannedStopSettles(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
 		<-a.Ready()
 		synctest.Wait()
@@ -298,7 +298,7 @@
 // TestNoSecondCopyWhileUnread: the reply is lost and the tail is slow; the Put
 // is not sent again before the tail could have read it.
 func TestNoSecondCopyWhileUnread(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
 		<-a.Ready()
 		synctest.Wait()
@@ -307,7 +307,7 @@
 		time.Sleep(1050 * time.Millisecond)
 		fl.log.SetSlow(0)
 		fl.log.FailAppends(logtest.AppendReplyLost)
-		fl.wantPut(a, put("session/x", 1), OutcomeWon)
+		fl.mustPut(a, put("session/x", 1), OutcomeWon)
 		if n := len(fl.log.Entries()); n != 1 {
 			t.Errorf("%d copies in the log", n)
 		}
@@ -318,11 +318,11 @@
 // second one loses. The caller was told so; the late copy must not win when the
 // winner is gone.
 func TestLateCopyOfALostPut(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
-		fl.wantPut(b, put("session/x", 2), OutcomeWon)
+		fl.mustPut(b, put("session/x", 2), OutcomeWon)
 		fl.log.FailAppends(logtest.AppendLate)
-		fl.wantPut(a, put("session/x", 1), OutcomeLost)
+		fl.mustPut(a, put("session/x", 1), OutcomeLost)
 		b.Release("session/x", record.Nonce{2})
 		time.Sleep(2 * logtest.LateBy)
 		if reg, ok := b.Lookup("session/x"); ok {
@@ -332,24 +332,24 @@
 }
 
 // seenBy is an Observer that counts.
-type seenBy struct{ heads, failures atomic.Int64 }
+type countingObserver struct{ heads, failures atomic.Int64 }
 
-func (s *seenBy) HeadRead(time.Time, uint64) { s.heads.Add(1) }
-func (s *seenBy) Folded(uint64)              {}
-func (s *seenBy) ReadFailed(time.Time)       { s.failures.Add(1) }
+func (s *countingObserver) HeadRead(time.Time, uint64) { s.heads.Add(1) }
+func (s *countingObserver) Folded(uint64)              {}
+func (s *countingObserver) ReadFailed(time.Time)       { s.failures.Add(1) }
 
 // TestLogThatWentBack: a wiped log confirms nothing, takes nothing back, and a
 // Put that lands in it is never said to have won.
 func TestLogThatWentBack(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
-		var seen seenBy
+	inBubble(t, func(t *testing.T, fl *testCluster) {
+		var seen countingObserver
 		a := fl.node("a", WithObserver(&seen))
-		fl.wantPut(a, put("session/x", 1), OutcomeWon)
-		fl.wantPut(a, put("session/y", 1), OutcomeWon)
+		fl.mustPut(a, put("session/x", 1), OutcomeWon)
+		fl.mustPut(a, put("session/y", 1), OutcomeWon)
 		fl.log.Wipe()
 		time.Sleep(2 * time.Second)
 		heads := seen.heads.Load()
-		fl.wantPut(a, put("session/x", 2), OutcomeUnknown)
+		fl.mustPut(a, put("session/x", 2), OutcomeUnknown)
 		time.Sleep(5 * time.Second)
 		if seen.heads.Load() != heads || seen.failures.Load() == 0 {
 			t.Errorf("%d heads after the wipe, %d failures", seen.heads.Load()-heads, seen.failures.Load())
@@ -361,9 +361,9 @@
 }
 
 func TestStopFlushesReleases(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
-		fl.wantPut(a, put("session/x", 1), OutcomeWon)
+		fl.mustPut(a, put("session/x", 1), OutcomeWon)
 		a.Release("session/x", record.Nonce{1})
 		fl.stop(a)
 		time.Sleep(time.Second)
--- a/coordination/node/proposals.go
+++ b/coordination/node/proposals.go
@@ -30,19 +30,19 @@
 	stage  stage
 	// sends counts the appends that carried it; with more than one, a copy may
 	// still come after the one that was read back.
-	sends int
+	appends int
 	// queued is set while it stands in the queue, gone once nobody waits.
-	queued bool
-	gone   bool
+	queued    bool
+	abandoned bool
 	// verdict is what the caller will be told once the Release is read back.
 	// The Put was read back as a loser, but another copy of it may still come,
 	// and might win where this one did not. Who is told "lost" must be able to
 	// rely on it, also if this process is killed the next moment: so the
 	// nonce is dead in the log first.
-	verdict *Result
+	pendingResult *Result
 	// unknown is set once an append that carried it lost its reply.
-	unknown bool
-	done    chan Result
+	outcomeUnknown bool
+	done           chan Result
 }
 
 // proposals holds what this process has proposed and not yet read back. Safe
@@ -55,11 +55,11 @@
 	queue       []*proposal
 	// releases wait for their append; dead holds the nonces given up until the
 	// Release is read back from the log.
-	releases []record.Record
-	dead     map[proposalID]bool
-	extra    []record.Record
+	releases        []record.Record
+	pendingReleases map[proposalID]bool
+	checkpointParts []record.Record
 	// orphans are Puts whose record may lie before a state that was taken over.
-	orphans []*proposal
+	skipped []*proposal
 	// refusing is set while the log is known to take nothing.
 	refusing bool
 	// wake has room for one token: there is something to append.
@@ -68,11 +68,11 @@
 
 func newProposals(maxQueue, maxReleases int) *proposals {
 	return &proposals{
-		maxQueue:    maxQueue,
-		maxReleases: maxReleases,
-		waiting:     map[proposalID]*proposal{},
-		dead:        map[proposalID]bool{},
-		wake:        make(chan struct{}, 1),
+		maxQueue:        maxQueue,
+		maxReleases:     maxReleases,
+		waiting:         map[proposalID]*proposal{},
+		pendingReleases: map[proposalID]bool{},
+		wake:            make(chan struct{}, 1),
 	}
 }
 
@@ -82,7 +82,7 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	id := proposalID{r.Key, r.Nonce}
-	if ps.refusing || ps.waiting[id] != nil || ps.dead[id] || len(ps.queue) >= ps.maxQueue {
+	if ps.refusing || ps.waiting[id] != nil || ps.pendingReleases[id] || len(ps.queue) >= ps.maxQueue {
 		return nil, false
 	}
 	p := &proposal{record: r, done: make(chan Result, 1)}
@@ -125,7 +125,7 @@
 // forget ends the wait for p; next skips it should it stand in the queue.
 func (ps *proposals) forget(p *proposal) {
 	delete(ps.waiting, proposalID{p.record.Key, p.record.Nonce})
-	p.gone = true
+	p.abandoned = true
 }
 
 // release gives a nonce up: a Put of it that waits is void from now on, since
@@ -141,18 +141,18 @@
 			return true
 		}
 	}
-	return ps.giveUp(id)
+	return ps.queueRelease(id)
 }
 
 // giveUp queues the Release of id, once.
-func (ps *proposals) giveUp(id proposalID) bool {
-	if ps.dead[id] {
+func (ps *proposals) queueRelease(id proposalID) bool {
+	if ps.pendingReleases[id] {
 		return true
 	}
-	if len(ps.dead) >= ps.maxReleases {
+	if len(ps.pendingReleases) >= ps.maxReleases {
 		return false
 	}
-	ps.dead[id] = true
+	ps.pendingReleases[id] = true
 	ps.releases = append(ps.releases, releaseOf(id))
 	ps.signal()
 	return true
@@ -162,17 +162,17 @@
 	return record.Record{Kind: record.KindRelease, Key: id.key, Nonce: id.nonce}
 }
 
-func (ps *proposals) isDead(key record.Key, nonce record.Nonce) bool {
+func (ps *proposals) isReleased(key record.Key, nonce record.Nonce) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	return len(ps.dead) > 0 && ps.dead[proposalID{key, nonce}]
+	return len(ps.pendingReleases) > 0 && ps.pendingReleases[proposalID{key, nonce}]
 }
 
 // addExtra queues records that nobody waits for (checkpoints).
-func (ps *proposals) addExtra(records []record.Record) {
+func (ps *proposals) addCheckpointParts(records []record.Record) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	ps.extra = append(ps.extra, records...)
+	ps.checkpointParts = append(ps.checkpointParts, records...)
 	ps.signal()
 }
 
--- a/coordination/node/readback.go
+++ b/coordination/node/readback.go
@@ -23,19 +23,19 @@
 	defer ps.mu.Unlock()
 	id := proposalID{c.Record.Key, c.Record.Nonce}
 	if c.Record.Kind == record.KindRelease {
-		ps.released(id)
+		ps.releaseReadBack(id)
 		return
 	}
 	p := ps.waiting[id]
 	if p == nil || c.Record.Kind != record.KindPut {
 		return
 	}
-	if p.verdict != nil {
+	if p.pendingResult != nil {
 		return
 	}
 	res := Result{Outcome: outcomeOf(c.Verdict), Register: c.Register}
-	if res.Outcome != OutcomeWon && p.sends > 1 && ps.giveUp(id) {
-		p.verdict = &res
+	if res.Outcome != OutcomeWon && p.appends > 1 && ps.queueRelease(id) {
+		p.pendingResult = &res
 		return
 	}
 	ps.forget(p)
@@ -43,11 +43,11 @@
 }
 
 // released settles the Put that waited for its Release to be read back.
-func (ps *proposals) released(id proposalID) {
-	delete(ps.dead, id)
-	if p := ps.waiting[id]; p != nil && p.verdict != nil {
+func (ps *proposals) releaseReadBack(id proposalID) {
+	delete(ps.pendingReleases, id)
+	if p := ps.waiting[id]; p != nil && p.pendingResult != nil {
 		ps.forget(p)
-		p.done <- *p.verdict
+		p.done <- *p.pendingResult
 	}
 }
 
@@ -67,11 +67,11 @@
 // holds its register has won. Of the others nothing is known: the state may be
 // older than the Put, and who held the key then may be gone. They are in doubt
 // like those whose reply was lost.
-func (ps *proposals) restored(lookup func(record.Key) (fold.Register, bool)) {
+func (ps *proposals) stateRestored(lookup func(record.Key) (fold.Register, bool)) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for id, p := range ps.waiting {
-		if p.stage == stageQueued || p.verdict != nil {
+		if p.stage == stageQueued || p.pendingResult != nil {
 			continue
 		}
 		if reg, ok := lookup(id.key); ok && reg.Nonce == id.nonce {
@@ -79,13 +79,13 @@
 			p.done <- Result{Outcome: OutcomeWon, Register: reg}
 			continue
 		}
-		p.unknown = true
-		ps.orphans = append(ps.orphans, p)
+		p.outcomeUnknown = true
+		ps.skipped = append(ps.skipped, p)
 		ps.signal()
 	}
 	// Releases in the part that was skipped are not read back any more.
 	ps.releases = ps.releases[:0]
-	for id := range ps.dead {
+	for id := range ps.pendingReleases {
 		ps.releases = append(ps.releases, releaseOf(id))
 	}
 	if len(ps.releases) > 0 {
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -14,11 +14,11 @@
 )
 
 func TestStartAfterTrimming(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
 		var heard []record.Key
 		for i := range 5 {
-			fl.wantPut(a, put(record.Key(fmt.Sprintf("session/%d", i)), 1), OutcomeWon)
+			fl.mustPut(a, put(record.Key(fmt.Sprintf("session/%d", i)), 1), OutcomeWon)
 		}
 		fl.log.Trim(3)
 		late := fl.node("late")
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute)
-		fl.wantPut(a, put("session/5", 1), OutcomeWon)
+		fl.mustPut(a, put("session/5", 1), OutcomeWon)
 		<-late.Ready()
 		synctest.Wait()
 		if late.Digest() != a.Digest() {
@@ -45,14 +45,14 @@
 }
 
 func TestStaleCheckpointIsOfNoUse(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
-		fl.wantPut(a, put("session/0", 1), OutcomeWon)
+		fl.mustPut(a, put("session/0", 1), OutcomeWon)
 		if err := a.Checkpoint(); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		fl.wantPut(a, put("session/1", 1), OutcomeWon)
+		fl.mustPut(a, put("session/1", 1), OutcomeWon)
 		// The checkpoint itself is the second entry; keep it, but not the
 		// entry before it that it does not cover.
 		stale := fl.log.Entries()[1]
@@ -80,9 +80,9 @@
 // TestCheckpointBeforeTrimming: instances keep a checkpoint in the log by
 // themselves, well before the retention has passed.
 func TestCheckpointBeforeTrimming(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, _ := fl.node("a"), fl.node("b")
-		fl.wantPut(a, put("session/x", 1), OutcomeWon)
+		fl.mustPut(a, put("session/x", 1), OutcomeWon)
 		time.Sleep(18 * time.Hour)
 		fl.log.Trim(1)
 		late := fl.node("late")
@@ -99,7 +99,7 @@
 // TestCheckpointUnderLoad: a large checkpoint gets into the log while each
 // group is full, and a writer that starts from it has the same state.
 func TestCheckpointUnderLoad(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
 		big := func(i int) record.Record {
 			r := put(record.Key(fmt.Sprintf("session/%d", i)), 1)
@@ -107,7 +107,7 @@
 			return r
 		}
 		for i := range 4 {
-			fl.wantPut(a, big(i), OutcomeWon)
+			fl.mustPut(a, big(i), OutcomeWon)
 		}
 		var wg sync.WaitGroup
 		ctx := within(t, 2*time.Second)
@@ -145,9 +145,9 @@
 // TestRestoreFromALaggingPeer: the peer's state is older than the Put that
 // waits. Who held the key then says nothing of who holds it now.
 func TestRestoreFromALaggingPeer(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		b, c := fl.node("b"), fl.node("c")
-		fl.wantPut(b, put("session/x", 2), OutcomeWon)
+		fl.mustPut(b, put("session/x", 2), OutcomeWon)
 		synctest.Wait()
 		fl.log.Cut("c", true)
 		b.Release("session/x", record.Nonce{2})
@@ -173,9 +173,9 @@
 // TestRestorePastTheOwnRecord: the own record lies in the part that is skipped,
 // and lost there; it is never read back, and the Put is settled all the same.
 func TestRestorePastTheOwnRecord(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		b := fl.node("b")
-		fl.wantPut(b, put("session/x", 2), OutcomeWon)
+		fl.mustPut(b, put("session/x", 2), OutcomeWon)
 		synctest.Wait() // b waits in its next poll, which is not slow
 		fl.log.SetSlow(300 * time.Millisecond)
 		a := fl.node("a")
@@ -201,7 +201,7 @@
 // over hears of the winner once its nonce is read back, and its own late copy
 // never wins.
 func TestRestoreSettlesWaitingPuts(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
 		<-a.Ready()
 		fl.log.FailAppends(logtest.AppendLate)
@@ -209,7 +209,7 @@
 		go func() { done <- a.Put(t.Context(), put("session/x", 1)) }()
 		synctest.Wait()
 		fl.log.Cut("a", true)
-		fl.wantPut(b, put("session/x", 2), OutcomeWon)
+		fl.mustPut(b, put("session/x", 2), OutcomeWon)
 		snapshot, _ := b.Snapshot()
 		if err := a.Restore(snapshot); err != nil {
 			t.Fatal(err)
@@ -228,9 +228,9 @@
 }
 
 func TestRestoreWhileDown(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *fleet) {
+	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
-		fl.wantPut(a, put("session/x", 1), OutcomeWon)
+		fl.mustPut(a, put("session/x", 1), OutcomeWon)
 		fl.log.SetDown(true)
 		late := fl.node("late")
 		time.Sleep(10 * time.Second)
--- a/coordination/node/retry.go
+++ b/coordination/node/retry.go
@@ -11,26 +11,26 @@
 // retryWait gives growing waits between failed calls, with seeded jitter of
 // half of each, so that instances that lost the log together do not all come
 // back to it in one moment. For one goroutine.
-type retryWait struct {
-	waits  *backoff.ExponentialBackOff
-	jitter *rand.Rand
+type retryBackoff struct {
+	exponential *backoff.ExponentialBackOff
+	jitter      *rand.Rand
 }
 
-func newRetryWait(seed, stream uint64) *retryWait {
+func newRetryBackoff(seed, stream uint64) *retryBackoff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = backoffFirst
-	b.MaxInterval = backoffMost
+	b.InitialInterval = backoffInitial
+	b.MaxInterval = backoffMax
 	b.RandomizationFactor = 0
 	b.Reset()
-	return &retryWait{b, rand.New(rand.NewPCG(seed, stream))}
+	return &retryBackoff{b, rand.New(rand.NewPCG(seed, stream))}
 }
 
-func (w *retryWait) next() time.Duration {
-	d := w.waits.NextBackOff()
+func (w *retryBackoff) next() time.Duration {
+	d := w.exponential.NextBackOff()
 	return d/2 + time.Duration(w.jitter.Int64N(int64(d/2)))
 }
 
-func (w *retryWait) reset() { w.waits.Reset() }
+func (w *retryBackoff) reset() { w.exponential.Reset() }
 
 // sleep waits for d or the end of ctx.
 func sleep(ctx context.Context, d time.Duration) {
--- a/coordination/node/tail.go
+++ b/coordination/node/tail.go
@@ -13,9 +13,9 @@
 
 // tail reads the log until ctx ends.
 func (n *Node) tail(ctx context.Context) {
-	retry := newRetryWait(n.seed, 1)
+	retry := newRetryBackoff(n.seed, 1)
 	for ctx.Err() == nil {
-		err := n.readOnce(ctx)
+		err := n.pollOnce(ctx)
 		if err == nil {
 			retry.reset()
 			continue
@@ -29,32 +29,32 @@
 }
 
 // readOnce makes one long poll and folds what it brought.
-func (n *Node) readOnce(ctx context.Context) error {
+func (n *Node) pollOnce(ctx context.Context) error {
 	next := n.Digest().NextOffset
 	sent := time.Now()
 	page, err := n.read(ctx, next, n.pollWait())
 	if errors.Is(err, platformlog.ErrTrimmed) {
-		n.noteHead(sent, page)
+		n.updateHead(sent, page)
 		return n.catchUp(ctx, page.First)
 	}
 	if err != nil {
-		n.noteFailure(time.Now())
+		n.markUnreachable(time.Now())
 		return err
 	}
 	if page.Head < next {
 		// A log that is shorter than what was read from it has lost records or
 		// is another log. Its head confirms nothing.
-		n.noteFailure(time.Now())
-		return trace.Wrap(ErrWentBack, "head %d, folded to %d", page.Head, next)
+		n.markUnreachable(time.Now())
+		return trace.Wrap(ErrHeadRegressed, "head %d, folded to %d", page.Head, next)
 	}
-	n.noteHead(sent, page)
+	n.updateHead(sent, page)
 	for _, e := range page.Entries {
 		if err := n.foldEntry(e); err != nil {
 			return err
 		}
 	}
-	n.noteReady()
-	return n.keepCheckpoint()
+	n.checkReady()
+	return n.queueDueCheckpoint()
 }
 
 func (n *Node) read(ctx context.Context, from uint64, wait time.Duration) (platformlog.Page, error) {
@@ -64,7 +64,7 @@
 	return page, trace.Wrap(err)
 }
 
-func (n *Node) noteHead(sent time.Time, page platformlog.Page) {
+func (n *Node) updateHead(sent time.Time, page platformlog.Page) {
 	n.mu.Lock()
 	s := &n.status
 	s.head = max(s.head, page.Head)
@@ -90,7 +90,7 @@
 	return n.cfg.PollWait
 }
 
-func (n *Node) noteFailure(at time.Time) {
+func (n *Node) markUnreachable(at time.Time) {
 	n.mu.Lock()
 	n.status.reachable = false
 	n.mu.Unlock()
@@ -99,7 +99,7 @@
 
 // noteReady opens Ready once the target is folded. The target was the head at
 // the node's first read: everything accepted before the start is then in force.
-func (n *Node) noteReady() {
+func (n *Node) checkReady() {
 	n.mu.RLock()
 	next := n.state.Digest().NextOffset
 	reached := n.status.hasTarget && next >= n.status.target
@@ -126,22 +126,22 @@
 	if err != nil {
 		return err
 	}
-	n.publish(changes)
+	n.notify(changes)
 	return nil
 }
 
 // publish tells the watchers first: when a Put answers, whoever watches its
 // class has heard of it.
-func (n *Node) publish(changes []fold.Change) {
+func (n *Node) notify(changes []fold.Change) {
 	for i := range changes {
 		if changes[i].Verdict != fold.VerdictDuplicate {
-			n.watchers.tell(&changes[i])
+			n.watchers.notify(&changes[i])
 		}
 	}
 	for i := range changes {
 		n.proposals.readBack(&changes[i])
 		if changes[i].Verdict == fold.VerdictCheckpoint {
-			n.checkpoints.seen(time.Now(), &changes[i].Record)
+			n.checkpoints.partRead(time.Now(), &changes[i].Record)
 		}
 	}
 }
--- a/coordination/node/watch.go
+++ b/coordination/node/watch.go
@@ -36,7 +36,7 @@
 	ws.byClass[class] = slices.DeleteFunc(slices.Clone(ws.byClass[class]), func(o *watcher) bool { return o == w })
 }
 
-func (ws *watchers) tell(c *fold.Change) {
+func (ws *watchers) notify(c *fold.Change) {
 	ws.mu.Lock()
 	list := ws.byClass[c.Record.Key.Class()]
 	ws.mu.Unlock()
--- a/coordination/platformlog/logtest/log.go
+++ b/coordination/platformlog/logtest/log.go
@@ -20,17 +20,17 @@
 	first   uint64
 	entries []platformlog.Entry
 	// changed is closed and replaced whenever a waiting read must look again.
-	changed chan struct{}
-	faults  faults
-	cut     map[string]bool
-	appends int
+	changed      chan struct{}
+	faults       faults
+	disconnected map[string]bool
+	appends      int
 }
 
 // faults holds what is wrong with the service now.
 type faults struct {
-	down     bool
-	timeless bool
-	slow     time.Duration
+	down      bool
+	omitTimes bool
+	slow      time.Duration
 	// appends holds what becomes of the next appends, in order.
 	appends []AppendFault
 }
@@ -56,7 +56,7 @@
 
 // New returns an empty, healthy log.
 func New() *Log {
-	return &Log{changed: make(chan struct{}), cut: map[string]bool{}}
+	return &Log{changed: make(chan struct{}), disconnected: map[string]bool{}}
 }
 
 // Client is one instance's connection to the log.
@@ -74,23 +74,23 @@
 
 // SetDown makes every call of every client fail while down is true.
 func (l *Log) SetDown(down bool) {
-	l.set(func() { l.faults.down = down })
+	l.update(func() { l.faults.down = down })
 }
 
 // SetSlow delays each append before its effect, and each read.
 func (l *Log) SetSlow(d time.Duration) {
-	l.set(func() { l.faults.slow = d })
+	l.update(func() { l.faults.slow = d })
 }
 
 // SetTimeless makes entries appended from now on carry no time.
 func (l *Log) SetTimeless(timeless bool) {
-	l.set(func() { l.faults.timeless = timeless })
+	l.update(func() { l.faults.omitTimes = timeless })
 }
 
 // FailAppends sets what becomes of the next appends that reach the log, in
 // order; those after them are healthy again.
 func (l *Log) FailAppends(next ...AppendFault) {
-	l.set(func() { l.faults.appends = next })
+	l.update(func() { l.faults.appends = next })
 }
 
 // LoseReplies lets the next n appends take effect and loses their replies.
@@ -105,12 +105,12 @@
 
 // Cut fails the calls of one client while cut is true.
 func (l *Log) Cut(client string, cut bool) {
-	l.set(func() { l.cut[client] = cut })
+	l.update(func() { l.disconnected[client] = cut })
 }
 
 // Trim drops the entries before offset first.
 func (l *Log) Trim(first uint64) {
-	l.set(func() {
+	l.update(func() {
 		head := l.first + uint64(len(l.entries))
 		first = min(max(first, l.first), head)
 		l.entries = slices.Clone(l.entries[first-l.first:])
@@ -121,7 +121,7 @@
 // Wipe loses all records and starts again at offset 0, as a log service that
 // was restored from nothing would.
 func (l *Log) Wipe() {
-	l.set(func() { l.first, l.entries = 0, nil })
+	l.update(func() { l.first, l.entries = 0, nil })
 }
 
 // Inject appends data as some other writer would, faults or not, and returns
@@ -146,7 +146,7 @@
 	return l.appends
 }
 
-func (l *Log) set(f func()) {
+func (l *Log) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
@@ -163,7 +163,7 @@
 		Offset: l.first + uint64(len(l.entries)),
 		Data:   slices.Clone(data),
 	}
-	if !l.faults.timeless {
+	if !l.faults.omitTimes {
 		e.Time = time.Now()
 	}
 	l.entries = append(l.entries, e)
@@ -180,7 +180,7 @@
 	l := c.log
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.faults.down || l.cut[c.name] {
+	if l.faults.down || l.disconnected[c.name] {
 		return 0, fmt.Errorf("%w: no connection", platformlog.ErrNotAppended)
 	}
 	switch l.nextFault() {
@@ -216,14 +216,14 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		page, changed, err := c.look(from, limit)
+		page, changed, err := c.readPage(from, limit)
 		if err != nil || len(page.Entries) > 0 {
 			return page, err
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			page, _, err = c.look(from, limit)
+			page, _, err = c.readPage(from, limit)
 			return page, err
 		case <-ctx.Done():
 			return page, fmt.Errorf("%w: %w", platformlog.ErrUnavailable, ctx.Err())
@@ -231,11 +231,11 @@
 	}
 }
 
-func (c *Client) look(from uint64, limit int) (platformlog.Page, <-chan struct{}, error) {
+func (c *Client) readPage(from uint64, limit int) (platformlog.Page, <-chan struct{}, error) {
 	l := c.log
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.faults.down || l.cut[c.name] {
+	if l.faults.down || l.disconnected[c.name] {
 		return platformlog.Page{}, nil, platformlog.ErrUnavailable
 	}
 	page := platformlog.Page{First: l.first, Head: l.first + uint64(len(l.entries))}
