--- a/scripts/journal.go
+++ b/scripts/journal.go
@@ -1,6 +1,7 @@
 //go:build ignore
 
-// Journal lists the plays of the users' bench that stand in journal/.
+// Journal lists the benchmark runs recorded in journal/, one a line; arguments are words that a
+// listed line must contain.
 package main
 
 import (
@@ -11,7 +12,7 @@
 	"strings"
 )
 
-// entry is what is listed of a play; worth of a day is its G.
+// entry holds the listed fields of a run's JSON file. A day's worth is its field "G".
 type entry struct {
 	At   []string `json:"at"`
 	Cmd  string   `json:"cmd"`
@@ -31,18 +32,18 @@
 		fail(err)
 	}
 	for _, file := range files {
-		line, err := list(file)
+		line, err := formatRun(file)
 		if err != nil {
 			fail(fmt.Errorf("%s: %w", file, err))
 		}
-		if has(line, os.Args[1:]) {
+		if containsAll(line, os.Args[1:]) {
 			fmt.Println(line)
 		}
 	}
 }
 
-// list is the line of one play.
-func list(file string) (string, error) {
+// formatRun returns the line for the run recorded in file.
+func formatRun(file string) (string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return "", err
@@ -64,8 +65,8 @@
 	return line + ": " + e.Why, nil
 }
 
-// has says whether the line has all words.
-func has(line string, words []string) bool {
+// containsAll reports whether line contains all words.
+func containsAll(line string, words []string) bool {
 	for _, w := range words {
 		if !strings.Contains(line, w) {
 			return false
