--- a/coordination/faultmatrix/bed.go
+++ b/coordination/faultmatrix/bed.go
@@ -132,9 +132,9 @@
 // freeze pauses an instance for d: it neither ticks nor reaches the log.
 func (b *testbed) freeze(in *instance, d time.Duration) {
 	in.frozen.Store(true)
-	b.log.Cut(in.name, true)
+	b.log.SetDisconnected(in.name, true)
 	time.Sleep(d)
-	b.log.Cut(in.name, false)
+	b.log.SetDisconnected(in.name, false)
 	in.frozen.Store(false)
 }
 
--- a/coordination/faultmatrix/bill_test.go
+++ b/coordination/faultmatrix/bill_test.go
@@ -17,12 +17,12 @@
 		a, c := b.start("a"), b.start("c")
 		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		b.holdBill(a, peer)
-		b.log.FailAppends(logtest.AppendLate)
+		b.log.FailAppends(logtest.AppendDelayed)
 		done := b.putAsync(a, b.bill())
 		b.kill(a)
 		<-done
 		b.checkFlush(peer, 0)
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		b.checkBilled(1)
 	}},
 	{"bill", "before append", "kill", func(b *testbed) {
@@ -46,11 +46,11 @@
 		a, c := b.start("a"), b.start("c")
 		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		own := b.holdBill(a, peer)
-		b.log.Cut("a", true)
+		b.log.SetDisconnected("a", true)
 		b.put(a, b.bill(), node.OutcomeVoid)
 		b.checkFlush(own, 1)
 		b.checkFlush(peer, 0)
-		b.log.Cut("a", false)
+		b.log.SetDisconnected("a", false)
 		time.Sleep(5 * time.Second)
 		b.checkFlush(own, 0)
 		b.checkBilled(1)
--- a/coordination/faultmatrix/claim_test.go
+++ b/coordination/faultmatrix/claim_test.go
@@ -30,13 +30,13 @@
 		// Killed with the append under way: it may land, so it is unknown. The
 		// resend finds it in the log and does not run again.
 		a, c := b.start("a"), b.start("c")
-		b.log.FailAppends(logtest.AppendLate)
+		b.log.FailAppends(logtest.AppendDelayed)
 		done := b.putAsync(a, claim(1))
 		b.kill(a)
 		if res := <-done; res.Outcome != node.OutcomeUnknown {
 			b.t.Errorf("outcome %d", res.Outcome)
 		}
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, claim(2), node.OutcomeLost)
 	}},
 	{"claim", "read back", "kill", func(b *testbed) {
@@ -47,10 +47,10 @@
 	}},
 	{"claim", "append", "cut", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
-		b.log.Cut("a", true)
+		b.log.SetDisconnected("a", true)
 		b.put(a, claim(1), node.OutcomeVoid)
 		b.put(c, claim(2), node.OutcomeWon)
-		b.log.Cut("a", false)
+		b.log.SetDisconnected("a", false)
 		b.checkAgreement(a, c)
 		b.put(a, claim(3), node.OutcomeLost)
 	}},
@@ -59,10 +59,10 @@
 		// released. Until the release is in the log, the claim stands for all
 		// others; then the request may run.
 		a, c := b.start("a"), b.start("c")
-		b.log.FailAppends(logtest.AppendLate)
+		b.log.FailAppends(logtest.AppendDelayed)
 		done := b.putAsync(a, claim(1))
-		b.log.Cut("a", true)
-		time.Sleep(2 * logtest.LateBy)
+		b.log.SetDisconnected("a", true)
+		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, claim(2), node.OutcomeLost)
 		a.Release("claim/t/r", record.Nonce{1})
 		if res := <-done; res.Outcome != node.OutcomeVoid {
@@ -71,7 +71,7 @@
 		if _, ok := a.Lookup("claim/t/r"); ok {
 			b.t.Error("released, and still seen by its own process")
 		}
-		b.log.Cut("a", false)
+		b.log.SetDisconnected("a", false)
 		b.checkAgreement(a, c)
 		b.put(c, claim(3), node.OutcomeWon)
 	}},
@@ -146,18 +146,18 @@
 	{"claim", "append", "lost, then refused", func(b *testbed) {
 		// A refusal of the second try says nothing about the first.
 		a, c := b.start("a"), b.start("c")
-		b.log.FailAppends(logtest.AppendLate, logtest.AppendRefused)
+		b.log.FailAppends(logtest.AppendDelayed, logtest.AppendRefused)
 		b.put(a, claim(1), node.OutcomeWon)
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, claim(2), node.OutcomeLost)
 	}},
 	{"claim", "append", "late copy", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		b.put(c, claim(2), node.OutcomeWon)
-		b.log.FailAppends(logtest.AppendLate)
+		b.log.FailAppends(logtest.AppendDelayed)
 		b.put(a, claim(1), node.OutcomeLost)
 		c.Release("claim/t/r", record.Nonce{2})
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, claim(3), node.OutcomeWon)
 	}},
 	{"claim", "append", "late copy, then kill", func(b *testbed) {
@@ -165,11 +165,11 @@
 		// dead in the log by then.
 		a, c := b.start("a"), b.start("c")
 		b.put(c, claim(2), node.OutcomeWon)
-		b.log.FailAppends(logtest.AppendLate)
+		b.log.FailAppends(logtest.AppendDelayed)
 		b.put(a, claim(1), node.OutcomeLost)
 		b.kill(a)
 		c.Release("claim/t/r", record.Nonce{2})
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, claim(3), node.OutcomeWon)
 	}},
 	{"claim", "append", "two at once", func(b *testbed) {
--- a/coordination/faultmatrix/publish_test.go
+++ b/coordination/faultmatrix/publish_test.go
@@ -14,14 +14,14 @@
 var publishCells = []cell{
 	{"publish", "append", "kill", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
-		b.log.FailAppends(logtest.AppendLate)
+		b.log.FailAppends(logtest.AppendDelayed)
 		done := b.putAsync(a, manifest(1, "", 1, "one"))
 		b.kill(a)
 		if res := <-done; res.Outcome != node.OutcomeUnknown {
 			b.t.Errorf("outcome %d", res.Outcome)
 		}
 		// The pipeline publishes again, as the same publication: one step.
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, manifest(1, "", 1, "one"), node.OutcomeWon)
 		if g := c.Digest().Generation; g != 1 {
 			b.t.Errorf("generation %d", g)
@@ -42,7 +42,7 @@
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		time.Sleep(2 * time.Second)
-		b.log.Cut("c", true)
+		b.log.SetDisconnected("c", true)
 		time.Sleep(20 * time.Second)
 		b.checkMode(c, freshness.ModeFresh)
 		b.put(a, manifest(2, "one", 2, "two"), node.OutcomeWon)
@@ -63,12 +63,12 @@
 	{"publish", "push", "cut from all", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
 		c.isolated.Store(true)
-		b.log.Cut("c", true)
+		b.log.SetDisconnected("c", true)
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		time.Sleep(freshness.DefaultBound + time.Second)
 		b.checkMode(c, freshness.ModeStale)
 		b.checkMode(a, freshness.ModeFresh)
-		b.log.Cut("c", false)
+		b.log.SetDisconnected("c", false)
 		time.Sleep(5 * time.Second)
 		b.checkInForce(c, "one")
 		b.checkMode(c, freshness.ModeFresh)
@@ -89,12 +89,12 @@
 		// A publisher that is paused with its append under way comes late.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
-		b.log.FailAppends(logtest.AppendLate)
+		b.log.FailAppends(logtest.AppendDelayed)
 		done := b.putAsync(a, manifest(2, "one", 2, "late"))
 		b.kill(a)
 		<-done
 		b.put(c, manifest(2, "one", 3, "two"), node.OutcomeWon)
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		b.checkInForce(c, "two")
 	}},
 	{"publish", "append", "log down", func(b *testbed) {
--- a/coordination/faultmatrix/start_test.go
+++ b/coordination/faultmatrix/start_test.go
@@ -56,12 +56,12 @@
 	{"start", "replay", "cut", func(b *testbed) {
 		a := b.start("a")
 		b.putSessions(a, 0, 5)
-		b.log.Cut("c", true)
+		b.log.SetDisconnected("c", true)
 		c := b.startAsync("c")
 		time.Sleep(20 * time.Second)
 		b.checkNotReady(c)
 		b.checkMode(c, freshness.ModeStale)
-		b.log.Cut("c", false)
+		b.log.SetDisconnected("c", false)
 		<-c.Ready()
 		b.checkAgreement(a, c)
 	}},
@@ -129,7 +129,7 @@
 		a, c := b.start("a"), b.start("c")
 		b.putSessions(a, 0, 2)
 		c.frozen.Store(true)
-		b.log.Cut("c", true)
+		b.log.SetDisconnected("c", true)
 		b.putSessions(a, 2, 6)
 		if err := a.Checkpoint(); err != nil {
 			b.t.Fatal(err)
@@ -138,7 +138,7 @@
 		b.putSessions(a, 6, 8)
 		b.log.Trim(5)
 		c.frozen.Store(false)
-		b.log.Cut("c", false)
+		b.log.SetDisconnected("c", false)
 		b.checkAgreement(a, c)
 		b.checkMode(c, freshness.ModeFresh)
 	}},
@@ -261,7 +261,7 @@
 		a, c := b.start("a"), b.start("c")
 		old, next := b.manager(a), b.manager(c)
 		b.checkAcquire(old, true)
-		b.log.Cut("a", true)
+		b.log.SetDisconnected("a", true)
 		time.Sleep(10 * time.Second)
 		b.checkOrder(old, lease.FencingEnforced, lease.Expired)
 		b.checkAcquire(next, true)
--- a/coordination/history/cluster.go
+++ b/coordination/history/cluster.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, log: logtest.New(), seed: seed, startTime: time.Now()}
 		// Every other log gives no times of its own.
-		c.log.SetTimeless(seed%2 == 1)
+		c.log.SetOmitTimes(seed%2 == 1)
 		c.nodes, c.names = make([]*node.Node, nodeCount), make([]string, nodeCount)
 		for i := range nodeCount {
 			c.replace(i)
@@ -127,13 +127,13 @@
 			c.mu.Lock()
 			name := c.names[slot]
 			c.mu.Unlock()
-			c.log.Cut(name, rng.IntN(2) == 0)
+			c.log.SetDisconnected(name, rng.IntN(2) == 0)
 		case 6:
 			c.replace(slot)
 		case 7:
-			c.log.FailAppends(logtest.AppendLate)
+			c.log.FailAppends(logtest.AppendDelayed)
 		case 8:
-			c.log.FailAppends(logtest.AppendLate, logtest.AppendRefused, logtest.AppendReplyLost)
+			c.log.FailAppends(logtest.AppendDelayed, logtest.AppendRefused, logtest.AppendReplyLost)
 		case 9:
 			if err := c.node(slot).Checkpoint(); err != nil {
 				c.t.Error(err)
@@ -196,7 +196,7 @@
 	c.log.SetSlow(0)
 	c.log.FailAppends()
 	for _, name := range c.names {
-		c.log.Cut(name, false)
+		c.log.SetDisconnected(name, false)
 	}
 	time.Sleep(time.Minute)
 	synctest.Wait()
--- a/coordination/keyedlog/keyedlog.go
+++ b/coordination/keyedlog/keyedlog.go
@@ -25,10 +25,10 @@
 }
 
 // At is the position of an offset, of an era that is not known.
-func At(offset uint64) Position { return Position{Offset: offset} }
+func AtOffset(offset uint64) Position { return Position{Offset: offset} }
 
 // IsOf says whether the position is one of the era's log, as far as both eras are known.
-func (p Position) IsOf(era uint64) bool { return p.Era == 0 || era == 0 || p.Era == era }
+func (p Position) MatchesEra(era uint64) bool { return p.Era == 0 || era == 0 || p.Era == era }
 
 // Batch is what one read returned.
 type Batch struct {
@@ -51,7 +51,7 @@
 }
 
 // Anywhere is the position of an append without a condition.
-var Anywhere = Position{Offset: ^uint64(0)}
+var AnyPosition = Position{Offset: ^uint64(0)}
 
 // Log is one topic.
 type Log interface {
@@ -68,16 +68,16 @@
 // The outcomes of a call that did not succeed. They wrap the cause.
 var (
 	// ErrNotDone: nothing was done; the log is busy or refuses this instance.
-	ErrNotDone = errors.New("the log did nothing")
+	ErrNotApplied = errors.New("the log did nothing")
 	// ErrUnknown: no answer came; a write may have been done, or may be done later.
 	ErrUnknown = errors.New("the log did not answer")
 	// ErrGone: the records from that offset on are not kept any more.
-	ErrGone = errors.New("the log has dropped these records")
+	ErrTrimmed = errors.New("the log has dropped these records")
 	// ErrRestored: the log came back from a copy, and the position is one of before. It is an
 	// ErrGone, as the way on is the same: the newest records, and a reader from there.
-	ErrRestored = fmt.Errorf("%w: it came back from a copy", ErrGone)
+	ErrRestored = fmt.Errorf("%w: it came back from a copy", ErrTrimmed)
 	// ErrMoved: the log ends at another offset than the append named.
-	ErrMoved = errors.New("the log ends elsewhere")
+	ErrConflict = errors.New("the log ends elsewhere")
 	// ErrRejected: the call is wrong, and will be wrong again.
 	ErrRejected = errors.New("the log rejects the call")
 )
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -341,7 +341,7 @@
 				if got, _ := export(t, log, 0); len(got) != 500 {
 					t.Errorf("%d bills exported", len(got))
 				}
-				if n := log.Appends(); n > 20 {
+				if n := log.AppendCount(); n > 20 {
 					t.Errorf("%d appends for the flush", n)
 				}
 				_ = a.Stop(t.Context())
--- a/coordination/ledger/writer_test.go
+++ b/coordination/ledger/writer_test.go
@@ -90,7 +90,7 @@
 		putting.Wait()
 		stop()
 		running.Wait()
-		if n := log.Appends(); n > 3 {
+		if n := log.AppendCount(); n > 3 {
 			t.Errorf("%d appends for %d bills at once", n, bills)
 		}
 		if n := exported(t, log); n != bills {
--- a/coordination/node/bench_test.go
+++ b/coordination/node/bench_test.go
@@ -64,7 +64,7 @@
 func groupCommit(b *testing.B, callers int, pause time.Duration) {
 	const span = 5 * time.Second
 	log, nodes := benchFleet(b)
-	before := log.Appends()
+	before := log.AppendCount()
 	ctx, cancel := context.WithTimeout(b.Context(), span)
 	defer cancel()
 	var mu sync.Mutex
@@ -87,7 +87,7 @@
 		}
 	}
 	wg.Wait()
-	b.ReportMetric(float64(log.Appends()-before)/span.Seconds(), "appends/s")
+	b.ReportMetric(float64(log.AppendCount()-before)/span.Seconds(), "appends/s")
 	b.ReportMetric(float64(len(took))/span.Seconds(), "puts/s")
 	b.ReportMetric(quantile(took, 0.5), "p50-ms")
 	b.ReportMetric(quantile(took, 0.95), "p95-ms")
--- a/coordination/node/config.go
+++ b/coordination/node/config.go
@@ -106,7 +106,7 @@
 
 // WithLive sets how the node learns how many instances share the append
 // budget; f must be safe for concurrent use. Default: 8, today's fleet.
-func WithLive(f func() int) Option {
+func WithInstanceCount(f func() int) Option {
 	return func(n *Node) { n.instanceCount = f }
 }
 
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -252,7 +252,7 @@
 		if took := time.Since(began); took > time.Millisecond {
 			t.Errorf("the first Put of an idle writer took %v", took)
 		}
-		before := fl.log.Appends()
+		before := fl.log.AppendCount()
 		var wg sync.WaitGroup
 		ctx := within(t, seconds*time.Second)
 		for i, n := range nodes {
@@ -265,7 +265,7 @@
 			}
 		}
 		wg.Wait()
-		rate := float64(fl.log.Appends()-before) / seconds
+		rate := float64(fl.log.AppendCount()-before) / seconds
 		if rate > defaultAppendBudget+1 {
 			t.Errorf("%.1f appends a second", rate)
 		}
@@ -321,10 +321,10 @@
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
 		fl.mustPut(b, put("session/x", 2), OutcomeWon)
-		fl.log.FailAppends(logtest.AppendLate)
+		fl.log.FailAppends(logtest.AppendDelayed)
 		fl.mustPut(a, put("session/x", 1), OutcomeLost)
 		b.Release("session/x", record.Nonce{2})
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		if reg, ok := b.Lookup("session/x"); ok {
 			t.Errorf("the late copy won: %+v", reg)
 		}
@@ -354,7 +354,7 @@
 		if seen.heads.Load() != heads || seen.failures.Load() == 0 {
 			t.Errorf("%d heads after the wipe, %d failures", seen.heads.Load()-heads, seen.failures.Load())
 		}
-		if s := a.Status(); s.LogReachable || s.Next != 2 {
+		if s := a.Status(); s.LogReachable || s.NextOffset != 2 {
 			t.Errorf("status %+v", s)
 		}
 	})
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -149,7 +149,7 @@
 		b, c := fl.node("b"), fl.node("c")
 		fl.mustPut(b, put("session/x", 2), OutcomeWon)
 		synctest.Wait()
-		fl.log.Cut("c", true)
+		fl.log.SetDisconnected("c", true)
 		b.Release("session/x", record.Nonce{2})
 		time.Sleep(time.Second)
 		// a's first read is under way until 300 ms, its append goes through.
@@ -204,23 +204,23 @@
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
 		<-a.Ready()
-		fl.log.FailAppends(logtest.AppendLate)
+		fl.log.FailAppends(logtest.AppendDelayed)
 		done := make(chan Result, 1)
 		go func() { done <- a.Put(t.Context(), put("session/x", 1)) }()
 		synctest.Wait()
-		fl.log.Cut("a", true)
+		fl.log.SetDisconnected("a", true)
 		fl.mustPut(b, put("session/x", 2), OutcomeWon)
 		snapshot, _ := b.Snapshot()
 		if err := a.Restore(snapshot); err != nil {
 			t.Fatal(err)
 		}
-		fl.log.Cut("a", false)
+		fl.log.SetDisconnected("a", false)
 		if res := <-done; res.Outcome != OutcomeLost || res.Register.Nonce != (record.Nonce{2}) {
 			t.Errorf("result %+v", res)
 		}
 		time.Sleep(time.Second)
 		b.Release("session/x", record.Nonce{2})
-		time.Sleep(2 * logtest.LateBy)
+		time.Sleep(2 * logtest.AppendDelay)
 		if reg, ok := b.Lookup("session/x"); ok {
 			t.Errorf("the late copy won: %+v", reg)
 		}
@@ -242,7 +242,7 @@
 			t.Fatal(err)
 		}
 		<-late.Ready()
-		if s := late.Status(); s.LogReachable || s.Next != 1 || s.Head != 1 {
+		if s := late.Status(); s.LogReachable || s.NextOffset != 1 || s.Head != 1 {
 			t.Errorf("status %+v", s)
 		}
 		if err := late.Restore([]byte("junk")); !errors.Is(err, fold.ErrInvalidSnapshot) {
--- a/coordination/node/store.go
+++ b/coordination/node/store.go
@@ -43,7 +43,7 @@
 
 // Status is what an instance reports about its place in the log.
 type Status struct {
-	Next         uint64    `json:"next"`
+	NextOffset   uint64    `json:"next"`
 	Head         uint64    `json:"head"`
 	Generation   uint64    `json:"generation"`
 	Hash         uint64    `json:"hash"`
--- a/coordination/platformlog/logtest/log.go
+++ b/coordination/platformlog/logtest/log.go
@@ -48,11 +48,11 @@
 	// AppendReplyLost: it takes effect, and the client hears nothing.
 	AppendReplyLost
 	// AppendLate: the client hears nothing, and it takes effect LateBy later.
-	AppendLate
+	AppendDelayed
 )
 
 // LateBy is how late an append with AppendLate takes effect.
-const LateBy = 3 * time.Second
+const AppendDelay = 3 * time.Second
 
 // New returns an empty, healthy log.
 func New() *Log {
@@ -83,7 +83,7 @@
 }
 
 // SetTimeless makes entries appended from now on carry no time.
-func (l *Log) SetTimeless(timeless bool) {
+func (l *Log) SetOmitTimes(timeless bool) {
 	l.update(func() { l.faults.omitTimes = timeless })
 }
 
@@ -104,7 +104,7 @@
 func (l *Log) RefuseAppends(n int) { l.FailAppends(slices.Repeat([]AppendFault{AppendRefused}, n)...) }
 
 // Cut fails the calls of one client while cut is true.
-func (l *Log) Cut(client string, cut bool) {
+func (l *Log) SetDisconnected(client string, cut bool) {
 	l.update(func() { l.disconnected[client] = cut })
 }
 
@@ -140,7 +140,7 @@
 }
 
 // Appends counts the appends that took effect.
-func (l *Log) Appends() int {
+func (l *Log) AppendCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends
@@ -191,8 +191,8 @@
 	case AppendReplyLost:
 		l.append(data)
 		return 0, fmt.Errorf("%w: connection reset", platformlog.ErrUnknown)
-	case AppendLate:
-		time.AfterFunc(LateBy, func() { l.Inject(data) })
+	case AppendDelayed:
+		time.AfterFunc(AppendDelay, func() { l.Inject(data) })
 		return 0, fmt.Errorf("%w: connection reset", platformlog.ErrUnknown)
 	default:
 		return l.append(data), nil
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -72,7 +72,7 @@
 			PollWait:     ms(cfg.Freshness.BoundMS) / pollsPerBound,
 		},
 		node.WithObserver(g),
-		node.WithLive(func() int { return max(1, len(dir.Instances())) }),
+		node.WithInstanceCount(func() int { return max(1, len(dir.Instances())) }),
 		node.WithSeed(randomSeed()),
 		node.WithValidator(record.ClassManifest, func(r record.Record, _ *fold.State) error {
 			return manifest.CheckRecord(r)
--- a/router/internal/faultmatrix/faults.go
+++ b/router/internal/faultmatrix/faults.go
@@ -10,7 +10,7 @@
 // now on reaches anybody. Its goroutines are ended later, without a flush.
 func (b *bed) kill(in *instance) {
 	in.killed.Do(func() {
-		b.log.Cut(in.name, true)
+		b.log.SetDisconnected(in.name, true)
 		b.net.lose(in.name)
 		in.end()
 		in.goes(func() {
@@ -35,11 +35,11 @@
 // nothing, and is as it was when f has ended.
 func (b *bed) freeze(in *instance, f func()) {
 	in.frozen.Store(true)
-	b.log.Cut(in.name, true)
+	b.log.SetDisconnected(in.name, true)
 	b.isolate(in.name)
 	f()
 	b.net.mend()
-	b.log.Cut(in.name, false)
+	b.log.SetDisconnected(in.name, false)
 	in.frozen.Store(false)
 }
 
@@ -63,7 +63,7 @@
 	b.mu.Unlock()
 	for _, in := range b.instances {
 		if !b.net.isDown(in.name) {
-			b.log.Cut(in.name, false)
+			b.log.SetDisconnected(in.name, false)
 		}
 	}
 	time.Sleep(4 * time.Second)
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -59,7 +59,7 @@
 func (b *bed) begin(name string) *instance {
 	b.t.Helper()
 	b.net.revive(name)
-	b.log.Cut(name, b.startsCut)
+	b.log.SetDisconnected(name, b.startsCut)
 	ctx, cancel := context.WithCancel(context.Background())
 	in := &instance{b: b, name: name, end: cancel}
 	in.gate = gate.New(freshness.New(freshness.Config{Self: name, Bound: bound}), time.Now)
--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -48,7 +48,7 @@
 	return b.begin("c")
 }
 
-func (b *bed) cutOff(name string) { b.log.Cut(name, true) }
+func (b *bed) cutOff(name string) { b.log.SetDisconnected(name, true) }
 
 // lifeCells: an instance gives service only on a state that it may trust.
 var lifeCells = []cell{
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -24,8 +24,8 @@
 var requestFaults = map[string]func(b *bed){
 	"none":         func(*bed) {},
 	"kill":         func(b *bed) { b.kill(b.instances["a"]) },
-	"cut from log": func(b *bed) { b.log.Cut("a", true); time.Sleep(2 * bound) },
-	"cut from all": func(b *bed) { b.log.Cut("a", true); b.isolate("a"); time.Sleep(2 * bound) },
+	"cut from log": func(b *bed) { b.log.SetDisconnected("a", true); time.Sleep(2 * bound) },
+	"cut from all": func(b *bed) { b.log.SetDisconnected("a", true); b.isolate("a"); time.Sleep(2 * bound) },
 	"freeze": func(b *bed) {
 		b.freeze(b.instances["a"], func() { b.withdraw("b"); time.Sleep(shortOfBound) })
 	},
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -62,11 +62,11 @@
 	if err := popErr(&l.readErrs); err != nil {
 		return keyedlog.Batch{}, err
 	}
-	if !from.IsOf(l.era) {
+	if !from.MatchesEra(l.era) {
 		return keyedlog.Batch{}, keyedlog.ErrRestored
 	}
 	if from.Offset < l.firstKept {
-		return keyedlog.Batch{}, keyedlog.ErrGone
+		return keyedlog.Batch{}, keyedlog.ErrTrimmed
 	}
 	out := keyedlog.Batch{Next: l.end()}
 	out.Records = append(out.Records, l.records[from.Offset:]...)
@@ -106,8 +106,8 @@
 	if err != nil && !l.appendDespiteErr {
 		return err
 	}
-	if at != keyedlog.Anywhere && at != l.end() {
-		return keyedlog.ErrMoved
+	if at != keyedlog.AnyPosition && at != l.end() {
+		return keyedlog.ErrConflict
 	}
 	for _, r := range records {
 		r.Offset = uint64(len(l.records))
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -118,7 +118,7 @@
 		known := crashes >= 3
 		if known { // the instances' reads and writes have gone through since
 			for i, p := range fleet {
-				if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
+				if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
 					t.Fatal(err)
 				}
 				_ = i
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/list_test.go
@@ -43,7 +43,7 @@
 	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	log.readErrs = []error{keyedlog.ErrNotDone}
+	log.readErrs = []error{keyedlog.ErrNotApplied}
 	reader.noteOutage(t.Context(), reader.readOnce(t.Context()))
 	clock.advance(4 * time.Second)
 	log.add("one", "") // both lapsed while the store was away
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -62,7 +62,7 @@
 	s.announcedAt = s.clock.Now()
 	text, err := json.Marshal(s.self)
 	if err == nil {
-		err = s.instances.Append(ctx, keyedlog.Anywhere, keyedlog.Record{Key: s.self.Name, Value: text})
+		err = s.instances.Append(ctx, keyedlog.AnyPosition, keyedlog.Record{Key: s.self.Name, Value: text})
 	}
 	if err != nil {
 		s.logStoreLost(err)
@@ -154,7 +154,7 @@
 	if len(records) == 0 {
 		return
 	}
-	if err := s.store.Instances(s.self.Domain).Append(ctx, keyedlog.Anywhere, records...); err != nil {
+	if err := s.store.Instances(s.self.Domain).Append(ctx, keyedlog.AnyPosition, records...); err != nil {
 		s.logStoreLost(err)
 	}
 }
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -118,7 +118,7 @@
 	for ctx.Err() == nil {
 		records := append(b.pendingRecords(), b.followerRecords()...)
 		if len(records) > 0 {
-			if err := b.log.Append(ctx, keyedlog.Anywhere, records...); err != nil {
+			if err := b.log.Append(ctx, keyedlog.AnyPosition, records...); err != nil {
 				b.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
 				b.markDirty()
 				b.markIncomplete()
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -18,7 +18,7 @@
 	for range 3 {
 		a.observations.recordCrash(passthrough.CrashSuspected{Fingerprint: 9})
 	}
-	if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.pendingRecords()...); err != nil {
+	if err := observations.Append(t.Context(), keyedlog.AnyPosition, a.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
 	}
 	if err := reader.readOnce(t.Context()); err != nil {
@@ -68,7 +68,7 @@
 	}
 	write := func() {
 		t.Helper()
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.pendingRecords()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.AnyPosition, a.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -94,7 +94,7 @@
 func TestWhatAProcessSawOutlivesIt(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	write := func(p *parts) {
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/router/internal/passthrough/pooling_test.go
+++ b/router/internal/passthrough/pooling_test.go
@@ -75,7 +75,7 @@
 			}
 			continue
 		}
-		if err := f.log.Append(f.t.Context(), keyedlog.Anywhere, append(records, p.held...)...); err != nil {
+		if err := f.log.Append(f.t.Context(), keyedlog.AnyPosition, append(records, p.held...)...); err != nil {
 			f.t.Fatal(err)
 		}
 		p.held = nil
--- a/router/internal/passthrough/register.go
+++ b/router/internal/passthrough/register.go
@@ -134,7 +134,7 @@
 	if err == nil {
 		err = m.statusLog.Append(ctx, end, rec)
 	}
-	if err != nil && !errors.Is(err, keyedlog.ErrMoved) {
+	if err != nil && !errors.Is(err, keyedlog.ErrConflict) {
 		m.logUnwritten(r, err.Error())
 	}
 	return err == nil
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -79,7 +79,7 @@
 		first := start(9)
 		first.rollouts.advance(t.Context(), first.rollouts.open["shop"])
 		first.observeMany("v2", true, 10)
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, first.observations.pendingRecords()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.AnyPosition, first.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -96,7 +96,7 @@
 			status.appendErrs = append(status.appendErrs, keyedlog.ErrUnknown)
 			status.appendDespiteErr = rng.IntN(2) == 0
 		case 1:
-			status.newestErrs = append(status.newestErrs, keyedlog.ErrNotDone)
+			status.newestErrs = append(status.newestErrs, keyedlog.ErrNotApplied)
 		case 2:
 			if rng.IntN(6) == 0 {
 				fleet[i] = start(i)
@@ -106,7 +106,7 @@
 		case 4:
 			p.observeMany("v2", bad, 2)
 		case 5, 6:
-			if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
+			if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
 				t.Fatal(err)
 			}
 		case 7, 8:
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -53,7 +53,7 @@
 	}
 	for _, i := range f.instances {
 		i.rollouts.advanceAll(f.t.Context())
-		if err := f.observations.Append(f.t.Context(), keyedlog.Anywhere, i.observations.pendingRecords()...); err != nil {
+		if err := f.observations.Append(f.t.Context(), keyedlog.AnyPosition, i.observations.pendingRecords()...); err != nil {
 			f.t.Fatal(err)
 		}
 	}
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -44,7 +44,7 @@
 	a.observeMany("v2", false, 30)
 	a.observeMany("v1", false, 300)
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
-	if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.pendingRecords()...); err != nil {
+	if err := observations.Append(t.Context(), keyedlog.AnyPosition, a.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
 	}
 	b := newParts("b", clock, status, observations)
@@ -129,7 +129,7 @@
 		if r.ended != c.want {
 			t.Errorf("%+v: ended as %v at once", c, r.ended)
 		}
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, b.observations.pendingRecords()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.AnyPosition, b.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 		a.observations.applySnapshot(observations.records)
@@ -160,7 +160,7 @@
 	if r.ended != 0 {
 		t.Fatalf("ended as %v at once", r.ended)
 	}
-	if err := observations.Append(t.Context(), keyedlog.Anywhere, b.observations.pendingRecords()...); err != nil {
+	if err := observations.Append(t.Context(), keyedlog.AnyPosition, b.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
 	}
 	a.observations.applySnapshot(observations.records)
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -131,7 +131,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.held[topic])+len(records) > maxHeldRecords {
-		return keyedlog.ErrNotDone
+		return keyedlog.ErrNotApplied
 	}
 	s.held[topic] = append(s.held[topic], records...)
 	if topic == topicObservations {
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -83,7 +83,7 @@
 		wait = t.wait() // after a failure the first word counts, not the next record
 	}
 	batch, err := t.log.Read(ctx, t.next, wait)
-	if errors.Is(err, keyedlog.ErrGone) {
+	if errors.Is(err, keyedlog.ErrTrimmed) {
 		t.positioned = false
 		return t.readSnapshot(ctx, began)
 	}
@@ -106,7 +106,7 @@
 		return err
 	}
 	t.noteRecovery()
-	if !t.next.IsOf(snap.Next.Era) {
+	if !t.next.MatchesEra(snap.Next.Era) {
 		t.noteRestore(snap.Next.Era)
 	}
 	t.onSnapshot(snap.Records)
--- a/router/internal/relay/cache.go
+++ b/router/internal/relay/cache.go
@@ -64,7 +64,7 @@
 
 // isOfLaterEra says whether the cache is of a later era than a position. The lock is held.
 func (c *Cache) isOfLaterEra(p keyedlog.Position) bool {
-	return !p.IsOf(c.next.Era) && p.Era < c.next.Era
+	return !p.MatchesEra(c.next.Era) && p.Era < c.next.Era
 }
 
 // isLaterThan says whether the cache is of a later era than a position.
@@ -79,7 +79,7 @@
 func (c *Cache) Add(b keyedlog.Batch, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !b.Next.IsOf(c.next.Era) {
+	if !b.Next.MatchesEra(c.next.Era) {
 		return
 	}
 	for _, r := range b.Records {
@@ -161,7 +161,7 @@
 // isBehind says whether the asker of a position knows more than the cache: a later era, or records
 // of this one that are not known here.
 func (c *Cache) isBehind(from keyedlog.Position) bool {
-	if from.IsOf(c.next.Era) {
+	if from.MatchesEra(c.next.Era) {
 		return from.Offset > c.next.Offset
 	}
 	return from.Era > c.next.Era
@@ -170,7 +170,7 @@
 // lacks says whether the records from a position on, that the cache is not behind, are not kept: the
 // position is of an earlier era, or too far back.
 func (c *Cache) lacks(from keyedlog.Position) bool {
-	return !from.IsOf(c.next.Era) || from.Offset < c.first
+	return !from.MatchesEra(c.next.Era) || from.Offset < c.first
 }
 
 func (c *Cache) since(from keyedlog.Position) (keyedlog.Batch, error) {
@@ -178,9 +178,9 @@
 	defer c.mu.Unlock()
 	switch {
 	case !c.known, c.isBehind(from):
-		return keyedlog.Batch{}, keyedlog.ErrNotDone // the asker knows more
+		return keyedlog.Batch{}, keyedlog.ErrNotApplied // the asker knows more
 	case c.lacks(from):
-		return keyedlog.Batch{}, keyedlog.ErrGone
+		return keyedlog.Batch{}, keyedlog.ErrTrimmed
 	}
 	out := keyedlog.Batch{Next: c.next, Age: c.now().Sub(c.confirmed)}
 	out.Records = append(out.Records, c.from(from.Offset)...)
@@ -207,7 +207,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.known {
-		return answer{}, keyedlog.ErrNotDone
+		return answer{}, keyedlog.ErrNotApplied
 	}
 	now := c.now()
 	if p := &c.packed; p.made.IsZero() || now.Sub(p.made) > packLife || p.answer.Next < c.first || p.answer.Era != c.next.Era {
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -75,7 +75,7 @@
 		var answered *jsonrpc2.Error
 		switch {
 		case errors.As(err, &answered) && answered.Code == codeGone:
-			return told{by: m.Name}, keyedlog.ErrGone
+			return told{by: m.Name}, keyedlog.ErrTrimmed
 		case errors.As(err, &answered): // it does not know yet
 		case err != nil && ctx.Err() != nil:
 			return told{}, ctx.Err()
--- a/router/internal/relay/fixture_test.go
+++ b/router/internal/relay/fixture_test.go
@@ -49,7 +49,7 @@
 	if s.err != nil {
 		return keyedlog.Batch{}, s.err
 	}
-	if !from.IsOf(s.era) {
+	if !from.MatchesEra(s.era) {
 		return keyedlog.Batch{}, keyedlog.ErrRestored
 	}
 	return keyedlog.Batch{Records: append([]keyedlog.Record(nil), s.records[from.Offset:]...), Next: s.end()}, nil
@@ -77,7 +77,7 @@
 }
 
 func (s *store) put(key, value string) {
-	_ = s.Append(context.Background(), keyedlog.Anywhere, keyedlog.Record{Key: key, Value: []byte(value)}) // in memory
+	_ = s.Append(context.Background(), keyedlog.AnyPosition, keyedlog.Record{Key: key, Value: []byte(value)}) // in memory
 }
 
 func (s *store) count() int {
--- a/router/internal/relay/log.go
+++ b/router/internal/relay/log.go
@@ -47,7 +47,7 @@
 	}
 	out, err := l.ask(ctx, methodRead, question, wait)
 	l.note(out.by)
-	if err == nil && !from.IsOf(out.Era) {
+	if err == nil && !from.MatchesEra(out.Era) {
 		return keyedlog.Batch{}, keyedlog.ErrRestored
 	}
 	if err == nil {
@@ -55,7 +55,7 @@
 		l.cache.Add(b, l.now().Add(-out.age))
 		return b, nil
 	}
-	if errors.Is(err, keyedlog.ErrGone) || ctx.Err() != nil {
+	if errors.Is(err, keyedlog.ErrTrimmed) || ctx.Err() != nil {
 		return keyedlog.Batch{}, err
 	}
 	if !l.mayAskStore() {
@@ -85,7 +85,7 @@
 	question := func(time.Duration) any { return newestParams{l.topic} }
 	out, err := l.ask(ctx, methodNewest, question, newestTime)
 	if err == nil && l.cache.isLaterThan(out.position()) {
-		err = keyedlog.ErrNotDone // the collector has not noticed yet that the log came back from a copy
+		err = keyedlog.ErrNotApplied // the collector has not noticed yet that the log came back from a copy
 	}
 	l.note(out.by)
 	if err == nil {
@@ -132,12 +132,12 @@
 // asked notes whether the store gave an answer, unless the read was ended here.
 func (l *Log) asked(ctx context.Context, err error) {
 	l.mu.Lock()
-	l.direct = err == nil || errors.Is(err, keyedlog.ErrGone)
+	l.direct = err == nil || errors.Is(err, keyedlog.ErrTrimmed)
 	l.mu.Unlock()
 	switch {
 	case err == nil:
 		l.client.storeAnswered()
-	case ctx.Err() == nil && !errors.Is(err, keyedlog.ErrGone):
+	case ctx.Err() == nil && !errors.Is(err, keyedlog.ErrTrimmed):
 		l.client.storeFailed()
 	}
 }
@@ -145,7 +145,7 @@
 // Append implements keyedlog.Log. Without a condition it goes by the collector, which
 // sends the records of several instances in one call; with one, the store is asked.
 func (l *Log) Append(ctx context.Context, at keyedlog.Position, records ...keyedlog.Record) error {
-	if at == keyedlog.Anywhere {
+	if at == keyedlog.AnyPosition {
 		question := func(time.Duration) any { return appendParams{l.topic, records} }
 		_, err := l.client.call(ctx, methodAppend, question, 0, l.oldest)
 		if err == nil {
--- a/router/internal/relay/outage_test.go
+++ b/router/internal/relay/outage_test.go
@@ -58,7 +58,7 @@
 	time.Sleep(50 * time.Millisecond)
 	before := st.count()
 	for range 20 {
-		if _, err := all[1].log.Read(t.Context(), keyedlog.At(1), 0); err == nil {
+		if _, err := all[1].log.Read(t.Context(), keyedlog.AtOffset(1), 0); err == nil {
 			t.Fatal("an old answer was taken")
 		}
 	}
@@ -69,7 +69,7 @@
 	st.err = nil
 	st.mu.Unlock()
 	all[0].newest(t)
-	if _, err := all[1].log.Read(t.Context(), keyedlog.At(1), 0); err != nil {
+	if _, err := all[1].log.Read(t.Context(), keyedlog.AtOffset(1), 0); err != nil {
 		t.Errorf("not by the collector, though it is back: %v", err)
 	}
 }
@@ -178,7 +178,7 @@
 		if away {
 			in.log.client.storeFailed()
 		}
-		if _, err := in.log.Read(t.Context(), keyedlog.At(0), wait); err != nil {
+		if _, err := in.log.Read(t.Context(), keyedlog.AtOffset(0), wait); err != nil {
 			t.Fatal(err)
 		}
 		want := wait
--- a/router/internal/relay/pack_test.go
+++ b/router/internal/relay/pack_test.go
@@ -78,13 +78,13 @@
 func TestManyAskersShareOneSnapshot(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := NewCache(func() time.Time { return now }, nil)
-	c.Replace(keyedlog.Snapshot{Records: entries(100), Next: keyedlog.At(100)}, now)
+	c.Replace(keyedlog.Snapshot{Records: entries(100), Next: keyedlog.AtOffset(100)}, now)
 	first, err := c.newestAnswer(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	now = now.Add(packLife / 2)
-	c.Add(keyedlog.Batch{Records: []keyedlog.Record{entryOf(100)}, Next: keyedlog.At(101)}, now)
+	c.Add(keyedlog.Batch{Records: []keyedlog.Record{entryOf(100)}, Next: keyedlog.AtOffset(101)}, now)
 	second, err := c.newestAnswer(t.Context())
 	if err != nil || second.Next != 100 || &second.Packed[0] != &first.Packed[0] {
 		t.Errorf("packed anew: %v", err)
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -24,14 +24,14 @@
 	st.put("b", "2")
 	done := make(chan keyedlog.Batch)
 	go func() {
-		b, err := all[1].log.Read(t.Context(), keyedlog.At(1), time.Second)
+		b, err := all[1].log.Read(t.Context(), keyedlog.AtOffset(1), time.Second)
 		if err != nil {
 			t.Error(err)
 		}
 		done <- b
 	}()
 	time.Sleep(20 * time.Millisecond) // the follower's question waits at the collector
-	if _, err := all[0].log.Read(t.Context(), keyedlog.At(1), 0); err != nil {
+	if _, err := all[0].log.Read(t.Context(), keyedlog.AtOffset(1), 0); err != nil {
 		t.Fatal(err)
 	}
 	if b := <-done; len(b.Records) != 1 || b.Records[0].Key != "b" || b.Next.Offset != 2 {
@@ -55,13 +55,13 @@
 	st := &store{}
 	all := startInstances(t, st, 2, time.Minute)
 	all[0].newest(t)
-	if err := all[1].log.Append(t.Context(), keyedlog.Anywhere, keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil {
+	if err := all[1].log.Append(t.Context(), keyedlog.AnyPosition, keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil {
 		t.Fatal(err)
 	}
 	if len(all[0].taken) != 1 || len(st.records) != 0 {
 		t.Errorf("the collector took %v", all[0].taken)
 	}
-	if err := all[1].log.Append(t.Context(), keyedlog.At(0), keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil || len(st.records) != 1 {
+	if err := all[1].log.Append(t.Context(), keyedlog.AtOffset(0), keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil || len(st.records) != 1 {
 		t.Errorf("an append with a condition did not go to the store: %v", err)
 	}
 }
@@ -71,25 +71,25 @@
 	same := func(a, b keyedlog.Record) bool { return string(a.Value) == string(b.Value) }
 	c := NewCache(func() time.Time { return now }, same)
 	ctx := t.Context()
-	if _, err := c.Read(ctx, keyedlog.At(0), 0); !errors.Is(err, keyedlog.ErrNotDone) {
+	if _, err := c.Read(ctx, keyedlog.AtOffset(0), 0); !errors.Is(err, keyedlog.ErrNotApplied) {
 		t.Errorf("an empty cache answers %v", err)
 	}
-	c.Replace(keyedlog.Snapshot{Records: []keyedlog.Record{{Key: "a", Value: []byte("1"), Offset: 4}}, Next: keyedlog.At(5)}, now)
-	if _, err := c.Read(ctx, keyedlog.At(3), 0); !errors.Is(err, keyedlog.ErrGone) {
+	c.Replace(keyedlog.Snapshot{Records: []keyedlog.Record{{Key: "a", Value: []byte("1"), Offset: 4}}, Next: keyedlog.AtOffset(5)}, now)
+	if _, err := c.Read(ctx, keyedlog.AtOffset(3), 0); !errors.Is(err, keyedlog.ErrTrimmed) {
 		t.Errorf("a read from before: %v", err)
 	}
-	if _, err := c.Read(ctx, keyedlog.At(9), 0); !errors.Is(err, keyedlog.ErrNotDone) {
+	if _, err := c.Read(ctx, keyedlog.AtOffset(9), 0); !errors.Is(err, keyedlog.ErrNotApplied) {
 		t.Errorf("a read from after the end: %v", err)
 	}
 	now = now.Add(time.Second)
-	c.Add(keyedlog.Batch{Next: keyedlog.At(8), Records: []keyedlog.Record{
+	c.Add(keyedlog.Batch{Next: keyedlog.AtOffset(8), Records: []keyedlog.Record{
 		{Key: "a", Value: []byte("1"), Offset: 5}, {Key: "b", Value: []byte("2"), Offset: 6}, {Key: "a", Offset: 7},
 	}}, now.Add(-300*time.Millisecond))
-	b, err := c.Read(ctx, keyedlog.At(5), 0)
+	b, err := c.Read(ctx, keyedlog.AtOffset(5), 0)
 	if err != nil || len(b.Records) != 2 || b.Records[0].Key != "b" || b.Next.Offset != 8 || b.Age != 300*time.Millisecond {
 		t.Errorf("batch %+v, %v", b, err)
 	}
-	if b, err := c.Read(ctx, keyedlog.At(7), 0); err != nil || len(b.Records) != 1 {
+	if b, err := c.Read(ctx, keyedlog.AtOffset(7), 0); err != nil || len(b.Records) != 1 {
 		t.Errorf("batch %+v, %v", b, err)
 	}
 	if s, err := c.newestAnswer(ctx); err != nil || len(s.Records) != 1 || s.Records[0].Key != "b" {
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -33,12 +33,12 @@
 		from keyedlog.Position
 		want error
 	}{
-		{keyedlog.Position{Era: 1, Offset: 5}, keyedlog.ErrGone},
-		{keyedlog.Position{Era: 3, Offset: 2}, keyedlog.ErrNotDone},
-		{keyedlog.Position{Era: 2, Offset: 6}, keyedlog.ErrNotDone},
-		{keyedlog.Position{Era: 2, Offset: 4}, keyedlog.ErrGone},
+		{keyedlog.Position{Era: 1, Offset: 5}, keyedlog.ErrTrimmed},
+		{keyedlog.Position{Era: 3, Offset: 2}, keyedlog.ErrNotApplied},
+		{keyedlog.Position{Era: 2, Offset: 6}, keyedlog.ErrNotApplied},
+		{keyedlog.Position{Era: 2, Offset: 4}, keyedlog.ErrTrimmed},
 		{keyedlog.Position{Era: 2, Offset: 5}, nil},
-		{keyedlog.At(5), nil}, // of an instance that knows no eras
+		{keyedlog.AtOffset(5), nil}, // of an instance that knows no eras
 	} {
 		if _, err := c.since(tt.from); !errors.Is(err, tt.want) {
 			t.Errorf("from %+v: %v, want %v", tt.from, err, tt.want)
@@ -64,7 +64,7 @@
 	}
 	all[0].newest(t)
 	for _, in := range all[1:] {
-		if _, err := in.log.Read(t.Context(), at, 0); !errors.Is(err, keyedlog.ErrGone) {
+		if _, err := in.log.Read(t.Context(), at, 0); !errors.Is(err, keyedlog.ErrTrimmed) {
 			t.Errorf("a follower's read: %v", err)
 		}
 		if s := in.newest(t); s.Next != (keyedlog.Position{Era: 2, Offset: 2}) || len(s.Records) != 2 {
@@ -121,7 +121,7 @@
 		for i, in := range all {
 			done.Go(func() {
 				for time.Since(began) < 10*longest {
-					if _, err := in.log.Read(t.Context(), places[i], wait); errors.Is(err, keyedlog.ErrGone) {
+					if _, err := in.log.Read(t.Context(), places[i], wait); errors.Is(err, keyedlog.ErrTrimmed) {
 						if s, err := in.log.Newest(t.Context()); err == nil && s.Next.Era == 2 {
 							return
 						}
--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -135,7 +135,7 @@
 			return answer{}, err
 		}
 		if s.Loads == nil {
-			return answer{}, keyedlog.ErrNotDone
+			return answer{}, keyedlog.ErrNotApplied
 		}
 		return s.Loads.told(p)
 	case methodAppend:
@@ -177,7 +177,7 @@
 	switch {
 	case errors.As(err, &known):
 		return known
-	case errors.Is(err, keyedlog.ErrGone):
+	case errors.Is(err, keyedlog.ErrTrimmed):
 		return &jsonrpc2.Error{Code: codeGone, Message: err.Error()}
 	}
 	return &jsonrpc2.Error{Code: codeNotDone, Message: err.Error()}
