--- a/coordination/node/append.go
+++ b/coordination/node/append.go
@@ -17,7 +17,7 @@
 	backoff    *retryBackoff
 }
 
-// appendLoop writes groups until ctx ends or a stop has drained the queues.
+// appendLoop appends groups until ctx ends or a stop has emptied the queues.
 func (n *Node) appendLoop(ctx context.Context) {
 	a := &appender{node: n, backoff: newRetryBackoff(n.seed, 2)}
 	for ctx.Err() == nil {
@@ -33,7 +33,8 @@
 	}
 }
 
-// awaitReadBack lets the tail settle what a planned stop has just appended.
+// awaitReadBack waits, up to CallTimeout, for the tail to read back what a
+// planned stop has just appended.
 func (n *Node) awaitReadBack(ctx context.Context) {
 	end := time.Now().Add(n.cfg.CallTimeout)
 	for n.proposals.anySent() && ctx.Err() == nil && time.Now().Before(end) {
@@ -41,7 +42,8 @@
 	}
 }
 
-// wait returns when there is something to append, or a stop has begun.
+// wait returns when there is something to append, a group in doubt is due, ctx
+// ends, or a stop has begun.
 func (a *appender) wait(ctx context.Context) (stopping bool) {
 	var due <-chan time.Time
 	if len(a.inDoubt) > 0 {
@@ -59,23 +61,23 @@
 	return false
 }
 
-// linger is the time between two appends of one instance. All instances
-// together then stay within the budget, whatever the load on each; the log
-// takes several hundred appends a second and serves operators besides.
+// appendInterval is the shortest time between two appends of one instance. It
+// keeps all instances together within AppendBudget, whatever the load on each;
+// the log takes several hundred appends per second and also serves operators.
 func (n *Node) appendInterval() time.Duration {
 	share := time.Duration(n.instanceCount()) * time.Second / time.Duration(n.cfg.AppendBudget)
 	return max(n.cfg.Linger, share)
 }
 
-// pace waits until a linger has passed since the last append. After an idle
-// linger the first record goes out at once: the interval between appends, not
-// the delay of each, keeps the budget.
+// waitForInterval waits until appendInterval has passed since the last append.
+// The first record after an idle interval is sent at once: the budget is kept by
+// the interval between appends, not by delaying each one.
 func (a *appender) waitForInterval(ctx context.Context) {
 	sleep(ctx, time.Until(a.lastAppend.Add(a.node.appendInterval())))
 }
 
-// appendNext writes one group and settles what its outcome settles. It returns
-// false if there was nothing to write or the log did not take it.
+// appendNext appends one group and handles the outcome. It returns false if
+// there was nothing to append or the append was not confirmed.
 func (a *appender) appendNext(ctx context.Context) bool {
 	n := a.node
 	g := n.proposals.next()
@@ -88,12 +90,12 @@
 		a.backoff.reset()
 		return true
 	case errors.Is(err, platformlog.ErrNotAppended):
-		n.logger.Warn("append refused", "records", len(g.records), "err", err)
+		n.logger.Warn("append to the log refused", "records", len(g.records), "err", err)
 		n.proposals.markRefused(&g)
 		a.addInDoubt(g)
 		a.backOff(ctx)
 	default:
-		n.logger.Warn("outcome of append unknown", "records", len(g.records), "err", err)
+		n.logger.Warn("outcome of append to the log unknown", "records", len(g.records), "err", err)
 		n.proposals.markUnknown(&g)
 		a.addInDoubt(g)
 	}
@@ -103,8 +105,8 @@
 func (n *Node) appendRecords(ctx context.Context, records []record.Record) error {
 	data, err := record.Encode(record.Batch{Writer: n.cfg.Name, WriterTime: time.Now(), Records: records})
 	if err != nil {
-		// Put has checked each record, so this is a group that grew too large;
-		// nothing of it was handed over.
+		// Put has validated each record, so the group as a whole is too large;
+		// none of it was handed to the log.
 		return errors.Join(platformlog.ErrNotAppended, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.CallTimeout)
@@ -113,8 +115,9 @@
 	return err
 }
 
-// rest waits after a refusal. New Puts are void at once meanwhile: with the log
-// down, waiting for it would hold each caller to its deadline.
+// backOff waits after a refused append. Meanwhile new Puts are void at once:
+// while the log is down, waiting for it would hold each caller until its
+// deadline.
 func (a *appender) backOff(ctx context.Context) {
 	a.node.proposals.setRefusing(true)
 	defer a.node.proposals.setRefusing(false)
--- a/coordination/node/bench_test.go
+++ b/coordination/node/bench_test.go
@@ -15,7 +15,7 @@
 
 const (
 	benchNodes = 8
-	// benchDelay is one call to the log: there and back at 1.5 ms each way.
+	// benchDelay is the duration of one call to the log: 1.5 ms each way.
 	benchDelay = 3 * time.Millisecond
 )
 
@@ -44,9 +44,9 @@
 	return d[int(q*float64(len(d)-1))].Seconds() * 1000
 }
 
-// BenchmarkGroupCommit runs Puts at 8 nodes for a fixed time, and reports the
-// appends a second and how long a Put takes until it is read back. "idle" is
-// one caller at each node with pauses of 200 ms; "busy" 50 callers with none.
+// BenchmarkGroupCommit runs Puts at 8 nodes for 5 s and reports the appends per
+// second and the time of a Put until it is read back. "idle" has one caller per
+// node that pauses for 200 ms after each Put, "busy" 50 callers without pauses.
 func BenchmarkGroupCommit(b *testing.B) {
 	for _, load := range []struct {
 		name    string
@@ -93,8 +93,8 @@
 	b.ReportMetric(quantile(took, 0.95), "p95-ms")
 }
 
-// BenchmarkPublish is the time from the publisher's call until the manifest is
-// in force at the slowest of 8 nodes, all healthy, for 100 manifests of 64 KB.
+// BenchmarkPublish measures the time from the publisher's call until the manifest
+// is in force at the slowest of 8 healthy nodes, for 100 manifests of 64 KiB.
 func BenchmarkPublish(b *testing.B) {
 	for b.Loop() {
 		publishMany(b)
--- a/coordination/node/checkpoint.go
+++ b/coordination/node/checkpoint.go
@@ -12,22 +12,22 @@
 	"masticplank.example/coordination/record"
 )
 
-// checkpointRetry is how soon a checkpoint that was not read back is tried
-// again.
+// checkpointRetryInterval is the time after which a checkpoint that was not read
+// back is appended again.
 const checkpointRetryInterval = time.Minute
 
-// checkpointPolicy says when this instance appends a checkpoint: once none was
-// read, whole, for between a quarter and a half of the retention. The jitter
-// lets the first instance that comes due save the others theirs. A half leaves
-// room for tries that fail, before a quarter of the retention is left. An
-// instance that was cut off for long comes due as soon as it has caught up.
-// Safe for concurrent use.
+// checkpointPolicy decides when this instance appends a checkpoint: when no
+// complete one was read for between a quarter and a half of the retention. The
+// interval is jittered so that the first instance that is due spares the others
+// theirs. The limit of a half leaves time for failed attempts before only a
+// quarter of the retention is left. An instance that was disconnected for long is
+// due as soon as it has caught up. Safe for concurrent use.
 type checkpointPolicy struct {
 	mu           sync.Mutex
 	interval     time.Duration
 	lastComplete time.Time
 	lastAttempt  time.Time
-	// nonce and have count the parts of the checkpoint being read.
+	// nonce identifies the checkpoint being read; partsRead counts its parts.
 	nonce     record.Nonce
 	partsRead int
 }
@@ -38,9 +38,9 @@
 	return &checkpointPolicy{interval: quarter + jitter, lastComplete: time.Now()}
 }
 
-// seen notes one part of a checkpoint read from the log; only all parts of one
-// count. Two writers whose parts alternate count as none, which costs one more
-// checkpoint.
+// partRead records one part of a checkpoint read from the log. A checkpoint
+// counts only once all its parts were read. Interleaved parts of two writers
+// count as no checkpoint, at the cost of one more.
 func (p *checkpointPolicy) partRead(now time.Time, r *record.Record) {
 	part, parts, ok := fold.ParseCheckpointPart(r)
 	if !ok {
@@ -60,7 +60,7 @@
 	}
 }
 
-// due reports that it is time to try, and takes it as tried.
+// due reports whether a checkpoint is due, and if so records an attempt.
 func (p *checkpointPolicy) due(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,8 +71,8 @@
 	return true
 }
 
-// keepCheckpoint queues a checkpoint when one is due. Only a node that is ready
-// does: the state of one that is catching up helps nobody.
+// queueDueCheckpoint queues a checkpoint when one is due. Only a ready node does
+// so: the state of a node that is catching up is of no use to others.
 func (n *Node) queueDueCheckpoint() error {
 	if !n.isReady() || !n.checkpoints.due(time.Now()) {
 		return nil
@@ -80,8 +80,9 @@
 	return n.Checkpoint()
 }
 
-// Checkpoint queues the current state to be appended to the log. Nodes do so by
-// themselves in time; an operator may before the log is trimmed by hand.
+// Checkpoint queues the current state to be appended to the log. Nodes do so on
+// their own, well within the retention; an operator may call for it before
+// trimming the log by hand. Errors are those of fold.State.Checkpoint.
 func (n *Node) Checkpoint() error {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -105,17 +106,18 @@
 	}
 }
 
-// catchUp starts from the last checkpoint where the records that the node lacks
-// are trimmed. It looks through the whole rest of the log, and takes only a
-// checkpoint that is ahead of the own state and joins what is kept: anything
-// less would leave a hole, and a hole makes losers win.
+// catchUp restores the latest checkpoint in the log when the records that the
+// node lacks are trimmed; first is the oldest offset that is kept. It reads the
+// log to its end and accepts only a checkpoint that is ahead of the node's own
+// state and reaches at least to first. Anything less would leave a gap in the
+// folded records, and a gap lets losing Puts win.
 func (n *Node) catchUp(ctx context.Context, first uint64) error {
 	snapshot, next, err := n.findCheckpoint(ctx, first)
 	if err != nil {
 		return err
 	}
 	if next < first {
-		return trace.Wrap(ErrNoCheckpoint, "kept from %d, checkpoint at %d", first, next)
+		return trace.Wrap(ErrNoCheckpoint, "log kept from offset %d, checkpoint reaches offset %d", first, next)
 	}
 	return n.Restore(snapshot)
 }
@@ -159,9 +161,9 @@
 	return n.state.Snapshot()
 }
 
-// Restore implements Store. While the log is down it also makes the node
-// ready: nobody knows of a later state than the peer that has folded most.
-// Errors wrap fold.ErrSnapshot or ErrNotAhead.
+// Restore implements Store. While the log is down it also makes the node ready:
+// the peer that has folded most holds the latest state that is known. Errors
+// wrap fold.ErrInvalidSnapshot or ErrNotAhead.
 func (n *Node) Restore(snapshot []byte) error {
 	state, err := fold.Restore(n.cfg.Fold, n.options, snapshot)
 	if err != nil {
@@ -173,7 +175,7 @@
 	old := n.state
 	if state.Digest().NextOffset <= old.Digest().NextOffset || state.Digest().Generation < old.Digest().Generation {
 		n.mu.Unlock()
-		return trace.Wrap(ErrNotAhead, "at %d, own state at %d", state.Digest().NextOffset, old.Digest().NextOffset)
+		return trace.Wrap(ErrNotAhead, "snapshot at offset %d, own state at offset %d", state.Digest().NextOffset, old.Digest().NextOffset)
 	}
 	n.state = state
 	if !n.status.hasTarget {
@@ -186,8 +188,8 @@
 	return nil
 }
 
-// tellRestored tells the watchers of the registers that are new in state, as if
-// their Puts had been read.
+// notifyRestored notifies the watchers of the registers that are new in state,
+// as if their Puts had been read.
 func (n *Node) notifyRestored(old, state *fold.State) {
 	for _, class := range n.watchers.classes() {
 		for _, reg := range state.Registers(class) {
--- a/coordination/node/config.go
+++ b/coordination/node/config.go
@@ -8,29 +8,32 @@
 	"masticplank.example/coordination/record"
 )
 
-// Config of a Node. Zero fields take the defaults named at each.
+// Config configures a Node. A zero field takes the default stated with it.
 type Config struct {
-	// Name of the instance, unique in the fleet. Required.
+	// Name identifies the instance and must be unique in the fleet. Required.
 	Name string
-	// Fold holds the bounds of the state; the same at every instance.
+	// Fold holds the bounds of the state. It must be the same at every
+	// instance.
 	Fold fold.Config
 	// Linger is the shortest time between two appends. Default 20 ms.
 	Linger time.Duration
-	// AppendBudget is how many appends a second all instances together may
-	// make. Default 200: the log takes several hundred, and the rest is for
-	// operators' own use of it.
+	// AppendBudget is the number of appends per second that all instances
+	// together may make. Default 200: the log takes several hundred, and the
+	// rest is left to operators.
 	AppendBudget int
-	// PollWait bounds one long poll. Default 1 s: well under the freshness
-	// bound, since a poll confirms the state as of its start.
+	// PollWait is the longest wait of one long poll. Default 1 s: well under
+	// the freshness bound, since a poll confirms the state as of its start.
 	PollWait time.Duration
-	// PageLimit is how many entries one read asks for. Default 512.
+	// PageLimit is the most entries that one read returns. Default 512.
 	PageLimit int
-	// CallTimeout bounds one append, and one read beyond its poll. Default 2 s.
+	// CallTimeout bounds one append, and one read in addition to its wait.
+	// Default 2 s.
 	CallTimeout time.Duration
-	// MaxQueue bounds the Puts that wait for their append; beyond it a Put is
-	// void at once. Default 10,000: one batch.
+	// MaxQueue is the most Puts that may wait for their append; beyond it a
+	// Put is void at once. Default record.MaxRecords (10,000): one batch.
 	MaxQueue int
-	// MaxReleases bounds the releases that wait for the log. Default 100,000.
+	// MaxReleases is the most releases that may wait to be read back from the
+	// log; beyond it a release is dropped. Default 100,000.
 	MaxReleases int
 }
 
@@ -41,11 +44,12 @@
 	defaultPageLimit    = 512
 	defaultCallTimeout  = 2 * time.Second
 	defaultMaxReleases  = 100_000
-	// maxBatchBytes closes a group early; one record may pass it alone.
+	// maxBatchBytes closes a group early; a single larger record is sent alone.
 	maxBatchBytes = 512 << 10
-	// backoffFirst and backoffMost bound the wait after a failed call. The
-	// most and a call's timeout together are under the freshness bound, so that
-	// what is known of the log's being down or back is never older than that.
+	// backoffInitial and backoffMax bound the wait after a failed call.
+	// backoffMax and CallTimeout together are under the freshness bound, so
+	// that the node's knowledge of the log being down or back is never older
+	// than that.
 	backoffInitial = 50 * time.Millisecond
 	backoffMax     = time.Second
 )
@@ -67,15 +71,15 @@
 	}
 }
 
-// Observer hears of reads and folds as they happen; freshness.Tracker is one.
-// Its methods must not block and must be safe for concurrent use.
+// Observer is notified of reads and folds as they happen; freshness.Tracker is
+// one. Its methods must not block and must be safe for concurrent use.
 type Observer interface {
-	// HeadRead: the log's head was at least head at the time at, which is when
-	// the read was sent, not when its answer came.
+	// HeadRead reports that the log's head was at least head at the time at,
+	// which is when the read was sent, not when it returned.
 	HeadRead(at time.Time, head uint64)
-	// Folded: everything before next is folded.
+	// Folded reports that all entries before offset next are folded.
 	Folded(next uint64)
-	// ReadFailed: a read was given up at the time at.
+	// ReadFailed reports that a read failed at the time at.
 	ReadFailed(at time.Time)
 }
 
@@ -85,27 +89,27 @@
 func (noObserver) Folded(uint64)              {}
 func (noObserver) ReadFailed(time.Time)       {}
 
-// Option changes a Node at New.
+// Option sets an optional part of a Node in New.
 type Option func(*Node)
 
-// WithValidator sets the pure check of a class's content. All instances must
-// set the same.
+// WithValidator sets the validator of a class's content, a pure function. All
+// instances must set the same one.
 func WithValidator(class record.Class, v fold.Validator) Option {
 	return func(n *Node) { n.options.Validators[class] = v }
 }
 
-// WithObserver sets who hears of reads and folds.
+// WithObserver sets the observer of reads and folds.
 func WithObserver(o Observer) Option {
 	return func(n *Node) { n.observer = o }
 }
 
-// WithLogger sets where faults of the log are told. Default: nowhere.
+// WithLogger sets the logger for faults of the log service. Default: discard.
 func WithLogger(l *slog.Logger) Option {
 	return func(n *Node) { n.logger = l }
 }
 
-// WithLive sets how the node learns how many instances share the append
-// budget; f must be safe for concurrent use. Default: 8, today's fleet.
+// WithInstanceCount sets the function that returns how many instances share the
+// append budget; f must be safe for concurrent use. Default: 8.
 func WithInstanceCount(f func() int) Option {
 	return func(n *Node) { n.instanceCount = f }
 }
--- a/coordination/node/doubt.go
+++ b/coordination/node/doubt.go
@@ -6,26 +6,31 @@
 	"time"
 )
 
-// doubt is a group that may or may not stand in the log. It is sent again only
-// after the tail has passed a head that was read later than the append: sent
-// before, a second copy would often follow a first one that is merely unread,
-// and the second might win where the first was read back as the loser. A first
-// copy that comes later still is what the release in readBack is for.
+// inDoubtGroup is a group that may or may not be in the log. It is sent again
+// only after the tail has passed a head that was read later than the append.
+// Sent earlier, a second copy would often follow a first one that is merely
+// unread, and the second might win where the first was read back as the loser.
+// A first copy that arrives even later is handled by the Release that readBack
+// queues.
 type inDoubtGroup struct {
 	group group
 	due   time.Time
-	// head is the log's head as read after the append; asked says that it was.
+	// head is the log's head as read after the append; headKnown says that it
+	// was read.
 	head      uint64
 	headKnown bool
 }
 
-// doubt keeps what the group settles until it is read back or sent again.
+// addInDoubt keeps the Puts and Releases of g until they are read back or sent
+// again.
 func (a *appender) addInDoubt(g group) {
 	g.records = nil
 	a.inDoubt = append(a.inDoubt, inDoubtGroup{group: g, due: time.Now().Add(a.backoff.next())})
 }
 
-// settleDoubts takes the doubts that are due a step further.
+// resolveInDoubt drops the groups that were read back meanwhile, reads the
+// log's head for those that are due, and sends those again that the tail has
+// passed.
 func (a *appender) resolveInDoubt(ctx context.Context) {
 	if orphans := a.node.proposals.takeSkipped(); len(orphans) > 0 {
 		a.inDoubt = append(a.inDoubt, inDoubtGroup{group: group{puts: orphans}, due: time.Now()})
@@ -56,8 +61,8 @@
 	a.inDoubt = kept
 }
 
-// recheck is when to look again: soon while the tail catches up with a head
-// that is known, and by the backoff while the log can't be read.
+// recheckDelay is the time until the next check: short while the tail catches
+// up with a known head, and the backoff while the log can't be read.
 func (a *appender) recheckDelay(asked bool) time.Duration {
 	if asked {
 		return a.node.cfg.Linger
@@ -65,13 +70,13 @@
 	return a.backoff.next()
 }
 
-// readHead asks the log for its head.
+// readHead reads the log's current head.
 func (a *appender) readHead(ctx context.Context) (uint64, error) {
 	page, err := a.node.read(ctx, a.node.Digest().NextOffset, 0)
 	return page.Head, err
 }
 
-// nextDue is when the first doubt is due; there must be one.
+// nextDue is when the first group in doubt is due; there must be one.
 func (a *appender) nextDue() time.Time {
 	first := a.inDoubt[0].due
 	for _, d := range a.inDoubt {
--- a/coordination/node/example_test.go
+++ b/coordination/node/example_test.go
@@ -10,7 +10,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// Two instances race for one request; one of them may run it.
+// Two instances compete for one request; exactly one of them runs it.
 func Example() {
 	ctx := context.Background()
 	service := logtest.New()
@@ -30,7 +30,7 @@
 		case node.OutcomeLost:
 			fmt.Println(name, "leaves it to", res.Register.Writer)
 		case node.OutcomeUnknown:
-			n.Release(claim.Key, claim.Nonce) // then "not run" is true
+			n.Release(claim.Key, claim.Nonce) // after this, the answer "not run" is correct
 		}
 	}
 	// Output:
--- a/coordination/node/group.go
+++ b/coordination/node/group.go
@@ -4,16 +4,17 @@
 	"masticplank.example/coordination/record"
 )
 
-// group is one append: what to write, and what it settles.
+// group is one append: the records to write, and the Puts and Releases that it
+// settles.
 type group struct {
 	records  []record.Record
 	puts     []*proposal
 	releases []record.Record
 }
 
-// next takes the next group off the queues and marks its Puts as sent. This and
-// abandon hold one lock, so a Put that was said to be void is never sent.
-// Releases go first: they free keys that others may wait for.
+// next takes the next group off the queues and marks its Puts as sent. It holds
+// the same lock as abandon, so a Put that was reported void is never sent.
+// Releases go first because they free keys that other callers may wait for.
 func (ps *proposals) next() group {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -40,9 +41,9 @@
 		g.puts = append(g.puts, p)
 		g.records = append(g.records, p.record)
 	}
-	// One part of a checkpoint rides along, however full the group is: under
-	// constant load there is never room, and the log would be trimmed with no
-	// checkpoint in it.
+	// One part of a checkpoint is added however full the group is: under
+	// constant load there would never be space for it, and the log would be
+	// trimmed without a checkpoint in it.
 	if len(ps.checkpointParts) > 0 && len(g.records) < record.MaxRecords {
 		g.records = append(g.records, ps.checkpointParts[0])
 		ps.checkpointParts = ps.checkpointParts[1:]
@@ -53,11 +54,12 @@
 	return g
 }
 
-// recordOverhead is what a record takes beside its key and value, rounded up.
+// recordOverhead is the encoded size in bytes of a record without its key and
+// value, rounded up.
 const recordOverhead = 64
 
-// refused settles a group that certainly had no effect: its Puts are void,
-// unless an earlier append of the same Put may still land.
+// markRefused settles a group that definitely had no effect: its Puts are void,
+// unless an earlier append of the same Put may still take effect.
 func (ps *proposals) markRefused(g *group) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -70,8 +72,8 @@
 	}
 }
 
-// lost notes that the group may or may not stand in the log. Its Puts stay
-// with their waiters until they are read back; resend offers them again.
+// markUnknown records that the group may or may not be in the log. The callers
+// keep waiting until its Puts are read back; resend queues them again.
 func (ps *proposals) markUnknown(g *group) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -80,8 +82,8 @@
 	}
 }
 
-// resend queues what of g was not read back: the same nonces again, so that two
-// copies in the log count once.
+// resend queues the records of g that were not read back, with the same nonces,
+// so that two copies in the log count once.
 func (ps *proposals) resend(g *group) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 }
 
-// takeOrphans empties the orphans.
+// takeSkipped removes and returns the skipped Puts.
 func (ps *proposals) takeSkipped() []*proposal {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -107,7 +109,8 @@
 	return out
 }
 
-// open reports whether g has anything left that was not read back.
+// unresolved reports whether a record of g was not yet read back and is still
+// wanted.
 func (ps *proposals) unresolved(g *group) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -15,24 +15,24 @@
 	"masticplank.example/coordination/record"
 )
 
-// Errors of a Node.
+// Errors returned by a Node.
 var (
-	// ErrNotAhead means that a snapshot offered to Restore is not ahead of the
-	// own state.
-	ErrNotAhead = errors.New("node: snapshot is not ahead")
+	// ErrNotAhead means that a snapshot passed to Restore is not ahead of the
+	// node's own state.
+	ErrNotAhead = errors.New("node: snapshot is not ahead of the own state")
 	// ErrNoCheckpoint means that the log no longer keeps the records that the
-	// node lacks, and no checkpoint that could stand for them.
-	ErrNoCheckpoint = errors.New("node: trimmed, and no checkpoint is left")
-	// ErrWentBack means that the log's head lies before what was read from it.
-	// The node keeps its state, and counts the log as not reachable.
-	ErrHeadRegressed = errors.New("node: the log went back")
-	// ErrConfig means that New was given an unusable Config.
+	// node lacks, nor a checkpoint that covers them.
+	ErrNoCheckpoint = errors.New("node: records trimmed and no checkpoint covers them")
+	// ErrHeadRegressed means that the log's head is below an offset already
+	// read from it. The node keeps its state and treats the log as unreachable.
+	ErrHeadRegressed = errors.New("node: head of the log regressed")
+	// ErrConfig means that New was given an invalid Config.
 	ErrConfig         = errors.New("node: invalid configuration")
-	errAlreadyStarted = errors.New("node: started before")
+	errAlreadyStarted = errors.New("node: already started")
 )
 
-// Node implements Store over a platformlog.Log. Make it with New, then Start
-// it; Stop ends its goroutines. Safe for concurrent use.
+// Node implements Store over a platformlog.Log. Create it with New and call
+// Start; Stop ends its goroutines. Safe for concurrent use.
 type Node struct {
 	cfg           Config
 	log           platformlog.Log
@@ -46,9 +46,9 @@
 	watchers    watchers
 	checkpoints *checkpointPolicy
 
-	// folding serialises what changes the state together with telling the
-	// watchers of it, so that they hear of changes in log order. It is taken
-	// before mu.
+	// folding serialises changes of the state and the notification of the
+	// watchers, so that these see changes in log order. It is locked before
+	// mu.
 	folding sync.Mutex
 	// mu guards the fields below; it is never held while a watcher runs.
 	mu     sync.RWMutex
@@ -64,20 +64,21 @@
 	done      sync.WaitGroup
 }
 
-// status is what reads of the log have shown.
+// status holds what reads of the log have shown.
 type status struct {
 	head      uint64
 	first     uint64
 	readAt    time.Time
 	reachable bool
-	// target is the head told by the first read; the node is ready on it.
+	// target is the head returned by the first read; the node is ready once
+	// it has folded up to it.
 	target    uint64
 	hasTarget bool
 }
 
 var _ Store = (*Node)(nil)
 
-// New returns a Node at the log's beginning. Errors wrap ErrConfig.
+// New returns a Node at the beginning of the log. Errors wrap ErrConfig.
 func New(log platformlog.Log, cfg Config, opts ...Option) (*Node, error) {
 	if cfg.Name == "" || len(cfg.Name) > record.MaxWriterBytes {
 		return nil, trace.Wrap(ErrConfig, "name of %d bytes", len(cfg.Name))
@@ -103,11 +104,11 @@
 	return n, nil
 }
 
-// defaultLive is the fleet of today.
+// defaultInstanceCount is the usual size of the fleet.
 const defaultInstanceCount = 8
 
-// Start begins to tail the log and to append. It returns at once; see Ready.
-// ctx's values are kept, its end is not: Stop ends the node.
+// Start starts tailing the log and appending to it. It returns at once; see
+// Ready. The node keeps ctx's values but not its cancellation: only Stop ends it.
 func (n *Node) Start(ctx context.Context) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,7 +130,7 @@
 }
 
 // Stop appends what is queued, as far as ctx and the log allow, and ends the
-// node. Puts that still wait are answered void or unknown, as it is with them.
+// node. Puts that still wait return OutcomeVoid or OutcomeUnknown.
 func (n *Node) Stop(ctx context.Context) error {
 	n.stopOnce.Do(func() { close(n.stopping) })
 	n.mu.Lock()
@@ -145,8 +146,9 @@
 	return nil
 }
 
-// Ready is closed once the node has folded the log up to the head that the
-// first read told it of, or took over a peer's state while the log was down.
+// Ready returns a channel that is closed once the node has folded the log up to
+// the head that its first read returned, or has restored a peer's state while the
+// log was down.
 func (n *Node) Ready() <-chan struct{} { return n.ready }
 
 // Put implements Store.
@@ -164,13 +166,13 @@
 		return res
 	case <-ctx.Done():
 	case <-n.stopping:
-		// The queue is flushed during a stop; wait for it or for the end.
+		// The queue is flushed during a stop; wait for that or for ctx.
 		n.awaitStop(ctx, p)
 	}
 	return n.proposals.abandon(p)
 }
 
-// awaitStop waits for p during a stop until the goroutines have ended.
+// awaitStop waits for p during a stop, until ctx or the node's goroutines end.
 func (n *Node) awaitStop(ctx context.Context, p *proposal) {
 	ended := make(chan struct{})
 	go func() {
@@ -197,12 +199,12 @@
 // Release implements Store.
 func (n *Node) Release(key record.Key, nonce record.Nonce) {
 	if !n.proposals.release(key, nonce) {
-		n.logger.Warn("release dropped: too many wait for the log", "key", key)
+		n.logger.Warn("release dropped: too many releases are pending", "key", key)
 	}
 }
 
-// Lookup implements Store. A register whose nonce this process has released is
-// hidden at once.
+// Lookup implements Store. It omits a register whose nonce this process has
+// released, even before the Release is in the log.
 func (n *Node) Lookup(key record.Key) (fold.Register, bool) {
 	n.mu.RLock()
 	reg, ok := n.state.Lookup(key)
@@ -213,7 +215,7 @@
 	return reg, ok
 }
 
-// Manifest returns the manifest in force; false before the first.
+// Manifest returns the manifest in force, or false if there is none yet.
 func (n *Node) Manifest() (fold.Register, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -227,7 +229,7 @@
 	return n.state.Registers(class)
 }
 
-// Now is the log's time as of the last folded entry.
+// LogTime returns the log's time as of the last folded entry.
 func (n *Node) LogTime() time.Time {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -256,8 +258,8 @@
 	}
 }
 
-// Watch implements Store. The calls come one at a time; f must not call
-// Restore. After Restore, f hears of the registers that came with it.
+// Watch implements Store. f is called from one goroutine at a time and must not
+// call Restore. After Restore, f is called for the registers that it added.
 func (n *Node) Watch(class record.Class, f func(fold.Change)) (stop func()) {
 	return n.watchers.add(class, f)
 }
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fleet runs nodes on one in-memory log inside a synctest bubble.
+// testCluster runs nodes on one in-memory log inside a synctest bubble.
 type testCluster struct {
 	t   *testing.T
 	log *logtest.Log
@@ -82,7 +82,7 @@
 			t.Fatalf("outcomes %d and %d", first.Outcome, second.Outcome)
 		}
 		if first.Register.Nonce != second.Register.Nonce {
-			t.Error("they disagree on the winner")
+			t.Error("the results name different winners")
 		}
 		synctest.Wait()
 		if a.Digest() != b.Digest() || a.Digest().NextOffset == 0 {
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestVoidIsAtOnceWhileDown: the log is known to be down, so callers are not
-// held to their deadlines.
+// TestVoidIsAtOnceWhileDown guards against Puts that wait for their deadlines
+// while the log is known to be down.
 func TestVoidIsAtOnceWhileDown(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
@@ -140,8 +140,8 @@
 	})
 }
 
-// TestReleaseOfUnknown: a released Put never wins, though its append lands
-// after the Release was given.
+// TestReleaseOfUnknown guards against a released Put that still wins because its
+// append takes effect after the call of Release.
 func TestReleaseOfUnknown(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
@@ -164,7 +164,7 @@
 		}
 		fl.mustPut(b, put("session/x", 2), OutcomeWon)
 		if len(a.proposals.pendingReleases) != 0 {
-			t.Error("a release that was read back is still held")
+			t.Error("a Release that was read back is still pending")
 		}
 	})
 }
@@ -176,7 +176,7 @@
 		fl.log.SetDown(true)
 		a.Release("session/x", record.Nonce{1})
 		if _, ok := a.Lookup("session/x"); ok {
-			t.Error("a released register is still seen")
+			t.Error("a released register is still visible")
 		}
 		time.Sleep(time.Minute)
 		fl.log.SetDown(false)
@@ -189,7 +189,8 @@
 	})
 }
 
-// TestReleaseEndsTheWait: Release while the Put is in flight.
+// TestReleaseEndsTheWait guards against a Put that keeps waiting, or wins, after
+// a Release during its append.
 func TestReleaseEndsTheWait(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
@@ -204,7 +205,7 @@
 		}
 		time.Sleep(time.Minute)
 		if _, ok := a.Lookup("session/x"); ok {
-			t.Error("it won after all")
+			t.Error("the released Put won")
 		}
 	})
 }
@@ -238,8 +239,8 @@
 	})
 }
 
-// TestBudget: eight instances under full load stay within the log's appends a
-// second, and an idle one answers without waiting for a linger.
+// TestBudget guards against eight instances under full load exceeding the budget
+// of appends per second, and against an idle instance delaying its first append.
 func TestBudget(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		const seconds = 10
@@ -267,21 +268,22 @@
 		wg.Wait()
 		rate := float64(fl.log.AppendCount()-before) / seconds
 		if rate > defaultAppendBudget+1 {
-			t.Errorf("%.1f appends a second", rate)
+			t.Errorf("%.1f appends per second, more than the budget", rate)
 		}
 		if rate < defaultAppendBudget/2 {
-			t.Errorf("%.1f appends a second: the budget is not used", rate)
+			t.Errorf("%.1f appends per second: less than half of the budget is used", rate)
 		}
 	})
 }
 
-// TestPlannedStopSettles: a Put under way at a planned stop is read back.
+// TestPlannedStopSettles guards against a planned stop that ends before a Put
+// under way was read back: the tail's poll is slow at that moment.
 func TestPlannedStopSettles(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
 		<-a.Ready()
 		synctest.Wait()
-		// The tail's second poll starts at 1 s and is under way until 1.3 s.
+		// The tail's second poll starts at 1 s and lasts until 1.3 s.
 		fl.log.SetSlow(300 * time.Millisecond)
 		time.Sleep(1050 * time.Millisecond)
 		fl.log.SetSlow(0)
@@ -295,14 +297,14 @@
 	})
 }
 
-// TestNoSecondCopyWhileUnread: the reply is lost and the tail is slow; the Put
-// is not sent again before the tail could have read it.
+// TestNoSecondCopyWhileUnread guards against a Put that is sent again before the
+// tail could have read it back: its reply is lost while the tail is slow.
 func TestNoSecondCopyWhileUnread(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
 		<-a.Ready()
 		synctest.Wait()
-		// The tail's second poll starts at 1 s and is under way until 2.8 s.
+		// The tail's second poll starts at 1 s and lasts until 2.8 s.
 		fl.log.SetSlow(1800 * time.Millisecond)
 		time.Sleep(1050 * time.Millisecond)
 		fl.log.SetSlow(0)
@@ -314,9 +316,9 @@
 	})
 }
 
-// TestLateCopyOfALostPut: the first copy of a Put is on its way for seconds, the
-// second one loses. The caller was told so; the late copy must not win when the
-// winner is gone.
+// TestLateCopyOfALostPut guards against a Put that wins after its caller was told
+// that it lost: the first copy is delayed for seconds, the second one loses, and
+// the first arrives after the winner was released.
 func TestLateCopyOfALostPut(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
@@ -331,15 +333,16 @@
 	})
 }
 
-// seenBy is an Observer that counts.
+// countingObserver counts heads read and failed reads.
 type countingObserver struct{ heads, failures atomic.Int64 }
 
 func (s *countingObserver) HeadRead(time.Time, uint64) { s.heads.Add(1) }
 func (s *countingObserver) Folded(uint64)              {}
 func (s *countingObserver) ReadFailed(time.Time)       { s.failures.Add(1) }
 
-// TestLogThatWentBack: a wiped log confirms nothing, takes nothing back, and a
-// Put that lands in it is never said to have won.
+// TestLogThatWentBack guards against trusting a log that was wiped: its head must
+// not confirm the folded state or undo it, and a Put appended to it must not be
+// reported as won.
 func TestLogThatWentBack(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		var seen countingObserver
@@ -352,7 +355,7 @@
 		fl.mustPut(a, put("session/x", 2), OutcomeUnknown)
 		time.Sleep(5 * time.Second)
 		if seen.heads.Load() != heads || seen.failures.Load() == 0 {
-			t.Errorf("%d heads after the wipe, %d failures", seen.heads.Load()-heads, seen.failures.Load())
+			t.Errorf("%d heads confirmed after the wipe, %d failed reads", seen.heads.Load()-heads, seen.failures.Load())
 		}
 		if s := a.Status(); s.LogReachable || s.NextOffset != 2 {
 			t.Errorf("status %+v", s)
@@ -368,7 +371,7 @@
 		fl.stop(a)
 		time.Sleep(time.Second)
 		if _, ok := b.Lookup("session/x"); ok {
-			t.Error("the release was lost at the stop")
+			t.Error("the stop dropped a queued Release")
 		}
 	})
 }
--- a/coordination/node/proposals.go
+++ b/coordination/node/proposals.go
@@ -6,15 +6,16 @@
 	"masticplank.example/coordination/record"
 )
 
-// proposalID names one Put: its retries carry the same key and nonce.
+// proposalID identifies one Put: its retries carry the same key and nonce.
 type proposalID struct {
 	key   record.Key
 	nonce record.Nonce
 }
 
-// stage is how far a Put has come. It decides what may be said of it: only a
-// Put that was never handed to the log, or which the log certainly refused, is
-// void; one that was handed over once stays unknown until it is read back.
+// stage is how far a Put has progressed. It decides which outcome a caller may
+// be given: only a Put that was never handed to the log, or that the log
+// definitely refused, is void; one that was handed over stays unknown until it
+// is read back.
 type stage uint8
 
 const (
@@ -28,41 +29,43 @@
 type proposal struct {
 	record record.Record
 	stage  stage
-	// sends counts the appends that carried it; with more than one, a copy may
-	// still come after the one that was read back.
+	// appends counts the appends that carried the Put. With more than one,
+	// another copy may still follow the one that was read back.
 	appends int
-	// queued is set while it stands in the queue, gone once nobody waits.
+	// queued is set while the Put is in the queue, abandoned once no caller
+	// waits for it.
 	queued    bool
 	abandoned bool
-	// verdict is what the caller will be told once the Release is read back.
-	// The Put was read back as a loser, but another copy of it may still come,
-	// and might win where this one did not. Who is told "lost" must be able to
-	// rely on it, also if this process is killed the next moment: so the
-	// nonce is dead in the log first.
+	// pendingResult is returned to the caller once the Release is read back.
+	// The Put was read back as a loser, but another copy of it may still
+	// arrive and win. A caller that is told "lost" must be able to rely on it
+	// even if this process is killed right after, so the nonce is first
+	// released in the log.
 	pendingResult *Result
-	// unknown is set once an append that carried it lost its reply.
+	// outcomeUnknown is set once the reply to an append that carried the Put
+	// was lost.
 	outcomeUnknown bool
 	done           chan Result
 }
 
-// proposals holds what this process has proposed and not yet read back. Safe
-// for concurrent use.
+// proposals holds the records that this process has proposed and not yet read
+// back. Safe for concurrent use.
 type proposals struct {
 	mu          sync.Mutex
 	maxQueue    int
 	maxReleases int
 	waiting     map[proposalID]*proposal
 	queue       []*proposal
-	// releases wait for their append; dead holds the nonces given up until the
-	// Release is read back from the log.
+	// releases wait for their append; pendingReleases holds the released nonces
+	// until the Release is read back from the log.
 	releases        []record.Record
 	pendingReleases map[proposalID]bool
 	checkpointParts []record.Record
-	// orphans are Puts whose record may lie before a state that was taken over.
+	// skipped holds the Puts whose record may lie before a restored state.
 	skipped []*proposal
-	// refusing is set while the log is known to take nothing.
+	// refusing is set while the log is known to accept no appends.
 	refusing bool
-	// wake has room for one token: there is something to append.
+	// wake holds one token while there is something to append.
 	wake chan struct{}
 }
 
@@ -76,8 +79,8 @@
 	}
 }
 
-// add queues a Put. A second Put of one key and nonce while the first waits is
-// refused: it could not be told from a retry.
+// add queues a Put. A second Put with the same key and nonce is refused while
+// the first one waits, since it could not be distinguished from a retry.
 func (ps *proposals) add(r record.Record) (*proposal, bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -97,16 +100,17 @@
 	ps.signal()
 }
 
-// setRefusing makes add refuse while the log takes nothing: a Put is then void
-// at once, instead of after its caller's deadline.
+// setRefusing makes add refuse Puts while the log accepts no appends: a Put is
+// then void at once instead of after its caller's deadline.
 func (ps *proposals) setRefusing(refusing bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	ps.refusing = refusing
 }
 
-// abandon ends the wait for p: void if it was never handed over, or else
-// unknown. The outcome that came in the meantime wins.
+// abandon ends the wait for p. The result is void if p was never handed to the
+// log and unknown otherwise; an outcome that arrived in the meantime takes
+// precedence.
 func (ps *proposals) abandon(p *proposal) Result {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -122,14 +126,15 @@
 	return Result{Outcome: OutcomeUnknown}
 }
 
-// forget ends the wait for p; next skips it should it stand in the queue.
+// forget ends the wait for p; next skips p if it is still queued.
 func (ps *proposals) forget(p *proposal) {
 	delete(ps.waiting, proposalID{p.record.Key, p.record.Nonce})
 	p.abandoned = true
 }
 
-// release gives a nonce up: a Put of it that waits is void from now on, since
-// only this process could have acted on it, and the Release follows.
+// release voids a nonce: a Put of it that waits is void from now on, since only
+// this process could have acted on it, and a Release is queued if the Put may
+// be in the log. It returns false if too many releases are pending.
 func (ps *proposals) release(key record.Key, nonce record.Nonce) (accepted bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -144,7 +149,8 @@
 	return ps.queueRelease(id)
 }
 
-// giveUp queues the Release of id, once.
+// queueRelease queues the Release of id, once. It returns false if too many
+// releases are pending.
 func (ps *proposals) queueRelease(id proposalID) bool {
 	if ps.pendingReleases[id] {
 		return true
@@ -168,7 +174,8 @@
 	return len(ps.pendingReleases) > 0 && ps.pendingReleases[proposalID{key, nonce}]
 }
 
-// addExtra queues records that nobody waits for (checkpoints).
+// addCheckpointParts queues the records of a checkpoint; no caller waits for
+// them.
 func (ps *proposals) addCheckpointParts(records []record.Record) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/coordination/node/readback.go
+++ b/coordination/node/readback.go
@@ -5,7 +5,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// anySent reports whether a Put that was handed to the log still waits.
+// anySent reports whether a Put that was handed to the log is still waiting.
 func (ps *proposals) anySent() bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -17,7 +17,8 @@
 	return false
 }
 
-// readBack settles what a folded record of this process's own was waiting for.
+// readBack settles the proposal whose record was folded, if it is one of this
+// process.
 func (ps *proposals) readBack(c *fold.Change) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -42,7 +43,7 @@
 	p.done <- res
 }
 
-// released settles the Put that waited for its Release to be read back.
+// releaseReadBack settles the Put that waited for its Release to be read back.
 func (ps *proposals) releaseReadBack(id proposalID) {
 	delete(ps.pendingReleases, id)
 	if p := ps.waiting[id]; p != nil && p.pendingResult != nil {
@@ -62,11 +63,11 @@
 	}
 }
 
-// restored goes through the Puts whose own record may lie before a state that
-// was taken over as a whole, so that it is not read back any more. One that
-// holds its register has won. Of the others nothing is known: the state may be
-// older than the Put, and who held the key then may be gone. They are in doubt
-// like those whose reply was lost.
+// stateRestored handles the Puts whose record may lie before a restored state
+// and is then never read back. A Put that holds its register in the restored
+// state has won. Nothing is known of the others: the state may be older than
+// the Put, and the holder of the key at that time may have released it. They
+// are in doubt, like Puts whose reply was lost.
 func (ps *proposals) stateRestored(lookup func(record.Key) (fold.Register, bool)) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -83,7 +84,7 @@
 		ps.skipped = append(ps.skipped, p)
 		ps.signal()
 	}
-	// Releases in the part that was skipped are not read back any more.
+	// Releases in the skipped part of the log are never read back.
 	ps.releases = ps.releases[:0]
 	for id := range ps.pendingReleases {
 		ps.releases = append(ps.releases, releaseOf(id))
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -13,6 +13,8 @@
 	"masticplank.example/coordination/record"
 )
 
+// TestStartAfterTrimming guards against a node that starts from a trimmed log
+// without a checkpoint, and so lacks the first registers.
 func TestStartAfterTrimming(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
@@ -25,9 +27,9 @@
 		late.Watch("session", func(c fold.Change) { heard = append(heard, c.Register.Key) })
 		time.Sleep(time.Minute)
 		if late.isReady() || late.Digest().NextOffset != 0 {
-			t.Fatal("it took a log with a hole for whole")
+			t.Fatal("started from a log whose first records are trimmed")
 		}
-		// A checkpoint that does not reach what is kept changes nothing.
+		// This checkpoint covers the trimmed entries, so late can start from it.
 		if err := a.Checkpoint(); err != nil {
 			t.Fatal(err)
 		}
@@ -39,11 +41,13 @@
 			t.Errorf("digests %+v and %+v", late.Digest(), a.Digest())
 		}
 		if len(heard) != 6 || heard[5] != "session/5" {
-			t.Errorf("watchers heard %v", heard)
+			t.Errorf("watchers were notified of %v", heard)
 		}
 	})
 }
 
+// TestStaleCheckpointIsOfNoUse guards against a start from a checkpoint that does
+// not reach the oldest entry that the log keeps.
 func TestStaleCheckpointIsOfNoUse(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
@@ -53,15 +57,15 @@
 		}
 		time.Sleep(time.Second)
 		fl.mustPut(a, put("session/1", 1), OutcomeWon)
-		// The checkpoint itself is the second entry; keep it, but not the
-		// entry before it that it does not cover.
+		// The checkpoint is the second entry. Trimming removes it together with
+		// the third entry, which it does not cover; then it is appended again.
 		stale := fl.log.Entries()[1]
 		fl.log.Trim(3)
 		fl.log.Inject(stale.Data)
 		late := fl.node("late")
 		time.Sleep(time.Minute)
 		if late.isReady() {
-			t.Error("it started from a checkpoint that leaves a hole")
+			t.Error("started from a checkpoint that leaves a gap before the kept entries")
 		}
 		snapshot, err := a.Snapshot()
 		if err != nil {
@@ -72,13 +76,14 @@
 		}
 		<-late.Ready()
 		if err := late.Restore(snapshot); !errors.Is(err, ErrNotAhead) {
-			t.Errorf("restored twice: %v", err)
+			t.Errorf("second Restore of one snapshot: %v", err)
 		}
 	})
 }
 
-// TestCheckpointBeforeTrimming: instances keep a checkpoint in the log by
-// themselves, well before the retention has passed.
+// TestCheckpointBeforeTrimming guards against a log that is trimmed with no
+// checkpoint in it: instances must append one well before the retention has
+// passed.
 func TestCheckpointBeforeTrimming(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, _ := fl.node("a"), fl.node("b")
@@ -96,8 +101,9 @@
 	})
 }
 
-// TestCheckpointUnderLoad: a large checkpoint gets into the log while each
-// group is full, and a writer that starts from it has the same state.
+// TestCheckpointUnderLoad guards against a large checkpoint that never reaches
+// the log because every group is full, and against one that gives a different
+// state.
 func TestCheckpointUnderLoad(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
@@ -129,7 +135,7 @@
 			collectParts(&found, e.Data)
 		}
 		if _, _, ok := found.Latest(); !ok {
-			t.Error("no checkpoint while there is load")
+			t.Error("no checkpoint in the log under load")
 		}
 		wg.Wait()
 		fl.log.Trim(4)
@@ -142,8 +148,8 @@
 	})
 }
 
-// TestRestoreFromALaggingPeer: the peer's state is older than the Put that
-// waits. Who held the key then says nothing of who holds it now.
+// TestRestoreFromALaggingPeer guards against a waiting Put that is settled from a
+// peer's older state: the key's holder in that state has released it since.
 func TestRestoreFromALaggingPeer(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		b, c := fl.node("b"), fl.node("c")
@@ -152,7 +158,7 @@
 		fl.log.SetDisconnected("c", true)
 		b.Release("session/x", record.Nonce{2})
 		time.Sleep(time.Second)
-		// a's first read is under way until 300 ms, its append goes through.
+		// a's first read lasts until 300 ms; its append is not delayed.
 		fl.log.SetSlow(300 * time.Millisecond)
 		a := fl.node("a")
 		synctest.Wait()
@@ -170,13 +176,13 @@
 	})
 }
 
-// TestRestorePastTheOwnRecord: the own record lies in the part that is skipped,
-// and lost there; it is never read back, and the Put is settled all the same.
+// TestRestorePastTheOwnRecord guards against a Put that never returns because its
+// record, which lost, lies in the part of the log that Restore skips.
 func TestRestorePastTheOwnRecord(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		b := fl.node("b")
 		fl.mustPut(b, put("session/x", 2), OutcomeWon)
-		synctest.Wait() // b waits in its next poll, which is not slow
+		synctest.Wait() // b is in its next poll, which is not delayed
 		fl.log.SetSlow(300 * time.Millisecond)
 		a := fl.node("a")
 		synctest.Wait()
@@ -189,7 +195,7 @@
 			t.Fatal(err)
 		}
 		if next := a.Digest().NextOffset; next != 2 {
-			t.Fatalf("restored to %d, want to be past the own record", next)
+			t.Fatalf("restored to offset %d, want 2, past the own record", next)
 		}
 		if res := <-done; res.Outcome != OutcomeLost || res.Register.Nonce != (record.Nonce{2}) {
 			t.Errorf("result %+v", res)
@@ -197,9 +203,9 @@
 	})
 }
 
-// TestRestoreSettlesWaitingPuts: a Put that waits while a peer's state is taken
-// over hears of the winner once its nonce is read back, and its own late copy
-// never wins.
+// TestRestoreSettlesWaitingPuts guards against a wrong outcome of a Put that
+// waits during a Restore: it must return the winner, and its own delayed copy
+// must never win.
 func TestRestoreSettlesWaitingPuts(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a, b := fl.node("a"), fl.node("b")
--- a/coordination/node/retry.go
+++ b/coordination/node/retry.go
@@ -8,9 +8,9 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// retryWait gives growing waits between failed calls, with seeded jitter of
-// half of each, so that instances that lost the log together do not all come
-// back to it in one moment. For one goroutine.
+// retryBackoff computes exponential waits between failed calls. Half of each
+// wait is seeded jitter, so that instances that lost the log together do not all
+// return to it at the same moment. Not safe for concurrent use.
 type retryBackoff struct {
 	exponential *backoff.ExponentialBackOff
 	jitter      *rand.Rand
@@ -32,7 +32,7 @@
 
 func (w *retryBackoff) reset() { w.exponential.Reset() }
 
-// sleep waits for d or the end of ctx.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/coordination/node/tail.go
+++ b/coordination/node/tail.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// readOnce makes one long poll and folds what it brought.
+// pollOnce makes one long poll and folds the entries that it returned.
 func (n *Node) pollOnce(ctx context.Context) error {
 	next := n.Digest().NextOffset
 	sent := time.Now()
@@ -42,10 +42,10 @@
 		return err
 	}
 	if page.Head < next {
-		// A log that is shorter than what was read from it has lost records or
-		// is another log. Its head confirms nothing.
+		// A log that ends before an offset already read has lost records or is a
+		// different log. Its head does not confirm the folded state.
 		n.markUnreachable(time.Now())
-		return trace.Wrap(ErrHeadRegressed, "head %d, folded to %d", page.Head, next)
+		return trace.Wrap(ErrHeadRegressed, "head at offset %d, folded to offset %d", page.Head, next)
 	}
 	n.updateHead(sent, page)
 	for _, e := range page.Entries {
@@ -78,9 +78,9 @@
 	n.observer.HeadRead(sent, page.Head)
 }
 
-// pollWait is how long the next read may wait. After a failure it asks for an
-// answer at once, so that a log which hangs is tried, and found down or back,
-// several times within the freshness bound.
+// pollWait is how long the next read may wait. After a failure it is zero, so
+// that a log that hangs is tried, and found down or back, several times within
+// the freshness bound.
 func (n *Node) pollWait() time.Duration {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -97,7 +97,7 @@
 	n.observer.ReadFailed(at)
 }
 
-// noteReady opens Ready once the target is folded. The target was the head at
+// checkReady closes Ready once the target is folded. The target is the head at
 // the node's first read: everything accepted before the start is then in force.
 func (n *Node) checkReady() {
 	n.mu.RLock()
@@ -110,9 +110,9 @@
 	}
 }
 
-// foldEntry folds e, tells the watchers, then settles the own proposals. An
-// entry below the own state was folded through Restore meanwhile; one above it
-// is a fault of the log service, and is read again.
+// foldEntry folds e, notifies the watchers, then settles this node's proposals.
+// An entry below the node's state was covered by a Restore meanwhile; one above
+// it is a fault of the log service, and is read again.
 func (n *Node) foldEntry(e platformlog.Entry) error {
 	n.folding.Lock()
 	defer n.folding.Unlock()
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// publish tells the watchers first: when a Put answers, whoever watches its
-// class has heard of it.
+// notify calls the watchers before it settles the proposals, so that a Put
+// returns only after the watchers of its class were called.
 func (n *Node) notify(changes []fold.Change) {
 	for i := range changes {
 		if changes[i].Verdict != fold.VerdictDuplicate {
--- a/coordination/node/watch.go
+++ b/coordination/node/watch.go
@@ -9,7 +9,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// watchers holds who hears of changes, by class. Safe for concurrent use.
+// watchers holds the callbacks for changes, by class. Safe for concurrent use.
 type watchers struct {
 	mu      sync.Mutex
 	byClass map[record.Class][]*watcher
