--- a/coordination/examples/claim/main.go
+++ b/coordination/examples/claim/main.go
@@ -1,6 +1,6 @@
-// Command claim shows two instances that share nothing but a log: both get the
-// same request, one of them runs it, and it is billed once although the reply
-// to the bill's append is lost.
+// Command claim runs two instances that share nothing but a log. Both receive the
+// same request and one of them runs it; it is billed once although the reply to
+// the append of the bill is lost.
 package main
 
 import (
@@ -23,7 +23,7 @@
 }
 
 func run(ctx context.Context) error {
-	service := logtest.New() // in real use: a client of the platform's log
+	service := logtest.New() // in production: a client of the platform's log
 	var nodes []*node.Node
 	for _, name := range []string{"entry-1", "entry-2"} {
 		n, err := node.New(service.Client(name), node.Config{Name: name})
--- a/coordination/faultmatrix/bed.go
+++ b/coordination/faultmatrix/bed.go
@@ -18,12 +18,12 @@
 	"masticplank.example/coordination/record"
 )
 
-// window is short, so that a cell can pass it.
+// claimWindow is short, so that a cell can wait until it has passed.
 const claimWindow = 20 * time.Second
 
 var foldConfig = fold.Config{ClaimWindow: claimWindow, ClockSkew: 5 * time.Second, Retention: time.Hour}
 
-// bed is a few instances on one in-memory log, in a synctest bubble.
+// testbed runs instances on one in-memory log, in a synctest bubble.
 type testbed struct {
 	t         *testing.T
 	log       *logtest.Log
@@ -32,17 +32,18 @@
 	stop      chan struct{}
 }
 
-// instance is a node with its freshness, and whether its peers hear it.
+// instance is a node with its freshness tracker.
 type instance struct {
 	*node.Node
 	name    string
 	tracker *freshness.Tracker
-	// frozen instances do not tick; isolated ones are heard by no peer.
+	// A frozen instance does not tick and vouches for nothing; an isolated one
+	// exchanges no vouches with its peers.
 	frozen   atomic.Bool
 	isolated atomic.Bool
 }
 
-// fleet is the list of live instances that all of them are told.
+// fleet lists the live instances, as every tracker is configured.
 var fleet = []string{"a", "b", "c"}
 
 func newTestbed(t *testing.T) *testbed {
@@ -56,7 +57,7 @@
 	return b
 }
 
-// begin starts an instance without waiting for it; start waits.
+// startAsync starts an instance without waiting until it is ready; start waits.
 func (b *testbed) startAsync(name string) *instance {
 	b.t.Helper()
 	in := &instance{name: name, tracker: freshness.New(freshness.Config{Self: name})}
@@ -67,7 +68,7 @@
 		}
 		return nil
 	}
-	// Pages are small, so that catching up takes several reads.
+	// A small page limit makes catching up take several reads.
 	cfg := node.Config{Name: name, Fold: foldConfig, PageLimit: 2}
 	n, err := node.New(b.log.Client(name), cfg, node.WithSeed(uint64(name[0])),
 		node.WithObserver(in.tracker), node.WithValidator(record.ClassManifest, refuse))
@@ -91,7 +92,7 @@
 	return in
 }
 
-// tick ticks in's tracker and lets it ask its peers, every 500 ms.
+// runTicker ticks in's tracker and gives it its peers' vouches, every 500 ms.
 func (b *testbed) runTicker(in *instance) {
 	ticker := time.NewTicker(500 * time.Millisecond)
 	defer ticker.Stop()
@@ -122,7 +123,7 @@
 	}
 }
 
-// kill ends an instance with no flush.
+// kill ends an instance without flushing its queue.
 func (b *testbed) kill(in *instance) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -154,7 +155,7 @@
 	return res
 }
 
-// going starts a Put and returns once it is as far as it gets without time.
+// putAsync starts a Put and returns once all goroutines are blocked.
 func (b *testbed) putAsync(in *instance, r record.Record) <-chan node.Result {
 	done := make(chan node.Result, 1)
 	go func() { done <- in.Put(context.Background(), r) }()
@@ -165,11 +166,11 @@
 func (b *testbed) checkMode(in *instance, want freshness.Mode) {
 	b.t.Helper()
 	if r := in.tracker.Report(time.Now()); r.Mode != want {
-		b.t.Errorf("%s is in %+v, want mode %d", in.name, r, want)
+		b.t.Errorf("%s reports %+v, want mode %d", in.name, r, want)
 	}
 }
 
-// agree waits and checks that the instances hold what a replay of the log gives.
+// checkAgreement waits 5 s and checks that all instances have the same digest.
 func (b *testbed) checkAgreement(instances ...*instance) {
 	b.t.Helper()
 	time.Sleep(5 * time.Second)
@@ -181,7 +182,7 @@
 	}
 }
 
-// claim is a claim of the one request of a cell, made now.
+// claim returns a claim of the cell's one request with the current time.
 func claim(nonce byte) record.Record {
 	return claimAt(nonce, time.Now())
 }
@@ -215,20 +216,21 @@
 	return r
 }
 
-// billed checks that the ledger has the one request n times.
-func (b *testbed) checkBilled(n int) {
+// checkBilled checks that the ledger has want bills of the one request.
+func (b *testbed) checkBilled(want int) {
 	b.t.Helper()
 	got := 0
 	_, err := ledger.Export(context.Background(), b.log.Client("export"), foldConfig, 0, func(ledger.ExportedBill) error {
 		got++
 		return nil
 	})
-	if err != nil || got != n {
-		b.t.Errorf("billed %d times, want %d (%v)", got, n, err)
+	if err != nil || got != want {
+		b.t.Errorf("%d bills, want %d (error %v)", got, want, err)
 	}
 }
 
-// buffer holds the bill of a request, with a copy at peer if there is one.
+// holdBill returns a buffer that holds the bill of a request, with a copy in
+// peer unless it is nil.
 func (b *testbed) holdBill(in *instance, peer *ledger.Buffer) *ledger.Buffer {
 	b.t.Helper()
 	var copyTo ledger.CopyFunc
@@ -241,15 +243,15 @@
 		b.t.Fatal(err)
 	}
 	if copied := reservation.Hold(context.Background(), b.bill()); copied != (peer != nil) {
-		b.t.Errorf("copied to a peer: %v", copied)
+		b.t.Errorf("bill copied to a peer: %v", copied)
 	}
 	return buf
 }
 
-func (b *testbed) checkFlush(buf *ledger.Buffer, left int) {
+func (b *testbed) checkFlush(buf *ledger.Buffer, wantLeft int) {
 	b.t.Helper()
-	if got := buf.Flush(context.Background()); got != left {
-		b.t.Errorf("%d bills left, want %d", got, left)
+	if got := buf.Flush(context.Background()); got != wantLeft {
+		b.t.Errorf("%d bills left, want %d", got, wantLeft)
 	}
 }
 
--- a/coordination/faultmatrix/bill_test.go
+++ b/coordination/faultmatrix/bill_test.go
@@ -10,10 +10,11 @@
 	"masticplank.example/coordination/record"
 )
 
-// billCells: a request that ran is billed once.
+// billCells guard against a request that ran and is billed twice or not at all.
 var billCells = []cell{
 	{"bill", "append", "kill", func(b *testbed) {
-		// Killed with the append under way, with a copy at a peer: once.
+		// The instance is killed while its append is under way; a peer appends
+		// its copy as well.
 		a, c := b.start("a"), b.start("c")
 		peer := ledger.NewBuffer(ledger.BufferLimits{}, c.Put, nil)
 		b.holdBill(a, peer)
@@ -72,7 +73,7 @@
 		own := b.holdBill(a, peer)
 		b.checkFlush(own, 1)
 		if _, err := own.Reserve(); !errors.Is(err, ledger.ErrBufferFull) {
-			b.t.Errorf("a full buffer takes work: %v", err)
+			b.t.Errorf("Reserve of a full buffer: %v", err)
 		}
 		b.log.SetDown(false)
 		time.Sleep(5 * time.Second)
@@ -104,7 +105,7 @@
 		b.checkBilled(1)
 	}},
 	{"bill", "append", "second run", func(b *testbed) {
-		// An idempotent request that ran at two instances: one bill, the first.
+		// An idempotent request ran at two instances: only the first bill counts.
 		a, c := b.start("a"), b.start("c")
 		other := ledger.Bill{Team: "t", RequestID: "r", CostMicros: 9, Attempts: 2}
 		r, err := other.Record()
@@ -121,7 +122,7 @@
 		b.checkBilled(1)
 	}},
 	{"bill", "read back", "release", func(b *testbed) {
-		// A bill that counts is not taken back, and so not charged anew.
+		// A bill that counts can't be released, and so can't be billed again.
 		a, c := b.start("a"), b.start("c")
 		r := b.bill()
 		b.put(a, r, node.OutcomeWon)
--- a/coordination/faultmatrix/claim_test.go
+++ b/coordination/faultmatrix/claim_test.go
@@ -8,13 +8,14 @@
 	"masticplank.example/coordination/record"
 )
 
-// claimCells: a non-idempotent request runs at most once, and "not run" is said
-// only where it is so. Who hears OutcomeWon runs it; whoever hears
-// OutcomeUnknown releases and answers "not run".
+// claimCells guard against a non-idempotent request that runs twice, and against
+// an answer "not run" for one that ran. The instance that gets OutcomeWon runs
+// the request; one that gets OutcomeUnknown releases the claim and answers "not
+// run".
 var claimCells = []cell{
 	{"claim", "before append", "kill", func(b *testbed) {
-		// The append waits behind a slow one when the process ends: the claim
-		// is void, and the resend wins.
+		// The process ends while the claim waits behind a slow append: the claim
+		// is void, and the resent request's claim wins.
 		a, c := b.start("a"), b.start("c")
 		b.log.SetSlow(time.Second)
 		b.putAsync(a, session(1))
@@ -27,8 +28,9 @@
 		b.put(c, claim(2), node.OutcomeWon)
 	}},
 	{"claim", "append", "kill", func(b *testbed) {
-		// Killed with the append under way: it may land, so it is unknown. The
-		// resend finds it in the log and does not run again.
+		// Killed while the append is under way: it may take effect, so its
+		// outcome is unknown. The resent request finds the claim in the log and
+		// does not run.
 		a, c := b.start("a"), b.start("c")
 		b.log.FailAppends(logtest.AppendDelayed)
 		done := b.putAsync(a, claim(1))
@@ -55,9 +57,9 @@
 		b.put(a, claim(3), node.OutcomeLost)
 	}},
 	{"claim", "read back", "cut", func(b *testbed) {
-		// On its way to the log, and cut before it is read back: given up and
-		// released. Until the release is in the log, the claim stands for all
-		// others; then the request may run.
+		// The instance is disconnected after its append is sent and before it is
+		// read back, and releases the claim. For all others the claim holds
+		// until the Release is in the log; then the request may run.
 		a, c := b.start("a"), b.start("c")
 		b.log.FailAppends(logtest.AppendDelayed)
 		done := b.putAsync(a, claim(1))
@@ -69,15 +71,16 @@
 			b.t.Errorf("outcome %d", res.Outcome)
 		}
 		if _, ok := a.Lookup("claim/t/r"); ok {
-			b.t.Error("released, and still seen by its own process")
+			b.t.Error("a released claim is still visible to its own process")
 		}
 		b.log.SetDisconnected("a", false)
 		b.checkAgreement(a, c)
 		b.put(c, claim(3), node.OutcomeWon)
 	}},
 	{"claim", "append", "freeze past the window", func(b *testbed) {
-		// The holder is paused, its key grows old, others forget the claim only
-		// later: a key can't be claimed twice however long the pause.
+		// The instance is paused past the claim window. Others drop the first
+		// claim only after its key is too old to be claimed, so a key can't be
+		// claimed twice however long the pause.
 		a, c := b.start("a"), b.start("c")
 		old := time.Now()
 		b.put(c, claimAt(1, old), node.OutcomeWon)
@@ -104,14 +107,14 @@
 		b.put(c, claim(2), node.OutcomeWon)
 	}},
 	{"claim", "release", "log down", func(b *testbed) {
-		// Given up while the log takes nothing: dead here at once, and for all
+		// Released while the log is down: void here at once, and for all others
 		// once the log is back.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, claim(1), node.OutcomeWon)
 		b.log.SetDown(true)
 		a.Release("claim/t/r", record.Nonce{1})
 		if _, ok := a.Lookup("claim/t/r"); ok {
-			b.t.Error("released, and still seen by its own process")
+			b.t.Error("a released claim is still visible to its own process")
 		}
 		time.Sleep(5 * time.Second)
 		b.log.SetDown(false)
@@ -119,7 +122,8 @@
 		b.put(c, claim(2), node.OutcomeWon)
 	}},
 	{"claim", "append", "slow", func(b *testbed) {
-		// Past its deadline the Put is unknown, not void: it lands later.
+		// The Put's outcome at its deadline is unknown, not void: the append
+		// takes effect later.
 		a, c := b.start("a"), b.start("c")
 		b.log.SetSlow(1500 * time.Millisecond)
 		b.putWithin(a, time.Second, claim(1), node.OutcomeUnknown)
@@ -131,7 +135,8 @@
 		b.put(a, claim(1), node.OutcomeVoid)
 	}},
 	{"claim", "append", "slow past the window", func(b *testbed) {
-		// Judged by the log's time when it lands, not by the sender's clock.
+		// The claim window is checked against the log's time of the append, not
+		// the sender's clock.
 		a := b.start("a")
 		b.log.SetSlow(1500 * time.Millisecond)
 		b.put(a, claimAt(1, time.Now().Add(-claimWindow+time.Second)), node.OutcomeVoid)
@@ -144,7 +149,8 @@
 		b.checkAgreement(a, c)
 	}},
 	{"claim", "append", "lost, then refused", func(b *testbed) {
-		// A refusal of the second try says nothing about the first.
+		// The refusal of the second attempt does not mean that the first had no
+		// effect.
 		a, c := b.start("a"), b.start("c")
 		b.log.FailAppends(logtest.AppendDelayed, logtest.AppendRefused)
 		b.put(a, claim(1), node.OutcomeWon)
@@ -161,8 +167,8 @@
 		b.put(c, claim(3), node.OutcomeWon)
 	}},
 	{"claim", "append", "late copy, then kill", func(b *testbed) {
-		// Told that it lost, and killed the next moment: the late copy must be
-		// dead in the log by then.
+		// The instance is killed right after its Put returned OutcomeLost: the
+		// delayed copy must be released in the log by then.
 		a, c := b.start("a"), b.start("c")
 		b.put(c, claim(2), node.OutcomeWon)
 		b.log.FailAppends(logtest.AppendDelayed)
--- a/coordination/faultmatrix/doc.go
+++ b/coordination/faultmatrix/doc.go
@@ -1,4 +1,4 @@
-// Package faultmatrix puts each fault to each step of the paths through the log,
-// one named cell each. The tests hold the cells, bed.go the instances that they
-// run on. No program uses it.
+// Package faultmatrix tests each step of the paths through the log under each
+// fault, one named cell per pair. The test files contain the cells, bed.go the
+// instances that they run on. No program imports it.
 package faultmatrix
--- a/coordination/faultmatrix/matrix_test.go
+++ b/coordination/faultmatrix/matrix_test.go
@@ -1,6 +1,7 @@
-// The fault matrix: rows are the steps of each path, columns the faults. A cell
-// is named path/step/fault; each was seen red with its guard taken out (see
-// docs/MEASUREMENTS-coordination.md for the list).
+// The rows of the fault matrix are the steps of each path, its columns the
+// faults. A cell is named path/step/fault. Each cell fails when the code that
+// guards against its fault is removed; docs/MEASUREMENTS-coordination.md lists
+// these trials.
 package faultmatrix
 
 import (
@@ -12,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// cell is one fault at one step.
+// cell tests one fault at one step.
 type cell struct {
 	path, step, fault string
 	run               func(b *testbed)
@@ -24,7 +25,7 @@
 		for _, c := range cells {
 			name := c.path + "/" + c.step + "/" + c.fault
 			if seen[name] {
-				t.Errorf("cell %s stands twice", name)
+				t.Errorf("duplicate cell %s", name)
 			}
 			seen[name] = true
 			t.Run(name, func(t *testing.T) {
--- a/coordination/faultmatrix/publish_test.go
+++ b/coordination/faultmatrix/publish_test.go
@@ -9,8 +9,9 @@
 	"masticplank.example/coordination/record"
 )
 
-// publishCells: an accepted manifest is in force everywhere and never reverts;
-// an instance that can't know of it takes no new work.
+// publishCells guard against an accepted manifest that is reverted or not in
+// force everywhere, and against an instance that can't know of it but counts as
+// fresh and so takes new work.
 var publishCells = []cell{
 	{"publish", "append", "kill", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
@@ -20,7 +21,8 @@
 		if res := <-done; res.Outcome != node.OutcomeUnknown {
 			b.t.Errorf("outcome %d", res.Outcome)
 		}
-		// The pipeline publishes again, as the same publication: one step.
+		// The pipeline publishes the same publication again: the generation
+		// advances only once.
 		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, manifest(1, "", 1, "one"), node.OutcomeWon)
 		if g := c.Digest().Generation; g != 1 {
@@ -37,8 +39,8 @@
 		b.checkInForce(b.start("b"), "one")
 	}},
 	{"publish", "push", "cut from the log", func(b *testbed) {
-		// Peers vouch for a head that the cut one has not folded: not fresh,
-		// until it takes the state from one of them.
+		// The peers vouch for a head that the disconnected instance has not
+		// folded: it is stale until it restores the state of one of them.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		time.Sleep(2 * time.Second)
@@ -74,7 +76,7 @@
 		b.checkMode(c, freshness.ModeFresh)
 	}},
 	{"publish", "read back", "freeze", func(b *testbed) {
-		// Paused while another manifest takes effect: not fresh on resuming.
+		// Stale after a pause, in which another manifest could have taken effect.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		time.Sleep(time.Second)
@@ -86,7 +88,7 @@
 		b.checkMode(c, freshness.ModeFresh)
 	}},
 	{"publish", "append", "freeze", func(b *testbed) {
-		// A publisher that is paused with its append under way comes late.
+		// A paused publisher's append takes effect after another's manifest.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		b.log.FailAppends(logtest.AppendDelayed)
@@ -105,7 +107,8 @@
 		b.put(a, manifest(2, "one", 2, "two"), node.OutcomeVoid)
 		time.Sleep(freshness.DefaultBound + 2*time.Second)
 		b.checkInForce(c, "one")
-		// Two of three answer: outage mode, the last manifest stays in force.
+		// Two of three instances answer: outage mode, and the last manifest stays
+		// in force.
 		b.checkMode(a, freshness.ModeOutage)
 		b.checkMode(c, freshness.ModeOutage)
 		c.isolated.Store(true)
@@ -137,12 +140,12 @@
 			b.t.Fatalf("outcomes %d and %d", x.Outcome, y.Outcome)
 		}
 		if x.Register.Nonce != y.Register.Nonce || len(y.Register.Value) == 0 {
-			b.t.Error("the loser is not told of the winner")
+			b.t.Error("the losing Put does not return the winner")
 		}
 		b.checkAgreement(a, c)
 	}},
 	{"publish", "append", "stale parent", func(b *testbed) {
-		// An operator whose pipeline read an old manifest can't revert.
+		// An operator whose pipeline read an old manifest can't revert a newer one.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		b.put(a, manifest(2, "one", 2, "two"), node.OutcomeWon)
--- a/coordination/faultmatrix/start_test.go
+++ b/coordination/faultmatrix/start_test.go
@@ -9,7 +9,7 @@
 	"masticplank.example/coordination/platformlog/logtest"
 )
 
-// fill makes a state of a manifest and some sessions.
+// putSessions puts the sessions numbered from up to, but not including, to.
 func (b *testbed) putSessions(in *instance, from, to int) {
 	b.t.Helper()
 	for i := from; i < to; i++ {
@@ -26,7 +26,7 @@
 	}
 }
 
-// startCells: a new instance is ready only with the whole state.
+// startCells guard against an instance that is ready without the whole state.
 var startCells = []cell{
 	{"start", "replay", "none", func(b *testbed) {
 		a := b.start("a")
@@ -42,7 +42,7 @@
 		b.checkNotReady(c)
 		<-c.Ready()
 		if c.Digest() != a.Digest() {
-			b.t.Error("ready before the head")
+			b.t.Error("ready before it has folded up to the head")
 		}
 	}},
 	{"start", "replay", "kill", func(b *testbed) {
@@ -101,7 +101,8 @@
 		b.checkAgreement(a, c)
 	}},
 	{"start", "replay", "stale checkpoint", func(b *testbed) {
-		// A paused instance appends a checkpoint from before what is kept.
+		// A paused instance appends a checkpoint that ends before the entries
+		// that are kept.
 		a := b.start("a")
 		b.putSessions(a, 0, 1)
 		if err := a.Checkpoint(); err != nil {
@@ -116,7 +117,7 @@
 		time.Sleep(20 * time.Second)
 		b.checkNotReady(c)
 		if n := c.Digest().NextOffset; n != 0 {
-			b.t.Errorf("it took the stale checkpoint, at %d", n)
+			b.t.Errorf("restored the stale checkpoint, next offset %d", n)
 		}
 		before := a.Digest().Hash
 		b.log.Inject(stale)
@@ -143,7 +144,7 @@
 		b.checkMode(c, freshness.ModeFresh)
 	}},
 	{"start", "catch up", "log down past the retention", func(b *testbed) {
-		// After a long outage a checkpoint is due at once, and is appended.
+		// After an outage longer than the retention a checkpoint is due at once.
 		a, c := b.start("a"), b.start("c")
 		b.putSessions(a, 0, 2)
 		b.log.SetDown(true)
@@ -154,8 +155,8 @@
 		b.checkAgreement(a, c, b.start("b"))
 	}},
 	{"start", "checkpoint", "refused", func(b *testbed) {
-		// The one that is due is refused: it is tried again long before the
-		// records that it stands for are trimmed.
+		// The checkpoint that is due is refused. It must be appended again long
+		// before the records that it covers are trimmed.
 		a := b.start("a")
 		b.putSessions(a, 0, 3)
 		time.Sleep(foldConfig.Retention / 8)
@@ -165,7 +166,7 @@
 		c := b.startAsync("c")
 		time.Sleep(10 * time.Second)
 		if c.Digest() != a.Digest() {
-			b.t.Error("no checkpoint in time")
+			b.t.Error("no checkpoint before the records were trimmed")
 		}
 	}},
 	{"start", "checkpoint", "lost reply", func(b *testbed) {
@@ -190,11 +191,11 @@
 	return m
 }
 
-func (b *testbed) checkOrder(m *lease.Manager, e lease.FencingSupport, want lease.CheckResult) uint64 {
+func (b *testbed) checkOrder(m *lease.Manager, support lease.FencingSupport, want lease.CheckResult) uint64 {
 	b.t.Helper()
-	fence, got := m.Check(e)
+	fence, got := m.Check(support)
 	if got != want {
-		b.t.Errorf("check of an order: %d, want %d", got, want)
+		b.t.Errorf("check of an order: result %d, want %d", got, want)
 	}
 	return fence
 }
@@ -202,11 +203,11 @@
 func (b *testbed) checkAcquire(m *lease.Manager, want bool) {
 	b.t.Helper()
 	if got := m.Acquire(b.t.Context()); got != want {
-		b.t.Errorf("took the lease: %v, want %v", got, want)
+		b.t.Errorf("lease acquired: %v, want %v", got, want)
 	}
 }
 
-// orderCells: one sender of orders at a time.
+// orderCells guard against two instances that send orders at the same time.
 var orderCells = []cell{
 	{"order", "check", "lapsed lease", func(b *testbed) {
 		a, c := b.start("a"), b.start("c")
--- a/coordination/keyedlog/keyedlog.go
+++ b/coordination/keyedlog/keyedlog.go
@@ -1,5 +1,6 @@
-// Package keyedlog is the seam to a log whose records carry keys: the newest record of
-// each key is kept for good, older ones for a while. Clients implement Log.
+// Package keyedlog is the interface to a log whose records carry keys: the newest record of
+// each key is kept forever, older ones for a limited time. Clients of a log service
+// implement Log.
 package keyedlog
 
 import (
@@ -9,75 +10,80 @@
 	"time"
 )
 
-// Record is one record. An empty Value drops the key.
+// Record is one record. A record with an empty Value deletes the key.
 type Record struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value"`
 	Offset uint64 `json:"offset"`
 }
 
-// Position is a place in a log.
+// Position is a position in a log: an offset, and the era that the offset belongs to.
 type Position struct {
-	// Era counts how often the log came back from a copy of an earlier state, which gives
-	// offsets out again; 0 where that is not known.
+	// Era counts the restores of the log from a copy of an earlier state, after which
+	// offsets are assigned again; 0 if unknown.
 	Era    uint64
 	Offset uint64
 }
 
-// At is the position of an offset, of an era that is not known.
+// AtOffset returns the position of an offset in an unknown era.
 func AtOffset(offset uint64) Position { return Position{Offset: offset} }
 
-// IsOf says whether the position is one of the era's log, as far as both eras are known.
+// MatchesEra reports whether the position belongs to era; it also does if either era is
+// unknown.
 func (p Position) MatchesEra(era uint64) bool { return p.Era == 0 || era == 0 || p.Era == era }
 
-// Batch is what one read returned.
+// Batch is the result of one Read.
 type Batch struct {
 	Records []Record
-	// Next is where to go on from.
+	// Next is the position to read from next.
 	Next Position
-	// Age is how old the word on the log's end is when the read returns, at the most; 0
-	// where the log does not say, which means as old as the read's start.
+	// Age is an upper bound of the age, when the read returns, of what it says about the
+	// end of the log. 0 means that the log does not report it: the information is then as
+	// old as the start of the read.
 	Age time.Duration
 }
 
-// Snapshot is the newest record of each key, read page by page.
+// Snapshot is the result of Newest: the newest record of each key, read page by page.
 type Snapshot struct {
 	Records []Record
-	// Next is the end of the log as it was before the first page was read, so that a
-	// tail from there misses nothing.
+	// Next is the end of the log before the first page was read, so that reading on from
+	// there misses no record.
 	Next Position
-	// Age is as for Batch.
+	// Age is the same as Batch.Age.
 	Age time.Duration
 }
 
-// Anywhere is the position of an append without a condition.
+// AnyPosition makes an append unconditional.
 var AnyPosition = Position{Offset: ^uint64(0)}
 
-// Log is one topic.
+// Log is one topic of a log service. Errors wrap those of this package.
 type Log interface {
-	// Read returns the records from the position on; with none there it waits for as long
-	// as wait says. It fails with ErrRestored where the position is of another era.
+	// Read returns the records from the position on. If there are none, it waits up to
+	// wait for one. It fails with ErrRestored if the position belongs to another era, and
+	// with ErrTrimmed if the records there are no longer kept.
 	Read(ctx context.Context, from Position, wait time.Duration) (Batch, error)
 	// Newest returns the newest record of each key.
 	Newest(ctx context.Context) (Snapshot, error)
-	// Append adds the records, all or none. Unless at is Anywhere, it fails with
-	// ErrMoved where the log does not end there.
+	// Append adds all records or none. Unless at is AnyPosition, it fails with ErrConflict
+	// if the log does not end at at.
 	Append(ctx context.Context, at Position, records ...Record) error
 }
 
-// The outcomes of a call that did not succeed. They wrap the cause.
+// Errors of a Log. Implementations wrap them together with the cause; callers use errors.Is.
 var (
-	// ErrNotDone: nothing was done; the log is busy or refuses this instance.
-	ErrNotApplied = errors.New("the log did nothing")
-	// ErrUnknown: no answer came; a write may have been done, or may be done later.
-	ErrUnknown = errors.New("the log did not answer")
-	// ErrGone: the records from that offset on are not kept any more.
-	ErrTrimmed = errors.New("the log has dropped these records")
-	// ErrRestored: the log came back from a copy, and the position is one of before. It is an
-	// ErrGone, as the way on is the same: the newest records, and a reader from there.
-	ErrRestored = fmt.Errorf("%w: it came back from a copy", ErrTrimmed)
-	// ErrMoved: the log ends at another offset than the append named.
-	ErrConflict = errors.New("the log ends elsewhere")
-	// ErrRejected: the call is wrong, and will be wrong again.
-	ErrRejected = errors.New("the log rejects the call")
+	// ErrNotApplied means that the call had no effect: the log is busy or refuses this
+	// instance.
+	ErrNotApplied = errors.New("log call not applied")
+	// ErrUnknown means that no answer came: an append may have taken effect, or may still
+	// do so.
+	ErrUnknown = errors.New("outcome of log call unknown: no answer")
+	// ErrTrimmed means that the records at the position are no longer kept.
+	ErrTrimmed = errors.New("records no longer kept by the log")
+	// ErrRestored means that the log was restored from a copy and the position is from before.
+	// It wraps ErrTrimmed because the recovery is the same: call Newest and read on from there.
+	ErrRestored = fmt.Errorf("%w: the log was restored from a copy", ErrTrimmed)
+	// ErrConflict means that the log does not end at the position that Append was given.
+	ErrConflict = errors.New("append conflict: the log ends at another offset")
+	// ErrRejected means that the call is invalid, so that a retry fails too.
+	ErrRejected = errors.New("log call rejected as invalid")
 )
--- a/coordination/platformlog/logtest/log.go
+++ b/coordination/platformlog/logtest/log.go
@@ -1,6 +1,7 @@
-// Package logtest is an in-memory log for tests, with switches for the faults
-// of a real one: down, slow, replies lost after or before the effect, refused
-// appends, trimmed records, one client cut off, and no times of its own.
+// Package logtest provides an in-memory log for tests that simulates the faults
+// of a log service: outages, delays, replies lost after or before the effect,
+// refused and delayed appends, trimmed and wiped records, disconnected clients,
+// and entries without a time.
 package logtest
 
 import (
@@ -13,53 +14,54 @@
 	"masticplank.example/coordination/platformlog"
 )
 
-// Log is the service. Safe for concurrent use. It takes its times from
-// time.Now, which testing/synctest replaces.
+// Log is the simulated log service. Safe for concurrent use. It takes its times
+// from time.Now, which testing/synctest replaces.
 type Log struct {
 	mu      sync.Mutex
 	first   uint64
 	entries []platformlog.Entry
-	// changed is closed and replaced whenever a waiting read must look again.
+	// changed is closed and replaced whenever a waiting read must check again.
 	changed      chan struct{}
 	faults       faults
 	disconnected map[string]bool
 	appends      int
 }
 
-// faults holds what is wrong with the service now.
+// faults holds the faults that are simulated now.
 type faults struct {
 	down      bool
 	omitTimes bool
 	slow      time.Duration
-	// appends holds what becomes of the next appends, in order.
+	// appends holds the faults of the next appends, in order.
 	appends []AppendFault
 }
 
-// AppendFault is what becomes of one append.
+// AppendFault is the fault of one append.
 type AppendFault uint8
 
 const (
-	// AppendOK: it takes effect and is answered.
+	// AppendOK means no fault: the append takes effect and the reply arrives.
 	AppendOK AppendFault = iota
-	// AppendRefused: it has no effect, and the client is told so.
+	// AppendRefused means that the append has no effect and the reply says so.
 	AppendRefused
-	// AppendLost: it has no effect, and the client hears nothing.
+	// AppendLost means that the append has no effect and no reply arrives.
 	AppendLost
-	// AppendReplyLost: it takes effect, and the client hears nothing.
+	// AppendReplyLost means that the append takes effect and no reply arrives.
 	AppendReplyLost
-	// AppendLate: the client hears nothing, and it takes effect LateBy later.
+	// AppendDelayed means that no reply arrives and the append takes effect
+	// AppendDelay later.
 	AppendDelayed
 )
 
-// LateBy is how late an append with AppendLate takes effect.
+// AppendDelay is the time after which an append with AppendDelayed takes effect.
 const AppendDelay = 3 * time.Second
 
-// New returns an empty, healthy log.
+// New returns an empty log without faults.
 func New() *Log {
 	return &Log{changed: make(chan struct{}), disconnected: map[string]bool{}}
 }
 
-// Client is one instance's connection to the log.
+// Client is one instance's connection to the log. It implements platformlog.Log.
 type Client struct {
 	log  *Log
 	name string
@@ -67,28 +69,29 @@
 
 var _ platformlog.Log = (*Client)(nil)
 
-// Client returns the connection of the instance called name.
+// Client returns a connection for the instance called name.
 func (l *Log) Client(name string) *Client {
 	return &Client{log: l, name: name}
 }
 
-// SetDown makes every call of every client fail while down is true.
+// SetDown makes every call of every client fail while down is true. A failed
+// append has no effect.
 func (l *Log) SetDown(down bool) {
 	l.update(func() { l.faults.down = down })
 }
 
-// SetSlow delays each append before its effect, and each read.
+// SetSlow delays each append, before it takes effect, and each read by d.
 func (l *Log) SetSlow(d time.Duration) {
 	l.update(func() { l.faults.slow = d })
 }
 
-// SetTimeless makes entries appended from now on carry no time.
+// SetOmitTimes makes entries appended from now on carry no time.
 func (l *Log) SetOmitTimes(timeless bool) {
 	l.update(func() { l.faults.omitTimes = timeless })
 }
 
-// FailAppends sets what becomes of the next appends that reach the log, in
-// order; those after them are healthy again.
+// FailAppends sets the faults of the next appends that reach the log, in order;
+// later ones have no fault.
 func (l *Log) FailAppends(next ...AppendFault) {
 	l.update(func() { l.faults.appends = next })
 }
@@ -96,19 +99,20 @@
 // LoseReplies lets the next n appends take effect and loses their replies.
 func (l *Log) LoseReplies(n int) { l.FailAppends(slices.Repeat([]AppendFault{AppendReplyLost}, n)...) }
 
-// LoseAppends loses the next n appends before their effect; the client can't
-// tell them from lost replies.
+// LoseAppends loses the next n appends before they take effect; the client can't
+// distinguish them from lost replies.
 func (l *Log) LoseAppends(n int) { l.FailAppends(slices.Repeat([]AppendFault{AppendLost}, n)...) }
 
-// RefuseAppends refuses the next n appends without effect.
+// RefuseAppends refuses the next n appends, which have no effect.
 func (l *Log) RefuseAppends(n int) { l.FailAppends(slices.Repeat([]AppendFault{AppendRefused}, n)...) }
 
-// Cut fails the calls of one client while cut is true.
-func (l *Log) SetDisconnected(client string, cut bool) {
-	l.update(func() { l.disconnected[client] = cut })
+// SetDisconnected makes the calls of one client fail while disconnected is
+// true. A failed append has no effect.
+func (l *Log) SetDisconnected(client string, disconnected bool) {
+	l.update(func() { l.disconnected[client] = disconnected })
 }
 
-// Trim drops the entries before offset first.
+// Trim removes the entries before offset first.
 func (l *Log) Trim(first uint64) {
 	l.update(func() {
 		head := l.first + uint64(len(l.entries))
@@ -118,28 +122,28 @@
 	})
 }
 
-// Wipe loses all records and starts again at offset 0, as a log service that
-// was restored from nothing would.
+// Wipe removes all entries and starts again at offset 0, like a log service that
+// was recreated empty.
 func (l *Log) Wipe() {
 	l.update(func() { l.first, l.entries = 0, nil })
 }
 
-// Inject appends data as some other writer would, faults or not, and returns
-// its offset.
+// Inject appends data as another writer would, regardless of the faults, and
+// returns its offset.
 func (l *Log) Inject(data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.append(data)
 }
 
-// Entries returns what the log keeps now.
+// Entries returns a copy of the entries that the log keeps.
 func (l *Log) Entries() []platformlog.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.entries)
 }
 
-// Appends counts the appends that took effect.
+// AppendCount returns the number of appends that took effect.
 func (l *Log) AppendCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
