--- a/coordination/node/group.go
+++ b/coordination/node/group.go
@@ -67,7 +67,7 @@
 		if p.outcomeUnknown || p.abandoned {
 			continue
 		}
-		ps.forget(p)
+		ps.stopWaiting(p)
 		p.done <- Result{Outcome: OutcomeVoid}
 	}
 }
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -66,10 +66,10 @@
 
 // status holds what reads of the log have shown.
 type status struct {
-	head      uint64
-	first     uint64
-	readAt    time.Time
-	reachable bool
+	head       uint64
+	first      uint64
+	headReadAt time.Time
+	reachable  bool
 	// target is the head returned by the first read; the node is ready once
 	// it has folded up to it.
 	target    uint64
@@ -253,7 +253,7 @@
 		Head:         max(n.status.head, d.NextOffset),
 		Generation:   d.Generation,
 		Hash:         d.Hash,
-		LastHeadRead: n.status.readAt,
+		LastHeadRead: n.status.headReadAt,
 		LogReachable: n.status.reachable,
 	}
 }
--- a/coordination/node/proposals.go
+++ b/coordination/node/proposals.go
@@ -119,15 +119,15 @@
 		return res
 	default:
 	}
-	ps.forget(p)
+	ps.stopWaiting(p)
 	if p.stage == stageQueued {
 		return Result{Outcome: OutcomeVoid}
 	}
 	return Result{Outcome: OutcomeUnknown}
 }
 
-// forget ends the wait for p; next skips p if it is still queued.
-func (ps *proposals) forget(p *proposal) {
+// stopWaiting ends the wait for p; next skips p if it is still queued.
+func (ps *proposals) stopWaiting(p *proposal) {
 	delete(ps.waiting, proposalID{p.record.Key, p.record.Nonce})
 	p.abandoned = true
 }
@@ -140,7 +140,7 @@
 	defer ps.mu.Unlock()
 	id := proposalID{key, nonce}
 	if p := ps.waiting[id]; p != nil {
-		ps.forget(p)
+		ps.stopWaiting(p)
 		p.done <- Result{Outcome: OutcomeVoid}
 		if p.stage == stageQueued {
 			return true
--- a/coordination/node/readback.go
+++ b/coordination/node/readback.go
@@ -39,7 +39,7 @@
 		p.pendingResult = &res
 		return
 	}
-	ps.forget(p)
+	ps.stopWaiting(p)
 	p.done <- res
 }
 
@@ -47,7 +47,7 @@
 func (ps *proposals) releaseReadBack(id proposalID) {
 	delete(ps.pendingReleases, id)
 	if p := ps.waiting[id]; p != nil && p.pendingResult != nil {
-		ps.forget(p)
+		ps.stopWaiting(p)
 		p.done <- *p.pendingResult
 	}
 }
@@ -76,7 +76,7 @@
 			continue
 		}
 		if reg, ok := lookup(id.key); ok && reg.Nonce == id.nonce {
-			ps.forget(p)
+			ps.stopWaiting(p)
 			p.done <- Result{Outcome: OutcomeWon, Register: reg}
 			continue
 		}
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -18,13 +18,13 @@
 func TestStartAfterTrimming(t *testing.T) {
 	inBubble(t, func(t *testing.T, fl *testCluster) {
 		a := fl.node("a")
-		var heard []record.Key
+		var notified []record.Key
 		for i := range 5 {
 			fl.mustPut(a, put(record.Key(fmt.Sprintf("session/%d", i)), 1), OutcomeWon)
 		}
 		fl.log.Trim(3)
 		late := fl.node("late")
-		late.Watch("session", func(c fold.Change) { heard = append(heard, c.Register.Key) })
+		late.Watch("session", func(c fold.Change) { notified = append(notified, c.Register.Key) })
 		time.Sleep(time.Minute)
 		if late.isReady() || late.Digest().NextOffset != 0 {
 			t.Fatal("started from a log whose first records are trimmed")
@@ -40,8 +40,8 @@
 		if late.Digest() != a.Digest() {
 			t.Errorf("digests %+v and %+v", late.Digest(), a.Digest())
 		}
-		if len(heard) != 6 || heard[5] != "session/5" {
-			t.Errorf("watchers were notified of %v", heard)
+		if len(notified) != 6 || notified[5] != "session/5" {
+			t.Errorf("watchers were notified of %v", notified)
 		}
 	})
 }
--- a/coordination/node/tail.go
+++ b/coordination/node/tail.go
@@ -69,7 +69,7 @@
 	s := &n.status
 	s.head = max(s.head, page.Head)
 	s.first = page.First
-	s.readAt = sent
+	s.headReadAt = sent
 	s.reachable = true
 	if !s.hasTarget {
 		s.target, s.hasTarget = page.Head, true
