--- a/coordination/node/tail.go
+++ b/coordination/node/tail.go
@@ -97,7 +97,7 @@
 	n.observer.ReadFailed(at)
 }
 
-// checkReady closes Ready once the target is folded. The target is the head at
+// checkReady closes n.ready once the target is folded. The target is the head at
 // the node's first read: everything accepted before the start is then in force.
 func (n *Node) checkReady() {
 	n.mu.RLock()
--- a/coordination/platformlog/logtest/log.go
+++ b/coordination/platformlog/logtest/log.go
@@ -86,8 +86,8 @@
 }
 
 // SetOmitTimes makes entries appended from now on carry no time.
-func (l *Log) SetOmitTimes(timeless bool) {
-	l.update(func() { l.faults.omitTimes = timeless })
+func (l *Log) SetOmitTimes(omit bool) {
+	l.update(func() { l.faults.omitTimes = omit })
 }
 
 // FailAppends sets the faults of the next appends that reach the log, in order;
