--- a/decision/drain.go
+++ b/decision/drain.go
@@ -107,8 +107,8 @@
 // learn notes a completed attempt.
 func (m *serviceTimeMeter) learn(took time.Duration, cost float64) {
 	if expected := m.estimate(cost); expected > 0 {
-		off := math.Abs(took.Seconds()/expected.Seconds() - 1)
-		m.meanError += (min(off, 1) - m.meanError) * (1 - decayPerAttempt)
+		relativeError := math.Abs(took.Seconds()/expected.Seconds() - 1)
+		m.meanError += (min(relativeError, 1) - m.meanError) * (1 - decayPerAttempt)
 	}
 	m.count = m.count*decayPerAttempt + 1
 	m.cost = m.cost*decayPerAttempt + cost
@@ -141,8 +141,8 @@
 	}
 	size := &m.sizes[sizeClass(cost)]
 	prior := sizePriorAttempts * cost
-	pace := (size.seconds + prior*m.seconds/m.cost) / (size.cost + prior)
-	return seconds(cost * pace)
+	secondsPerCost := (size.seconds + prior*m.seconds/m.cost) / (size.cost + prior)
+	return seconds(cost * secondsPerCost)
 }
 
 // atMost is the estimate with the usual error added: most attempts take less.
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -97,16 +97,16 @@
 // leave over belongs to the oldest. A version that must get no new work by a bad
 // verdict passes its part to the next older one, its predecessor; only where no
 // older one is left does a newer one take it.
-func (w *World) rollout(tm *teamModel, hash float64) *version {
-	return w.rolloutBy(tm, hash, w.takesNew)
+func (w *World) rollout(tm *teamModel, position float64) *version {
+	return w.rolloutBy(tm, position, w.takesNew)
 }
 
-func (w *World) rolloutBy(tm *teamModel, hash float64, takes func(*version) bool) *version {
+func (w *World) rolloutBy(tm *teamModel, position float64, takes func(*version) bool) *version {
 	list := tm.rollout
 	if len(list) == 0 {
 		return nil
 	}
-	at := w.shareIndex(tm, hash)
+	at := w.shareIndex(tm, position)
 	for i := at; i < len(list); i++ {
 		if takes(list[i]) {
 			return list[i]
@@ -126,7 +126,7 @@
 // versions of the model, allowed or not, so that the same hash falls on the same
 // version for every team; the part of one that the team may not use passes to
 // the next older one that it may.
-func (w *World) shareIndex(tm *teamModel, hash float64) int {
+func (w *World) shareIndex(tm *teamModel, position float64) int {
 	sum := 0.0
 	next := 0
 	for _, v := range tm.model.versions {
@@ -135,7 +135,7 @@
 		}
 		allowed := next < len(tm.rollout) && tm.rollout[next] == v
 		sum += v.Share
-		if hash < sum {
+		if position < sum {
 			return min(next, len(tm.rollout)-1)
 		}
 		if allowed {
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -133,7 +133,7 @@
 		return
 	}
 	failed := e.Result != AttemptCompleted
-	if change, ok := w.outliers.Ended(a.server.ID, failed, w.unitTime(a, e), w.now); ok {
+	if change, ok := w.outliers.Ended(a.server.ID, failed, w.unitLatency(a, e), w.now); ok {
 		w.ejection(change)
 	}
 	if a.server.ejected {
@@ -149,25 +149,25 @@
 	if a == nil || w.cfg.Policy.NoVerdicts {
 		return
 	}
-	pace := w.now.Sub(a.started)
+	latency := w.now.Sub(a.started)
 	if a.pool.service == "" {
-		pace = w.timePerToken(a, int(a.pool.serviceTime.lengthRatio*(a.cost-a.prompt)))
+		latency = w.tokenLatency(a, int(a.pool.serviceTime.lengthRatio*(a.cost-a.prompt)))
 	}
-	if change, ok := w.outliers.Ended(a.server.ID, false, pace, w.now); ok {
+	if change, ok := w.outliers.Ended(a.server.ID, false, latency, w.now); ok {
 		w.ejection(change)
 	}
 }
 
 // paceOf is the time a unit of work took at the server: by token from the first
 // one on for a model, whole for a plain service; 0 where it says nothing.
-func (w *World) unitTime(a *attempt, e AttemptEnded) time.Duration {
+func (w *World) unitLatency(a *attempt, e AttemptEnded) time.Duration {
 	if a.pool.service != "" {
 		return w.now.Sub(a.started)
 	}
-	return w.timePerToken(a, e.Tokens)
+	return w.tokenLatency(a, e.Tokens)
 }
 
-func (w *World) timePerToken(a *attempt, tokens int) time.Duration {
+func (w *World) tokenLatency(a *attempt, tokens int) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
@@ -194,14 +194,14 @@
 }
 
 // trialCheck is how often an ejected server is asked about.
-const trialCheckInterval = time.Second
+const probeCheckInterval = time.Second
 
 // isBarred says whether the server is ejected and due no trial now.
 func (w *World) isBarred(s *server) bool {
 	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Barred {
 		return false
 	}
-	w.wakeAt(s, w.now.Add(trialCheckInterval))
+	w.wakeAt(s, w.now.Add(probeCheckInterval))
 	return true
 }
 
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -244,12 +244,12 @@
 // After a pause nothing queued is dispatched before the freshness is told anew.
 func TestNothingIsDispatchedAfterAPause(t *testing.T) {
 	tests := []struct {
-		name string
-		told *FreshnessChanged
-		want Command
+		name     string
+		reported *FreshnessChanged
+		want     Command
 	}{
-		{name: "still fresh", told: &FreshnessChanged{Fresh: true}, want: Deliver{Request: 5, Attempt: 1}},
-		{name: "not fresh", told: &FreshnessChanged{}, want: Refuse{Request: 5, Reason: ReasonNotFresh}},
+		{name: "still fresh", reported: &FreshnessChanged{Fresh: true}, want: Deliver{Request: 5, Attempt: 1}},
+		{name: "not fresh", reported: &FreshnessChanged{}, want: Refuse{Request: 5, Reason: ReasonNotFresh}},
 		{name: "not told", want: Deliver{Request: 5, Attempt: 1}},
 	}
 	for _, tt := range tests {
@@ -267,8 +267,8 @@
 			}
 			h.tick()
 			h.onCommand = nil
-			if tt.told != nil {
-				h.send(*tt.told)
+			if tt.reported != nil {
+				h.send(*tt.reported)
 			}
 			h.run(3 * time.Second)
 			got := h.outcomes[5].command
