--- a/decision/admit.go
+++ b/decision/admit.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// admit answers each arrival: it goes to a queue, or is refused at once with
-// when to come back. The order is from the certain to the estimated, so that the
-// reason given is the one that matters most to the caller.
+// admit queues each arrival or refuses it at once with a retry time. Definite
+// reasons are checked before estimates, so that the caller gets the reason that
+// matters most.
 func (w *World) admit() {
 	for _, r := range w.arrived {
 		if r.state == stateArrived {
@@ -15,7 +15,7 @@
 
 func (w *World) admitOne(r *request) {
 	if !w.fresh {
-		// An instance that may not know the manifest in force must not run by an
+		// The instance may not know the manifest in force and must not act on an
 		// old one. Another instance can take the request now.
 		w.refuse(r, ReasonNotFresh, w.retryAfter(0))
 		return
@@ -42,15 +42,15 @@
 	w.enqueue(r)
 }
 
-// bars gives the reason why a request that may run by the manifest still must
-// not.
+// blockedReason returns why a request that the manifest permits must still be
+// refused, or "".
 func (w *World) blockedReason(r *request) RefusalReason {
 	if w.isQuarantined(r.Fingerprint) {
-		// It crashed the servers that ran it; one more would be lost.
+		// It crashed the servers that ran it and would crash another.
 		return ReasonQuarantined
 	}
 	if w.outage && !r.Idempotent {
-		// Nobody can record the claim that keeps it from running twice.
+		// The claim that keeps it from running twice cannot be recorded.
 		return ReasonOutage
 	}
 	if r.Resend && !r.team.retries.spend(w.now, &w.cfg) {
@@ -59,14 +59,14 @@
 	return ""
 }
 
-// crowded refuses what could not be answered in time.
+// capacityReason returns why a request cannot be answered in time, or "".
 //
-// Load: a burst, or demand over capacity for long. Harm prevented: work that
-// waits past its deadline and is then thrown away, while its caller could have
-// gone elsewhere. The queue's bound limits memory; the estimate is what keeps
-// the queue as long as it is of use, and the time of the answer itself is part
-// of it, since a late answer is worth nothing. The margin keeps the estimate's
-// error from admitting half of those at the edge in vain.
+// Load: a burst, or sustained demand over capacity. Harm prevented: requests that
+// wait past their deadline and are then dropped, while their callers could have
+// gone elsewhere. The queue limit only bounds memory; the estimate limits the queue
+// to what can still be answered. It includes the time of the answer itself, since a
+// late answer is worth nothing. Without the margin, the error of the estimate would
+// admit half of the requests at the edge in vain.
 func (w *World) capacityReason(r *request) RefusalReason {
 	if r.team.queued >= w.queueLimit(r.team) {
 		return ReasonQueueFull
@@ -85,14 +85,14 @@
 	return ""
 }
 
-// waitLimit is the longest wait that a request may be queued for.
+// waitLimit is the longest estimated wait at which a request is still queued.
 //
-// Load: demand of a team over its share for long, against a burst. A burst may
-// use the whole time to the deadline: its queue is worked off afterwards. A queue
-// that stands for longer than a burst adds nothing to what the servers give, but
-// adds its wait to every answer; so it is kept short, and callers are told at
-// once when to come back. A team without a queue waits for the next slot only,
-// and may.
+// Load: sustained demand of a team over its share, as opposed to a burst. A burst
+// may use the whole time to the deadline: its queue drains afterwards. A queue that
+// stands for longer adds nothing to the throughput but adds its wait to every
+// answer. Harm prevented: such a standing queue; it is kept short, and callers are
+// told at once when to retry. A team without a queue waits for the next slot only
+// and is not limited.
 func (w *World) waitLimit(r *request, timeLeft time.Duration) time.Duration {
 	p := r.pool
 	if !w.overloaded(p) || p.flow(r.team).Len() == 0 {
@@ -101,13 +101,15 @@
 	return time.Duration(w.cfg.OverloadAdmitWait * float64(timeLeft))
 }
 
-// overloadPart is the part of the last while for which a queue stood in overload:
-// under a third, the slots that eight instances leave each other still suffice.
+// overloadThreshold is the fraction of the recent past with a backlog from which a
+// pool counts as overloaded. Below a third, the slots that eight instances leave
+// each other still suffice.
 const overloadThreshold = 0.3
 
-// overloaded tells demand over capacity for long from a burst: the queue stood for
-// much of the last while. One of eight instances on a saturated pool sees its own
-// queue run empty now and then, so the present queue's age does not tell.
+// overloaded distinguishes sustained demand over capacity from a burst: the pool
+// had a backlog for much of the recent past. The age of the present queue would not
+// show it: one of eight instances on a saturated pool sees its own queue run empty
+// now and then.
 func (w *World) overloaded(p *pool) bool {
 	return !w.cfg.Policy.NoWaitLimit && p.backlog.part(w.now, w.cfg.BurstDuration) >= overloadThreshold
 }
--- a/decision/affinity.go
+++ b/decision/affinity.go
@@ -1,27 +1,29 @@
 package decision
 
-// unsureMatch is the worth of a match that the server has not confirmed, or that
-// stands behind a gap in its events.
+// unconfirmedWeight discounts a match that the server has not confirmed, or that
+// is uncertain because of a gap in its cache events.
 const unconfirmedWeight = 0.7
 
-// matchLimit is how many servers with a cached prefix join the two drawn ones.
+// maxPrefixMatches is how many servers with a cached prefix are added to the
+// randomly drawn candidates.
 const maxPrefixMatches = 2
 
-// ingestCache takes a server's word on its prefix cache, late and with gaps.
+// ingestCache applies a server's report of its prefix cache. Reports are late and
+// may have gaps.
 func (w *World) ingestCache(e CacheChanged) {
 	if w.servers[e.Server] == nil {
-		return // it has left the list; its word would only fill the index
+		return // no longer listed: its report would only fill the index
 	}
 	w.prefixes.Changed(e.Server, e.Seq, e.Added, e.Removed, w.now)
 }
 
-// considerCached adds the free servers that have most of the prompt cached.
+// addCachedCandidates adds the free servers that have most of the prompt cached.
 //
 // Load: sessions and long common prompts. Harm prevented: the same prefix is
-// computed on many servers while callers wait for their first token. What is
-// saved counts as a part of the request's whole work, so that a long prompt with
-// a short answer is drawn to its prefix more than the reverse; past a load bound
-// the scorer lets it go.
+// computed on many servers while callers wait for their first token. The saving
+// counts as a fraction of the request's whole cost, so that a long prompt with a
+// short answer prefers its prefix more than the reverse; above a load bound the
+// scorer ignores it.
 func (w *World) addCachedCandidates(p *pool, r *request) {
 	if len(r.Blocks) == 0 || w.cfg.Policy.NoAffinity {
 		return
@@ -40,7 +42,7 @@
 	}
 }
 
-// noteCached remembers that the server will have the prompt's prefix.
+// recordPrefix records that the server will have the prompt's prefix cached.
 func (w *World) recordPrefix(r *request, s *server) {
 	if len(r.Blocks) > 0 && !w.cfg.Policy.NoAffinity {
 		w.prefixes.Dispatched(s.ID, r.Blocks, w.now)
--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// benchWorld has so many servers, all of whose slots are taken, and so many
-// queued requests of ten teams.
+// benchWorld is a saturated world: all slots of its servers are taken, and requests
+// of ten teams are queued.
 type benchWorld struct {
 	w    *World
 	now  time.Time
 	next RequestID
-	// running are the attempts, oldest first.
+	// running are the running attempts, oldest first.
 	running []attemptKey
 	teams   []TeamID
 	blocks  []BlockHash
@@ -62,21 +62,21 @@
 	}
 }
 
-// decide is one decision: an attempt ends, a request arrives, and the freed slot
-// goes to the next of the queue (or to the request, where there is none).
+// decide makes one decision: an attempt ends, a request arrives, and the freed slot
+// goes to the next queued request (or to the new one, if the queue is empty).
 func (b *benchWorld) decide() {
 	oldest := b.running[0]
 	b.running = b.running[1:]
 	b.tick(AttemptEnded{Request: oldest.request, Attempt: oldest.attempt, Result: AttemptCompleted, Tokens: 20}, b.arrival())
 }
 
-// sizes are numbers of servers and slots. From 100 servers on all have 10,000
-// attempts in flight, so that the size of the fleet is what differs; the first
-// two are of today's deployments and of a hundred such servers.
+// sizes are numbers of servers and of slots per server. The first is a present
+// deployment, the second a hundred such servers. The others have 10,000 attempts in
+// flight each, so that only the size of the fleet differs.
 var sizes = []struct{ servers, slots int }{{15, 8}, {100, 8}, {100, 100}, {1000, 10}, {10_000, 1}}
 
-// BenchmarkDecision is one decision: an end, a request in, a server out, an
-// answer delivered.
+// BenchmarkDecision measures one decision: an attempt ends, its answer is
+// delivered, a request arrives and one is dispatched.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range sizes {
 		for _, queued := range []int{10, 10_000} {
@@ -88,7 +88,7 @@
 	}
 }
 
-// BenchmarkDecisionWithPrefix is one decision for a prompt of 16 blocks.
+// BenchmarkDecisionWithPrefix measures one decision for a prompt of 16 blocks.
 func BenchmarkDecisionWithPrefix(b *testing.B) {
 	for _, size := range []struct{ servers, slots int }{{15, 8}, {10_000, 1}} {
 		name := fmt.Sprintf("servers=%d/inflight=%d/queued=10", size.servers, size.servers*size.slots)
@@ -106,8 +106,8 @@
 	}
 }
 
-// BenchmarkRefusal is the answer to a request that cannot be answered in time,
-// with a full queue: the path that an overload takes most.
+// BenchmarkRefusal measures the refusal of a request that cannot be answered in
+// time, with 10,000 queued requests: the most frequent path in an overload.
 func BenchmarkRefusal(b *testing.B) {
 	for _, size := range []struct{ servers, slots int }{{15, 8}, {10_000, 1}} {
 		b.Run(fmt.Sprintf("servers=%d/queued=10000", size.servers), func(b *testing.B) {
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// capacity is how many requests the server runs at once; a row that names none
-// has one.
+// capacity is how many requests the server runs concurrently; 1 if the row gives
+// no number.
 func (s *server) capacity() int { return max(s.Slots, 1) }
 
-// refresh recomputes whether the server can take a request now.
+// refresh updates whether the server can take a request now.
 func (w *World) refresh(s *server) {
 	w.setFree(s, w.hasFreeSlot(s))
 }
 
-// canTake is the capacity and state filter.
+// hasFreeSlot reports whether the server's state and load allow another attempt.
 //
-// Load: full saturation, with lagging reports. The own attempts never pass the
-// server's slots. What others run there counts while the report is young, so
-// that eight instances together do not overload a server. But a first own
-// attempt may pass the slots by a part: else an instance that joins a saturated
-// pool would never get a slot, since the others refill theirs as they end. It
-// makes the others see the server as full, and so their part shrinks.
+// Load: full saturation, with lagging load reports. This instance's own attempts
+// never exceed the server's slots. Harm prevented: eight instances together
+// overload a server; so the attempts of the others count while the report is
+// recent. The first own attempt may exceed the slots by a fraction: an instance
+// that joins a saturated pool would otherwise never get a slot, since the others
+// refill theirs as attempts end. The excess makes the others see the server as
+// full, so that their part shrinks.
 func (w *World) hasFreeSlot(s *server) bool {
 	if s.gone || s.leaving || w.isBarred(s) {
 		return false
@@ -46,13 +47,13 @@
 	return false
 }
 
-// overcommit is by how many attempts instances that have none at the server may
-// pass its slots.
+// overcommit is by how many attempts an instance that has none at the server may
+// exceed its slots.
 func (w *World) overcommit(s *server) int {
 	return max(int(w.cfg.Overcommit*float64(s.capacity())), 1)
 }
 
-// setFree enters the server into its pools' free sets or takes it out.
+// setFree adds the server to the free sets of its pools or removes it.
 func (w *World) setFree(s *server, free bool) {
 	if s.isFree == free {
 		return
@@ -82,7 +83,7 @@
 	p.free = p.free[:last]
 }
 
-// shut keeps the server out of the choice until at.
+// backOff excludes the server from selection until at.
 func (w *World) backOff(s *server, at time.Time) {
 	if !at.After(s.backoffUntil) {
 		return
@@ -91,8 +92,7 @@
 	w.refresh(s)
 }
 
-// wakeAt has the server looked at again at a time, unless that is to be done
-// sooner anyway.
+// wakeAt schedules a refresh of the server, unless an earlier one is pending.
 func (w *World) wakeAt(s *server, at time.Time) {
 	if !s.wakeAt.IsZero() && !s.wakeAt.After(at) {
 		return
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -6,17 +6,17 @@
 	"masticplank.example/decision/internal/estimate"
 )
 
-// task is what quality and length are learnt by.
+// task is the key by which quality and answer length are learnt.
 type task = estimate.Task[TeamID, TaskClass]
 
-// plan is how a request runs through the models.
+// plan is the sequence of versions that a request may run on.
 type plan = estimate.Plan[VersionID]
 
 func newEstimates() *estimate.Table[TeamID, TaskClass, VersionID] {
 	return estimate.New[TeamID, TaskClass, VersionID](estimate.DefaultConfig())
 }
 
-// applyEstimates tells the table what the manifest states of each version.
+// applyEstimates passes the manifest's quality of each version to the estimates.
 func (w *World) applyEstimates() {
 	quality := make(map[VersionID]float64, len(w.versions))
 	for _, v := range w.versions {
@@ -27,11 +27,11 @@
 	w.estimates.Apply(quality)
 }
 
-// resolveAny plans a request that leaves the model open.
+// resolveAny plans a request that names no model.
 //
-// Load: many easy requests and a few hard ones. Harm prevented: the dear model's
-// price for the easy ones, or the cheap model's answer for the hard ones. The
-// plan is the cheapest that is expected to meet the team's target.
+// Load: many easy requests and a few hard ones. Harm prevented: the price of the
+// dearer model for easy requests, or the answer of the cheap model for hard ones.
+// The plan is the cheapest one expected to meet the team's quality target.
 func (w *World) resolveAny(t *team, r *request) choice {
 	if len(t.models) == 0 {
 		return refused(ReasonNotAllowed)
@@ -49,8 +49,8 @@
 	return choice{version: v, pool: v.pool}
 }
 
-// offerOptions lists the version of each allowed model that the request may run
-// on now. A model without a server is left out: another one can answer.
+// listOptions lists, for each allowed model, the version that the request may run
+// on now. A model without a server is left out, since another one can answer.
 func (w *World) listOptions(t *team, r *request) {
 	w.options = w.options[:0]
 	for _, tm := range t.models {
@@ -78,11 +78,11 @@
 	})
 }
 
-// mayHold says whether a first answer may be held back and replaced.
+// mayHold reports whether a first answer may be held back and replaced.
 //
-// A streamed answer is not: its caller waits for the first token, so the step
-// that meets the target by itself is taken instead. Nor is one that may run only
-// once. And two answers and a rating must fit the deadline.
+// A streamed answer may not: its caller waits for the first token, so a version
+// that meets the target alone is used instead. Nor may one that may run only once.
+// Two answers and a rating must fit within the deadline.
 func (w *World) mayHold(r *request) bool {
 	if r.Streamed || !r.Idempotent {
 		return false
@@ -95,7 +95,7 @@
 	return !w.now.Add(2*longest + w.cfg.RatingTimeout).After(r.deadline)
 }
 
-// bestOption is the version of the highest stated quality.
+// bestOption returns the version with the highest quality by the manifest.
 func (w *World) bestOption() VersionID {
 	best := w.options[0].Version
 	for _, o := range w.options[1:] {
@@ -106,7 +106,7 @@
 	return best
 }
 
-// fixedPlan is the baseline: the cheapest first, the best behind it.
+// fixedPlan is the baseline: the cheapest version first, then the best.
 func (w *World) fixedPlan(t *team, r *request) plan {
 	first := w.options[0]
 	for _, o := range w.options[1:] {
@@ -124,12 +124,13 @@
 	return plan{First: first.Version, Cascade: true, Second: best, Bar: t.QualityTarget}
 }
 
-// spill looks for another model where the planned one's queue is too long.
+// spillover assigns the request to another model when the queue of the planned one
+// is too long, and reports whether it found one.
 //
-// Load: a term opening that fills the cheap pool. Harm prevented: a refusal while
-// a model that the team may use, and that meets its target, stands idle. It
-// costs more; it is not done for teams whose share there is used up, since their
-// wait there is too long as well.
+// Load: a surge that fills the cheap pool. Harm prevented: a refusal while a model
+// that the team may use, and that meets its target, is idle. This costs more. A
+// team that has used up its share of the other model is refused all the same,
+// since its wait there is too long as well.
 func (w *World) spillover(r *request) bool {
 	if r.Model != "" || r.Pinned != "" || r.Service != "" {
 		return false
--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// cascadeWorld has a cheap model that is good at 7 of 10 requests, and a dear
-// one that is good at all.
+// cascadeHarness has a cheap model that answers 7 of 10 requests well and a dear
+// one that answers all well.
 func cascadeHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
 	team := teamOf("weavers", 1)
@@ -25,7 +25,8 @@
 	return h
 }
 
-// bill sums the cost of the attempts and the true quality of what was delivered.
+// serveOpen serves n requests one after the other and returns the mean cost of
+// their attempts and the mean quality of the delivered answers.
 func (h *harness) serveOpen(n int, r Request) (cost, quality float64) {
 	last := map[RequestID]Dispatch{}
 	h.onCommand = func(c Command) {
@@ -48,6 +49,8 @@
 	return cost / float64(n), quality / float64(n)
 }
 
+// The cascade must meet the quality target at a clearly lower cost than the dear
+// model alone.
 func TestCascadeCostsLessAtTheTarget(t *testing.T) {
 	open := Request{Team: "weavers", Class: "lookup", MaxTokens: 20, Idempotent: true}
 	h := cascadeHarness(t, DefaultConfig())
@@ -59,8 +62,8 @@
 	h.requireAllAnswered()
 }
 
-// What may not be held goes to the step that meets the target by itself, and
-// nothing is ever held of it.
+// Streamed and non-idempotent requests must never be held: they run on the version
+// that meets the target alone.
 func TestNeverHeld(t *testing.T) {
 	tests := []Request{
 		{Streamed: true, Idempotent: true},
@@ -87,8 +90,8 @@
 	}
 }
 
-// A rating service that is late, silent or wrong delays no answer beyond its
-// budget and loses none.
+// A rating service that is late, does not answer or gives wrong ratings must not
+// delay an answer beyond the rating timeout or lose one.
 func TestRatingServiceFaults(t *testing.T) {
 	tests := map[string]func(Dispatch, Request) (float64, bool){
 		"late":      func(Dispatch, Request) (float64, bool) { return 0, true },
@@ -109,7 +112,7 @@
 			if h.delivered("") != 100 {
 				t.Errorf("%d of 100 delivered", h.delivered(""))
 			}
-			// Two attempts of 100 ms, the budget and its grace.
+			// Two attempts of 100 ms, the rating timeout and its grace.
 			if worst := percentile(h.answerTimes("weavers"), 1); worst > 700*time.Millisecond {
 				t.Errorf("the slowest took %v", worst)
 			}
@@ -117,7 +120,8 @@
 	}
 }
 
-// A second step that fails costs the caller nothing: the held answer is whole.
+// A second step that fails must not cost the caller its answer: the held answer is
+// whole and is delivered.
 func TestFailedEscalationDeliversTheHeldAnswer(t *testing.T) {
 	for _, result := range []AttemptResult{AttemptFailed, AttemptUnknown, AttemptCrashed, AttemptNotRun} {
 		h := cascadeHarness(t, Config{Policy: Policy{Cascade: CascadeFixed}})
@@ -136,8 +140,8 @@
 	}
 }
 
-// When the planned model's queue is too long, another one that meets the target
-// is used.
+// When the queue of the planned model is too long, the request must go to another
+// model that meets the target instead of being refused.
 func TestSpillsToAnotherModel(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.duration = tenMsPerToken
@@ -146,7 +150,7 @@
 	h.servers(append(cheap, dear...)...)
 	h.tick()
 	rng := rand.New(rand.NewPCG(3, 3))
-	// 120 requests a second for 80 that the cheap pool can take.
+	// 120 requests per second, of which the cheap pool can take 80.
 	offer(h, rng, 10*time.Second, demand{
 		perSecond: 120, deadline: 2 * time.Second,
 		request: Request{Team: "weavers", MaxTokens: 20, Idempotent: true},
--- a/decision/command.go
+++ b/decision/command.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Each function here ends a request, or stops an attempt, in exactly one way. All
-// of them go through end, which takes the request out of every table: that is
-// what makes "answered exactly once" hold.
+// Each function here ends a request, or stops an attempt, in exactly one way. A
+// request always ends through end, which removes it from every table; this
+// guarantees that each request is answered exactly once.
 
 func (w *World) emit(c Command) { w.out = append(w.out, c) }
 
@@ -14,8 +14,8 @@
 	w.end(r)
 }
 
-// refuse ends a request that truly was not run. One that may have run is failed
-// instead, whatever asked for the refusal.
+// refuse ends a request that provably did not run. One that may have run fails
+// instead, whatever the reason.
 func (w *World) refuse(r *request, reason RefusalReason, retryAfter time.Duration) {
 	if r.ran {
 		w.fail(r, r.lastResult)
@@ -25,8 +25,8 @@
 	w.end(r)
 }
 
-// refuseFor refuses with the time to come back that fits the reason: none where
-// only another manifest or another request would help.
+// refuseFor refuses with the retry time that fits the reason: 0 where only a
+// different manifest or request would help.
 func (w *World) refuseFor(r *request, reason RefusalReason) {
 	switch reason {
 	case ReasonNotAllowed, ReasonUnknownModel, ReasonVersionWithdrawn:
@@ -43,8 +43,8 @@
 	w.end(r)
 }
 
-// cancelCurrent stops the attempt that runs, if any. Its slot stays taken until
-// the router says that it has ended.
+// cancelCurrent cancels the running attempt, if any. Its slot stays occupied until
+// the router reports its end.
 func (w *World) cancelCurrent(r *request) {
 	if r.current == nil {
 		return
@@ -54,7 +54,7 @@
 	r.current = nil
 }
 
-// end takes a request out of all tables.
+// end removes a request from all tables.
 func (w *World) end(r *request) {
 	w.dequeue(r)
 	w.clearDue(r)
--- a/decision/commands.go
+++ b/decision/commands.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Command is anything that a tick asks the router to do. The set is closed.
+// Command is an instruction of a tick to the router. The types in this file are
+// the only implementations.
 type Command interface{ command() }
 
 // Dispatch starts an attempt at a backend server.
@@ -12,62 +13,63 @@
 	Server  ServerID
 	// Version is empty for a plain service.
 	Version VersionID
-	// Hold asks the router to keep the answer back until Deliver, because a
-	// cascade may still replace it. Without Hold it flows at once.
+	// Hold makes the router hold the answer back until Deliver, because the
+	// cascade may still replace it. Without Hold it is forwarded at once.
 	Hold bool
-	// Rate asks the router to have the answer rated and to send AnswerRated.
+	// NeedsRating makes the router have the answer rated and send AnswerRated.
 	NeedsRating bool
-	// RateBudget is how long a held answer may wait for its rating.
+	// RatingTimeout is how long a held answer may wait for its rating.
 	RatingTimeout time.Duration
 }
 
-// Deliver gives the caller the answer of Attempt and ends the request.
+// Deliver sends the caller the answer of Attempt and ends the request.
 type Deliver struct {
 	Request RequestID
 	Attempt AttemptID
 }
 
-// Refuse ends a request that truly was not run.
+// Refuse ends a request that provably did not run.
 type Refuse struct {
-	Request    RequestID
-	Reason     RefusalReason
+	Request RequestID
+	Reason  RefusalReason
+	// RetryAfter is when the caller may retry; 0 where a retry cannot help.
 	RetryAfter time.Duration
 }
 
 // Fail ends a request that ran, or may have run, without a whole answer.
 type Fail struct {
 	Request RequestID
-	// Result is the last attempt's.
+	// Result is that of the last attempt.
 	Result AttemptResult
 }
 
-// PinSession answers SessionOpening: one version for each model that the team
-// may use, in order of ModelID; none where it may use nothing.
+// PinSession answers SessionOpening: one version for each model that the team may
+// use, in order of ModelID; none if it may use no model.
 type PinSession struct {
 	Session  SessionID
 	Versions []VersionID
 }
 
-// CancelAttempt stops an attempt that nobody waits for.
+// CancelAttempt stops an attempt whose answer is no longer needed.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt AttemptID
 }
 
-// ShareVerdict tells the peers of an own verdict on a version.
+// ShareVerdict sends this instance's verdict on a version to the peers.
 type ShareVerdict struct{ Verdict VersionVerdict }
 
-// ShareLeaving tells the peers of a leaving backend server.
+// ShareLeaving reports a leaving backend server to the peers.
 type ShareLeaving struct{ Server ServerID }
 
-// NoteEjection tells operators that a backend server is ejected as an outlier, or
-// back. It is this instance's own finding and changes nothing elsewhere.
+// ReportEjection reports to operators that a backend server was ejected as an
+// outlier, or readmitted. The ejection applies to this instance only.
 type ReportEjection struct {
 	Server  ServerID
 	Ejected bool
 }
 
-// Quarantine records a crashing request for all instances.
+// Quarantine records a request that crashes servers, for all instances.
 type Quarantine struct {
 	Fingerprint Fingerprint
 	Until       time.Time
--- a/decision/config.go
+++ b/decision/config.go
@@ -2,87 +2,98 @@
 
 import "time"
 
-// Config sets the limits of the decisions. DefaultConfig documents each value's
-// reason; a zero in a field is taken as its default by NewWorld, except where
-// noted.
+// Config sets the limits of the decisions. DefaultConfig gives the default values
+// and their reasons; NewWorld replaces each number and duration that is zero or
+// negative by its default, except Seed.
 type Config struct {
-	// Seed makes every random choice repeatable.
+	// Seed makes every random choice reproducible.
 	Seed uint64
-	// Domain is the instance's own failure domain, for the small preference of
-	// near servers; empty for none.
+	// Domain is the instance's own failure domain, for a slight preference of
+	// servers in the same domain; empty for none.
 	Domain DomainID
-	// DefaultDeadline is given to requests without one.
+	// DefaultDeadline is the time from arrival to deadline of requests without
+	// one.
 	DefaultDeadline time.Duration
-	// QueueLimit bounds a team's queue, in requests, where the manifest does not.
+	// QueueLimit bounds a team's queue, in requests, where the manifest sets no
+	// limit.
 	QueueLimit int
-	// MaxAttempts bounds the attempts of one request, cascade steps included.
+	// MaxAttempts bounds the attempts of one request, including second steps of
+	// the cascade.
 	MaxAttempts int
-	// MaxCrashes is how many servers a request may crash before its quarantine.
+	// MaxCrashes is how many servers a request may crash before it is quarantined.
 	MaxCrashes int
-	// QuarantineFor is the life of a quarantine.
+	// QuarantineDuration is how long a quarantine lasts.
 	QuarantineDuration time.Duration
-	// RetryRatio is the part of recent successes that may be retried or resent.
+	// RetryRatio is how many retries, by the instance or the caller, a team earns
+	// per success.
 	RetryRatio float64
-	// RetryFloor is how many retries and resends a team always has, refilled at
-	// one a second.
+	// RetryFloor is the budget of retries that a team regains without successes,
+	// at one per second.
 	RetryFloor float64
-	// RetryCap bounds what a team may save up.
+	// RetryCap bounds the retries that a team can accumulate.
 	RetryCap float64
-	// FreshnessGrace is how long queued work outlives the loss of freshness.
+	// FreshnessGrace is how long requests stay queued after freshness is lost.
 	FreshnessGrace time.Duration
-	// PauseGap is the time between two ticks that counts as a pause of the process.
+	// PauseThreshold is the time between two ticks above which the process counts
+	// as having been paused.
 	PauseThreshold time.Duration
-	// PauseHold is how long nothing is dispatched after a pause, unless the
-	// freshness is told anew before.
+	// ResumeDelay is how long nothing is dispatched after a pause, unless the
+	// freshness is reported again before.
 	ResumeDelay time.Duration
-	// ReportLife is how long a load report counts.
+	// LoadReportTTL is how long a load report counts.
 	LoadReportTTL time.Duration
-	// Overcommit is the part of a server's slots by which instances that run
-	// nothing there may pass them, by what the server reports.
+	// Overcommit is the fraction of a server's slots by which an instance that
+	// runs nothing there may exceed them, by the server's load report.
 	Overcommit float64
-	// RefusedBackoff keeps a server that refused an attempt out of the choice.
+	// RefusedBackoff is how long a server is excluded from selection after it
+	// refused an attempt or crashed.
 	RefusedBackoff time.Duration
-	// RetryAfterMin is the least RetryAfter of a refusal that time may cure.
+	// RetryAfterMin is the minimum RetryAfter of a refusal where a later retry may
+	// succeed.
 	RetryAfterMin time.Duration
-	// RateBudget is how long a held answer may wait for its rating.
+	// RatingTimeout is how long a held answer may wait for its rating.
 	RatingTimeout time.Duration
-	// DrainWindow is the half-life of the measured drain rate.
+	// DrainRateHalfLife is the half-life of the measured drain and usage rates.
 	DrainRateHalfLife time.Duration
-	// WaitMargin multiplies the estimated wait at admission.
+	// WaitMargin is the factor applied to the estimated wait at admission.
 	WaitMargin float64
-	// BurstFor is how long a queue may stand before it counts as overload, and the
-	// half-life of what is remembered of earlier queues.
+	// BurstDuration is how long a backlog may last before it counts as overload,
+	// and the half-life of the average that includes earlier backlogs.
 	BurstDuration time.Duration
-	// StandingWait bounds the wait in overload, as a part of the time to the
-	// deadline.
+	// OverloadAdmitWait bounds the estimated wait at admission in overload, as a
+	// fraction of the time to the deadline.
 	OverloadAdmitWait float64
-	// Patience is the part of its time that a request may stay queued, whatever
-	// the estimate said.
+	// OverloadWait bounds the time that a request stays queued in overload,
+	// whatever the estimate was, as a fraction of the time to the deadline.
 	OverloadWait float64
-	// PromptWeight is the cost of a prompt token in generated tokens.
+	// PromptTokenCost is the cost of a prompt token in generated tokens.
 	PromptTokenCost float64
-	// DefaultTokens sizes requests that name no MaxTokens.
+	// DefaultMaxTokens is the size assumed for requests without MaxTokens.
 	DefaultMaxTokens int
-	// IdleCredit is the work, in generated tokens, that a team which asked for less
+	// IdleCredit is the work, in generated tokens, that a team which used less
 	// than its share may be given ahead of the others.
 	IdleCredit float64
-	// ServiceCost sizes a call of a plain service, in generated tokens.
+	// ServiceCost is the cost of a call of a plain service, in generated tokens.
 	ServiceCost float64
-	// AffinityWeight is the worth of work saved by a cached prefix, in work.
+	// AffinityWeight is the score per unit of work saved by a cached prefix.
 	AffinityWeight float64
-	// AffinityBound is the load, as a part of capacity, past which a cached
-	// prefix counts for nothing.
+	// AffinityMaxLoad is the load, as a fraction of the capacity, above which a
+	// cached prefix is ignored.
 	AffinityMaxLoad float64
-	// DomainWeight is the worth of a near server, in work.
+	// DomainWeight is the score of a server in the own failure domain, as a
+	// fraction of a request's work.
 	DomainWeight float64
-	// ProbeEvery lets one request in so many through to a version judged bad.
+	// ProbeEvery is the number of requests for a version with a bad verdict of
+	// which one is let through as a probe.
 	ProbeEvery int
-	// SlowFactor is how many times its peers' pace makes a server slow.
+	// SlowFactor is the multiple of its peers' time per unit of work from which a
+	// server counts as slow.
 	SlowFactor float64
-	// MaxEjected caps the part of alike servers that is ejected at once.
+	// MaxEjected bounds the fraction of a group of servers that is ejected at the
+	// same time.
 	MaxEjected float64
-	// Policy replaces single decisions by plain ones, to measure against. The
-	// zero value is what is meant for use.
+	// Policy replaces single decisions by simple baselines for measurements. The
+	// zero value is for production.
 	Policy Policy
 }
 
@@ -90,113 +101,120 @@
 type Policy struct {
 	Placement Placement
 	Cascade   Cascade
-	// NoAffinity ignores prefix caches.
+	// NoAffinity ignores cached prefixes.
 	NoAffinity bool
-	// NoShift ignores verdicts on versions and ejects no servers.
+	// NoVerdicts ignores verdicts on versions and ejects no servers.
 	NoVerdicts bool
-	// FirstCome queues all teams' requests in the order in which they came.
+	// FIFO queues the requests of all teams in the order of their arrival.
 	FIFO bool
-	// NoWaitLimit admits whatever fits the queues, however long the wait.
+	// NoWaitLimit admits whatever the queue limits allow, however long the wait.
 	NoWaitLimit bool
 }
 
-// Placement is how a server is picked.
+// Placement is the algorithm that picks a server.
 type Placement uint8
 
 const (
-	// PlaceTwoChoices draws two and scores them; the default.
+	// PlaceTwoChoices scores two random servers and those with a cached prefix;
+	// the default.
 	PlaceTwoChoices Placement = iota
 	// PlaceRoundRobin takes the servers in turn.
 	PlaceRoundRobin
-	// PlaceLeastOutstanding scans all for the fewest own attempts.
+	// PlaceLeastOutstanding scans all servers for the fewest attempts of this
+	// instance.
 	PlaceLeastOutstanding
 )
 
-// Cascade is how a model is chosen where the request names none.
+// Cascade is how a model is chosen for a request that names none.
 type Cascade uint8
 
 const (
-	// CascadeLearned goes by what was learnt of quality and cost; the default.
+	// CascadeLearned uses the learnt quality and cost; the default.
 	CascadeLearned Cascade = iota
-	// CascadeBest always takes the model of the highest stated quality.
+	// CascadeBest always uses the model with the highest quality by the manifest.
 	CascadeBest
-	// CascadeFixed always starts at the cheapest model and escalates on a rating
+	// CascadeFixed always starts with the cheapest model and escalates on a rating
 	// below the target.
 	CascadeFixed
 )
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the defaults, with the reason for each value.
 func DefaultConfig() Config {
 	return Config{
 		Seed: 1,
-		// Long enough for a drafting job of 600 tokens at 47 ms a token.
+		// Enough for an answer of 600 tokens at 47 ms per token.
 		DefaultDeadline: 30 * time.Second,
-		// Ten seconds of the peak of one team at today's sizes; the estimate of
-		// the wait refuses long before it, this only bounds memory.
+		// Ten seconds of one team's peak load at present. It only bounds memory:
+		// the estimated wait leads to refusals long before it is reached.
 		QueueLimit: 1000,
-		// A first try and three more: at 24 failure domains the odds that four
-		// independent picks all fail are small, and load is bounded to 4 times.
+		// One attempt and three retries: with 24 failure domains, four independent
+		// picks are unlikely to all fail, and the load is at most four times.
 		MaxAttempts: 4,
-		// One crash may be the server's fault, two in a row are the request's.
+		// One crash may be the server's fault, two in a row are caused by the
+		// request.
 		MaxCrashes: 2,
-		// Long enough to outlive a caller's resends, short enough that a fixed
+		// Long enough to outlast a caller's retries, short enough that a repaired
 		// server is tried again within the hour.
 		QuarantineDuration: 30 * time.Minute,
-		// 10% adds at most a tenth to an overload, whatever callers resend.
+		// 10% adds at most a tenth to an overload, however often callers retry.
 		RetryRatio: 0.1,
-		// A small team with few successes may still retry now and then.
+		// A team with few successes can still retry occasionally.
 		RetryFloor: 3,
-		// A minute's worth for a large team; more would let an old success pay
-		// for a storm now.
+		// A minute's worth for a large team; with more, past successes would pay
+		// for a retry storm.
 		RetryCap: 50,
-		// A blip between two vouches is not worth refusing a queue; a longer
-		// one is, so that callers move on to a fresh instance.
+		// A short gap between two confirmations of freshness does not justify
+		// refusing a queue; after a longer one callers should move on to a fresh
+		// instance.
 		FreshnessGrace: time.Second,
 		// Half of the time for which freshness lasts: an instance that was paused
 		// may have missed a manifest.
 		PauseThreshold: 2500 * time.Millisecond,
-		// Enough for the freshness to be looked at again, and short for callers
-		// where it was no pause but a slow tick.
+		// Enough for the freshness to be checked again, and a short delay for
+		// callers if it was only a slow tick.
 		ResumeDelay: 500 * time.Millisecond,
-		// Four reports at the usual 500 ms.
+		// Four reports at the usual interval of 500 ms.
 		LoadReportTTL: 2 * time.Second,
-		// Enough to let a new instance in; a quarter more in an engine's own queue
-		// costs the rest a quarter of a turn.
+		// Enough to let a new instance in; a quarter more requests in an engine's
+		// own queue cost the others a quarter of one service time.
 		Overcommit:     0.25,
 		RefusedBackoff: 200 * time.Millisecond,
 		RetryAfterMin:  500 * time.Millisecond,
-		// Under the time to a first token that callers put up with.
+		// Less than the time to a first token that callers accept.
 		RatingTimeout:     300 * time.Millisecond,
 		DrainRateHalfLife: 5 * time.Second,
 		WaitMargin:        1.1,
-		// The first rush of a shop's opening; a term opening lasts longer.
+		// As long as the burst when a shop opens; a load that lasts longer, such as
+		// at the start of a term, is overload.
 		BurstDuration: 5 * time.Second,
-		// Enough queue to keep the slots busy, no more.
+		// Enough queue to keep the slots busy, and no more.
 		OverloadAdmitWait: 0.1,
-		// Twice that: estimates fall short by half. Only in overload.
+		// Twice the admission limit, since estimated waits are too short by half.
+		// Only in overload.
 		OverloadWait:     0.2,
 		PromptTokenCost:  0.1,
 		DefaultMaxTokens: 256,
-		// A few long answers: what a small team asks for at once. More would let a
-		// team that was silent for an hour hold up the others for minutes.
+		// A few long answers: what a small team requests at once. With more, a team
+		// that was idle for an hour could delay the others for minutes.
 		IdleCredit:  2000,
 		ServiceCost: 16,
-		// Work saved is worth what it saves.
+		// Work saved counts in full.
 		AffinityWeight: 1,
-		// Four fifths leave room for what other instances send meanwhile.
+		// Leaves a fifth for requests that other instances send before the next
+		// load report.
 		AffinityMaxLoad: 0.8,
 		DomainWeight:    0.05,
-		// 0.4%: under the 1% that a bad version may get.
+		// 0.4%: less than the 1% that a bad version may get.
 		ProbeEvery: 250,
 		// Below 2, uneven work alone would eject healthy servers.
 		SlowFactor: 2.5,
-		// Past a third, what looks like bad servers is rather load or a fault of
-		// our own, and ejecting more would push the rest over.
+		// Above a third, the cause is more likely load or a fault of this instance
+		// than bad servers, and ejecting more would overload the rest.
 		MaxEjected: 0.34,
 	}
 }
 
-// withDefaults fills in fields left at zero.
+// withDefaults fills in fields that are zero or negative.
 func (c Config) withDefaults() Config {
 	d := DefaultConfig()
 	orDefault(&c.DefaultDeadline, d.DefaultDeadline)
--- a/decision/crash.go
+++ b/decision/crash.go
@@ -6,11 +6,12 @@
 	"masticplank.example/decision/internal/verdict"
 )
 
-// The crash rules: a request that crashes each backend server that runs it.
+// Handling of a request that crashes each backend server that runs it.
 //
-// Load: its caller sends it again and again. Harm prevented: each copy takes a
-// server down with all that it runs, until the pool is gone. Two servers at most
-// ever run it, over all its copies; then its fingerprint is shut out everywhere.
+// Load: its caller sends it again and again. Harm prevented: each duplicate takes
+// down a server with everything running there, until the pool is gone. It crashes
+// at most Config.MaxCrashes servers (2 by default) over all duplicates; then its
+// fingerprint is quarantined on all instances.
 
 func newCrashes(cfg Config) *verdict.Crashes[Fingerprint] {
 	c := verdict.DefaultCrashConfig()
@@ -19,13 +20,13 @@
 	return verdict.NewCrashes[Fingerprint](c)
 }
 
-// ingestQuarantine takes over a quarantine of another instance.
+// ingestQuarantine applies a quarantine set by another instance.
 func (w *World) ingestQuarantine(e RequestQuarantined) {
 	w.crashes.Learn(e.Fingerprint, e.Until, w.now)
 }
 
-// crashAdmission says whether the request may run now. A zero fingerprint is
-// none, and where nothing has crashed nothing is looked up.
+// crashAdmission reports whether a request with the fingerprint may run now.
+// Nothing is looked up for a zero fingerprint or while no crash is recorded.
 func (w *World) crashAdmission(f Fingerprint) verdict.CrashAdmission {
 	if f == 0 || w.crashes.Len() == 0 {
 		return verdict.CrashClear
@@ -38,13 +39,13 @@
 	return w.crashAdmission(f) == verdict.CrashQuarantined
 }
 
-// quarantineLeft is how long the quarantine still lasts.
+// quarantineLeft is the remaining time of the quarantine.
 func (w *World) quarantineLeft(f Fingerprint) time.Duration {
 	_, until := w.crashes.Admit(f, w.now)
 	return max(until.Sub(w.now), 0)
 }
 
-// crashStarted notes a dispatch.
+// crashStarted records a dispatch.
 func (w *World) crashStarted(a *attempt) {
 	f := a.request.Fingerprint
 	if f != 0 && w.crashes.Len() > 0 {
@@ -52,7 +53,7 @@
 	}
 }
 
-// crashEnded notes an attempt's end, and quarantines at the limit.
+// crashEnded records an attempt's end and quarantines the request at the limit.
 func (w *World) crashEnded(a *attempt, result AttemptResult) {
 	f := a.request.Fingerprint
 	crashed := result == AttemptCrashed
@@ -65,22 +66,23 @@
 	}
 }
 
-// park sets a request aside that may not run now: while a copy of it runs that has
-// crashed a server before (were both to crash, more servers than the limit would
-// be down), or while only servers are free that must not take it. It is out of the
-// queue, so that it holds up nobody behind it.
+// park takes a request that may not run now out of the queue, so that it does not
+// block those behind it. Either a duplicate that has crashed a server before is
+// running (if both crashed, more servers than the limit would be down), or only
+// servers that must not take the request are free.
 func (w *World) park(r *request) {
 	w.dequeue(r)
 	r.state = stateParked
 	w.parked = append(w.parked, r)
 }
 
-// unpark queues again what need not wait any longer.
+// unpark queues the parked requests again that no longer have to wait for a
+// duplicate.
 func (w *World) unpark() {
 	kept := w.parked[:0]
 	for _, r := range w.parked {
 		if r.state != stateParked {
-			continue // ended meanwhile
+			continue // ended while parked
 		}
 		if w.crashAdmission(r.Fingerprint) == verdict.CrashWait {
 			kept = append(kept, r)
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -1,30 +1,31 @@
-// Package decision decides, under load, what happens to each request: admit,
-// queue, refuse, place, escalate, shift.
+// Package decision decides, under load, what happens to each request: whether it
+// is admitted, queued, refused, dispatched to a backend server or escalated to
+// another model, and which versions and servers take traffic.
 //
-// It is pure. Entities stand in tables, systems run over them each tick, and
-// the only way in and out is World.Tick: events in, commands out. There is no
-// I/O, no clock, no goroutine; with the same seed and the same events it gives
-// the same commands. The router feeds it and carries out what it commands.
+// The package is pure. Entities are rows in tables, systems process them each
+// tick, and the only entry point is World.Tick: events in, commands out. There is
+// no I/O, no clock and no goroutine; the same seed and the same events give the
+// same commands. The router supplies the events and executes the commands.
 //
-// # Where to look
+// # Layout
 //
 // events.go, commands.go and types.go are the contract with the router, config.go
-// the limits and their reasons. World.Tick runs the systems in this order, a file
-// each:
+// holds the limits and their reasons. World.Tick runs these systems in order, one
+// file each:
 //
-//   - ingest applies events to the tables (ingest*.go by what they change);
-//   - retry judges attempts that ended: deliver, hold, try elsewhere, end;
-//   - escalate judges the ratings of held answers;
-//   - expire ends what has run out of time;
-//   - admit answers arrivals, with resolve (which version), cascade (which model)
-//     and wait (how long);
-//   - withdraw makes queued work follow what has changed;
-//   - place fills free slots from the queues, with pick (which server);
-//   - shift judges versions and backend servers.
+//   - ingest applies events to the tables (ingest*.go, by what they change);
+//   - retry handles ended attempts: deliver, hold, retry elsewhere or fail;
+//   - escalate handles the ratings of held answers;
+//   - expire ends requests that have run out of time;
+//   - admit queues or refuses arrivals, using resolve (version), cascade (model)
+//     and wait (estimated queueing time);
+//   - withdraw re-evaluates queued requests after a change;
+//   - place dispatches queued requests to free slots, using pick (server);
+//   - shift publishes verdicts on versions and ejects backend servers.
 //
-// All ends of a request go through command.go. The parts without state of the
+// Every request ends through command.go. The parts that need no state of the
 // world are packages of their own: internal/fair (queues), internal/place (filters,
 // scorers, picker), internal/estimate (learnt quality), internal/verdict (bad
-// versions, slow servers, crashing requests), internal/prefix (who has which prompt
-// cached). docs/design/decision-core.md says what was weighed.
+// versions, slow servers, crashing requests), internal/prefix (which server has
+// which prompt prefix cached). docs/design/decision-core.md gives the trade-offs.
 package decision
--- a/decision/drain.go
+++ b/decision/drain.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// drainMeter measures how fast a pool's queue is worked off, in cost a second.
+// drainMeter measures the rate at which a pool's queue drains, in cost per second.
 //
-// Load: saturation, where other instances use the same servers. What truly left
-// the queue while there was one shows this instance's part of them.
+// Load: saturation, where other instances use the same servers. The cost that left
+// the queue while there was a backlog shows this instance's part of the capacity.
 type drainMeter struct {
-	// work and busy are what left the queue, and the seconds in which there was
-	// one, both decayed by such seconds only: what a saturated pool gave is the
-	// best guess for the next time that it is saturated.
+	// work is the cost that left the queue, busy the seconds with a backlog. Both
+	// decay by such seconds only: the rate under saturation is the best prediction
+	// for the next saturation.
 	work float64
 	busy float64
 }
 
-// advance decays the meter by a time in which the queue was backlogged.
+// advance decays the meter by a time in which there was a backlog.
 func (m *drainMeter) advance(elapsed, halfLife time.Duration) {
 	keep := math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 	m.work *= keep
 	m.busy = m.busy*keep + elapsed.Seconds()
 }
 
-// left notes work that left a backlogged queue.
+// add records cost that left a backlogged queue.
 func (m *drainMeter) add(cost float64) { m.work += cost }
 
-// rate is the cost a second that leaves the queue. The guess counts as a tenth
-// of the half-life, so that half a second of backlog outweighs it by default.
+// rate is the drain rate in cost per second. The guess weighs as much as a tenth
+// of the half-life, so that by default half a second of backlog outweighs it.
 func (m *drainMeter) rate(guess float64, halfLife time.Duration) float64 {
 	prior := halfLife.Seconds() / 10
 	if guess == 0 && m.busy < prior {
@@ -41,70 +41,71 @@
 	return (m.work + guess*prior) / (m.busy + prior)
 }
 
-// biasMeter measures by how much waits turn out longer than was estimated.
+// biasMeter measures the ratio of actual to estimated waits.
 //
-// Load: many teams with thin queues, at saturation. Each later arrival of a team
-// that was served less goes first, which no look at the present queue can show. It
-// is kept for each team: those below their share wait for a slot only, and the
-// others' longer waits must not speak against them.
+// Load: many teams with short queues, at saturation. Later arrivals of a team that
+// got less than its share go first, which the present queue cannot show. There is
+// one meter per team. Harm prevented: teams below their share, which wait for a
+// slot only, are refused because of the longer waits of the others.
 type biasMeter struct {
 	// expected and waited are seconds, decayed by count.
 	expected float64
 	waited   float64
 }
 
-// learn notes that a request waited so long for a slot, or gave up waiting.
+// learn records how long a request waited for a slot or until it was given up.
 func (m *biasMeter) learn(expected, waited time.Duration) {
 	m.expected = m.expected*decayPerAttempt + expected.Seconds()
 	m.waited = m.waited*decayPerAttempt + waited.Seconds()
 }
 
-// Bounds of the correction: beyond them it is the rate that is wrong, and that
-// is measured by itself.
+// Bounds of the correction factor: beyond them the drain rate is wrong, which is
+// measured separately.
 const (
 	minWaitBias = 0.5
 	maxWaitBias = 4
 )
 
-// factor is what to multiply an estimate by. One second of a right estimate is
-// counted in, so that the first few waits do not swing it.
+// factor is the correction factor of an estimate. One second of a correct estimate
+// is included as a prior, so that the first few waits do not dominate it.
 func (m *biasMeter) factor() float64 {
 	return min(max((m.waited+1)/(m.expected+1), minWaitBias), maxWaitBias)
 }
 
-// paceMeter measures how long a pool's attempts take for their cost.
+// serviceTimeMeter measures the service time of a pool's attempts by their cost.
 type serviceTimeMeter struct {
-	// count, cost and seconds of completed attempts, decayed by count.
+	// count, cost and seconds are sums over the completed attempts, decayed with
+	// each attempt.
 	count   float64
 	cost    float64
 	seconds float64
-	// off is the mean part by which an attempt took longer or shorter than was
-	// estimated.
+	// meanError is the mean relative error of the estimate, at most 1 per attempt.
 	meanError float64
-	// answered is the mean part of the tokens that were allowed for that an
-	// answer had.
+	// lengthRatio is the mean length of an answer as a fraction of the tokens
+	// allowed for it.
 	lengthRatio float64
-	// sizes are the same by size of the work: a short answer spends most of its
-	// time on its prompt, and takes longer for its cost than a long one.
+	// sizes holds sums per size class: a short answer spends most of its time on
+	// the prompt and takes longer per unit of cost than a long one.
 	sizes [sizeClasses]sizeTotals
 }
 
-// sizePace is the time of attempts of a size.
+// sizeTotals is the cost and time of the attempts of one size class.
 type sizeTotals struct {
 	cost    float64
 	seconds float64
 }
 
-// maxSizes bounds the sizes, each twice the one before: up to some 500,000 tokens.
+// sizeClasses is the number of size classes. Each spans twice the cost of the one
+// before, up to about 500,000 tokens.
 const sizeClasses = 20
 
 func sizeClass(cost float64) int { return min(bits.Len(uint(cost)), sizeClasses-1) }
 
-// perAttempt keeps about the last 50 attempts: enough to smooth, few enough to
-// follow a change of load within seconds.
+// decayPerAttempt gives an average over about the last 50 attempts: enough to
+// smooth, few enough to follow a change of load within seconds.
 const decayPerAttempt = 0.98
 
-// learn notes a completed attempt.
+// learn records a completed attempt.
 func (m *serviceTimeMeter) learn(took time.Duration, cost float64) {
 	if expected := m.estimate(cost); expected > 0 {
 		relativeError := math.Abs(took.Seconds()/expected.Seconds() - 1)
@@ -118,7 +119,7 @@
 	size.seconds = size.seconds*decayPerAttempt + took.Seconds()
 }
 
-// learnTokens notes an answer's length as a part of what was allowed for.
+// learnTokens records an answer's length relative to the tokens allowed for it.
 func (m *serviceTimeMeter) learnTokens(tokens, allowed float64) {
 	if allowed <= 0 {
 		return
@@ -130,11 +131,12 @@
 	m.lengthRatio += (part - m.lengthRatio) * (1 - decayPerAttempt)
 }
 
-// sizePrior is how many attempts of a size the pace of all sizes counts for.
+// sizePriorAttempts is the weight of the average over all sizes in the estimate of
+// one size class, in attempts.
 const sizePriorAttempts = 3
 
-// service estimates how long an attempt of the cost takes, by those of its size
-// and by all; 0 before anything is known.
+// estimate returns the expected service time of an attempt of the cost, from those
+// of its size class and from all; 0 before any attempt has completed.
 func (m *serviceTimeMeter) estimate(cost float64) time.Duration {
 	if m.cost == 0 {
 		return 0
@@ -145,12 +147,12 @@
 	return seconds(cost * secondsPerCost)
 }
 
-// atMost is the estimate with the usual error added: most attempts take less.
+// upperBound is the estimate plus its mean error: most attempts take less.
 func (m *serviceTimeMeter) upperBound(cost float64) time.Duration {
 	return time.Duration(float64(m.estimate(cost)) * (1 + m.meanError))
 }
 
-// meanCost is that of an attempt.
+// meanCost is the mean cost of an attempt; 0 before any has completed.
 func (m *serviceTimeMeter) meanCost() float64 {
 	if m.count == 0 {
 		return 0
@@ -158,8 +160,8 @@
 	return m.cost / m.count
 }
 
-// rate guesses the cost a second that so many slots work off; 0 before anything
-// is known.
+// rate is the expected throughput of the slots in cost per second; 0 before any
+// attempt has completed.
 func (m *serviceTimeMeter) rate(slots int) float64 {
 	if m.seconds == 0 {
 		return 0
@@ -167,29 +169,30 @@
 	return float64(slots) * m.cost / m.seconds
 }
 
-// seconds turns a number of seconds into a duration, bounded to a day so that no
-// estimate overflows.
+// seconds converts a number of seconds to a duration, limited to 0 to 1 day so that
+// no estimate overflows.
 func seconds(s float64) time.Duration {
 	const day = 24 * 60 * 60
 	return time.Duration(min(max(s, 0), day) * float64(time.Second))
 }
 
-// backlogMeter measures for which part of the last while a queue stood.
+// backlogMeter measures for which fraction of the recent past a queue was not
+// empty, as an exponentially decaying average.
 type backlogMeter struct {
 	past     float64
 	at       time.Time
 	standing bool
 }
 
-// set notes that the queue stands or is empty from now on.
+// set records that the queue is not empty, or empty, from now on.
 func (m *backlogMeter) set(standing bool, now time.Time, halfLife time.Duration) {
 	m.past = m.part(now, halfLife)
 	m.at = now
 	m.standing = standing
 }
 
-// part is 0 for never and 1 for always; half of a lasting change shows after the
-// half-life.
+// part is 0 for never and 1 for always; after one half-life it has covered half of
+// a lasting change.
 func (m *backlogMeter) part(now time.Time, halfLife time.Duration) float64 {
 	left := m.past * math.Exp2(-now.Sub(m.at).Seconds()/halfLife.Seconds())
 	if !m.standing {
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// escalate judges the ratings of held answers: deliver, or replace by the plan's
-// second step.
+// escalate handles the ratings of held answers: it delivers the answer or replaces
+// it by running the plan's second step.
 //
 // Load: hard requests among easy ones, and a rating service that is late, slow,
-// wrong or down. Harm prevented: an answer below the team's quality; but an
-// answer never waits longer for its rating than its budget, and never past the
-// point where the second step could still be in time.
+// wrong or down. Harm prevented: an answer below the team's quality target. An
+// answer never waits for its rating longer than its rating timeout, nor past the
+// point where the second step could still complete in time.
 func (w *World) escalate() {
 	for _, e := range w.rated {
 		w.learnRating(e)
@@ -22,8 +22,8 @@
 	}
 }
 
-// learnRating teaches the estimates. The second step's rating is learnt apart,
-// since it answers the harder requests.
+// learnRating updates the quality estimates. Ratings of second steps are learnt
+// separately, since these answer the harder requests.
 func (w *World) learnRating(e AnswerRated) {
 	key := task{Team: e.Team, Class: e.Class}
 	used := w.estimates.Rated(key, e.Version, e.Score, e.Late, w.now)
@@ -38,6 +38,7 @@
 	}
 }
 
+// decideHeld escalates the request or delivers its held answer.
 func (w *World) decideHeld(r *request, e AnswerRated) {
 	v := w.versions[r.plan.Second]
 	if e.Late || v == nil || !w.mayEscalate(r, v) {
@@ -53,19 +54,19 @@
 	w.enqueue(r)
 }
 
-// mayStep says whether the second step may run by the manifest as it is now. A
-// version that the session keeps may be draining.
+// mayEscalate reports whether the second step may run under the current manifest.
+// A version that the session is pinned to may be draining.
 func (w *World) mayEscalate(r *request, v *version) bool {
 	takes := v.serving() || v.open() && slices.Contains(r.Pins, v.ID)
 	return takes && !r.team.gone && r.team.allowed[v.ID] && v.pool.usable > 0 &&
 		int(r.attempts) < w.cfg.MaxAttempts && w.fresh
 }
 
-// rateGrace is how long past the budget the router's word is waited for. It
-// sends one in any case; this only bounds the harm of a lost one.
+// ratingGrace is how long past the rating timeout the router's AnswerRated is
+// awaited. The router always sends one; this only bounds the harm of a lost event.
 const ratingGrace = 100 * time.Millisecond
 
-// hold keeps a whole answer back until its rating is in.
+// hold holds a whole answer back until its rating arrives or times out.
 func (w *World) hold(r *request, a *attempt) {
 	r.held = a.key.attempt
 	r.state = stateHeld
--- a/decision/events.go
+++ b/decision/events.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Event is anything that a tick takes in. The set is closed: see below.
+// Event is an input of a tick. The types in this file are the only
+// implementations.
 type Event interface{ event() }
 
-// ManifestApplied replaces teams and versions by a newer generation.
+// ManifestApplied replaces teams and versions by those of a newer generation.
 type ManifestApplied struct {
 	Generation uint64
 	Teams      []Team
 	Versions   []Version
 }
 
-// ServersListed replaces the table of backend servers by the platform's list.
-// The list lags: a server that said that it is leaving stays leaving until the
-// list has dropped it.
+// ServersListed replaces the table of backend servers by the platform's list. The
+// list lags: a server that was reported as leaving stays so until the list has
+// dropped it.
 type ServersListed struct{ Servers []Server }
 
-// ServerLeaving is an early word that a backend server is leaving: from its own
-// answer, its load report or a peer.
+// ServerLeaving reports, ahead of the list, that a backend server is leaving: from
+// the server's own response, its load report or a peer.
 type ServerLeaving struct{ Server ServerID }
 
-// LoadReported is a backend server's own load; it lags.
+// LoadReported is the load that a backend server reports; it lags.
 type LoadReported struct {
 	Server  ServerID
 	Running int
 	Queued  int
-	// At is when the server measured it.
+	// At is when the server measured the load.
 	At time.Time
 }
 
-// CacheChanged is a backend server's word on its prefix cache. Events come late
-// and with gaps: a Seq that is not the last one plus 1 says that some are lost.
+// CacheChanged is a backend server's report of changes in its prefix cache. Events
+// are late and may be lost: a Seq that is not the previous one plus 1 shows a gap.
 type CacheChanged struct {
 	Server  ServerID
 	Seq     uint64
@@ -39,8 +40,8 @@
 	Removed []BlockHash
 }
 
-// RequestArrived hands over a request. It is answered by exactly one of Refuse,
-// Fail or Deliver in the end, unless RequestCancelled comes first.
+// RequestArrived passes in a request. It is eventually answered by exactly one of
+// Refuse, Fail and Deliver, unless RequestCancelled comes first.
 type RequestArrived struct{ Request Request }
 
 // SessionOpening asks which versions a new session gets; it is answered by
@@ -48,35 +49,36 @@
 type SessionOpening struct {
 	Session SessionID
 	Team    TeamID
-	// ShareHash is the session's place in roll-outs.
+	// RolloutPosition is the session's position in roll-outs, from 0 up to but
+	// not 1.
 	RolloutPosition float64
 }
 
-// RequestCancelled says that the caller has gone.
+// RequestCancelled reports that the caller has disconnected or cancelled.
 type RequestCancelled struct{ Request RequestID }
 
-// FirstToken marks the first byte of an answer.
+// FirstToken reports the first byte of an answer.
 type FirstToken struct {
 	Request RequestID
 	Attempt AttemptID
 }
 
-// AttemptEnded closes a Dispatch.
+// AttemptEnded reports the end of a dispatched attempt.
 type AttemptEnded struct {
 	Request RequestID
 	Attempt AttemptID
 	Result  AttemptResult
-	// Tokens generated, for cost.
+	// Tokens is the number of generated tokens, for the actual cost.
 	Tokens int
-	// Sent says that a part of the answer already went to the caller, so that
-	// no other attempt may follow.
+	// ResponseStarted is set if a part of the answer has been sent to the caller,
+	// so that no other attempt may follow.
 	ResponseStarted bool
-	// Leaving says that the backend server refused because it is leaving.
+	// Leaving is set if the backend server refused because it is leaving.
 	Leaving bool
 }
 
-// AnswerRated is the rating service's word on one attempt's answer. Late means
-// that none came within the budget; then Score is meaningless.
+// AnswerRated is the rating of one attempt's answer. Late is set if none arrived
+// within the rating timeout; Score is then meaningless.
 type AnswerRated struct {
 	Request RequestID
 	Attempt AttemptID
@@ -87,11 +89,11 @@
 	Late    bool
 }
 
-// VersionVerdict is a verdict on a version, own or from a peer.
+// VersionVerdict is a verdict on a version, by this instance or a peer.
 type VersionVerdict struct {
 	Version VersionID
 	Bad     bool
-	// Until bounds a peer's verdict.
+	// Until is when a peer's verdict expires.
 	Until time.Time
 }
 
@@ -101,10 +103,11 @@
 	Until       time.Time
 }
 
-// FreshnessChanged says whether new work may start at all, and whether the log
-// is down for everybody.
+// FreshnessChanged reports whether the instance is fresh, without which it starts
+// no new attempts, and whether there is an outage of the log.
 type FreshnessChanged struct {
-	Fresh  bool
+	Fresh bool
+	// Outage is set while the log is down for all instances.
 	Outage bool
 }
 
--- a/decision/expire.go
+++ b/decision/expire.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// expire ends what has run out of time.
+// expire ends requests that have run out of time.
 //
-// Load: saturation, where work waits longer than its caller. Harm prevented: an
-// answer that comes after its caller gave up still takes a slot, and a caller
-// that is held to its deadline cannot go elsewhere. Queued work is refused at
-// once as not run; running work is cancelled at the backend server.
+// Load: saturation, where requests wait longer than their callers. Harm prevented:
+// an answer that completes after its caller has stopped waiting still occupies a
+// slot, and a caller kept waiting until its deadline cannot go elsewhere. Queued
+// requests are refused at once as not run; running attempts are cancelled at the
+// backend server.
 func (w *World) expire() {
 	w.wakeServers()
 	for now := w.now.Sub(w.base); len(w.due) > 0 && w.due[0].due <= now; {
@@ -22,7 +23,7 @@
 	for len(w.wakes) > 0 && !w.wakes[0].at.After(w.now) {
 		next := heap.Pop(&w.wakes).(wake)
 		if !next.at.Equal(next.server.wakeAt) {
-			continue // an earlier wake has taken its place
+			continue // superseded by an earlier wake
 		}
 		next.server.wakeAt = time.Time{}
 		w.refresh(next.server)
@@ -32,8 +33,8 @@
 func (w *World) expireRequest(r *request) {
 	switch {
 	case r.held != 0:
-		// A held answer is whole: its rating is late, and no later than this is
-		// it of use to the caller.
+		// A held answer is whole. Its rating is late, and waiting longer would
+		// only delay the caller.
 		w.deliver(r, r.held)
 	case r.state == stateRunning:
 		w.recordServerTimeout(r.current)
@@ -49,7 +50,7 @@
 	}
 }
 
-// watch sets when the request must be looked at next.
+// setDue sets the time of the request's next timeout.
 func (w *World) setDue(r *request, at time.Time) {
 	e := dueEntry{due: at.Sub(w.base), id: r.ID, request: r}
 	if r.duePos < 0 {
@@ -63,7 +64,7 @@
 	}
 }
 
-// unwatch takes the request off the heap.
+// clearDue removes the request from the heap.
 func (w *World) clearDue(r *request) {
 	if r.duePos >= 0 {
 		heap.Remove(&w.due, r.duePos)
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tape turns fuzzed bytes into values; past its end it gives zeros.
+// byteSource turns fuzzed bytes into values; past its end it returns zeros.
 type byteSource []byte
 
 func (t *byteSource) next() byte {
@@ -18,7 +18,7 @@
 	return b
 }
 
-// number is sometimes one that no sane sender would send.
+// number is at times not a number, infinite or out of range.
 func (t *byteSource) number() float64 {
 	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 2}
 	b := int(t.next())
@@ -115,9 +115,9 @@
 	return RequestArrived{Request: r}
 }
 
-// FuzzTick feeds arbitrary events, also impossible ones, at arbitrary times. It
-// must not panic, must not pass a server's capacity and must answer each request
-// once.
+// FuzzTick sends arbitrary events, including invalid ones, at arbitrary times. Tick
+// must not panic, must answer no request twice, and no server's count of running
+// attempts may become negative.
 func FuzzTick(f *testing.F) {
 	seed := make([]byte, 600)
 	for i := range seed {
@@ -173,7 +173,8 @@
 	}
 }
 
-// cancelledIn says whether the id may have been used again within the tick.
+// cancelledIn reports whether the id was cancelled in the tick, and so may have
+// been used again within it.
 func cancelledIn(events []Event, id RequestID) bool {
 	for _, e := range events {
 		if c, ok := e.(RequestCancelled); ok && c.Request == id {
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// step is the harness's time between ticks.
+// step is the time between two ticks of the harness.
 const step = 10 * time.Millisecond
 
 var epoch = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
-// outcome is what one caller got.
+// outcome is the result that one caller got.
 type outcome struct {
 	team    TeamID
 	command Command
@@ -19,7 +19,7 @@
 	waited  time.Duration
 }
 
-// running is an attempt at the fake backend servers.
+// running is an attempt on a fake backend server.
 type running struct {
 	Dispatch
 	ends   time.Time
@@ -32,8 +32,8 @@
 	Errorf(format string, args ...any)
 }
 
-// harness drives a World with fake backend servers of a fixed pace, checks the
-// invariants at each command and keeps what callers got.
+// harness drives a World with fake backend servers, checks the invariants at each
+// command and records the outcomes.
 type harness struct {
 	t      reporter
 	w      *World
@@ -52,12 +52,12 @@
 	ran      map[RequestID]int
 	nextID   RequestID
 
-	// took says how long an attempt runs, ended how it ends.
+	// duration is how long an attempt runs, result how it ends.
 	duration func(d Dispatch, r Request) time.Duration
 	result   func(d Dispatch, r Request) AttemptResult
 	// rating scores a completed answer; nil rates nothing.
 	rating func(d Dispatch, r Request) (score float64, late bool)
-	// seen is called for each command.
+	// onCommand is called for each command.
 	onCommand func(Command)
 }
 
@@ -98,7 +98,7 @@
 	h.send(ServersListed{Servers: list})
 }
 
-// arrive sends a request with a fresh id and returns the id.
+// arrive sends a request with a new id and returns the id.
 func (h *harness) arrive(r Request) RequestID {
 	h.nextID++
 	r.ID = h.nextID
@@ -108,14 +108,15 @@
 	return r.ID
 }
 
-// run ticks for a time.
+// run ticks until d has passed.
 func (h *harness) run(d time.Duration) {
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.tick()
 	}
 }
 
-// tick ends the attempts that are due, runs the world once and moves time on.
+// tick ends the attempts that are due, runs one tick of the world and advances the
+// time by a step.
 func (h *harness) tick() {
 	kept := h.running[:0]
 	var done []running
@@ -176,7 +177,7 @@
 	}
 }
 
-// dispatch checks what must hold whenever work is given to a backend server.
+// dispatch checks the invariants of every dispatch to a backend server.
 func (h *harness) dispatch(d Dispatch) {
 	r, live := h.live[d.Request]
 	if !live {
@@ -232,7 +233,7 @@
 	delete(h.live, id)
 }
 
-// delivered counts a team's whole answers; an empty team counts all.
+// delivered counts a team's delivered answers; an empty team counts all teams.
 func (h *harness) delivered(team TeamID) int {
 	n := 0
 	for _, o := range h.outcomes {
@@ -243,7 +244,7 @@
 	return n
 }
 
-// settled fails the test where a request was left without an answer.
+// requireAllAnswered fails the test if a request has not been answered.
 func (h *harness) requireAllAnswered() {
 	h.t.Helper()
 	if len(h.live) > 0 {
@@ -251,7 +252,7 @@
 	}
 }
 
-// The small manifest that most tests use.
+// Versions of the small manifest that most tests use.
 const (
 	weave1 VersionID = "weave@1"
 	weave2 VersionID = "weave@2"
--- a/decision/heaps.go
+++ b/decision/heaps.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// dueEntry is a request and when it must be looked at, as the time since the
-// world's first tick: unlike a time of day it stands still when the clock is set.
-// The entry holds what is compared, so that ordering touches no row.
+// dueEntry is a request and its next timeout. The timeout is the time since the
+// world's first tick, which, unlike a time of day, does not jump when the clock is
+// set. The entry holds the compared fields, so that ordering reads no row.
 type dueEntry struct {
 	due     time.Duration
 	id      RequestID
@@ -27,7 +27,7 @@
 	h[j].request.duePos = j
 }
 func (h *dueHeap) Push(x any) {
-	// The pointer saves an allocation; see watch.
+	// The pointer saves an allocation; see setDue.
 	e := *x.(*dueEntry)
 	e.request.duePos = len(*h)
 	*h = append(*h, e)
@@ -41,14 +41,14 @@
 	return r
 }
 
-// wake says when a server's state must be looked at again.
+// wake is when a server's state must be refreshed.
 type wake struct {
 	at     time.Time
 	seq    uint64
 	server *server
 }
 
-// wakeHeap orders wakes by time, then by age.
+// wakeHeap orders wakes by time, then by sequence number.
 type wakeHeap []wake
 
 func (h wakeHeap) Len() int { return len(h) }
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ingest applies the events to the tables in order. It decides nothing but what
-// an event says by itself; arrivals and ends are left to the later systems, so
-// that these see the whole tick's facts first.
+// ingest applies the events to the tables in order. Arrivals and ended attempts
+// are only recorded for the later systems, so that these decide with all events of
+// the tick applied.
 func (w *World) ingest(in []Event) {
 	for _, e := range in {
 		w.apply(e)
@@ -44,8 +44,8 @@
 	}
 }
 
-// ingestRequest enters a request. An id that is live already is the router's
-// mistake: the second one is dropped, since one id can have only one answer.
+// ingestRequest adds a request. An id that is already live is an error of the
+// router: the second request is dropped, since an id can have only one answer.
 func (w *World) ingestRequest(in Request) {
 	if _, live := w.requests[in.ID]; live {
 		return
@@ -60,8 +60,8 @@
 	w.arrived = append(w.arrived, r)
 }
 
-// ingestCancelled ends a request whose caller has gone: what waits leaves the
-// queue and what runs is cancelled, so that no slot works for nobody.
+// ingestCancelled ends a request whose caller has disconnected: it leaves the
+// queue, and a running attempt is cancelled to free its slot.
 func (w *World) ingestCancelled(id RequestID) {
 	r := w.requests[id]
 	if r == nil {
@@ -79,15 +79,16 @@
 		w.recheck = true
 	}
 	if w.now.After(w.resumedAt) {
-		// Told after the pause; what was on its way before it says nothing.
+		// Reported after the pause; a report sent before it says nothing about
+		// the state now.
 		w.holdUntil = time.Time{}
 	}
 	w.fresh = e.Fresh
 	w.outage = e.Outage
 }
 
-// ingestLoad notes what a server says of itself. Reports lag, so an older one
-// that comes after a newer one is dropped.
+// ingestLoad records a server's load report. Reports lag and may arrive out of
+// order: one older than the last is dropped.
 func (w *World) ingestLoad(e LoadReported) {
 	s := w.servers[e.Server]
 	if s == nil || e.At.Before(s.reportedAt) {
@@ -95,14 +96,14 @@
 	}
 	s.reportedAt = e.At
 	if s.reportedAt.After(w.now) {
-		s.reportedAt = w.now // the server's clock runs ahead
+		s.reportedAt = w.now // the server's clock is ahead
 	}
 	s.otherLoad = max(0, e.Running+e.Queued-s.running)
 	w.refresh(s)
 }
 
-// ingestFirstToken notes when an answer began, since the time from there on is
-// the server's pace, without the wait in its queue.
+// ingestFirstToken records when an answer began: the time from then on gives the
+// time per token, without the wait in the server's own queue.
 func (w *World) ingestFirstToken(e FirstToken) {
 	a := w.attemptOf(attemptKey{e.Request, e.Attempt})
 	if a != nil && a.firstToken.IsZero() {
@@ -110,7 +111,7 @@
 	}
 }
 
-// reportFresh says whether the last load report still counts.
+// reportFresh reports whether the last load report is recent enough to count.
 func (w *World) reportFresh(s *server) bool {
 	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
 }
--- a/decision/ingest_attempt.go
+++ b/decision/ingest_attempt.go
@@ -1,17 +1,17 @@
 package decision
 
-// endedAttempt is an attempt's end that the retry system must judge.
+// endedAttempt is an attempt's end that the retry system has to handle.
 type endedAttempt struct {
 	attempt *attempt
 	event   AttemptEnded
 }
 
-// ingestEnded frees the slot at once, so that the same tick can fill it. What
-// becomes of the request is the retry system's decision.
+// ingestEnded frees the slot at once, so that the same tick can fill it, and
+// records the result. The retry system decides how the request continues.
 func (w *World) ingestEnded(e AttemptEnded) {
 	a := w.attemptOf(attemptKey{e.Request, e.Attempt})
 	if a == nil {
-		return // ended before, or never dispatched: nothing to free
+		return // already ended, or never dispatched: nothing to free
 	}
 	w.release(a.server)
 	if e.Leaving {
@@ -22,7 +22,7 @@
 	w.recordVersionResult(a, e)
 	w.crashEnded(a, e.Result)
 	if e.Result == AttemptCrashed {
-		w.prefixes.Forget(a.server.ID) // its cache died with it
+		w.prefixes.Forget(a.server.ID) // the crash lost its cache
 	}
 	if a.request.current != a {
 		delete(w.orphans, a.key)
@@ -32,7 +32,7 @@
 	w.ended = append(w.ended, endedAttempt{attempt: a, event: e})
 }
 
-// attemptOf finds an attempt that has not ended, or nil.
+// attemptOf returns the attempt with the key if it has not ended, else nil.
 func (w *World) attemptOf(key attemptKey) *attempt {
 	r := w.requests[key.request]
 	if r != nil && r.current != nil && r.current.key == key {
@@ -41,7 +41,7 @@
 	return w.orphans[key]
 }
 
-// release frees a slot.
+// release frees a slot of the server.
 func (w *World) release(s *server) {
 	s.running--
 	if s.gone && s.running == 0 {
@@ -50,11 +50,11 @@
 	w.refresh(s)
 }
 
-// learnDuration keeps the pool's time per unit of cost, and corrects the team's
-// share by what the attempt truly cost.
+// learnDuration updates the pool's estimate of service times and corrects the
+// team's account by the difference between the actual and the estimated cost.
 func (w *World) learnDuration(a *attempt, e AttemptEnded) {
 	if e.Result == AttemptNotRun {
-		a.team.account.Correct(-a.cost) // nothing was given
+		a.team.account.Correct(-a.cost) // it used no capacity
 	}
 	if e.Result != AttemptCompleted {
 		return
@@ -71,7 +71,8 @@
 	a.team.account.Correct(min(actual-a.cost, a.cost))
 }
 
-// ingestRated learns from a rating and keeps it for the escalate system.
+// ingestRated records a rating for its version and queues it for the escalate
+// system.
 func (w *World) ingestRated(e AnswerRated) {
 	if !e.Late {
 		w.recordVersionRating(e)
--- a/decision/ingest_manifest.go
+++ b/decision/ingest_manifest.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// ingestManifest replaces teams and versions by a newer generation. An older or
-// equal one is dropped: a manifest in force never reverts, also when an event is
-// late.
+// ingestManifest replaces teams and versions by those of a newer generation. An
+// older or equal generation is dropped: the manifest in force never reverts, even
+// if an event arrives late.
 func (w *World) ingestManifest(e ManifestApplied) {
 	if e.Generation <= w.generation {
 		return
@@ -32,7 +32,7 @@
 			w.versions[row.ID] = v
 		}
 		if !v.gone && v.ID != "" {
-			continue // a second row of the same id: the first one stands
+			continue // duplicate id: the first row counts
 		}
 		v.Version = row
 		v.gone = false
@@ -62,8 +62,8 @@
 	})
 }
 
-// age counts a version's predecessors. The count stops at the number of
-// versions, so that a ring of predecessors ends.
+// age counts a version's predecessors. The count is bounded by the number of
+// versions, so that a cycle of predecessors terminates.
 func (w *World) age(v *version) int {
 	n := 0
 	for n <= len(w.versions) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// applyAllowed derives what the team may use, so that a decision need not.
+// applyAllowed precomputes the versions, models and services that the team may use.
 func (w *World) applyAllowed(t *team) {
 	t.allowed = make(map[VersionID]bool, len(t.Allowed))
 	t.services = make(map[ServiceID]bool, len(t.Services))
--- a/decision/ingest_servers.go
+++ b/decision/ingest_servers.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// ingestServers makes the table follow the platform's list. Only rows that
-// changed are touched, so that a list of 10,000 with one change costs one pass
-// and no rebuilding.
+// ingestServers updates the table to the platform's list. Only rows that changed
+// are touched, so that one change in a list of 10,000 costs one pass and rebuilds
+// nothing.
 func (w *World) ingestServers(rows []Server) {
 	listed := make(map[ServerID]bool, len(rows))
 	for _, row := range rows {
@@ -34,8 +34,8 @@
 		w.joinPools(s)
 		return
 	}
-	// The earliest word wins: a server that said that it is leaving stays so
-	// until the list has dropped it, since the list lags.
+	// The list lags: a server that was reported as leaving stays so until the list
+	// has dropped it.
 	leaving := s.leaving || row.Leaving
 	if sameServer(s.Server, row) && leaving == s.leaving {
 		return
@@ -46,8 +46,8 @@
 	w.joinPools(s)
 }
 
-// newServer makes a row. One that was dropped from the list while it still ran
-// something comes back with what it runs, so that its slots are not given twice.
+// newServer creates a row. A server that was dropped from the list with attempts
+// still running gets its old row back, so that its slots are not filled twice.
 func (w *World) newServer(row Server) *server {
 	s := w.departed[row.ID]
 	if s == nil {
@@ -65,7 +65,8 @@
 		slices.Equal(a.Versions, b.Versions)
 }
 
-// dropServer forgets a server, once the attempts that it runs have ended.
+// dropServer removes a server. Its row is kept in departed until its running
+// attempts have ended.
 func (w *World) dropServer(s *server) {
 	w.leavePools(s)
 	s.gone = true
@@ -76,8 +77,8 @@
 	w.prefixes.Forget(s.ID)
 }
 
-// ingestLeaving stops new work to a server at once and passes the word on the
-// first time that it is heard.
+// ingestLeaving stops new requests to a server at once. The first report is shared
+// with the peers.
 func (w *World) ingestLeaving(id ServerID) {
 	s := w.servers[id]
 	if s == nil || s.leaving {
@@ -90,7 +91,7 @@
 	w.emit(ShareLeaving{Server: id})
 }
 
-// join enters a server into its pools.
+// joinPools adds a server to the pools of its versions or of its service.
 func (w *World) joinPools(s *server) {
 	s.memberships = s.memberships[:0]
 	if s.Service != "" {
@@ -110,7 +111,8 @@
 	w.refresh(s)
 }
 
-// addMember enters the pool once, also where a list names a version twice.
+// addMember adds the server to the pool once, even if the list names a version
+// twice.
 func (s *server) addMember(p *pool) {
 	for _, m := range s.memberships {
 		if m.pool == p {
@@ -120,7 +122,7 @@
 	s.memberships = append(s.memberships, membership{pool: p, pos: -1})
 }
 
-// part takes a server out of its pools.
+// leavePools removes a server from its pools.
 func (w *World) leavePools(s *server) {
 	w.setFree(s, false)
 	if !s.leaving {
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// demand is one team's load: a mean of perSecond requests, like Request.
+// demand is the load of one team: on average perSecond copies of request.
 type demand struct {
 	perSecond float64
 	request   Request
-	// deadline after arrival.
+	// deadline is the time from the arrival to the deadline.
 	deadline time.Duration
 }
 
-// offer sends Poisson-like arrivals of all demands for a time.
+// offer generates approximately Poisson arrivals of all demands for the time d.
 func offer(h *harness, rng *rand.Rand, d time.Duration, demands ...demand) {
 	for end := h.now.Add(d); h.now.Before(end); {
 		for _, dem := range demands {
@@ -35,7 +35,7 @@
 	}
 }
 
-// arrivals draws from a binomial with many trials, near Poisson.
+// arrivals draws from a binomial distribution with many trials, close to Poisson.
 func arrivals(rng *rand.Rand, rate float64) int {
 	const trials = 200
 	n := 0
@@ -47,17 +47,18 @@
 	return n
 }
 
-// paced makes attempts take 10 ms a token.
+// tenMsPerToken makes attempts take 10 ms per token.
 func tenMsPerToken(d Dispatch, r Request) time.Duration {
 	return time.Duration(r.MaxTokens) * 10 * time.Millisecond
 }
 
-// drafting is one request of 20 tokens: 200 ms at the fakes' pace.
+// draftRequest is a request of 20 tokens: 200 ms at 10 ms per token.
 func draftRequest(team TeamID) Request {
 	return Request{Team: team, Model: "weave", MaxTokens: 20, Idempotent: true}
 }
 
-// loadWorld has 6 servers of 8 slots: 240 drafting requests a second.
+// loadHarness has 6 servers with 8 slots each: a capacity of 240 draft requests per
+// second.
 func loadHarness(t *testing.T, teams ...Team) (*harness, *rand.Rand) {
 	h := newHarness(t, DefaultConfig())
 	h.duration = tenMsPerToken
@@ -67,7 +68,8 @@
 	return h, rand.New(rand.NewPCG(7, 7))
 }
 
-// waits lists, sorted, how long a team's callers waited for whole answers.
+// answerTimes returns, sorted, the times from arrival to delivery of a team's
+// answers.
 func (h *harness) answerTimes(team TeamID) []time.Duration {
 	var list []time.Duration
 	for _, o := range h.outcomes {
@@ -86,8 +88,8 @@
 	return sorted[int(p*float64(len(sorted)-1))]
 }
 
-// refusedAtOnce fails the test where a refusal came late, or said nothing of
-// when to come back.
+// requirePromptRefusals fails the test if more than 1% of the requests were refused
+// late, or if any was refused without a retry time or only at its deadline.
 func (h *harness) requirePromptRefusals() {
 	h.t.Helper()
 	late, noRetryAfter, atDeadline := 0, 0, 0
@@ -108,11 +110,12 @@
 	}
 	total := len(h.outcomes)
 	if late*100 > total || noRetryAfter > 0 || atDeadline > 0 {
-		h.t.Errorf("of %d: %d refused late, %d without a time, %d held to the deadline", total, late, noRetryAfter, atDeadline)
+		h.t.Errorf("of %d: %d refused late, %d without RetryAfter, %d only at the deadline", total, late, noRetryAfter, atDeadline)
 	}
 }
 
-// A burst of one team neither delays the other nor is held to its deadline.
+// A burst of one team must not delay another team. The part of it that cannot be
+// answered in time must be refused at once, not at its deadline.
 func TestBurst(t *testing.T) {
 	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
 	steady := demand{perSecond: 60, request: draftRequest("shops"), deadline: 5 * time.Second}
@@ -129,14 +132,14 @@
 	if p99 := percentile(h.answerTimes("shops"), 0.99); p99 > 600*time.Millisecond {
 		t.Errorf("p99 of the steady team: %v", p99)
 	}
-	// 180 requests a second are free for the burst, for 2.8 s of its deadline.
+	// 180 requests per second are left for the burst, for 2.8 s until its deadline.
 	if got := h.delivered("weavers"); got < 400 {
 		t.Errorf("%d of the burst answered, want at least 400", got)
 	}
 }
 
-// One team sends 80% of twice the capacity. Teams below their share get all they
-// ask for; the large one gets what is left.
+// One team sends 80% of a load of twice the capacity. The teams below their share
+// must get all that they request and the large one what is left.
 func TestSkew(t *testing.T) {
 	h, rng := loadHarness(t, teamOf("big", 1), teamOf("a", 1), teamOf("b", 1), teamOf("c", 1))
 	var demands []demand
@@ -160,13 +163,13 @@
 			t.Errorf("p99 of team %s: %v", id, p99)
 		}
 	}
-	// 144 a second are left of 240; 5% is allowed for the ticks.
+	// 144 of 240 per second are left; 5% tolerance for the length of a tick.
 	if got := h.delivered("big"); got < 1440*95/100 {
 		t.Errorf("big got %d, want 1440", got)
 	}
 }
 
-// Weights share a saturated pool: 3 to 1.
+// Two teams must share a saturated pool in proportion to their weights, 3 to 1.
 func TestWeights(t *testing.T) {
 	h, rng := loadHarness(t, teamOf("heavy", 3), teamOf("light", 1))
 	offer(h, rng, 10*time.Second,
@@ -181,7 +184,8 @@
 	}
 }
 
-// At twice saturation goodput is at least 95% of that at saturation.
+// At twice and at ten times the saturation load, goodput must be at least 95% of
+// that at saturation: it collapses if slots are used for answers that are too late.
 func TestSaturationGoodput(t *testing.T) {
 	at := func(factor float64) int {
 		h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
@@ -200,8 +204,8 @@
 	}
 }
 
-// A queue that stands is kept short: callers of an overloaded pool wait for a part
-// of their time only, and as many are answered.
+// In sustained overload the queue must stay short: callers wait for a fraction of
+// the time to their deadline only, and the throughput stays the same.
 func TestStandingQueueIsShort(t *testing.T) {
 	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
 	load := []demand{
@@ -223,7 +227,7 @@
 	}
 }
 
-// Long work of one team does not starve the short work of another.
+// Long requests of one team must not starve the short requests of another.
 func TestLongAndShort(t *testing.T) {
 	h, rng := loadHarness(t, teamOf("long", 1), teamOf("short", 1))
 	long := Request{Team: "long", Model: "weave", MaxTokens: 300, Idempotent: true}
@@ -241,8 +245,9 @@
 	}
 }
 
-// One backend server dies under load: what it ran is run elsewhere where it may
-// be, and its fast refusals draw no work.
+// One backend server crashes under load and then refuses at once. Idempotent
+// requests that it ran must be retried elsewhere, and its fast refusals must cause
+// no request to fail or be refused.
 func TestServerDies(t *testing.T) {
 	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
 	booking := draftRequest("shops")
@@ -292,8 +297,9 @@
 	}
 }
 
-// A server that refuses at once looks idle. Also where nothing ejects it, it is
-// left alone for a moment after each refusal and draws little work.
+// A server that refuses at once looks idle and would attract all requests. Even
+// without ejection it must get few, since it is excluded for a short time after
+// each refusal.
 func TestRefusingServerDrawsLittleWork(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Policy.NoVerdicts = true
@@ -319,7 +325,8 @@
 	offer(h, rng, 4*time.Second, demand{perSecond: 120, request: draftRequest("weavers"), deadline: 5 * time.Second})
 	h.run(5 * time.Second)
 	h.requireAllAnswered()
-	// 20 times the backoff; about two go there before the first is refused.
+	// The test lasts 20 backoffs; about two requests are sent before the first is
+	// refused.
 	if refusals > 60 {
 		t.Errorf("%d of %d requests went to the refusing server", refusals, len(h.outcomes))
 	}
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -6,9 +6,9 @@
 	"masticplank.example/decision/internal/place"
 )
 
-// newPicker puts the filters and scorers in a row. The filters are asked though
-// the draws are from the free set already: the prefix index knows servers that
-// are not in it.
+// newPicker returns the picker with its filters and scorers. The filters are needed
+// although drawn servers come from the free set: the prefix index also returns
+// servers outside it.
 func newPicker(cfg Config) place.Picker {
 	return place.Picker{
 		Filters: []place.Filter{
@@ -22,12 +22,12 @@
 	}
 }
 
-// choices is how many servers are drawn. Two gain nearly all that a full scan
-// would: the longest queue falls from log n to log log n, and with lagging
-// reports a scan would send all instances to the same idle server.
+// drawCount is how many servers are drawn at random. Two give nearly the whole
+// benefit of a full scan: the longest queue falls from log n to log log n. With
+// lagging reports, a full scan would send all instances to the same idle server.
 const drawCount = 2
 
-// pick chooses a server with a free slot, or nil where none may take the request.
+// pick returns a server with a free slot, or nil if none may take the request.
 func (w *World) pick(p *pool, r *request) *server {
 	switch w.cfg.Policy.Placement {
 	case PlaceRoundRobin:
@@ -48,7 +48,8 @@
 	return w.pickTried(p, r)
 }
 
-// consider adds a server to the candidates, once, and returns its candidate.
+// addCandidate adds a server to the candidates if it is not among them yet, and
+// returns its candidate; nil for no server.
 func (w *World) addCandidate(s *server, p *pool, r *request) *place.Candidate {
 	if s == nil {
 		return nil
@@ -72,10 +73,11 @@
 	return &w.candidates[len(w.candidates)-1]
 }
 
-// samples bounds the draws for a server that the request has not tried.
+// maxDraws bounds the random draws in search of a server that the request does not
+// avoid.
 const maxDraws = 8
 
-// sample draws a free server, if it can one that the request does not avoid.
+// drawFree draws a free server, if possible one that the request does not avoid.
 func (w *World) drawFree(p *pool, r *request) *server {
 	if len(p.free) == 0 {
 		return nil
@@ -90,10 +92,10 @@
 	return s
 }
 
-// lastResort gives a request a server that refused it before, where no other one
-// is free: trying again is better than not at all. None is given to one that may
-// have crashed a server, nor one on trial to a request that could not be tried
-// again.
+// pickTried returns a free server that the request has tried before, when no other
+// one is free: a retry there is better than none. A request that may have crashed a
+// server gets none, and one that is not idempotent gets no ejected server, which
+// takes probes only.
 func (w *World) pickTried(p *pool, r *request) *server {
 	if r.crashes > 0 {
 		return nil
@@ -107,8 +109,8 @@
 	return nil
 }
 
-// avoids says whether the request should not go to the server: it failed there,
-// or the server is on trial and the request could not be tried again.
+// avoids reports whether the request should not go to the server: it failed there,
+// or the server is ejected and takes a probe, and the request is not idempotent.
 func (w *World) avoids(r *request, s *server) bool {
 	if s.ejected && !r.Idempotent {
 		return true
@@ -121,7 +123,7 @@
 	return false
 }
 
-// in says whether the server is in the pool.
+// inPool reports whether the server is in the pool.
 func (s *server) inPool(p *pool) bool {
 	for i := range s.memberships {
 		if s.memberships[i].pool == p {
@@ -131,8 +133,9 @@
 	return false
 }
 
-// load is the server's load as a part of its capacity: the own attempts, which
-// are exact, and the others' by the last report, fading with its age.
+// load is the server's load as a fraction of its capacity: this instance's own
+// attempts, which are exact, plus those of the others by the last report, whose
+// weight falls to 0 with its age.
 func (w *World) load(s *server) float64 {
 	load := float64(s.running)
 	if s.otherLoad > 0 {
@@ -169,7 +172,7 @@
 	return best
 }
 
-// rateBudget is how long the answer may wait for its rating.
+// ratingTimeout is how long the answer may wait for its rating, at least 1 ms.
 func (w *World) ratingTimeout(r *request) time.Duration {
 	return min(w.cfg.RatingTimeout, max(r.deadline.Sub(w.now), time.Millisecond))
 }
--- a/decision/place.go
+++ b/decision/place.go
@@ -6,14 +6,14 @@
 	"masticplank.example/decision/internal/verdict"
 )
 
-// place fills free slots from the queues, one request a pool in turn, so that
-// pools that share servers share their slots. It looks only at pools with
-// queued work and ends when none of them has a free server: its cost is by what
-// it places, not by the size of the fleet or of the queues.
+// place fills free slots from the queues, one request per pool in turn, so that
+// pools with common servers share their slots. It visits only pools with queued
+// requests and ends when none of them has a free server: the cost depends on the
+// number of requests placed, not on the size of the fleet or of the queues.
 func (w *World) place() {
 	if !w.fresh || w.now.Before(w.holdUntil) {
-		// Resumed from a pause, the manifest may be an old one: what is queued
-		// waits until the freshness is told anew.
+		// After a pause of the process the manifest may be outdated: queued
+		// requests wait until the freshness is reported again.
 		return
 	}
 	w.unpark()
@@ -31,7 +31,7 @@
 	}
 }
 
-// placeNext places the pool's next request. It says whether the queue moved.
+// placeNext handles the pool's next request and reports whether it left the queue.
 func (w *World) placeNext(p *pool) bool {
 	it := p.queue.Peek()
 	if it == nil {
@@ -68,8 +68,9 @@
 	return true
 }
 
-// waitAside sets a request aside that none of the free servers may take, where the
-// pool has others that may: they are busy now. It holds up nobody meanwhile.
+// parkOrConclude handles a request that none of the free servers may take. It is
+// parked, so that it blocks nobody, if the pool has busy servers that may take it,
+// and else concluded.
 func (w *World) parkOrConclude(p *pool, r *request) {
 	if r.triedIn(p) >= p.usable {
 		w.conclude(r, ReasonNoServer)
@@ -89,9 +90,9 @@
 	return n
 }
 
-// forbids checks once more, right before a dispatch, that the request may run
-// where it is about to. The withdraw system has seen to it; the harm of a mistake
-// there is worth a look-up.
+// forbiddenReason returns why the manifest does not permit the dispatch that is
+// about to be made, or "". The withdraw system has already ensured that it does;
+// the harm of a mistake there justifies a second check.
 func (w *World) forbiddenReason(r *request) RefusalReason {
 	v := r.version
 	switch {
@@ -109,11 +110,13 @@
 	return ""
 }
 
-// hopeless says that the time left is less than the answer usually takes.
+// cannotFinish reports whether the remaining time is less than the answer usually
+// takes.
 //
-// Load: saturation, where the queue stands at the edge of its deadlines. A slot
-// given to work that ends too late is lost for work that would not: with half
-// the usual time allowed here, a third of the answers came too late.
+// Load: saturation, where requests leave the queue close to their deadlines. Harm
+// prevented: a slot is used by a request that ends too late instead of one that
+// would be in time. When half the usual time was enough for a dispatch, a third of
+// the answers were too late.
 func (w *World) cannotFinish(r *request) bool {
 	need := r.pool.serviceTime.upperBound(r.item.Cost)
 	return w.now.Add(need).After(r.deadline)
@@ -152,8 +155,8 @@
 	w.emit(cmd)
 }
 
-// newAttempt returns the row for an attempt: the request's own for the first one,
-// which is the only one for nearly all.
+// newAttempt returns the row for the next attempt: the embedded one for the first
+// attempt, which for nearly all requests is the only one.
 func (r *request) newAttempt() *attempt {
 	if r.attempts == 1 {
 		return &r.firstAttempt
@@ -161,9 +164,9 @@
 	return &attempt{}
 }
 
-// planRating says whether the answer is to be rated, and held for it. All model
-// answers are rated, since also those not held teach, and show that the rating
-// service is back.
+// planRating sets whether the answer is rated, and whether it is held for its
+// rating. All answers of models are rated: those not held contribute to the
+// estimates too, and show when the rating service is available again.
 func (w *World) planRating(r *request, a *attempt, cmd *Dispatch) {
 	if r.version == nil {
 		return
@@ -179,8 +182,8 @@
 	cmd.Hold = a.hold
 }
 
-// roomForSecond says whether a second step would still be in time after this one.
-// If not, to hold the answer would only delay it.
+// secondStepFits reports whether a second step could still complete in time after
+// this attempt. If not, holding the answer would only delay it.
 func (w *World) secondStepFits(r *request) bool {
 	second := w.versions[r.plan.Second]
 	if second == nil {
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -1,7 +1,7 @@
 package decision
 
-// poolOf returns the version's pool, made where it is missing: the list and the
-// manifest may come in either order.
+// versionPool returns the version's pool and creates a missing one: the server
+// list and the manifest may arrive in either order.
 func (w *World) versionPool(id VersionID) *pool {
 	p := w.pools[id]
 	if p == nil {
@@ -21,6 +21,7 @@
 	return p
 }
 
+// servicePool returns the plain service's pool and creates a missing one.
 func (w *World) servicePool(id ServiceID) *pool {
 	p := w.services[id]
 	if p == nil {
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -8,12 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// script is a random run: the harness checks capacity, permission, withdrawal,
-// pins, single answers and single runs at each command.
+// script is a random sequence of events. At each command the harness checks server
+// capacity, permission, withdrawal, session pins, that a request is answered once
+// and that a non-idempotent one runs once.
 type script struct {
 	t *rapid.T
 	h *harness
-	// generation of the last manifest.
+	// generation is that of the last manifest.
 	generation uint64
 }
 
@@ -58,7 +59,7 @@
 		}
 		server.Leaving = rapid.IntRange(0, 5).Draw(s.t, "leaving") == 0
 		if slots, known := s.h.slots[server.ID]; known {
-			server.Slots = slots // attempts from before are counted too
+			server.Slots = slots // attempts dispatched earlier still count
 		}
 		list = append(list, server)
 	}
@@ -90,7 +91,7 @@
 	s.h.arrive(r)
 }
 
-// fault sends something that may come at any moment.
+// fault sends a random event that may occur at any time.
 func (s *script) fault() {
 	h := s.h
 	id := ServerID("s0")
@@ -112,7 +113,7 @@
 	}
 }
 
-// cancelCaller makes a caller go; it needs no answer from then on.
+// cancelCaller makes a caller cancel its request, which then needs no answer.
 func (h *harness) cancelCaller(id RequestID) {
 	if _, live := h.live[id]; !live {
 		return
@@ -125,7 +126,7 @@
 	}
 }
 
-// play runs one random script to its end and returns the commands.
+// runScript runs one random script to its end and returns the commands.
 func runScript(t *rapid.T) []string {
 	s := newScript(t)
 	s.h.duration = func(d Dispatch, _ Request) time.Duration {
@@ -151,18 +152,19 @@
 	}
 	for _, server := range s.h.w.serverList {
 		if server.running != 0 {
-			t.Errorf("server %s is left with %d running", server.ID, server.running)
+			t.Errorf("server %s: %d attempts left running", server.ID, server.running)
 		}
 	}
 	return s.h.log
 }
 
-// Whatever comes, the harness's invariants hold and the tables end empty.
+// For any sequence of events the harness's invariants must hold and the tables must
+// be empty at the end.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runScript(t) })
 }
 
-// The same events give the same commands.
+// The same seed and the same events must give the same commands.
 func TestDeterminism(t *testing.T) {
 	gen := rapid.Custom(runScript)
 	for seed := range 30 {
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// aim points the request at a version's or service's pool.
+// assign sets the version and pool of the request and its cost and priority in the
+// queue.
 func (w *World) assign(r *request, to choice) {
 	r.version = to.version
 	r.pool = to.pool
@@ -13,9 +14,9 @@
 	}
 }
 
-// costOf sizes a request in generated tokens. Prompt tokens are read in parallel
-// and so count for a part. It is an estimate: the true cost corrects the team's
-// share when it is known.
+// costOf estimates the cost of a request in generated tokens. Prompt tokens are
+// processed in parallel and count for a fraction. The team's account is corrected
+// when the actual cost is known.
 func (w *World) costOf(r *request) float64 {
 	if r.Service != "" {
 		return w.cfg.ServiceCost
@@ -31,9 +32,9 @@
 	return float64(max(r.PromptTokens, 0)) * w.cfg.PromptTokenCost
 }
 
-// enqueue puts the request in its team's flow of its pool's queue. Each pool has
-// a queue of its own, so that a request whose version has no free slot holds up
-// none for another version.
+// enqueue adds the request to its team's flow in the queue of its pool. Each pool
+// has a queue of its own, so that requests for a version without a free slot do not
+// block those for other versions.
 func (w *World) enqueue(r *request) {
 	p := r.pool
 	f := p.flow(r.team)
@@ -49,14 +50,15 @@
 	}
 }
 
-// lastStart is the last moment at which the request may leave the queue: after it
-// the answer would usually come too late, or it has waited for its part.
+// latestStart is the latest time at which the request may leave the queue: after it
+// the answer would usually be too late or, in overload, the request has been queued
+// for the longest time allowed.
 //
-// Load: saturation, where estimates of waits fall short by half and more, since
-// other instances take slots that they count on. Harm prevented: a caller that is
-// held to its deadline for an answer that cannot come any more, and a first token
-// after most of the time has gone. What may have run is past refusing, so its
-// patience is its deadline.
+// Load: saturation, where estimated waits are too short by half or more, since
+// other instances take slots that the estimates count on. Harm prevented: a caller
+// that waits until its deadline for an answer that cannot come in time, and a first
+// token after most of the time has passed. A request that may have run cannot be
+// refused any more, so only its deadline applies.
 func (w *World) latestStart(r *request) time.Time {
 	timeLeft := r.deadline.Sub(w.now)
 	wait := timeLeft - r.pool.serviceTime.upperBound(r.item.Cost)
@@ -66,7 +68,7 @@
 	return w.now.Add(max(wait, 0))
 }
 
-// dequeue takes a queued request out, wherever it stands.
+// dequeue removes a queued request from any position in its queue.
 func (w *World) dequeue(r *request) {
 	if r.state != stateQueued {
 		return
@@ -75,7 +77,7 @@
 	w.dequeued(r)
 }
 
-// dequeued keeps the sums after a request has left its queue.
+// dequeued updates the counts after a request has left its queue.
 func (w *World) dequeued(r *request) {
 	r.state = stateArrived
 	r.team.queued--
@@ -84,7 +86,7 @@
 	}
 }
 
-// idle takes a pool off the busy list.
+// removeQueuedPool removes a pool without queued requests from queuedPools.
 func (w *World) removeQueuedPool(p *pool) {
 	if p.queuedPos < 0 {
 		return
@@ -100,7 +102,7 @@
 	p.backlogged = false
 }
 
-// flow is the team's part of the pool's queue.
+// flow returns the team's part of the pool's queue and creates a missing one.
 func (p *pool) flow(t *team) *flow {
 	if p.shared != nil {
 		return p.shared
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// What becomes of a request that waits when something changes meanwhile.
+// A queued request must follow a change of freshness, manifest, servers or
+// quarantines instead of running under the state at its admission.
 func TestWhileQueued(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -55,12 +56,12 @@
 			want:   Refuse{Request: 5, Reason: ReasonNotAllowed},
 		},
 		{
-			name: "its copy is quarantined elsewhere", request: Request{Fingerprint: 3},
+			name: "its fingerprint is quarantined by a peer", request: Request{Fingerprint: 3},
 			change: func(h *harness) { h.send(RequestQuarantined{Fingerprint: 3, Until: h.now.Add(time.Hour)}) },
 			want:   Refuse{Request: 5, Reason: ReasonQuarantined},
 		},
 		{
-			name:   "the caller goes",
+			name:   "the caller cancels",
 			change: func(h *harness) { h.cancelCaller(5) },
 		},
 	}
@@ -96,7 +97,7 @@
 	}
 }
 
-// A caller that goes frees its slot for the next.
+// The slot of a request whose caller has cancelled must go to the next request.
 func TestCancelFreesTheSlot(t *testing.T) {
 	h := smallHarness(t)
 	h.duration = func(Dispatch, Request) time.Duration { return 20 * time.Second }
@@ -111,7 +112,7 @@
 	}
 }
 
-// The queue is bounded, and within a team higher priority goes first.
+// The queue must be bounded, and within a team higher priorities must go first.
 func TestQueueLimitAndPriority(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	team := teamOf("weavers", 1)
@@ -139,8 +140,8 @@
 	}
 }
 
-// When everything fails, retries stay within the budget: they do not keep an
-// overload alive. Resends of callers come out of the same budget.
+// When every attempt fails, retries must stay within the budget, or they sustain an
+// overload. Retries by callers are charged to the same budget.
 func TestRetryBudget(t *testing.T) {
 	for _, result := range []AttemptResult{AttemptNotRun, AttemptFailed, AttemptUnknown} {
 		h := smallHarness(t)
@@ -158,7 +159,7 @@
 		}
 		h.run(30 * time.Second)
 		h.requireAllAnswered()
-		// The floor, and one a second for the forty seconds.
+		// The floor, and one per second for forty seconds.
 		if limit := requests + 3 + 40; dispatched > limit {
 			t.Errorf("result %d: %d attempts of %d requests, want at most %d", result, dispatched, requests, limit)
 		}
@@ -179,8 +180,8 @@
 	}
 }
 
-// Copies of a request that crash servers take down two at most, however many are
-// sent at once.
+// Duplicates of a request that crashes servers must crash two at most, however many
+// are sent at once.
 func TestCrashingCopies(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
@@ -203,8 +204,8 @@
 	h.requireAllAnswered()
 }
 
-// A request that crashed one server waits for another one that is busy, rather
-// than fail because only the first is free.
+// A request that crashed one server must wait for another, busy one instead of
+// failing because only the first is free.
 func TestCrashedRequestWaitsForAnotherServer(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -1,17 +1,17 @@
 package decision
 
-// choice is where a request may go, or why it may not.
+// choice is where a request may run, or why it may not.
 type choice struct {
 	version *version // nil for a plain service
 	pool    *pool
-	reason  RefusalReason // empty where it may
+	reason  RefusalReason // empty if it may run
 }
 
 func refused(reason RefusalReason) choice { return choice{reason: reason} }
 
-// resolve picks the version or service for a request that has not run, by the
-// manifest as it is now. It is asked at admission and again whenever the
-// manifest, the list or a verdict has changed while the request waits.
+// resolve selects the version or service for a request under the current manifest.
+// It is called at admission, before a retry, and whenever the manifest, the server
+// list or a verdict has changed while the request is queued.
 func (w *World) resolve(r *request) choice {
 	t := r.team
 	if t == nil || t.gone {
@@ -36,16 +36,17 @@
 	return w.withServer(nil, w.servicePool(r.Service))
 }
 
-// resolvePinned keeps a session on its version: it is that version or a refusal,
-// never another one silently. Draining takes open sessions, withdrawn nothing;
-// one that the manifest has dropped counts as withdrawn.
+// resolvePinned keeps a session on its version: the request gets this version or is
+// refused; it never silently gets another one. A draining version serves open
+// sessions, a withdrawn one nothing; one that the manifest no longer lists counts
+// as withdrawn.
 func (w *World) resolvePinned(t *team, r *request) choice {
 	v := w.versions[r.Pinned]
 	if v == nil || !v.open() {
 		return refused(ReasonVersionWithdrawn)
 	}
 	if r.Model != "" && r.Model != v.Model && VersionID(r.Model) != v.ID {
-		return refused(ReasonUnknownModel) // the pin is of another model
+		return refused(ReasonUnknownModel) // pinned to a version of another model
 	}
 	if !t.allowed[v.ID] {
 		return refused(ReasonNotAllowed)
@@ -53,7 +54,8 @@
 	return w.withServer(v, v.pool)
 }
 
-// resolveModel follows a model's roll-out, or takes an exact "model@version".
+// resolveModel selects a version by the model's roll-out; Model may also name an
+// exact "model@version".
 func (w *World) resolveModel(t *team, r *request) choice {
 	m := w.models[r.Model]
 	if m == nil {
@@ -65,7 +67,7 @@
 	}
 	v := w.rollout(tm, r.RolloutPosition)
 	if v == nil {
-		return refused(ReasonUnknownModel) // no version of it serves new work
+		return refused(ReasonUnknownModel) // no version of it is serving
 	}
 	return w.withServer(v, v.pool)
 }
@@ -90,13 +92,14 @@
 	return choice{version: v, pool: p}
 }
 
-// rollout places a hash among the model's allowed serving versions.
+// rollout maps a roll-out position, from 0 up to but not 1, to one of the model's
+// allowed serving versions.
 //
-// Shares stack up from the newest version, so that raising its share only adds
-// requests to it and moves none between the others' new halves; what the shares
-// leave over belongs to the oldest. A version that must get no new work by a bad
-// verdict passes its part to the next older one, its predecessor; only where no
-// older one is left does a newer one take it.
+// The shares are stacked from the newest version, so that raising its share only
+// adds requests to it and moves none among the others; the remainder belongs to the
+// oldest version. The part of a version that gets no new requests because of a bad
+// verdict goes to the next older one, its predecessor, and to a newer one only if
+// there is no older one.
 func (w *World) rollout(tm *teamModel, position float64) *version {
 	return w.rolloutBy(tm, position, w.takesNew)
 }
@@ -117,15 +120,15 @@
 			return list[i]
 		}
 	}
-	// All are judged bad: the verdicts are against each other and cannot all
-	// hold, and refusing a whole model is the greater harm.
+	// All have a bad verdict: the verdicts compare the versions with each other
+	// and cannot all be right, and refusing the whole model is the greater harm.
 	return list[len(list)-1]
 }
 
-// shareIndex finds the hash's place. The stack is built over all serving
-// versions of the model, allowed or not, so that the same hash falls on the same
-// version for every team; the part of one that the team may not use passes to
-// the next older one that it may.
+// shareIndex returns the index in tm.rollout that the position falls on. The shares
+// of all serving versions of the model are stacked, allowed or not, so that a
+// position falls on the same version for every team; the part of a version that the
+// team may not use goes to the next older allowed one.
 func (w *World) shareIndex(tm *teamModel, position float64) int {
 	sum := 0.0
 	next := 0
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -1,10 +1,11 @@
 package decision
 
-// retry judges the attempts that ended: deliver, try elsewhere, or end.
+// retry handles the ended attempts: it delivers the answer, retries the request on
+// another server or ends it.
 //
-// Load: servers that die or refuse under load. Harm prevented: a request that is
-// lost though another server could run it, one that runs twice though it may
-// not, and retries that keep an overload alive.
+// Load: servers that crash or refuse under load. Harm prevented: a request fails
+// although another server could run it, one runs twice although it must not, and
+// retries sustain an overload.
 func (w *World) retry() {
 	for _, e := range w.ended {
 		r := e.attempt.request
@@ -29,7 +30,7 @@
 	}
 }
 
-// completed delivers the answer, or holds it for its rating.
+// completed delivers the answer or holds it for its rating.
 func (w *World) completed(r *request, e endedAttempt) {
 	if e.attempt.hold {
 		w.hold(r, e.attempt)
@@ -38,9 +39,9 @@
 	w.deliver(r, e.attempt.key.attempt)
 }
 
-// notRun tries elsewhere whatever the request is, since nothing has run. The
-// server is left alone for a moment: one that refuses at once looks idle and
-// would draw all work to itself.
+// notRun retries on another server, idempotent or not, since nothing has run. The
+// server that refused is excluded for a short time: one that refuses at once looks
+// idle and would attract all requests.
 func (w *World) notRun(r *request, e endedAttempt) {
 	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff))
 	r.tried = append(r.tried, e.attempt.server)
@@ -55,11 +56,12 @@
 	w.requeue(r)
 }
 
-// crashed lets a request that took a server down run on one more, then shuts it
-// out everywhere: a second crash is the request's doing, not the server's.
+// crashed retries a request that crashed a server until it has crashed
+// Config.MaxCrashes servers or is quarantined: a second crash is caused by the
+// request and not by the server.
 func (w *World) crashed(r *request, e endedAttempt) {
 	r.crashes++
-	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff)) // it starts again
+	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff)) // it is restarting
 	if r.crashes < w.cfg.MaxCrashes && !w.isQuarantined(r.Fingerprint) {
 		w.mayHaveRun(r, e)
 		return
@@ -68,8 +70,8 @@
 	w.failOrHeld(r, AttemptCrashed)
 }
 
-// mayHaveRun tries elsewhere only what may run twice and of whose answer the
-// caller has seen nothing.
+// mayHaveRun retries on another server only if the request is idempotent and the
+// caller has received no part of the answer.
 func (w *World) mayHaveRun(r *request, e endedAttempt) {
 	r.ran = true
 	r.tried = append(r.tried, e.attempt.server)
@@ -82,8 +84,8 @@
 	w.requeue(r)
 }
 
-// again queues the request for another attempt, by the manifest as it is now. An
-// escalation keeps its step.
+// requeue queues the request for another attempt, resolved again under the current
+// manifest. An escalation keeps its version.
 func (w *World) requeue(r *request) {
 	if r.held != 0 {
 		w.enqueue(r)
@@ -98,7 +100,7 @@
 	w.enqueue(r)
 }
 
-// failOrHeld ends the request with the answer that is held, if there is one.
+// failOrHeld delivers the held answer, or fails the request if there is none.
 func (w *World) failOrHeld(r *request, result AttemptResult) {
 	if r.held != 0 {
 		w.deliver(r, r.held)
--- a/decision/servers_test.go
+++ b/decision/servers_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// What the list and the servers themselves say of leaving: the earliest word
-// wins, until the list has dropped the server.
+// A server that is leaving, by its own report or by the list, must get no new
+// requests. Its own report counts against a lagging list until the list has dropped
+// the server.
 func TestLeavingServerGetsNothingNew(t *testing.T) {
 	used := func(h *harness) map[ServerID]int {
 		n := map[ServerID]int{}
@@ -28,22 +29,23 @@
 	h.send(ServerLeaving{Server: "s0"})
 	h.servers(list...) // the list lags
 	if n := used(h); n["s0"] > 0 || n["s1"] != 20 {
-		t.Errorf("leaving by its own word: %v", n)
+		t.Errorf("leaving by its own report: requests per server %v", n)
 	}
 	h.servers(list[1:]...)
 	h.servers(list...)
 	if n := used(h); n["s0"] == 0 {
-		t.Errorf("back after the list had dropped it: %v", n)
+		t.Errorf("listed again after the list had dropped it: requests per server %v", n)
 	}
 	list[0].Leaving = true
 	h.servers(list...)
 	if n := used(h); n["s0"] > 0 {
-		t.Errorf("leaving by the list: %v", n)
+		t.Errorf("leaving by the list: requests per server %v", n)
 	}
 	h.requireAllAnswered()
 }
 
-// A server that drops out of the list and comes back still runs what it ran.
+// A server that disappears from the list and returns still runs its attempts. If
+// they were forgotten, its slots would be filled twice.
 func TestRelistedServerKeepsItsSlots(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
@@ -59,7 +61,7 @@
 	h.tick()
 	h.servers(list...)
 	h.arrive(Request{Team: "weavers", Model: "weave"})
-	h.run(time.Second) // the harness counts what runs at once
+	h.run(time.Second) // the harness checks the attempts in flight against the slots
 	if h.ran[5] != 0 {
 		t.Error("the fifth request was given a slot that was taken")
 	}
@@ -67,8 +69,9 @@
 	h.requireAllAnswered()
 }
 
-// Others' load counts while a report is young; a first attempt may pass the slots
-// by a quarter, and an old report bars nothing.
+// The load of other instances must count while the report is recent. A first
+// attempt may exceed the slots by a quarter, and an old report must exclude
+// nothing.
 func TestLoadReports(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -78,8 +81,8 @@
 	}{
 		{name: "idle", running: 0, want: 8},
 		{name: "half full", running: 4, want: 4},
-		{name: "full: one may pass", running: 8, want: 1},
-		{name: "full and passed", running: 10, want: 0},
+		{name: "full: one may exceed", running: 8, want: 1},
+		{name: "full and exceeded", running: 10, want: 0},
 		{name: "old report", running: 10, age: 3 * time.Second, want: 8},
 	}
 	for _, tt := range tests {
--- a/decision/session.go
+++ b/decision/session.go
@@ -1,11 +1,11 @@
 package decision
 
-// openSessions answers each new session with the versions that it keeps.
+// openSessions answers each new session with the versions that it is pinned to.
 //
-// It is made for roll-outs under traffic: the versions are those that a request
-// with the same hash would get now, so raising a share moves no session that is
-// open. A version judged bad is passed over, and a probe never opens a session,
-// which would hold the session to the bad version for its whole life.
+// The versions are those that a request at the same position would get now; raising a
+// share in a roll-out moves no open session. A version with a bad verdict is
+// skipped, and a session is never opened as a probe, which would pin it to the bad
+// version for its whole life.
 func (w *World) openSessions() {
 	for _, e := range w.opening {
 		w.emit(PinSession{Session: e.Session, Versions: w.sessionVersions(e)})
@@ -26,9 +26,10 @@
 	return out
 }
 
-// versionFor is the version of a model that the request may run on: the one its
-// session keeps, where it has one, else by the roll-out. A session whose version
-// of this model is withdrawn gets none of it: never another version silently.
+// versionFor returns the version of a model that the request may run on: the one
+// that its session is pinned to, else one by the roll-out. It returns nil for a
+// session whose version of the model is withdrawn: the session never silently gets
+// another version.
 func (w *World) versionFor(tm *teamModel, r *request) *version {
 	for _, id := range r.Pins {
 		v := w.versions[id]
@@ -43,7 +44,7 @@
 	return w.rollout(tm, r.RolloutPosition)
 }
 
-// pinsWithdrawn says whether the session has pins and none may take work.
+// pinsWithdrawn reports whether the session has pins and none of them is open.
 func (w *World) pinsWithdrawn(r *request) bool {
 	for _, id := range r.Pins {
 		if v := w.versions[id]; v != nil && v.open() {
@@ -53,7 +54,7 @@
 	return len(r.Pins) > 0
 }
 
-// isGood says whether no verdict speaks against the version.
+// isGood reports whether there is no bad verdict on the version.
 func (w *World) isGood(v *version) bool {
 	return w.cfg.Policy.NoVerdicts || !w.verdicts.Bad(v.ID, w.now)
 }
--- a/decision/session_test.go
+++ b/decision/session_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestSessionKeepsItsVersionsThroughARollout opens a session, withdraws and
-// replaces versions under it, and looks at where its requests run.
+// A session must stay on its version while a newer one is rolled out and while its
+// own is draining, and be refused once its version is withdrawn. It must never
+// silently move to another version.
 func TestSessionKeepsItsVersionsThroughARollout(t *testing.T) {
 	start := time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 	old := Version{ID: "draft@1", Model: "draft", State: VersionServing, Share: 1, Cost: 1, Quality: 0.9}
@@ -49,7 +50,7 @@
 	}
 }
 
-// sameEnd compares what a session's caller would see.
+// sameOutcome compares what the caller of a session would see.
 func sameOutcome(got, want Command) bool {
 	switch w := want.(type) {
 	case Dispatch:
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -8,13 +8,13 @@
 	"masticplank.example/decision/internal/verdict"
 )
 
-// shift moves work away from versions and backend servers that turned bad, and
-// back again when they have proved themselves.
+// shift moves traffic away from versions and backend servers that have become bad,
+// and back when they have recovered.
 //
-// Load: a version that turns bad in mid-season, or one slow backend server among
-// many. Harm prevented: callers who get bad or late answers until a person
-// notices. The manifest stays as it is; the verdict bounds the exposure and is
-// told to the peers, so that each instance need not find out by its own callers.
+// Load: a version that turns bad while in use, or one slow backend server among
+// many. Harm prevented: callers get bad or late answers until a person notices.
+// The manifest is not changed; a verdict limits the exposure and is shared with the
+// peers, so that each instance does not have to detect it with its own callers.
 func (w *World) shift() {
 	if w.cfg.Policy.NoVerdicts {
 		return
@@ -28,9 +28,9 @@
 	}
 }
 
-// shareEvery is how often it is looked at whether there is a word for the peers: a
-// small part of the time that it takes to reach them, so that a tick of one event
-// does not pay for it.
+// shareInterval is how often the verdicts to share are collected: a small fraction
+// of the time that a message takes to reach the peers, and seldom enough that a
+// tick with one event does not bear the cost.
 const shareInterval = 20 * time.Millisecond
 
 func (w *World) shareVerdicts() {
@@ -52,7 +52,7 @@
 	return verdict.NewOutliers[ServerID, string](c)
 }
 
-// applyVerdicts tells the watcher of the manifest's versions.
+// applyVerdicts passes the manifest's versions to the version verdicts.
 func (w *World) applyVerdicts() {
 	var rows []verdict.Row[VersionID]
 	for _, v := range w.versions {
@@ -66,8 +66,8 @@
 	w.verdicts.Apply(rows)
 }
 
-// applyOutliers tells the watcher of the listed servers. Alike are those with the
-// same versions, since only these can be compared.
+// applyOutliers passes the listed servers to the outlier detection. Servers with
+// the same versions form a group, since only these are comparable.
 func (w *World) applyOutliers() {
 	var list []verdict.Member[ServerID, string]
 	for _, s := range w.serverList {
@@ -78,7 +78,7 @@
 	w.outliers.Apply(list)
 	for _, s := range w.serverList {
 		if s.ejected && w.outliers.Admit(s.ID, w.now) == verdict.Open {
-			w.eject(s, false) // it changed its group and starts anew
+			w.eject(s, false) // its group changed, which resets its state
 		}
 	}
 }
@@ -102,8 +102,8 @@
 	w.recheck = true
 }
 
-// judgeVersion takes an attempt's end as evidence on its version. Ends that say
-// nothing of it are left out: not run, or cancelled.
+// recordVersionResult records an attempt's result for the verdict on its version.
+// Results that say nothing about the version are skipped: not run and cancelled.
 func (w *World) recordVersionResult(a *attempt, e AttemptEnded) {
 	if a.version == "" || e.Result == AttemptNotRun || e.Result == AttemptCancelled {
 		return
@@ -119,15 +119,15 @@
 	}
 }
 
-// rateVersion takes a rating as evidence on its version.
+// recordVersionRating records a rating for the verdict on its version.
 func (w *World) recordVersionRating(e AnswerRated) {
 	if w.verdicts.Rated(e.Version, string(e.Class), e.Score, w.now) {
 		w.recheck = true
 	}
 }
 
-// judgeServer takes an attempt's end as evidence on its backend server. One that
-// refuses because it is leaving does what it should.
+// recordServerResult records an attempt's result for the outlier detection of its
+// backend server. A refusal by a leaving server is correct behaviour and skipped.
 func (w *World) recordServerResult(a *attempt, e AttemptEnded) {
 	if w.cfg.Policy.NoVerdicts || e.Leaving || e.Result == AttemptCancelled {
 		return
@@ -137,14 +137,14 @@
 		w.ejection(change)
 	}
 	if a.server.ejected {
-		w.refresh(a.server) // a trial has ended
+		w.refresh(a.server) // a probe has ended
 	}
 }
 
-// blameServer takes an attempt that ran into its request's deadline as evidence on
-// its backend server's pace: as many tokens as were to be expected, in the time
-// that it had. Without it a server that is so slow that little ends in time would
-// be judged by its shortest answers only, since the rest are cancelled.
+// recordServerTimeout records an attempt that reached its request's deadline for
+// the outlier detection: as if it had generated the expected number of tokens in
+// the time that it ran. Otherwise a server so slow that few attempts end in time
+// would be measured by its shortest answers only, since the rest are cancelled.
 func (w *World) recordServerTimeout(a *attempt) {
 	if a == nil || w.cfg.Policy.NoVerdicts {
 		return
@@ -158,8 +158,9 @@
 	}
 }
 
-// paceOf is the time a unit of work took at the server: by token from the first
-// one on for a model, whole for a plain service; 0 where it says nothing.
+// unitLatency is the time that a unit of work took at the server: the time per token
+// from the first token on for a model, the whole time for a plain service; 0 if
+// unknown.
 func (w *World) unitLatency(a *attempt, e AttemptEnded) time.Duration {
 	if a.pool.service != "" {
 		return w.now.Sub(a.started)
@@ -167,6 +168,8 @@
 	return w.tokenLatency(a, e.Tokens)
 }
 
+// tokenLatency is the mean time per token since the first token, or since the start
+// if no first token was reported; 0 for no tokens.
 func (w *World) tokenLatency(a *attempt, tokens int) time.Duration {
 	if tokens <= 0 {
 		return 0
@@ -184,7 +187,8 @@
 	}
 }
 
-// eject takes a server out of the choice, or back in, and tells the operators.
+// eject excludes a server from selection, or readmits it, and reports a change to
+// the operators.
 func (w *World) eject(s *server, ejected bool) {
 	if s.ejected != ejected {
 		w.emit(ReportEjection{Server: s.ID, Ejected: ejected})
@@ -193,10 +197,11 @@
 	w.refresh(s)
 }
 
-// trialCheck is how often an ejected server is asked about.
+// probeCheckInterval is how often it is checked whether an ejected server is due a
+// probe.
 const probeCheckInterval = time.Second
 
-// isBarred says whether the server is ejected and due no trial now.
+// isBarred reports whether the server is ejected and not due a probe now.
 func (w *World) isBarred(s *server) bool {
 	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Barred {
 		return false
@@ -205,8 +210,9 @@
 	return true
 }
 
-// takesNew says whether no verdict speaks against new work for the version. One
-// request in many is let through as a probe, so that a mended version is found.
+// takesNew reports whether the version may get a new request. With a bad verdict
+// only one request in Config.ProbeEvery is let through as a probe, to detect when
+// the version has recovered.
 func (w *World) takesNew(v *version) bool {
 	if w.cfg.Policy.NoVerdicts {
 		return true
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// rollOut has weave@2 take half of weave@1's new requests.
+// rolloutHarness has weave@2 take half of weave@1's new requests.
 func rolloutHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
 	h.manifest(1, []Team{teamOf("weavers", 1)}, []Version{
@@ -18,8 +18,8 @@
 	return h
 }
 
-// A version that turns bad gets at most 1% of the requests after its first 50
-// bad answers; sessions that are pinned to it stay.
+// A version that turns bad must get at most 1% of the requests after its first 50
+// bad answers and no new sessions; sessions that are pinned to it stay.
 func TestBadVersionIsShutOff(t *testing.T) {
 	tests := map[string]struct {
 		rating func(Dispatch, Request) (float64, bool)
@@ -82,7 +82,7 @@
 	}
 }
 
-// A peer's verdict counts until it lapses.
+// A peer's verdict must count until it expires.
 func TestPeerVerdict(t *testing.T) {
 	h := rolloutHarness(t, DefaultConfig())
 	h.send(VersionVerdict{Version: weave2, Bad: true, Until: h.now.Add(time.Second)})
@@ -93,12 +93,12 @@
 	}
 	h.run(2 * time.Second)
 	if got := at(); got != weave2 {
-		t.Errorf("after it has lapsed: %s", got)
+		t.Errorf("after it has expired: %s", got)
 	}
 }
 
-// One slow backend server among six is found and left out; callers' waits stay
-// near those without it.
+// One slow backend server among six must be detected and ejected, so that callers
+// wait little longer than without it.
 func TestSlowServer(t *testing.T) {
 	p99 := func(policy Policy) time.Duration {
 		cfg := DefaultConfig()
@@ -130,8 +130,8 @@
 	}
 }
 
-// Requests with the same long prefix gather on few servers, but not once these
-// are loaded.
+// Requests with the same long prefix must go to few servers, but not once these are
+// loaded.
 func TestPrefixAffinity(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -7,12 +7,12 @@
 	"masticplank.example/decision/internal/fair"
 )
 
-// tables holds the entities. Rows are reached by id through a map once, and by
-// pointer from then on; whatever order matters stands in slices, since the order
-// of a map would break determinism.
+// tables holds the entities. A row is looked up by id once and referenced by
+// pointer from then on. Wherever the order matters the rows are kept in a slice,
+// since the iteration order of a map would break determinism.
 type tables struct {
 	generation uint64
-	// fairness is the teams' accounts.
+	// fairness holds the teams' accounts.
 	fairness fair.Group
 
 	teams    map[TeamID]*team
@@ -22,21 +22,20 @@
 	pools    map[VersionID]*pool
 	services map[ServiceID]*pool
 
-	// departed are servers that the list has dropped and that still run
-	// something.
+	// departed are servers that are no longer listed but still run attempts.
 	departed map[ServerID]*server
-	// serverList is the servers in the order in which they were first listed.
+	// serverList holds the servers in the order in which they were first listed.
 	serverList []*server
 	// busy are the pools with queued requests, in no particular order.
 	queuedPools []*pool
 
 	requests map[RequestID]*request
-	// orphans are the attempts that were cancelled and have not ended. The others
-	// are reached by their request.
+	// orphans are the attempts that were cancelled and have not ended. All others
+	// are found through their request.
 	orphans map[attemptKey]*attempt
-	// due orders the live requests by when they must be looked at.
+	// due orders the live requests by the time of their next timeout.
 	due dueHeap
-	// wakes orders the servers that are shut out for a time.
+	// wakes orders the servers that are excluded until a given time.
 	wakes wakeHeap
 	// parked are requests that wait outside the queues; see park.
 	parked []*request
@@ -59,15 +58,15 @@
 // team is a row of the teams table.
 type team struct {
 	Team
-	// index is dense, for the pools' flows.
+	// index is the team's position in pool.flows.
 	index int
-	// account is what the team was given, over all pools.
+	// account is the work that the team was given, over all pools.
 	account *fair.Account
-	// gone says that the manifest has dropped the team.
+	// gone is set when the manifest no longer lists the team.
 	gone     bool
 	allowed  map[VersionID]bool
 	services map[ServiceID]bool
-	// models are those of which some version is allowed, in order of ModelID.
+	// models are those with at least one allowed version, in order of ModelID.
 	models  []*teamModel
 	byModel map[ModelID]*teamModel
 	queued  int
@@ -77,14 +76,14 @@
 // teamModel is what a team may use of a model.
 type teamModel struct {
 	model *model
-	// rollout is the allowed serving versions, newest first.
+	// rollout holds the allowed serving versions, newest first.
 	rollout []*version
 }
 
 // model is a row of the models table.
 type model struct {
 	id ModelID
-	// versions in order from the newest to the oldest by predecessor.
+	// versions are sorted from the newest to the oldest by predecessor.
 	versions []*version
 }
 
@@ -95,35 +94,36 @@
 	pool *pool
 }
 
-// open says whether the version may take any new work.
+// open reports whether the version may take any request.
 func (v *version) open() bool { return !v.gone && v.State != VersionWithdrawn }
 
-// serving says whether the version may take work that is not pinned to it.
+// serving reports whether the version may take requests that are not pinned to it.
 func (v *version) serving() bool { return !v.gone && v.State == VersionServing }
 
-// pool is the servers that can run one version, or one plain service, and the
-// requests that wait for them.
+// pool holds the servers that can run one version, or one plain service, and the
+// requests queued for them.
 type pool struct {
 	version VersionID
 	service ServiceID
 	queue   fair.Queue[*request]
-	// flows by team.index; nil for a team that never used the pool.
+	// flows is indexed by team.index; nil for a team that never used the pool.
 	flows []*flow
-	// shared is the one flow of all teams under Policy.FirstCome, else nil.
+	// shared is the single flow of all teams under Policy.FIFO, else nil.
 	shared *flow
-	// free are the servers that can take a request now. Keeping the set makes
-	// "is the pool saturated" and a random candidate O(1) at any size.
+	// free are the servers that can take a request now. Maintaining the set makes
+	// the saturation check and drawing a random candidate O(1).
 	free []freeSlot
-	// usable and slots count the servers that are neither leaving nor gone.
+	// usable and slots count the servers that are neither leaving nor gone, and
+	// their slots.
 	usable      int
 	slots       int
 	serviceTime serviceTimeMeter
 	drain       drainMeter
 	usage       usageMeter
-	// busyPos is the place in tables.busy, or -1.
+	// queuedPos is the index in tables.queuedPools, or -1.
 	queuedPos int
-	// backlogged says that work was left in the queue since the last tick, and
-	// backlog for which part of the last while there was some.
+	// backlogged is set when requests were still queued at the start of the tick;
+	// backlog measures for which fraction of the recent past some were.
 	backlogged bool
 	backlog    backlogMeter
 }
@@ -138,14 +138,14 @@
 // freeSlot is an entry of pool.free.
 type freeSlot struct {
 	server *server
-	// member is the index in server.member.
+	// member is the index in server.memberships.
 	member int
 }
 
-// membership ties a server to a pool.
+// membership is a server's entry in one pool.
 type membership struct {
 	pool *pool
-	// pos is the place in pool.free, or -1.
+	// pos is the index in pool.free, or -1.
 	pos int
 }
 
@@ -153,16 +153,17 @@
 type server struct {
 	Server
 	memberships []membership
-	// running is this instance's own attempts at the server.
+	// running counts this instance's own attempts at the server.
 	running int
-	// others is the load that the last report shows beyond the own.
+	// otherLoad is the number of requests of other instances by the last load
+	// report.
 	otherLoad    int
 	reportedAt   time.Time
 	leaving      bool
 	gone         bool
 	ejected      bool
 	backoffUntil time.Time
-	// wakeAt is the earliest wake that is pending; zero for none.
+	// wakeAt is the earliest pending wake; zero for none.
 	wakeAt time.Time
 	isFree bool
 }
@@ -175,33 +176,35 @@
 	version *version
 	item    fair.Item[*request]
 	state   requestState
-	// deadline is the caller's or the default.
+	// deadline is the caller's, or the default one.
 	deadline time.Time
-	// duePos is its place in tables.due, or -1.
+	// duePos is the index in tables.due, or -1.
 	duePos  int
 	arrived time.Time
-	// expected is the wait that was estimated when it was queued at queuedAt, 0
-	// for none.
+	// expected is the wait estimated when the request was queued, at queuedAt; 0
+	// for no estimate.
 	expected time.Duration
 	queuedAt time.Time
 
 	attempts AttemptID
 	current  *attempt
-	// firstAttempt saves an allocation.
+	// firstAttempt is part of the row to save an allocation.
 	firstAttempt attempt
-	// held is the completed attempt whose answer waits; 0 for none.
+	// held is the completed attempt whose answer is held back for its rating; 0
+	// for none.
 	held AttemptID
-	// tried are the servers that ended an attempt without an answer.
+	// tried are the servers whose attempts ended without an answer.
 	tried   []*server
 	crashes int
-	// ran says that a backend server may have run it, so it is never refused.
+	// ran is set when a backend server may have run the request; it is then never
+	// refused as not run.
 	ran bool
-	// plan is the cascade's, for a request that leaves the model open.
+	// plan is set by the cascade for a request that names no model.
 	plan       plan
 	lastResult AttemptResult
 }
 
-// requestState is where a request stands.
+// requestState is a request's place in its life cycle.
 type requestState uint8
 
 const (
@@ -218,8 +221,8 @@
 	attempt AttemptID
 }
 
-// attempt is a dispatch that has not ended. It outlives a request that was
-// cancelled, since its slot is taken until the backend server is done.
+// attempt is a dispatch that has not ended. It outlives a cancelled request,
+// since its slot stays occupied until the backend server is done.
 type attempt struct {
 	key     attemptKey
 	request *request
@@ -228,20 +231,22 @@
 	version VersionID
 	team    *team
 	started time.Time
-	// firstToken is zero until it came.
+	// firstToken is zero until the first token is received.
 	firstToken time.Time
-	// hold says that the answer is kept back until it is rated, for rateBudget.
+	// hold is set when the answer is held back until it is rated, for at most
+	// ratingTimeout.
 	hold          bool
 	ratingTimeout time.Duration
-	// counted is the crash table's note on the dispatch.
+	// counted is what verdict.Crashes.Started returned for the dispatch.
 	counted bool
-	// cost was the estimate, prompt its part that is known beforehand.
+	// cost is the estimated cost in generated tokens; prompt is the cost of the
+	// prompt, the part of it that is known in advance.
 	cost   float64
 	prompt float64
 }
 
-// newRand returns the world's only source of chance.
+// newRand returns the world's only source of randomness.
 func newRand(seed uint64) *rand.Rand {
-	const stream = 0x6d617374 // any constant: one stream per world
+	const stream = 0x6d617374 // arbitrary: only one stream per world
 	return rand.New(rand.NewPCG(seed, stream))
 }
--- a/decision/types.go
+++ b/decision/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Identifiers, as the manifest and the instance list name things.
+// Identifiers, as used in the manifest and the instance list.
 type (
 	// TeamID names a team.
 	TeamID string
@@ -14,9 +14,9 @@
 	ServerID string
 	// DomainID names a failure domain.
 	DomainID string
-	// ServiceID names a plain service; empty for model work.
+	// ServiceID names a plain service; empty for model requests.
 	ServiceID string
-	// TaskClass groups requests of alike difficulty within a team.
+	// TaskClass groups requests of similar difficulty within a team.
 	TaskClass string
 	// RequestID numbers a request within this instance.
 	RequestID uint64
@@ -24,7 +24,8 @@
 	SessionID uint64
 	// AttemptID numbers the attempts of one request from 1.
 	AttemptID uint32
-	// Fingerprint is a hash of team and body, for requests that crash servers.
+	// Fingerprint is a hash of team and body; it identifies requests that crash
+	// servers. 0 is none.
 	Fingerprint uint64
 	// BlockHash is the hash of one block of a prompt, chained over the blocks
 	// before it, so that an equal hash means an equal prefix.
@@ -35,22 +36,23 @@
 type VersionState uint8
 
 const (
-	// VersionServing takes new work by its Share.
+	// VersionServing takes new requests and sessions according to its Share.
 	VersionServing VersionState = iota + 1
-	// VersionDraining takes no new sessions; open ones go on.
+	// VersionDraining takes no new sessions; open sessions continue.
 	VersionDraining
-	// VersionWithdrawn takes no new work at all.
+	// VersionWithdrawn takes no requests at all.
 	VersionWithdrawn
 )
 
 // Team is one row of the manifest's teams.
 type Team struct {
 	ID TeamID
-	// Weight is the team's part of the capacity under saturation, at least 1.
+	// Weight is the team's relative share of the capacity under saturation, at
+	// least 1.
 	Weight int
-	// QueueLimit bounds the team's queue in requests; 0 is the default.
+	// QueueLimit bounds the team's queue in requests; 0 means Config.QueueLimit.
 	QueueLimit int
-	// QualityTarget is the mean rating wanted, 0 to 1.
+	// QualityTarget is the mean rating to reach, 0 to 1.
 	QualityTarget float64
 	// Allowed lists the versions that the team may use.
 	Allowed []VersionID
@@ -63,14 +65,15 @@
 	ID    VersionID
 	Model ModelID
 	State VersionState
-	// Share is the part (0 to 1) of new sessions and requests for Model that
-	// this version takes, by hash, so that raising it only adds.
+	// Share is the fraction (0 to 1) of new sessions and requests for Model that
+	// this version takes. They are assigned by Request.RolloutPosition, so that
+	// raising the share only adds some.
 	Share float64
 	// Predecessor is the version it replaces; empty for none.
 	Predecessor VersionID
-	// Cost per 1000 tokens generated, in the manifest's unit.
+	// Cost per 1000 generated tokens, in the manifest's unit.
 	Cost float64
-	// Quality expected before anything was learnt, 0 to 1.
+	// Quality is the expected rating before any was received, 0 to 1.
 	Quality float64
 }
 
@@ -80,11 +83,11 @@
 	Domain DomainID
 	// Service is set for a plain service; then Versions is empty.
 	Service ServiceID
-	// Versions that are loaded and can be served.
+	// Versions are those loaded and ready to serve.
 	Versions []VersionID
-	// Slots is how many requests the server runs at once.
+	// Slots is how many requests the server runs concurrently.
 	Slots int
-	// Leaving servers get nothing new.
+	// Leaving servers get no new requests.
 	Leaving bool
 }
 
@@ -92,41 +95,46 @@
 type Request struct {
 	ID   RequestID
 	Team TeamID
-	// Model asked for; empty lets the cascade choose among all allowed.
+	// Model is the requested model; empty lets the cascade choose among all
+	// allowed ones.
 	Model ModelID
-	// Pinned is the session's version for the model; empty without a session.
+	// Pinned is the version that the session is pinned to for Model; empty
+	// without a session.
 	Pinned VersionID
-	// Pins are the session's versions, one a model, for a request whose Model is
-	// empty: the cascade then keeps to them.
+	// Pins are the session's versions, one per model, for a request whose Model
+	// is empty: the cascade uses no other version of these models.
 	Pins []VersionID
 	// Service is set for a plain service.
 	Service ServiceID
 	Class   TaskClass
-	// ShareHash places the request in a roll-out: hash of its session, or of
-	// itself, as a fraction of 1.
+	// RolloutPosition is the request's position in roll-outs, from 0 up to but
+	// not 1: a hash of its session, or of itself.
 	RolloutPosition float64
 	Fingerprint     Fingerprint
-	// Blocks are the prompt's block hashes from its start, for affinity.
+	// Blocks are the hashes of the prompt's blocks from its start, for prefix
+	// affinity.
 	Blocks []BlockHash
-	// PromptTokens and MaxTokens size the work.
+	// PromptTokens and MaxTokens give the size of the request.
 	PromptTokens int
 	MaxTokens    int
 	// Priority within the team, higher first.
 	Priority int
-	// Deadline for the whole answer; the zero value means the default.
+	// Deadline for the whole answer; the zero value means Config.DefaultDeadline
+	// after the arrival.
 	Deadline time.Time
-	// Idempotent requests may be tried again after they may have run.
+	// Idempotent requests may be retried after an attempt that may have run.
 	Idempotent bool
-	// Streamed answers flow to the caller as they come.
+	// Streamed answers are forwarded to the caller as they are generated.
 	Streamed bool
-	// Resend marks a request that the caller says it sends again.
+	// Resend marks a request that the caller declares to be a retry.
 	Resend bool
 }
 
-// RefusalReason is why a request was refused; the text is stable, for callers.
+// RefusalReason is why a request was refused; callers see the text, which is
+// stable.
 type RefusalReason string
 
-// The reasons that the decision gives. The router has more of its own.
+// The reasons given by this package. The router adds reasons of its own.
 const (
 	ReasonQueueFull        RefusalReason = "queue_full"
 	ReasonWaitTooLong      RefusalReason = "wait_exceeds_deadline"
@@ -141,21 +149,21 @@
 	ReasonOutage           RefusalReason = "log_outage"
 )
 
-// AttemptResult is how one attempt ended, as a value.
+// AttemptResult is how one attempt ended.
 type AttemptResult uint8
 
 const (
-	// AttemptCompleted: the whole answer came.
+	// AttemptCompleted: the whole answer was received.
 	AttemptCompleted AttemptResult = iota + 1
-	// AttemptNotRun: provably not run (no byte was written, or the backend
-	// server's protocol said refused).
+	// AttemptNotRun: it provably did not run (no byte was written, or the backend
+	// server refused it in a way that the protocol defines as not run).
 	AttemptNotRun
-	// AttemptFailed: it ran and failed with an answer from the backend server.
+	// AttemptFailed: it ran and the backend server answered with an error.
 	AttemptFailed
 	// AttemptUnknown: it may have run; the connection broke or timed out.
 	AttemptUnknown
-	// AttemptCrashed: the backend server died while running it.
+	// AttemptCrashed: the backend server crashed while running it.
 	AttemptCrashed
-	// AttemptCancelled: nobody waited for it any more.
+	// AttemptCancelled: it was stopped because its answer was no longer needed.
 	AttemptCancelled
 )
--- a/decision/use.go
+++ b/decision/use.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// decayClock is what all useMeters decay by. New work counts for more instead of
-// old work for less, so that one exponential a tick serves every meter.
+// decayClock is the common decay of all usage meters. Instead of decaying old
+// values it scales new ones up, so that one exponential per tick serves every
+// meter.
 type decayClock struct {
 	base time.Time
-	// scale is what work counts for now: it doubles with each half-life.
+	// scale is the weight of work added now; it doubles with each half-life.
 	scale float64
 }
 
-// rescaleAt is where the scale starts anew; far from where it would overflow.
+// rescaleAt is the scale at which it is reset to 1, far below an overflow.
 const rescaleAt = 1 << 40
 
-// advance moves the clock on. It returns by what to multiply all meters where
-// the scale starts anew, and else 1.
+// advance moves the clock to now. It returns the factor by which all meters must be
+// multiplied: 1 unless the scale was reset.
 func (c *decayClock) advance(now time.Time, halfLife time.Duration) float64 {
 	if c.scale == 0 {
 		c.base, c.scale = now, 1
@@ -32,15 +33,16 @@
 	return factor
 }
 
-// useMeter measures how much a flow or a pool sends, in cost a second, whether
-// or not there is a backlog.
+// usageMeter measures the rate of dispatched work of a flow or a pool, in cost per
+// second, with or without a backlog.
 type usageMeter struct {
-	// sum is scaled; born is the scale at the first work, 0 before it.
+	// sum is the scaled cost; startScale is the scale at the first addition, 0
+	// before it.
 	sum        float64
 	startScale float64
 }
 
-// add notes cost sent now.
+// add records cost dispatched now.
 func (m *usageMeter) add(cost float64, c *decayClock) {
 	if m.startScale == 0 {
 		m.startScale = c.scale
@@ -48,8 +50,8 @@
 	m.sum += cost * c.scale
 }
 
-// rate is the cost a second of late. A young meter is divided by its age, not by
-// the half-life; under half a second it counts as that old.
+// rate is the recent cost per second. For a meter younger than the half-life the
+// average is taken over its age, but over at least 0.5 s.
 func (m *usageMeter) rate(c *decayClock, halfLife time.Duration) float64 {
 	if m.startScale == 0 {
 		return 0
@@ -63,7 +65,7 @@
 	m.startScale *= factor
 }
 
-// advanceUse moves the meters of use on.
+// advanceUsage advances the clock of the usage meters.
 func (w *World) advanceUsage() {
 	factor := w.usageClock.advance(w.now, w.cfg.DrainRateHalfLife)
 	if factor == 1 {
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// waitFor estimates how long the request would wait in its pool's queue, by the
-// queue as it stands and by how such estimates turned out of late.
+// waitFor estimates how long the request would wait in its pool's queue: the
+// estimate for the present queue, corrected by how far recent estimates were off.
 func (w *World) waitFor(r *request) time.Duration {
 	return time.Duration(float64(w.rawWait(r)) * r.bias())
 }
@@ -15,15 +15,15 @@
 	return r.pool.flow(r.team).bias.factor()
 }
 
-// rawWait is the estimate by the queue as it stands.
+// rawWait is the uncorrected estimate for the present queue.
 //
-// Load: saturation by one team or by all, of a pool that other instances use as
-// well. Two bounds hold. The work that goes before the request by fair queueing,
-// at the rate at which this instance's queue truly drains: it shows the queues of
-// the others as they are, and the request of a team below its share so waits for
-// the next slot only. And the team's own queue at the team's own rate: it shows
-// what the others go on asking for. Before a rate is known the estimate is 0: a
-// wrong refusal costs a caller more than a short wait.
+// Load: saturation, by one team or by all, of a pool that other instances use as
+// well. The estimate is the larger of two. The first is the work that fair queueing
+// puts before the request, at the measured drain rate of this instance's queue: it
+// reflects the present queues of the other teams, and a team below its share waits
+// for the next slot only. The second is the team's own queue at the team's own
+// rate: it reflects the continuing demand of the other teams. Before a rate is
+// known the estimate is 0: a wrong refusal costs a caller more than a short wait.
 func (w *World) rawWait(r *request) time.Duration {
 	p := r.pool
 	if p == nil || r.team == nil || p.queue.Len() == 0 && len(p.free) > 0 {
@@ -41,9 +41,9 @@
 	return seconds(max(ahead, ownQueue))
 }
 
-// queuedRate is what is left of the pool's rate for the flows that are queued and
-// for f: the teams that are not queued now will ask for what they use of late,
-// up to their share.
+// queuedRate is the part of the pool's rate that is left for f and the flows with
+// queued requests: the other teams are expected to keep using what they used
+// recently, up to their share.
 func (w *World) queuedRate(p *pool, f *flow, rate float64) float64 {
 	window := w.cfg.DrainRateHalfLife
 	queued := f.usage.rate(&w.usageClock, window)
@@ -57,8 +57,8 @@
 	return max(rate*share, rate-idle)
 }
 
-// ownRate is the flow's part of the rate: what the others leave of it by what
-// they use of late, and at least its share among those that are queued.
+// ownRate is the flow's part of the pool's rate: what the recent usage of the
+// others leaves of it, and at least its share among the queued flows.
 func (w *World) ownRate(p *pool, f *flow, rate float64) float64 {
 	window := w.cfg.DrainRateHalfLife
 	others := p.usage.rate(&w.usageClock, window) - f.usage.rate(&w.usageClock, window)
@@ -66,8 +66,8 @@
 	return max(rate*share, rate-others)
 }
 
-// advanceDrains moves the meters of the backlogged pools on. The work is by
-// pools with queued requests, which are as few as versions.
+// advanceDrains advances the meters of the backlogged pools. Its cost grows with
+// the number of pools with queued requests, at most one per version or service.
 func (w *World) advanceDrains(elapsed time.Duration) {
 	w.advanceUsage()
 	if elapsed <= 0 {
@@ -79,8 +79,9 @@
 	}
 }
 
-// left notes that a request goes from its queue to a server. What a queue without
-// a backlog sends says nothing of the rate: there it was demand that was short.
+// recordDeparture records that a request leaves its queue for a server. Without a
+// backlog it does not count for the drain rate, since demand and not capacity was
+// the limit.
 func (w *World) recordDeparture(p *pool, r *request) {
 	f := p.flow(r.team)
 	if p.backlogged {
@@ -90,8 +91,8 @@
 	p.usage.add(r.item.Cost, &w.usageClock)
 }
 
-// waited notes how the estimate of a request's wait turned out, whether it got a
-// slot or gave up.
+// recordWait compares the estimated wait of a request with the actual one, whether
+// it got a slot or was given up.
 func (w *World) recordWait(r *request) {
 	if r.expected > 0 {
 		r.pool.flow(r.team).bias.learn(r.expected, w.now.Sub(r.queuedAt))
@@ -99,8 +100,9 @@
 	}
 }
 
-// retryAfter turns an estimate into the time to come back, with a jitter of a
-// quarter, so that the refused of one burst do not return as one burst.
+// retryAfter converts an estimated wait to the time after which a caller may retry.
+// A random part of up to a quarter is added, so that the refused requests of a burst
+// do not return as a burst.
 func (w *World) retryAfter(wait time.Duration) time.Duration {
 	wait = max(wait, w.cfg.RetryAfterMin)
 	return wait + time.Duration(w.rng.Float64()*float64(wait)/4)
--- a/decision/withdraw.go
+++ b/decision/withdraw.go
@@ -2,13 +2,12 @@
 
 import "slices"
 
-// withdraw makes queued work follow what has changed while it waited: a newer
-// manifest, a list without its servers, a bad verdict, lost freshness, a log
-// outage.
+// withdraw re-evaluates queued requests after a change: a newer manifest, a list
+// without their servers, a bad verdict, lost freshness, a log outage.
 //
-// Load: a season's manifest under full queues. Harm prevented: work that starts
-// on a version withdrawn or forbidden since it was admitted. It looks at every
-// queued request, but only in a tick in which something changed.
+// Load: a large manifest change while queues are full. Harm prevented: a request
+// starts on a version that was withdrawn or forbidden after its admission. It
+// visits every queued request, but only in ticks with a change.
 func (w *World) withdraw() {
 	if !w.fresh {
 		w.withdrawStale()
@@ -23,8 +22,8 @@
 	}
 }
 
-// withdrawStale refuses queued work once freshness has been gone for the grace:
-// it was not run, and another instance can take it.
+// withdrawStale refuses queued requests once freshness has been lost for longer
+// than the grace period: they did not run, and another instance can take them.
 func (w *World) withdrawStale() {
 	if len(w.queuedPools)+len(w.parked) == 0 || w.now.Sub(w.staleSince) < w.cfg.FreshnessGrace {
 		return
@@ -56,8 +55,8 @@
 	w.enqueue(r)
 }
 
-// recheckStep gives up an escalation that may not run any more: the answer that
-// is held already is whole and was allowed.
+// recheckEscalation drops an escalation that is no longer permitted and delivers
+// the held answer, which is whole and was permitted.
 func (w *World) recheckEscalation(r *request) {
 	if w.mayEscalate(r, r.version) {
 		return
@@ -65,7 +64,8 @@
 	w.deliver(r, r.held)
 }
 
-// giveUp ends a queued request: as refused where it truly was not run.
+// conclude ends a request that gets no further attempt: it delivers a held answer,
+// fails a request that may have run, and refuses any other with the reason.
 func (w *World) conclude(r *request, reason RefusalReason) {
 	switch {
 	case r.held != 0:
@@ -77,7 +77,7 @@
 	}
 }
 
-// queuedRequests lists all queued and parked requests in order of their ids.
+// queuedRequests returns all queued and parked requests in order of their ids.
 func (w *World) queuedRequests() []*request {
 	var list []*request
 	for _, e := range w.due {
--- a/decision/world.go
+++ b/decision/world.go
@@ -12,51 +12,52 @@
 	"masticplank.example/decision/internal/verdict"
 )
 
-// World holds the tables. It is not safe for concurrent use: one goroutine owns
-// it and calls Tick.
+// World holds the state of all decisions. It is not safe for concurrent use: one
+// goroutine owns it and calls Tick.
 type World struct {
 	cfg Config
 	tables
 	rng    *rand.Rand
 	picker place.Picker
-	// What is learnt from attempts and ratings.
+	// State learnt from attempts and ratings.
 	verdicts *verdict.Versions[VersionID, ServerID]
 	outliers *verdict.Outliers[ServerID, string]
 	crashes  *verdict.Crashes[Fingerprint]
-	// estimates is the learnt quality and length; seconds the dispatched second
-	// steps whose rating is to come, with their first step.
+	// estimates holds the learnt quality and answer length. secondSteps maps the
+	// second steps of cascades whose rating is pending to the version of the
+	// first step.
 	estimates   *estimate.Table[TeamID, TaskClass, VersionID]
 	secondSteps *simplelru.LRU[attemptKey, VersionID]
 	prefixes    *prefix.Index[ServerID, BlockHash]
 
-	// base is the first tick's time.
+	// base is the time of the first tick.
 	base time.Time
 	now  time.Time
-	// useClock is the meters' of use.
+	// usageClock is shared by all usage meters.
 	usageClock decayClock
 	fresh      bool
-	// outage says that the log is down for everybody.
+	// outage is set while the log is down for all instances.
 	outage bool
 	// staleSince is when freshness was lost.
 	staleSince time.Time
-	// resumedAt is the last tick after a pause, and holdUntil bounds how long
+	// resumedAt is the last tick after a pause; until holdUntil at the latest
 	// nothing is dispatched after it.
 	resumedAt time.Time
 	holdUntil time.Time
-	// recheck asks the withdraw system to look at every queued request.
+	// recheck makes the withdraw system re-evaluate every queued request.
 	recheck bool
-	// shareAt is when the verdicts are looked at for the peers again.
+	// nextShare is when the verdicts to share with the peers are next collected.
 	nextShare time.Time
 	wakeSeq   uint64
-	// turn is the round robin baseline's.
+	// roundRobin is the counter of the round robin baseline.
 	roundRobin int
 
-	// What this tick's events leave to the systems.
+	// Input of this tick for the later systems, filled by ingest.
 	arrived []*request
 	opening []SessionOpening
 	ended   []endedAttempt
 	rated   []AnswerRated
-	// Kept between decisions to save allocations.
+	// Buffers reused between decisions to save allocations.
 	candidates []place.Candidate
 	drawn      []*server
 	pushDue    dueEntry
@@ -65,8 +66,8 @@
 	out        []Command
 }
 
-// NewWorld returns an empty world: it refuses everything until it has been told
-// a manifest, servers and that the instance is fresh.
+// NewWorld returns an empty world. It refuses every request until events have
+// supplied a manifest, servers and the freshness of the instance.
 func NewWorld(cfg Config) *World {
 	cfg = cfg.withDefaults()
 	w := &World{
@@ -86,13 +87,13 @@
 	return w
 }
 
-// Tick applies the events in order, runs the systems once and returns what the
-// router must do, in order. A now before the last one counts as the last one.
-// The commands returned are valid until the next Tick.
+// Tick applies the events in order, runs the systems once and returns the commands
+// for the router, in order. A now before that of the last call is replaced by it.
+// The returned commands are valid until the next Tick.
 //
-// Ends and ratings are judged before deadlines, so that an answer that is whole in
-// the tick of its deadline is delivered; escalations before placing, so that they
-// join this tick's.
+// Ended attempts and ratings are handled before deadlines, so that an answer that
+// completes in the tick of its deadline is delivered; escalations are handled
+// before placement, so that they can be dispatched in the same tick.
 func (w *World) Tick(now time.Time, in []Event) []Command {
 	w.begin(now)
 	w.ingest(in)
@@ -107,7 +108,8 @@
 	return w.out
 }
 
-// begin starts a tick: the clock moves on.
+// begin starts a tick: it advances the clock, detects pauses of the process and
+// clears the buffers.
 func (w *World) begin(now time.Time) {
 	if w.base.IsZero() {
 		w.base = now
@@ -131,14 +133,14 @@
 	w.out = w.out[:0]
 }
 
-// secondsLimit bounds the second steps whose rating is waited for; a rating that
-// is lost leaves its entry to be pushed out.
+// maxSecondSteps bounds the entries of World.secondSteps; an entry whose rating is
+// lost is evicted by later ones.
 const maxSecondSteps = 4096
 
 func newSecondSteps() *simplelru.LRU[attemptKey, VersionID] {
 	lru, err := simplelru.NewLRU[attemptKey, VersionID](maxSecondSteps, nil)
 	if err != nil {
-		panic(err) // the library fails only for a size below 1
+		panic(err) // NewLRU fails only for a size below 1
 	}
 	return lru
 }
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// small returns a harness with two teams, two models and two servers.
+// smallHarness has two teams, two models and two servers.
 func smallHarness(t reporter) *harness {
 	h := newHarness(t, DefaultConfig())
 	h.manifest(1, []Team{teamOf("weavers", 1), teamOf("shops", 1)}, smallVersions())
@@ -14,6 +14,8 @@
 	return h
 }
 
+// A single request must get the answer that its fields, the manifest, the servers
+// and the freshness call for.
 func TestOneRequest(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -109,7 +111,7 @@
 			want:  Refuse{Request: 1, Reason: ReasonNoServer},
 		},
 		{
-			name: "unknown result of a reservation", request: Request{Model: "weave"},
+			name: "unknown result, not idempotent", request: Request{Model: "weave"},
 			setup: func(h *harness) { h.result = always(AttemptUnknown) },
 			want:  Fail{Request: 1, Result: AttemptUnknown},
 		},
@@ -157,7 +159,7 @@
 	return func(Dispatch, Request) AttemptResult { return result }
 }
 
-// A crashing request takes down two servers at most, and its resend none.
+// A request that crashes servers must crash two at most, and a resend of it none.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	h := smallHarness(t)
 	h.result = always(AttemptCrashed)
@@ -179,7 +181,8 @@
 	}
 }
 
-// Raising a share only adds: no request leaves the version whose share grew.
+// Raising a share must only add requests: none may leave the version whose share
+// grew.
 func TestShareOnlyAdds(t *testing.T) {
 	at := func(share float64) []VersionID {
 		h := newHarness(t, DefaultConfig())
@@ -216,7 +219,8 @@
 	}
 }
 
-// Queued work follows the manifest that comes while it waits.
+// Queued requests must follow a manifest that is applied while they wait: one
+// pinned to a version that is withdrawn is refused, others move to its successor.
 func TestQueuedWorkFollowsTheManifest(t *testing.T) {
 	h := smallHarness(t)
 	h.duration = func(Dispatch, Request) time.Duration { return time.Second }
@@ -241,7 +245,8 @@
 	h.requireAllAnswered()
 }
 
-// After a pause nothing queued is dispatched before the freshness is told anew.
+// After a pause of the process no queued request may be dispatched before the
+// freshness is reported again, since the manifest may be outdated.
 func TestNothingIsDispatchedAfterAPause(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -250,7 +255,7 @@
 	}{
 		{name: "still fresh", reported: &FreshnessChanged{Fresh: true}, want: Deliver{Request: 5, Attempt: 1}},
 		{name: "not fresh", reported: &FreshnessChanged{}, want: Refuse{Request: 5, Reason: ReasonNotFresh}},
-		{name: "not told", want: Deliver{Request: 5, Attempt: 1}},
+		{name: "not reported", want: Deliver{Request: 5, Attempt: 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
