--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -24,7 +24,7 @@
 	for i := range 10 {
 		id := TeamID(fmt.Sprintf("team%d", i))
 		b.teams = append(b.teams, id)
-		t := teamOf(id, 1+i%3)
+		t := testTeam(id, 1+i%3)
 		t.QueueLimit = 1 << 20
 		teams = append(teams, t)
 	}
@@ -34,7 +34,7 @@
 	b.tick(
 		FreshnessChanged{Fresh: true},
 		ManifestApplied{Generation: 1, Teams: teams, Versions: smallVersions()},
-		ServersListed{Servers: serversOf(servers, slots, weave1, draft1)},
+		ServersListed{Servers: testServers(servers, slots, weave1, draft1)},
 	)
 	for range servers * slots {
 		b.tick(b.arrival())
@@ -64,7 +64,7 @@
 
 // decide makes one decision: an attempt ends, a request arrives, and the freed slot
 // goes to the next queued request (or to the new one, if the queue is empty).
-func (b *benchWorld) decide() {
+func (b *benchWorld) makeDecision() {
 	oldest := b.running[0]
 	b.running = b.running[1:]
 	b.tick(AttemptEnded{Request: oldest.request, Attempt: oldest.attempt, Result: AttemptCompleted, Tokens: 20}, b.arrival())
@@ -102,7 +102,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		world.decide()
+		world.makeDecision()
 	}
 }
 
@@ -113,7 +113,7 @@
 		b.Run(fmt.Sprintf("servers=%d/queued=10000", size.servers), func(b *testing.B) {
 			world := newBenchWorld(size.servers, size.slots, 10_000, 0)
 			for range 100 {
-				world.decide()
+				world.makeDecision()
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -55,7 +55,7 @@
 	w.options = w.options[:0]
 	for _, tm := range t.models {
 		v := w.versionFor(tm, r)
-		if v != nil && v.pool.usable > 0 {
+		if v != nil && v.pool.usableServers > 0 {
 			w.options = append(w.options, estimate.Option[VersionID]{Version: v.ID, Cost: v.Cost})
 		}
 	}
--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -11,10 +11,10 @@
 // one that answers all well.
 func cascadeHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
-	team := teamOf("weavers", 1)
+	team := testTeam("weavers", 1)
 	team.QualityTarget = 0.8
 	h.manifest(1, []Team{team}, smallVersions())
-	h.servers(serversOf(6, 8, weave1, draft1)...)
+	h.servers(testServers(6, 8, weave1, draft1)...)
 	h.rating = func(d Dispatch, r Request) (float64, bool) {
 		if d.Version == weave1 && r.ID%10 < 3 {
 			return 0.2, false
@@ -145,8 +145,8 @@
 func TestSpillsToAnotherModel(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.duration = tenMsPerToken
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	cheap, dear := serversOf(2, 8, weave1), serversOf(4, 8, draft1)[2:]
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	cheap, dear := testServers(2, 8, weave1), testServers(4, 8, draft1)[2:]
 	h.servers(append(cheap, dear...)...)
 	h.tick()
 	rng := rand.New(rand.NewPCG(3, 3))
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -58,7 +58,7 @@
 // A version that the session is pinned to may be draining.
 func (w *World) mayEscalate(r *request, v *version) bool {
 	takes := v.serving() || v.open() && slices.Contains(r.Pins, v.ID)
-	return takes && !r.team.gone && r.team.allowed[v.ID] && v.pool.usable > 0 &&
+	return takes && !r.team.gone && r.team.allowed[v.ID] && v.pool.usableServers > 0 &&
 		int(r.attempts) < w.cfg.MaxAttempts && w.fresh
 }
 
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -166,14 +166,14 @@
 	case CancelAttempt:
 		h.cancel(c)
 	case Deliver:
-		h.answer(c.Request, c)
+		h.recordOutcome(c.Request, c)
 	case Refuse:
 		if h.ran[c.Request] > 0 {
 			h.t.Errorf("request %d refused as not run, but it ran", c.Request)
 		}
-		h.answer(c.Request, c)
+		h.recordOutcome(c.Request, c)
 	case Fail:
-		h.answer(c.Request, c)
+		h.recordOutcome(c.Request, c)
 	}
 }
 
@@ -223,7 +223,7 @@
 	}
 }
 
-func (h *harness) answer(id RequestID, c Command) {
+func (h *harness) recordOutcome(id RequestID, c Command) {
 	if before, twice := h.outcomes[id]; twice {
 		h.t.Errorf("request %d answered twice: %+v, then %+v", id, before.command, c)
 	}
@@ -266,14 +266,14 @@
 	}
 }
 
-func teamOf(id TeamID, weight int) Team {
+func testTeam(id TeamID, weight int) Team {
 	return Team{
 		ID: id, Weight: weight, QualityTarget: 0.5,
 		Allowed: []VersionID{weave1, weave2, draft1}, Services: []ServiceID{"stock"},
 	}
 }
 
-func serversOf(n, slots int, versions ...VersionID) []Server {
+func testServers(n, slots int, versions ...VersionID) []Server {
 	var list []Server
 	for i := range n {
 		list = append(list, Server{
--- a/decision/ingest_servers.go
+++ b/decision/ingest_servers.go
@@ -104,7 +104,7 @@
 	}
 	if !s.leaving {
 		for _, m := range s.memberships {
-			m.pool.usable++
+			m.pool.usableServers++
 			m.pool.slots += s.capacity()
 		}
 	}
@@ -127,7 +127,7 @@
 	w.setFree(s, false)
 	if !s.leaving {
 		for _, m := range s.memberships {
-			m.pool.usable--
+			m.pool.usableServers--
 			m.pool.slots -= s.capacity()
 		}
 	}
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -63,7 +63,7 @@
 	h := newHarness(t, DefaultConfig())
 	h.duration = tenMsPerToken
 	h.manifest(1, teams, smallVersions())
-	h.servers(serversOf(6, 8, weave1, draft1)...)
+	h.servers(testServers(6, 8, weave1, draft1)...)
 	h.tick()
 	return h, rand.New(rand.NewPCG(7, 7))
 }
@@ -117,7 +117,7 @@
 // A burst of one team must not delay another team. The part of it that cannot be
 // answered in time must be refused at once, not at its deadline.
 func TestBurst(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	steady := demand{perSecond: 60, request: draftRequest("shops"), deadline: 5 * time.Second}
 	offer(h, rng, 2*time.Second, steady)
 	for range 2000 {
@@ -141,7 +141,7 @@
 // One team sends 80% of a load of twice the capacity. The teams below their share
 // must get all that they request and the large one what is left.
 func TestSkew(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("big", 1), teamOf("a", 1), teamOf("b", 1), teamOf("c", 1))
+	h, rng := loadHarness(t, testTeam("big", 1), testTeam("a", 1), testTeam("b", 1), testTeam("c", 1))
 	var demands []demand
 	for _, id := range []TeamID{"a", "b", "c"} {
 		demands = append(demands, demand{perSecond: 32, request: draftRequest(id), deadline: 3 * time.Second})
@@ -171,7 +171,7 @@
 
 // Two teams must share a saturated pool in proportion to their weights, 3 to 1.
 func TestWeights(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("heavy", 3), teamOf("light", 1))
+	h, rng := loadHarness(t, testTeam("heavy", 3), testTeam("light", 1))
 	offer(h, rng, 10*time.Second,
 		demand{perSecond: 300, request: draftRequest("heavy"), deadline: 2 * time.Second},
 		demand{perSecond: 300, request: draftRequest("light"), deadline: 2 * time.Second})
@@ -188,7 +188,7 @@
 // that at saturation: it collapses if slots are used for answers that are too late.
 func TestSaturationGoodput(t *testing.T) {
 	at := func(factor float64) int {
-		h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+		h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 		half := 120 * factor
 		offer(h, rng, 15*time.Second,
 			demand{perSecond: half, request: draftRequest("weavers"), deadline: 2 * time.Second},
@@ -207,7 +207,7 @@
 // In sustained overload the queue must stay short: callers wait for a fraction of
 // the time to their deadline only, and the throughput stays the same.
 func TestStandingQueueIsShort(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	load := []demand{
 		{perSecond: 240, request: draftRequest("weavers"), deadline: 10 * time.Second},
 		{perSecond: 240, request: draftRequest("shops"), deadline: 10 * time.Second},
@@ -229,7 +229,7 @@
 
 // Long requests of one team must not starve the short requests of another.
 func TestLongAndShort(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("long", 1), teamOf("short", 1))
+	h, rng := loadHarness(t, testTeam("long", 1), testTeam("short", 1))
 	long := Request{Team: "long", Model: "weave", MaxTokens: 300, Idempotent: true}
 	offer(h, rng, 15*time.Second,
 		demand{perSecond: 30, request: long, deadline: 12 * time.Second},
@@ -249,7 +249,7 @@
 // requests that it ran must be retried elsewhere, and its fast refusals must cause
 // no request to fail or be refused.
 func TestServerDies(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	booking := draftRequest("shops")
 	booking.Idempotent = false
 	load := []demand{
@@ -276,7 +276,7 @@
 		return tenMsPerToken(d, r)
 	}
 	offer(h, rng, 5*time.Second, load...)
-	h.servers(serversOf(6, 8, weave1, draft1)[1:]...)
+	h.servers(testServers(6, 8, weave1, draft1)[1:]...)
 	offer(h, rng, 3*time.Second, load...)
 	h.run(5 * time.Second)
 	h.requireAllAnswered()
@@ -304,8 +304,8 @@
 	cfg := DefaultConfig()
 	cfg.Policy.NoVerdicts = true
 	h := newHarness(t, cfg)
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	h.servers(serversOf(6, 8, weave1)...)
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.servers(testServers(6, 8, weave1)...)
 	refusals := 0
 	h.duration = func(d Dispatch, r Request) time.Duration {
 		if d.Server == "s0" {
--- a/decision/place.go
+++ b/decision/place.go
@@ -72,7 +72,7 @@
 // parked, so that it blocks nobody, if the pool has busy servers that may take it,
 // and else concluded.
 func (w *World) parkOrConclude(p *pool, r *request) {
-	if r.triedIn(p) >= p.usable {
+	if r.triedIn(p) >= p.usableServers {
 		w.conclude(r, ReasonNoServer)
 		return
 	}
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -40,7 +40,7 @@
 	versions[1].Predecessor = weave1
 	var teams []Team
 	for _, id := range []TeamID{"a", "b"} {
-		team := teamOf(id, rapid.IntRange(0, 3).Draw(s.t, "weight"))
+		team := testTeam(id, rapid.IntRange(0, 3).Draw(s.t, "weight"))
 		team.Allowed = rapid.SliceOfN(rapid.SampledFrom(team.Allowed), 0, 3).Draw(s.t, "allowed")
 		team.QueueLimit = rapid.IntRange(0, 20).Draw(s.t, "limit")
 		team.QualityTarget = rapid.Float64Range(0, 1).Draw(s.t, "target")
@@ -52,7 +52,7 @@
 func (s *script) servers() {
 	var list []Server
 	for i := range rapid.IntRange(0, 4).Draw(s.t, "servers") {
-		server := serversOf(i+1, rapid.IntRange(1, 3).Draw(s.t, "slots"))[i]
+		server := testServers(i+1, rapid.IntRange(1, 3).Draw(s.t, "slots"))[i]
 		server.Versions = rapid.SliceOfN(rapid.SampledFrom([]VersionID{weave1, weave2, draft1}), 0, 3).Draw(s.t, "loaded")
 		if rapid.IntRange(0, 4).Draw(s.t, "plain") == 0 {
 			server.Service = "stock"
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -115,10 +115,10 @@
 // The queue must be bounded, and within a team higher priorities must go first.
 func TestQueueLimitAndPriority(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	team := teamOf("weavers", 1)
+	team := testTeam("weavers", 1)
 	team.QueueLimit = 3
 	h.manifest(1, []Team{team}, smallVersions())
-	h.servers(serversOf(1, 1, weave1)...)
+	h.servers(testServers(1, 1, weave1)...)
 	h.tick()
 	h.arrive(Request{Team: "weavers", Model: "weave"})
 	h.tick()
@@ -184,8 +184,8 @@
 // are sent at once.
 func TestCrashingCopies(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	h.servers(serversOf(6, 4, weave1)...)
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.servers(testServers(6, 4, weave1)...)
 	h.result = always(AttemptCrashed)
 	first := h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 8})
 	h.run(time.Second)
@@ -208,8 +208,8 @@
 // failing because only the first is free.
 func TestCrashedRequestWaitsForAnotherServer(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	h.servers(serversOf(2, 1, weave1)...)
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.servers(testServers(2, 1, weave1)...)
 	h.tick()
 	h.duration = func(d Dispatch, r Request) time.Duration {
 		return time.Duration(r.MaxTokens) * step
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -86,7 +86,7 @@
 }
 
 func (w *World) withServer(v *version, p *pool) choice {
-	if p.usable == 0 {
+	if p.usableServers == 0 {
 		return refused(ReasonNoServer)
 	}
 	return choice{version: v, pool: p}
--- a/decision/servers_test.go
+++ b/decision/servers_test.go
@@ -25,7 +25,7 @@
 		return n
 	}
 	h := smallHarness(t)
-	list := serversOf(2, 2, weave1, draft1)
+	list := testServers(2, 2, weave1, draft1)
 	h.send(ServerLeaving{Server: "s0"})
 	h.servers(list...) // the list lags
 	if n := used(h); n["s0"] > 0 || n["s1"] != 20 {
@@ -48,8 +48,8 @@
 // they were forgotten, its slots would be filled twice.
 func TestRelistedServerKeepsItsSlots(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	list := serversOf(2, 2, weave1)
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	list := testServers(2, 2, weave1)
 	h.servers(list...)
 	h.duration = func(Dispatch, Request) time.Duration { return 2 * time.Second }
 	h.tick()
@@ -88,8 +88,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(t, DefaultConfig())
-			h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-			h.servers(serversOf(1, 8, weave1)...)
+			h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+			h.servers(testServers(1, 8, weave1)...)
 			h.duration = func(Dispatch, Request) time.Duration { return time.Minute }
 			h.tick()
 			h.send(LoadReported{Server: "s0", Running: tt.running, At: h.now.Add(-tt.age)})
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -24,7 +24,7 @@
 		w.shareVerdicts()
 	}
 	for _, e := range w.outliers.Sweep(w.now) {
-		w.ejection(e)
+		w.applyEjection(e)
 	}
 }
 
@@ -72,7 +72,7 @@
 	var list []verdict.Member[ServerID, string]
 	for _, s := range w.serverList {
 		if !s.leaving {
-			list = append(list, verdict.Member[ServerID, string]{Server: s.ID, Group: groupOf(s)})
+			list = append(list, verdict.Member[ServerID, string]{Server: s.ID, Group: outlierGroup(s)})
 		}
 	}
 	w.outliers.Apply(list)
@@ -83,7 +83,7 @@
 	}
 }
 
-func groupOf(s *server) string {
+func outlierGroup(s *server) string {
 	if s.Service != "" {
 		return "service " + string(s.Service)
 	}
@@ -110,7 +110,7 @@
 	}
 	end := verdict.End[ServerID]{
 		Server: a.server.ID,
-		Alone:  a.pool.usable <= 1,
+		Alone:  a.pool.usableServers <= 1,
 		Failed: e.Result != AttemptCompleted,
 		Broken: e.Result == AttemptUnknown || e.Result == AttemptCrashed,
 	}
@@ -134,7 +134,7 @@
 	}
 	failed := e.Result != AttemptCompleted
 	if change, ok := w.outliers.Ended(a.server.ID, failed, w.unitLatency(a, e), w.now); ok {
-		w.ejection(change)
+		w.applyEjection(change)
 	}
 	if a.server.ejected {
 		w.refresh(a.server) // a probe has ended
@@ -154,7 +154,7 @@
 		latency = w.tokenLatency(a, int(a.pool.serviceTime.lengthRatio*(a.cost-a.prompt)))
 	}
 	if change, ok := w.outliers.Ended(a.server.ID, false, latency, w.now); ok {
-		w.ejection(change)
+		w.applyEjection(change)
 	}
 }
 
@@ -181,7 +181,7 @@
 	return w.now.Sub(from) / time.Duration(tokens)
 }
 
-func (w *World) ejection(e verdict.Ejection[ServerID]) {
+func (w *World) applyEjection(e verdict.Ejection[ServerID]) {
 	if s := w.servers[e.Server]; s != nil {
 		w.eject(s, e.Ejected)
 	}
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -9,11 +9,11 @@
 // rolloutHarness has weave@2 take half of weave@1's new requests.
 func rolloutHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
-	h.manifest(1, []Team{teamOf("weavers", 1)}, []Version{
+	h.manifest(1, []Team{testTeam("weavers", 1)}, []Version{
 		{ID: weave1, Model: "weave", State: VersionServing, Share: 0.5, Quality: 0.8},
 		{ID: weave2, Model: "weave", State: VersionServing, Share: 0.5, Quality: 0.8, Predecessor: weave1},
 	})
-	h.servers(serversOf(6, 8, weave1, weave2)...)
+	h.servers(testServers(6, 8, weave1, weave2)...)
 	h.tick()
 	return h
 }
@@ -104,8 +104,8 @@
 		cfg := DefaultConfig()
 		cfg.Policy = policy
 		h := newHarness(t, cfg)
-		h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-		h.servers(serversOf(6, 8, weave1, draft1)...)
+		h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+		h.servers(testServers(6, 8, weave1, draft1)...)
 		h.duration = func(d Dispatch, r Request) time.Duration {
 			if d.Server == "s0" {
 				return 10 * tenMsPerToken(d, r)
@@ -134,8 +134,8 @@
 // loaded.
 func TestPrefixAffinity(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	h.servers(serversOf(6, 8, weave1, draft1)...)
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.servers(testServers(6, 8, weave1, draft1)...)
 	used := map[ServerID]int{}
 	h.onCommand = func(c Command) {
 		if d, ok := c.(Dispatch); ok {
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -115,11 +115,11 @@
 	free []freeSlot
 	// usable and slots count the servers that are neither leaving nor gone, and
 	// their slots.
-	usable      int
-	slots       int
-	serviceTime serviceTimeMeter
-	drain       drainMeter
-	usage       usageMeter
+	usableServers int
+	slots         int
+	serviceTime   serviceTimeMeter
+	drain         drainMeter
+	usage         usageMeter
 	// queuedPos is the index in tables.queuedPools, or -1.
 	queuedPos int
 	// backlogged is set when requests were still queued at the start of the tick;
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -8,8 +8,8 @@
 // smallHarness has two teams, two models and two servers.
 func smallHarness(t reporter) *harness {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{teamOf("weavers", 1), teamOf("shops", 1)}, smallVersions())
-	h.servers(serversOf(2, 2, weave1, draft1)...)
+	h.manifest(1, []Team{testTeam("weavers", 1), testTeam("shops", 1)}, smallVersions())
+	h.servers(testServers(2, 2, weave1, draft1)...)
 	h.tick()
 	return h
 }
@@ -42,7 +42,7 @@
 			setup: func(h *harness) {
 				v := smallVersions()
 				v[0].State = VersionWithdrawn
-				h.manifest(2, []Team{teamOf("weavers", 1)}, v)
+				h.manifest(2, []Team{testTeam("weavers", 1)}, v)
 			},
 			want: Refuse{Request: 1, Reason: ReasonVersionWithdrawn},
 		},
@@ -51,7 +51,7 @@
 			setup: func(h *harness) {
 				v := smallVersions()
 				v[0].State = VersionDraining
-				h.manifest(2, []Team{teamOf("weavers", 1)}, v)
+				h.manifest(2, []Team{testTeam("weavers", 1)}, v)
 			},
 			want: Deliver{Request: 1, Attempt: 1},
 		},
@@ -186,11 +186,11 @@
 func TestShareOnlyAdds(t *testing.T) {
 	at := func(share float64) []VersionID {
 		h := newHarness(t, DefaultConfig())
-		h.manifest(1, []Team{teamOf("weavers", 1)}, []Version{
+		h.manifest(1, []Team{testTeam("weavers", 1)}, []Version{
 			{ID: weave1, Model: "weave", State: VersionServing, Share: 1 - share},
 			{ID: weave2, Model: "weave", State: VersionServing, Share: share, Predecessor: weave1},
 		})
-		h.servers(serversOf(4, 8, weave1, weave2)...)
+		h.servers(testServers(4, 8, weave1, weave2)...)
 		h.tick()
 		var got []VersionID
 		h.onCommand = func(c Command) {
@@ -233,8 +233,8 @@
 	h.tick()
 	v := append(smallVersions(), Version{ID: weave2, Model: "weave", State: VersionServing, Share: 1, Predecessor: weave1})
 	v[0].State = VersionWithdrawn
-	h.manifest(2, []Team{teamOf("weavers", 1)}, v)
-	h.servers(serversOf(2, 2, weave1, draft1, weave2)...)
+	h.manifest(2, []Team{testTeam("weavers", 1)}, v)
+	h.servers(testServers(2, 2, weave1, draft1, weave2)...)
 	h.run(5 * time.Second)
 	if r, ok := h.outcomes[pinned].command.(Refuse); !ok || r.Reason != ReasonVersionWithdrawn {
 		t.Errorf("pinned: %+v", h.outcomes[pinned])
