--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -57,7 +57,7 @@
 	h.serveOpen(200, open)
 	cost, quality := h.serveOpen(300, open)
 	if quality < 0.79 || cost > 6 {
-		t.Errorf("cost %.2f of 10, quality %.3f", cost, quality)
+		t.Errorf("cost %.2f per request, want at most 6; quality %.3f, want at least 0.79", cost, quality)
 	}
 	h.requireAllAnswered()
 }
@@ -84,7 +84,7 @@
 				h.run(15 * step)
 			}
 			if held > 0 || h.delivered("") != 100 {
-				t.Errorf("%d held, %d delivered", held, h.delivered(""))
+				t.Errorf("%d answers held, want 0; %d of 100 delivered", held, h.delivered(""))
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 			}
 			// Two attempts of 100 ms, the rating timeout and its grace.
 			if worst := percentile(h.answerTimes("weavers"), 1); worst > 700*time.Millisecond {
-				t.Errorf("the slowest took %v", worst)
+				t.Errorf("slowest answer after %v, want at most 700 ms", worst)
 			}
 		})
 	}
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -21,7 +21,7 @@
 //     and wait (estimated queueing time);
 //   - withdraw re-evaluates queued requests after a change;
 //   - place dispatches queued requests to free slots, using pick (server);
-//   - shift publishes verdicts on versions and ejects backend servers.
+//   - shift shares verdicts on versions and ejects backend servers.
 //
 // Every request ends through command.go. The parts that need no state of the
 // world are packages of their own: internal/fair (queues), internal/place (filters,
--- a/decision/drain.go
+++ b/decision/drain.go
@@ -48,12 +48,13 @@
 // one meter per team. Harm prevented: teams below their share, which wait for a
 // slot only, are refused because of the longer waits of the others.
 type biasMeter struct {
-	// expected and waited are seconds, decayed by count.
+	// expected and waited are sums in seconds, decayed with each wait.
 	expected float64
 	waited   float64
 }
 
-// learn records how long a request waited for a slot or until it was given up.
+// learn records how long a request waited until it got a slot or was ended
+// without one.
 func (m *biasMeter) learn(expected, waited time.Duration) {
 	m.expected = m.expected*decayPerAttempt + expected.Seconds()
 	m.waited = m.waited*decayPerAttempt + waited.Seconds()
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -160,7 +160,7 @@
 			continue
 		}
 		if !live[id] && !cancelledIn(events, id) {
-			t.Fatalf("request %d answered while not live: %+v", id, c)
+			t.Fatalf("request %d answered, but it is not live: %+v", id, c)
 		}
 		if w.requests[id] == nil {
 			delete(live, id)
@@ -168,7 +168,7 @@
 	}
 	for _, s := range w.serverList {
 		if s.running < 0 {
-			t.Fatalf("server %s runs %d", s.ID, s.running)
+			t.Fatalf("server %s has %d running attempts", s.ID, s.running)
 		}
 	}
 }
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -181,25 +181,25 @@
 func (h *harness) dispatch(d Dispatch) {
 	r, live := h.live[d.Request]
 	if !live {
-		h.t.Errorf("dispatch of request %d, which is not live", d.Request)
+		h.t.Errorf("request %d dispatched, but it is not live", d.Request)
 	}
 	if d.Version != "" && !h.allowed[r.Team][d.Version] {
-		h.t.Errorf("request %d of team %s on %s, not allowed", d.Request, r.Team, d.Version)
+		h.t.Errorf("request %d of team %s dispatched on version %s, which the team may not use", d.Request, r.Team, d.Version)
 	}
 	if d.Version != "" && h.state[d.Version] == VersionWithdrawn {
-		h.t.Errorf("request %d on withdrawn %s", d.Request, d.Version)
+		h.t.Errorf("request %d dispatched on withdrawn version %s", d.Request, d.Version)
 	}
 	if r.Pinned != "" && d.Version != r.Pinned {
-		h.t.Errorf("request %d pinned to %s on %s", d.Request, r.Pinned, d.Version)
+		h.t.Errorf("request %d is pinned to %s, dispatched on %s", d.Request, r.Pinned, d.Version)
 	}
 	for _, pin := range r.Pins {
 		if modelOf(pin) == modelOf(d.Version) && pin != d.Version {
-			h.t.Errorf("request %d of a session on %s on %s", d.Request, pin, d.Version)
+			h.t.Errorf("request %d has a session pinned to %s, dispatched on %s", d.Request, pin, d.Version)
 		}
 	}
 	h.inFlight[d.Server]++
 	if h.inFlight[d.Server] > h.slots[d.Server] {
-		h.t.Errorf("server %s has %d in flight, %d slots", d.Server, h.inFlight[d.Server], h.slots[d.Server])
+		h.t.Errorf("server %s has %d attempts in flight in %d slots", d.Server, h.inFlight[d.Server], h.slots[d.Server])
 	}
 	h.ran[d.Request]++
 	if h.ran[d.Request] > 1 && !r.Idempotent {
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -130,11 +130,11 @@
 	h.requireAllAnswered()
 	h.requirePromptRefusals()
 	if p99 := percentile(h.answerTimes("shops"), 0.99); p99 > 600*time.Millisecond {
-		t.Errorf("p99 of the steady team: %v", p99)
+		t.Errorf("p99 of the steady team: %v, want at most 600 ms", p99)
 	}
 	// 180 requests per second are left for the burst, for 2.8 s until its deadline.
 	if got := h.delivered("weavers"); got < 400 {
-		t.Errorf("%d of the burst answered, want at least 400", got)
+		t.Errorf("%d requests of the burst answered, want at least 400", got)
 	}
 }
 
@@ -157,15 +157,15 @@
 	}
 	for _, id := range []TeamID{"a", "b", "c"} {
 		if got := h.delivered(id); got < sent[id]*99/100 {
-			t.Errorf("team %s below its share got %d of %d", id, got, sent[id])
+			t.Errorf("team %s, which is below its share, got %d of %d answers, want 99%%", id, got, sent[id])
 		}
 		if p99 := percentile(h.answerTimes(id), 0.99); p99 > 600*time.Millisecond {
-			t.Errorf("p99 of team %s: %v", id, p99)
+			t.Errorf("p99 of team %s: %v, want at most 600 ms", id, p99)
 		}
 	}
 	// 144 of 240 per second are left; 5% tolerance for the length of a tick.
 	if got := h.delivered("big"); got < 1440*95/100 {
-		t.Errorf("big got %d, want 1440", got)
+		t.Errorf("team big got %d answers, want 1440 less 5%%", got)
 	}
 }
 
@@ -180,7 +180,7 @@
 	h.requirePromptRefusals()
 	ratio := float64(h.delivered("heavy")) / float64(h.delivered("light"))
 	if ratio < 2.7 || ratio > 3.3 {
-		t.Errorf("ratio %.2f, want about 3", ratio)
+		t.Errorf("ratio of answers %.2f, want 2.7 to 3.3", ratio)
 	}
 }
 
@@ -200,7 +200,7 @@
 	}
 	once, twice, tenfold := at(1), at(2), at(10)
 	if twice*100 < once*95 || tenfold*100 < once*95 {
-		t.Errorf("goodput %d at saturation, %d at twice, %d at ten times", once, twice, tenfold)
+		t.Errorf("goodput %d at saturation, %d at twice and %d at ten times the load, want at least 95%%", once, twice, tenfold)
 	}
 }
 
@@ -220,10 +220,10 @@
 	h.requireAllAnswered()
 	h.requirePromptRefusals()
 	if p95 := percentile(h.answerTimes("shops"), 0.95); p95 > 3*time.Second {
-		t.Errorf("p95 of the answers: %v of 10 s", p95)
+		t.Errorf("p95 of the answers: %v, want at most 3 s", p95)
 	}
 	if answered < 2400*95/100 {
-		t.Errorf("%d answered in 10 s, want 2400", answered)
+		t.Errorf("%d answered in 10 s, want 2400 less 5%%", answered)
 	}
 }
 
@@ -238,10 +238,10 @@
 	h.requireAllAnswered()
 	short := h.answerTimes("short")
 	if len(short) < 60*15*90/100 {
-		t.Errorf("%d short answers of about 900", len(short))
+		t.Errorf("%d short requests answered, want 90%% of 900", len(short))
 	}
 	if p95 := percentile(short, 0.95); p95 > 1500*time.Millisecond {
-		t.Errorf("p95 of short work: %v", p95)
+		t.Errorf("p95 of the short requests: %v, want at most 1.5 s", p95)
 	}
 }
 
@@ -328,6 +328,6 @@
 	// The test lasts 20 backoffs; about two requests are sent before the first is
 	// refused.
 	if refusals > 60 {
-		t.Errorf("%d of %d requests went to the refusing server", refusals, len(h.outcomes))
+		t.Errorf("the refusing server got %d of %d requests, want at most 60", refusals, len(h.outcomes))
 	}
 }
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -94,8 +94,8 @@
 
 // pickTried returns a free server that the request has tried before, when no other
 // one is free: a retry there is better than none. A request that may have crashed a
-// server gets none, and one that is not idempotent gets no ejected server, which
-// takes probes only.
+// server gets none. One that is not idempotent, and so cannot be retried, gets no
+// server that is ejected and only takes probes.
 func (w *World) pickTried(p *pool, r *request) *server {
 	if r.crashes > 0 {
 		return nil
@@ -110,7 +110,8 @@
 }
 
 // avoids reports whether the request should not go to the server: it failed there,
-// or the server is ejected and takes a probe, and the request is not idempotent.
+// or the server is ejected and only takes probes, and the request is not idempotent
+// and so cannot be retried.
 func (w *World) avoids(r *request, s *server) bool {
 	if s.ejected && !r.Idempotent {
 		return true
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -148,7 +148,7 @@
 	s.h.run(40 * time.Second)
 	s.h.requireAllAnswered()
 	if len(s.h.w.requests)+len(s.h.w.orphans)+len(s.h.w.due)+len(s.h.w.queuedPools) > 0 {
-		t.Errorf("left over: %d requests, %d orphans", len(s.h.w.requests), len(s.h.w.orphans))
+		t.Errorf("tables are not empty at the end: %d requests, %d orphaned attempts", len(s.h.w.requests), len(s.h.w.orphans))
 	}
 	for _, server := range s.h.w.serverList {
 		if server.running != 0 {
@@ -170,7 +170,7 @@
 	for seed := range 30 {
 		first, second := gen.Example(seed), gen.Example(seed)
 		if !slices.Equal(first, second) {
-			t.Fatalf("seed %d: two runs differ", seed)
+			t.Fatalf("seed %d: commands of two runs differ", seed)
 		}
 	}
 }
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -108,7 +108,7 @@
 	h.cancelCaller(1)
 	h.run(time.Second)
 	if h.ran[5] != 1 {
-		t.Errorf("the fifth request ran %d times", h.ran[5])
+		t.Errorf("the fifth request ran %d times, want 1", h.ran[5])
 	}
 }
 
@@ -133,10 +133,10 @@
 	}
 	h.run(time.Second)
 	if r, ok := h.outcomes[5].command.(Refuse); !ok || r.Reason != ReasonQueueFull {
-		t.Errorf("the fourth in the queue: %+v", h.outcomes[5])
+		t.Errorf("the fourth queued request: %+v, want refused with queue_full", h.outcomes[5])
 	}
 	if len(order) != 3 || order[0] != 4 || order[1] != 3 || order[2] != 2 {
-		t.Errorf("order %v, want 4 3 2", order)
+		t.Errorf("dispatch order %v, want 4 3 2", order)
 	}
 }
 
--- a/decision/servers_test.go
+++ b/decision/servers_test.go
@@ -63,7 +63,7 @@
 	h.arrive(Request{Team: "weavers", Model: "weave"})
 	h.run(time.Second) // the harness checks the attempts in flight against the slots
 	if h.ran[5] != 0 {
-		t.Error("the fifth request was given a slot that was taken")
+		t.Error("the fifth request was dispatched to an occupied slot")
 	}
 	h.run(4 * time.Second)
 	h.requireAllAnswered()
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -11,9 +11,9 @@
 // shift moves traffic away from versions and backend servers that have become bad,
 // and back when they have recovered.
 //
-// Load: a version that turns bad while in use, or one slow backend server among
-// many. Harm prevented: callers get bad or late answers until a person notices.
-// The manifest is not changed; a verdict limits the exposure and is shared with the
+// Load: a version that turns bad in a busy season, or one slow backend server among
+// many. Harm prevented: callers get bad or late answers until a person notices. The
+// manifest is not changed; a verdict limits the exposure and is shared with the
 // peers, so that each instance does not have to detect it with its own callers.
 func (w *World) shift() {
 	if w.cfg.Policy.NoVerdicts {
@@ -211,8 +211,8 @@
 }
 
 // takesNew reports whether the version may get a new request. With a bad verdict
-// only one request in Config.ProbeEvery is let through as a probe, to detect when
-// the version has recovered.
+// only one request in Config.ProbeEvery is let through as a probe, so that a
+// recovery of the version is detected.
 func (w *World) takesNew(v *version) bool {
 	if w.cfg.Policy.NoVerdicts {
 		return true
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -62,7 +62,7 @@
 			}
 			offer(h, rng, 20*time.Second, load)
 			if first < 1900 || bad > 50+first/100 {
-				t.Errorf("%d of %d requests on the bad version", bad, first)
+				t.Errorf("the bad version got %d of %d requests, want at most 50 and 1%% of at least 1900", bad, first)
 			}
 			if shared == 0 {
 				t.Error("the verdict was not shared")
@@ -89,11 +89,11 @@
 	h.tick()
 	at := func() VersionID { return h.w.sessionVersions(SessionOpening{Team: "weavers", RolloutPosition: 0.1})[0] }
 	if got := at(); got != weave1 {
-		t.Errorf("with the verdict: %s", got)
+		t.Errorf("version %s with the verdict in force, want weave@1", got)
 	}
 	h.run(2 * time.Second)
 	if got := at(); got != weave2 {
-		t.Errorf("after it has expired: %s", got)
+		t.Errorf("version %s after the verdict has expired, want weave@2", got)
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	with, without := p99(Policy{}), p99(Policy{NoVerdicts: true})
 	if with > 300*time.Millisecond || without < time.Second {
-		t.Errorf("p99 %v, without ejection %v", with, without)
+		t.Errorf("p99 %v, want at most 300 ms; without ejection %v, want at least 1 s", with, without)
 	}
 }
 
@@ -149,7 +149,7 @@
 		h.run(12 * step)
 	}
 	if len(used) > 2 {
-		t.Errorf("one at a time: used %v", used)
+		t.Errorf("one request at a time: requests per server %v, want at most 2 servers", used)
 	}
 	clear(used)
 	for range 40 {
@@ -157,6 +157,6 @@
 	}
 	h.tick()
 	if len(used) < 5 {
-		t.Errorf("40 at once: used %v", used)
+		t.Errorf("40 requests at once: requests per server %v, want at least 5 servers", used)
 	}
 }
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -26,7 +26,7 @@
 	departed map[ServerID]*server
 	// serverList holds the servers in the order in which they were first listed.
 	serverList []*server
-	// busy are the pools with queued requests, in no particular order.
+	// queuedPools are the pools with queued requests, in no particular order.
 	queuedPools []*pool
 
 	requests map[RequestID]*request
@@ -90,6 +90,7 @@
 // version is a row of the versions table.
 type version struct {
 	Version
+	// gone is set when the manifest no longer lists the version.
 	gone bool
 	pool *pool
 }
@@ -113,8 +114,8 @@
 	// free are the servers that can take a request now. Maintaining the set makes
 	// the saturation check and drawing a random candidate O(1).
 	free []freeSlot
-	// usable and slots count the servers that are neither leaving nor gone, and
-	// their slots.
+	// usableServers and slots count the servers that are neither leaving nor gone,
+	// and their slots.
 	usableServers int
 	slots         int
 	serviceTime   serviceTimeMeter
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -91,8 +91,8 @@
 	p.usage.add(r.item.Cost, &w.usageClock)
 }
 
-// recordWait compares the estimated wait of a request with the actual one, whether
-// it got a slot or was given up.
+// recordWait records the estimated and the actual wait of a request, whether it got
+// a slot or was ended without one.
 func (w *World) recordWait(r *request) {
 	if r.expected > 0 {
 		r.pool.flow(r.team).bias.learn(r.expected, w.now.Sub(r.queuedAt))
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -177,7 +177,7 @@
 		t.Errorf("ran %d and %d times, want 2 and 0", h.ran[first], h.ran[second])
 	}
 	if len(quarantines) != 1 || quarantines[0].Fingerprint != 5 {
-		t.Errorf("quarantines: %v", quarantines)
+		t.Errorf("quarantines %v, want one of fingerprint 5", quarantines)
 	}
 }
 
@@ -208,14 +208,14 @@
 	n := 0
 	for i := range before {
 		if before[i] == weave2 && after[i] != weave2 {
-			t.Errorf("request %d left %s", i, weave2)
+			t.Errorf("request %d left version %s", i, weave2)
 		}
 		if after[i] == weave2 {
 			n++
 		}
 	}
 	if n != 10 {
-		t.Errorf("%d of 20 on %s, want 10", n, weave2)
+		t.Errorf("%d of 20 requests on %s, want 10", n, weave2)
 	}
 }
 
@@ -237,10 +237,10 @@
 	h.servers(testServers(2, 2, weave1, draft1, weave2)...)
 	h.run(5 * time.Second)
 	if r, ok := h.outcomes[pinned].command.(Refuse); !ok || r.Reason != ReasonVersionWithdrawn {
-		t.Errorf("pinned: %+v", h.outcomes[pinned])
+		t.Errorf("pinned request: %+v, want refused as withdrawn", h.outcomes[pinned])
 	}
 	if _, ok := h.outcomes[free].command.(Deliver); !ok {
-		t.Errorf("not pinned: %+v", h.outcomes[free])
+		t.Errorf("unpinned request: %+v, want delivered", h.outcomes[free])
 	}
 	h.requireAllAnswered()
 }
@@ -267,7 +267,7 @@
 			h.now = h.now.Add(4 * time.Second)
 			h.onCommand = func(c Command) {
 				if _, ok := c.(Dispatch); ok {
-					t.Errorf("dispatched right after the pause: %+v", c)
+					t.Errorf("dispatched in the first tick after the pause: %+v", c)
 				}
 			}
 			h.tick()
