--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -11,35 +11,35 @@
 )
 
 // ErrSnapshot means that bytes are no snapshot that this reader can take.
-var ErrSnapshot = errors.New("fold: malformed snapshot")
+var ErrInvalidSnapshot = errors.New("fold: malformed snapshot")
 
 const (
 	snapshotVersion = 1
 	// MaxSnapshot is the longest snapshot in bytes: what an instance of 256 MB
 	// can hold beside the state that it replaces.
-	MaxSnapshot = 96 << 20
+	MaxSnapshotBytes = 96 << 20
 	// maxRows bounds the registers and tombstones of a snapshot.
-	maxRows = 4_000_000
+	maxSnapshotRows = 4_000_000
 )
 
 // wireSnapshot is a State in order of keys: equal states give equal bytes.
 type wireSnapshot struct {
-	_             struct{} `cbor:",toarray"`
-	Version       uint64
-	Window        int64
-	Skew          int64
-	Retention     int64
-	Next          uint64
-	Now           int64
-	Waiting       int64
-	WaitingWriter string
-	Generation    uint64
-	Manifest      string
-	Digest        string
-	Malformed     uint64
-	Hash          uint64
-	Rows          []wireRow
-	Tombstones    []wireTombstone
+	_              struct{} `cbor:",toarray"`
+	Version        uint64
+	ClaimWindow    int64
+	ClockSkew      int64
+	Retention      int64
+	NextOffset     uint64
+	Now            int64
+	PendingJump    int64
+	PendingWriter  string
+	Generation     uint64
+	ManifestKey    string
+	ManifestDigest string
+	Malformed      uint64
+	Hash           uint64
+	Rows           []wireRow
+	Tombstones     []wireTombstone
 }
 
 type wireRow struct {
@@ -65,7 +65,7 @@
 func mustSnapshotDecMode() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxNestedLevels:  4,
-		MaxArrayElements: maxRows,
+		MaxArrayElements: maxSnapshotRows,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 	}.DecMode()
@@ -78,28 +78,28 @@
 // Snapshot encodes the state: equal states give equal bytes.
 func (s *State) Snapshot() ([]byte, error) {
 	w := wireSnapshot{
-		Version:       snapshotVersion,
-		Window:        s.rules.window,
-		Skew:          s.rules.skew,
-		Retention:     s.rules.retention,
-		Next:          s.next,
-		Now:           s.clock.now,
-		Waiting:       s.clock.waiting,
-		WaitingWriter: s.clock.waitingWriter,
-		Generation:    s.generation,
-		Manifest:      string(s.manifest),
-		Digest:        s.digest,
-		Malformed:     s.malformed,
-		Hash:          s.table.hash,
-		Rows:          s.wireRows(),
-		Tombstones:    s.wireTombstones(),
+		Version:        snapshotVersion,
+		ClaimWindow:    s.rules.claimWindow,
+		ClockSkew:      s.rules.skew,
+		Retention:      s.rules.retention,
+		NextOffset:     s.next,
+		Now:            s.clock.now,
+		PendingJump:    s.clock.pendingJump,
+		PendingWriter:  s.clock.pendingWriter,
+		Generation:     s.generation,
+		ManifestKey:    string(s.manifestKey),
+		ManifestDigest: s.manifestDigest,
+		Malformed:      s.malformed,
+		Hash:           s.table.hash,
+		Rows:           s.wireRows(),
+		Tombstones:     s.wireTombstones(),
 	}
 	data, err := cbor.Marshal(w)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if len(data) > MaxSnapshot {
-		return nil, trace.Wrap(ErrSnapshot, "%d bytes are beyond the limit", len(data))
+	if len(data) > MaxSnapshotBytes {
+		return nil, trace.Wrap(ErrInvalidSnapshot, "%d bytes are beyond the limit", len(data))
 	}
 	return data, nil
 }
@@ -143,21 +143,21 @@
 // the manifest's place; a snapshot forged as a whole is for mutual TLS to keep
 // out.
 func Restore(cfg Config, opts Options, snapshot []byte) (*State, error) {
-	if len(snapshot) > MaxSnapshot {
-		return nil, trace.Wrap(ErrSnapshot, "%d bytes are beyond the limit", len(snapshot))
+	if len(snapshot) > MaxSnapshotBytes {
+		return nil, trace.Wrap(ErrInvalidSnapshot, "%d bytes are beyond the limit", len(snapshot))
 	}
 	var w wireSnapshot
 	if err := snapshotDecMode.Unmarshal(snapshot, &w); err != nil {
-		return nil, trace.Wrap(ErrSnapshot, "%v", err)
+		return nil, trace.Wrap(ErrInvalidSnapshot, "%v", err)
 	}
 	s := New(cfg, opts)
 	if err := s.checkHeader(&w); err != nil {
 		return nil, err
 	}
-	s.next = w.Next
+	s.next = w.NextOffset
 	s.clock.now = w.Now
-	s.clock.waiting, s.clock.waitingWriter = w.Waiting, w.WaitingWriter
-	s.generation, s.manifest, s.digest = w.Generation, record.Key(w.Manifest), w.Digest
+	s.clock.pendingJump, s.clock.pendingWriter = w.PendingJump, w.PendingWriter
+	s.generation, s.manifestKey, s.manifestDigest = w.Generation, record.Key(w.ManifestKey), w.ManifestDigest
 	s.malformed = w.Malformed
 	if err := s.restoreRows(w.Rows); err != nil {
 		return nil, err
@@ -170,13 +170,13 @@
 
 func (s *State) checkHeader(w *wireSnapshot) error {
 	if w.Version != snapshotVersion {
-		return trace.Wrap(ErrSnapshot, "version %d", w.Version)
+		return trace.Wrap(ErrInvalidSnapshot, "version %d", w.Version)
 	}
-	if w.Window != s.rules.window || w.Skew != s.rules.skew || w.Retention != s.rules.retention {
-		return trace.Wrap(ErrSnapshot, "made with other bounds")
+	if w.ClaimWindow != s.rules.claimWindow || w.ClockSkew != s.rules.skew || w.Retention != s.rules.retention {
+		return trace.Wrap(ErrInvalidSnapshot, "made with other bounds")
 	}
-	if w.Now < 0 || w.Now > maxStamp || len(w.WaitingWriter) > record.MaxWriter {
-		return trace.Wrap(ErrSnapshot, "time out of range")
+	if w.Now < 0 || w.Now > maxTimestampMicros || len(w.PendingWriter) > record.MaxWriterBytes {
+		return trace.Wrap(ErrInvalidSnapshot, "time out of range")
 	}
 	return nil
 }
@@ -185,7 +185,7 @@
 	for i := range rows {
 		w := &rows[i]
 		if i > 0 && rows[i-1].Key >= w.Key {
-			return trace.Wrap(ErrSnapshot, "registers out of order")
+			return trace.Wrap(ErrInvalidSnapshot, "registers out of order")
 		}
 		r := row{
 			key:     record.Key(w.Key),
@@ -195,10 +195,10 @@
 			at:      w.At,
 			expires: w.Expires,
 		}
-		bad := len(w.Nonce) != len(r.nonce) || len(w.Key) > record.MaxKey || len(w.Value) > record.MaxValue ||
-			len(w.Writer) > record.MaxWriter || r.key.Class() == "" || w.Offset >= s.next || w.Expires < 0
+		bad := len(w.Nonce) != len(r.nonce) || len(w.Key) > record.MaxKeyBytes || len(w.Value) > record.MaxValueBytes ||
+			len(w.Writer) > record.MaxWriterBytes || r.key.Class() == "" || w.Offset >= s.next || w.Expires < 0
 		if bad {
-			return trace.Wrap(ErrSnapshot, "register %d", i)
+			return trace.Wrap(ErrInvalidSnapshot, "register %d", i)
 		}
 		copy(r.nonce[:], w.Nonce)
 		if len(w.Value) == 0 {
@@ -213,33 +213,33 @@
 	for i := range tombstones {
 		w := &tombstones[i]
 		p := proposal{key: record.Key(w.Key)}
-		if len(w.Nonce) != len(p.nonce) || len(w.Key) > record.MaxKey || w.Expires < 0 {
-			return trace.Wrap(ErrSnapshot, "tombstone %d", i)
+		if len(w.Nonce) != len(p.nonce) || len(w.Key) > record.MaxKeyBytes || w.Expires < 0 {
+			return trace.Wrap(ErrInvalidSnapshot, "tombstone %d", i)
 		}
 		copy(p.nonce[:], w.Nonce)
-		if _, twice := s.tombstones[p]; twice {
-			return trace.Wrap(ErrSnapshot, "tombstone %d stands twice", i)
+		if _, duplicate := s.tombstones[p]; duplicate {
+			return trace.Wrap(ErrInvalidSnapshot, "tombstone %d stands twice", i)
 		}
 		s.tombstones[p] = w.Expires
-		s.buried.add(w.Expires, p)
+		s.tombstoneExpiries.add(w.Expires, p)
 	}
 	return nil
 }
 
 func (s *State) checkRestored(hash uint64) error {
 	if s.table.hash != hash {
-		return trace.Wrap(ErrSnapshot, "hash differs")
+		return trace.Wrap(ErrInvalidSnapshot, "hash differs")
 	}
 	if s.generation == 0 {
-		if s.manifest != "" || s.digest != "" {
-			return trace.Wrap(ErrSnapshot, "manifest without a generation")
+		if s.manifestKey != "" || s.manifestDigest != "" {
+			return trace.Wrap(ErrInvalidSnapshot, "manifest without a generation")
 		}
 		return nil
 	}
-	w := s.table.find(s.manifest)
-	generation, _, err := record.ParseManifestKey(s.manifest)
-	if w == nil || err != nil || generation != s.generation || record.ManifestDigest(w.value) != s.digest {
-		return trace.Wrap(ErrSnapshot, "manifest does not match its generation")
+	w := s.table.find(s.manifestKey)
+	generation, _, err := record.ParseManifestKey(s.manifestKey)
+	if w == nil || err != nil || generation != s.generation || record.ManifestDigest(w.value) != s.manifestDigest {
+		return trace.Wrap(ErrInvalidSnapshot, "manifest does not match its generation")
 	}
 	return nil
 }
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -21,27 +21,27 @@
 const (
 	// DefaultBills is how many bills an instance holds in an outage: about ten
 	// minutes of 100 requests a second.
-	DefaultBills = 60_000
+	DefaultMaxBills = 60_000
 	// DefaultBytes bounds their memory: the default count of bills of some 250
 	// bytes, which is more than usual names take.
-	DefaultBytes = 16 << 20
+	DefaultMaxBytes = 16 << 20
 	// maxHeldBill is the most that one bill takes; a reservation takes it whole,
 	// since the bill's size is not known yet.
-	maxHeldBill = record.MaxKey + MaxValue
+	maxHeldBillBytes = record.MaxKeyBytes + MaxBillBytes
 )
 
 // Limits bound a Buffer; 0 means the default.
-type Limits struct {
-	Bills int
-	Bytes int
+type BufferLimits struct {
+	MaxBills int
+	MaxBytes int
 }
 
-func (l Limits) withDefaults() Limits {
-	if l.Bills <= 0 {
-		l.Bills = DefaultBills
+func (l BufferLimits) withDefaults() BufferLimits {
+	if l.MaxBills <= 0 {
+		l.MaxBills = DefaultMaxBills
 	}
-	if l.Bytes <= 0 {
-		l.Bytes = DefaultBytes
+	if l.MaxBytes <= 0 {
+		l.MaxBytes = DefaultMaxBytes
 	}
 	return l
 }
@@ -51,37 +51,37 @@
 // would be lost: a full buffer refuses work, never a bill. Safe for concurrent
 // use.
 type Buffer struct {
-	put    PutFunc
-	copyTo CopyFunc
-	limits Limits
+	put      PutFunc
+	sendCopy CopyFunc
+	limits   BufferLimits
 
 	mu       sync.Mutex
-	held     map[heldID]record.Record
+	held     map[billID]record.Record
 	bytes    int
 	reserved int
 }
 
 // heldID is one proposal. Two bills of one request are two proposals: the log
 // decides between them, not the buffer.
-type heldID struct {
+type billID struct {
 	key   record.Key
 	nonce record.Nonce
 }
 
-func idOf(r record.Record) heldID { return heldID{r.Key, r.Nonce} }
+func idOf(r record.Record) billID { return billID{r.Key, r.Nonce} }
 
 func sizeOf(r record.Record) int { return len(r.Key) + len(r.Value) }
 
 // NewBuffer returns an empty Buffer; a nil copyTo means that no peer gets a
 // copy.
-func NewBuffer(limits Limits, put PutFunc, copyTo CopyFunc) *Buffer {
-	return &Buffer{put: put, copyTo: copyTo, limits: limits.withDefaults(), held: map[heldID]record.Record{}}
+func NewBuffer(limits BufferLimits, put PutFunc, sendCopy CopyFunc) *Buffer {
+	return &Buffer{put: put, sendCopy: sendCopy, limits: limits.withDefaults(), held: map[billID]record.Record{}}
 }
 
 // Accept keeps a copy for a peer; the same bill again changes nothing. Errors
 // wrap ErrBill or ErrFull.
-func (b *Buffer) Accept(bill record.Record) error {
-	if _, err := Parse(bill); err != nil {
+func (b *Buffer) AcceptCopy(bill record.Record) error {
+	if _, err := ParseBill(bill); err != nil {
 		return err
 	}
 	b.mu.Lock()
@@ -90,18 +90,18 @@
 		return nil
 	}
 	if b.full() {
-		return trace.Wrap(ErrFull)
+		return trace.Wrap(ErrBufferFull)
 	}
-	b.keep(bill)
+	b.add(bill)
 	return nil
 }
 
 // Full says that no room for another bill can be had.
-func (b *Buffer) Full() bool { return b.FullFor(0) }
+func (b *Buffer) Full() bool { return b.FullWithOpen(0) }
 
 // FullFor says the same where open requests without a reservation will each need
 // room for a bill too: all of them may end while the log takes nothing.
-func (b *Buffer) FullFor(open int) bool {
+func (b *Buffer) FullWithOpen(open int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.fullFor(open)
@@ -131,12 +131,12 @@
 
 func (b *Buffer) fullFor(open int) bool {
 	open += b.reserved
-	tooMany := len(b.held)+open >= b.limits.Bills
-	return tooMany || b.bytes+(open+1)*maxHeldBill > b.limits.Bytes
+	tooMany := len(b.held)+open >= b.limits.MaxBills
+	return tooMany || b.bytes+(open+1)*maxHeldBillBytes > b.limits.MaxBytes
 }
 
 // keep returns false where the bill was held before.
-func (b *Buffer) keep(bill record.Record) (added bool) {
+func (b *Buffer) add(bill record.Record) (added bool) {
 	if _, have := b.held[idOf(bill)]; have {
 		return false
 	}
@@ -146,7 +146,7 @@
 }
 
 // settle drops a bill: the log has it, or a peer keeps it instead.
-func (b *Buffer) settle(bill record.Record) {
+func (b *Buffer) remove(bill record.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, have := b.held[idOf(bill)]; have {
--- a/decision/affinity.go
+++ b/decision/affinity.go
@@ -14,7 +14,7 @@
 	if w.servers[e.Server] == nil {
 		return // no longer listed: its report would only fill the index
 	}
-	w.prefixes.Changed(e.Server, e.Seq, e.Added, e.Removed, w.now)
+	w.prefixes.ApplyCacheEvent(e.Server, e.Seq, e.Added, e.Removed, w.now)
 }
 
 // addCachedCandidates adds the free servers that have most of the prompt cached.
@@ -35,16 +35,16 @@
 			continue
 		}
 		saved := float64(m.Blocks) / float64(len(r.Blocks)) * w.promptCost(r) / r.item.Cost
-		if !m.Sure {
+		if !m.Confirmed {
 			saved *= unconfirmedWeight
 		}
-		w.addCandidate(s, p, r).Saved = saved
+		w.addCandidate(s, p, r).CacheSavings = saved
 	}
 }
 
 // recordPrefix records that the server will have the prompt's prefix cached.
 func (w *World) recordPrefix(r *request, s *server) {
 	if len(r.Blocks) > 0 && !w.cfg.Policy.NoAffinity {
-		w.prefixes.Dispatched(s.ID, r.Blocks, w.now)
+		w.prefixes.RecordDispatch(s.ID, r.Blocks, w.now)
 	}
 }
--- a/decision/crash.go
+++ b/decision/crash.go
@@ -22,14 +22,14 @@
 
 // ingestQuarantine applies a quarantine set by another instance.
 func (w *World) ingestQuarantine(e RequestQuarantined) {
-	w.crashes.Learn(e.Fingerprint, e.Until, w.now)
+	w.crashes.ApplyQuarantine(e.Fingerprint, e.Until, w.now)
 }
 
 // crashAdmission reports whether a request with the fingerprint may run now.
 // Nothing is looked up for a zero fingerprint or while no crash is recorded.
 func (w *World) crashAdmission(f Fingerprint) verdict.CrashAdmission {
 	if f == 0 || w.crashes.Len() == 0 {
-		return verdict.CrashClear
+		return verdict.CrashAllowed
 	}
 	admission, _ := w.crashes.Admit(f, w.now)
 	return admission
@@ -49,7 +49,7 @@
 func (w *World) crashStarted(a *attempt) {
 	f := a.request.Fingerprint
 	if f != 0 && w.crashes.Len() > 0 {
-		a.counted = w.crashes.Started(f, w.now)
+		a.counted = w.crashes.AttemptStarted(f, w.now)
 	}
 }
 
@@ -60,7 +60,7 @@
 	if f == 0 || !crashed && !a.counted {
 		return
 	}
-	quarantine, until := w.crashes.Ended(f, a.counted, crashed, w.now)
+	quarantine, until := w.crashes.AttemptEnded(f, a.counted, crashed, w.now)
 	if quarantine {
 		w.emit(Quarantine{Fingerprint: f, Until: until})
 	}
--- a/decision/ingest_attempt.go
+++ b/decision/ingest_attempt.go
@@ -54,21 +54,21 @@
 // team's account by the difference between the actual and the estimated cost.
 func (w *World) learnDuration(a *attempt, e AttemptEnded) {
 	if e.Result == AttemptNotRun {
-		a.team.account.Correct(-a.cost) // it used no capacity
+		a.team.account.CorrectCharge(-a.cost) // it used no capacity
 	}
 	if e.Result != AttemptCompleted {
 		return
 	}
 	a.pool.serviceTime.learn(w.now.Sub(a.started), a.cost)
 	if a.version != "" {
-		w.estimates.Ended(task{Team: a.team.ID, Class: a.request.Class}, a.version, e.Tokens)
+		w.estimates.ObserveLength(task{Team: a.team.ID, Class: a.request.Class}, a.version, e.Tokens)
 	}
 	if e.Tokens <= 0 || a.pool.service != "" {
 		return
 	}
 	a.pool.serviceTime.learnTokens(float64(e.Tokens), a.cost-a.prompt)
 	actual := a.prompt + float64(e.Tokens)
-	a.team.account.Correct(min(actual-a.cost, a.cost))
+	a.team.account.CorrectCharge(min(actual-a.cost, a.cost))
 }
 
 // ingestRated records a rating for its version and queues it for the escalate
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -13,21 +13,21 @@
 	// would let a single caller take out a small pool.
 	MaxServers int
 	// Remember is how long a crash counts: as long as callers send again.
-	Remember time.Duration
+	CrashTTL time.Duration
 	// Quarantine is how long a request stays shut out. It is bounded, since a
 	// new version may well run it.
 	Quarantine time.Duration
 	// Limit bounds the fingerprints kept; the least recently used go first.
-	Limit int
+	MaxFingerprints int
 }
 
 // DefaultCrashConfig returns the defaults.
 func DefaultCrashConfig() CrashConfig {
 	return CrashConfig{
-		MaxServers: 2,
-		Remember:   10 * time.Minute,
-		Quarantine: 30 * time.Minute,
-		Limit:      4096,
+		MaxServers:      2,
+		CrashTTL:        10 * time.Minute,
+		Quarantine:      30 * time.Minute,
+		MaxFingerprints: 4096,
 	}
 }
 
@@ -41,16 +41,16 @@
 
 // crash is one row of the table.
 type crash struct {
-	servers     int
-	running     int
-	last        time.Time
-	quarantined time.Time
+	crashedServers   int
+	running          int
+	lastCrash        time.Time
+	quarantinedUntil time.Time
 }
 
 // NewCrashes returns an empty table.
 func NewCrashes[F comparable](cfg CrashConfig) *Crashes[F] {
-	cfg.Limit = max(cfg.Limit, 1)
-	rows, err := simplelru.NewLRU[F, *crash](cfg.Limit, nil)
+	cfg.MaxFingerprints = max(cfg.MaxFingerprints, 1)
+	rows, err := simplelru.NewLRU[F, *crash](cfg.MaxFingerprints, nil)
 	if err != nil {
 		// The library fails only for a size below 1.
 		panic(err)
@@ -63,7 +63,7 @@
 
 const (
 	// CrashClear: nothing is held against it.
-	CrashClear CrashAdmission = iota + 1
+	CrashAllowed CrashAdmission = iota + 1
 	// CrashWait: a copy of it runs, and were both to crash, too many servers
 	// would be down. Leave it queued.
 	CrashWait
@@ -75,26 +75,26 @@
 // has crashed a server run one after the other, so that a caller that sends
 // many at once cannot pass the limit. until is set for CrashQuarantined.
 func (t *Crashes[F]) Admit(f F, now time.Time) (a CrashAdmission, until time.Time) {
-	c := t.fresh(f, now)
+	c := t.unexpired(f, now)
 	if c == nil {
-		return CrashClear, time.Time{}
+		return CrashAllowed, time.Time{}
 	}
-	if c.quarantined.After(now) {
-		return CrashQuarantined, c.quarantined
+	if c.quarantinedUntil.After(now) {
+		return CrashQuarantined, c.quarantinedUntil
 	}
-	if c.servers > 0 && c.servers+c.running >= t.cfg.MaxServers {
+	if c.crashedServers > 0 && c.crashedServers+c.running >= t.cfg.MaxServers {
 		return CrashWait, time.Time{}
 	}
-	return CrashClear, time.Time{}
+	return CrashAllowed, time.Time{}
 }
 
 // fresh returns the row of f, or nil when there is none or its time is over.
-func (t *Crashes[F]) fresh(f F, now time.Time) *crash {
+func (t *Crashes[F]) unexpired(f F, now time.Time) *crash {
 	c, ok := t.rows.Get(f)
 	if !ok {
 		return nil
 	}
-	if c.quarantined.After(now) || now.Sub(c.last) <= t.cfg.Remember {
+	if c.quarantinedUntil.After(now) || now.Sub(c.lastCrash) <= t.cfg.CrashTTL {
 		return c
 	}
 	t.rows.Remove(f)
@@ -104,8 +104,8 @@
 // Started counts a dispatch of a request that has crashed a server before, and
 // reports whether it did: hand that to Ended. Requests without a crash cost
 // nothing, and copies that ran already at the first crash are not counted.
-func (t *Crashes[F]) Started(f F, now time.Time) (counted bool) {
-	c := t.fresh(f, now)
+func (t *Crashes[F]) AttemptStarted(f F, now time.Time) (counted bool) {
+	c := t.unexpired(f, now)
 	if c == nil {
 		return false
 	}
@@ -116,8 +116,8 @@
 // Ended takes in how an attempt ended; counted is what Started said of it. When
 // it returns quarantine, the request has reached the limit and must be refused
 // everywhere until the time given.
-func (t *Crashes[F]) Ended(f F, counted, crashed bool, now time.Time) (quarantine bool, until time.Time) {
-	c := t.fresh(f, now)
+func (t *Crashes[F]) AttemptEnded(f F, counted, crashed bool, now time.Time) (quarantine bool, until time.Time) {
+	c := t.unexpired(f, now)
 	if c != nil && counted {
 		c.running = max(c.running-1, 0)
 	}
@@ -128,32 +128,32 @@
 		c = &crash{}
 		t.rows.Add(f, c)
 	}
-	c.servers++
-	c.last = now
-	if c.servers < t.cfg.MaxServers || c.quarantined.After(now) {
+	c.crashedServers++
+	c.lastCrash = now
+	if c.crashedServers < t.cfg.MaxServers || c.quarantinedUntil.After(now) {
 		return false, time.Time{}
 	}
-	c.quarantined = now.Add(t.cfg.Quarantine)
-	c.servers = 0
-	return true, c.quarantined
+	c.quarantinedUntil = now.Add(t.cfg.Quarantine)
+	c.crashedServers = 0
+	return true, c.quarantinedUntil
 }
 
 // Learn takes in a quarantine from the log or a peer. It never holds longer
 // than the own one would, and never shortens one.
-func (t *Crashes[F]) Learn(f F, until, now time.Time) {
+func (t *Crashes[F]) ApplyQuarantine(f F, until, now time.Time) {
 	if limit := now.Add(t.cfg.Quarantine); until.After(limit) {
 		until = limit
 	}
 	if !until.After(now) {
 		return
 	}
-	c := t.fresh(f, now)
+	c := t.unexpired(f, now)
 	if c == nil {
-		c = &crash{last: now}
+		c = &crash{lastCrash: now}
 		t.rows.Add(f, c)
 	}
-	if until.After(c.quarantined) {
-		c.quarantined = until
+	if until.After(c.quarantinedUntil) {
+		c.quarantinedUntil = until
 	}
 }
 
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -16,7 +16,7 @@
 	p := &pool{queuedPos: -1}
 	if w.cfg.Policy.FIFO {
 		p.shared = &flow{}
-		p.queue.Init(&p.shared.Flow, w.fairness.NewAccount(1))
+		p.queue.AddFlow(&p.shared.Flow, w.fairness.NewAccount(1))
 	}
 	return p
 }
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -36,7 +36,7 @@
 	}
 	f := p.flow(r.team)
 	nextSlot := p.serviceTime.meanCost() / rate
-	ahead := nextSlot + p.queue.Ahead(&f.Flow)/w.queuedRate(p, f, rate)
+	ahead := nextSlot + p.queue.CostAhead(&f.Flow)/w.queuedRate(p, f, rate)
 	ownQueue := f.Cost() / w.ownRate(p, f, rate)
 	return seconds(max(ahead, ownQueue))
 }
