--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -24,7 +24,7 @@
 // refill theirs as attempts end. The excess makes the others see the server as
 // full, so that their part shrinks.
 func (w *World) hasFreeSlot(s *server) bool {
-	if s.gone || s.leaving || w.isBarred(s) {
+	if s.gone || s.leaving || w.isBlocked(s) {
 		return false
 	}
 	if w.now.Before(s.backoffUntil) {
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -202,7 +202,7 @@
 const probeCheckInterval = time.Second
 
 // isBarred reports whether the server is ejected and not due a probe now.
-func (w *World) isBarred(s *server) bool {
+func (w *World) isBlocked(s *server) bool {
 	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Blocked {
 		return false
 	}
