--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// decide makes one decision: an attempt ends, a request arrives, and the freed slot
+// makeDecision makes one decision: an attempt ends, a request arrives, and the freed slot
 // goes to the next queued request (or to the new one, if the queue is empty).
 func (b *benchWorld) makeDecision() {
 	oldest := b.running[0]
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -201,7 +201,7 @@
 // probe.
 const probeCheckInterval = time.Second
 
-// isBarred reports whether the server is ejected and not due a probe now.
+// isBlocked reports whether the server is ejected and not due a probe now.
 func (w *World) isBlocked(s *server) bool {
 	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Blocked {
 		return false
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -238,7 +238,7 @@
 	// ratingTimeout.
 	hold          bool
 	ratingTimeout time.Duration
-	// counted is what verdict.Crashes.Started returned for the dispatch.
+	// counted is what verdict.Crashes.AttemptStarted returned for the dispatch.
 	counted bool
 	// cost is the estimated cost in generated tokens; prompt is the cost of the
 	// prompt, the part of it that is known in advance.
