--- a/decision/config.go
+++ b/decision/config.go
@@ -70,8 +70,8 @@
 	PromptTokenCost float64
 	// DefaultMaxTokens is the size assumed for requests without MaxTokens.
 	DefaultMaxTokens int
-	// IdleCredit is the work, in generated tokens, that a team which used less
-	// than its share may be given ahead of the others.
+	// IdleCredit is the work, in generated tokens, that a team which requested
+	// less than its share may be given ahead of the others.
 	IdleCredit float64
 	// ServiceCost is the cost of a call of a plain service, in generated tokens.
 	ServiceCost float64
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -246,8 +246,8 @@
 }
 
 // One backend server crashes under load and then refuses at once. Idempotent
-// requests that it ran must be retried elsewhere, and its fast refusals must cause
-// no request to fail or be refused.
+// requests that it ran must be retried elsewhere, and its fast refusals, which make
+// it look idle, must not attract requests that then fail or are refused.
 func TestServerDies(t *testing.T) {
 	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	booking := draftRequest("shops")
