--- a/decision/internal/estimate/plan.go
+++ b/decision/internal/estimate/plan.go
@@ -234,14 +234,14 @@
 // does not start with. Where answers cannot be held, exploring may cost quality,
 // and is done the less the farther a version's estimate lies under the target.
 func (t *Table[T, C, V]) explorations(list []candidate[V], p Plan[V], q Query[T, C, V]) []exploration[V] {
-	dearest := p.First
+	mostExpensive := p.First
 	if p.Cascade {
-		dearest = p.Second
+		mostExpensive = p.Second
 	}
 	var out []exploration[V]
 	for i := range list {
 		c := &list[i]
-		if c.version == dearest {
+		if c.version == mostExpensive {
 			break
 		}
 		if c.version == p.First {
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -24,16 +24,16 @@
 				q.Push(&flows[i], &Item[int]{Value: i, Cost: cost})
 			}
 		}
-		given := make([]float64, len(weights))
+		served := make([]float64, len(weights))
 		for backlogged(flows) {
 			it := q.Pop()
-			given[it.Value] += it.Cost / flows[it.Value].Weight()
+			served[it.Value] += it.Cost / flows[it.Value].Weight()
 			low, high := math.Inf(1), 0.0
-			for _, g := range given {
+			for _, g := range served {
 				low, high = min(low, g), max(high, g)
 			}
 			if high-low > 2*maxCost {
-				t.Fatalf("given %v by weight, largest item %v", given, maxCost)
+				t.Fatalf("given %v by weight, largest item %v", served, maxCost)
 			}
 		}
 	})
--- a/decision/internal/prefix/index.go
+++ b/decision/internal/prefix/index.go
@@ -141,7 +141,7 @@
 }
 
 // put records a holder: in its own place, a free one, or that of the oldest.
-func (x *Index[S, H]) addHolder(h H, n holder[S]) {
+func (x *Index[S, H]) addHolder(h H, added holder[S]) {
 	e, ok := x.blocks.Get(h)
 	if !ok {
 		e = &entry[S]{}
@@ -150,23 +150,23 @@
 	oldest := 0
 	for i := range e.holders {
 		o := &e.holders[i]
-		if o.server == n.server {
+		if o.server == added.server {
 			// A guess makes a confirmed holder neither unsure nor surer.
-			if n.unconfirmed && !o.unconfirmed && x.valid(*o, n.seenAt) {
-				o.seenAt = n.seenAt
+			if added.unconfirmed && !o.unconfirmed && x.valid(*o, added.seenAt) {
+				o.seenAt = added.seenAt
 				return
 			}
-			*o = n
+			*o = added
 			return
 		}
-		if !x.valid(*o, n.seenAt) {
+		if !x.valid(*o, added.seenAt) {
 			o.seenAt = time.Time{}
 		}
 		if o.seenAt.Before(e.holders[oldest].seenAt) {
 			oldest = i
 		}
 	}
-	e.holders[oldest] = n
+	e.holders[oldest] = added
 }
 
 func (x *Index[S, H]) removeHolder(h H, s *server[S]) {
--- a/decision/internal/prefix/index_test.go
+++ b/decision/internal/prefix/index_test.go
@@ -104,7 +104,7 @@
 	cfg.MaxBlocks = 40
 	rapid.Check(t, func(t *rapid.T) {
 		x, y := New[string, uint64](cfg), New[string, uint64](cfg)
-		gone := map[string]bool{}
+		forgotten := map[string]bool{}
 		now := startTime
 		for _, s := range rapid.SliceOfN(rapid.Uint32(), 1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(s>>24) * time.Second)
@@ -122,7 +122,7 @@
 					z.Forget(id)
 				}
 			}
-			gone[id] = s>>14%4 == 3
+			forgotten[id] = s>>14%4 == 3
 			got := x.Match(p, 3, now, nil)
 			if !slices.Equal(got, y.Match(p, 3, now, nil)) {
 				t.Fatal("equal inputs match differently")
@@ -131,7 +131,7 @@
 				t.Fatalf("%d matches, %d blocks", len(got), x.Len())
 			}
 			for i, m := range got {
-				if m.Blocks < 1 || m.Blocks > len(p) || gone[m.Server] || i > 0 && got[i-1].Blocks < m.Blocks {
+				if m.Blocks < 1 || m.Blocks > len(p) || forgotten[m.Server] || i > 0 && got[i-1].Blocks < m.Blocks {
 					t.Fatalf("%v for %d blocks", got, len(p))
 				}
 			}
--- a/decision/internal/verdict/detector.go
+++ b/decision/internal/verdict/detector.go
@@ -60,8 +60,8 @@
 
 // add applies a gain, which is at least -1 by construction.
 func (d *detector) add(gain float64) {
-	for i, stake := range d.fractions {
-		w := d.logWealth[i] + math.Log1p(stake*gain)
+	for i, fraction := range d.fractions {
+		w := d.logWealth[i] + math.Log1p(fraction*gain)
 		if d.restart && w < 0 {
 			w = 0
 		}
--- a/decision/internal/verdict/outlier.go
+++ b/decision/internal/verdict/outlier.go
@@ -72,7 +72,7 @@
 // Apply takes in the list of servers. What is known of those that stay in their
 // group is kept; the rest is forgotten, so memory is bounded by the list.
 func (t *Outliers[S, G]) Apply(list []Member[S, G]) {
-	rows := make(map[S]*server[S, G], len(list))
+	servers := make(map[S]*server[S, G], len(list))
 	groups := make(map[G]*group[S, G])
 	t.groupOrder = t.groupOrder[:0]
 	for _, m := range list {
@@ -90,13 +90,13 @@
 			s = &server[S, G]{id: m.Server, errorDetector: detector{fractions: errorBets, restart: true}}
 		}
 		s.group = g
-		rows[m.Server] = s
+		servers[m.Server] = s
 		g.members = append(g.members, s)
 		if s.ejected {
 			g.ejected++
 		}
 	}
-	t.servers, t.groups = rows, groups
+	t.servers, t.groups = servers, groups
 	slices.Sort(t.groupOrder)
 }
 
@@ -104,13 +104,13 @@
 // or less says nothing of the speed. Leave out attempts that were cancelled and
 // refusals by a leaving server. The change is zero unless it ejects or brings
 // back; ok says which.
-func (t *Outliers[S, G]) ObserveAttempt(id S, failed bool, latency time.Duration, now time.Time) (e Ejection[S], ok bool) {
+func (t *Outliers[S, G]) ObserveAttempt(id S, failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	s := t.servers[id]
 	if s == nil {
 		return e, false
 	}
 	if s.ejected {
-		return t.observeProbe(s, failed, latency, now)
+		return t.observeProbe(s, failed, unitLatency, now)
 	}
 	x := 1.0
 	if failed {
@@ -120,8 +120,8 @@
 	if s.errorDetector.evidence() < suspicionEvidence {
 		s.group.successes.add(x, errorMemory)
 	}
-	if !failed && latency > 0 {
-		s.logLatency.add(math.Log(latency.Seconds()), t.cfg.LatencyMemory)
+	if !failed && unitLatency > 0 {
+		s.logLatency.add(math.Log(unitLatency.Seconds()), t.cfg.LatencyMemory)
 	}
 	if s.errorDetector.evidence() >= threshold(t.cfg.FalseAlarmRate) {
 		return t.eject(s, false, now)
@@ -135,22 +135,22 @@
 // errorLine is the share of good ends below which a server is worse than its
 // group; a version that fails everywhere lowers the line for all.
 func (t *Outliers[S, G]) minSuccessRate(g *group[S, G]) float64 {
-	ok := 1 - minReferenceErrorRate
+	rate := 1 - minReferenceErrorRate
 	if g.successes.n >= 20 {
-		ok = min(ok, g.successes.lowerBound(referenceZ))
+		rate = min(rate, g.successes.lowerBound(referenceZ))
 	}
-	return ok - t.cfg.ErrorMargin
+	return rate - t.cfg.ErrorMargin
 }
 
 // eject takes a server out unless the cap forbids it. A group of two or more
 // may always lose one, else small pools would have to live with a dead server.
 func (t *Outliers[S, G]) eject(s *server[S, G], slow bool, now time.Time) (e Ejection[S], ok bool) {
 	g := s.group
-	most := int(t.cfg.MaxEjectedShare * float64(len(g.members)))
+	maxEjected := int(t.cfg.MaxEjectedShare * float64(len(g.members)))
 	if len(g.members) > 1 {
-		most = max(most, 1)
+		maxEjected = max(maxEjected, 1)
 	}
-	if g.ejected >= most {
+	if g.ejected >= maxEjected {
 		return e, false
 	}
 	// A server that was well for long is not held to its old ejections.
@@ -171,13 +171,13 @@
 // trialEnded counts good trials; a bad one ejects anew for twice as long. Ends
 // of attempts from before the ejection count too, for want of a difference:
 // they are as good a witness, and the backoff has not begun to be probed.
-func (t *Outliers[S, G]) observeProbe(s *server[S, G], failed bool, latency time.Duration, now time.Time) (e Ejection[S], ok bool) {
+func (t *Outliers[S, G]) observeProbe(s *server[S, G], failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	if now.Before(s.ejectedUntil) {
 		return e, false
 	}
 	s.probeAt = time.Time{}
-	isSlow := latency > 0 && t.isSlow(s.group, math.Log(latency.Seconds()))
-	if failed || isSlow {
+	slow := unitLatency > 0 && t.isSlow(s.group, math.Log(unitLatency.Seconds()))
+	if failed || slow {
 		backoff := min(t.cfg.MinBackoff<<min(s.ejections, 16), t.cfg.MaxBackoff)
 		s.ejections++
 		s.goodProbes = 0
--- a/decision/internal/verdict/reference.go
+++ b/decision/internal/verdict/reference.go
@@ -5,11 +5,11 @@
 // errorLine is the share of good ends below which v is worse. The predecessor
 // counts its faults in, so that a cause that hits both bars neither.
 func (t *Versions[V, S]) minSuccessRate(v *version[V, S]) float64 {
-	ok := 1 - minReferenceErrorRate
+	rate := 1 - minReferenceErrorRate
 	if ref, known := t.reference(v, noClass, errorsOf); known {
-		ok = min(ok, ref)
+		rate = min(rate, ref)
 	}
-	return ok - t.cfg.ErrorMargin
+	return rate - t.cfg.ErrorMargin
 }
 
 // ratingLine is the mean rating of a class below which v is worse.
@@ -27,12 +27,12 @@
 // known of that, its own past; known is false while that is too little as well.
 func (t *Versions[V, S]) reference(v *version[V, S], class string, of func(*version[V, S]) *signal) (ref float64, known bool) {
 	if p := t.predecessor(v); p != nil {
-		if past := of(p).history(class); past.all.n >= t.cfg.MinReferenceSamples {
-			return past.successorReference(), true
+		if h := of(p).history(class); h.all.n >= t.cfg.MinReferenceSamples {
+			return h.successorReference(), true
 		}
 	}
-	if past := of(v).history(class); past.baseline.n >= t.cfg.MinReferenceSamples {
-		return past.baseline.lowerBound(referenceZ), true
+	if h := of(v).history(class); h.baseline.n >= t.cfg.MinReferenceSamples {
+		return h.baseline.lowerBound(referenceZ), true
 	}
 	return 0, false
 }
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -63,15 +63,15 @@
 // Apply takes in a manifest's versions. Verdicts and references stay for
 // versions that are still listed or still somebody's predecessor; so memory is
 // bounded by the manifest.
-func (t *Versions[V, S]) Apply(rows []VersionInfo[V]) {
+func (t *Versions[V, S]) Apply(list []VersionInfo[V]) {
 	var none V
-	keep := make(map[V]*version[V, S], len(rows))
-	for _, r := range rows {
+	keep := make(map[V]*version[V, S], len(list))
+	for _, r := range list {
 		v := t.getOrCreate(r.ID)
 		v.info = r
 		keep[r.ID] = v
 	}
-	for _, r := range rows {
+	for _, r := range list {
 		if r.Predecessor == none || keep[r.Predecessor] != nil {
 			continue
 		}
