--- a/decision/internal/estimate/doc.go
+++ b/decision/internal/estimate/doc.go
@@ -1,23 +1,25 @@
-// Package estimate learns, per team, task class and version, how good and how
-// long answers are, and plans a request's cascade by it: which version runs
-// first, and from which rating on a second, dearer one replaces its answer.
+// Package estimate estimates the quality and length of answers per team, task
+// class and version, and plans the cascade of a request from these estimates:
+// which version runs first, and the rating below which a second, more expensive
+// version replaces its answer.
 //
-// A plan is the cheapest one whose expected quality, less one standard error,
-// meets the team's target. Plans are single versions and pairs; a pair's cost
-// is c1 + P(escalate)*c2, so one whose cheap step does not pay for itself loses
-// to the dear version alone without a rule of its own.
+// A plan is the cheapest one whose expected quality, less a configured number of
+// standard errors, meets the team's target. Plans are single versions and pairs.
+// The expected cost of a pair is c1 + P(escalate)*c2, so a pair whose cheap step
+// does not pay for itself loses to the expensive version alone without a special
+// rule.
 //
-// The package is pure: no I/O, no clock, no goroutine, and chance comes in as a
-// number drawn by the caller. Nothing here is safe for concurrent use.
+// The package is pure: no I/O, no clock, no goroutines; random numbers are drawn
+// by the caller. Nothing here is safe for concurrent use.
 //
 // # Wiring
 //
 // On a manifest: Table.Apply. For a request that leaves the model open:
 // Table.Plan with one Option for each version that the roll-out, the verdicts
 // and the pools allow it now; dispatch Plan.First, with Hold when Plan.Cascade.
-// On AttemptEnded: Table.Ended. On AnswerRated: Table.Rated, and where the
-// attempt was a cascade's second step Table.RatedSecond as well. When a held
-// answer is rated: Plan.Escalate; when its rating is Late, deliver it. Ask for a
-// rating of unheld answers too: they teach, and they show that the rating
-// service is back.
+// On AttemptEnded: Table.ObserveLength. On AnswerRated: Table.ObserveRating, and
+// where the attempt was a cascade's second step Table.ObserveEscalatedRating as
+// well. When a held answer is rated: Plan.Escalate; when its rating is Late,
+// deliver it. Ask for ratings of answers that are not held too: they improve the
+// estimates, and they show when the rating service has recovered.
 package estimate
--- a/decision/internal/estimate/plan.go
+++ b/decision/internal/estimate/plan.go
@@ -10,22 +10,22 @@
 // Option is one version that a request may run on now.
 type Option[V cmp.Ordered] struct {
 	Version V
-	// Cost per 1000 tokens generated, in the manifest's unit.
+	// Cost per 1000 generated tokens, in the unit of the manifest.
 	Cost float64
 }
 
-// Query asks for a plan.
+// Query holds the inputs of Table.Plan.
 type Query[T, C, V cmp.Ordered] struct {
 	Task Task[T, C]
-	// Target is the mean rating wanted, 0 to 1.
+	// Target is the required mean rating, 0 to 1.
 	Target float64
-	// Options has at most one entry for a version. It may be in any order.
+	// Options has at most one entry per version, in any order.
 	Options []Option[V]
-	// MayHold allows a cascade: the first answer is held back until it is rated,
-	// which costs its caller the first token's time. Without it, single versions
-	// only.
+	// MayHold allows cascades. The first answer of a cascade is held back until it
+	// is rated, so its caller waits longer for the first token. Without MayHold
+	// only single versions are planned.
 	MayHold bool
-	// Draw is a random number in [0, 1) for exploring.
+	// Draw is a uniform random number in [0, 1) that decides on exploration.
 	Draw float64
 	Now  time.Time
 }
@@ -34,57 +34,56 @@
 type Plan[V comparable] struct {
 	// First is the version to run; the zero value when there was no option.
 	First V
-	// Cascade says that the answer is to be held until it is rated, and that
-	// Second replaces it when the rating is under Bar.
+	// Cascade says that the answer is held until it is rated, and that an answer of
+	// Second replaces it when the rating is below Threshold.
 	Cascade   bool
 	Second    V
 	Threshold float64
-	// Quality and Cost are what is expected, cost per answer.
+	// Quality is the expected rating and Cost the expected cost of an answer.
 	Quality float64
 	Cost    float64
-	// Explore marks a plan that departs from the best one to learn.
+	// Explore marks a plan that departs from the best one to gain observations.
 	Explore bool
 }
 
-// Escalate says whether a held answer is to be replaced: its rating is under the
-// bar, and the time left is enough for the second step. Else the answer that is
-// there beats none in time.
+// Escalate reports whether a held answer is to be replaced: its rating is below
+// the threshold, and the time left is enough for the second step. Without that
+// time the first answer is delivered: it is better than none before the deadline.
 func (p Plan[V]) Escalate(score float64, left, need time.Duration) bool {
 	return p.Cascade && score < p.Threshold && left >= need
 }
 
-// cachedPlan is a plan and what it was made for. The search is done once per
-// few ratings and not per request.
+// cachedPlan is a plan and the inputs it was computed from. It is computed once
+// per few ratings and not for each request.
 type cachedPlan[V cmp.Ordered] struct {
 	options   []Option[V]
 	target    float64
 	mayHold   bool
 	plannedAt time.Time
 	plan      Plan[V]
-	// cheaper are the options that could better the plan, with the chance that
-	// a request tries each.
+	// explorations are the options that could improve on the plan.
 	explorations []exploration[V]
 }
 
-// trial is an option to explore.
+// exploration is an option to explore, and the probability that a request does.
 type exploration[V cmp.Ordered] struct {
 	version V
 	chance  float64
 }
 
-// maxCached bounds the plans kept of one task: roll-outs of two models under way
-// give four sets of options, with and without hold.
+// maxCachedPlans bounds the cached plans of one task: two models in a roll-out
+// give four sets of options, each with and without hold.
 const maxCachedPlans = 8
 
-// Plan returns how to run a request. Its load is the mix of easy and hard
-// requests; the harm that it prevents is paying the dear version for the easy
-// ones, or giving the cheap one's answer to the hard ones.
+// Plan returns how to run a request. In a mix of easy and hard requests it avoids
+// paying for the expensive version on easy ones and delivering the cheap
+// version's answer on hard ones.
 func (t *Table[T, C, V]) Plan(q Query[T, C, V]) Plan[V] {
 	if len(q.Options) == 0 {
 		return Plan[V]{}
 	}
 	if t.RaterDown() {
-		// Nothing would tell a good first answer from a bad one.
+		// Without ratings a bad first answer cannot be detected.
 		q.MayHold = false
 	}
 	c := t.cachedPlanFor(t.task(q.Task), q)
@@ -98,8 +97,9 @@
 	return c.plan
 }
 
-// explore tries a version first. Where answers may be held the best plan's
-// version stands behind it, so that learning costs the caller no quality.
+// explorationPlan returns a plan that runs v first. Where answers may be held, the
+// best plan's version is the second step, so that exploring costs the caller no
+// quality.
 func explorationPlan[T, C, V cmp.Ordered](best Plan[V], v V, q Query[T, C, V]) Plan[V] {
 	p := Plan[V]{First: v, Explore: true, Quality: best.Quality, Cost: best.Cost}
 	if q.MayHold {
@@ -113,6 +113,8 @@
 	return p
 }
 
+// cachedPlanFor returns the cached plan for the query, or computes it where it is
+// missing, too old or outdated by new ratings.
 func (t *Table[T, C, V]) cachedPlanFor(k *task[V], q Query[T, C, V]) *cachedPlan[V] {
 	if k.newRatings >= t.cfg.ReplanRatings {
 		k.plans = k.plans[:0]
@@ -167,7 +169,7 @@
 	return c
 }
 
-// candidates are the options from the cheapest to the dearest.
+// candidates returns the options by ascending expected cost of an answer.
 func (t *Table[T, C, V]) candidates(k *task[V], q Query[T, C, V]) []candidate[V] {
 	list := make([]candidate[V], 0, len(q.Options))
 	for _, o := range q.Options {
@@ -186,15 +188,15 @@
 	return list
 }
 
-// hardness is how much worse a second step is expected to do on what a first one
-// failed than on all requests, before anything was seen, and hardWeight how many
-// ratings that counts for.
+// escalationPenalty is how much lower the quality of a second step is assumed to
+// be on escalated requests, which are harder, than on all requests, and
+// escalationPenaltyWeight how many ratings that prior counts for.
 const (
 	escalationPenalty       = 0.05
 	escalationPenaltyWeight = 10
 )
 
-// pairs considers a cascade from a to b at every bar.
+// considerCascades considers a cascade from a to b at every rating threshold.
 func (t *Table[T, C, V]) considerCascades(s *searcher[V], k *task[V], a, b *candidate[V]) {
 	after := max(b.mean-escalationPenalty, 0)
 	if f := k.escalations[a.version]; f != nil && f.second == b.version {
@@ -207,7 +209,7 @@
 		below += a.stats.count[i] / a.stats.total
 		kept -= a.stats.sum[i] / a.stats.total
 		escalated := below * (1 - late)
-		// A rating that comes too late leaves the first answer as it is.
+		// When the rating is late, the first answer is delivered.
 		quality := late*a.mean + (1-late)*(kept+below*after)
 		stderr := math.Hypot((1-escalated)*a.stderr, escalated*b.stderr)
 		s.consider(Plan[V]{
@@ -221,8 +223,9 @@
 	}
 }
 
-// boldness is how far under the target a version's estimate may lie for a tenth
-// or so of the usual trials without hold, and shyest the part that is left then.
+// Without hold the exploration share falls linearly with the distance of a
+// version's estimate below the target: to minExploreFactor of the usual share at
+// a distance of about exploreMargin and beyond.
 const (
 	exploreMargin    = 0.2
 	minExploreFactor = 0.1
@@ -230,9 +233,10 @@
 
 func clamp(x, lo, hi float64) float64 { return min(max(x, lo), hi) }
 
-// trials are the versions cheaper than the plan's dearest step that the plan
-// does not start with. Where answers cannot be held, exploring may cost quality,
-// and is done the less the farther a version's estimate lies under the target.
+// explorations returns the versions that are cheaper than the most expensive step
+// of the plan and that the plan does not start with. Where answers cannot be held,
+// exploring may cost quality, so it is done less the further a version's estimate
+// lies below the target.
 func (t *Table[T, C, V]) explorations(list []candidate[V], p Plan[V], q Query[T, C, V]) []exploration[V] {
 	mostExpensive := p.First
 	if p.Cascade {
--- a/decision/internal/estimate/rater.go
+++ b/decision/internal/estimate/rater.go
@@ -2,34 +2,36 @@
 
 import "math"
 
-// rater watches the rating service itself.
+// rater tracks the health of the rating service.
 type rater struct {
-	// late is the discounted part of ratings that did not come or made no sense.
+	// lateShare is the moving average of the share of ratings that were late or
+	// invalid.
 	lateShare float64
-	// last, run and oddity follow the longest row of equal ratings.
+	// lastScore, runLength and surprisal describe the current run of equal
+	// ratings; surprisal is the negative log of its probability.
 	lastScore float64
 	runLength int
 	surprisal float64
 }
 
-// raterMemory is the number of ratings that late looks back on: a service that
-// goes down is given up after about 14 late ones, and trusted again as fast.
+// raterMemory is the window of lateShare, in ratings: a service that goes down
+// counts as down after about 14 late ratings, and as up again after as many good
+// ones.
 const raterMemory = 20
 
 func (r *rater) missed()   { r.lateShare += (1 - r.lateShare) / raterMemory }
 func (r *rater) answered() { r.lateShare -= r.lateShare / raterMemory }
 
-// A run of equal ratings is taken for a stuck service once it is this long and
-// this unlikely. A version that always earns a 1 gives long runs too, but likely
-// ones.
+// A run of equal ratings means a stuck service once it is this long and this
+// unlikely. A version that always earns a 1 gives long runs too, but likely ones.
 const (
 	minStuckRun       = 12
 	minStuckSurprisal = 30.0
 )
 
-// stuck takes in a rating and reports whether the service seems to say the same
-// whatever it is shown. The first differing value ends that. The estimate is
-// asked for only where it matters.
+// stuck adds a rating to the run and reports whether the service seems to return
+// the same value for every answer. The first different value ends the run.
+// estimate is called only from the second equal rating on.
 func (r *rater) stuck(score float64, estimate func() versionStats) bool {
 	if score != r.lastScore {
 		r.lastScore = score
--- a/decision/internal/estimate/row.go
+++ b/decision/internal/estimate/row.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// bins is the number of bars that a plan can choose between; 0.05 apart is finer
-// than raters are repeatable.
+// bins is the number of rating thresholds that a plan can choose from; steps of
+// 0.05 are finer than the repeatability of raters.
 const bins = 20
 
-// row is what was seen of one version: a discounted histogram of its ratings,
-// with each bin's own sum, so that raters that give few values (0 and 1, say)
-// lose nothing by the binning, and the answers' lengths.
+// versionStats holds the observations of one version: an exponentially
+// discounted histogram of its ratings and the mean length of its answers. Each
+// bin keeps its own sum, so that binning loses nothing for raters that return few
+// distinct values (0 and 1, for example).
 type versionStats struct {
 	count [bins]float64
 	sum   [bins]float64
 	sumSq float64
-	// total is the sum of count, n the part of it that stands for real ratings.
+	// total is the sum of count, n the part of it that comes from ratings and not
+	// from the prior.
 	total, n float64
 	ratedAt  time.Time
-	// tokens is the answers' mean length.
+	// meanTokens is the mean length of an answer, in tokens.
 	meanTokens float64
 	answers    float64
 }
 
-// priorSpread is the standard deviation that a rating is given before any came.
+// priorSpread is the standard deviation of ratings assumed before any was seen.
 const priorSpread = 0.15
 
-// fromQuality fills a row with weight ratings spread around a quality.
+// priorStats returns stats that hold weight ratings spread around quality.
 func priorStats(quality, weight float64) *versionStats {
 	r := &versionStats{}
 	share := [bins]float64{}
@@ -37,7 +39,7 @@
 		share[i] = math.Exp(-x * x / (2 * priorSpread * priorSpread))
 		whole += share[i]
 	}
-	// The bins' middles are shifted alike so that the mean is the quality.
+	// The centres of the bins are shifted alike so that the mean equals quality.
 	mean := 0.0
 	for i := range share {
 		share[i] /= whole
@@ -50,8 +52,8 @@
 	return r
 }
 
-// over returns the row with a parent standing in, with a weight in ratings and
-// in answers, for what it has not seen itself.
+// withPrior returns the stats combined with those of the parent level as a prior
+// that counts for weight ratings and weight answers.
 func (r *versionStats) withPrior(parent *versionStats, weight float64) versionStats {
 	out := *r
 	f := weight / parent.total
@@ -77,7 +79,8 @@
 	r.total += weight
 }
 
-// add takes in one rating; older ones lose weight by the memory.
+// addRating adds one rating; older ones are discounted with a window of memory
+// ratings.
 func (r *versionStats) addRating(score, memory float64, now time.Time) {
 	keep := 1 - 1/memory
 	for i := range r.count {
@@ -93,7 +96,7 @@
 
 func binOf(score float64) int { return min(int(score*bins), bins-1) }
 
-// addTokens takes in an answer's length.
+// addLength adds the length of one answer, in tokens.
 func (r *versionStats) addLength(tokens, memory float64) {
 	r.answers = min(r.answers+1, memory)
 	r.meanTokens += (tokens - r.meanTokens) / r.answers
@@ -107,9 +110,9 @@
 	return s / r.total
 }
 
-// stderr is the standard error of the mean. Ratings age: with none coming, half
-// of their weight is gone after each half-life, so that the estimate stays and
-// its uncertainty widens.
+// stderr is the standard error of the mean. While no new ratings arrive, the
+// weight of the old ones halves with each half-life, so that the estimate stays
+// and its uncertainty grows.
 func (r *versionStats) stderr(now time.Time, halfLife time.Duration) float64 {
 	mean := r.mean()
 	variance := max(r.sumSq/r.total-mean*mean, minVariance)
@@ -121,5 +124,5 @@
 	return math.Sqrt(variance / max(weight, 1))
 }
 
-// minVariance keeps a few equal ratings from looking like certainty.
+// minVariance prevents a few equal ratings from being taken for certainty.
 const minVariance = 0.0025
--- a/decision/internal/estimate/search.go
+++ b/decision/internal/estimate/search.go
@@ -1,20 +1,21 @@
 package estimate
 
-// searcher keeps the cheapest plan that meets the target with confidence, and
-// the best one for when none does.
+// searcher keeps the cheapest plan that meets the target with the configured
+// confidence, and a fallback for when none does.
 type searcher[V comparable] struct {
 	target      float64
 	confidence  float64
 	hasCheapest bool
 	cheapest    Plan[V]
-	// top is the highest quality, and best the cheapest plan about as good.
+	// bestQuality is the highest expected quality, and fallback the cheapest plan
+	// within minQualityGain of it.
 	bestQuality float64
 	hasFallback bool
 	fallback    Plan[V]
 }
 
-// worth is the quality that is worth paying for where no plan meets the target:
-// less is within what raters can tell.
+// minQualityGain is the gain in quality that is worth a higher cost where no plan
+// meets the target: raters cannot tell smaller differences.
 const minQualityGain = 0.005
 
 func (s *searcher[V]) consider(p Plan[V], stderr float64) {
--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -8,35 +8,40 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Config holds the limits.
+// Config holds the parameters of a Table.
 type Config struct {
-	// PriorWeight is how many ratings the manifest's word counts for against what
-	// all saw of a version, that against what all teams saw for a class, and that
-	// against what the team itself saw.
+	// PriorWeight is the weight of a prior, in ratings. The manifest's quality is
+	// the prior of a version over all classes, that estimate the prior of a class
+	// over all teams, and that one the prior of a team's task.
 	PriorWeight float64
-	// Memory is how many ratings a row looks back on: enough for a standard
-	// error under 0.01, short enough to follow a season.
+	// Memory is the window of the discounted histograms, in ratings: enough for a
+	// standard error under 0.01, short enough to follow seasonal changes.
 	Memory float64
-	// StaleHalfLife is when ratings without successors count half.
+	// StaleHalfLife is the time in which ratings lose half of their weight while
+	// no new ones arrive.
 	StaleHalfLife time.Duration
-	// Confidence is how many standard errors below its estimate a plan is
-	// credited with. At 0 half of the plans that just meet the target miss it; at
-	// 1 every plan pays for more than was asked for. docs/MEASUREMENTS.md.
+	// Confidence is the number of standard errors by which the expected quality of
+	// a plan must exceed the target. At 0 half of the plans that just meet the
+	// target miss it; at 1 every plan pays for more quality than was asked for.
+	// See docs/MEASUREMENTS.md.
 	Confidence float64
-	// Explore is the part of requests that try another version first, to learn;
-	// ExploreNew is that part while one is known by fewer than KnownRatings.
+	// ExploreShare is the share of requests that run another version first to
+	// gain observations; ExploreNewShare replaces it for versions with fewer than
+	// MinRatings ratings.
 	ExploreShare    float64
 	ExploreNewShare float64
 	MinRatings      float64
-	// LateLimit is the part of late ratings from which the rating service counts
-	// as down; then nothing is held for it.
+	// MaxLateShare is the share of late or invalid ratings above which the rating
+	// service counts as down; no answer is held while it is.
 	MaxLateShare float64
-	// DefaultTokens is an answer's length before any was seen.
+	// DefaultTokens is the length assumed for answers before any was seen.
 	DefaultTokens float64
-	// Tasks bounds the pairs of team and class; the least recently used go
-	// first. Callers choose the classes, so their number is no one's promise.
+	// MaxTasks bounds the pairs of team and class; the least recently used are
+	// dropped first. Callers choose the classes, so nothing else bounds their
+	// number.
 	MaxTasks int
-	// ReplanRatings and ReplanAfter bound how old a plan may be.
+	// ReplanRatings is the number of new ratings of a task, and ReplanAfter the
+	// age, from which a cached plan is computed anew.
 	ReplanRatings int
 	ReplanAfter   time.Duration
 }
@@ -59,37 +64,38 @@
 	}
 }
 
-// Task is a team's class of requests.
+// Task is one class of requests of one team.
 type Task[T, C cmp.Ordered] struct {
 	Team  T
 	Class C
 }
 
-// Table holds what was seen of the versions: per task, per class over all teams,
-// and over all classes. Each level stands in for the one below it while that has
-// seen little, so that ten teams need not each learn from nothing.
+// Table holds the observations of the versions: per task, per class over all
+// teams, and over all classes. Each level is the prior of the one below it, so
+// that ten teams need not each start without data.
 type Table[T, C, V cmp.Ordered] struct {
 	cfg     Config
 	tasks   *simplelru.LRU[Task[T, C], *task[V]]
 	classes *simplelru.LRU[C, map[V]*versionStats]
 	overall map[V]*versionStats
-	// prior is the manifest's word.
+	// prior is made from the quality that the manifest states.
 	prior map[V]*versionStats
 	rater rater
 }
 
-// task is one row of the tasks table.
+// task holds the observations and cached plans of one Task.
 type task[V cmp.Ordered] struct {
 	stats map[V]*versionStats
-	// second is the quality of second steps after a first one's escalation.
+	// escalations holds the quality of second steps, by the first step's version.
 	escalations map[V]*escalationStats[V]
 	plans       []cachedPlan[V]
-	// news counts the ratings since the plans were made.
+	// newRatings counts the ratings since the plans were computed.
 	newRatings int
 }
 
-// followUp is the mean rating of answers that replaced those of a first step.
-// They are for the harder requests, so it lies below the second's own mean.
+// escalationStats is the mean rating of answers that replaced those of a first
+// step. Escalated requests are harder, so it is lower than the second version's
+// mean over all requests.
 type escalationStats[V cmp.Ordered] struct {
 	second  V
 	n, mean float64
@@ -115,8 +121,8 @@
 	return lru
 }
 
-// Apply takes in a manifest's versions with the quality it states. What was
-// learnt of versions that are gone is forgotten.
+// Apply sets the versions of a manifest and their stated quality, 0 to 1.
+// Observations of versions that it no longer lists are dropped.
 func (t *Table[T, C, V]) Apply(quality map[V]float64) {
 	t.prior = make(map[V]*versionStats, len(quality))
 	for v, q := range quality {
@@ -173,7 +179,7 @@
 	return made
 }
 
-// ensure returns a map's row of a version.
+// statsFor returns the stats of a version, added to the map if missing.
 func statsFor[V comparable](rows map[V]*versionStats, v V) *versionStats {
 	r := rows[v]
 	if r == nil {
@@ -185,7 +191,8 @@
 
 var emptyStats versionStats
 
-// seen is the row, or an empty one.
+// statsOrEmpty returns the stats of a version, or empty ones that must not be
+// changed.
 func statsOrEmpty[V comparable](rows map[V]*versionStats, v V) *versionStats {
 	if r := rows[v]; r != nil {
 		return r
@@ -193,7 +200,7 @@
 	return &emptyStats
 }
 
-// estimate is what is known of a version for a task, from all levels.
+// estimate combines the observations of a version for a task from all levels.
 func (t *Table[T, C, V]) estimate(k Task[T, C], task *task[V], v V) versionStats {
 	prior := t.prior[v]
 	if prior == nil {
@@ -204,14 +211,14 @@
 	return statsOrEmpty(task.stats, v).withPrior(&class, t.cfg.PriorWeight)
 }
 
-// known reports whether the manifest lists a version; words on others are late
-// and would only fill the tables.
+// listed reports whether the manifest lists a version. Observations of other
+// versions come late and would only fill the tables.
 func (t *Table[T, C, V]) listed(v V) bool {
 	_, ok := t.prior[v]
 	return ok
 }
 
-// Ended takes in the length of a whole answer.
+// ObserveLength records the length of a complete answer, in tokens.
 func (t *Table[T, C, V]) ObserveLength(k Task[T, C], v V, tokens int) {
 	if !t.listed(v) || tokens < 0 {
 		return
@@ -221,14 +228,15 @@
 	}
 }
 
-// levels are the rows that an observation for a task goes to.
+// levels returns the maps that an observation for a task is added to.
 func (t *Table[T, C, V]) levels(k Task[T, C]) [3]map[V]*versionStats {
 	return [3]map[V]*versionStats{t.task(k).stats, t.class(k.Class), t.overall}
 }
 
-// Rated takes in a rating, or that none came within the budget. It reports
-// whether the rating was used: one out of 0..1, or from a rating service that is
-// stuck on one value, is not.
+// ObserveRating records a rating, or with late that none came within the budget.
+// It reports whether the rating was used: ratings outside 0 to 1, of versions
+// that the manifest does not list, and from a rating service that is stuck on one
+// value are not.
 func (t *Table[T, C, V]) ObserveRating(k Task[T, C], v V, score float64, late bool, now time.Time) bool {
 	if late {
 		t.rater.missed()
@@ -254,7 +262,8 @@
 	return true
 }
 
-// RatedSecond takes in the rating of an answer that replaced one of first.
+// ObserveEscalatedRating records the rating of an answer of second that replaced
+// an answer of first.
 func (t *Table[T, C, V]) ObserveEscalatedRating(k Task[T, C], first, second V, score float64) {
 	if math.IsNaN(score) || score < 0 || score > 1 || !t.listed(first) {
 		return
@@ -269,11 +278,13 @@
 	f.mean += (score - f.mean) / f.n
 }
 
-// Quality is the estimate for a task and a version with its standard error.
+// Quality returns the estimated mean rating of a version for a task and its
+// standard error.
 func (t *Table[T, C, V]) Quality(k Task[T, C], v V, now time.Time) (mean, stderr float64) {
 	r := t.estimate(k, t.task(k), v)
 	return r.mean(), r.stderr(now, t.cfg.StaleHalfLife)
 }
 
-// RaterDown reports whether ratings come too late or make no sense.
+// RaterDown reports whether the rating service counts as down: too many of its
+// ratings are late or invalid.
 func (t *Table[T, C, V]) RaterDown() bool { return t.rater.lateShare > t.cfg.MaxLateShare }
--- a/decision/internal/fair/account.go
+++ b/decision/internal/fair/account.go
@@ -1,17 +1,18 @@
 package fair
 
-// Group is the accounts that share capacity. The zero value is ready.
+// Group is a set of accounts that share capacity. The zero value is ready to use.
 type Group struct {
-	// Credit is the work that an account which asked for less than its share may
-	// be behind the others, and so be given ahead of them: seldom requests come in
-	// twos and threes too. It bounds what a long silence is worth. 0 is none.
+	// IdleCredit is the work that an account which asked for less than its share
+	// may be served ahead of the others: rare requests come in small bursts too.
+	// It bounds how much an account can gain by a long idle time. 0 gives no
+	// credit.
 	IdleCredit float64
-	// active are the accounts with something queued.
+	// active holds the accounts with queued items.
 	active []*Account
-	// virtual is the largest tag that all active accounts were known to have
-	// reached.
+	// virtualTime is the largest known lower bound of the tags of all active
+	// accounts.
 	virtualTime float64
-	// seq counts the items, for their age.
+	// seq numbers the items, to order them by age.
 	seq uint64
 }
 
@@ -20,14 +21,14 @@
 	return g.seq
 }
 
-// Account is what one team was given, over all queues.
+// Account records the work that one team was served, over all queues.
 type Account struct {
 	group  *Group
 	weight float64
-	// tag is the work given divided by the weight; it only grows.
+	// tag is the work served divided by the weight; it never decreases.
 	tag float64
-	// credit is what was charged too much, by a wrong estimate of the cost; the
-	// next charges are less by it.
+	// refund is the amount overcharged because of wrong cost estimates; it is
+	// deducted from the next charges.
 	refund      float64
 	queued      int
 	activeIndex int
@@ -40,11 +41,11 @@
 	return a
 }
 
-// SetWeight changes the weight for the work that follows.
+// SetWeight changes the weight for later charges; a weight under 1 counts as 1.
 func (a *Account) SetWeight(weight int) { a.weight = float64(max(weight, 1)) }
 
-// Correct charges the difference between the true and the estimated cost, so that
-// a team neither gains nor loses by a wrong estimate.
+// CorrectCharge charges delta, the true cost less the estimated cost that Pop
+// charged, so that a team neither gains nor loses by a wrong estimate.
 func (a *Account) CorrectCharge(delta float64) {
 	if delta > 0 {
 		a.charge(delta)
@@ -59,9 +60,9 @@
 	a.tag += (cost - back) / a.weight
 }
 
-// startTag is the tag of an item that is queued now. An account that was idle
-// starts where the others are, less the group's credit: it gets its share from now
-// on, and no more than the credit for the time in which it asked nothing.
+// startTag is the tag at which an item queued now starts. An account that was idle
+// starts at the current virtual time less the group's idle credit: it gets its
+// share from now on, and no more than the credit for the time it was idle.
 func (a *Account) startTag() float64 {
 	if a.queued > 0 {
 		return a.tag
@@ -69,7 +70,8 @@
 	return max(a.tag, a.group.currentVirtualTime()-a.group.IdleCredit/a.weight)
 }
 
-// reached is the least tag of the active accounts; with none, the last one known.
+// currentVirtualTime is the least tag of the active accounts, or the last known
+// virtual time when there are none.
 func (g *Group) currentVirtualTime() float64 {
 	if len(g.active) == 0 {
 		return g.virtualTime
@@ -81,7 +83,7 @@
 	return max(g.virtualTime, least)
 }
 
-// join counts a queued item.
+// itemQueued counts a queued item and activates the account with the first.
 func (a *Account) itemQueued() {
 	a.tag = a.startTag()
 	a.queued++
@@ -94,7 +96,8 @@
 	g.active = append(g.active, a)
 }
 
-// leave counts an item that is queued no more.
+// itemRemoved counts an item that left its queue and deactivates the account with
+// the last.
 func (a *Account) itemRemoved() {
 	a.queued--
 	if a.queued > 0 {
--- a/decision/internal/fair/fair.go
+++ b/decision/internal/fair/fair.go
@@ -1,28 +1,30 @@
 // Package fair shares capacity among teams by weighted max-min fairness, with
 // priority within a team, over any number of queues.
 //
-// It is start-time fair queueing: each team's account carries a tag, the work
-// that it was given divided by its weight, and in each queue the account with
-// the smallest tag is next. It bounds unfairness as deficit round robin does, but
-// needs no quantum, which with costs from 1 to 100,000 tokens would be either
+// It implements start-time fair queueing: each team's account has a tag, the work
+// that it was served divided by its weight, and in each queue the account with
+// the smallest tag is next. Unfairness is bounded as with deficit round robin, but
+// no quantum is needed, which with costs from 1 to 100,000 tokens would be either
 // unfair or slow.
 //
-// The account is one for all queues: a team that can only use one pool gets more
-// of that one, if it gets nothing of the others (max-min fairness with placement
-// constraints). Push, Pop and Remove cost O(log flows + log items of the flow).
+// A team has one account for all queues: a team that can use only one pool gets
+// more of that pool when it gets nothing of the others (max-min fairness with
+// placement constraints). Push, Pop and Remove take O(log flows + log items of the
+// flow).
 //
 // Nothing here is safe for concurrent use. Equal calls give equal orders.
 package fair
 
 import "container/heap"
 
-// Item is one queued piece of work. The owner embeds or keeps it; it may be
-// queued in at most one flow at a time.
+// Item is one piece of work. It is allocated by the caller and can be queued in at
+// most one flow at a time.
 type Item[T any] struct {
 	Value T
-	// Cost in the queues' unit, above 0.
+	// Cost is above 0, in a unit that the caller chooses for all queues of a Group.
 	Cost float64
-	// Priority within the flow, higher first; equal ones in order of first Push.
+	// Priority orders the items within the flow, higher first; equal ones are in
+	// order of their first Push.
 	Priority int
 
 	seq       uint64
@@ -30,17 +32,18 @@
 	flow      *Flow[T]
 }
 
-// Queued says whether the item is in a queue.
+// Queued reports whether the item is in a queue.
 func (it *Item[T]) Queued() bool { return it.flow != nil }
 
-// Flow is one account's part of one queue.
+// Flow holds one account's items in one queue.
 type Flow[T any] struct {
 	account *Account
 	queue   *Queue[T]
 	items   itemHeap[T]
 	cost    float64
 	// key is the account's tag when the flow was last placed in the heap. Tags
-	// only grow, so the heap's top is made true when it is looked at.
+	// never decrease, so it is enough to update the key of the heap's top when
+	// that is read.
 	key       float64
 	heapIndex int
 	index     int
@@ -55,7 +58,7 @@
 // Weight is the account's weight.
 func (f *Flow[T]) Weight() float64 { return f.account.weight }
 
-// Queue is the work that waits for one pool. The zero value is ready.
+// Queue holds the work that waits for one pool. The zero value is ready to use.
 type Queue[T any] struct {
 	active flowHeap[T]
 	flows  []*Flow[T]
@@ -63,7 +66,7 @@
 	len    int
 }
 
-// Init makes f the account's flow of the queue.
+// AddFlow initializes f as the account's flow of the queue.
 func (q *Queue[T]) AddFlow(f *Flow[T], a *Account) {
 	*f = Flow[T]{account: a, queue: q, heapIndex: -1, index: len(q.flows)}
 	q.flows = append(q.flows, f)
@@ -84,8 +87,7 @@
 	return sum
 }
 
-// ActiveWeight is the sum of the weights of the flows with queued items, and of
-// f.
+// ActiveWeight is the sum of the weights of f and of all flows with queued items.
 func (q *Queue[T]) ActiveWeight(f *Flow[T]) float64 {
 	sum := 0.0
 	for _, other := range q.active {
@@ -97,9 +99,9 @@
 	return sum
 }
 
-// Ahead is the cost that goes before a new item of the flow, by the present
-// tags: what the flow has queued, and what each other one has queued up to the
-// tag at which the item's turn comes. It costs O(active flows).
+// CostAhead is the cost that is served before a new item of the flow, by the
+// current tags: the flow's queued cost, and the queued cost of each other flow up
+// to the tag at which the new item starts. It takes O(active flows).
 func (q *Queue[T]) CostAhead(f *Flow[T]) float64 {
 	turn := f.account.startTag() + f.cost/f.account.weight
 	sum := f.cost
@@ -112,8 +114,8 @@
 	return sum
 }
 
-// Push queues an item. One that was queued before, here or elsewhere, keeps its
-// age: what is tried again does not go to the end.
+// Push queues an item. An item that was queued before, here or in another queue,
+// keeps its age, so that a retried one does not go to the end.
 func (q *Queue[T]) Push(f *Flow[T], it *Item[T]) {
 	f.account.itemQueued()
 	if it.seq == 0 {
@@ -130,7 +132,7 @@
 	}
 }
 
-// Peek returns the item that Pop would, or nil.
+// Peek returns the item that Pop would return, or nil.
 func (q *Queue[T]) Peek() *Item[T] {
 	for len(q.active) > 0 {
 		f := q.active[0]
@@ -143,7 +145,8 @@
 	return nil
 }
 
-// Pop takes the next item and charges its account, or returns nil.
+// Pop removes the next item, charges its account and returns it, or returns nil
+// when the queue is empty.
 func (q *Queue[T]) Pop() *Item[T] {
 	it := q.Peek()
 	if it == nil {
@@ -155,14 +158,15 @@
 	return it
 }
 
-// Remove takes an item out without a charge; one that is not queued is left.
+// Remove removes an item without a charge. It does nothing when the item is not
+// queued.
 func (q *Queue[T]) Remove(it *Item[T]) {
 	if it.flow != nil {
 		q.removeItem(it)
 	}
 }
 
-// take removes a queued item and keeps the sums.
+// removeItem removes a queued item and updates the sums.
 func (q *Queue[T]) removeItem(it *Item[T]) {
 	f := it.flow
 	heap.Remove(&f.items, it.heapIndex)
@@ -172,7 +176,7 @@
 	q.len--
 	f.account.itemRemoved()
 	if q.len == 0 {
-		q.cost = 0 // no rounding is carried on
+		q.cost = 0 // so that rounding errors do not accumulate
 	}
 	if len(f.items) > 0 {
 		return
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// While all flows are backlogged, none gets ahead of another by more than one
-// item of each, by weight.
+// Guards against unfair shares: while all flows are backlogged, the work served
+// per weight of any two differs by no more than two of the largest items.
 func TestSharesByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g Group
@@ -33,7 +33,7 @@
 				low, high = min(low, g), max(high, g)
 			}
 			if high-low > 2*maxCost {
-				t.Fatalf("given %v by weight, largest item %v", served, maxCost)
+				t.Fatalf("work served per weight %v, largest item %v", served, maxCost)
 			}
 		}
 	})
@@ -48,8 +48,9 @@
 	return true
 }
 
-// A flow that was idle is neither owed anything nor behind; with a credit it is
-// owed that much work, and no more.
+// Guards against a flow that saves up its share while it is idle, or falls behind
+// by it: without a credit both flows alternate, and with one the idle flow is
+// served exactly the credit ahead of the other.
 func TestIdleFlowIsOwedTheCredit(t *testing.T) {
 	for credit, want := range map[float64][]string{0: {"bababa", "ababab"}, 5: {"bbbbbabab"}} {
 		g := Group{IdleCredit: credit}
@@ -76,7 +77,8 @@
 	}
 }
 
-// Priority goes first within a flow, then age; Remove and Charge keep the sums.
+// Guards against a wrong order within a flow (priority first, then age) and
+// against sums that are not updated by Pop, Remove and CorrectCharge.
 func TestOrderAndSums(t *testing.T) {
 	var g Group
 	var q Queue[string]
@@ -94,18 +96,18 @@
 	q.Remove(low)
 	q.Remove(low)
 	if q.Len() != 1 || q.Cost() != 5 || a.Cost() != 5 || low.Queued() {
-		t.Errorf("len %d, cost %v, flow %v", q.Len(), q.Cost(), a.Cost())
+		t.Errorf("queue length %d, cost %v, cost of the flow %v", q.Len(), q.Cost(), a.Cost())
 	}
 	if got := q.Pop().Value; got != "second" {
 		t.Errorf("popped %q", got)
 	}
 	if q.Pop() != nil || q.Cost() != 0 {
-		t.Error("not empty in the end")
+		t.Error("queue is not empty after its last item was popped")
 	}
 }
 
-// An account is charged over all queues: who had the one alone gives way in the
-// other, until both had the same.
+// Guards against accounts that are charged per queue: a team that was served alone
+// in one queue must yield in the other, until both teams were served as much.
 func TestAccountsSpanQueues(t *testing.T) {
 	var g Group
 	var one, both Queue[string]
@@ -129,13 +131,14 @@
 	for range 8 {
 		got += both.Pop().Value
 	}
-	// b is given the three first that a had; then they are equal and go in turn.
+	// b is first served the three items that a is ahead; then both alternate.
 	if got != "bbbababa" {
 		t.Errorf("order %q", got)
 	}
 }
 
-// What was charged too much is taken off the next charges, and no more.
+// Guards against refunds that are lost or counted twice: an overcharge is deducted
+// from the next charges, and only once.
 func TestCorrection(t *testing.T) {
 	var g Group
 	a := g.NewAccount(2)
--- a/decision/internal/fair/heaps.go
+++ b/decision/internal/fair/heaps.go
@@ -1,6 +1,7 @@
 package fair
 
-// itemEntry holds what items are ordered by, so that ordering touches no item.
+// itemEntry holds the sort keys of an item, so that comparing does not dereference
+// it.
 type itemEntry[T any] struct {
 	priority int
 	seq      uint64
@@ -35,7 +36,8 @@
 	return it
 }
 
-// flowHeap orders the flows with queued items by key, then by age.
+// flowHeap orders the flows with queued items by key, then by the order in which
+// they were added.
 type flowHeap[T any] []*Flow[T]
 
 func (h flowHeap[T]) Len() int { return len(h) }
--- a/decision/internal/fair/main_test.go
+++ b/decision/internal/fair/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the properties a fixed seed, so that each run has the same
-// verdict; -rapid.seed on the command line still wins.
+// TestMain gives the property tests a fixed seed, so that all runs have the same
+// result; -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20260901"); err != nil {
 		panic(err)
--- a/decision/internal/place/filters.go
+++ b/decision/internal/place/filters.go
@@ -1,37 +1,38 @@
 package place
 
-// Staying drops servers that are leaving. Load: a rack or a failure domain that
-// is replaced. Harm: work that is cut off when the server goes.
+// NotLeaving drops servers that are leaving, for example because a rack or a
+// failure domain is replaced: work still running when the server stops would be
+// cut off.
 type NotLeaving struct{}
 
 // Keep implements Filter.
 func (NotLeaving) Keep(c *Candidate) bool { return !c.Leaving }
 
-// Healthy drops ejected servers. Load: one slow or failing server. Harm: it
-// looks idle, since failing is fast, and draws all work to itself.
+// NotEjected drops ejected servers. A failing server looks idle, since failing is
+// fast, and would attract all work.
 type NotEjected struct{}
 
 // Keep implements Filter.
 func (NotEjected) Keep(c *Candidate) bool { return !c.Ejected }
 
-// Room drops servers at their capacity. Load: saturation. Harm: work that waits
-// in a server's own queue, where no other server can take it and no team's share
-// holds.
+// HasFreeSlot drops servers that run as many attempts as they have slots. At
+// saturation, work would otherwise wait in a server's own queue, where no other
+// server can take it over and the teams' shares are not enforced.
 type HasFreeSlot struct{}
 
 // Keep implements Filter.
 func (HasFreeSlot) Keep(c *Candidate) bool { return c.Running < c.Slots }
 
-// HasVersion drops servers that do not have the version loaded. Load: a roll-out
-// or a role change that the prefix index has not heard of. Harm: an answer from
-// another version, or a wait for a load of many gigabytes.
+// HasVersion drops servers that do not have the version loaded, for example
+// because of a roll-out or a role change that the prefix index does not know yet.
+// Such a server would answer with another version, or load many gigabytes first.
 type HasVersion struct{}
 
 // Keep implements Filter.
 func (HasVersion) Keep(c *Candidate) bool { return c.VersionLoaded }
 
-// Untried drops servers where the request failed already. Load: a server that
-// dies under load. Harm: attempts spent on the same fault.
+// NotTried drops servers where the request has failed already, for example one
+// that crashes under load, so that no further attempt is spent on the same fault.
 type NotTried struct{}
 
 // Keep implements Filter.
--- a/decision/internal/place/place.go
+++ b/decision/internal/place/place.go
@@ -1,57 +1,60 @@
-// Package place picks a backend server out of a few candidates: filters drop
-// those that must not take the request, scorers weigh the rest, and the best
+// Package place picks a backend server from a few candidates: filters drop those
+// that must not take the request, scorers rate the rest, and the highest total
 // score wins.
 //
 // The caller draws the candidates (two at random, and the deepest prefix match),
-// so the cost of a pick does not grow with the fleet. Everything here is a pure
-// function of the candidates; nothing is allocated.
+// so the cost of a pick does not grow with the number of servers. Everything here
+// is a pure function of the candidates; nothing is allocated.
 package place
 
-// Candidate is what is known of one backend server for one request.
+// Candidate is the state of one backend server with respect to one request.
 type Candidate struct {
-	// Running is this instance's own attempts at the server, and Slots how many
-	// it runs at once.
+	// Running is the number of this instance's own attempts at the server, and
+	// Slots the number that the server runs at once.
 	Running int
 	Slots   int
-	// Load is the part of the capacity that is thought to be in use: the own
-	// attempts and the others' by the last report, faded with its age.
+	// Load is the estimated share of the capacity in use: this instance's own
+	// attempts, and those of others by the last load report, discounted with its
+	// age.
 	Load float64
-	// Saved is the part (0 to 1) of the request's work that the server's prefix
-	// cache is thought to save.
+	// CacheSavings is the estimated share (0 to 1) of the request's work that the
+	// server's prefix cache saves.
 	CacheSavings float64
-	// Near says that the server is in the instance's own failure domain.
+	// SameDomain is set when the server is in the instance's own failure domain.
 	SameDomain bool
-	// Loaded says that it has the version, or is the plain service.
+	// VersionLoaded is set when the server has the version loaded, or provides the
+	// plain service that the request is for.
 	VersionLoaded bool
-	// Leaving servers get nothing new, nor do Ejected ones, nor such as are shut
-	// out for a moment.
+	// Leaving and Ejected servers get no new work. Servers that are excluded for a
+	// short while count as Ejected too.
 	Leaving bool
 	Ejected bool
-	// Tried says that the request has failed there already.
+	// Tried is set when the request has failed on the server already.
 	Tried bool
 }
 
-// Filter says whether a candidate may take the request at all.
+// Filter decides whether a candidate may take the request at all.
 type Filter interface {
 	Keep(c *Candidate) bool
 }
 
-// Scorer weighs a candidate; higher is better. Scores are in parts of one
-// request's work, so that those of different scorers add up.
+// Scorer rates a candidate; higher is better. Scores are fractions of one
+// request's work, so that those of different scorers can be added.
 type Scorer interface {
 	Score(c *Candidate) float64
 }
 
-// Picker is filters and scorers in a row. It is read-only after it is made.
+// Picker applies filters and scorers in order. It must not change after its first
+// use.
 type Picker struct {
 	Filters []Filter
 	Scorers []Scorer
 }
 
-// None is what Pick returns where no candidate may take the request.
+// None is returned by Pick when no candidate may take the request.
 const None = -1
 
-// Pick returns the index of the best candidate; of equal ones the first.
+// Pick returns the index of the best candidate, or of the first of equal ones.
 func (p *Picker) Pick(list []Candidate) int {
 	best, bestScore := None, 0.0
 	for i := range list {
--- a/decision/internal/place/place_test.go
+++ b/decision/internal/place/place_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// Guards against work for a server that a filter should drop, and against scorers
+// that outweigh each other wrongly.
 func TestPick(t *testing.T) {
 	good := Candidate{Slots: 4, VersionLoaded: true}
 	with := func(change func(*Candidate)) Candidate {
@@ -22,9 +24,9 @@
 		{name: "not loaded", list: []Candidate{with(func(c *Candidate) { c.VersionLoaded = false })}, want: None},
 		{name: "tried", list: []Candidate{with(func(c *Candidate) { c.Tried = true }), good}, want: 1},
 		{name: "less load", list: []Candidate{with(func(c *Candidate) { c.Load = 0.5 }), good}, want: 1},
-		{name: "near", list: []Candidate{good, with(func(c *Candidate) { c.SameDomain = true })}, want: 1},
+		{name: "same domain", list: []Candidate{good, with(func(c *Candidate) { c.SameDomain = true })}, want: 1},
 		{
-			name: "near does not outweigh load",
+			name: "same domain does not outweigh load",
 			list: []Candidate{good, with(func(c *Candidate) { c.SameDomain, c.Load = true, 0.3 })}, want: 0,
 		},
 		{
@@ -32,7 +34,7 @@
 			list: []Candidate{good, with(func(c *Candidate) { c.CacheSavings, c.Load = 0.6, 0.4 })}, want: 1,
 		},
 		{
-			name: "prefix yields past the bound",
+			name: "prefix counts for nothing above the maximum load",
 			list: []Candidate{good, with(func(c *Candidate) { c.CacheSavings, c.Load = 1, 0.9 })}, want: 0,
 		},
 	}
--- a/decision/internal/place/scorers.go
+++ b/decision/internal/place/scorers.go
@@ -1,19 +1,20 @@
 package place
 
-// Load prefers servers with little in use. Load reports lag, so two choices with
-// the own count beat the least loaded of all, on which every instance would
-// throw itself at once.
+// LeastLoad prefers servers with a low load. Load reports lag, so choosing the
+// better of two random servers, with an exact count of the own attempts, beats
+// choosing the least loaded of all, which every instance would send to at once.
 type LeastLoad struct{}
 
 // Score implements Scorer.
 func (LeastLoad) Score(c *Candidate) float64 { return -c.Load }
 
-// Affinity prefers servers that have the prompt's prefix cached, until their
-// load passes Bound: beyond it the wait costs more than the prefix saves, and a
-// popular prefix would pile all its requests onto one server.
+// PrefixAffinity prefers servers that have the prompt's prefix cached, as long as
+// their load is below MaxLoad: above it the wait costs more than the prefix saves,
+// and all requests with a popular prefix would go to one server.
 type PrefixAffinity struct {
+	// Weight is the score of a request that the cache saves entirely.
 	Weight float64
-	// Bound is a part of the capacity.
+	// MaxLoad is a share of the capacity.
 	MaxLoad float64
 }
 
@@ -25,9 +26,9 @@
 	return a.Weight * c.CacheSavings
 }
 
-// Domain prefers servers in the own failure domain by a little: the way there
-// and back saves some 3 ms of a first token in 350, which is worth no more than
-// a small difference in load.
+// DomainAffinity slightly prefers servers in the own failure domain: the shorter
+// round trip saves some 3 ms of the 350 ms to a first token, which is worth no
+// more than a small difference in load. Weight is the score of such a server.
 type DomainAffinity struct{ Weight float64 }
 
 // Score implements Scorer.
--- a/decision/internal/prefix/index.go
+++ b/decision/internal/prefix/index.go
@@ -6,16 +6,17 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Config holds the limits.
+// Config holds the limits of an Index.
 type Config struct {
-	// Blocks bounds the blocks remembered; the least recently used go first. At
-	// some 300 bytes each, 65,536 take 20 MB of an instance's 256.
+	// MaxBlocks bounds the indexed blocks; the least recently used are dropped
+	// first. At some 300 bytes each, 65,536 take 20 MB of an instance's 256 MB.
 	MaxBlocks int
-	// Depth bounds the blocks of one prompt that are looked at. Past it lies
-	// what is the request's own and shared with nobody.
+	// MaxDepth bounds the blocks of one prompt that are considered. The blocks after
+	// them are specific to the request and shared with no other.
 	MaxDepth int
-	// GuessLife is how long an own dispatch counts as cached without a word from
-	// the server. Servers that publish no events live by it alone.
+	// UnconfirmedTTL is how long the prompt of an own dispatch counts as cached
+	// without a cache event of the server. For servers that publish no events,
+	// nothing but own dispatches is known.
 	UnconfirmedTTL time.Duration
 }
 
@@ -24,9 +25,9 @@
 	return Config{MaxBlocks: 1 << 16, MaxDepth: 128, UnconfirmedTTL: 2 * time.Minute}
 }
 
-// holders bounds the servers remembered for one block. A prefix that more
-// servers hold is found on one of these; more would not make a better choice,
-// since placing looks at a few candidates only.
+// maxHolders bounds the servers indexed for one block. A prefix that more servers
+// hold is found on one of these; more would not improve the choice, since placing
+// considers a few candidates only.
 const maxHolders = 4
 
 // Index maps block hashes to the servers that hold them.
@@ -36,35 +37,35 @@
 	servers map[S]*server[S]
 }
 
-// server is one row of the servers table.
+// server is the state of one server's event sequence.
 type server[S comparable] struct {
 	id  S
 	seq uint64
-	// epoch counts the losses of events: what was learnt one loss ago is
-	// suspect, and what was learnt two ago or before a restart is void.
+	// epoch counts the gaps in the events, a restart as two. Holders recorded one
+	// epoch ago count as not confirmed in a Match, and older ones are invalid.
 	epoch uint32
 }
 
-// entry is the holders of one block.
+// entry lists the holders of one block.
 type entry[S comparable] struct {
 	holders [maxHolders]holder[S]
 }
 
-// holder is one server that holds a block; free when server is nil.
+// holder is one server that holds a block; a nil server marks a free place.
 type holder[S comparable] struct {
 	server *server[S]
 	epoch  uint32
-	// guess marks an own dispatch that the server has not confirmed.
+	// unconfirmed marks an own dispatch without a cache event of the server yet.
 	unconfirmed bool
 	seenAt      time.Time
 }
 
-// Match says that a server holds a prompt's first Blocks blocks.
+// Match is a server that holds the first Blocks blocks of a prompt.
 type Match[S comparable] struct {
 	Server S
 	Blocks int
-	// Sure is false for guesses and for what may have been evicted in a gap of
-	// the events.
+	// Confirmed is false for own dispatches without a cache event, and for blocks
+	// that may have been evicted in a gap of the events.
 	Confirmed bool
 }
 
@@ -78,6 +79,7 @@
 	return &Index[S, H]{cfg: cfg, blocks: blocks, servers: make(map[S]*server[S])}
 }
 
+// server returns the state of a server, created if missing.
 func (x *Index[S, H]) server(id S) *server[S] {
 	s := x.servers[id]
 	if s == nil {
@@ -87,12 +89,14 @@
 	return s
 }
 
-// Changed takes in a server's word on its cache.
+// ApplyCacheEvent applies a server's report of blocks added to and removed from
+// its cache. seq numbers the events of the server.
 //
-// Events come late and with gaps. After a gap, evictions may have been missed:
-// what is known becomes suspect, and after a second gap void. A late event can
-// only tell of evictions; what it adds may be gone again. A sequence that starts
-// over is a restarted server with an empty cache.
+// Events come late and with gaps. After a gap, evictions may have been missed: the
+// known blocks count as not confirmed, and after a second gap they are invalid. Of
+// a late event only the evictions are applied, since the blocks that it added may
+// be evicted again. A sequence that starts over means a restarted server with an
+// empty cache.
 func (x *Index[S, H]) ApplyCacheEvent(id S, seq uint64, added, removed []H, now time.Time) {
 	s := x.server(id)
 	late := false
@@ -114,16 +118,16 @@
 	if late {
 		return
 	}
-	// The deepest first, so that the blocks that others build on are used last
-	// and leave the index last.
+	// The deepest block first, so that the blocks that others build on are the
+	// most recently used and leave the index last.
 	for i := len(added) - 1; i >= 0; i-- {
 		x.addHolder(added[i], holder[S]{server: s, epoch: s.epoch, seenAt: now})
 	}
 }
 
-// Dispatched takes in that a prompt goes to a server, which will have it cached
-// shortly. Without this, a burst of requests with a new common prefix spreads
-// over all servers before the first cache event is back.
+// RecordDispatch records that a prompt was dispatched to a server, which will have
+// it cached shortly. Without this, a burst of requests with a new common prefix
+// would spread over all servers before the first cache event arrives.
 func (x *Index[S, H]) RecordDispatch(id S, blocks []H, now time.Time) {
 	s := x.server(id)
 	blocks = blocks[:min(len(blocks), x.cfg.MaxDepth)]
@@ -132,7 +136,7 @@
 	}
 }
 
-// Forget drops a server and all that is known of its cache.
+// Forget drops a server and the contents of its cache.
 func (x *Index[S, H]) Forget(id S) {
 	if s := x.servers[id]; s != nil {
 		s.epoch += 2
@@ -140,7 +144,8 @@
 	}
 }
 
-// put records a holder: in its own place, a free one, or that of the oldest.
+// addHolder records a holder of a block: in the place of the same server, a free
+// one, or that of the oldest holder.
 func (x *Index[S, H]) addHolder(h H, added holder[S]) {
 	e, ok := x.blocks.Get(h)
 	if !ok {
@@ -151,7 +156,7 @@
 	for i := range e.holders {
 		o := &e.holders[i]
 		if o.server == added.server {
-			// A guess makes a confirmed holder neither unsure nor surer.
+			// A dispatch neither confirms a holder anew nor makes it unconfirmed.
 			if added.unconfirmed && !o.unconfirmed && x.valid(*o, added.seenAt) {
 				o.seenAt = added.seenAt
 				return
@@ -188,7 +193,8 @@
 	}
 }
 
-// valid reports whether a holder still counts.
+// valid reports whether a holder may still have the block: not more than one epoch
+// old and, if unconfirmed, not older than UnconfirmedTTL.
 func (x *Index[S, H]) valid(o holder[S], now time.Time) bool {
 	if o.server == nil || o.server.epoch-o.epoch >= 2 {
 		return false
@@ -196,5 +202,5 @@
 	return !o.unconfirmed || now.Sub(o.seenAt) <= x.cfg.UnconfirmedTTL
 }
 
-// Len is the number of blocks remembered.
+// Len is the number of indexed blocks.
 func (x *Index[S, H]) Len() int { return x.blocks.Len() }
--- a/decision/internal/prefix/index_test.go
+++ b/decision/internal/prefix/index_test.go
@@ -16,7 +16,7 @@
 	match = Match[string]
 )
 
-// chain returns n block hashes that stand for one prompt.
+// chain returns the n block hashes of one prompt.
 func chain(prompt uint64, n int) []uint64 {
 	out := make([]uint64, n)
 	for i := range out {
@@ -25,6 +25,8 @@
 	return out
 }
 
+// Guards against matches on blocks that a server does not have any more: after
+// evictions, lost or late events, a restart, or the removal of the server.
 func TestMatch(t *testing.T) {
 	p := chain(1, 10)
 	mixed := append(slices.Clone(p[:4]), chain(2, 6)...)
@@ -34,16 +36,16 @@
 		ask  []uint64
 		want []match
 	}{
-		{"nothing known", func(*index) {}, p, nil},
+		{"empty index", func(*index) {}, p, nil},
 		{"confirmed", func(x *index) { x.ApplyCacheEvent("a", 1, p, nil, startTime) }, p, []match{{"a", 10, true}}},
 		{"own dispatch", func(x *index) { x.RecordDispatch("a", p, startTime) }, p, []match{{"a", 10, false}}},
-		{"old own dispatch", func(x *index) { x.RecordDispatch("a", p, startTime.Add(-time.Hour)) }, p, nil},
+		{"expired own dispatch", func(x *index) { x.RecordDispatch("a", p, startTime.Add(-time.Hour)) }, p, nil},
 		{"confirmed dispatch", func(x *index) {
 			x.RecordDispatch("a", p, startTime)
 			x.ApplyCacheEvent("a", 1, p, nil, startTime)
 			x.RecordDispatch("a", p, startTime)
 		}, p, []match{{"a", 10, true}}},
-		{"common start", func(x *index) { x.ApplyCacheEvent("a", 1, p, nil, startTime) }, mixed, []match{{"a", 4, true}}},
+		{"common prefix", func(x *index) { x.ApplyCacheEvent("a", 1, p, nil, startTime) }, mixed, []match{{"a", 4, true}}},
 		{"deepest first", func(x *index) {
 			x.ApplyCacheEvent("a", 1, p[:6], nil, startTime)
 			x.ApplyCacheEvent("b", 1, p[:9], nil, startTime)
@@ -52,20 +54,20 @@
 			x.ApplyCacheEvent("a", 1, p, nil, startTime)
 			x.ApplyCacheEvent("a", 2, nil, p[5:], startTime)
 		}, p, []match{{"a", 5, true}}},
-		{"one gap makes suspect", func(x *index) {
+		{"not confirmed after one gap", func(x *index) {
 			x.ApplyCacheEvent("a", 1, p, nil, startTime)
 			x.ApplyCacheEvent("a", 3, nil, nil, startTime)
 		}, p, []match{{"a", 10, false}}},
-		{"two gaps make void", func(x *index) {
+		{"invalid after two gaps", func(x *index) {
 			x.ApplyCacheEvent("a", 1, p, nil, startTime)
 			x.ApplyCacheEvent("a", 3, nil, nil, startTime)
 			x.ApplyCacheEvent("a", 9, nil, nil, startTime)
 		}, p, nil},
-		{"a restart makes void", func(x *index) {
+		{"invalid after a restart", func(x *index) {
 			x.ApplyCacheEvent("a", 7, p, nil, startTime)
 			x.ApplyCacheEvent("a", 1, p[:2], nil, startTime)
 		}, p, []match{{"a", 2, true}}},
-		{"a late event evicts but adds nothing", func(x *index) {
+		{"late event evicts but adds nothing", func(x *index) {
 			x.ApplyCacheEvent("a", 3, p[:6], nil, startTime)
 			x.ApplyCacheEvent("a", 2, p[6:], p[5:6], startTime)
 		}, p, []match{{"a", 5, true}}},
@@ -79,7 +81,7 @@
 			x.Forget("a")
 			x.ApplyCacheEvent("a", 1, p[:3], nil, startTime)
 		}, p, []match{{"a", 3, true}}},
-		{"no more servers than a block has places", func(x *index) {
+		{"at most maxHolders servers per block", func(x *index) {
 			for i := range 9 {
 				x.ApplyCacheEvent(fmt.Sprint(i), 1, p, nil, startTime.Add(time.Duration(i)))
 			}
@@ -96,9 +98,9 @@
 	}
 }
 
-// Whatever comes, the index stays within its bound, a match is no deeper than
-// the prompt, servers that were forgotten are not matched, and equal inputs
-// match alike.
+// Guards, for random sequences of calls, against an index that grows past its
+// bound, matches deeper than the prompt, matches of forgotten servers, and results
+// that differ for equal inputs.
 func TestIndexProperties(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxBlocks = 40
--- a/decision/internal/verdict/channel.go
+++ b/decision/internal/verdict/channel.go
@@ -2,37 +2,41 @@
 
 import "math"
 
-// channel is one kind of observation of one version, 0 worst and 1 best.
+// signal judges one kind of observation of one version, 0 the worst and 1 the
+// best.
 type signal struct {
-	// byClass holds the pasts of the classes of requests; errors have one only.
+	// classes holds the history by class of requests; errors have one class only.
 	classes  map[string]*classHistory
 	decline  detector
 	recovery detector
 	bad      bool
-	// run is the present stretch under suspicion, as differences to the line.
+	// suspectDiff is the mean difference to the reference since the current
+	// suspicion began.
 	suspectDiff discountedMean
-	// proof is how far above the line, and so mostly below 0, a bad version must
-	// prove itself to be.
+	// recoveryMargin is added to the reference that a bad version must exceed to
+	// recover; it is 0 or negative.
 	recoveryMargin float64
 	recoveries     int
 }
 
-// past is what was observed of one class of requests.
+// classHistory holds the observations of one class of requests.
 type classHistory struct {
-	// own leaves out the stretches under suspicion: the reference for the version
-	// itself.
+	// baseline leaves out the observations under suspicion: it is the reference
+	// for the version itself.
 	baseline discountedMean
-	// seen and recent have everything: the reference for a successor.
+	// all and recent include every observation: they are the reference for a
+	// successor.
 	all    discountedMean
 	recent discountedMean
 }
 
 // maxClasses bounds the classes of one version, which callers choose; further
-// ones share one past.
+// ones share one history.
 const maxClasses = 32
 
 const overflowClass = ""
 
+// newSignal returns a signal whose detectors use the bets s.
 func newSignal(s betFractions) signal {
 	return signal{
 		classes:  make(map[string]*classHistory),
@@ -41,7 +45,7 @@
 	}
 }
 
-// past returns the past of a class, made if need be.
+// history returns the history of a class, created if missing.
 func (c *signal) history(class string) *classHistory {
 	if p := c.classes[class]; p != nil {
 		return p
@@ -57,11 +61,11 @@
 	return p
 }
 
-// suspicion is the evidence from which a version's own reference stops
-// learning: else a version that goes bad would teach its reference to be bad.
+// suspicionEvidence is the evidence from which observations no longer update a
+// baseline: otherwise a version that turns bad would lower its own reference.
 const suspicionEvidence = 2.0
 
-// watch takes in an observation of a version that is not barred.
+// observeAllowed adds an observation of a version that is not blocked.
 func (c *signal) observeAllowed(p *classHistory, x, reference float64, cfg *VersionConfig) {
 	c.suspectDiff.add(x-reference, cfg.Memory)
 	c.decline.addBelow(x, reference)
@@ -75,29 +79,31 @@
 	}
 }
 
-// suspected reports whether half of the evidence for a verdict is there, as the
-// log of a chance: two instances that each have half have it whole together.
+// suspected reports whether there is half of the evidence for a verdict. Evidence
+// is a log probability, so two instances with half of it each have all of it
+// together.
 func (c *signal) suspected(cfg *VersionConfig) bool {
 	return !c.bad && c.decline.evidence() >= threshold(cfg.FalseAlarmRate)/2
 }
 
-// condemn turns the verdict to bad.
+// markBad sets the verdict to bad.
 func (c *signal) markBad() {
 	c.bad = true
-	// Halfway from what it did to the line tells mended from still bad in the
-	// fewest probes. After each return that did not last, the proof moves
-	// halfway on to the line, so that half mended does not come and go for ever.
+	// A margin halfway between the observed mean and the reference separates a
+	// repaired version from a bad one in the fewest probes. After each recovery
+	// that did not last, the margin is halved, so that a version that is only
+	// partly repaired does not alternate between good and bad for ever.
 	c.recoveryMargin = min(c.suspectDiff.mean, 0) / math.Exp2(float64(c.recoveries+1))
 	c.decline.reset()
 	c.recovery.reset()
 }
 
-// recentMemory is how many observations of the predecessor tell that a fault
-// hits it now as well.
+// recentMemory is the window, in observations, in which a fault must show in the
+// predecessor too for it to count as common to both versions.
 const recentMemory = 50
 
-// probeEnded collects evidence that a bad version is good again. A version that
-// was taken back wrongly must prove itself twice as well the next time.
+// observeProbe adds an observation of a blocked version as evidence that it is
+// good again. Each recovery halves the probability that the next one is false.
 func (c *signal) observeProbe(x, reference float64, cfg *VersionConfig) {
 	c.recovery.addAbove(x, reference+c.recoveryMargin)
 	alpha := cfg.FalseRecoveryRate / math.Exp2(float64(c.recoveries))
@@ -110,14 +116,16 @@
 	c.recovery.reset()
 }
 
-// maxReturns bounds the halving: 10 is a chance of 1 in 20,000.
+// maxRecoveries bounds the halving: 10 halvings of the default 0.02 give a
+// probability of about 1 in 50,000.
 const maxRecoveries = 10
 
-// referenceErrors is the error rate that a reference is credited with at least.
-// Else a predecessor without any error would make one error of 1,000 a crime.
+// minReferenceErrorRate is the lowest error rate that a reference is assumed to
+// have. Otherwise, after a predecessor without any error, one error in 1,000 would
+// count against a version.
 const minReferenceErrorRate = 0.005
 
-// asReference is what a successor must reach.
+// successorReference is the mean that a successor must reach.
 func (p *classHistory) successorReference() float64 {
 	return min(p.all.lowerBound(referenceZ), p.recent.mean)
 }
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -6,18 +6,20 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// CrashConfig holds the limits of Crashes.
+// CrashConfig holds the parameters of Crashes.
 type CrashConfig struct {
 	// MaxServers is how many backend servers a request may crash before it is
-	// quarantined. Two: one crash may be the server's own fault, and a third
-	// would let a single caller take out a small pool.
+	// quarantined. The default is two: one crash may be the server's own fault,
+	// and a third would let a single caller take down a small pool.
 	MaxServers int
-	// Remember is how long a crash counts: as long as callers send again.
+	// CrashTTL is how long a crash counts: as long as callers are expected to
+	// retry.
 	CrashTTL time.Duration
-	// Quarantine is how long a request stays shut out. It is bounded, since a
-	// new version may well run it.
+	// Quarantine is how long a quarantine lasts. It is bounded, since a new version
+	// may well be able to run the request.
 	Quarantine time.Duration
-	// Limit bounds the fingerprints kept; the least recently used go first.
+	// MaxFingerprints bounds the fingerprints kept; the least recently used are
+	// dropped first.
 	MaxFingerprints int
 }
 
@@ -31,15 +33,15 @@
 	}
 }
 
-// Crashes counts crashed backend servers per request fingerprint. It is made
-// for the request that kills each backend server that runs it while its caller
-// sends it again and again; unchecked it takes the whole pool down.
+// Crashes counts crashed backend servers per request fingerprint. It guards against
+// a request that crashes each backend server that runs it while its caller retries
+// it: without a quarantine it takes the whole pool down.
 type Crashes[F comparable] struct {
 	cfg  CrashConfig
 	rows *simplelru.LRU[F, *crash]
 }
 
-// crash is one row of the table.
+// crash holds the counts of one fingerprint.
 type crash struct {
 	crashedServers   int
 	running          int
@@ -58,22 +60,22 @@
 	return &Crashes[F]{cfg: cfg, rows: rows}
 }
 
-// CrashAdmission says what to do with a request by its fingerprint.
+// CrashAdmission says whether a request may be dispatched, by its fingerprint.
 type CrashAdmission uint8
 
 const (
-	// CrashClear: nothing is held against it.
+	// CrashAllowed: the request may be dispatched.
 	CrashAllowed CrashAdmission = iota + 1
-	// CrashWait: a copy of it runs, and were both to crash, too many servers
-	// would be down. Leave it queued.
+	// CrashWait: leave the request queued. A copy of it is running, and if both
+	// crashed their servers, the limit would be exceeded.
 	CrashWait
-	// CrashQuarantined: refuse it.
+	// CrashQuarantined: refuse the request.
 	CrashQuarantined
 )
 
-// Admit says whether the request may be dispatched. Copies of a request that
-// has crashed a server run one after the other, so that a caller that sends
-// many at once cannot pass the limit. until is set for CrashQuarantined.
+// Admit reports whether the request may be dispatched. Copies of a request that has
+// crashed a server run one after the other, so that a caller that sends many at
+// once cannot exceed the limit. until is set for CrashQuarantined only.
 func (t *Crashes[F]) Admit(f F, now time.Time) (a CrashAdmission, until time.Time) {
 	c := t.unexpired(f, now)
 	if c == nil {
@@ -88,7 +90,8 @@
 	return CrashAllowed, time.Time{}
 }
 
-// fresh returns the row of f, or nil when there is none or its time is over.
+// unexpired returns the counts of f, or nil when there are none or they have
+// expired.
 func (t *Crashes[F]) unexpired(f F, now time.Time) *crash {
 	c, ok := t.rows.Get(f)
 	if !ok {
@@ -101,9 +104,10 @@
 	return nil
 }
 
-// Started counts a dispatch of a request that has crashed a server before, and
-// reports whether it did: hand that to Ended. Requests without a crash cost
-// nothing, and copies that ran already at the first crash are not counted.
+// AttemptStarted counts a dispatch of a request that has crashed a server before.
+// It reports whether the dispatch was counted; pass that to AttemptEnded. Requests
+// without a crash need no entry, and copies that were running already at the first
+// crash are not counted.
 func (t *Crashes[F]) AttemptStarted(f F, now time.Time) (counted bool) {
 	c := t.unexpired(f, now)
 	if c == nil {
@@ -113,9 +117,9 @@
 	return true
 }
 
-// Ended takes in how an attempt ended; counted is what Started said of it. When
-// it returns quarantine, the request has reached the limit and must be refused
-// everywhere until the time given.
+// AttemptEnded records the end of an attempt; counted is the result of
+// AttemptStarted. When it returns quarantine, the request has reached the limit and
+// must be refused by all instances until the time returned.
 func (t *Crashes[F]) AttemptEnded(f F, counted, crashed bool, now time.Time) (quarantine bool, until time.Time) {
 	c := t.unexpired(f, now)
 	if c != nil && counted {
@@ -138,8 +142,8 @@
 	return true, c.quarantinedUntil
 }
 
-// Learn takes in a quarantine from the log or a peer. It never holds longer
-// than the own one would, and never shortens one.
+// ApplyQuarantine applies a quarantine from the log or a peer. It never lasts longer
+// than the configured duration from now, and never shortens another one.
 func (t *Crashes[F]) ApplyQuarantine(f F, until, now time.Time) {
 	if limit := now.Add(t.cfg.Quarantine); until.After(limit) {
 		until = limit
--- a/decision/internal/verdict/outlier.go
+++ b/decision/internal/verdict/outlier.go
@@ -7,15 +7,17 @@
 	"time"
 )
 
-// Outliers ejects backend servers that are slow or failing beside their peers.
-// It is made for the one sick server among many: two choices alone keep sending
-// to it, since requests that fail at once leave it looking idle. A group is the
-// servers that are alike (the same versions, or the same plain service).
+// Outliers ejects backend servers that are slow or failing compared with their
+// peers. It guards against one faulty server among many: choosing the better of
+// two random servers keeps sending to it, since requests that fail at once leave
+// it looking idle. A group consists of comparable servers (the same versions, or
+// the same plain service).
 //
-// Pace is time per unit of work, so that long and short work compare: for a
-// model the time from the first token to the end by tokens, for a plain service
-// the whole time. The time to the first token holds the wait in the server's
-// own queue and would eject the busy and not the slow.
+// Servers are compared by unit latency, the time per unit of work, so that long
+// and short work is comparable: for a model the time from the first token to the
+// end divided by the number of tokens, for a plain service the time of the whole
+// call. The time to the first token is left out: it includes the wait in the
+// server's own queue, and would eject busy servers instead of slow ones.
 type Outliers[S, G cmp.Ordered] struct {
 	cfg        OutlierConfig
 	servers    map[S]*server[S, G]
@@ -29,9 +31,10 @@
 	members   []*server[S, G]
 	ejected   int
 	successes discountedMean
-	// median is the members' median log pace; NaN while too few are known.
+	// medianLogLatency is the median of the members' mean log unit latencies, in
+	// log seconds; NaN while too few are known.
 	medianLogLatency float64
-	// scratch saves an allocation per sweep.
+	// scratch is reused by the sweeps.
 	scratch []float64
 }
 
@@ -54,13 +57,13 @@
 	Group  G
 }
 
-// Ejection is a change to one server.
+// Ejection is the ejection of one server, or its return where Ejected is false.
 type Ejection[S cmp.Ordered] struct {
 	Server  S
 	Ejected bool
-	// Slow tells pace from errors as the cause.
+	// Slow is set when the cause is the unit latency and not errors.
 	Slow bool
-	// Until is when the first trial may go.
+	// Until is when the first probe may be sent.
 	Until time.Time
 }
 
@@ -69,8 +72,8 @@
 	return &Outliers[S, G]{cfg: cfg, servers: make(map[S]*server[S, G])}
 }
 
-// Apply takes in the list of servers. What is known of those that stay in their
-// group is kept; the rest is forgotten, so memory is bounded by the list.
+// Apply sets the list of servers. The observations of servers that stay in their
+// group are kept; all others are dropped, so memory is bounded by the list.
 func (t *Outliers[S, G]) Apply(list []Member[S, G]) {
 	servers := make(map[S]*server[S, G], len(list))
 	groups := make(map[G]*group[S, G])
@@ -100,10 +103,10 @@
 	slices.Sort(t.groupOrder)
 }
 
-// Ended takes in an attempt's end: failed, or whole with its pace. A pace of 0
-// or less says nothing of the speed. Leave out attempts that were cancelled and
-// refusals by a leaving server. The change is zero unless it ejects or brings
-// back; ok says which.
+// ObserveAttempt records the end of an attempt: failed, or complete with its unit
+// latency. A unit latency of 0 or less means that it is unknown. Leave out attempts
+// that were cancelled and refusals by a leaving server. ok reports whether the
+// attempt ejects the server or brings it back, which e describes.
 func (t *Outliers[S, G]) ObserveAttempt(id S, failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	s := t.servers[id]
 	if s == nil {
@@ -129,11 +132,11 @@
 	return e, false
 }
 
-// errorMemory is how many attempts the group's error rate looks back on.
+// errorMemory is the window of a group's error rate, in attempts.
 const errorMemory = 1000
 
-// errorLine is the share of good ends below which a server is worse than its
-// group; a version that fails everywhere lowers the line for all.
+// minSuccessRate is the share of successful attempts below which a server is worse
+// than its group. A version that fails on all servers lowers it for all of them.
 func (t *Outliers[S, G]) minSuccessRate(g *group[S, G]) float64 {
 	rate := 1 - minReferenceErrorRate
 	if g.successes.n >= 20 {
@@ -142,8 +145,9 @@
 	return rate - t.cfg.ErrorMargin
 }
 
-// eject takes a server out unless the cap forbids it. A group of two or more
-// may always lose one, else small pools would have to live with a dead server.
+// eject ejects a server unless MaxEjectedShare is reached. One server of a group of
+// two or more may always be ejected: otherwise small pools would keep sending to a
+// dead server.
 func (t *Outliers[S, G]) eject(s *server[S, G], slow bool, now time.Time) (e Ejection[S], ok bool) {
 	g := s.group
 	maxEjected := int(t.cfg.MaxEjectedShare * float64(len(g.members)))
@@ -153,7 +157,7 @@
 	if g.ejected >= maxEjected {
 		return e, false
 	}
-	// A server that was well for long is not held to its old ejections.
+	// After a long healthy time the backoff starts over.
 	if now.Sub(s.returnedAt) > 2*t.cfg.MaxBackoff {
 		s.ejections = 0
 	}
@@ -168,9 +172,9 @@
 	return Ejection[S]{Server: s.id, Ejected: true, Slow: slow, Until: s.ejectedUntil}, true
 }
 
-// trialEnded counts good trials; a bad one ejects anew for twice as long. Ends
-// of attempts from before the ejection count too, for want of a difference:
-// they are as good a witness, and the backoff has not begun to be probed.
+// observeProbe counts good probes; a bad one renews the ejection for twice as long.
+// Attempts that started before the ejection and end after the backoff are not
+// distinguished from probes: they are just as good evidence.
 func (t *Outliers[S, G]) observeProbe(s *server[S, G], failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	if now.Before(s.ejectedUntil) {
 		return e, false
@@ -196,14 +200,14 @@
 	return Ejection[S]{Server: s.id}, true
 }
 
-// slow reports whether a log pace is an outlier in the group.
+// isSlow reports whether a log unit latency is an outlier in the group.
 func (t *Outliers[S, G]) isSlow(g *group[S, G], logLatency float64) bool {
-	// A comparison with NaN is false: without a median nobody is slow.
+	// A comparison with NaN is false: without a median no server is slow.
 	return logLatency-g.medianLogLatency > math.Log(t.cfg.SlowFactor)
 }
 
-// Sweep compares the paces when SweepEvery has passed, and ejects the slow, the
-// slowest first as far as the cap goes. Call it each tick.
+// Sweep compares the unit latencies when SweepInterval has passed, and ejects slow
+// servers, the slowest first, up to MaxEjectedShare. Call it each tick.
 func (t *Outliers[S, G]) Sweep(now time.Time) []Ejection[S] {
 	if now.Sub(t.sweptAt) < t.cfg.SweepInterval {
 		return nil
@@ -216,8 +220,8 @@
 	return out
 }
 
-// minPeers is how many servers must have a pace before any is called slow: with
-// two, nobody can tell the slow from the fast one.
+// minPeers is how many servers must have a unit latency before any can count as
+// slow: of two, the slow one cannot be told from a fast one.
 const minPeers = 3
 
 func (t *Outliers[S, G]) sweepGroup(g *group[S, G], now time.Time, out []Ejection[S]) []Ejection[S] {
@@ -249,8 +253,8 @@
 	return out
 }
 
-// Admit says whether a server may take a request now: Open, Probe for one trial
-// after the backoff, or Barred. It changes nothing.
+// Admit reports whether a server may take a request now: Allowed, Probe for a single
+// request after the backoff, or Blocked. It changes nothing.
 func (t *Outliers[S, G]) Admit(id S, now time.Time) Admission {
 	s := t.servers[id]
 	if s == nil || !s.ejected {
@@ -262,8 +266,8 @@
 	return Probe
 }
 
-// Dispatched marks that a request went to the server, so that a trial is the
-// only one for now.
+// RecordDispatch records that a request was dispatched to the server, so that no
+// second probe is sent beside it.
 func (t *Outliers[S, G]) RecordDispatch(id S, now time.Time) {
 	if s := t.servers[id]; s != nil && s.ejected {
 		s.probeAt = now
--- a/decision/internal/verdict/outlier_config.go
+++ b/decision/internal/verdict/outlier_config.go
@@ -2,36 +2,39 @@
 
 import "time"
 
-// OutlierConfig holds the limits of Outliers.
+// OutlierConfig holds the parameters of Outliers.
 type OutlierConfig struct {
-	// SlowFactor is how many times the median pace of its peers makes a server
-	// slow. Below 2, uneven work alone would eject healthy ones.
+	// SlowFactor is the multiple of its peers' median unit latency above which a
+	// server is slow. Below 2, uneven work alone would eject healthy servers.
 	SlowFactor float64
-	// SlowSample is how many attempts, discounted, are needed to call a server
-	// slow: four. Each of eight instances sees an eighth of a server's attempts,
-	// and a slow one ends few.
+	// MinLatencySamples is the discounted number of attempts needed to call a
+	// server slow. The default is reached with four: each of eight instances sees
+	// an eighth of a server's attempts, and a slow server completes few.
 	MinLatencySamples float64
-	// PaceMemory is the number of attempts that a server's pace looks back on.
+	// LatencyMemory is the window of a server's unit latency, in attempts.
 	LatencyMemory float64
-	// WorseErrors is how much a server's error rate may pass its peers'.
+	// ErrorMargin is how much a server's error rate may exceed that of its peers.
 	ErrorMargin float64
-	// FalseAlarm is 1 over the mean number of attempts between two false
-	// ejections for errors, at least.
+	// FalseAlarmRate bounds false ejections for errors: the mean number of
+	// attempts between two of them is at least 1/FalseAlarmRate.
 	FalseAlarmRate float64
-	// MaxShare caps the part of a group that is ejected at once. Past it, what
-	// looks like bad servers is rather load, or a fault of our own, and
-	// ejecting more would push the rest over.
+	// MaxEjectedShare is the largest share of a group that is ejected at once. If
+	// more servers look bad, the cause is rather load or a fault of this instance,
+	// and ejecting them would overload the rest.
 	MaxEjectedShare float64
-	// Backoff is the first ejection's length; it doubles up to MaxBackoff.
+	// MinBackoff is the length of the first ejection; it doubles with each further
+	// one, up to MaxBackoff.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
-	// Trials is how many good attempts in a row bring a server back, one at a
-	// time: a server that still hangs holds up one request and not a burst.
+	// ProbesToReturn is how many successive good probes bring a server back. They
+	// are sent one at a time: a server that still hangs delays one request and not
+	// a burst.
 	ProbesToReturn int
-	// TrialTimeout lets another trial go when nothing came of the last.
+	// ProbeTimeout is the time without a result of a probe after which another one
+	// may be sent.
 	ProbeTimeout time.Duration
-	// SweepEvery is how often paces are compared. The comparison looks at every
-	// server, so it is kept off the path of single decisions.
+	// SweepInterval is how often unit latencies are compared. The comparison visits
+	// every server, so it is not made for each decision.
 	SweepInterval time.Duration
 }
 
--- a/decision/internal/verdict/reference.go
+++ b/decision/internal/verdict/reference.go
@@ -2,8 +2,9 @@
 
 import "cmp"
 
-// errorLine is the share of good ends below which v is worse. The predecessor
-// counts its faults in, so that a cause that hits both bars neither.
+// minSuccessRate is the share of successful attempts below which v is worse. The
+// predecessor's errors are counted in, so that a cause that affects both versions
+// blocks neither.
 func (t *Versions[V, S]) minSuccessRate(v *version[V, S]) float64 {
 	rate := 1 - minReferenceErrorRate
 	if ref, known := t.reference(v, noClass, errorsOf); known {
@@ -12,7 +13,7 @@
 	return rate - t.cfg.ErrorMargin
 }
 
-// ratingLine is the mean rating of a class below which v is worse.
+// minRating is the mean rating of a class below which v is worse.
 func (t *Versions[V, S]) minRating(v *version[V, S], class string) float64 {
 	if ref, known := t.reference(v, class, ratingsOf); known {
 		return ref - t.cfg.RatingMargin
@@ -23,8 +24,9 @@
 func errorsOf[V, S cmp.Ordered](v *version[V, S]) *signal  { return &v.errors }
 func ratingsOf[V, S cmp.Ordered](v *version[V, S]) *signal { return &v.ratings }
 
-// reference is what v must reach: its predecessor's mean; while too little is
-// known of that, its own past; known is false while that is too little as well.
+// reference is the mean that v must reach: that of its predecessor or, with too few
+// observations of the predecessor, of its own baseline. known is false when there
+// are too few observations of both.
 func (t *Versions[V, S]) reference(v *version[V, S], class string, of func(*version[V, S]) *signal) (ref float64, known bool) {
 	if p := t.predecessor(v); p != nil {
 		if h := of(p).history(class); h.all.n >= t.cfg.MinReferenceSamples {
@@ -44,6 +46,6 @@
 	return nil
 }
 
-// referenceZ is the confidence of a reference: at 1.6 standard errors it is
-// truly lower only once in 20.
+// referenceZ is the confidence of a reference, in standard errors: with 1.6 of them
+// the true mean is below the reference in one case of 20.
 const referenceZ = 1.6
--- a/decision/internal/verdict/share.go
+++ b/decision/internal/verdict/share.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// Admission says what may be sent to a version or a backend server.
+// Admission says whether a version or a backend server may take a request.
 type Admission uint8
 
-// Word is a verdict to tell the peers of, or a change of one.
+// SharedVerdict is a verdict or a suspicion that is shared with the peers, or the
+// withdrawal of one.
 type SharedVerdict[V cmp.Ordered] struct {
 	Version V
 	Bad     bool
-	// Until is when the word lapses by itself.
+	// Until is when it expires unless it is renewed.
 	Until time.Time
 }
 
-// Peer takes in a peer's word. A bad one bars the version until its Until, or
-// PeerLimit from now if that is sooner; a good one lifts what peers said. The
-// own verdict is not changed by a word alone: own evidence goes first.
+// ApplyPeerVerdict applies the verdict of a peer. A bad one blocks the version until
+// its Until, but no longer than MaxPeerDuration from now; a good one withdraws the
+// verdicts of all peers. It does not change the own verdict by itself: that needs
+// own evidence too.
 func (t *Versions[V, S]) ApplyPeerVerdict(w SharedVerdict[V], now time.Time) {
 	v := t.versions[w.Version]
 	if v == nil {
@@ -42,16 +44,16 @@
 	}
 }
 
-// Bad reports whether the version is barred, by own verdict or a peer's.
+// Bad reports whether the version is blocked, by the own verdict or a peer's.
 func (t *Versions[V, S]) Bad(id V, now time.Time) bool {
 	v := t.versions[id]
 	return v != nil && (v.bad() || v.peerBadUntil.After(now))
 }
 
-// Admit says whether a request that the roll-out gives to the version may go
-// there, and counts it. Every ProbeEvery-th one is a probe. The count runs over
-// requests and not over time, so that the part that a bad version gets is
-// bounded at any load; a burst buys it nothing.
+// Admit reports whether a request that the roll-out assigns to the version may run
+// on it, and counts the request. For a bad version every ProbeEvery-th request is a
+// probe. Requests are counted instead of time, so that the share that a bad version
+// gets is bounded at any load, bursts included.
 func (t *Versions[V, S]) Admit(id V, now time.Time) Admission {
 	if !t.Bad(id, now) {
 		return Allowed
@@ -64,11 +66,11 @@
 	return Blocked
 }
 
-// Share returns the words to tell the peers of now, in the order of the ids: each
-// change of a verdict once, each bad one again every ShareEvery while it holds,
-// and likewise a suspicion, which makes the peers hold back while this instance
-// goes on and finds out. So what a bad version gets in the meantime is one
-// instance's part.
+// VerdictsToShare returns what to send to the peers now, in order of the version
+// ids: each change of a verdict once, and each bad verdict again every ShareInterval
+// while it holds. Suspicions are shared likewise: they make the peers block the
+// version while this instance continues to observe it, so that a bad version gets
+// only one instance's share of the requests in the meantime.
 func (t *Versions[V, S]) VerdictsToShare(now time.Time) []SharedVerdict[V] {
 	var out []SharedVerdict[V]
 	for _, id := range t.sortedIDs {
@@ -96,10 +98,10 @@
 	return out
 }
 
-// suspects reports whether the peers are to be told of a suspicion. One that
-// neither grows nor fades, for want of traffic, is dropped after SuspectFor: it
-// must not keep a version barred elsewhere on half the evidence. One that fades
-// is taken back.
+// sharesSuspicion reports whether a suspicion is to be shared with the peers. A
+// suspicion that neither grows nor fades, for lack of traffic, is shared for no
+// longer than MaxSuspicion: half of the evidence must not keep a version blocked at
+// the peers. A suspicion that fades is withdrawn.
 func (t *Versions[V, S]) sharesSuspicion(v *version[V, S], now time.Time) bool {
 	if !v.errors.suspected(&t.cfg) && !v.ratings.suspected(&t.cfg) {
 		if !v.suspectSince.IsZero() {
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// Row is what Versions needs to know of one version in the manifest.
+// VersionInfo is the manifest's data on one version that Versions needs.
 type VersionInfo[V cmp.Ordered] struct {
 	ID V
-	// Predecessor is the zero value for none.
+	// Predecessor is the zero value when there is none.
 	Predecessor V
-	// Quality is the manifest's expected rating, 0 to 1.
+	// Quality is the mean rating that the manifest states, 0 to 1.
 	Quality float64
 }
 
 const (
-	// Open takes any work.
+	// Allowed: any request may be sent.
 	Allowed Admission = iota + 1
-	// Probe takes this one request, to learn whether it is good again.
+	// Probe: this one request may be sent, to find out whether the version or the
+	// server is good again.
 	Probe
-	// Barred takes nothing now.
+	// Blocked: no request may be sent now.
 	Blocked
 )
 
-// Versions judges each version against its predecessor. It is made for a
-// version that turns bad in mid-season, when callers notice late and all at
-// once; it bounds how many requests the version still gets.
+// Versions judges each version against its predecessor. It guards against a version
+// that turns bad in mid-season, which callers would notice late and all at once: it
+// bounds the number of requests that the version still gets.
 type Versions[V, S cmp.Ordered] struct {
 	cfg      VersionConfig
 	versions map[V]*version[V, S]
-	// order is the ids sorted, for output that does not depend on map order.
+	// sortedIDs makes the output independent of the map order.
 	sortedIDs []V
 }
 
-// version is one row of the table.
+// version holds the observations and verdicts of one version.
 type version[V, S cmp.Ordered] struct {
 	info          VersionInfo[V]
 	errors        signal
@@ -44,15 +45,15 @@
 	peerBadUntil  time.Time
 	nextShare     time.Time
 	changePending bool
-	// suspectAt is when the present suspicion began; zero for none.
+	// suspectSince is when the current suspicion began; zero for none.
 	suspectSince time.Time
-	// The last failures in a row of one server.
+	// The latest successive failures of one server.
 	failServer S
 	failSince  time.Time
 	failStreak int
 }
 
-// bad is the own verdict.
+// bad reports the own verdict.
 func (v *version[V, S]) bad() bool { return v.errors.bad || v.ratings.bad }
 
 // NewVersions returns an empty table.
@@ -60,8 +61,8 @@
 	return &Versions[V, S]{cfg: cfg, versions: make(map[V]*version[V, S])}
 }
 
-// Apply takes in a manifest's versions. Verdicts and references stay for
-// versions that are still listed or still somebody's predecessor; so memory is
+// Apply sets the versions of a manifest. Verdicts and references are kept for
+// versions that are still listed or the predecessor of a listed one, so memory is
 // bounded by the manifest.
 func (t *Versions[V, S]) Apply(list []VersionInfo[V]) {
 	var none V
@@ -97,28 +98,29 @@
 	return v
 }
 
-// End is how an attempt that ran has ended.
+// AttemptResult is the result of an attempt that ran.
 type AttemptResult[S cmp.Ordered] struct {
 	Server S
-	// Alone says that no other server has the version loaded.
+	// OnlyServer is set when no other server has the version loaded.
 	OnlyServer bool
 	Failed     bool
-	// Broken says that the server died or the connection broke, rather than
-	// that the server answered with an error.
+	// ConnectionLost is set when the server crashed or the connection broke, and
+	// not when the server answered with an error.
 	ConnectionLost bool
 }
 
-// Failures of one server in a row say more of the server than of the version,
-// and one that dies fails all that it ran at once. So only the first few within
-// streakLife count against the version; Outliers deals with the server.
+// Successive failures of one server say more about the server than about the
+// version, and a server that crashes fails all that it runs at once. So only the
+// first few within streakDuration count against the version; Outliers handles the
+// server.
 const (
 	maxErrorStreak          = 3
 	maxConnectionLossStreak = 1
 	streakDuration          = 10 * time.Second
 )
 
-// Ended takes in the end of an attempt that ran. Leave out attempts that say
-// nothing of the version: cancelled, not run, refused by a full or leaving
+// ObserveAttempt records the result of an attempt that ran. Leave out attempts that
+// say nothing about the version: cancelled, not run, refused by a full or leaving
 // backend server. It reports whether the own verdict changed.
 func (t *Versions[V, S]) ObserveAttempt(id V, e AttemptResult[S], now time.Time) (changed bool) {
 	v := t.versions[id]
@@ -134,7 +136,7 @@
 	return t.observe(v, &v.errors, noClass, 0, t.minSuccessRate(v), now)
 }
 
-// counts reports whether a failure counts against the version.
+// countsAgainstVersion reports whether a failure counts against the version.
 func (v *version[V, S]) countsAgainstVersion(e AttemptResult[S], now time.Time) bool {
 	if e.Server != v.failServer || now.Sub(v.failSince) > streakDuration {
 		v.failServer = e.Server
@@ -148,12 +150,12 @@
 	return e.OnlyServer || v.failStreak <= maxErrorStreak
 }
 
-// Rated takes in a rating of an answer to a request of a class. Ratings are
-// compared within a class only: where two versions serve different mixes of easy
-// and hard classes, since plans differ, the one with the hard ones would look
-// worse. One out of 0..1, or no number, is the rating
-// service's fault and not the version's: it is ignored. It reports whether the
-// own verdict changed.
+// ObserveRating records the rating of an answer to a request of a class. Ratings are
+// compared within a class only: cascades can send different mixes of easy and hard
+// classes to two versions, and the one with more hard ones would look worse. A
+// rating that is outside 0 to 1 or not a number is a fault of the rating service and
+// not of the version, and is ignored. ObserveRating reports whether the own verdict
+// changed.
 func (t *Versions[V, S]) ObserveRating(id V, class string, score float64, now time.Time) (changed bool) {
 	v := t.versions[id]
 	if v == nil || math.IsNaN(score) || score < 0 || score > 1 {
@@ -162,10 +164,10 @@
 	return t.observe(v, &v.ratings, class, score, t.minRating(v, class), now)
 }
 
-// noClass is the class of what has none.
+// noClass is the class of observations that have none.
 const noClass = ""
 
-// observe feeds one channel and moves its verdict.
+// observe adds an observation to a signal and updates the verdict.
 func (t *Versions[V, S]) observe(v *version[V, S], c *signal, class string, x, reference float64, now time.Time) bool {
 	before := v.bad()
 	p := c.history(class)
@@ -182,7 +184,8 @@
 	return v.noteChange(before)
 }
 
-// turned notes a change of the own verdict since before.
+// noteChange marks a change of the own verdict for sharing. before is the verdict
+// before the observation.
 func (v *version[V, S]) noteChange(before bool) bool {
 	if v.bad() == before {
 		return false
@@ -193,10 +196,10 @@
 	return true
 }
 
-// join makes a verdict of an own suspicion while a peer holds one as well: the
-// instances see different requests, so their evidence multiplies. With eight
-// instances this finds a bad version by a fourth of the bad answers that each
-// would need by itself.
+// confirmSuspicion turns an own suspicion into a verdict while a peer holds one as
+// well: the instances observe different requests, so their evidence multiplies.
+// With eight instances this detects a bad version with a fourth of the bad answers
+// that each instance would need by itself.
 func (t *Versions[V, S]) confirmSuspicion(v *version[V, S]) {
 	for _, c := range []*signal{&v.errors, &v.ratings} {
 		if c.suspected(&t.cfg) {
--- a/decision/internal/verdict/versions_config.go
+++ b/decision/internal/verdict/versions_config.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// VersionConfig holds the limits of Versions.
+// VersionConfig holds the parameters of Versions.
 type VersionConfig struct {
-	// FalseAlarm is 1 over the mean number of observations between two false
-	// alarms of one version, at least. A false alarm costs a roll-out some
-	// minutes; missing a bad version costs callers bad answers.
+	// FalseAlarmRate bounds false alarms on one version: the mean number of
+	// observations between two of them is at least 1/FalseAlarmRate. A false alarm
+	// costs a roll-out some minutes; missing a bad version costs callers bad
+	// answers.
 	FalseAlarmRate float64
-	// WorseErrors is how much a version's error rate may pass the reference's
-	// before it counts as worse.
+	// ErrorMargin is how much a version's error rate may exceed that of the
+	// reference before the version counts as worse.
 	ErrorMargin float64
-	// WorseRating is the same for the mean rating.
+	// RatingMargin is how much its mean rating may fall below the reference.
 	RatingMargin float64
-	// PriorSlack is WorseRating where only the manifest's word is known. It is
-	// wide: a wrong word in the manifest must not bar a version that is as good
-	// as it ever was.
+	// PriorRatingMargin replaces RatingMargin while the only reference is the
+	// quality stated in the manifest. It is wide: a wrong value there must not
+	// block a version that is as good as it always was.
 	PriorRatingMargin float64
-	// MinReference is how many observations of the predecessor, or of the
-	// version itself, make a reference.
+	// MinReferenceSamples is the discounted number of observations of the
+	// predecessor, or of the version itself, that a reference needs.
 	MinReferenceSamples float64
-	// Memory is the number of observations that a reference looks back on.
+	// Memory is the window of a reference, in observations.
 	Memory float64
-	// ProbeEvery lets one request in so many through to a bad version. 250 is
-	// 0.4%: under the 1% that a bad version may get, with room for what was
-	// already queued when it was barred.
+	// ProbeEvery sends one request in so many to a bad version. The default of 250
+	// is 0.4%: less than the 1% that a bad version may get, which leaves room for
+	// requests that were already queued when it was blocked.
 	ProbeEvery uint64
-	// WrongRecovery is the chance that a version still bad is ever taken back,
-	// for the first recovery; each later one halves it.
+	// FalseRecoveryRate is the probability that a version that is still bad ever
+	// recovers for the first time; each recovery halves it for the next.
 	FalseRecoveryRate float64
-	// PeerLimit bounds how long a peer's verdict holds, whatever it says: a
-	// peer with a wrong clock must not bar a version for a day.
+	// MaxPeerDuration bounds how long a peer's verdict holds, whatever its Until: a
+	// peer with a wrong clock must not block a version for a day.
 	MaxPeerDuration time.Duration
-	// ShareEvery is how often an own verdict is said again while it holds. Its
-	// Until is three times as long, so that one lost message lifts nothing.
+	// ShareInterval is how often a bad verdict is shared again while it holds. Its
+	// Until is three intervals away, so that one lost message does not end it.
 	ShareInterval time.Duration
-	// SuspectFor is how long a mere suspicion is told to the peers.
+	// MaxSuspicion is how long a suspicion without a verdict is shared.
 	MaxSuspicion time.Duration
 }
 
