--- a/decision/internal/policytest/bench.go
+++ b/decision/internal/policytest/bench.go
@@ -242,7 +242,7 @@
 	}
 	if c != nil {
 		c.cost += prices[r.version] * float64(end.Tokens) / 1000
-		end.Sent = !r.fails && !c.held[r.id]
+		end.ResponseStarted = !r.fails && !c.held[r.id]
 	}
 	b.send(r.instance, end)
 	if r.fails {
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -25,8 +25,8 @@
 		c.scores = make(map[decision.AttemptID]float64)
 		c.ratingBudgets = make(map[decision.AttemptID]time.Duration)
 	}
-	if d.Rate {
-		c.ratingBudgets[d.Attempt] = d.RateBudget
+	if d.NeedsRating {
+		c.ratingBudgets[d.Attempt] = d.RatingTimeout
 	}
 }
 
--- a/decision/internal/policytest/variants.go
+++ b/decision/internal/policytest/variants.go
@@ -10,7 +10,7 @@
 
 // plain is what a router without this module's decisions does: requests in the
 // order in which they came, whatever the wait, without affinity or verdicts.
-var baseline = decision.Policy{NoAffinity: true, NoShift: true, FirstCome: true, NoWaitLimit: true}
+var baseline = decision.Policy{NoAffinity: true, NoVerdicts: true, FIFO: true, NoWaitLimit: true}
 
 // Variants lists the policies. The first is the one meant for use; the next two
 // are plain routers, and each of the others differs from it in one decision.
@@ -25,7 +25,7 @@
 		{"always the best model", newWorld(decision.Policy{Cascade: decision.CascadeBest})},
 		{"fixed cascade", newWorld(decision.Policy{Cascade: decision.CascadeFixed})},
 		{"no affinity", newWorld(decision.Policy{NoAffinity: true})},
-		{"no shift", newWorld(decision.Policy{NoShift: true})},
+		{"no shift", newWorld(decision.Policy{NoVerdicts: true})},
 	}
 }
 
--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -12,23 +12,23 @@
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-	tl := p.operator.reader(log, clock)
-	log.put("config", "config 5")
-	log.put("config", "config 9")
-	read(t, tl)
-	clock.pass(time.Second)
+	reader := p.operator.reader(log, clock)
+	log.add("config", "config 5")
+	log.add("config", "config 9")
+	read(t, reader)
+	clock.advance(time.Second)
 	if lost {
 		log.restore(1)
 	} else {
 		log.restore(2)
 	}
-	read(t, tl)
-	return p, tl, log, clock
+	read(t, reader)
+	return p, reader, log, clock
 }
 
-func read(t *testing.T, tl *topicReader) {
+func read(t *testing.T, reader *topicReader) {
 	t.Helper()
-	if err := tl.once(t.Context()); err != nil {
+	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -36,21 +36,21 @@
 // TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks holds that an instance which knows more than
 // the store leaves the rotation, then refuses keys, and is back once the operator wrote again.
 func TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks(t *testing.T) {
-	p, tl, log, clock := restoredConfig(t, true)
-	if v := p.known.Index().Version; v != 9 {
+	p, reader, log, clock := restoredConfig(t, true)
+	if v := p.config.Index().Version; v != 9 {
 		t.Fatalf("version %d is in force", v)
 	}
 	for range 4 {
-		clock.pass(time.Second)
-		read(t, tl)
+		clock.advance(time.Second)
+		read(t, reader)
 	}
-	if p.known.Ready() || p.known.Fresh() {
-		t.Errorf("5 s after the last word on it: ready %v, fresh %v", p.known.Ready(), p.known.Fresh())
+	if p.config.Ready() || p.config.Fresh() {
+		t.Errorf("5 s after the last word on it: ready %v, fresh %v", p.config.Ready(), p.config.Fresh())
 	}
-	log.put("config", "config 9")
-	read(t, tl)
-	if !p.known.Ready() || p.known.Index().Version != 9 {
-		t.Errorf("after it was written again: ready %v, version %d", p.known.Ready(), p.known.Index().Version)
+	log.add("config", "config 9")
+	read(t, reader)
+	if !p.config.Ready() || p.config.Index().Version != 9 {
+		t.Errorf("after it was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
 	}
 }
 
@@ -58,20 +58,20 @@
 // until the operator had time to write a newer one again, and that no instance leaves the rotation
 // for it.
 func TestReadsOfACopyConfirmAfterAWhile(t *testing.T) {
-	p, tl, _, clock := restoredConfig(t, false)
-	before := p.known.Age()
-	clock.pass(time.Second)
-	read(t, tl)
-	if got := p.known.Age(); got != before+time.Second {
+	p, reader, _, clock := restoredConfig(t, false)
+	before := p.config.Age()
+	clock.advance(time.Second)
+	read(t, reader)
+	if got := p.config.Age(); got != before+time.Second {
 		t.Errorf("a read of the copy confirmed it: age %v, was %v", got, before)
 	}
-	clock.pass(part(settlePart, 5*time.Second) - time.Second)
-	if !p.known.Ready() {
-		t.Errorf("not ready at age %v", p.known.Age())
+	clock.advance(fractionOf(settleFraction, 5*time.Second) - time.Second)
+	if !p.config.Ready() {
+		t.Errorf("not ready at age %v", p.config.Age())
 	}
-	read(t, tl)
-	if p.known.Age() != 0 {
-		t.Errorf("age %v though the operator had time to write again", p.known.Age())
+	read(t, reader)
+	if p.config.Age() != 0 {
+		t.Errorf("age %v though the operator had time to write again", p.config.Age())
 	}
 }
 
@@ -81,21 +81,21 @@
 	for keep := 1; keep <= 4; keep++ {
 		clock, log := newFakeClock(), &fakeLog{era: 1}
 		p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-		tl := p.operator.reader(log, clock)
+		reader := p.operator.reader(log, clock)
 		for v := 1; v <= 4; v++ {
-			log.put("config", fmt.Sprint("config ", v))
-			read(t, tl)
+			log.add("config", fmt.Sprint("config ", v))
+			read(t, reader)
 		}
 		log.restore(keep)
-		read(t, tl)
-		log.put("config", fmt.Sprint("config ", keep)) // an earlier one comes first
-		read(t, tl)
-		if v := p.known.Index().Version; v != 4 {
+		read(t, reader)
+		log.add("config", fmt.Sprint("config ", keep)) // an earlier one comes first
+		read(t, reader)
+		if v := p.config.Index().Version; v != 4 {
 			t.Errorf("%d kept: version %d is in force", keep, v)
 		}
-		log.put("config", "config 4")
-		read(t, tl)
-		if p.known.Age() != 0 {
+		log.add("config", "config 4")
+		read(t, reader)
+		if p.config.Age() != 0 {
 			t.Errorf("%d kept: not confirmed after it was written again", keep)
 		}
 	}
@@ -106,31 +106,31 @@
 func TestInstanceThatStartsAfterARestoreWaitsForTheOperator(t *testing.T) {
 	knows, _, log, clock := restoredConfig(t, true)
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
-	tl := p.operator.reader(log, clock)
-	read(t, tl)
-	if !p.known.Fresh() {
+	reader := p.operator.reader(log, clock)
+	read(t, reader)
+	if !p.config.Fresh() {
 		t.Fatal("not fresh with what the store has")
 	}
-	p.known.NoteLostVersion(knows.operator.trust.lost())
-	if p.known.Fresh() || p.known.Ready() {
+	p.config.ReportLostVersion(knows.operator.restoreGuard.lostVersion())
+	if p.config.Fresh() || p.config.Ready() {
 		t.Error("fresh by a configuration that others know to be an old one")
 	}
-	log.put("config", "config 9")
-	read(t, tl)
-	if !p.known.Fresh() || p.known.Index().Version != 9 {
+	log.add("config", "config 9")
+	read(t, reader)
+	if !p.config.Fresh() || p.config.Index().Version != 9 {
 		t.Error("not fresh by the one that was written again")
 	}
 }
 
 // TestInstanceThatWasToldKeepsThatWhenItIsCut holds that a configuration which is known to be an old one
 // does not become fresh once nobody can tell that any more.
-func TestInstanceThatWasToldKeepsThatWhenItIsCut(t *testing.T) {
+func TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable(t *testing.T) {
 	_, _, log, clock := restoredConfig(t, true)
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
 	read(t, p.operator.reader(log, clock))
-	p.known.NoteLostVersion(9)
-	clock.pass(lostVersionLife + time.Millisecond)
-	if p.known.Fresh() {
+	p.config.ReportLostVersion(9)
+	clock.advance(lostVersionTTL + time.Millisecond)
+	if p.config.Fresh() {
 		t.Error("fresh by a read of the copy")
 	}
 }
