--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -47,10 +47,10 @@
 }
 
 func newSimulation(seed uint64, prior map[string]float64) *simulation {
-	t := New[string, string, string](DefaultConfig())
-	t.Apply(prior)
+	table := New[string, string, string](DefaultConfig())
+	table.Apply(prior)
 	return &simulation{
-		t:         t,
+		t:         table,
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		hardShare: 0.3,
 		now:       startTime,
@@ -62,42 +62,42 @@
 var usualPrior = map[string]float64{small: 0.7, large: 0.88}
 
 // answer runs one attempt and returns its true quality and what the rater says.
-func (b *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
-	n := b.qualities[v]
+func (sim *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
+	n := sim.qualities[v]
 	score = n.easy
 	if hard {
 		score = n.hard
 	}
-	score = min(max(score+0.06*b.rng.NormFloat64(), 0), 1)
-	rated, late = b.rater(score)
-	b.calls[v]++
+	score = min(max(score+0.06*sim.rng.NormFloat64(), 0), 1)
+	rated, late = sim.rater(score)
+	sim.calls[v]++
 	cost := map[string]float64{small: 1, large: 10}[v]
-	b.cost += cost * 256 / 1000
-	b.t.ObserveLength(draftTask, v, 256)
-	b.t.ObserveRating(draftTask, v, rated, late, b.now)
+	sim.cost += cost * 256 / 1000
+	sim.t.ObserveLength(draftTask, v, 256)
+	sim.t.ObserveRating(draftTask, v, rated, late, sim.now)
 	return score, rated, late
 }
 
 // serve runs n requests by the table's plans.
-func (b *simulation) serve(n int, target float64, mayHold bool) {
-	b.served, b.quality, b.cost = 0, 0, 0
-	b.calls = make(map[string]int)
+func (sim *simulation) serve(n int, target float64, mayHold bool) {
+	sim.served, sim.quality, sim.cost = 0, 0, 0
+	sim.calls = make(map[string]int)
 	for range n {
-		b.now = b.now.Add(100 * time.Millisecond)
-		hard := b.rng.Float64() < b.hardShare
-		p := b.t.Plan(query{Task: draftTask, Target: target, Options: bothOptions,
-			MayHold: mayHold, Draw: b.rng.Float64(), Now: b.now})
-		score, rated, late := b.answer(p.First, hard)
+		sim.now = sim.now.Add(100 * time.Millisecond)
+		hard := sim.rng.Float64() < sim.hardShare
+		p := sim.t.Plan(query{Task: draftTask, Target: target, Options: bothOptions,
+			MayHold: mayHold, Draw: sim.rng.Float64(), Now: sim.now})
+		score, rated, late := sim.answer(p.First, hard)
 		if !late && p.Escalate(rated, time.Minute, time.Second) {
-			score, rated, late = b.answer(p.Second, hard)
+			score, rated, late = sim.answer(p.Second, hard)
 			if !late {
-				b.t.ObserveEscalatedRating(draftTask, p.First, p.Second, rated)
+				sim.t.ObserveEscalatedRating(draftTask, p.First, p.Second, rated)
 			}
 		}
-		b.served++
-		b.quality += score
-		if b.onPlan != nil {
-			b.onPlan(p)
+		sim.served++
+		sim.quality += score
+		if sim.onPlan != nil {
+			sim.onPlan(p)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		target  float64
 		mayHold bool
 		// most is the dearest mean cost, in parts of always-large.
-		most float64
+		maxCost float64
 	}{
 		{"cheap alone meets a low target", usual, 0.70, true, 0.3},
 		{"cascade", usual, 0.82, true, 0.55},
@@ -125,13 +125,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				b := newSimulation(seed, usualPrior)
-				b.qualities = c.natures
-				b.serve(1000, c.target, c.mayHold)
-				b.serve(2000, c.target, c.mayHold)
-				quality, cost := b.quality/2000, b.cost/2000/2.56
+				sim := newSimulation(seed, usualPrior)
+				sim.qualities = c.natures
+				sim.serve(1000, c.target, c.mayHold)
+				sim.serve(2000, c.target, c.mayHold)
+				quality, cost := sim.quality/2000, sim.cost/2000/2.56
 				want := min(c.target, 0.89) - 0.01
-				if quality < want || cost > c.most {
+				if quality < want || cost > c.maxCost {
 					t.Errorf("seed %d: quality %.3f, cost %.2f of always-large", seed, quality, cost)
 				}
 			}
@@ -142,41 +142,41 @@
 func TestRatingServiceFaults(t *testing.T) {
 	never := func(float64) (float64, bool) { return 0, true }
 	nonsense := func(float64) (float64, bool) { return math.NaN(), false }
-	tooBig := func(float64) (float64, bool) { return 85, false }
+	outOfRange := func(float64) (float64, bool) { return 85, false }
 	stuck := func(float64) (float64, bool) { return 0, false }
 	cases := []struct {
 		name  string
 		fault func(float64) (float64, bool)
-	}{{"late", never}, {"no number", nonsense}, {"out of range", tooBig}, {"stuck at 0", stuck}}
+	}{{"late", never}, {"no number", nonsense}, {"out of range", outOfRange}, {"stuck at 0", stuck}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newSimulation(1, usualPrior)
-			b.qualities = map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
-			b.serve(2000, 0.82, true)
-			before, sure := b.t.Quality(draftTask, large, b.now)
-			healthy := b.rater
-			b.rater = c.fault
-			b.serve(60, 0.82, true)
-			if !b.t.RaterDown() {
+			sim := newSimulation(1, usualPrior)
+			sim.qualities = map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
+			sim.serve(2000, 0.82, true)
+			before, stderrBefore := sim.t.Quality(draftTask, large, sim.now)
+			healthy := sim.rater
+			sim.rater = c.fault
+			sim.serve(60, 0.82, true)
+			if !sim.t.RaterDown() {
 				t.Fatal("the fault was not noticed within 60 requests")
 			}
-			b.onPlan = func(p Plan[string]) {
+			sim.onPlan = func(p Plan[string]) {
 				if p.Cascade {
 					t.Fatal("an answer was held for a rating service that is down")
 				}
 			}
-			b.serve(2000, 0.82, true)
-			b.onPlan = nil
-			after, unsure := b.t.Quality(draftTask, large, b.now.Add(time.Hour))
-			if math.Abs(before-after) > 0.05 || unsure < 1.5*sure {
-				t.Errorf("large went from %.3f±%.4f to %.3f±%.4f", before, sure, after, unsure)
+			sim.serve(2000, 0.82, true)
+			sim.onPlan = nil
+			after, stderrAfter := sim.t.Quality(draftTask, large, sim.now.Add(time.Hour))
+			if math.Abs(before-after) > 0.05 || stderrAfter < 1.5*stderrBefore {
+				t.Errorf("large went from %.3f±%.4f to %.3f±%.4f", before, stderrBefore, after, stderrAfter)
 			}
-			if q := b.quality / 2000; q < 0.81 {
+			if q := sim.quality / 2000; q < 0.81 {
 				t.Errorf("quality fell to %.3f", q)
 			}
-			b.rater = healthy
-			b.serve(60, 0.82, true)
-			if b.t.RaterDown() {
+			sim.rater = healthy
+			sim.serve(60, 0.82, true)
+			if sim.t.RaterDown() {
 				t.Error("not trusted again within 60 requests")
 			}
 		})
@@ -207,12 +207,12 @@
 
 // A new class starts from what the other classes saw of a version.
 func TestNewClassStartsFromTheOthers(t *testing.T) {
-	b := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
+	sim := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
 	for range 500 {
-		b.t.ObserveRating(draftTask, small, 0.9, false, startTime)
-		b.t.ObserveRating(draftTask, small, 0.85, false, startTime)
+		sim.t.ObserveRating(draftTask, small, 0.9, false, startTime)
+		sim.t.ObserveRating(draftTask, small, 0.85, false, startTime)
 	}
-	if q, _ := b.t.Quality(key{"shops", "lookup"}, small, startTime); q < 0.8 {
+	if q, _ := sim.t.Quality(key{"shops", "lookup"}, small, startTime); q < 0.8 {
 		t.Errorf("quality of the new class is %.2f", q)
 	}
 }
@@ -244,9 +244,9 @@
 				x.ObserveRating(q.Task, o.Version, score, s&1024 == 0, now)
 				x.ObserveEscalatedRating(q.Task, options[0].Version, o.Version, score)
 			}
-			p, p2 := a.Plan(q), b.Plan(q)
-			if p != p2 {
-				t.Fatalf("%+v and %+v from equal inputs", p, p2)
+			p, other := a.Plan(q), b.Plan(q)
+			if p != other {
+				t.Fatalf("%+v and %+v from equal inputs", p, other)
 			}
 			checkPlan(t, p, q)
 		}
--- a/decision/internal/policytest/bench.go
+++ b/decision/internal/policytest/bench.go
@@ -53,7 +53,7 @@
 
 // Run measures a policy, one of which is made for each instance.
 func Run(l Load, seed uint64, newPolicy func(seed uint64) Policy) *Results {
-	b := &simulation{
+	sim := &simulation{
 		load:       l,
 		rng:        rand.New(rand.NewPCG(seed, 0xbe4c)),
 		engineByID: make(map[decision.ServerID]*engine),
@@ -65,176 +65,176 @@
 	servers := l.servers()
 	for _, s := range servers {
 		e := newEngine(s)
-		b.engines = append(b.engines, e)
-		b.engineByID[s.ID] = e
+		sim.engines = append(sim.engines, e)
+		sim.engineByID[s.ID] = e
 	}
 	for i := range l.Instances {
-		b.policies = append(b.policies, newPolicy(seed*100+uint64(i)+1))
-		b.inbox[i] = []decision.Event{
+		sim.policies = append(sim.policies, newPolicy(seed*100+uint64(i)+1))
+		sim.inbox[i] = []decision.Event{
 			decision.FreshnessChanged{Fresh: true},
 			decision.ManifestApplied{Generation: 1, Teams: teams(), Versions: versions()},
 			decision.ServersListed{Servers: servers},
 		}
 	}
-	b.run(l.jobs(seed))
-	return b.results
+	sim.run(l.jobs(seed))
+	return sim.results
 }
 
-func (b *simulation) run(jobs []*job) {
-	for b.now = 0; b.now < b.load.Duration+drainTime; b.now += tick {
-		b.applyFaults()
-		for len(jobs) > 0 && jobs[0].arrived <= b.now {
-			b.arrive(jobs[0])
+func (sim *simulation) run(jobs []*job) {
+	for sim.now = 0; sim.now < sim.load.Duration+drainTime; sim.now += tick {
+		sim.applyFaults()
+		for len(jobs) > 0 && jobs[0].arrived <= sim.now {
+			sim.arrive(jobs[0])
 			jobs = jobs[1:]
 		}
-		b.publishReports()
-		for _, l := range b.pending[b.now] {
-			b.inbox[l.instance] = append(b.inbox[l.instance], l.event)
+		sim.publishReports()
+		for _, l := range sim.pending[sim.now] {
+			sim.inbox[l.instance] = append(sim.inbox[l.instance], l.event)
 		}
-		delete(b.pending, b.now)
-		for _, e := range b.engines {
-			e.step(tick, b.onFirst, b.onEnd)
+		delete(sim.pending, sim.now)
+		for _, e := range sim.engines {
+			e.step(tick, sim.onFirstToken, sim.onAttemptEnd)
 		}
-		b.tickPolicies()
+		sim.tickPolicies()
 	}
-	for _, c := range b.callers {
-		b.results.unanswered(c)
+	for _, c := range sim.callers {
+		sim.results.recordUnanswered(c)
 	}
-	for _, e := range b.engines {
-		b.results.promptBlocks += e.lookups
-		b.results.cachedBlocks += e.hits
+	for _, e := range sim.engines {
+		sim.results.promptBlocks += e.lookups
+		sim.results.cachedBlocks += e.hits
 	}
 }
 
 // faults applies the load's slow servers.
-func (b *simulation) applyFaults() {
-	if b.load.SlowFactor == 0 || b.now != b.load.SlowFrom {
+func (sim *simulation) applyFaults() {
+	if sim.load.SlowFactor == 0 || sim.now != sim.load.SlowFrom {
 		return
 	}
-	b.engines[0].slowFactor = b.load.SlowFactor
-	b.engines[b.load.Small].slowFactor = b.load.SlowFactor
+	sim.engines[0].slowFactor = sim.load.SlowFactor
+	sim.engines[sim.load.Small].slowFactor = sim.load.SlowFactor
 }
 
-func (b *simulation) arrive(j *job) {
-	b.callers[j.ID] = &caller{job: j, held: map[decision.AttemptID]bool{}}
-	b.results.arrived(j)
-	b.send(j.instance, decision.RequestArrived{Request: j.Request})
+func (sim *simulation) arrive(j *job) {
+	sim.callers[j.ID] = &caller{job: j, held: map[decision.AttemptID]bool{}}
+	sim.results.recordArrival(j)
+	sim.send(j.instance, decision.RequestArrived{Request: j.Request})
 }
 
 // tell puts an event in an instance's next tick.
-func (b *simulation) send(instance int, e decision.Event) {
-	b.inbox[instance] = append(b.inbox[instance], e)
+func (sim *simulation) send(instance int, e decision.Event) {
+	sim.inbox[instance] = append(sim.inbox[instance], e)
 }
 
 // tellLater does so after a time.
-func (b *simulation) sendAfter(instance int, e decision.Event, after time.Duration) {
-	at := (b.now + after).Truncate(tick)
-	if at <= b.now {
-		at = b.now + tick
+func (sim *simulation) sendAfter(instance int, e decision.Event, after time.Duration) {
+	at := (sim.now + after).Truncate(tick)
+	if at <= sim.now {
+		at = sim.now + tick
 	}
-	b.pending[at] = append(b.pending[at], pendingEvent{at, instance, e})
+	sim.pending[at] = append(sim.pending[at], pendingEvent{at, instance, e})
 }
 
 // report sends load reports and cache events, late and with losses.
-func (b *simulation) publishReports() {
-	for _, e := range b.engines {
-		if b.now%reportInterval == 0 {
-			ev := decision.LoadReported{Server: e.ID, Running: len(e.running), Queued: len(e.queued), At: start.Add(b.now)}
-			for i := range b.policies {
-				b.sendAfter(i, ev, reportLag)
+func (sim *simulation) publishReports() {
+	for _, e := range sim.engines {
+		if sim.now%reportInterval == 0 {
+			ev := decision.LoadReported{Server: e.ID, Running: len(e.running), Queued: len(e.queued), At: start.Add(sim.now)}
+			for i := range sim.policies {
+				sim.sendAfter(i, ev, reportLag)
 			}
 		}
-		if b.now%cacheInterval != 0 {
+		if sim.now%cacheInterval != 0 {
 			continue
 		}
 		ev, ok := e.cacheEvent()
 		if !ok {
 			continue
 		}
-		for i := range b.policies {
-			if b.rng.Float64() >= cacheEventLoss {
-				b.sendAfter(i, ev, cacheLag)
+		for i := range sim.policies {
+			if sim.rng.Float64() >= cacheEventLoss {
+				sim.sendAfter(i, ev, cacheLag)
 			}
 		}
 	}
 }
 
 // decide ticks every instance and carries out what it commands.
-func (b *simulation) tickPolicies() {
-	for i, p := range b.policies {
-		in := b.inbox[i]
-		b.inbox[i] = nil
-		for _, cmd := range p.Tick(start.Add(b.now), in) {
-			b.execute(i, cmd)
+func (sim *simulation) tickPolicies() {
+	for i, p := range sim.policies {
+		in := sim.inbox[i]
+		sim.inbox[i] = nil
+		for _, cmd := range p.Tick(start.Add(sim.now), in) {
+			sim.execute(i, cmd)
 		}
 	}
 }
 
-func (b *simulation) execute(instance int, cmd decision.Command) {
+func (sim *simulation) execute(instance int, cmd decision.Command) {
 	switch c := cmd.(type) {
 	case decision.Dispatch:
-		b.dispatch(instance, c)
+		sim.dispatch(instance, c)
 	case decision.Deliver:
-		b.finish(c.Request, func(x *caller) { b.results.delivered(x, c.Attempt, b.now) })
+		sim.finish(c.Request, func(caller *caller) { sim.results.recordDelivery(caller, c.Attempt, sim.now) })
 	case decision.Refuse:
-		b.finish(c.Request, func(x *caller) { b.results.refused(x, c) })
+		sim.finish(c.Request, func(caller *caller) { sim.results.recordRefusal(caller, c) })
 	case decision.Fail:
-		b.finish(c.Request, func(x *caller) { b.results.failed(x) })
+		sim.finish(c.Request, func(caller *caller) { sim.results.recordFailure(caller) })
 	case decision.CancelAttempt:
-		b.cancel(instance, c)
+		sim.cancel(instance, c)
 	case decision.ShareVerdict:
-		b.results.verdict(c.Verdict, b.now)
-		for i := range b.policies {
+		sim.results.observeVerdict(c.Verdict, sim.now)
+		for i := range sim.policies {
 			if i != instance {
-				b.sendAfter(i, c.Verdict, peerLag)
+				sim.sendAfter(i, c.Verdict, peerLag)
 			}
 		}
 	}
 }
 
-func (b *simulation) finish(id decision.RequestID, f func(*caller)) {
-	c := b.callers[id]
+func (sim *simulation) finish(id decision.RequestID, f func(*caller)) {
+	c := sim.callers[id]
 	if c == nil {
-		b.results.InvalidCommands++
+		sim.results.InvalidCommands++
 		return
 	}
 	f(c)
-	delete(b.callers, id)
+	delete(sim.callers, id)
 }
 
-func (b *simulation) dispatch(instance int, d decision.Dispatch) {
-	c := b.callers[d.Request]
-	e := b.engineByID[d.Server]
+func (sim *simulation) dispatch(instance int, d decision.Dispatch) {
+	c := sim.callers[d.Request]
+	e := sim.engineByID[d.Server]
 	if c == nil || e == nil {
-		b.results.InvalidCommands++
+		sim.results.InvalidCommands++
 		return
 	}
 	r := &attempt{job: c.job, id: d.Attempt, version: d.Version, instance: instance}
-	if b.currentFault() == FaultErrors && d.Version == smallNew {
+	if sim.currentFault() == FaultErrors && d.Version == smallNew {
 		r.fails = c.job.failDraw < 0.25
 	}
 	c.recordDispatch(d)
-	b.results.dispatched(c.job, d.Version, b.now)
+	sim.results.recordDispatch(c.job, d.Version, sim.now)
 	e.enqueue(r)
 }
 
 // bad is what is wrong with smallNew now.
-func (b *simulation) currentFault() FaultKind {
-	if b.now < b.load.FaultFrom {
+func (sim *simulation) currentFault() FaultKind {
+	if sim.now < sim.load.FaultFrom {
 		return NoFault
 	}
-	return b.load.Fault
+	return sim.load.Fault
 }
 
-func (b *simulation) onFirst(_ *engine, r *attempt) {
-	b.send(r.instance, decision.FirstToken{Request: r.job.ID, Attempt: r.id})
-	if c := b.callers[r.job.ID]; c != nil && !c.held[r.id] && c.firstToken == 0 {
-		c.firstToken = b.now
+func (sim *simulation) onFirstToken(_ *engine, r *attempt) {
+	sim.send(r.instance, decision.FirstToken{Request: r.job.ID, Attempt: r.id})
+	if c := sim.callers[r.job.ID]; c != nil && !c.held[r.id] && c.firstToken == 0 {
+		c.firstToken = sim.now
 	}
 }
 
-func (b *simulation) onEnd(_ *engine, r *attempt) {
-	c := b.callers[r.job.ID]
+func (sim *simulation) onAttemptEnd(_ *engine, r *attempt) {
+	c := sim.callers[r.job.ID]
 	end := decision.AttemptEnded{Request: r.job.ID, Attempt: r.id, Result: decision.AttemptCompleted, Tokens: r.job.tokens}
 	if r.fails {
 		end.Result = decision.AttemptFailed
@@ -244,48 +244,48 @@
 		c.cost += prices[r.version] * float64(end.Tokens) / 1000
 		end.ResponseStarted = !r.fails && !c.held[r.id]
 	}
-	b.send(r.instance, end)
+	sim.send(r.instance, end)
 	if r.fails {
-		b.results.badAnswer(r.version, b.now)
+		sim.results.recordBadAnswer(r.version, sim.now)
 		return
 	}
-	b.rateAnswer(c, r)
+	sim.rateAnswer(c, r)
 }
 
 // rate has an answer rated where that was asked for.
-func (b *simulation) rateAnswer(c *caller, r *attempt) {
+func (sim *simulation) rateAnswer(c *caller, r *attempt) {
 	if c == nil || r.version == "" {
 		return
 	}
-	score := r.job.quality(r.version, b.currentFault())
+	score := r.job.quality(r.version, sim.currentFault())
 	c.scores[r.id] = score
 	budget, asked := c.ratingBudgets[r.id]
 	if !asked {
 		return
 	}
-	rated := min(max(score+ratingNoise*b.rng.NormFloat64(), 0), 1)
-	if b.currentFault() == FaultRatings && rated < 0.6 {
-		b.results.badAnswer(r.version, b.now)
+	rating := min(max(score+ratingNoise*sim.rng.NormFloat64(), 0), 1)
+	if sim.currentFault() == FaultRatings && rating < 0.6 {
+		sim.results.recordBadAnswer(r.version, sim.now)
 	}
 	ev := decision.AnswerRated{Request: r.job.ID, Attempt: r.id, Team: r.job.Team,
-		Class: r.job.Class, Version: r.version, Score: rated}
-	takes := ratingTimeMin + time.Duration(b.rng.Float64()*float64(ratingTimeSpan))
-	if takes > budget {
-		ev.Late, ev.Score, takes = true, 0, budget
+		Class: r.job.Class, Version: r.version, Score: rating}
+	delay := ratingTimeMin + time.Duration(sim.rng.Float64()*float64(ratingTimeSpan))
+	if delay > budget {
+		ev.Late, ev.Score, delay = true, 0, budget
 	}
-	b.sendAfter(r.instance, ev, takes)
+	sim.sendAfter(r.instance, ev, delay)
 }
 
-func (b *simulation) cancel(instance int, c decision.CancelAttempt) {
-	for _, e := range b.engines {
+func (sim *simulation) cancel(instance int, c decision.CancelAttempt) {
+	for _, e := range sim.engines {
 		r := e.cancel(c.Request, c.Attempt)
 		if r == nil {
 			continue
 		}
-		if x := b.callers[c.Request]; x != nil {
-			x.cost += prices[r.version] * max(float64(r.job.tokens)-r.remaining, 0) / 1000
+		if caller := sim.callers[c.Request]; caller != nil {
+			caller.cost += prices[r.version] * max(float64(r.job.tokens)-r.remaining, 0) / 1000
 		}
-		b.send(instance, decision.AttemptEnded{Request: c.Request, Attempt: c.Attempt, Result: decision.AttemptCancelled})
+		sim.send(instance, decision.AttemptEnded{Request: c.Request, Attempt: c.Attempt, Result: decision.AttemptCancelled})
 		return
 	}
 }
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -13,7 +13,7 @@
 	return l
 }
 
-func find(t *testing.T, deployment, name string) Load {
+func loadNamed(t *testing.T, deployment, name string) Load {
 	t.Helper()
 	for _, l := range Loads() {
 		if l.Deployment.Name == deployment && l.Name == name {
@@ -48,7 +48,7 @@
 
 func TestCostAtTheQualityTarget(t *testing.T) {
 	t.Parallel()
-	l := find(t, "co-op", "usual day")
+	l := loadNamed(t, "co-op", "usual day")
 	got := figures(t, l, "decision")
 	best := figures(t, l, "always the best model")
 	fixed := figures(t, l, "fixed cascade")
@@ -66,16 +66,16 @@
 func TestBadVersionExposure(t *testing.T) {
 	t.Parallel()
 	const seeds = 3
-	for _, l := range []Load{find(t, "agency", "version fails one in four"), find(t, "co-op", "version rated half")} {
+	for _, l := range []Load{loadNamed(t, "agency", "version fails one in four"), loadNamed(t, "co-op", "version rated half")} {
 		l.Duration = runLength
 		var after []float64
 		for seed := uint64(1); seed <= seeds; seed++ {
 			tally := Run(l, seed, variantNamed(t, "decision").New)
 			got := tally.Figures()
-			if got.Exposed > 70 || got.FalseAlarms > 0 {
-				t.Errorf("%s, seed %d: %.0f requests on it, %.0f false verdicts", l.Name, seed, got.Exposed, got.FalseAlarms)
+			if got.ExposedRequests > 70 || got.FalseAlarms > 0 {
+				t.Errorf("%s, seed %d: %.0f requests on it, %.0f false verdicts", l.Name, seed, got.ExposedRequests, got.FalseAlarms)
 			}
-			after = append(after, got.ExposedAfter)
+			after = append(after, got.ExposedShareAfterLimit)
 		}
 		slices.Sort(after)
 		if after[seeds/2] > 0.01 {
@@ -86,8 +86,8 @@
 
 func TestGoodputBeyondSaturation(t *testing.T) {
 	t.Parallel()
-	once := figures(t, find(t, "co-op", "saturation x1"), "decision")
-	twice := figures(t, find(t, "co-op", "saturation x2"), "decision")
+	once := figures(t, loadNamed(t, "co-op", "saturation x1"), "decision")
+	twice := figures(t, loadNamed(t, "co-op", "saturation x2"), "decision")
 	if twice.Goodput < 0.95*once.Goodput || twice.Throughput < 0.95*once.Throughput {
 		t.Errorf("goodput %.1f at saturation and %.1f at twice; work %.0f and %.0f",
 			once.Goodput, twice.Goodput, once.Throughput, twice.Throughput)
@@ -99,7 +99,7 @@
 // leaves room for one short run.
 func TestFirstTokenAtSaturation(t *testing.T) {
 	t.Parallel()
-	l := find(t, "agency", "saturation x1")
+	l := loadNamed(t, "agency", "saturation x1")
 	got, plain := figures(t, l, "decision"), figures(t, l, "round robin")
 	if got.FirstTokenP95 > 0.5*plain.FirstTokenP95 {
 		t.Errorf("p95 to the first token %.2f s, round robin %.2f s", got.FirstTokenP95, plain.FirstTokenP95)
@@ -109,7 +109,7 @@
 // Equal seeds give equal figures: without that no measurement can be repeated.
 func TestRunsRepeat(t *testing.T) {
 	t.Parallel()
-	l := find(t, "co-op", "wool-order rush")
+	l := loadNamed(t, "co-op", "wool-order rush")
 	l.Duration, l.Warmup = 40*time.Second, 10*time.Second
 	a, b := figures(t, l, "decision"), figures(t, l, "decision")
 	if a.Cost != b.Cost || a.FirstTokenP99 != b.FirstTokenP99 || a.Goodput != b.Goodput || a.CacheHitRate != b.CacheHitRate {
--- a/decision/internal/policytest/measure_test.go
+++ b/decision/internal/policytest/measure_test.go
@@ -9,31 +9,31 @@
 )
 
 var (
-	seeds    = flag.Int("seeds", 0, "run TestMeasure with so many seeds and print its tables")
-	only     = flag.String("load", "", "only loads whose name has this part")
-	variant  = flag.String("policy", "", "only policies whose name has this part")
-	parallel = flag.Int("runs", 4, "runs at once")
+	numSeeds      = flag.Int("seeds", 0, "run TestMeasure with so many seeds and print its tables")
+	loadFilter    = flag.String("load", "", "only loads whose name has this part")
+	variantFilter = flag.String("policy", "", "only policies whose name has this part")
+	maxParallel   = flag.Int("runs", 4, "runs at once")
 )
 
 // TestMeasure prints the tables of docs/MEASUREMENTS.md when it is told the
 // number of seeds.
 func TestMeasure(t *testing.T) {
 	for _, l := range Loads() {
-		if *seeds == 0 || !strings.Contains(l.Deployment.Name+" "+l.Name, *only) {
+		if *numSeeds == 0 || !strings.Contains(l.Deployment.Name+" "+l.Name, *loadFilter) {
 			continue
 		}
 		variants := Variants()
 		rows := make([]Row, len(variants))
-		slots := make(chan struct{}, *parallel)
+		slots := make(chan struct{}, *maxParallel)
 		var wg sync.WaitGroup
 		for i, v := range variants {
-			if !strings.Contains(v.Name, *variant) {
+			if !strings.Contains(v.Name, *variantFilter) {
 				continue
 			}
 			wg.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				rows[i] = Measure(l, v, *seeds)
+				rows[i] = Measure(l, v, *numSeeds)
 			})
 		}
 		wg.Wait()
--- a/decision/internal/policytest/report.go
+++ b/decision/internal/policytest/report.go
@@ -19,15 +19,15 @@
 	// Goodput is whole answers in time a second, Work their generated tokens (with
 	// a tenth of the prompts') a second; Refused and Failed are parts of all
 	// requests.
-	Goodput, Throughput, Refused, Failed float64
+	Goodput, Throughput, RefusedShare, FailedShare float64
 	// Cached is the part of prompt blocks found in a prefix cache.
 	CacheHitRate float64
 	// LeastShare is NaN where the teams do not compete for one model.
 	MinShareRatio float64
 	// Exposed is the requests that ran on the bad version, ExposedAfter the part
 	// of those that arrived after its first 50 bad answers.
-	Exposed, ExposedAfter float64
-	FalseAlarms           float64
+	ExposedRequests, ExposedShareAfterLimit float64
+	FalseAlarms                             float64
 }
 
 // Figures computes them.
@@ -36,24 +36,24 @@
 	all := max(float64(t.Arrived), 1)
 	counted := (t.load.Duration - t.load.Warmup).Seconds()
 	return Figures{
-		Cost:            t.Cost / n,
-		Quality:         t.Quality / n,
-		TargetShortfall: t.targetShortfall(),
-		FirstTokenP50:   percentile(t.firstTokens, 0.50).Seconds(),
-		FirstTokenP95:   percentile(t.firstTokens, 0.95).Seconds(),
-		FirstTokenP99:   percentile(t.firstTokens, 0.99).Seconds(),
-		LatencyP50:      percentile(t.latencies, 0.50).Seconds(),
-		LatencyP95:      percentile(t.latencies, 0.95).Seconds(),
-		LatencyP99:      percentile(t.latencies, 0.99).Seconds(),
-		Goodput:         float64(t.Completed) / counted,
-		Refused:         float64(t.Refused) / all,
-		Failed:          float64(t.Failed+t.Late+t.Unanswered) / all,
-		Throughput:      t.totalWork() / counted,
-		CacheHitRate:    float64(t.cachedBlocks) / max(float64(t.promptBlocks), 1),
-		MinShareRatio:   t.minShareRatio(),
-		FalseAlarms:     float64(t.FalseAlarms),
-		Exposed:         float64(t.fault.exposed),
-		ExposedAfter:    float64(t.fault.exposedAfter) / max(float64(t.fault.arrivedAfter), 1),
+		Cost:                   t.Cost / n,
+		Quality:                t.Quality / n,
+		TargetShortfall:        t.targetShortfall(),
+		FirstTokenP50:          percentile(t.firstTokens, 0.50).Seconds(),
+		FirstTokenP95:          percentile(t.firstTokens, 0.95).Seconds(),
+		FirstTokenP99:          percentile(t.firstTokens, 0.99).Seconds(),
+		LatencyP50:             percentile(t.latencies, 0.50).Seconds(),
+		LatencyP95:             percentile(t.latencies, 0.95).Seconds(),
+		LatencyP99:             percentile(t.latencies, 0.99).Seconds(),
+		Goodput:                float64(t.Completed) / counted,
+		RefusedShare:           float64(t.Refused) / all,
+		FailedShare:            float64(t.Failed+t.Late+t.Unanswered) / all,
+		Throughput:             t.totalWork() / counted,
+		CacheHitRate:           float64(t.cachedBlocks) / max(float64(t.promptBlocks), 1),
+		MinShareRatio:          t.minShareRatio(),
+		FalseAlarms:            float64(t.FalseAlarms),
+		ExposedRequests:        float64(t.fault.exposedRequests),
+		ExposedShareAfterLimit: float64(t.fault.exposedAfterLimit) / max(float64(t.fault.arrivedAfterLimit), 1),
 	}
 }
 
@@ -77,13 +77,13 @@
 	{"whole p99 s", func(f Figures) float64 { return f.LatencyP99 }, "%.2f"},
 	{"goodput /s", func(f Figures) float64 { return f.Goodput }, "%.1f"},
 	{"work /s", func(f Figures) float64 { return f.Throughput }, "%.0f"},
-	{"refused %", func(f Figures) float64 { return 100 * f.Refused }, "%.1f"},
-	{"failed %", func(f Figures) float64 { return 100 * f.Failed }, "%.1f"},
+	{"refused %", func(f Figures) float64 { return 100 * f.RefusedShare }, "%.1f"},
+	{"failed %", func(f Figures) float64 { return 100 * f.FailedShare }, "%.1f"},
 	{"prefix cached %", func(f Figures) float64 { return 100 * f.CacheHitRate }, "%.0f"},
 	{"least share", func(f Figures) float64 { return f.MinShareRatio }, "%.2f"},
-	{"on bad", func(f Figures) float64 { return f.Exposed }, "%.0f"},
+	{"on bad", func(f Figures) float64 { return f.ExposedRequests }, "%.0f"},
 	{"false verdicts", func(f Figures) float64 { return f.FalseAlarms }, "%.0f"},
-	{"on bad after 50, %", func(f Figures) float64 { return 100 * f.ExposedAfter }, "%.2f"},
+	{"on bad after 50, %", func(f Figures) float64 { return 100 * f.ExposedShareAfterLimit }, "%.2f"},
 }
 
 // Spread is the median and the 10th and 90th percentile over seeds.
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -67,8 +67,8 @@
 	badAnswers int
 	// exposed counts requests dispatched to it, and of all requests those that
 	// arrived, from the start of its being bad and from its 50th bad answer on.
-	exposed, exposedAfter int
-	arrivedAfter          int
+	exposedRequests, exposedAfterLimit int
+	arrivedAfterLimit                  int
 }
 
 // badLimit is the number of bad answers after which a version should be barred.
@@ -92,9 +92,9 @@
 
 func (t *Results) measured(j *job) bool { return j.arrived >= t.load.Warmup }
 
-func (t *Results) arrived(j *job) {
+func (t *Results) recordArrival(j *job) {
 	if j.Service == "" && t.fault.badAnswers >= maxBadAnswers {
-		t.fault.arrivedAfter++
+		t.fault.arrivedAfterLimit++
 	}
 	if !t.measured(j) {
 		return
@@ -105,30 +105,30 @@
 	}
 }
 
-func (t *Results) dispatched(_ *job, v decision.VersionID, now time.Duration) {
+func (t *Results) recordDispatch(_ *job, v decision.VersionID, now time.Duration) {
 	if t.load.Fault == NoFault || now < t.load.FaultFrom || v != smallNew {
 		return
 	}
-	t.fault.exposed++
+	t.fault.exposedRequests++
 	if t.fault.badAnswers >= maxBadAnswers {
-		t.fault.exposedAfter++
+		t.fault.exposedAfterLimit++
 	}
 }
 
-func (t *Results) badAnswer(v decision.VersionID, now time.Duration) {
+func (t *Results) recordBadAnswer(v decision.VersionID, now time.Duration) {
 	if v == smallNew && now >= t.load.FaultFrom {
 		t.fault.badAnswers++
 	}
 }
 
-func (t *Results) verdict(v decision.VersionVerdict, now time.Duration) {
+func (t *Results) observeVerdict(v decision.VersionVerdict, now time.Duration) {
 	isBad := t.load.Fault != NoFault && now >= t.load.FaultFrom && v.Version == smallNew
 	if v.Bad && !isBad {
 		t.FalseAlarms++
 	}
 }
 
-func (t *Results) delivered(c *caller, a decision.AttemptID, now time.Duration) {
+func (t *Results) recordDelivery(c *caller, a decision.AttemptID, now time.Duration) {
 	j := c.job
 	if !t.measured(j) {
 		return
@@ -158,7 +158,7 @@
 	team.answers[j.Class]++
 }
 
-func (t *Results) refused(c *caller, r decision.Refuse) {
+func (t *Results) recordRefusal(c *caller, r decision.Refuse) {
 	if !t.measured(c.job) {
 		return
 	}
@@ -168,13 +168,13 @@
 	}
 }
 
-func (t *Results) failed(c *caller) {
+func (t *Results) recordFailure(c *caller) {
 	if t.measured(c.job) {
 		t.Failed++
 	}
 }
 
-func (t *Results) unanswered(c *caller) {
+func (t *Results) recordUnanswered(c *caller) {
 	if t.measured(c.job) {
 		t.Unanswered++
 	}
@@ -206,35 +206,35 @@
 		return math.NaN()
 	}
 	total := t.totalWork()
-	open := make([]*teamResults, 0, len(t.teams))
+	unsatisfied := make([]*teamResults, 0, len(t.teams))
 	for i := range teamShares {
-		open = append(open, t.teams[teamID(i)])
+		unsatisfied = append(unsatisfied, t.teams[teamID(i)])
 	}
 	lowest := 1.0
-	for len(open) > 0 {
+	for len(unsatisfied) > 0 {
 		weights := 0.0
-		for _, x := range open {
-			weights += x.weight
+		for _, team := range unsatisfied {
+			weights += team.weight
 		}
 		fairShare := total / weights
-		var rest []*teamResults
-		for _, x := range open {
-			if x.demand > fairShare*x.weight {
-				rest = append(rest, x)
+		var remaining []*teamResults
+		for _, team := range unsatisfied {
+			if team.demand > fairShare*team.weight {
+				remaining = append(remaining, team)
 				continue
 			}
-			total -= x.demand
-			if x.demand > 0 {
-				lowest = min(lowest, x.served/x.demand)
+			total -= team.demand
+			if team.demand > 0 {
+				lowest = min(lowest, team.served/team.demand)
 			}
 		}
-		if len(rest) == len(open) {
-			for _, x := range open {
-				lowest = min(lowest, x.served/(fairShare*x.weight))
+		if len(remaining) == len(unsatisfied) {
+			for _, team := range unsatisfied {
+				lowest = min(lowest, team.served/(fairShare*team.weight))
 			}
 			break
 		}
-		open = rest
+		unsatisfied = remaining
 	}
 	return lowest
 }
--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -52,11 +52,11 @@
 
 func TestSickServerIsEjected(t *testing.T) {
 	cases := []struct {
-		name    string
-		servers int
-		failed  float64
-		factor  float64
-		most    int
+		name        string
+		servers     int
+		errorRate   float64
+		factor      float64
+		maxAttempts int
 	}{
 		{"slow among 12", 12, 0, 4, 80},
 		{"very slow among 3", 3, 0, 10, 60},
@@ -75,9 +75,9 @@
 					if id != "s01" {
 						return rng.Float64() < 0.002, 1
 					}
-					return rng.Float64() < c.failed, c.factor
+					return rng.Float64() < c.errorRate, c.factor
 				})
-				if got["s01"] > c.most || got["s00"] < 1100 {
+				if got["s01"] > c.maxAttempts || got["s00"] < 1100 {
 					t.Errorf("seed %d: sick server got %d, a well one %d", seed, got["s01"], got["s00"])
 				}
 			}
@@ -162,9 +162,9 @@
 func TestEjectedServerReturnsByTrial(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	o, ids := newOutlierPool(6)
-	sick := func(id string) (bool, float64) { return id == "s01", 1 }
-	well := func(string) (bool, float64) { return false, 1 }
-	runAttempts(o, ids, startTime, 20, rng, sick)
+	faulty := func(id string) (bool, float64) { return id == "s01", 1 }
+	healthy := func(string) (bool, float64) { return false, 1 }
+	runAttempts(o, ids, startTime, 20, rng, faulty)
 	if o.Ejected("draft") != 1 {
 		t.Fatal("not ejected")
 	}
@@ -180,7 +180,7 @@
 	if o.Admit("s01", late) != Probe {
 		t.Error("no other trial after one that was lost")
 	}
-	runAttempts(o, ids, late, 5, rng, well)
+	runAttempts(o, ids, late, 5, rng, healthy)
 	if o.Ejected("draft") != 0 {
 		t.Error("did not return")
 	}
@@ -192,9 +192,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "servers")
 		o, ids := newOutlierPool(n)
-		most := int(DefaultOutlierConfig().MaxEjectedShare * float64(n))
+		maxEjected := int(DefaultOutlierConfig().MaxEjectedShare * float64(n))
 		if n > 1 {
-			most = max(most, 1)
+			maxEjected = max(maxEjected, 1)
 		}
 		now := startTime
 		steps := rapid.SliceOfN(rapid.Uint32(), 1, 600).Draw(t, "steps")
@@ -204,7 +204,7 @@
 			o.RecordDispatch(id, now)
 			o.ObserveAttempt(id, s&256 != 0, time.Duration(s>>10&1023)*time.Millisecond, now)
 			o.Sweep(now)
-			if o.Ejected("draft") > most {
+			if o.Ejected("draft") > maxEjected {
 				t.Fatalf("%d of %d ejected", o.Ejected("draft"), n)
 			}
 		}
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -26,7 +26,7 @@
 // truth is what a version really does.
 type behavior struct{ errorRate, quality, ratingStddev float64 }
 
-func newPair() *Versions[string, string] {
+func newVersionPair() *Versions[string, string] {
 	t := NewVersions[string, string](DefaultVersionConfig())
 	t.Apply([]VersionInfo[string]{
 		{ID: oldVersion, Quality: 0.8},
@@ -67,7 +67,7 @@
 			late := 0
 			for seed := range uint64(30) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				v := newPair()
+				v := newVersionPair()
 				for range 500 {
 					serve(v, oldVersion, good, rng)
 					serve(v, newVersion, good, rng)
@@ -105,7 +105,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(5) {
 				rng := rand.New(rand.NewPCG(seed, 2))
-				v := newPair()
+				v := newVersionPair()
 				for range 200 {
 					serve(v, oldVersion, c.old, rng)
 				}
@@ -126,7 +126,7 @@
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	for _, broken := range []bool{false, true} {
 		rng := rand.New(rand.NewPCG(1, 5))
-		v := newPair()
+		v := newVersionPair()
 		for i := range 4000 {
 			serve(v, newVersion, good, rng)
 			if i%1000 != 500 {
@@ -149,7 +149,7 @@
 	barred := 0
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 6))
-		v := newPair()
+		v := newVersionPair()
 		for i := range 2000 {
 			tr := good
 			if i > 1000 {
@@ -194,8 +194,8 @@
 	cases := []struct {
 		name      string
 		bad       behavior
-		mends     bool
-		mostToTry int
+		repaired  bool
+		maxProbes int
 	}{
 		{"failed and is mended", behavior{0.5, 0.8, 0.12}, true, 200},
 		{"rated badly and is mended", behavior{0.005, 0.5, 0.12}, true, 200},
@@ -207,7 +207,7 @@
 			wrong := 0
 			for seed := range uint64(20) {
 				rng := rand.New(rand.NewPCG(seed, 4))
-				v := newPair()
+				v := newVersionPair()
 				for range 500 {
 					serve(v, oldVersion, good, rng)
 				}
@@ -215,21 +215,21 @@
 					serve(v, newVersion, c.bad, rng)
 				}
 				now := c.bad
-				if c.mends {
+				if c.repaired {
 					now = good
 				}
-				tries := 0
-				for v.Bad(newVersion, startTime) && tries < c.mostToTry {
+				probes := 0
+				for v.Bad(newVersion, startTime) && probes < c.maxProbes {
 					serve(v, newVersion, now, rng)
-					tries++
+					probes++
 				}
-				if v.Bad(newVersion, startTime) == c.mends {
+				if v.Bad(newVersion, startTime) == c.repaired {
 					wrong++
-					t.Logf("seed %d: after %d probes bad is %v", seed, tries, c.mends)
+					t.Logf("seed %d: after %d probes bad is %v", seed, probes, c.repaired)
 				}
 			}
 			// A bad one is let back wrongly in 2 of 100 cases at most.
-			if wrong > 1 || c.mends && wrong > 0 {
+			if wrong > 1 || c.repaired && wrong > 0 {
 				t.Errorf("wrong in %d of 20 runs", wrong)
 			}
 		})
@@ -237,7 +237,7 @@
 }
 
 func TestBarredVersionGetsATrickle(t *testing.T) {
-	v := newPair()
+	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
 		v.ObserveAttempt(newVersion, failedAttempt, startTime)
 	}
@@ -253,7 +253,7 @@
 }
 
 func TestNonsenseRatingsAreIgnored(t *testing.T) {
-	v := newPair()
+	v := newVersionPair()
 	for _, score := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 7} {
 		for range 1000 {
 			v.ObserveRating(newVersion, "draft", score, startTime)
@@ -283,7 +283,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			v := newPair()
+			v := newVersionPair()
 			for _, w := range c.words {
 				v.ApplyPeerVerdict(w, startTime)
 			}
@@ -295,7 +295,7 @@
 }
 
 func TestOwnVerdictIsSharedAndRenewed(t *testing.T) {
-	v := newPair()
+	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
 		v.ObserveAttempt(newVersion, failedAttempt, startTime)
 	}
@@ -322,7 +322,7 @@
 // a suspicion alone bars it at the peers for a time only, and is taken back.
 func TestSuspicionIsShared(t *testing.T) {
 	suspect := func() *Versions[string, string] {
-		v := newPair()
+		v := newVersionPair()
 		for len(v.VerdictsToShare(startTime)) == 0 {
 			v.ObserveAttempt(newVersion, failedAttempt, startTime)
 		}
@@ -340,7 +340,7 @@
 	if !a.Bad(newVersion, startTime.Add(time.Hour)) {
 		t.Error("two halves made no verdict")
 	}
-	c := newPair()
+	c := newVersionPair()
 	c.ApplyPeerVerdict(word, startTime)
 	if !c.Bad(newVersion, startTime) || c.Bad(newVersion, word.Until) {
 		t.Error("a peer's suspicion does not bar until its end only")
@@ -359,7 +359,7 @@
 
 // A new manifest keeps the verdict and drops what nobody lists any more.
 func TestApplyKeepsVerdicts(t *testing.T) {
-	v := newPair()
+	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
 		v.ObserveAttempt(newVersion, failedAttempt, startTime)
 	}
@@ -377,7 +377,7 @@
 // in ProbeEvery, and equal inputs give equal answers.
 func TestVersionsProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := newPair(), newPair()
+		a, b := newVersionPair(), newVersionPair()
 		ids := []string{oldVersion, newVersion, "unknown@1"}
 		barred, probes := 0, 0
 		steps := rapid.SliceOfN(rapid.Uint32(), 1, 400).Draw(t, "steps")
