--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -27,11 +27,10 @@
 
 var bothOptions = []Option[string]{{small, 1}, {large, 10}}
 
-// nature is how good a version's answers are: easy requests get easy, hard ones
-// hard, with some noise.
+// trueQuality is the mean quality of a version's answers to easy and to hard requests.
 type trueQuality struct{ easy, hard float64 }
 
-// bench serves requests by plans and counts what came of it.
+// simulation serves requests by the plans of a table and records quality and cost.
 type simulation struct {
 	t         *table
 	rng       *rand.Rand
@@ -61,7 +60,7 @@
 
 var usualPrior = map[string]float64{small: 0.7, large: 0.88}
 
-// answer runs one attempt and returns its true quality and what the rater says.
+// answer runs one attempt and returns the true quality of its answer and its rating.
 func (sim *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
 	n := sim.qualities[v]
 	score = n.easy
@@ -78,7 +77,7 @@
 	return score, rated, late
 }
 
-// serve runs n requests by the table's plans.
+// serve resets the records and runs n requests by the table's plans.
 func (sim *simulation) serve(n int, target float64, mayHold bool) {
 	sim.served, sim.quality, sim.cost = 0, 0, 0
 	sim.calls = make(map[string]int)
@@ -102,6 +101,8 @@
 	}
 }
 
+// Guards against plans that miss the quality target, or that pay for the expensive
+// version where the cheap one or a cascade of both meets it.
 func TestPlansMeetTheTargetAtLowCost(t *testing.T) {
 	usual := map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
 	equal := map[string]trueQuality{small: {0.9, 0.9}, large: {0.92, 0.85}}
@@ -111,16 +112,16 @@
 		natures map[string]trueQuality
 		target  float64
 		mayHold bool
-		// most is the dearest mean cost, in parts of always-large.
+		// maxCost is the highest mean cost, as a share of that of always using large.
 		maxCost float64
 	}{
 		{"cheap alone meets a low target", usual, 0.70, true, 0.3},
 		{"cascade", usual, 0.82, true, 0.55},
 		{"high target", usual, 0.86, true, 0.75},
-		{"cheap as good as dear, against the manifest", equal, 0.86, true, 0.2},
-		{"cheap step never pays", poor, 0.86, true, 1.05},
+		{"cheap as good as expensive, unlike the manifest", equal, 0.86, true, 0.2},
+		{"cheap step does not pay for itself", poor, 0.86, true, 1.05},
 		{"no hold", usual, 0.82, false, 1.05},
-		{"out of reach", usual, 0.99, true, 1.2},
+		{"unreachable target", usual, 0.99, true, 1.2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -132,13 +133,15 @@
 				quality, cost := sim.quality/2000, sim.cost/2000/2.56
 				want := min(c.target, 0.89) - 0.01
 				if quality < want || cost > c.maxCost {
-					t.Errorf("seed %d: quality %.3f, cost %.2f of always-large", seed, quality, cost)
+					t.Errorf("seed %d: quality %.3f, cost %.2f of that of always using large", seed, quality, cost)
 				}
 			}
 		})
 	}
 }
 
+// Guards against a faulty rating service: its ratings must not change the estimates,
+// no answer may be held for it, and it must be used again after it has recovered.
 func TestRatingServiceFaults(t *testing.T) {
 	never := func(float64) (float64, bool) { return 0, true }
 	nonsense := func(float64) (float64, bool) { return math.NaN(), false }
@@ -147,7 +150,7 @@
 	cases := []struct {
 		name  string
 		fault func(float64) (float64, bool)
-	}{{"late", never}, {"no number", nonsense}, {"out of range", outOfRange}, {"stuck at 0", stuck}}
+	}{{"late", never}, {"not a number", nonsense}, {"out of range", outOfRange}, {"stuck at 0", stuck}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			sim := newSimulation(1, usualPrior)
@@ -158,31 +161,33 @@
 			sim.rater = c.fault
 			sim.serve(60, 0.82, true)
 			if !sim.t.RaterDown() {
-				t.Fatal("the fault was not noticed within 60 requests")
+				t.Fatal("the fault was not detected within 60 requests")
 			}
 			sim.onPlan = func(p Plan[string]) {
 				if p.Cascade {
-					t.Fatal("an answer was held for a rating service that is down")
+					t.Fatal("an answer is held while the rating service is down")
 				}
 			}
 			sim.serve(2000, 0.82, true)
 			sim.onPlan = nil
 			after, stderrAfter := sim.t.Quality(draftTask, large, sim.now.Add(time.Hour))
 			if math.Abs(before-after) > 0.05 || stderrAfter < 1.5*stderrBefore {
-				t.Errorf("large went from %.3f±%.4f to %.3f±%.4f", before, stderrBefore, after, stderrAfter)
+				t.Errorf("estimate of large changed from %.3f±%.4f to %.3f±%.4f", before, stderrBefore, after, stderrAfter)
 			}
 			if q := sim.quality / 2000; q < 0.81 {
-				t.Errorf("quality fell to %.3f", q)
+				t.Errorf("quality %.3f while the rating service is down, want at least 0.81", q)
 			}
 			sim.rater = healthy
 			sim.serve(60, 0.82, true)
 			if sim.t.RaterDown() {
-				t.Error("not trusted again within 60 requests")
+				t.Error("the rating service still counts as down 60 requests after its recovery")
 			}
 		})
 	}
 }
 
+// Guards against escalations of answers that meet the rating threshold, of single
+// versions, and without time for the second step.
 func TestEscalateNeedsTime(t *testing.T) {
 	p := Plan[string]{First: small, Cascade: true, Second: large, Threshold: 0.6}
 	single := Plan[string]{First: small}
@@ -200,12 +205,13 @@
 	}
 	for _, c := range cases {
 		if got := c.plan.Escalate(c.score, c.left, 2*time.Second); got != c.want {
-			t.Errorf("%+v rated %v with %v left: %v", c.plan, c.score, c.left, got)
+			t.Errorf("%+v, rating %v, %v left: escalate is %v", c.plan, c.score, c.left, got)
 		}
 	}
 }
 
-// A new class starts from what the other classes saw of a version.
+// Guards against a new class that starts from the manifest's quality although other
+// classes have ratings of the version.
 func TestNewClassStartsFromTheOthers(t *testing.T) {
 	sim := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
 	for range 500 {
@@ -213,12 +219,13 @@
 		sim.t.ObserveRating(draftTask, small, 0.85, false, startTime)
 	}
 	if q, _ := sim.t.Quality(key{"shops", "lookup"}, small, startTime); q < 0.8 {
-		t.Errorf("quality of the new class is %.2f", q)
+		t.Errorf("quality of the new class is %.2f, want at least 0.8", q)
 	}
 }
 
-// Plans choose among the options only, the cost of a pair is never above that of
-// its dear step alone where both meet the target, and equal inputs plan alike.
+// Guards, for random inputs, against plans with versions that are no option, cascades
+// where holding is not allowed, invalid estimates, and plans that differ for equal
+// inputs.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New[string, string, string](DefaultConfig()), New[string, string, string](DefaultConfig())
@@ -246,7 +253,7 @@
 			}
 			p, other := a.Plan(q), b.Plan(q)
 			if p != other {
-				t.Fatalf("%+v and %+v from equal inputs", p, other)
+				t.Fatalf("equal inputs give %+v and %+v", p, other)
 			}
 			checkPlan(t, p, q)
 		}
@@ -260,16 +267,18 @@
 		offered[o.Version] = true
 	}
 	if !offered[p.First] || p.Cascade && (!offered[p.Second] || p.First == p.Second) {
-		t.Fatalf("%+v for %v", p, q.Options)
+		t.Fatalf("plan %+v for options %v", p, q.Options)
 	}
 	if p.Cascade && !q.MayHold {
-		t.Fatalf("%+v may not hold", p)
+		t.Fatalf("plan %+v where holding is not allowed", p)
 	}
 	if math.IsNaN(p.Quality) || math.IsNaN(p.Cost) || p.Cost < 0 {
-		t.Fatalf("%+v", p)
+		t.Fatalf("invalid estimates in plan %+v", p)
 	}
 }
 
+// Guards against tables that grow without bound: with the classes that callers choose,
+// or with versions that the manifest does not list.
 func TestTasksAreBounded(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxTasks = 10
--- a/decision/internal/policytest/bench.go
+++ b/decision/internal/policytest/bench.go
@@ -7,7 +7,7 @@
 	"masticplank.example/decision"
 )
 
-// Policy is the seam: the real one is *decision.World.
+// Policy makes the decisions of one instance; *decision.World is the real one.
 type Policy interface {
 	Tick(now time.Time, in []decision.Event) []decision.Command
 }
@@ -15,7 +15,10 @@
 // start is the time of the first tick.
 var start = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
-// The periods and lags of the model.
+// The intervals and delays of the model. cacheEventLoss is the probability that an
+// instance misses a cache event. A rating takes ratingTimeMin plus a uniformly
+// distributed time up to ratingTimeSpan. After the last arrival the simulation runs
+// on for drainTime.
 const (
 	tick           = 10 * time.Millisecond
 	reportInterval = 500 * time.Millisecond
@@ -29,14 +32,14 @@
 	drainTime      = 30 * time.Second
 )
 
-// later is an event under way.
+// pendingEvent is an event that has not reached its instance yet.
 type pendingEvent struct {
 	at       time.Duration
 	instance int
 	event    decision.Event
 }
 
-// bench is one run of one policy under one load.
+// simulation is one run of one policy under one load.
 type simulation struct {
 	load       Load
 	rng        *rand.Rand
@@ -45,13 +48,14 @@
 	engineByID map[decision.ServerID]*engine
 	now        time.Duration
 	inbox      [][]decision.Event
-	// wait holds events under way by the tick in which they arrive.
+	// pending holds events by the tick in which they arrive.
 	pending map[time.Duration][]pendingEvent
 	callers map[decision.RequestID]*caller
 	results *Results
 }
 
-// Run measures a policy, one of which is made for each instance.
+// Run runs the load with one policy per instance, made by newPolicy, and returns the
+// results.
 func Run(l Load, seed uint64, newPolicy func(seed uint64) Policy) *Results {
 	sim := &simulation{
 		load:       l,
@@ -106,7 +110,7 @@
 	}
 }
 
-// faults applies the load's slow servers.
+// applyFaults slows servers down as the load specifies.
 func (sim *simulation) applyFaults() {
 	if sim.load.SlowFactor == 0 || sim.now != sim.load.SlowFrom {
 		return
@@ -121,12 +125,13 @@
 	sim.send(j.instance, decision.RequestArrived{Request: j.Request})
 }
 
-// tell puts an event in an instance's next tick.
+// send delivers an event to an instance in its next tick.
 func (sim *simulation) send(instance int, e decision.Event) {
 	sim.inbox[instance] = append(sim.inbox[instance], e)
 }
 
-// tellLater does so after a time.
+// sendAfter delivers an event to an instance after a delay, in the next tick at the
+// earliest.
 func (sim *simulation) sendAfter(instance int, e decision.Event, after time.Duration) {
 	at := (sim.now + after).Truncate(tick)
 	if at <= sim.now {
@@ -135,7 +140,7 @@
 	sim.pending[at] = append(sim.pending[at], pendingEvent{at, instance, e})
 }
 
-// report sends load reports and cache events, late and with losses.
+// publishReports sends load reports and cache events with their delays and losses.
 func (sim *simulation) publishReports() {
 	for _, e := range sim.engines {
 		if sim.now%reportInterval == 0 {
@@ -159,7 +164,7 @@
 	}
 }
 
-// decide ticks every instance and carries out what it commands.
+// tickPolicies ticks the policy of every instance and executes its commands.
 func (sim *simulation) tickPolicies() {
 	for i, p := range sim.policies {
 		in := sim.inbox[i]
@@ -218,7 +223,7 @@
 	e.enqueue(r)
 }
 
-// bad is what is wrong with smallNew now.
+// currentFault is the current fault of smallNew.
 func (sim *simulation) currentFault() FaultKind {
 	if sim.now < sim.load.FaultFrom {
 		return NoFault
@@ -252,7 +257,8 @@
 	sim.rateAnswer(c, r)
 }
 
-// rate has an answer rated where that was asked for.
+// rateAnswer determines the quality of an answer and sends its rating to the
+// instance that asked for one.
 func (sim *simulation) rateAnswer(c *caller, r *attempt) {
 	if c == nil || r.version == "" {
 		return
--- a/decision/internal/policytest/deployment.go
+++ b/decision/internal/policytest/deployment.go
@@ -7,8 +7,8 @@
 	"masticplank.example/decision"
 )
 
-// The models: a cheap one, a dear one, and a new version of the cheap one that
-// is rolled out to half of its requests.
+// The models: a cheap one, an expensive one, and a new version of the cheap one
+// that is rolled out to half of its requests.
 const (
 	smallOld decision.VersionID = "small@1"
 	smallNew decision.VersionID = "small@2"
@@ -26,16 +26,16 @@
 	draft  decision.TaskClass = "draft"
 )
 
-// speed is how fast an engine runs a model.
+// speed is the speed at which an engine runs a model.
 type speed struct {
 	// prefill is in prompt tokens a second.
 	prefill float64
-	// token is the time of one token of a request that runs alone.
+	// tokenTime is the time per generated token of a request that runs alone.
 	tokenTime time.Duration
 }
 
-// crowding is how much longer a token takes for each further request in the
-// batch.
+// batchSlowdown is the relative increase of tokenTime for each further request in
+// the batch.
 const batchSlowdown = 0.05
 
 var speeds = map[decision.ModelID]speed{
@@ -43,7 +43,8 @@
 	largeModel: {prefill: 2500, tokenTime: 25 * time.Millisecond},
 }
 
-// Deployment is the size of one deployment of today.
+// Deployment describes one deployment: its instances, its backend servers by kind
+// and their failure domains.
 type Deployment struct {
 	Name      string
 	Instances int
@@ -52,9 +53,9 @@
 	Records   int
 	Domains   []decision.DomainID
 	// Saturation is the rate, in requests a second, at which the real policy
-	// begins to refuse; measured by TestSaturation.
+	// starts to refuse requests.
 	Saturation float64
-	// Deadlines of the two classes.
+	// Deadlines holds the time allowed for a request of each class.
 	Deadlines map[decision.TaskClass]time.Duration
 }
 
@@ -86,13 +87,14 @@
 	}
 }
 
-// modelSlots and recordSlots are how many requests a server runs at once.
+// modelSlots and recordSlots are the numbers of requests that a model's server and a
+// server of the plain service run at once.
 const (
 	modelSlots  = 8
 	recordSlots = 16
 )
 
-// servers lists the deployment's backend servers.
+// servers returns the deployment's backend servers.
 func (d Deployment) servers() []decision.Server {
 	var out []decision.Server
 	add := func(n int, prefix string, s decision.Server) {
@@ -108,7 +110,7 @@
 	return out
 }
 
-// teamShares are the parts of the load of ten teams, a few of them large.
+// teamShares are the shares of ten teams in the load, a few of them large.
 var teamShares = [10]float64{0.34, 0.22, 0.14, 0.08, 0.06, 0.05, 0.04, 0.03, 0.02, 0.02}
 
 // targets are the teams' quality targets.
@@ -116,7 +118,7 @@
 
 func teamID(i int) decision.TeamID { return decision.TeamID(fmt.Sprintf("team-%d", i)) }
 
-// teams lists the teams. The large ones have twice the weight of the small.
+// teams returns the teams. The large ones have twice the weight of the small ones.
 func teams() []decision.Team {
 	var out []decision.Team
 	for i := range teamShares {
@@ -135,8 +137,8 @@
 	return out
 }
 
-// versions lists the versions as the manifest states them; the quality is what
-// the pipeline believes, and off by some hundredths from the truth.
+// versions returns the versions as the manifest states them. The stated quality is
+// the estimate of whoever published them, and some hundredths off the true one.
 func versions() []decision.Version {
 	return []decision.Version{
 		{ID: smallOld, Model: smallModel, State: decision.VersionServing, Share: 1, Cost: 1, Quality: 0.80},
@@ -148,7 +150,8 @@
 // prices are the versions' cost per 1000 tokens.
 var prices = map[decision.VersionID]float64{smallOld: 1, smallNew: 1, large: 10}
 
-// truth is the mean rating that a version's answers truly deserve.
+// trueQuality is the mean rating of a version's answers without noise, for requests
+// of class lookup and for easy and hard ones of class draft.
 type trueQuality struct{ lookup, easy, hard float64 }
 
 var trueQualities = map[decision.VersionID]trueQuality{
--- a/decision/internal/policytest/doc.go
+++ b/decision/internal/policytest/doc.go
@@ -1,16 +1,16 @@
 // Package policytest measures decision policies under scripted loads.
 //
-// Callers, engines and the rating service are small models; the policy is the
-// real one or a baseline on the same seam, decision's events and commands. It is
-// no simulator of a cluster: it has no network and no failures but those that a
-// Load names. Everything is drawn from the seed, and what a request is (its
-// size, how hard it is) is drawn before any policy sees it, so that policies are
-// compared on the same requests.
+// Callers, engines and the rating service are simple models. The policy is the
+// real one or a baseline with the same interface, the events and commands of
+// package decision. It does not simulate a cluster: there is no network, and no
+// failures but those that a Load specifies. Everything is drawn from the seed, and
+// the properties of a request (its size and difficulty) are drawn before any policy
+// sees it, so that policies are compared on the same requests.
 //
-// The engine model: continuous batching with a bounded number of slots, a queue
-// of its own behind them, prefill before decode, decode slowing with the batch,
-// a bounded prefix cache. Load reports and cache events reach the instances
-// late, and some cache events are lost.
+// The engine model: continuous batching with a bounded number of slots, its own
+// queue for requests beyond them, prefill before decode, decode slowing down with
+// the batch size, a bounded prefix cache. Load reports and cache events reach the
+// instances late, and some cache events are lost.
 //
 //	go test ./internal/policytest -run TestMeasure -seeds 20 -timeout 20m -v
 //
--- a/decision/internal/policytest/engine.go
+++ b/decision/internal/policytest/engine.go
@@ -8,21 +8,21 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cacheBlocks bounds an engine's prefix cache: a quarter of all templates and
-// what the running requests need.
+// cacheBlocks bounds an engine's prefix cache: it holds a quarter of all templates
+// and the blocks of the running requests.
 const cacheBlocks = 600
 
-// recordTime is how long a call of the plain service takes.
+// serviceCallTime is the time of a call of the plain service.
 const serviceCallTime = 40 * time.Millisecond
 
-// run is one attempt at an engine.
+// attempt is one attempt at an engine.
 type attempt struct {
 	job      *job
 	id       decision.AttemptID
 	version  decision.VersionID
 	instance int
-	// prefill is the prompt tokens left to compute, left the tokens (or, at a
-	// plain service, the seconds) left to give.
+	// prefill is the number of prompt tokens left to compute, and remaining the
+	// number of tokens left to generate or, at a plain service, the seconds left.
 	prefill   float64
 	remaining float64
 	started   bool
@@ -40,7 +40,7 @@
 	seq        uint64
 	added      []decision.BlockHash
 	removed    []decision.BlockHash
-	// asked and hits count the blocks of prompts, and those found in the cache.
+	// lookups counts the blocks of all prompts, hits those found in the cache.
 	lookups, hits int
 }
 
@@ -62,10 +62,10 @@
 	return e
 }
 
-// start takes an attempt in; it waits in the engine's queue without a slot.
+// enqueue adds an attempt to the engine's queue.
 func (e *engine) enqueue(r *attempt) { e.queued = append(e.queued, r) }
 
-// cancel drops an attempt. It returns it if it was there.
+// cancel removes an attempt and returns it, or nil if the engine does not have it.
 func (e *engine) cancel(id decision.RequestID, attemptID decision.AttemptID) *attempt {
 	for _, list := range []*[]*attempt{&e.queued, &e.running} {
 		for i, r := range *list {
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// step runs the engine for dt. It calls onFirst for first tokens and onEnd for
-// ends.
+// step runs the engine for dt. It calls onFirst for each first token and onEnd for
+// each attempt that ends.
 func (e *engine) step(dt time.Duration, onFirst, onEnd func(*engine, *attempt)) {
 	for len(e.queued) > 0 && len(e.running) < e.Slots {
 		r := e.queued[0]
@@ -94,7 +94,7 @@
 	}
 	prefillTime := e.runPrefill(seconds)
 	tokenTime := e.speed.tokenTime.Seconds() * (1 + batchSlowdown*float64(len(e.running)-1))
-	// Prefill takes its time from the decoding of the others.
+	// Time spent on prefill is not available for decoding.
 	tokens := (seconds - prefillTime) / tokenTime
 	kept := e.running[:0]
 	for _, r := range e.running {
@@ -120,7 +120,7 @@
 	e.running = kept
 }
 
-// prefillFor computes prompts in order of arrival and returns the time used.
+// runPrefill computes prompts in order of arrival and returns the seconds used.
 func (e *engine) runPrefill(seconds float64) float64 {
 	left := seconds
 	for _, r := range e.running {
@@ -139,7 +139,7 @@
 	return seconds - left
 }
 
-// serve runs the calls of a plain service side by side.
+// runServiceCalls runs the calls of a plain service in parallel.
 func (e *engine) runServiceCalls(seconds float64, onFirst, onEnd func(*engine, *attempt)) {
 	kept := e.running[:0]
 	for _, r := range e.running {
@@ -154,7 +154,7 @@
 	e.running = kept
 }
 
-// admit sizes an attempt's work as it gets its slot: what the cache holds of its
+// takeSlot sets the work of an attempt that gets a slot: the cached part of its
 // prompt need not be computed.
 func (e *engine) takeSlot(r *attempt) {
 	if e.Service != "" {
@@ -174,7 +174,8 @@
 	r.remaining = float64(r.job.tokens)
 }
 
-// remember puts a prompt in the cache, its start as the last used.
+// cachePrompt adds a prompt to the cache, with its first block as the most recently
+// used.
 func (e *engine) cachePrompt(blocks []decision.BlockHash) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if !e.cache.Contains(blocks[i]) {
@@ -184,7 +185,8 @@
 	}
 }
 
-// changes returns the cache event since the last one, and false for none.
+// cacheEvent returns the changes of the cache since the last event, and false when
+// there are none.
 func (e *engine) cacheEvent() (decision.CacheChanged, bool) {
 	if len(e.added) == 0 && len(e.removed) == 0 {
 		return decision.CacheChanged{}, false
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -8,15 +8,15 @@
 	"masticplank.example/decision"
 )
 
-// BadKind is how a version turns bad.
+// FaultKind is the kind of fault that a version develops.
 type FaultKind uint8
 
-// The ways that a version turns bad.
+// The kinds of faults.
 const (
 	NoFault FaultKind = iota
-	// BadErrors: one answer in four is an error.
+	// FaultErrors: one answer in four is an error.
 	FaultErrors
-	// BadRatings: answers are worth half.
+	// FaultRatings: the quality of the answers is halved.
 	FaultRatings
 )
 
@@ -24,22 +24,23 @@
 type Load struct {
 	Name string
 	Deployment
-	// Rate is the arrivals a second, in parts of the deployment's saturation, at
-	// a time since the start.
+	// Rate is the arrival rate at a time since the start, as a multiple of the
+	// deployment's saturation.
 	Rate func(t time.Duration) float64
 	// Skew gives one team 80% of the load.
 	Skew bool
-	// Model is asked for by all requests; empty leaves it open. Only with one
-	// model do the teams compete for one thing, so that shares can be told.
+	// Model is the model that all requests name; empty leaves it open. Shares of
+	// the teams can be measured only where they compete for one model.
 	Model decision.ModelID
-	// Bad is what becomes of smallNew from BadFrom on.
+	// Fault is the fault of smallNew from FaultFrom on.
 	Fault     FaultKind
 	FaultFrom time.Duration
-	// SlowFactor makes the first small and the first large server this much
-	// slower from SlowFrom on; 0 for none.
+	// SlowFactor is the factor by which the first small and the first large server
+	// are slower from SlowFrom on; 0 for none.
 	SlowFactor float64
 	SlowFrom   time.Duration
-	// Length of the run; what arrives before Warm is not counted.
+	// Duration is the time in which requests arrive; those that arrive before
+	// Warmup are not measured.
 	Duration time.Duration
 	Warmup   time.Duration
 }
@@ -48,8 +49,8 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// rush is a quiet start, a quick rise over saturation and a fall: a wool-order
-// rush, or the first morning of a term.
+// surge is a quiet start, a sudden rise above saturation and a fall, as in a
+// wool-order rush or on the first morning of a term.
 func surge(from, to time.Duration, quiet, peak float64) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		if t < from || t >= to {
@@ -59,8 +60,8 @@
 	}
 }
 
-// largeSaturation is the rate that saturates the large model when all ask for
-// it, in parts of the deployment's saturation.
+// largeSaturation is the rate that saturates the large model when all requests name
+// it, as a multiple of the deployment's saturation.
 const largeSaturation = 0.7
 
 const (
@@ -68,7 +69,7 @@
 	runWarmup = 60 * time.Second
 )
 
-// Loads lists the loads that are measured.
+// Loads returns the loads to measure.
 func Loads() []Load {
 	coop, agency := Coop(), Agency()
 	base := func(name string, d Deployment, rate func(time.Duration) float64) Load {
@@ -101,21 +102,25 @@
 	}
 }
 
-// job is a request as its caller knows it, and what it truly is.
+// job is a request and its properties that no policy can see.
 type job struct {
 	decision.Request
 	arrived  time.Duration
 	instance int
 	hard     bool
-	// tokens is the length of the answer.
+	// tokens is the length of the answer, in tokens.
 	tokens int
-	// noise is how the answers differ from the versions' mean.
+	// qualityNoise is the difference of the answer's quality from the version's
+	// mean.
 	qualityNoise float64
-	// fate decides, between 0 and 1, whether a failing version fails it.
+	// failDraw is uniform in [0, 1) and decides whether a faulty version fails the
+	// request.
 	failDraw float64
 }
 
-// The shapes of requests.
+// The properties of requests: blocks of their prompts, shares of the kinds of
+// requests, standard deviations of ratings and of answer quality, and median lengths
+// of answers in tokens.
 const (
 	blockTokens    = 32
 	templates      = 6
@@ -130,7 +135,7 @@
 	tokensDraft    = 250
 )
 
-// jobs draws all requests of a run.
+// jobs draws all requests of a run, in order of arrival.
 func (l Load) jobs(seed uint64) []*job {
 	rng := rand.New(rand.NewPCG(seed, 0x10ad))
 	var out []*job
@@ -202,7 +207,7 @@
 	return len(teamShares) - 1
 }
 
-// prompt is a team's template and then what is the request's own.
+// prompt returns the blocks of a team's template followed by random ones.
 func prompt(team, template int, rng *rand.Rand) []decision.BlockHash {
 	out := make([]decision.BlockHash, 0, templateBlocks+uniqueBlocks)
 	for i := range templateBlocks {
@@ -214,7 +219,7 @@
 	return out
 }
 
-// quality is what the answer of a version to this request is worth.
+// quality is the true quality of a version's answer to this request, 0 to 1.
 func (j *job) quality(v decision.VersionID, bad FaultKind) float64 {
 	t := trueQualities[v]
 	q := t.easy
--- a/decision/internal/policytest/report.go
+++ b/decision/internal/policytest/report.go
@@ -8,29 +8,33 @@
 	"time"
 )
 
-// Figures are a run's results as they are reported.
+// Figures are the reported results of a run.
 type Figures struct {
-	// Cost is the mean per whole answer of a model, Quality its mean rating and
-	// Missed by how much the worst team missed its target.
+	// Cost is the mean cost of a complete answer of a model, Quality the mean
+	// quality, and TargetShortfall the largest amount by which a team's quality is
+	// below its target.
 	Cost, Quality, TargetShortfall float64
-	// Seconds.
+	// Percentiles of the times to the first token and to the complete answer, in
+	// seconds.
 	FirstTokenP50, FirstTokenP95, FirstTokenP99 float64
 	LatencyP50, LatencyP95, LatencyP99          float64
-	// Goodput is whole answers in time a second, Work their generated tokens (with
-	// a tenth of the prompts') a second; Refused and Failed are parts of all
-	// requests.
+	// Goodput is the number of complete answers before their deadline per second.
+	// Throughput is the work of the complete model answers per second, in generated
+	// tokens; a prompt token counts a tenth. RefusedShare and FailedShare are shares
+	// of all requests.
 	Goodput, Throughput, RefusedShare, FailedShare float64
-	// Cached is the part of prompt blocks found in a prefix cache.
+	// CacheHitRate is the share of prompt blocks found in a prefix cache.
 	CacheHitRate float64
-	// LeastShare is NaN where the teams do not compete for one model.
+	// MinShareRatio is NaN where the teams do not compete for one model.
 	MinShareRatio float64
-	// Exposed is the requests that ran on the bad version, ExposedAfter the part
-	// of those that arrived after its first 50 bad answers.
+	// ExposedRequests counts the requests that ran on the faulty version.
+	// ExposedShareAfterLimit is the number of those after its first 50 bad answers,
+	// as a share of all requests that arrived after them.
 	ExposedRequests, ExposedShareAfterLimit float64
 	FalseAlarms                             float64
 }
 
-// Figures computes them.
+// Figures computes the reported figures.
 func (t *Results) Figures() Figures {
 	n := max(float64(t.ModelAnswers), 1)
 	all := max(float64(t.Arrived), 1)
@@ -57,14 +61,14 @@
 	}
 }
 
-// Column is one figure of the report.
+// Column is one column of the report.
 type Column struct {
 	Name   string
 	Value  func(Figures) float64
 	Format string
 }
 
-// Columns of the report, in order.
+// Columns lists the columns of the report in order.
 var Columns = []Column{
 	{"cost", func(f Figures) float64 { return f.Cost }, "%.3f"},
 	{"quality", func(f Figures) float64 { return f.Quality }, "%.3f"},
@@ -86,10 +90,10 @@
 	{"on bad after 50, %", func(f Figures) float64 { return 100 * f.ExposedShareAfterLimit }, "%.2f"},
 }
 
-// Spread is the median and the 10th and 90th percentile over seeds.
+// Spread holds the median and the 10th and 90th percentiles over seeds.
 type Spread struct{ Median, Low, High float64 }
 
-// SpreadOf computes a figure's spread.
+// SpreadOf computes the spread of one figure.
 func SpreadOf(runs []Figures, of func(Figures) float64) Spread {
 	list := make([]float64, 0, len(runs))
 	for _, f := range runs {
@@ -100,14 +104,14 @@
 	return Spread{Median: at(0.5), Low: at(0.1), High: at(0.9)}
 }
 
-// Row is one policy under one load.
+// Row holds the runs of one policy under one load.
 type Row struct {
 	Policy string
 	Runs   []Figures
 }
 
-// WriteTable writes a load's rows as a Markdown table, a cell being "median
-// (10th to 90th percentile)".
+// WriteTable writes a load's rows as a Markdown table with cells of the form
+// "median (10th–90th percentile)".
 func WriteTable(w io.Writer, l Load, rows []Row) {
 	fmt.Fprintf(w, "\n### %s, %s\n\n| policy |", l.Deployment.Name, l.Name)
 	for _, c := range Columns {
@@ -131,7 +135,7 @@
 	fmt.Fprintln(w)
 }
 
-// Measure runs a variant under a load for a number of seeds.
+// Measure runs a variant under a load for the seeds 1 to seeds.
 func Measure(l Load, v Variant, seeds int) Row {
 	row := Row{Policy: v.Name}
 	for seed := range seeds {
@@ -140,7 +144,7 @@
 	return row
 }
 
-// Scaled is the load with its times divided, for short tests.
+// Scaled returns the load with all its times divided by by, for short tests.
 func (l Load) Scaled(by int) Load {
 	rate := l.Rate
 	l.Rate = func(t time.Duration) float64 { return rate(t * time.Duration(by)) }
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -8,7 +8,7 @@
 	"masticplank.example/decision"
 )
 
-// caller is a request that waits for its answer.
+// caller is the caller of a request that has no answer yet.
 type caller struct {
 	job           *job
 	firstToken    time.Duration
@@ -18,7 +18,7 @@
 	ratingBudgets map[decision.AttemptID]time.Duration
 }
 
-// plan notes what a dispatch asks for.
+// recordDispatch records whether the answer is held and whether it is to be rated.
 func (c *caller) recordDispatch(d decision.Dispatch) {
 	c.held[d.Attempt] = d.Hold
 	if c.scores == nil {
@@ -30,30 +30,32 @@
 	}
 }
 
-// Tally is what came of one run, for the callers.
+// Results holds the results of one run as its callers see them.
 type Results struct {
 	load Load
-	// Arrived, Whole, Refused, Failed and Late are requests; Late ones were
-	// answered after their deadline, which counts as failed to their callers.
-	// Lost were never answered, Broken commands did not fit any request.
+	// The numbers of requests by their end. Late requests were answered after
+	// their deadline, which is a failure for their callers. InvalidCommands counts
+	// commands of the policy that match no request.
 	Arrived, Completed, Refused, Failed, Late, Unanswered, InvalidCommands int
-	// HeldToDeadline are refusals that came at the deadline.
+	// RefusedAtDeadline counts the refusals that came only at the deadline.
 	RefusedAtDeadline int
-	// FalseVerdicts are bad words on versions that are well.
+	// FalseAlarms counts bad verdicts on versions without a fault.
 	FalseAlarms int
-	// Cost and Quality are sums over whole answers of models.
+	// Cost and Quality are sums over the ModelAnswers complete answers of models.
 	Cost, Quality float64
 	ModelAnswers  int
-	// wholes are times of whole answers of models, firsts the times to the first
-	// token of those that are streamed.
+	// latencies are the times to the complete answers of models, firstTokens the
+	// times to the first token of those that are streamed.
 	firstTokens, latencies []time.Duration
-	// blocks are those of all prompts, cached those found in a prefix cache.
+	// promptBlocks counts the blocks of all prompts, cachedBlocks those found in a
+	// prefix cache.
 	promptBlocks, cachedBlocks int
 	teams                      map[decision.TeamID]*teamResults
 	fault                      faultResults
 }
 
-// teamTally is one team's part.
+// teamResults holds the results of one team. demand and served are in units of
+// work, quality is a sum of ratings by class.
 type teamResults struct {
 	demand, served float64
 	quality        map[decision.TaskClass]float64
@@ -62,16 +64,18 @@
 	weight         float64
 }
 
-// badTally follows smallNew once it is bad.
+// faultResults counts the effects of the fault of smallNew.
 type faultResults struct {
 	badAnswers int
-	// exposed counts requests dispatched to it, and of all requests those that
-	// arrived, from the start of its being bad and from its 50th bad answer on.
+	// exposedRequests counts the dispatches to smallNew since the fault began,
+	// exposedAfterLimit those after its 50th bad answer, and arrivedAfterLimit the
+	// requests to any model that arrived after that answer.
 	exposedRequests, exposedAfterLimit int
 	arrivedAfterLimit                  int
 }
 
-// badLimit is the number of bad answers after which a version should be barred.
+// maxBadAnswers is the number of bad answers after which a version should be
+// blocked.
 const maxBadAnswers = 50
 
 func newResults(l Load) *Results {
@@ -87,7 +91,7 @@
 	return t
 }
 
-// work is the size of a request, for shares among teams.
+// work is the size of a request, in generated tokens; a prompt token counts a tenth.
 func work(j *job) float64 { return float64(j.tokens) + 0.1*float64(j.PromptTokens) }
 
 func (t *Results) measured(j *job) bool { return j.arrived >= t.load.Warmup }
@@ -189,7 +193,7 @@
 	return s[min(int(p*float64(len(s))), len(s)-1)]
 }
 
-// work is the size of what was answered.
+// totalWork is the work of all complete answers.
 func (t *Results) totalWork() float64 {
 	total := 0.0
 	for i := range teamShares {
@@ -198,9 +202,10 @@
 	return total
 }
 
-// leastShare is the lowest ratio over the teams of what a team got to its
-// weighted max-min share of what all got. Teams that wanted less than their
-// share should get it all, and nobody's surplus counts against another.
+// minShareRatio is the lowest ratio, over the teams, of the work served to a team to
+// its weighted max-min fair share of all work served. A team that demanded less than
+// its share should get all of it, and what another team gets beyond its share does
+// not count against that one. It is NaN where the teams do not compete for one model.
 func (t *Results) minShareRatio() float64 {
 	if t.load.Model == "" {
 		return math.NaN()
@@ -239,9 +244,9 @@
 	return lowest
 }
 
-// missed is by how much the answers of the team and class farthest under its
-// quality target missed it. Those with under 100 answers are left out: the
-// standard error of their mean is over 0.015.
+// targetShortfall is the largest difference, over teams and classes, by which the mean
+// quality of the answers is below the team's target. Classes with under 100 answers
+// are left out: the standard error of their mean is over 0.015.
 func (t *Results) targetShortfall() float64 {
 	worst := 0.0
 	for _, x := range t.teams {
--- a/decision/internal/policytest/variants.go
+++ b/decision/internal/policytest/variants.go
@@ -2,18 +2,19 @@
 
 import "masticplank.example/decision"
 
-// Variant is a policy under measurement.
+// Variant is a named policy to measure.
 type Variant struct {
 	Name string
 	New  func(seed uint64) Policy
 }
 
-// plain is what a router without this module's decisions does: requests in the
-// order in which they came, whatever the wait, without affinity or verdicts.
+// baseline is a router without the decisions of this module: it serves requests in
+// order of arrival, however long the wait, without affinity or verdicts.
 var baseline = decision.Policy{NoAffinity: true, NoVerdicts: true, FIFO: true, NoWaitLimit: true}
 
-// Variants lists the policies. The first is the one meant for use; the next two
-// are plain routers, and each of the others differs from it in one decision.
+// Variants returns the policies to measure. The first is the one for production, the
+// next two are baseline routers, and each of the others differs from the first in
+// one decision.
 func Variants() []Variant {
 	roundRobin, least := baseline, baseline
 	roundRobin.Placement = decision.PlaceRoundRobin
@@ -29,7 +30,7 @@
 	}
 }
 
-// world makes the real policy with some of its decisions replaced.
+// newWorld returns a constructor of the real policy with some decisions replaced.
 func newWorld(p decision.Policy) func(uint64) Policy {
 	return func(seed uint64) Policy {
 		cfg := decision.DefaultConfig()
--- a/decision/internal/verdict/crashes_test.go
+++ b/decision/internal/verdict/crashes_test.go
@@ -8,6 +8,8 @@
 	"pgregory.net/rapid"
 )
 
+// Guards against a request that crashes more than two servers because its quarantine is
+// late, missing or too short, and against a quarantine that affects other requests.
 func TestCrashingRequest(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
@@ -15,49 +17,51 @@
 		t.Fatal("quarantined at the first crash")
 	}
 	if a, _ := c.Admit(1, startTime); a != CrashAllowed {
-		t.Fatalf("after one crash %v, want clear", a)
+		t.Fatalf("after one crash: admission %v, want CrashAllowed", a)
 	}
 	counted := c.AttemptStarted(1, startTime)
 	if a, _ := c.Admit(1, startTime); a != CrashWait {
-		t.Fatalf("beside a running copy %v, want wait", a)
+		t.Fatalf("beside a running copy: admission %v, want CrashWait", a)
 	}
 	q, until := c.AttemptEnded(1, counted, true, startTime)
 	if !q || !until.Equal(startTime.Add(cfg.Quarantine)) {
-		t.Fatalf("second crash: %v until %v", q, until)
+		t.Fatalf("second crash: quarantine %v until %v", q, until)
 	}
 	if a, _ := c.Admit(1, until.Add(-1)); a != CrashQuarantined {
-		t.Errorf("before its end %v, want quarantined", a)
+		t.Errorf("before the end of the quarantine: admission %v, want CrashQuarantined", a)
 	}
 	if a, _ := c.Admit(1, until); a != CrashAllowed {
-		t.Errorf("after its end %v, want clear", a)
+		t.Errorf("after the end of the quarantine: admission %v, want CrashAllowed", a)
 	}
 	if a, _ := c.Admit(2, startTime); a != CrashAllowed {
-		t.Errorf("another request %v, want clear", a)
+		t.Errorf("another request: admission %v, want CrashAllowed", a)
 	}
 }
 
+// Guards against crashes that count for ever, peers' quarantines that last longer than
+// own ones, and memory that grows with the number of fingerprints.
 func TestCrashMemory(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
 	c.AttemptEnded(1, false, true, startTime)
 	if q, _ := c.AttemptEnded(1, false, true, startTime.Add(cfg.CrashTTL+1)); q {
-		t.Error("a crash that is long past was counted")
+		t.Error("an expired crash was counted")
 	}
 	c.ApplyQuarantine(2, startTime.Add(24*time.Hour), startTime)
 	if _, until := c.Admit(2, startTime); !until.Equal(startTime.Add(cfg.Quarantine)) {
-		t.Errorf("a peer's quarantine holds until %v", until)
+		t.Errorf("a peer's quarantine lasts until %v", until)
 	}
 	c.ApplyQuarantine(3, startTime.Add(-1), startTime)
 	for f := range uint64(3 * cfg.MaxFingerprints) {
 		c.AttemptEnded(f, false, true, startTime)
 	}
 	if c.Len() != cfg.MaxFingerprints {
-		t.Errorf("%d kept, want %d", c.Len(), cfg.MaxFingerprints)
+		t.Errorf("%d fingerprints kept, want %d", c.Len(), cfg.MaxFingerprints)
 	}
 }
 
-// A request that crashes whatever runs it takes down at most two servers in
-// each quarantine, however its copies overlap after the first crash.
+// Guards against copies of a crashing request that run at the same time after the first
+// crash and together take down more than two servers before the quarantine.
 func TestCrashLimitProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCrashes[uint64](DefaultCrashConfig())
--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// pool returns n servers in one group.
+// newOutlierPool returns n servers in one group and their ids.
 func newOutlierPool(n int) (*Outliers[string, string], []string) {
 	o := NewOutliers[string, string](DefaultOutlierConfig())
 	var ids []string
@@ -24,13 +24,14 @@
 	return o, ids
 }
 
-// pace draws a pace with the spread of uneven work around 20 ms a token.
+// drawLatency draws a log-normal unit latency, as of uneven work, with a median of 20 ms
+// times factor.
 func drawLatency(rng *rand.Rand, factor float64) time.Duration {
 	return time.Duration(factor * 20e6 * math.Exp(0.3*rng.NormFloat64()))
 }
 
-// run sends attempts round robin for a number of seconds, 20 a second to each
-// server that admits, and returns how many each server got.
+// runAttempts sends attempts for a number of seconds, 20 a second to each server that
+// is not blocked, and returns how many each server got.
 func runAttempts(o *Outliers[string, string], ids []string, from time.Time, seconds int, rng *rand.Rand,
 	behave func(id string) (failed bool, factor float64)) map[string]int {
 	got := make(map[string]int)
@@ -50,6 +51,8 @@
 	return got
 }
 
+// Guards against a slow or failing server that is found late and gets much work until
+// then, and against the ejection of healthy servers beside it.
 func TestSickServerIsEjected(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -61,7 +64,7 @@
 		{"slow among 12", 12, 0, 4, 80},
 		{"very slow among 3", 3, 0, 10, 60},
 		{"fails always among 12", 12, 1, 1, 20},
-		{"fails always of two", 2, 1, 1, 20},
+		{"fails always among 2", 2, 1, 1, 20},
 		{"fails every other among 18", 18, 0.5, 1, 60},
 	}
 	for _, c := range cases {
@@ -78,20 +81,22 @@
 					return rng.Float64() < c.errorRate, c.factor
 				})
 				if got["s01"] > c.maxAttempts || got["s00"] < 1100 {
-					t.Errorf("seed %d: sick server got %d, a well one %d", seed, got["s01"], got["s00"])
+					t.Errorf("seed %d: faulty server got %d attempts, a healthy one %d", seed, got["s01"], got["s00"])
 				}
 			}
 		})
 	}
 }
 
+// Guards against ejections where no single server is at fault: healthy servers, all
+// equally slow or failing, or too few to tell which one is slow.
 func TestHealthyPoolsStayWhole(t *testing.T) {
 	cases := []struct {
 		name    string
 		servers int
 		behave  func(rng *rand.Rand) func(string) (bool, float64)
 	}{
-		{"well", 12, func(*rand.Rand) func(string) (bool, float64) {
+		{"healthy", 12, func(*rand.Rand) func(string) (bool, float64) {
 			return func(string) (bool, float64) { return false, 1 }
 		}},
 		{"all slow", 12, func(*rand.Rand) func(string) (bool, float64) {
@@ -111,14 +116,14 @@
 				o, ids := newOutlierPool(c.servers)
 				runAttempts(o, ids, startTime, 120, rng, c.behave(rng))
 				if n := o.Ejected("draft"); n != 0 {
-					t.Errorf("seed %d: %d ejected", seed, n)
+					t.Errorf("seed %d: %d servers ejected, want none", seed, n)
 				}
 			}
 		})
 	}
 }
 
-// A load that slows all servers at once ejects none of them.
+// Guards against ejections when a load peak slows all servers at once.
 func TestAllTurnSlow(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -127,14 +132,14 @@
 		got := runAttempts(o, ids, startTime.Add(30*time.Second), 30, rng, func(string) (bool, float64) { return false, 4 })
 		for id, n := range got {
 			if n < 590 {
-				t.Errorf("seed %d: %s got %d of 600", seed, id, n)
+				t.Errorf("seed %d: %s got %d of 600 attempts", seed, id, n)
 			}
 		}
 	}
 }
 
-// An instance that sends a server one attempt in 20 s still finds a slow one
-// within four.
+// Guards against a slow server that goes unnoticed because an instance sends it few
+// attempts: with one in 20 s it must be ejected within four.
 func TestSlowServerIsFoundBySeldomAttempts(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -154,11 +159,13 @@
 			o.Sweep(now.Add(2 * time.Second))
 		}
 		if o.Admit("s01", now.Add(2*time.Second)) != Blocked || sent > 4 {
-			t.Errorf("seed %d: not found after %d attempts", seed, sent)
+			t.Errorf("seed %d: slow server not ejected after %d attempts", seed, sent)
 		}
 	}
 }
 
+// Guards against an ejected server that never returns, also when a probe is lost, and
+// against several probes at a time.
 func TestEjectedServerReturnsByTrial(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	o, ids := newOutlierPool(6)
@@ -166,28 +173,28 @@
 	healthy := func(string) (bool, float64) { return false, 1 }
 	runAttempts(o, ids, startTime, 20, rng, faulty)
 	if o.Ejected("draft") != 1 {
-		t.Fatal("not ejected")
+		t.Fatal("the faulty server was not ejected")
 	}
 	now := startTime.Add(2 * time.Minute)
 	if o.Admit("s01", now) != Probe {
-		t.Fatal("no trial after the backoff")
+		t.Fatal("no probe after the backoff")
 	}
 	o.RecordDispatch("s01", now)
 	if o.Admit("s01", now) != Blocked {
-		t.Error("a second trial beside the first")
+		t.Error("a second probe beside the first")
 	}
 	late := now.Add(DefaultOutlierConfig().ProbeTimeout)
 	if o.Admit("s01", late) != Probe {
-		t.Error("no other trial after one that was lost")
+		t.Error("no other probe after the timeout of a lost one")
 	}
 	runAttempts(o, ids, late, 5, rng, healthy)
 	if o.Ejected("draft") != 0 {
-		t.Error("did not return")
+		t.Error("the server did not return after good probes")
 	}
 }
 
-// Whatever happens, no more than the cap is ejected, and a member that the list
-// has dropped does not count.
+// Guards, for random attempts, against more ejections than MaxEjectedShare allows, and
+// against servers that still count after they were removed from the list.
 func TestOutlierCapProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "servers")
@@ -205,12 +212,12 @@
 			o.ObserveAttempt(id, s&256 != 0, time.Duration(s>>10&1023)*time.Millisecond, now)
 			o.Sweep(now)
 			if o.Ejected("draft") > maxEjected {
-				t.Fatalf("%d of %d ejected", o.Ejected("draft"), n)
+				t.Fatalf("%d of %d servers ejected", o.Ejected("draft"), n)
 			}
 		}
 		o.Apply(nil)
 		if o.Ejected("draft") != 0 || len(o.servers) != 0 {
-			t.Fatal("forgotten servers are still counted")
+			t.Fatal("removed servers are still counted")
 		}
 	})
 }
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -17,13 +17,13 @@
 	newVersion = "draft@2"
 )
 
-// The ends of attempts at a version's only server.
+// The results of attempts at a version's only server.
 var (
 	failedAttempt = AttemptResult[string]{Server: "s00", OnlyServer: true, Failed: true}
 	goodAttempt   = AttemptResult[string]{Server: "s00", OnlyServer: true}
 )
 
-// truth is what a version really does.
+// behavior is how a version truly behaves.
 type behavior struct{ errorRate, quality, ratingStddev float64 }
 
 func newVersionPair() *Versions[string, string] {
@@ -35,8 +35,8 @@
 	return t
 }
 
-// serve runs one attempt of a version and reports whether it was a bad one: an
-// error, or a rating as a version of quality 0.8 gets it one time in 20.
+// serve runs one attempt of a version and reports whether it was bad: an error, or a
+// rating that a version of quality 0.8 gets in one case of 20 or less.
 func serve(t *Versions[string, string], id string, tr behavior, rng *rand.Rand) (bad bool) {
 	failed := rng.Float64() < tr.errorRate
 	server := fmt.Sprintf("s%02d", rng.IntN(12))
@@ -49,6 +49,8 @@
 	return score < 0.6
 }
 
+// Guards against a bad version that is blocked only after more than 50 bad answers,
+// whether it fails, answers badly, or does a little of both.
 func TestBadVersionIsBarredWithin50BadAnswers(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	cases := []struct {
@@ -80,17 +82,18 @@
 				}
 				if bad > 50 {
 					late++
-					t.Logf("seed %d: not barred after %d bad answers", seed, bad)
+					t.Logf("seed %d: not blocked after %d bad answers", seed, bad)
 				}
 			}
-			// The mildest fault, one failure in ten, passes 50 in 1 of 20 runs.
+			// The mildest fault, one failure in ten, exceeds 50 in 1 of 20 runs.
 			if late > 1 {
-				t.Errorf("not barred within 50 bad answers in %d of 30 runs", late)
+				t.Errorf("not blocked within 50 bad answers in %d of 30 runs", late)
 			}
 		})
 	}
 }
 
+// Guards against false alarms on a version that is as good as its predecessor.
 func TestGoodVersionIsNotBarred(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -99,7 +102,7 @@
 		{"equal", behavior{0.005, 0.8, 0.12}, behavior{0.005, 0.8, 0.12}},
 		{"better", behavior{0.01, 0.7, 0.12}, behavior{0.005, 0.8, 0.12}},
 		{"coarse ratings", behavior{0.005, 0.8, 0.4}, behavior{0.005, 0.8, 0.4}},
-		{"a fault that hits both", behavior{0.3, 0.4, 0.12}, behavior{0.3, 0.4, 0.12}},
+		{"a fault common to both", behavior{0.3, 0.4, 0.12}, behavior{0.3, 0.4, 0.12}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,7 +116,7 @@
 					serve(v, oldVersion, c.old, rng)
 					serve(v, newVersion, c.new, rng)
 					if v.Bad(newVersion, startTime) {
-						t.Fatalf("seed %d: barred after %d attempts", seed, i)
+						t.Fatalf("seed %d: blocked after %d attempts", seed, i)
 					}
 				}
 			}
@@ -121,7 +124,8 @@
 	}
 }
 
-// A server that fails, or dies with all that it ran, is not the version's fault.
+// Guards against a version that is blocked for the failures of one server, which fails
+// everything for a while or crashes with all that it runs.
 func TestOneServerDoesNotBarItsVersion(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	for _, broken := range []bool{false, true} {
@@ -137,12 +141,13 @@
 			}
 		}
 		if v.Bad(newVersion, startTime) {
-			t.Errorf("broken %v: one server's failures barred the version", broken)
+			t.Errorf("connection lost %v: the failures of one server blocked the version", broken)
 		}
 	}
 }
 
-// A fault that comes over the predecessor at the same time bars neither.
+// Guards against a version that is blocked for a fault that begins in its predecessor at
+// the same time.
 func TestCommonFault(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	fault := behavior{errorRate: 0.15, quality: 0.7, ratingStddev: 0.12}
@@ -163,12 +168,12 @@
 		}
 	}
 	if barred > 1 {
-		t.Errorf("a common fault barred the successor in %d of 30 runs", barred)
+		t.Errorf("a common fault blocked the successor in %d of 30 runs", barred)
 	}
 }
 
-// A first version has no predecessor: its own past is its reference, and a
-// wrong word in the manifest alone bars nothing.
+// Guards against a first version, which has no predecessor, that is blocked for a wrong
+// quality in the manifest, or not blocked when it gets worse than its own past.
 func TestVersionWithoutPredecessor(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -178,17 +183,19 @@
 			serve(v, oldVersion, behavior{0.005, 0.75, 0.12}, rng)
 		}
 		if v.Bad(oldVersion, startTime) {
-			t.Fatalf("seed %d: barred by the manifest's word alone", seed)
+			t.Fatalf("seed %d: blocked by the manifest's quality alone", seed)
 		}
 		for range 200 {
 			serve(v, oldVersion, behavior{0.005, 0.5, 0.12}, rng)
 		}
 		if !v.Bad(oldVersion, startTime) {
-			t.Fatalf("seed %d: not barred by its own past", seed)
+			t.Fatalf("seed %d: not blocked although worse than its own past", seed)
 		}
 	}
 }
 
+// Guards against a repaired version that stays blocked, and against a bad one that is
+// let back by lucky probes.
 func TestRecoveryByProbes(t *testing.T) {
 	good := behavior{0.005, 0.8, 0.12}
 	cases := []struct {
@@ -197,8 +204,8 @@
 		repaired  bool
 		maxProbes int
 	}{
-		{"failed and is mended", behavior{0.5, 0.8, 0.12}, true, 200},
-		{"rated badly and is mended", behavior{0.005, 0.5, 0.12}, true, 200},
+		{"failed and is repaired", behavior{0.5, 0.8, 0.12}, true, 200},
+		{"rated badly and is repaired", behavior{0.005, 0.5, 0.12}, true, 200},
 		{"stays failing", behavior{0.5, 0.8, 0.12}, false, 2000},
 		{"stays badly rated", behavior{0.005, 0.5, 0.12}, false, 2000},
 	}
@@ -228,14 +235,16 @@
 					t.Logf("seed %d: after %d probes bad is %v", seed, probes, c.repaired)
 				}
 			}
-			// A bad one is let back wrongly in 2 of 100 cases at most.
+			// A bad version is let back in 2 of 100 cases at most.
 			if wrong > 1 || c.repaired && wrong > 0 {
-				t.Errorf("wrong in %d of 20 runs", wrong)
+				t.Errorf("wrong verdict in %d of 20 runs", wrong)
 			}
 		})
 	}
 }
 
+// Guards against a blocked version that gets no probes, or more than one request in
+// ProbeEvery.
 func TestBarredVersionGetsATrickle(t *testing.T) {
 	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
@@ -252,6 +261,8 @@
 	}
 }
 
+// Guards against a version that is blocked for invalid ratings of a faulty rating
+// service.
 func TestNonsenseRatingsAreIgnored(t *testing.T) {
 	v := newVersionPair()
 	for _, score := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 7} {
@@ -260,10 +271,12 @@
 		}
 	}
 	if v.Bad(newVersion, startTime) {
-		t.Error("nonsense barred a version")
+		t.Error("invalid ratings blocked a version")
 	}
 }
 
+// Guards against a peer's verdict that has no effect, outlasts its end or
+// MaxPeerDuration, or cannot be withdrawn.
 func TestPeerWords(t *testing.T) {
 	cfg := DefaultVersionConfig()
 	cases := []struct {
@@ -273,10 +286,10 @@
 		want  bool
 	}{
 		{"holds", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}}, 59 * time.Second, true},
-		{"lapses", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}}, time.Minute, false},
+		{"expires", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}}, time.Minute, false},
 		{"bounded", []SharedVerdict[string]{{newVersion, true, startTime.Add(24 * time.Hour)}}, cfg.MaxPeerDuration, false},
-		{"lifted", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}, {Version: newVersion}}, 0, false},
-		{"older word does not shorten", []SharedVerdict[string]{
+		{"withdrawn", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}, {Version: newVersion}}, 0, false},
+		{"older verdict does not shorten", []SharedVerdict[string]{
 			{newVersion, true, startTime.Add(2 * time.Minute)}, {newVersion, true, startTime.Add(time.Minute)},
 		}, 90 * time.Second, true},
 		{"unknown version", []SharedVerdict[string]{{"x@1", true, startTime.Add(time.Minute)}}, 0, false},
@@ -294,6 +307,8 @@
 	}
 }
 
+// Guards against verdicts that expire at the peers while they hold here, or that are
+// sent in each tick, and against a recovery that the peers do not learn of.
 func TestOwnVerdictIsSharedAndRenewed(t *testing.T) {
 	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
@@ -306,7 +321,7 @@
 	}{{0, 1}, {every / 2, 0}, {every, 1}, {every + time.Second, 0}}
 	for _, s := range steps {
 		if got := v.VerdictsToShare(startTime.Add(s.at)); len(got) != s.want {
-			t.Errorf("at %v: %v, want %d words", s.at, got, s.want)
+			t.Errorf("at %v: %v, want %d verdicts", s.at, got, s.want)
 		}
 	}
 	for v.Bad(newVersion, startTime) {
@@ -314,12 +329,13 @@
 	}
 	got := v.VerdictsToShare(startTime.Add(every + 2*time.Second))
 	if len(got) != 1 || got[0].Bad {
-		t.Errorf("after recovery: %v, want one good word", got)
+		t.Errorf("after recovery: %v, want one good verdict", got)
 	}
 }
 
-// Two instances that each have half of the evidence find a bad version together;
-// a suspicion alone bars it at the peers for a time only, and is taken back.
+// Guards against a bad version that goes unnoticed while two instances have half of the
+// evidence each, and against a suspicion that blocks a version at the peers for ever or
+// is not withdrawn when it fades.
 func TestSuspicionIsShared(t *testing.T) {
 	suspect := func() *Versions[string, string] {
 		v := newVersionPair()
@@ -330,24 +346,24 @@
 	}
 	a, b := suspect(), suspect()
 	if a.Bad(newVersion, startTime) || b.Bad(newVersion, startTime) {
-		t.Fatal("half of the evidence was enough")
+		t.Fatal("half of the evidence made a verdict")
 	}
 	word := SharedVerdict[string]{newVersion, true, startTime.Add(20 * time.Second)}
 	a.ApplyPeerVerdict(word, startTime)
 	if got := a.VerdictsToShare(startTime); len(got) != 1 || !got[0].Bad {
-		t.Errorf("two halves: %v, want a bad word", got)
+		t.Errorf("two halves of the evidence: %v, want a bad verdict", got)
 	}
 	if !a.Bad(newVersion, startTime.Add(time.Hour)) {
-		t.Error("two halves made no verdict")
+		t.Error("two halves of the evidence made no verdict")
 	}
 	c := newVersionPair()
 	c.ApplyPeerVerdict(word, startTime)
 	if !c.Bad(newVersion, startTime) || c.Bad(newVersion, word.Until) {
-		t.Error("a peer's suspicion does not bar until its end only")
+		t.Error("a peer's suspicion does not block exactly until its end")
 	}
 	late := startTime.Add(DefaultVersionConfig().MaxSuspicion)
 	if got := b.VerdictsToShare(late); len(got) != 0 {
-		t.Errorf("a suspicion that stands still is told for ever: %v", got)
+		t.Errorf("an unchanged suspicion is still shared: %v", got)
 	}
 	for len(b.VerdictsToShare(late)) == 0 {
 		b.ObserveAttempt(newVersion, goodAttempt, startTime)
@@ -357,7 +373,8 @@
 	}
 }
 
-// A new manifest keeps the verdict and drops what nobody lists any more.
+// Guards against a new manifest that resets verdicts, or that leaves versions in memory
+// that it does not list.
 func TestApplyKeepsVerdicts(t *testing.T) {
 	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
@@ -365,16 +382,16 @@
 	}
 	v.Apply([]VersionInfo[string]{{ID: newVersion, Predecessor: oldVersion, Quality: 0.8}})
 	if !v.Bad(newVersion, startTime) || len(v.versions) != 2 {
-		t.Errorf("bad %v with %d rows, want true with 2", v.Bad(newVersion, startTime), len(v.versions))
+		t.Errorf("bad is %v with %d versions, want true with 2", v.Bad(newVersion, startTime), len(v.versions))
 	}
 	v.Apply([]VersionInfo[string]{{ID: oldVersion}})
 	if len(v.versions) != 1 {
-		t.Errorf("%d rows, want 1", len(v.versions))
+		t.Errorf("%d versions, want 1", len(v.versions))
 	}
 }
 
-// Whatever is observed, in any order, a barred version gets at most one request
-// in ProbeEvery, and equal inputs give equal answers.
+// Guards, for random observations in any order, against a blocked version that gets more
+// than one request in ProbeEvery, and against results that differ for equal inputs.
 func TestVersionsProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newVersionPair(), newVersionPair()
@@ -391,7 +408,7 @@
 			}
 			got, want := a.Admit(id, now), b.Admit(id, now)
 			if got != want {
-				t.Fatalf("%v and %v from equal inputs", got, want)
+				t.Fatalf("equal inputs give %v and %v", got, want)
 			}
 			switch got {
 			case Blocked:
@@ -401,7 +418,7 @@
 			}
 		}
 		if probes*int(DefaultVersionConfig().ProbeEvery-1) > barred {
-			t.Fatalf("%d probes beside %d barred", probes, barred)
+			t.Fatalf("%d probes beside %d blocked requests", probes, barred)
 		}
 	})
 }
