--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -27,10 +27,12 @@
 
 var bothOptions = []Option[string]{{small, 1}, {large, 10}}
 
-// trueQuality is the mean quality of a version's answers to easy and to hard requests.
+// trueQuality is the mean quality of a version's answers to easy and to hard
+// requests.
 type trueQuality struct{ easy, hard float64 }
 
-// simulation serves requests by the plans of a table and records quality and cost.
+// simulation serves requests by the plans of a table and records quality and
+// cost.
 type simulation struct {
 	t         *table
 	rng       *rand.Rand
@@ -60,7 +62,8 @@
 
 var usualPrior = map[string]float64{small: 0.7, large: 0.88}
 
-// answer runs one attempt and returns the true quality of its answer and its rating.
+// answer runs one attempt and returns the true quality of its answer and its
+// rating.
 func (sim *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
 	n := sim.qualities[v]
 	score = n.easy
@@ -101,8 +104,8 @@
 	}
 }
 
-// Guards against plans that miss the quality target, or that pay for the expensive
-// version where the cheap one or a cascade of both meets it.
+// Guards against plans that miss the quality target, or that pay for the
+// expensive version where the cheap one or a cascade of both meets it.
 func TestPlansMeetTheTargetAtLowCost(t *testing.T) {
 	usual := map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
 	equal := map[string]trueQuality{small: {0.9, 0.9}, large: {0.92, 0.85}}
@@ -112,7 +115,8 @@
 		natures map[string]trueQuality
 		target  float64
 		mayHold bool
-		// maxCost is the highest mean cost, as a share of that of always using large.
+		// maxCost is the highest mean cost, as a share of that of always using
+		// large.
 		maxCost float64
 	}{
 		{"cheap alone meets a low target", usual, 0.70, true, 0.3},
@@ -140,8 +144,9 @@
 	}
 }
 
-// Guards against a faulty rating service: its ratings must not change the estimates,
-// no answer may be held for it, and it must be used again after it has recovered.
+// Guards against a faulty rating service: its ratings must not change the
+// estimates, no answer may be held for it, and it must be used again after it
+// has recovered.
 func TestRatingServiceFaults(t *testing.T) {
 	never := func(float64) (float64, bool) { return 0, true }
 	nonsense := func(float64) (float64, bool) { return math.NaN(), false }
@@ -210,8 +215,8 @@
 	}
 }
 
-// Guards against a new class that starts from the manifest's quality although other
-// classes have ratings of the version.
+// Guards against a new class that starts from the manifest's quality although
+// other classes have ratings of the version.
 func TestNewClassStartsFromTheOthers(t *testing.T) {
 	sim := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
 	for range 500 {
@@ -223,9 +228,9 @@
 	}
 }
 
-// Guards, for random inputs, against plans with versions that are no option, cascades
-// where holding is not allowed, invalid estimates, and plans that differ for equal
-// inputs.
+// Guards, for random inputs, against plans with versions that are no option,
+// cascades where holding is not allowed, invalid estimates, and plans that
+// differ for equal inputs.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New[string, string, string](DefaultConfig()), New[string, string, string](DefaultConfig())
@@ -277,8 +282,8 @@
 	}
 }
 
-// Guards against tables that grow without bound: with the classes that callers choose,
-// or with versions that the manifest does not list.
+// Guards against tables that grow without bound: with the classes that callers
+// choose, or with versions that the manifest does not list.
 func TestTasksAreBounded(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxTasks = 10
--- a/decision/internal/estimate/plan.go
+++ b/decision/internal/estimate/plan.go
@@ -21,9 +21,9 @@
 	Target float64
 	// Options has at most one entry per version, in any order.
 	Options []Option[V]
-	// MayHold allows cascades. The first answer of a cascade is held back until it
-	// is rated, so its caller waits longer for the first token. Without MayHold
-	// only single versions are planned.
+	// MayHold allows cascades. The first answer of a cascade is held back until
+	// it is rated, so its caller waits longer for the first token. Without
+	// MayHold only single versions are planned.
 	MayHold bool
 	// Draw is a uniform random number in [0, 1) that decides on exploration.
 	Draw float64
@@ -34,8 +34,8 @@
 type Plan[V comparable] struct {
 	// First is the version to run; the zero value when there was no option.
 	First V
-	// Cascade says that the answer is held until it is rated, and that an answer of
-	// Second replaces it when the rating is below Threshold.
+	// Cascade says that the answer is held until it is rated, and that an answer
+	// of Second replaces it when the rating is below Threshold.
 	Cascade   bool
 	Second    V
 	Threshold float64
@@ -97,9 +97,9 @@
 	return c.plan
 }
 
-// explorationPlan returns a plan that runs v first. Where answers may be held, the
-// best plan's version is the second step, so that exploring costs the caller no
-// quality.
+// explorationPlan returns a plan that runs v first. Where answers may be held,
+// the best plan's version is the second step, so that exploring costs the caller
+// no quality.
 func explorationPlan[T, C, V cmp.Ordered](best Plan[V], v V, q Query[T, C, V]) Plan[V] {
 	p := Plan[V]{First: v, Explore: true, Quality: best.Quality, Cost: best.Cost}
 	if q.MayHold {
@@ -233,10 +233,10 @@
 
 func clamp(x, lo, hi float64) float64 { return min(max(x, lo), hi) }
 
-// explorations returns the versions that are cheaper than the most expensive step
-// of the plan and that the plan does not start with. Where answers cannot be held,
-// exploring may cost quality, so it is done less the further a version's estimate
-// lies below the target.
+// explorations returns the versions that are cheaper than the most expensive
+// step of the plan and that the plan does not start with. Where answers cannot
+// be held, exploring may cost quality, so it is done less the further a
+// version's estimate lies below the target.
 func (t *Table[T, C, V]) explorations(list []candidate[V], p Plan[V], q Query[T, C, V]) []exploration[V] {
 	mostExpensive := p.First
 	if p.Cascade {
--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -20,10 +20,10 @@
 	// StaleHalfLife is the time in which ratings lose half of their weight while
 	// no new ones arrive.
 	StaleHalfLife time.Duration
-	// Confidence is the number of standard errors by which the expected quality of
-	// a plan must exceed the target. At 0 half of the plans that just meet the
-	// target miss it; at 1 every plan pays for more quality than was asked for.
-	// See docs/MEASUREMENTS.md.
+	// Confidence is the number of standard errors by which the expected quality
+	// of a plan must exceed the target. At 0 half of the plans that just meet
+	// the target miss it; at 1 every plan pays for more quality than was asked
+	// for. See docs/MEASUREMENTS.md.
 	Confidence float64
 	// ExploreShare is the share of requests that run another version first to
 	// gain observations; ExploreNewShare replaces it for versions with fewer than
--- a/decision/internal/fair/account.go
+++ b/decision/internal/fair/account.go
@@ -60,9 +60,9 @@
 	a.tag += (cost - back) / a.weight
 }
 
-// startTag is the tag at which an item queued now starts. An account that was idle
-// starts at the current virtual time less the group's idle credit: it gets its
-// share from now on, and no more than the credit for the time it was idle.
+// startTag is the tag at which an item queued now starts. An account that was
+// idle starts at the current virtual time less the group's idle credit: it gets
+// its share from now on, and no more than the credit for the time it was idle.
 func (a *Account) startTag() float64 {
 	if a.queued > 0 {
 		return a.tag
--- a/decision/internal/fair/fair.go
+++ b/decision/internal/fair/fair.go
@@ -1,27 +1,28 @@
 // Package fair shares capacity among teams by weighted max-min fairness, with
 // priority within a team, over any number of queues.
 //
-// It implements start-time fair queueing: each team's account has a tag, the work
-// that it was served divided by its weight, and in each queue the account with
-// the smallest tag is next. Unfairness is bounded as with deficit round robin, but
-// no quantum is needed, which with costs from 1 to 100,000 tokens would be either
-// unfair or slow.
+// It implements start-time fair queueing: each team's account has a tag, the
+// work that it was served divided by its weight, and in each queue the account
+// with the smallest tag is next. Unfairness is bounded as with deficit round
+// robin, but no quantum is needed, which with costs from 1 to 100,000 tokens
+// would be either unfair or slow.
 //
 // A team has one account for all queues: a team that can use only one pool gets
 // more of that pool when it gets nothing of the others (max-min fairness with
-// placement constraints). Push, Pop and Remove take O(log flows + log items of the
-// flow).
+// placement constraints). Push, Pop and Remove take O(log flows + log items of
+// the flow).
 //
 // Nothing here is safe for concurrent use. Equal calls give equal orders.
 package fair
 
 import "container/heap"
 
-// Item is one piece of work. It is allocated by the caller and can be queued in at
-// most one flow at a time.
+// Item is one piece of work. It is allocated by the caller and can be queued in
+// at most one flow at a time.
 type Item[T any] struct {
 	Value T
-	// Cost is above 0, in a unit that the caller chooses for all queues of a Group.
+	// Cost is above 0, in a unit that the caller chooses for all queues of a
+	// Group.
 	Cost float64
 	// Priority orders the items within the flow, higher first; equal ones are in
 	// order of their first Push.
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -106,8 +106,9 @@
 	}
 }
 
-// Guards against accounts that are charged per queue: a team that was served alone
-// in one queue must yield in the other, until both teams were served as much.
+// Guards against accounts that are charged per queue: a team that was served
+// alone in one queue must yield in the other, until both teams were served as
+// much.
 func TestAccountsSpanQueues(t *testing.T) {
 	var g Group
 	var one, both Queue[string]
@@ -137,8 +138,8 @@
 	}
 }
 
-// Guards against refunds that are lost or counted twice: an overcharge is deducted
-// from the next charges, and only once.
+// Guards against refunds that are lost or counted twice: an overcharge is
+// deducted from the next charges, and only once.
 func TestCorrection(t *testing.T) {
 	var g Group
 	a := g.NewAccount(2)
--- a/decision/internal/fair/heaps.go
+++ b/decision/internal/fair/heaps.go
@@ -1,7 +1,7 @@
 package fair
 
-// itemEntry holds the sort keys of an item, so that comparing does not dereference
-// it.
+// itemEntry holds the sort keys of an item, so that comparing does not
+// dereference it.
 type itemEntry[T any] struct {
 	priority int
 	seq      uint64
--- a/decision/internal/place/place.go
+++ b/decision/internal/place/place.go
@@ -22,11 +22,11 @@
 	CacheSavings float64
 	// SameDomain is set when the server is in the instance's own failure domain.
 	SameDomain bool
-	// VersionLoaded is set when the server has the version loaded, or provides the
-	// plain service that the request is for.
+	// VersionLoaded is set when the server has the version loaded, or provides
+	// the plain service that the request is for.
 	VersionLoaded bool
-	// Leaving and Ejected servers get no new work. Servers that are excluded for a
-	// short while count as Ejected too.
+	// Leaving and Ejected servers get no new work. Servers that are excluded for
+	// a short while count as Ejected too.
 	Leaving bool
 	Ejected bool
 	// Tried is set when the request has failed on the server already.
--- a/decision/internal/place/scorers.go
+++ b/decision/internal/place/scorers.go
@@ -8,9 +8,9 @@
 // Score implements Scorer.
 func (LeastLoad) Score(c *Candidate) float64 { return -c.Load }
 
-// PrefixAffinity prefers servers that have the prompt's prefix cached, as long as
-// their load is below MaxLoad: above it the wait costs more than the prefix saves,
-// and all requests with a popular prefix would go to one server.
+// PrefixAffinity prefers servers that have the prompt's prefix cached, as long
+// as their load is below MaxLoad: above it the wait costs more than the prefix
+// saves, and all requests with a popular prefix would go to one server.
 type PrefixAffinity struct {
 	// Weight is the score of a request that the cache saves entirely.
 	Weight float64
--- a/decision/internal/policytest/bench.go
+++ b/decision/internal/policytest/bench.go
@@ -15,10 +15,10 @@
 // start is the time of the first tick.
 var start = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
-// The intervals and delays of the model. cacheEventLoss is the probability that an
-// instance misses a cache event. A rating takes ratingTimeMin plus a uniformly
-// distributed time up to ratingTimeSpan. After the last arrival the simulation runs
-// on for drainTime.
+// The intervals and delays of the model. cacheEventLoss is the probability that
+// an instance misses a cache event. A rating takes ratingTimeMin plus a
+// uniformly distributed time up to ratingTimeSpan. After the last arrival the
+// simulation runs on for drainTime.
 const (
 	tick           = 10 * time.Millisecond
 	reportInterval = 500 * time.Millisecond
@@ -54,8 +54,8 @@
 	results *Results
 }
 
-// Run runs the load with one policy per instance, made by newPolicy, and returns the
-// results.
+// Run runs the load with one policy per instance, made by newPolicy, and returns
+// the results.
 func Run(l Load, seed uint64, newPolicy func(seed uint64) Policy) *Results {
 	sim := &simulation{
 		load:       l,
@@ -130,8 +130,8 @@
 	sim.inbox[instance] = append(sim.inbox[instance], e)
 }
 
-// sendAfter delivers an event to an instance after a delay, in the next tick at the
-// earliest.
+// sendAfter delivers an event to an instance after a delay, in the next tick at
+// the earliest.
 func (sim *simulation) sendAfter(instance int, e decision.Event, after time.Duration) {
 	at := (sim.now + after).Truncate(tick)
 	if at <= sim.now {
@@ -140,7 +140,8 @@
 	sim.pending[at] = append(sim.pending[at], pendingEvent{at, instance, e})
 }
 
-// publishReports sends load reports and cache events with their delays and losses.
+// publishReports sends load reports and cache events with their delays and
+// losses.
 func (sim *simulation) publishReports() {
 	for _, e := range sim.engines {
 		if sim.now%reportInterval == 0 {
--- a/decision/internal/policytest/deployment.go
+++ b/decision/internal/policytest/deployment.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// modelSlots and recordSlots are the numbers of requests that a model's server and a
-// server of the plain service run at once.
+// modelSlots and recordSlots are the numbers of requests that a model's server
+// and a server of the plain service run at once.
 const (
 	modelSlots  = 8
 	recordSlots = 16
@@ -118,7 +118,8 @@
 
 func teamID(i int) decision.TeamID { return decision.TeamID(fmt.Sprintf("team-%d", i)) }
 
-// teams returns the teams. The large ones have twice the weight of the small ones.
+// teams returns the teams. The large ones have twice the weight of the small
+// ones.
 func teams() []decision.Team {
 	var out []decision.Team
 	for i := range teamShares {
@@ -137,8 +138,9 @@
 	return out
 }
 
-// versions returns the versions as the manifest states them. The stated quality is
-// the estimate of whoever published them, and some hundredths off the true one.
+// versions returns the versions as the manifest states them. The stated quality
+// is the estimate of whoever published them, and some hundredths off the true
+// one.
 func versions() []decision.Version {
 	return []decision.Version{
 		{ID: smallOld, Model: smallModel, State: decision.VersionServing, Share: 1, Cost: 1, Quality: 0.80},
@@ -150,8 +152,8 @@
 // prices are the versions' cost per 1000 tokens.
 var prices = map[decision.VersionID]float64{smallOld: 1, smallNew: 1, large: 10}
 
-// trueQuality is the mean rating of a version's answers without noise, for requests
-// of class lookup and for easy and hard ones of class draft.
+// trueQuality is the mean rating of a version's answers without noise, for
+// requests of class lookup and for easy and hard ones of class draft.
 type trueQuality struct{ lookup, easy, hard float64 }
 
 var trueQualities = map[decision.VersionID]trueQuality{
--- a/decision/internal/policytest/doc.go
+++ b/decision/internal/policytest/doc.go
@@ -3,9 +3,9 @@
 // Callers, engines and the rating service are simple models. The policy is the
 // real one or a baseline with the same interface, the events and commands of
 // package decision. It does not simulate a cluster: there is no network, and no
-// failures but those that a Load specifies. Everything is drawn from the seed, and
-// the properties of a request (its size and difficulty) are drawn before any policy
-// sees it, so that policies are compared on the same requests.
+// failures but those that a Load specifies. Everything is drawn from the seed,
+// and the properties of a request (its size and difficulty) are drawn before any
+// policy sees it, so that policies are compared on the same requests.
 //
 // The engine model: continuous batching with a bounded number of slots, its own
 // queue for requests beyond them, prefill before decode, decode slowing down with
--- a/decision/internal/policytest/engine.go
+++ b/decision/internal/policytest/engine.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cacheBlocks bounds an engine's prefix cache: it holds a quarter of all templates
-// and the blocks of the running requests.
+// cacheBlocks bounds an engine's prefix cache: it holds a quarter of all
+// templates and the blocks of the running requests.
 const cacheBlocks = 600
 
 // serviceCallTime is the time of a call of the plain service.
@@ -65,7 +65,8 @@
 // enqueue adds an attempt to the engine's queue.
 func (e *engine) enqueue(r *attempt) { e.queued = append(e.queued, r) }
 
-// cancel removes an attempt and returns it, or nil if the engine does not have it.
+// cancel removes an attempt and returns it, or nil if the engine does not have
+// it.
 func (e *engine) cancel(id decision.RequestID, attemptID decision.AttemptID) *attempt {
 	for _, list := range []*[]*attempt{&e.queued, &e.running} {
 		for i, r := range *list {
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// step runs the engine for dt. It calls onFirst for each first token and onEnd for
-// each attempt that ends.
+// step runs the engine for dt. It calls onFirst for each first token and onEnd
+// for each attempt that ends.
 func (e *engine) step(dt time.Duration, onFirst, onEnd func(*engine, *attempt)) {
 	for len(e.queued) > 0 && len(e.running) < e.Slots {
 		r := e.queued[0]
@@ -174,8 +175,8 @@
 	r.remaining = float64(r.job.tokens)
 }
 
-// cachePrompt adds a prompt to the cache, with its first block as the most recently
-// used.
+// cachePrompt adds a prompt to the cache, with its first block as the most
+// recently used.
 func (e *engine) cachePrompt(blocks []decision.BlockHash) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if !e.cache.Contains(blocks[i]) {
@@ -185,8 +186,8 @@
 	}
 }
 
-// cacheEvent returns the changes of the cache since the last event, and false when
-// there are none.
+// cacheEvent returns the changes of the cache since the last event, and false
+// when there are none.
 func (e *engine) cacheEvent() (decision.CacheChanged, bool) {
 	if len(e.added) == 0 && len(e.removed) == 0 {
 		return decision.CacheChanged{}, false
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -47,9 +47,9 @@
 	return tally.Figures()
 }
 
-// Guards against plans that pay for more quality than the target, or miss it: costs
-// must stay below 60% of those of always using the best model, and below those of a
-// fixed cascade.
+// Guards against plans that pay for more quality than the target, or miss it:
+// costs must stay below 60% of those of always using the best model, and below
+// those of a fixed cascade.
 func TestCostAtTheQualityTarget(t *testing.T) {
 	t.Parallel()
 	l := loadNamed(t, "co-op", "usual day")
@@ -64,10 +64,10 @@
 	}
 }
 
-// Guards against a verdict that comes late or does not last. The share of requests on
-// the bad version after its first 50 bad answers decreases with the length of the
-// run, so the total number of requests that it gets is checked too, for each of
-// several seeds.
+// Guards against a verdict that comes late or does not last. The share of
+// requests on the bad version after its first 50 bad answers decreases with the
+// length of the run, so the total number of requests that it gets is checked
+// too, for each of several seeds.
 func TestBadVersionExposure(t *testing.T) {
 	t.Parallel()
 	const seeds = 3
@@ -89,8 +89,8 @@
 	}
 }
 
-// Guards against goodput and throughput that collapse at twice the saturation rate,
-// where capacity is spent on answers that come too late.
+// Guards against goodput and throughput that collapse at twice the saturation
+// rate, where capacity is spent on answers that come too late.
 func TestGoodputBeyondSaturation(t *testing.T) {
 	t.Parallel()
 	once := figures(t, loadNamed(t, "co-op", "saturation x1"), "decision")
@@ -101,9 +101,9 @@
 	}
 }
 
-// Guards against slow first tokens at saturation: their 95th percentile must be at
-// most half of that of a round robin router. Over 10 seeds of 240 s the ratios are
-// 0.49 and 0.46; the bound allows for one short run.
+// Guards against slow first tokens at saturation: their 95th percentile must be
+// at most half of that of a round robin router. Over 10 seeds of 240 s the
+// ratios are 0.49 and 0.46; the bound allows for one short run.
 func TestFirstTokenAtSaturation(t *testing.T) {
 	t.Parallel()
 	l := loadNamed(t, "agency", "saturation x1")
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -35,8 +35,8 @@
 	// Fault is the fault of smallNew from FaultFrom on.
 	Fault     FaultKind
 	FaultFrom time.Duration
-	// SlowFactor is the factor by which the first small and the first large server
-	// are slower from SlowFrom on; 0 for none.
+	// SlowFactor is the factor by which the first small and the first large
+	// server are slower from SlowFrom on; 0 for none.
 	SlowFactor float64
 	SlowFrom   time.Duration
 	// Duration is the time in which requests arrive; those that arrive before
@@ -60,8 +60,8 @@
 	}
 }
 
-// largeSaturation is the rate that saturates the large model when all requests name
-// it, as a multiple of the deployment's saturation.
+// largeSaturation is the rate that saturates the large model when all requests
+// name it, as a multiple of the deployment's saturation.
 const largeSaturation = 0.7
 
 const (
@@ -113,14 +113,14 @@
 	// qualityNoise is the difference of the answer's quality from the version's
 	// mean.
 	qualityNoise float64
-	// failDraw is uniform in [0, 1) and decides whether a faulty version fails the
-	// request.
+	// failDraw is uniform in [0, 1) and decides whether a faulty version fails
+	// the request.
 	failDraw float64
 }
 
 // The properties of requests: blocks of their prompts, shares of the kinds of
-// requests, standard deviations of ratings and of answer quality, and median lengths
-// of answers in tokens.
+// requests, standard deviations of ratings and of answer quality, and median
+// lengths of answers in tokens.
 const (
 	blockTokens    = 32
 	templates      = 6
--- a/decision/internal/policytest/report.go
+++ b/decision/internal/policytest/report.go
@@ -11,25 +11,25 @@
 // Figures are the reported results of a run.
 type Figures struct {
 	// Cost is the mean cost of a complete answer of a model, Quality the mean
-	// quality, and TargetShortfall the largest amount by which a team's quality is
-	// below its target.
+	// quality, and TargetShortfall the largest amount by which a team's quality
+	// is below its target.
 	Cost, Quality, TargetShortfall float64
 	// Percentiles of the times to the first token and to the complete answer, in
 	// seconds.
 	FirstTokenP50, FirstTokenP95, FirstTokenP99 float64
 	LatencyP50, LatencyP95, LatencyP99          float64
-	// Goodput is the number of complete answers before their deadline per second.
-	// Throughput is the work of the complete model answers per second, in generated
-	// tokens; a prompt token counts a tenth. RefusedShare and FailedShare are shares
-	// of all requests.
+	// Goodput is the number of complete answers before their deadline per
+	// second. Throughput is the work of the complete model answers per second,
+	// in generated tokens; a prompt token counts a tenth. RefusedShare and
+	// FailedShare are shares of all requests.
 	Goodput, Throughput, RefusedShare, FailedShare float64
 	// CacheHitRate is the share of prompt blocks found in a prefix cache.
 	CacheHitRate float64
 	// MinShareRatio is NaN where the teams do not compete for one model.
 	MinShareRatio float64
 	// ExposedRequests counts the requests that ran on the faulty version.
-	// ExposedShareAfterLimit is the number of those after its first 50 bad answers,
-	// as a share of all requests that arrived after them.
+	// ExposedShareAfterLimit is the number of those after its first 50 bad
+	// answers, as a share of all requests that arrived after them.
 	ExposedRequests, ExposedShareAfterLimit float64
 	FalseAlarms                             float64
 }
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -18,7 +18,8 @@
 	ratingBudgets map[decision.AttemptID]time.Duration
 }
 
-// recordDispatch records whether the answer is held and whether it is to be rated.
+// recordDispatch records whether the answer is held and whether it is to be
+// rated.
 func (c *caller) recordDispatch(d decision.Dispatch) {
 	c.held[d.Attempt] = d.Hold
 	if c.scores == nil {
@@ -34,8 +35,8 @@
 type Results struct {
 	load Load
 	// The numbers of requests by their end. Late requests were answered after
-	// their deadline, which is a failure for their callers. InvalidCommands counts
-	// commands of the policy that match no request.
+	// their deadline, which is a failure for their callers. InvalidCommands
+	// counts commands of the policy that match no request.
 	Arrived, Completed, Refused, Failed, Late, Unanswered, InvalidCommands int
 	// RefusedAtDeadline counts the refusals that came only at the deadline.
 	RefusedAtDeadline int
@@ -47,8 +48,8 @@
 	// latencies are the times to the complete answers of models, firstTokens the
 	// times to the first token of those that are streamed.
 	firstTokens, latencies []time.Duration
-	// promptBlocks counts the blocks of all prompts, cachedBlocks those found in a
-	// prefix cache.
+	// promptBlocks counts the blocks of all prompts, cachedBlocks those found in
+	// a prefix cache.
 	promptBlocks, cachedBlocks int
 	teams                      map[decision.TeamID]*teamResults
 	fault                      faultResults
@@ -68,8 +69,8 @@
 type faultResults struct {
 	badAnswers int
 	// exposedRequests counts the dispatches to smallNew since the fault began,
-	// exposedAfterLimit those after its 50th bad answer, and arrivedAfterLimit the
-	// requests to any model that arrived after that answer.
+	// exposedAfterLimit those after its 50th bad answer, and arrivedAfterLimit
+	// the requests to any model that arrived after that answer.
 	exposedRequests, exposedAfterLimit int
 	arrivedAfterLimit                  int
 }
@@ -91,7 +92,8 @@
 	return t
 }
 
-// work is the size of a request, in generated tokens; a prompt token counts a tenth.
+// work is the size of a request, in generated tokens; a prompt token counts a
+// tenth.
 func work(j *job) float64 { return float64(j.tokens) + 0.1*float64(j.PromptTokens) }
 
 func (t *Results) measured(j *job) bool { return j.arrived >= t.load.Warmup }
@@ -202,10 +204,11 @@
 	return total
 }
 
-// minShareRatio is the lowest ratio, over the teams, of the work served to a team to
-// its weighted max-min fair share of all work served. A team that demanded less than
-// its share should get all of it, and what another team gets beyond its share does
-// not count against that one. It is NaN where the teams do not compete for one model.
+// minShareRatio is the lowest ratio, over the teams, of the work served to a
+// team to its weighted max-min fair share of all work served. A team that
+// demanded less than its share should get all of it, and what another team gets
+// beyond its share does not count against that one. It is NaN where the teams do
+// not compete for one model.
 func (t *Results) minShareRatio() float64 {
 	if t.load.Model == "" {
 		return math.NaN()
@@ -244,9 +247,9 @@
 	return lowest
 }
 
-// targetShortfall is the largest difference, over teams and classes, by which the mean
-// quality of the answers is below the team's target. Classes with under 100 answers
-// are left out: the standard error of their mean is over 0.015.
+// targetShortfall is the largest difference, over teams and classes, by which
+// the mean quality of the answers is below the team's target. Classes with under
+// 100 answers are left out: the standard error of their mean is over 0.015.
 func (t *Results) targetShortfall() float64 {
 	worst := 0.0
 	for _, x := range t.teams {
--- a/decision/internal/prefix/doc.go
+++ b/decision/internal/prefix/doc.go
@@ -1,7 +1,7 @@
-// Package prefix indexes which backend servers have which prompt prefixes in their
-// caches, so that a request can go to a server that need not compute most of its
-// prompt again. Its results are hints: a wrong one costs a prefill and never an
-// answer.
+// Package prefix indexes which backend servers have which prompt prefixes in
+// their caches, so that a request can go to a server that need not compute most
+// of its prompt again. Its results are hints: a wrong one costs a prefill and
+// never an answer.
 //
 // A block hash is chained over the blocks before it, so one hash identifies a
 // whole prefix, and the deepest known hash of a prompt is its longest match.
@@ -14,7 +14,7 @@
 // On CacheChanged of a listed server: Index.ApplyCacheEvent; the index keeps an
 // entry for each server that was named. On a Dispatch of a prompt:
 // Index.RecordDispatch. When a server leaves the list or crashes: Index.Forget.
-// When placing: Index.Match, then consider a matched server as long as its load is
-// within a bound of the others'; above that the queue there costs more than the
-// prefill that it saves.
+// When placing: Index.Match, then consider a matched server as long as its load
+// is within a bound of the others'; above that the queue there costs more than
+// the prefill that it saves.
 package prefix
--- a/decision/internal/prefix/index.go
+++ b/decision/internal/prefix/index.go
@@ -11,8 +11,8 @@
 	// MaxBlocks bounds the indexed blocks; the least recently used are dropped
 	// first. At some 300 bytes each, 65,536 take 20 MB of an instance's 256 MB.
 	MaxBlocks int
-	// MaxDepth bounds the blocks of one prompt that are considered. The blocks after
-	// them are specific to the request and shared with no other.
+	// MaxDepth bounds the blocks of one prompt that are considered. The blocks
+	// after them are specific to the request and shared with no other.
 	MaxDepth int
 	// UnconfirmedTTL is how long the prompt of an own dispatch counts as cached
 	// without a cache event of the server. For servers that publish no events,
@@ -92,11 +92,11 @@
 // ApplyCacheEvent applies a server's report of blocks added to and removed from
 // its cache. seq numbers the events of the server.
 //
-// Events come late and with gaps. After a gap, evictions may have been missed: the
-// known blocks count as not confirmed, and after a second gap they are invalid. Of
-// a late event only the evictions are applied, since the blocks that it added may
-// be evicted again. A sequence that starts over means a restarted server with an
-// empty cache.
+// Events come late and with gaps. After a gap, evictions may have been missed:
+// the known blocks count as not confirmed, and after a second gap they are
+// invalid. Of a late event only the evictions are applied, since the blocks that
+// it added may be evicted again. A sequence that starts over means a restarted
+// server with an empty cache.
 func (x *Index[S, H]) ApplyCacheEvent(id S, seq uint64, added, removed []H, now time.Time) {
 	s := x.server(id)
 	late := false
@@ -125,9 +125,9 @@
 	}
 }
 
-// RecordDispatch records that a prompt was dispatched to a server, which will have
-// it cached shortly. Without this, a burst of requests with a new common prefix
-// would spread over all servers before the first cache event arrives.
+// RecordDispatch records that a prompt was dispatched to a server, which will
+// have it cached shortly. Without this, a burst of requests with a new common
+// prefix would spread over all servers before the first cache event arrives.
 func (x *Index[S, H]) RecordDispatch(id S, blocks []H, now time.Time) {
 	s := x.server(id)
 	blocks = blocks[:min(len(blocks), x.cfg.MaxDepth)]
@@ -193,8 +193,8 @@
 	}
 }
 
-// valid reports whether a holder may still have the block: not more than one epoch
-// old and, if unconfirmed, not older than UnconfirmedTTL.
+// valid reports whether a holder may still have the block: not more than one
+// epoch old and, if unconfirmed, not older than UnconfirmedTTL.
 func (x *Index[S, H]) valid(o holder[S], now time.Time) bool {
 	if o.server == nil || o.server.epoch-o.epoch >= 2 {
 		return false
--- a/decision/internal/prefix/index_test.go
+++ b/decision/internal/prefix/index_test.go
@@ -99,8 +99,8 @@
 }
 
 // Guards, for random sequences of calls, against an index that grows past its
-// bound, matches deeper than the prompt, matches of forgotten servers, and results
-// that differ for equal inputs.
+// bound, matches deeper than the prompt, matches of forgotten servers, and
+// results that differ for equal inputs.
 func TestIndexProperties(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxBlocks = 40
--- a/decision/internal/prefix/match.go
+++ b/decision/internal/prefix/match.go
@@ -6,17 +6,17 @@
 )
 
 // extraDepths is how many shorter prefixes are searched for further servers once
-// the deepest match is found. It bounds the cost of a decision; a shallow match on
-// a free server is worth about as much as none.
+// the deepest match is found. It bounds the cost of a decision; a shallow match
+// on a free server is worth about as much as none.
 const extraDepths = 6
 
-// Match appends to out the servers that hold the longest prefixes of a prompt, the
-// deepest first, at most limit of them. It allocates only to grow out.
+// Match appends to out the servers that hold the longest prefixes of a prompt,
+// the deepest first, at most limit of them. It allocates only to grow out.
 //
-// The deepest known block is found by binary search: servers evict a block before
-// those that it builds on, and so does the index, so the known blocks are a prefix
-// of the prompt unless events were lost. In that case the match may be shorter,
-// which only makes it a worse hint.
+// The deepest known block is found by binary search: servers evict a block
+// before those that it builds on, and so does the index, so the known blocks are
+// a prefix of the prompt unless events were lost. In that case the match may be
+// shorter, which only makes it a worse hint.
 func (x *Index[S, H]) Match(blocks []H, limit int, now time.Time, out []Match[S]) []Match[S] {
 	blocks = blocks[:min(len(blocks), x.cfg.MaxDepth)]
 	depth := sort.Search(len(blocks), func(i int) bool { return !x.held(blocks[i], now) })
@@ -42,8 +42,8 @@
 	return false
 }
 
-// appendHolders appends the block's holders that are not in out[start:] yet, up to
-// limit.
+// appendHolders appends the block's holders that are not in out[start:] yet, up
+// to limit.
 func (x *Index[S, H]) appendHolders(h H, depth, limit int, now time.Time, start int, out []Match[S]) []Match[S] {
 	e, ok := x.blocks.Get(h)
 	if !ok {
--- a/decision/internal/verdict/channel.go
+++ b/decision/internal/verdict/channel.go
@@ -121,8 +121,8 @@
 const maxRecoveries = 10
 
 // minReferenceErrorRate is the lowest error rate that a reference is assumed to
-// have. Otherwise, after a predecessor without any error, one error in 1,000 would
-// count against a version.
+// have. Otherwise, after a predecessor without any error, one error in 1,000
+// would count against a version.
 const minReferenceErrorRate = 0.005
 
 // successorReference is the mean that a successor must reach.
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -15,8 +15,8 @@
 	// CrashTTL is how long a crash counts: as long as callers are expected to
 	// retry.
 	CrashTTL time.Duration
-	// Quarantine is how long a quarantine lasts. It is bounded, since a new version
-	// may well be able to run the request.
+	// Quarantine is how long a quarantine lasts. It is bounded, since a new
+	// version may well be able to run the request.
 	Quarantine time.Duration
 	// MaxFingerprints bounds the fingerprints kept; the least recently used are
 	// dropped first.
@@ -33,9 +33,9 @@
 	}
 }
 
-// Crashes counts crashed backend servers per request fingerprint. It guards against
-// a request that crashes each backend server that runs it while its caller retries
-// it: without a quarantine it takes the whole pool down.
+// Crashes counts crashed backend servers per request fingerprint. It guards
+// against a request that crashes each backend server that runs it while its
+// caller retries it: without a quarantine it takes the whole pool down.
 type Crashes[F comparable] struct {
 	cfg  CrashConfig
 	rows *simplelru.LRU[F, *crash]
@@ -73,9 +73,9 @@
 	CrashQuarantined
 )
 
-// Admit reports whether the request may be dispatched. Copies of a request that has
-// crashed a server run one after the other, so that a caller that sends many at
-// once cannot exceed the limit. until is set for CrashQuarantined only.
+// Admit reports whether the request may be dispatched. Copies of a request that
+// has crashed a server run one after the other, so that a caller that sends many
+// at once cannot exceed the limit. until is set for CrashQuarantined only.
 func (t *Crashes[F]) Admit(f F, now time.Time) (a CrashAdmission, until time.Time) {
 	c := t.unexpired(f, now)
 	if c == nil {
@@ -104,10 +104,10 @@
 	return nil
 }
 
-// AttemptStarted counts a dispatch of a request that has crashed a server before.
-// It reports whether the dispatch was counted; pass that to AttemptEnded. Requests
-// without a crash need no entry, and copies that were running already at the first
-// crash are not counted.
+// AttemptStarted counts a dispatch of a request that has crashed a server
+// before. It reports whether the dispatch was counted; pass that to
+// AttemptEnded. Requests without a crash need no entry, and copies that were
+// running already at the first crash are not counted.
 func (t *Crashes[F]) AttemptStarted(f F, now time.Time) (counted bool) {
 	c := t.unexpired(f, now)
 	if c == nil {
@@ -118,8 +118,8 @@
 }
 
 // AttemptEnded records the end of an attempt; counted is the result of
-// AttemptStarted. When it returns quarantine, the request has reached the limit and
-// must be refused by all instances until the time returned.
+// AttemptStarted. When it returns quarantine, the request has reached the limit
+// and must be refused by all instances until the time returned.
 func (t *Crashes[F]) AttemptEnded(f F, counted, crashed bool, now time.Time) (quarantine bool, until time.Time) {
 	c := t.unexpired(f, now)
 	if c != nil && counted {
@@ -142,8 +142,8 @@
 	return true, c.quarantinedUntil
 }
 
-// ApplyQuarantine applies a quarantine from the log or a peer. It never lasts longer
-// than the configured duration from now, and never shortens another one.
+// ApplyQuarantine applies a quarantine from the log or a peer. It never lasts
+// longer than the configured duration from now, and never shortens another one.
 func (t *Crashes[F]) ApplyQuarantine(f F, until, now time.Time) {
 	if limit := now.Add(t.cfg.Quarantine); until.After(limit) {
 		until = limit
--- a/decision/internal/verdict/crashes_test.go
+++ b/decision/internal/verdict/crashes_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a request that crashes more than two servers because its quarantine is
-// late, missing or too short, and against a quarantine that affects other requests.
+// Guards against a request that crashes more than two servers because its
+// quarantine is late, missing or too short, and against a quarantine that
+// affects other requests.
 func TestCrashingRequest(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
@@ -38,8 +39,8 @@
 	}
 }
 
-// Guards against crashes that count for ever, peers' quarantines that last longer than
-// own ones, and memory that grows with the number of fingerprints.
+// Guards against crashes that count for ever, peers' quarantines that last
+// longer than own ones, and memory that grows with the number of fingerprints.
 func TestCrashMemory(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
@@ -60,8 +61,9 @@
 	}
 }
 
-// Guards against copies of a crashing request that run at the same time after the first
-// crash and together take down more than two servers before the quarantine.
+// Guards against copies of a crashing request that run at the same time after
+// the first crash and together take down more than two servers before the
+// quarantine.
 func TestCrashLimitProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCrashes[uint64](DefaultCrashConfig())
--- a/decision/internal/verdict/detector.go
+++ b/decision/internal/verdict/detector.go
@@ -8,10 +8,10 @@
 // numBets is the number of bets that a detector runs in parallel.
 const numBets = 4
 
-// betFractions are the bets of a detector on each observation, as fractions of the
-// largest safe bet, which can lose the whole wealth but not more. A small bet
-// detects a small, lasting decline; a large one detects a sudden, total failure
-// within a few observations.
+// betFractions are the bets of a detector on each observation, as fractions of
+// the largest safe bet, which can lose the whole wealth but not more. A small
+// bet detects a small, lasting decline; a large one detects a sudden, total
+// failure within a few observations.
 type betFractions [numBets]float64
 
 // Errors are rare and come in clusters, so no bet risks nearly everything on one
@@ -21,8 +21,8 @@
 	ratingBets = betFractions{0.1, 0.3, 0.6, 0.9}
 )
 
-// Observations lie in 0..1, and with a reference of exactly 0 or 1 one observation
-// would decide alone, so references are kept away from both ends.
+// Observations lie in 0..1, and with a reference of exactly 0 or 1 one
+// observation would decide alone, so references are kept away from both ends.
 const (
 	minReference = 0.02
 	maxReference = 0.99
@@ -31,15 +31,15 @@
 // detector is a sequential test of "the mean has not fallen below a reference"
 // for observations in 0..1 of any distribution.
 //
-// Each observation x multiplies the wealth of a bet by 1 + l*(reference - x). While
-// the mean is at or above the reference, the expected factor is at most 1, so the
-// wealth is an e-process. Restarting it whenever it falls below 1 makes it a CUSUM,
-// whose window is the period with the most evidence against the version, however
-// long. There is an alarm when the mean wealth of the bets reaches 1/alpha; the
-// mean number of observations between false alarms is at least 1/alpha (Shin,
-// Ramdas and Rinaldo, "E-detectors", 2022). No minimum number of samples is needed:
-// one observation multiplies the wealth by no more than the largest factor of its
-// bet.
+// Each observation x multiplies the wealth of a bet by 1 + l*(reference - x).
+// While the mean is at or above the reference, the expected factor is at most 1,
+// so the wealth is an e-process. Restarting it whenever it falls below 1 makes
+// it a CUSUM, whose window is the period with the most evidence against the
+// version, however long. There is an alarm when the mean wealth of the bets
+// reaches 1/alpha; the mean number of observations between false alarms is at
+// least 1/alpha (Shin, Ramdas and Rinaldo, "E-detectors", 2022). No minimum
+// number of samples is needed: one observation multiplies the wealth by no more
+// than the largest factor of its bet.
 type detector struct {
 	fractions betFractions
 	logWealth [numBets]float64
@@ -89,9 +89,9 @@
 	return -math.Log(alpha)
 }
 
-// discountedMean is an exponentially discounted mean with its variance. The memory
-// passed to add is the number of observations after which an old one has lost most
-// of its weight.
+// discountedMean is an exponentially discounted mean with its variance. The
+// memory passed to add is the number of observations after which an old one has
+// lost most of its weight.
 type discountedMean struct {
 	n, mean, m2 float64
 }
--- a/decision/internal/verdict/doc.go
+++ b/decision/internal/verdict/doc.go
@@ -1,5 +1,5 @@
-// Package verdict judges versions, backend servers and requests by the outcomes of
-// their attempts, and decides what may still be sent to them:
+// Package verdict judges versions, backend servers and requests by the outcomes
+// of their attempts, and decides what may still be sent to them:
 //
 //   - Versions compares each version with its predecessor and blocks one that is
 //     statistically worse, except for a small share of probes;
@@ -13,16 +13,17 @@
 //
 // # Wiring
 //
-// On a manifest: Versions.Apply. For each request that the roll-out share gives to
-// a version: Versions.Admit, which also limits the rate of probes; when it returns
-// Blocked, use the predecessor or another model, and when nothing else is allowed,
-// serve the version all the same, since a worse answer is better than none. Do not
-// let a probe open a session: it would pin the session to the bad version.
-// On AttemptEnded: Versions.ObserveAttempt, Outliers.ObserveAttempt. On
-// AnswerRated (not Late): Versions.ObserveRating. On VersionVerdict:
-// Versions.ApplyPeerVerdict. Once per tick: Versions.VerdictsToShare for what to
-// send to the peers (verdicts, and suspicions that make the peers send nothing to
-// a version for a short while), Outliers.Sweep. When placing: Outliers.Admit for
-// each of the few candidates, Outliers.RecordDispatch for the one chosen,
-// Crashes.Admit and Crashes.AttemptStarted for the request's fingerprint.
+// On a manifest: Versions.Apply. For each request that the roll-out share gives
+// to a version: Versions.Admit, which also limits the rate of probes; when it
+// returns Blocked, use the predecessor or another model, and when nothing else
+// is allowed, serve the version all the same, since a worse answer is better
+// than none. Do not let a probe open a session: it would pin the session to the
+// bad version. On AttemptEnded: Versions.ObserveAttempt,
+// Outliers.ObserveAttempt. On AnswerRated (not Late): Versions.ObserveRating. On
+// VersionVerdict: Versions.ApplyPeerVerdict. Once per tick:
+// Versions.VerdictsToShare for what to send to the peers (verdicts, and
+// suspicions that make the peers send nothing to a version for a short while),
+// Outliers.Sweep. When placing: Outliers.Admit for each of the few candidates,
+// Outliers.RecordDispatch for the one chosen, Crashes.Admit and
+// Crashes.AttemptStarted for the request's fingerprint.
 package verdict
--- a/decision/internal/verdict/outlier.go
+++ b/decision/internal/verdict/outlier.go
@@ -103,10 +103,10 @@
 	slices.Sort(t.groupOrder)
 }
 
-// ObserveAttempt records the end of an attempt: failed, or complete with its unit
-// latency. A unit latency of 0 or less means that it is unknown. Leave out attempts
-// that were cancelled and refusals by a leaving server. ok reports whether the
-// attempt ejects the server or brings it back, which e describes.
+// ObserveAttempt records the end of an attempt: failed, or complete with its
+// unit latency. A unit latency of 0 or less means that it is unknown. Leave out
+// attempts that were cancelled and refusals by a leaving server. ok reports
+// whether the attempt ejects the server or brings it back, which e describes.
 func (t *Outliers[S, G]) ObserveAttempt(id S, failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	s := t.servers[id]
 	if s == nil {
@@ -135,8 +135,9 @@
 // errorMemory is the window of a group's error rate, in attempts.
 const errorMemory = 1000
 
-// minSuccessRate is the share of successful attempts below which a server is worse
-// than its group. A version that fails on all servers lowers it for all of them.
+// minSuccessRate is the share of successful attempts below which a server is
+// worse than its group. A version that fails on all servers lowers it for all of
+// them.
 func (t *Outliers[S, G]) minSuccessRate(g *group[S, G]) float64 {
 	rate := 1 - minReferenceErrorRate
 	if g.successes.n >= 20 {
@@ -145,9 +146,9 @@
 	return rate - t.cfg.ErrorMargin
 }
 
-// eject ejects a server unless MaxEjectedShare is reached. One server of a group of
-// two or more may always be ejected: otherwise small pools would keep sending to a
-// dead server.
+// eject ejects a server unless MaxEjectedShare is reached. One server of a group
+// of two or more may always be ejected: otherwise small pools would keep sending
+// to a dead server.
 func (t *Outliers[S, G]) eject(s *server[S, G], slow bool, now time.Time) (e Ejection[S], ok bool) {
 	g := s.group
 	maxEjected := int(t.cfg.MaxEjectedShare * float64(len(g.members)))
@@ -172,9 +173,9 @@
 	return Ejection[S]{Server: s.id, Ejected: true, Slow: slow, Until: s.ejectedUntil}, true
 }
 
-// observeProbe counts good probes; a bad one renews the ejection for twice as long.
-// Attempts that started before the ejection and end after the backoff are not
-// distinguished from probes: they are just as good evidence.
+// observeProbe counts good probes; a bad one renews the ejection for twice as
+// long. Attempts that started before the ejection and end after the backoff are
+// not distinguished from probes: they are just as good evidence.
 func (t *Outliers[S, G]) observeProbe(s *server[S, G], failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	if now.Before(s.ejectedUntil) {
 		return e, false
@@ -206,8 +207,8 @@
 	return logLatency-g.medianLogLatency > math.Log(t.cfg.SlowFactor)
 }
 
-// Sweep compares the unit latencies when SweepInterval has passed, and ejects slow
-// servers, the slowest first, up to MaxEjectedShare. Call it each tick.
+// Sweep compares the unit latencies when SweepInterval has passed, and ejects
+// slow servers, the slowest first, up to MaxEjectedShare. Call it each tick.
 func (t *Outliers[S, G]) Sweep(now time.Time) []Ejection[S] {
 	if now.Sub(t.sweptAt) < t.cfg.SweepInterval {
 		return nil
@@ -253,8 +254,8 @@
 	return out
 }
 
-// Admit reports whether a server may take a request now: Allowed, Probe for a single
-// request after the backoff, or Blocked. It changes nothing.
+// Admit reports whether a server may take a request now: Allowed, Probe for a
+// single request after the backoff, or Blocked. It changes nothing.
 func (t *Outliers[S, G]) Admit(id S, now time.Time) Admission {
 	s := t.servers[id]
 	if s == nil || !s.ejected {
--- a/decision/internal/verdict/outlier_config.go
+++ b/decision/internal/verdict/outlier_config.go
@@ -18,23 +18,23 @@
 	// FalseAlarmRate bounds false ejections for errors: the mean number of
 	// attempts between two of them is at least 1/FalseAlarmRate.
 	FalseAlarmRate float64
-	// MaxEjectedShare is the largest share of a group that is ejected at once. If
-	// more servers look bad, the cause is rather load or a fault of this instance,
-	// and ejecting them would overload the rest.
+	// MaxEjectedShare is the largest share of a group that is ejected at once.
+	// If more servers look bad, the cause is rather load or a fault of this
+	// instance, and ejecting them would overload the rest.
 	MaxEjectedShare float64
-	// MinBackoff is the length of the first ejection; it doubles with each further
-	// one, up to MaxBackoff.
+	// MinBackoff is the length of the first ejection; it doubles with each
+	// further one, up to MaxBackoff.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
-	// ProbesToReturn is how many successive good probes bring a server back. They
-	// are sent one at a time: a server that still hangs delays one request and not
-	// a burst.
+	// ProbesToReturn is how many successive good probes bring a server back.
+	// They are sent one at a time: a server that still hangs delays one request
+	// and not a burst.
 	ProbesToReturn int
-	// ProbeTimeout is the time without a result of a probe after which another one
-	// may be sent.
+	// ProbeTimeout is the time without a result of a probe after which another
+	// one may be sent.
 	ProbeTimeout time.Duration
-	// SweepInterval is how often unit latencies are compared. The comparison visits
-	// every server, so it is not made for each decision.
+	// SweepInterval is how often unit latencies are compared. The comparison
+	// visits every server, so it is not made for each decision.
 	SweepInterval time.Duration
 }
 
--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -24,14 +24,14 @@
 	return o, ids
 }
 
-// drawLatency draws a log-normal unit latency, as of uneven work, with a median of 20 ms
-// times factor.
+// drawLatency draws a log-normal unit latency, as of uneven work, with a median
+// of 20 ms times factor.
 func drawLatency(rng *rand.Rand, factor float64) time.Duration {
 	return time.Duration(factor * 20e6 * math.Exp(0.3*rng.NormFloat64()))
 }
 
-// runAttempts sends attempts for a number of seconds, 20 a second to each server that
-// is not blocked, and returns how many each server got.
+// runAttempts sends attempts for a number of seconds, 20 a second to each server
+// that is not blocked, and returns how many each server got.
 func runAttempts(o *Outliers[string, string], ids []string, from time.Time, seconds int, rng *rand.Rand,
 	behave func(id string) (failed bool, factor float64)) map[string]int {
 	got := make(map[string]int)
@@ -51,8 +51,8 @@
 	return got
 }
 
-// Guards against a slow or failing server that is found late and gets much work until
-// then, and against the ejection of healthy servers beside it.
+// Guards against a slow or failing server that is found late and gets much work
+// until then, and against the ejection of healthy servers beside it.
 func TestSickServerIsEjected(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -88,8 +88,8 @@
 	}
 }
 
-// Guards against ejections where no single server is at fault: healthy servers, all
-// equally slow or failing, or too few to tell which one is slow.
+// Guards against ejections where no single server is at fault: healthy servers,
+// all equally slow or failing, or too few to tell which one is slow.
 func TestHealthyPoolsStayWhole(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -138,8 +138,8 @@
 	}
 }
 
-// Guards against a slow server that goes unnoticed because an instance sends it few
-// attempts: with one in 20 s it must be ejected within four.
+// Guards against a slow server that goes unnoticed because an instance sends it
+// few attempts: with one in 20 s it must be ejected within four.
 func TestSlowServerIsFoundBySeldomAttempts(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -164,8 +164,8 @@
 	}
 }
 
-// Guards against an ejected server that never returns, also when a probe is lost, and
-// against several probes at a time.
+// Guards against an ejected server that never returns, also when a probe is
+// lost, and against several probes at a time.
 func TestEjectedServerReturnsByTrial(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	o, ids := newOutlierPool(6)
@@ -193,8 +193,9 @@
 	}
 }
 
-// Guards, for random attempts, against more ejections than MaxEjectedShare allows, and
-// against servers that still count after they were removed from the list.
+// Guards, for random attempts, against more ejections than MaxEjectedShare
+// allows, and against servers that still count after they were removed from the
+// list.
 func TestOutlierCapProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "servers")
--- a/decision/internal/verdict/reference.go
+++ b/decision/internal/verdict/reference.go
@@ -24,9 +24,9 @@
 func errorsOf[V, S cmp.Ordered](v *version[V, S]) *signal  { return &v.errors }
 func ratingsOf[V, S cmp.Ordered](v *version[V, S]) *signal { return &v.ratings }
 
-// reference is the mean that v must reach: that of its predecessor or, with too few
-// observations of the predecessor, of its own baseline. known is false when there
-// are too few observations of both.
+// reference is the mean that v must reach: that of its predecessor or, with too
+// few observations of the predecessor, of its own baseline. known is false when
+// there are too few observations of both.
 func (t *Versions[V, S]) reference(v *version[V, S], class string, of func(*version[V, S]) *signal) (ref float64, known bool) {
 	if p := t.predecessor(v); p != nil {
 		if h := of(p).history(class); h.all.n >= t.cfg.MinReferenceSamples {
@@ -46,6 +46,6 @@
 	return nil
 }
 
-// referenceZ is the confidence of a reference, in standard errors: with 1.6 of them
-// the true mean is below the reference in one case of 20.
+// referenceZ is the confidence of a reference, in standard errors: with 1.6 of
+// them the true mean is below the reference in one case of 20.
 const referenceZ = 1.6
--- a/decision/internal/verdict/share.go
+++ b/decision/internal/verdict/share.go
@@ -17,10 +17,10 @@
 	Until time.Time
 }
 
-// ApplyPeerVerdict applies the verdict of a peer. A bad one blocks the version until
-// its Until, but no longer than MaxPeerDuration from now; a good one withdraws the
-// verdicts of all peers. It does not change the own verdict by itself: that needs
-// own evidence too.
+// ApplyPeerVerdict applies the verdict of a peer. A bad one blocks the version
+// until its Until, but no longer than MaxPeerDuration from now; a good one
+// withdraws the verdicts of all peers. It does not change the own verdict by
+// itself: that needs own evidence too.
 func (t *Versions[V, S]) ApplyPeerVerdict(w SharedVerdict[V], now time.Time) {
 	v := t.versions[w.Version]
 	if v == nil {
@@ -50,10 +50,10 @@
 	return v != nil && (v.bad() || v.peerBadUntil.After(now))
 }
 
-// Admit reports whether a request that the roll-out assigns to the version may run
-// on it, and counts the request. For a bad version every ProbeEvery-th request is a
-// probe. Requests are counted instead of time, so that the share that a bad version
-// gets is bounded at any load, bursts included.
+// Admit reports whether a request that the roll-out assigns to the version may
+// run on it, and counts the request. For a bad version every ProbeEvery-th
+// request is a probe. Requests are counted instead of time, so that the share
+// that a bad version gets is bounded at any load, bursts included.
 func (t *Versions[V, S]) Admit(id V, now time.Time) Admission {
 	if !t.Bad(id, now) {
 		return Allowed
@@ -67,10 +67,10 @@
 }
 
 // VerdictsToShare returns what to send to the peers now, in order of the version
-// ids: each change of a verdict once, and each bad verdict again every ShareInterval
-// while it holds. Suspicions are shared likewise: they make the peers block the
-// version while this instance continues to observe it, so that a bad version gets
-// only one instance's share of the requests in the meantime.
+// ids: each change of a verdict once, and each bad verdict again every
+// ShareInterval while it holds. Suspicions are shared likewise: they make the
+// peers block the version while this instance continues to observe it, so that a
+// bad version gets only one instance's share of the requests in the meantime.
 func (t *Versions[V, S]) VerdictsToShare(now time.Time) []SharedVerdict[V] {
 	var out []SharedVerdict[V]
 	for _, id := range t.sortedIDs {
@@ -100,8 +100,8 @@
 
 // sharesSuspicion reports whether a suspicion is to be shared with the peers. A
 // suspicion that neither grows nor fades, for lack of traffic, is shared for no
-// longer than MaxSuspicion: half of the evidence must not keep a version blocked at
-// the peers. A suspicion that fades is withdrawn.
+// longer than MaxSuspicion: half of the evidence must not keep a version blocked
+// at the peers. A suspicion that fades is withdrawn.
 func (t *Versions[V, S]) sharesSuspicion(v *version[V, S], now time.Time) bool {
 	if !v.errors.suspected(&t.cfg) && !v.ratings.suspected(&t.cfg) {
 		if !v.suspectSince.IsZero() {
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -26,9 +26,9 @@
 	Blocked
 )
 
-// Versions judges each version against its predecessor. It guards against a version
-// that turns bad in mid-season, which callers would notice late and all at once: it
-// bounds the number of requests that the version still gets.
+// Versions judges each version against its predecessor. It guards against a
+// version that turns bad in mid-season, which callers would notice late and all
+// at once: it bounds the number of requests that the version still gets.
 type Versions[V, S cmp.Ordered] struct {
 	cfg      VersionConfig
 	versions map[V]*version[V, S]
@@ -119,9 +119,9 @@
 	streakDuration          = 10 * time.Second
 )
 
-// ObserveAttempt records the result of an attempt that ran. Leave out attempts that
-// say nothing about the version: cancelled, not run, refused by a full or leaving
-// backend server. It reports whether the own verdict changed.
+// ObserveAttempt records the result of an attempt that ran. Leave out attempts
+// that say nothing about the version: cancelled, not run, refused by a full or
+// leaving backend server. It reports whether the own verdict changed.
 func (t *Versions[V, S]) ObserveAttempt(id V, e AttemptResult[S], now time.Time) (changed bool) {
 	v := t.versions[id]
 	if v == nil {
@@ -150,12 +150,12 @@
 	return e.OnlyServer || v.failStreak <= maxErrorStreak
 }
 
-// ObserveRating records the rating of an answer to a request of a class. Ratings are
-// compared within a class only: cascades can send different mixes of easy and hard
-// classes to two versions, and the one with more hard ones would look worse. A
-// rating that is outside 0 to 1 or not a number is a fault of the rating service and
-// not of the version, and is ignored. ObserveRating reports whether the own verdict
-// changed.
+// ObserveRating records the rating of an answer to a request of a class. Ratings
+// are compared within a class only: cascades can send different mixes of easy
+// and hard classes to two versions, and the one with more hard ones would look
+// worse. A rating that is outside 0 to 1 or not a number is a fault of the
+// rating service and not of the version, and is ignored. ObserveRating reports
+// whether the own verdict changed.
 func (t *Versions[V, S]) ObserveRating(id V, class string, score float64, now time.Time) (changed bool) {
 	v := t.versions[id]
 	if v == nil || math.IsNaN(score) || score < 0 || score > 1 {
@@ -196,10 +196,10 @@
 	return true
 }
 
-// confirmSuspicion turns an own suspicion into a verdict while a peer holds one as
-// well: the instances observe different requests, so their evidence multiplies.
-// With eight instances this detects a bad version with a fourth of the bad answers
-// that each instance would need by itself.
+// confirmSuspicion turns an own suspicion into a verdict while a peer holds one
+// as well: the instances observe different requests, so their evidence
+// multiplies. With eight instances this detects a bad version with a fourth of
+// the bad answers that each instance would need by itself.
 func (t *Versions[V, S]) confirmSuspicion(v *version[V, S]) {
 	for _, c := range []*signal{&v.errors, &v.ratings} {
 		if c.suspected(&t.cfg) {
--- a/decision/internal/verdict/versions_config.go
+++ b/decision/internal/verdict/versions_config.go
@@ -5,9 +5,9 @@
 // VersionConfig holds the parameters of Versions.
 type VersionConfig struct {
 	// FalseAlarmRate bounds false alarms on one version: the mean number of
-	// observations between two of them is at least 1/FalseAlarmRate. A false alarm
-	// costs a roll-out some minutes; missing a bad version costs callers bad
-	// answers.
+	// observations between two of them is at least 1/FalseAlarmRate. A false
+	// alarm costs a roll-out some minutes; missing a bad version costs callers
+	// bad answers.
 	FalseAlarmRate float64
 	// ErrorMargin is how much a version's error rate may exceed that of the
 	// reference before the version counts as worse.
@@ -23,18 +23,19 @@
 	MinReferenceSamples float64
 	// Memory is the window of a reference, in observations.
 	Memory float64
-	// ProbeEvery sends one request in so many to a bad version. The default of 250
-	// is 0.4%: less than the 1% that a bad version may get, which leaves room for
-	// requests that were already queued when it was blocked.
+	// ProbeEvery sends one request in so many to a bad version. The default of
+	// 250 is 0.4%: less than the 1% that a bad version may get, which leaves
+	// room for requests that were already queued when it was blocked.
 	ProbeEvery uint64
 	// FalseRecoveryRate is the probability that a version that is still bad ever
 	// recovers for the first time; each recovery halves it for the next.
 	FalseRecoveryRate float64
-	// MaxPeerDuration bounds how long a peer's verdict holds, whatever its Until: a
-	// peer with a wrong clock must not block a version for a day.
+	// MaxPeerDuration bounds how long a peer's verdict holds, whatever its
+	// Until: a peer with a wrong clock must not block a version for a day.
 	MaxPeerDuration time.Duration
-	// ShareInterval is how often a bad verdict is shared again while it holds. Its
-	// Until is three intervals away, so that one lost message does not end it.
+	// ShareInterval is how often a bad verdict is shared again while it holds.
+	// Its Until is three intervals away, so that one lost message does not end
+	// it.
 	ShareInterval time.Duration
 	// MaxSuspicion is how long a suspicion without a verdict is shared.
 	MaxSuspicion time.Duration
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -35,8 +35,8 @@
 	return t
 }
 
-// serve runs one attempt of a version and reports whether it was bad: an error, or a
-// rating that a version of quality 0.8 gets in one case of 20 or less.
+// serve runs one attempt of a version and reports whether it was bad: an error,
+// or a rating that a version of quality 0.8 gets in one case of 20 or less.
 func serve(t *Versions[string, string], id string, tr behavior, rng *rand.Rand) (bad bool) {
 	failed := rng.Float64() < tr.errorRate
 	server := fmt.Sprintf("s%02d", rng.IntN(12))
@@ -49,8 +49,8 @@
 	return score < 0.6
 }
 
-// Guards against a bad version that is blocked only after more than 50 bad answers,
-// whether it fails, answers badly, or does a little of both.
+// Guards against a bad version that is blocked only after more than 50 bad
+// answers, whether it fails, answers badly, or does a little of both.
 func TestBadVersionIsBarredWithin50BadAnswers(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	cases := []struct {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Guards against a version that is blocked for the failures of one server, which fails
-// everything for a while or crashes with all that it runs.
+// Guards against a version that is blocked for the failures of one server, which
+// fails everything for a while or crashes with all that it runs.
 func TestOneServerDoesNotBarItsVersion(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	for _, broken := range []bool{false, true} {
@@ -146,8 +146,8 @@
 	}
 }
 
-// Guards against a version that is blocked for a fault that begins in its predecessor at
-// the same time.
+// Guards against a version that is blocked for a fault that begins in its
+// predecessor at the same time.
 func TestCommonFault(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	fault := behavior{errorRate: 0.15, quality: 0.7, ratingStddev: 0.12}
@@ -172,8 +172,9 @@
 	}
 }
 
-// Guards against a first version, which has no predecessor, that is blocked for a wrong
-// quality in the manifest, or not blocked when it gets worse than its own past.
+// Guards against a first version, which has no predecessor, that is blocked for
+// a wrong quality in the manifest, or not blocked when it gets worse than its
+// own past.
 func TestVersionWithoutPredecessor(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -194,8 +195,8 @@
 	}
 }
 
-// Guards against a repaired version that stays blocked, and against a bad one that is
-// let back by lucky probes.
+// Guards against a repaired version that stays blocked, and against a bad one
+// that is let back by lucky probes.
 func TestRecoveryByProbes(t *testing.T) {
 	good := behavior{0.005, 0.8, 0.12}
 	cases := []struct {
@@ -243,8 +244,8 @@
 	}
 }
 
-// Guards against a blocked version that gets no probes, or more than one request in
-// ProbeEvery.
+// Guards against a blocked version that gets no probes, or more than one request
+// in ProbeEvery.
 func TestBarredVersionGetsATrickle(t *testing.T) {
 	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
@@ -307,8 +308,8 @@
 	}
 }
 
-// Guards against verdicts that expire at the peers while they hold here, or that are
-// sent in each tick, and against a recovery that the peers do not learn of.
+// Guards against verdicts that expire at the peers while they hold here, or that
+// are sent in each tick, and against a recovery that the peers do not learn of.
 func TestOwnVerdictIsSharedAndRenewed(t *testing.T) {
 	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
@@ -333,9 +334,9 @@
 	}
 }
 
-// Guards against a bad version that goes unnoticed while two instances have half of the
-// evidence each, and against a suspicion that blocks a version at the peers for ever or
-// is not withdrawn when it fades.
+// Guards against a bad version that goes unnoticed while two instances have half
+// of the evidence each, and against a suspicion that blocks a version at the
+// peers for ever or is not withdrawn when it fades.
 func TestSuspicionIsShared(t *testing.T) {
 	suspect := func() *Versions[string, string] {
 		v := newVersionPair()
@@ -373,8 +374,8 @@
 	}
 }
 
-// Guards against a new manifest that resets verdicts, or that leaves versions in memory
-// that it does not list.
+// Guards against a new manifest that resets verdicts, or that leaves versions in
+// memory that it does not list.
 func TestApplyKeepsVerdicts(t *testing.T) {
 	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
@@ -390,8 +391,9 @@
 	}
 }
 
-// Guards, for random observations in any order, against a blocked version that gets more
-// than one request in ProbeEvery, and against results that differ for equal inputs.
+// Guards, for random observations in any order, against a blocked version that
+// gets more than one request in ProbeEvery, and against results that differ for
+// equal inputs.
 func TestVersionsProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newVersionPair(), newVersionPair()
