--- a/decision/internal/estimate/row.go
+++ b/decision/internal/estimate/row.go
@@ -33,16 +33,16 @@
 func priorStats(quality, weight float64) *versionStats {
 	r := &versionStats{}
 	share := [bins]float64{}
-	whole := 0.0
+	total := 0.0
 	for i := range share {
 		x := (float64(i)+0.5)/bins - quality
 		share[i] = math.Exp(-x * x / (2 * priorSpread * priorSpread))
-		whole += share[i]
+		total += share[i]
 	}
 	// The centres of the bins are shifted alike so that the mean equals quality.
 	mean := 0.0
 	for i := range share {
-		share[i] /= whole
+		share[i] /= total
 		mean += share[i] * (float64(i) + 0.5) / bins
 	}
 	for i := range share {
--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -130,13 +130,13 @@
 		r.meanTokens = t.cfg.DefaultTokens
 		t.prior[v] = r
 	}
-	t.forget(t.overall)
+	t.dropUnlisted(t.overall)
 	for _, class := range t.classes.Values() {
-		t.forget(class)
+		t.dropUnlisted(class)
 	}
 	for _, task := range t.tasks.Values() {
 		task.plans = nil
-		t.forget(task.stats)
+		t.dropUnlisted(task.stats)
 		for v := range task.escalations {
 			if !t.listed(v) {
 				delete(task.escalations, v)
@@ -146,10 +146,10 @@
 }
 
 // forget drops the rows of versions that the manifest does not list.
-func (t *Table[T, C, V]) forget(rows map[V]*versionStats) {
-	for v := range rows {
+func (t *Table[T, C, V]) dropUnlisted(stats map[V]*versionStats) {
+	for v := range stats {
 		if !t.listed(v) {
-			delete(rows, v)
+			delete(stats, v)
 		}
 	}
 }
@@ -180,11 +180,11 @@
 }
 
 // statsFor returns the stats of a version, added to the map if missing.
-func statsFor[V comparable](rows map[V]*versionStats, v V) *versionStats {
-	r := rows[v]
+func statsFor[V comparable](stats map[V]*versionStats, v V) *versionStats {
+	r := stats[v]
 	if r == nil {
 		r = &versionStats{}
-		rows[v] = r
+		stats[v] = r
 	}
 	return r
 }
@@ -193,8 +193,8 @@
 
 // statsOrEmpty returns the stats of a version, or empty ones that must not be
 // changed.
-func statsOrEmpty[V comparable](rows map[V]*versionStats, v V) *versionStats {
-	if r := rows[v]; r != nil {
+func statsOrEmpty[V comparable](stats map[V]*versionStats, v V) *versionStats {
+	if r := stats[v]; r != nil {
 		return r
 	}
 	return &emptyStats
@@ -223,8 +223,8 @@
 	if !t.listed(v) || tokens < 0 {
 		return
 	}
-	for _, rows := range t.levels(k) {
-		statsFor(rows, v).addLength(float64(tokens), t.cfg.Memory)
+	for _, stats := range t.levels(k) {
+		statsFor(stats, v).addLength(float64(tokens), t.cfg.Memory)
 	}
 }
 
@@ -255,8 +255,8 @@
 		return false
 	}
 	t.rater.answered()
-	for _, rows := range t.levels(k) {
-		statsFor(rows, v).addRating(score, t.cfg.Memory, now)
+	for _, stats := range t.levels(k) {
+		statsFor(stats, v).addRating(score, t.cfg.Memory, now)
 	}
 	task.newRatings++
 	return true
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -39,12 +39,12 @@
 // figures runs one seed and checks the conditions that every run must meet.
 func figures(t *testing.T, l Load, policy string) Figures {
 	t.Helper()
-	tally := Run(l, 1, variantNamed(t, policy).New)
-	if tally.Unanswered > 0 || tally.InvalidCommands > 0 || tally.RefusedAtDeadline > 0 {
+	results := Run(l, 1, variantNamed(t, policy).New)
+	if results.Unanswered > 0 || results.InvalidCommands > 0 || results.RefusedAtDeadline > 0 {
 		t.Errorf("%s, %s: %d requests unanswered, %d commands for no request, %d requests refused only at their deadline",
-			l.Name, policy, tally.Unanswered, tally.InvalidCommands, tally.RefusedAtDeadline)
+			l.Name, policy, results.Unanswered, results.InvalidCommands, results.RefusedAtDeadline)
 	}
-	return tally.Figures()
+	return results.Figures()
 }
 
 // Guards against plans that pay for more quality than the target, or miss it:
@@ -75,8 +75,8 @@
 		l.Duration = runLength
 		var after []float64
 		for seed := uint64(1); seed <= seeds; seed++ {
-			tally := Run(l, seed, variantNamed(t, "decision").New)
-			got := tally.Figures()
+			results := Run(l, seed, variantNamed(t, "decision").New)
+			got := results.Figures()
 			if got.ExposedRequests > 70 || got.FalseAlarms > 0 {
 				t.Errorf("%s, seed %d: %.0f requests on the bad version, want at most 70; %.0f false verdicts, want 0", l.Name, seed, got.ExposedRequests, got.FalseAlarms)
 			}
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -37,8 +37,8 @@
 // against a request that crashes each backend server that runs it while its
 // caller retries it: without a quarantine it takes the whole pool down.
 type Crashes[F comparable] struct {
-	cfg  CrashConfig
-	rows *simplelru.LRU[F, *crash]
+	cfg     CrashConfig
+	crashes *simplelru.LRU[F, *crash]
 }
 
 // crash holds the counts of one fingerprint.
@@ -52,12 +52,12 @@
 // NewCrashes returns an empty table.
 func NewCrashes[F comparable](cfg CrashConfig) *Crashes[F] {
 	cfg.MaxFingerprints = max(cfg.MaxFingerprints, 1)
-	rows, err := simplelru.NewLRU[F, *crash](cfg.MaxFingerprints, nil)
+	crashes, err := simplelru.NewLRU[F, *crash](cfg.MaxFingerprints, nil)
 	if err != nil {
 		// The library fails only for a size below 1.
 		panic(err)
 	}
-	return &Crashes[F]{cfg: cfg, rows: rows}
+	return &Crashes[F]{cfg: cfg, crashes: crashes}
 }
 
 // CrashAdmission says whether a request may be dispatched, by its fingerprint.
@@ -93,14 +93,14 @@
 // unexpired returns the counts of f, or nil when there are none or they have
 // expired.
 func (t *Crashes[F]) unexpired(f F, now time.Time) *crash {
-	c, ok := t.rows.Get(f)
+	c, ok := t.crashes.Get(f)
 	if !ok {
 		return nil
 	}
 	if c.quarantinedUntil.After(now) || now.Sub(c.lastCrash) <= t.cfg.CrashTTL {
 		return c
 	}
-	t.rows.Remove(f)
+	t.crashes.Remove(f)
 	return nil
 }
 
@@ -130,7 +130,7 @@
 	}
 	if c == nil {
 		c = &crash{}
-		t.rows.Add(f, c)
+		t.crashes.Add(f, c)
 	}
 	c.crashedServers++
 	c.lastCrash = now
@@ -154,7 +154,7 @@
 	c := t.unexpired(f, now)
 	if c == nil {
 		c = &crash{lastCrash: now}
-		t.rows.Add(f, c)
+		t.crashes.Add(f, c)
 	}
 	if until.After(c.quarantinedUntil) {
 		c.quarantinedUntil = until
@@ -162,4 +162,4 @@
 }
 
 // Len is the number of fingerprints kept.
-func (t *Crashes[F]) Len() int { return t.rows.Len() }
+func (t *Crashes[F]) Len() int { return t.crashes.Len() }
--- a/decision/internal/verdict/share.go
+++ b/decision/internal/verdict/share.go
@@ -75,7 +75,7 @@
 	var out []SharedVerdict[V]
 	for _, id := range t.sortedIDs {
 		v := t.versions[id]
-		word := SharedVerdict[V]{Version: id, Bad: true, Until: now.Add(3 * t.cfg.ShareInterval)}
+		shared := SharedVerdict[V]{Version: id, Bad: true, Until: now.Add(3 * t.cfg.ShareInterval)}
 		switch {
 		case v.bad():
 			if !v.changePending && now.Before(v.nextShare) {
@@ -85,15 +85,15 @@
 			if now.Before(v.nextShare) {
 				continue
 			}
-			word.Until = now.Add(t.cfg.ShareInterval)
+			shared.Until = now.Add(t.cfg.ShareInterval)
 		case v.changePending:
-			word.Bad = false
+			shared.Bad = false
 		default:
 			continue
 		}
 		v.changePending = false
 		v.nextShare = now.Add(t.cfg.ShareInterval)
-		out = append(out, word)
+		out = append(out, shared)
 	}
 	return out
 }
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -151,7 +151,7 @@
 func TestCommonFault(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	fault := behavior{errorRate: 0.15, quality: 0.7, ratingStddev: 0.12}
-	barred := 0
+	blocked := 0
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 6))
 		v := newVersionPair()
@@ -164,11 +164,11 @@
 			serve(v, newVersion, tr, rng)
 		}
 		if v.Bad(newVersion, startTime) {
-			barred++
+			blocked++
 		}
 	}
-	if barred > 1 {
-		t.Errorf("a common fault blocked the successor in %d of 30 runs", barred)
+	if blocked > 1 {
+		t.Errorf("a common fault blocked the successor in %d of 30 runs", blocked)
 	}
 }
 
@@ -281,10 +281,10 @@
 func TestPeerWords(t *testing.T) {
 	cfg := DefaultVersionConfig()
 	cases := []struct {
-		name  string
-		words []SharedVerdict[string]
-		after time.Duration
-		want  bool
+		name     string
+		verdicts []SharedVerdict[string]
+		after    time.Duration
+		want     bool
 	}{
 		{"holds", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}}, 59 * time.Second, true},
 		{"expires", []SharedVerdict[string]{{newVersion, true, startTime.Add(time.Minute)}}, time.Minute, false},
@@ -298,7 +298,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			v := newVersionPair()
-			for _, w := range c.words {
+			for _, w := range c.verdicts {
 				v.ApplyPeerVerdict(w, startTime)
 			}
 			if got := v.Bad(newVersion, startTime.Add(c.after)); got != c.want {
@@ -349,8 +349,8 @@
 	if a.Bad(newVersion, startTime) || b.Bad(newVersion, startTime) {
 		t.Fatal("half of the evidence made a verdict")
 	}
-	word := SharedVerdict[string]{newVersion, true, startTime.Add(20 * time.Second)}
-	a.ApplyPeerVerdict(word, startTime)
+	suspicion := SharedVerdict[string]{newVersion, true, startTime.Add(20 * time.Second)}
+	a.ApplyPeerVerdict(suspicion, startTime)
 	if got := a.VerdictsToShare(startTime); len(got) != 1 || !got[0].Bad {
 		t.Errorf("two halves of the evidence: %v, want a bad verdict", got)
 	}
@@ -358,8 +358,8 @@
 		t.Error("two halves of the evidence made no verdict")
 	}
 	c := newVersionPair()
-	c.ApplyPeerVerdict(word, startTime)
-	if !c.Bad(newVersion, startTime) || c.Bad(newVersion, word.Until) {
+	c.ApplyPeerVerdict(suspicion, startTime)
+	if !c.Bad(newVersion, startTime) || c.Bad(newVersion, suspicion.Until) {
 		t.Error("a peer's suspicion does not block exactly until its end")
 	}
 	late := startTime.Add(DefaultVersionConfig().MaxSuspicion)
@@ -398,7 +398,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newVersionPair(), newVersionPair()
 		ids := []string{oldVersion, newVersion, "unknown@1"}
-		barred, probes := 0, 0
+		blocked, probes := 0, 0
 		steps := rapid.SliceOfN(rapid.Uint32(), 1, 400).Draw(t, "steps")
 		for _, s := range steps {
 			id := ids[s%3]
@@ -414,13 +414,13 @@
 			}
 			switch got {
 			case Blocked:
-				barred++
+				blocked++
 			case Probe:
 				probes++
 			}
 		}
-		if probes*int(DefaultVersionConfig().ProbeEvery-1) > barred {
-			t.Fatalf("%d probes beside %d blocked requests", probes, barred)
+		if probes*int(DefaultVersionConfig().ProbeEvery-1) > blocked {
+			t.Fatalf("%d probes beside %d blocked requests", probes, blocked)
 		}
 	})
 }
