--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// forget drops the rows of versions that the manifest does not list.
+// dropUnlisted drops the stats of versions that the manifest does not list.
 func (t *Table[T, C, V]) dropUnlisted(stats map[V]*versionStats) {
 	for v := range stats {
 		if !t.listed(v) {
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -78,13 +78,15 @@
 			results := Run(l, seed, variantNamed(t, "decision").New)
 			got := results.Figures()
 			if got.ExposedRequests > 70 || got.FalseAlarms > 0 {
-				t.Errorf("%s, seed %d: %.0f requests on the bad version, want at most 70; %.0f false verdicts, want 0", l.Name, seed, got.ExposedRequests, got.FalseAlarms)
+				t.Errorf("%s, seed %d: %.0f requests on the bad version, want at most 70; %.0f false verdicts, want 0",
+					l.Name, seed, got.ExposedRequests, got.FalseAlarms)
 			}
 			after = append(after, got.ExposedShareAfterLimit)
 		}
 		slices.Sort(after)
 		if after[seeds/2] > 0.01 {
-			t.Errorf("%s: shares of requests on the bad version after 50 bad answers %.4f, want a median of at most 0.01", l.Name, after)
+			t.Errorf("%s: shares of requests on the bad version after 50 bad answers %.4f, want a median of at most 0.01",
+				l.Name, after)
 		}
 	}
 }
--- a/decision/internal/policytest/report.go
+++ b/decision/internal/policytest/report.go
@@ -144,7 +144,8 @@
 	return row
 }
 
-// Scaled returns the load with all its times divided by by, for short tests.
+// Scaled returns the load with all its times divided by the argument, for short
+// tests.
 func (l Load) Scaled(by int) Load {
 	rate := l.Rate
 	l.Rate = func(t time.Duration) float64 { return rate(t * time.Duration(by)) }
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -195,7 +195,7 @@
 	return s[min(int(p*float64(len(s))), len(s)-1)]
 }
 
-// totalWork is the work of all complete answers.
+// totalWork is the work of all complete answers of models.
 func (t *Results) totalWork() float64 {
 	total := 0.0
 	for i := range teamShares {
--- a/decision/internal/verdict/channel.go
+++ b/decision/internal/verdict/channel.go
@@ -13,8 +13,8 @@
 	// suspectDiff is the mean difference to the reference since the current
 	// suspicion began.
 	suspectDiff discountedMean
-	// recoveryMargin is added to the reference that a bad version must exceed to
-	// recover; it is 0 or negative.
+	// recoveryMargin, 0 or negative, is added to the reference; a bad version
+	// recovers by exceeding the sum.
 	recoveryMargin float64
 	recoveries     int
 }
@@ -80,8 +80,8 @@
 }
 
 // suspected reports whether there is half of the evidence for a verdict. Evidence
-// is a log probability, so two instances with half of it each have all of it
-// together.
+// is the log of a probability ratio, so two instances with half of it each have
+// all of it together.
 func (c *signal) suspected(cfg *VersionConfig) bool {
 	return !c.bad && c.decline.evidence() >= threshold(cfg.FalseAlarmRate)/2
 }
--- a/decision/internal/verdict/doc.go
+++ b/decision/internal/verdict/doc.go
@@ -1,12 +1,12 @@
 // Package verdict judges versions, backend servers and requests by the outcomes
 // of their attempts, and decides what may still be sent to them:
 //
-//   - Versions compares each version with its predecessor and blocks one that is
-//     statistically worse, except for a small share of probes;
-//   - Outliers ejects backend servers that are slow or failing compared with their
-//     peers, never more than a configured share of them;
-//   - Crashes counts the backend servers that a request has crashed and calls for
-//     its quarantine at the second.
+//   - Versions compares each version with its predecessor and blocks one that
+//     is statistically worse, except for a small share of probes;
+//   - Outliers ejects backend servers that are slow or failing compared with
+//     their peers, never more than a configured share of them;
+//   - Crashes counts the backend servers that a request has crashed and calls
+//     for its quarantine at the second.
 //
 // The package is pure: no I/O, no clock, no goroutines. Callers pass the time,
 // which must not run backwards. Nothing here is safe for concurrent use.
--- a/decision/internal/verdict/outlier.go
+++ b/decision/internal/verdict/outlier.go
@@ -27,9 +27,11 @@
 }
 
 type group[S, G cmp.Ordered] struct {
-	id        G
-	members   []*server[S, G]
-	ejected   int
+	id      G
+	members []*server[S, G]
+	ejected int
+	// successes is the mean over the members' attempts, 1 for a success and 0 for
+	// a failure.
 	successes discountedMean
 	// medianLogLatency is the median of the members' mean log unit latencies, in
 	// log seconds; NaN while too few are known.
@@ -174,8 +176,9 @@
 }
 
 // observeProbe counts good probes; a bad one renews the ejection for twice as
-// long. Attempts that started before the ejection and end after the backoff are
-// not distinguished from probes: they are just as good evidence.
+// long. Attempts that end during the backoff are ignored. Those that started
+// before the ejection and end after the backoff are not distinguished from
+// probes: they are just as good evidence.
 func (t *Outliers[S, G]) observeProbe(s *server[S, G], failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	if now.Before(s.ejectedUntil) {
 		return e, false
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -38,9 +38,11 @@
 
 // version holds the observations and verdicts of one version.
 type version[V, S cmp.Ordered] struct {
-	info          VersionInfo[V]
-	errors        signal
-	ratings       signal
+	info    VersionInfo[V]
+	errors  signal
+	ratings signal
+	// offered counts the requests that Admit was asked for while the version was
+	// bad, since the last change of the own verdict.
 	offered       uint64
 	peerBadUntil  time.Time
 	nextShare     time.Time
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -137,7 +137,8 @@
 				continue
 			}
 			for range 30 {
-				v.ObserveAttempt(newVersion, AttemptResult[string]{Server: "s01", Failed: true, ConnectionLost: broken}, startTime)
+				v.ObserveAttempt(newVersion,
+					AttemptResult[string]{Server: "s01", Failed: true, ConnectionLost: broken}, startTime)
 			}
 		}
 		if v.Bad(newVersion, startTime) {
@@ -405,7 +406,8 @@
 			score := float64(s>>8%1000) / 500
 			now := startTime.Add(time.Duration(s>>20) * time.Millisecond)
 			for _, v := range []*Versions[string, string]{a, b} {
-				v.ObserveAttempt(id, AttemptResult[string]{Server: ids[s>>4%3], Failed: s&64 != 0, ConnectionLost: s&128 != 0}, now)
+				v.ObserveAttempt(id,
+					AttemptResult[string]{Server: ids[s>>4%3], Failed: s&64 != 0, ConnectionLost: s&128 != 0}, now)
 				v.ObserveRating(id, "draft", score, startTime)
 			}
 			got, want := a.Admit(id, now), b.Admit(id, now)
