--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -27,11 +27,12 @@
 
 var bothOptions = []Option[string]{{small, 1}, {large, 10}}
 
-// nature is how good a version's answers are: easy requests get easy, hard ones
-// hard, with some noise.
+// trueQuality is the mean quality of a version's answers to easy and to hard
+// requests.
 type trueQuality struct{ easy, hard float64 }
 
-// bench serves requests by plans and counts what came of it.
+// simulation serves requests by the plans of a table and records quality and
+// cost.
 type simulation struct {
 	t         *table
 	rng       *rand.Rand
@@ -47,10 +48,10 @@
 }
 
 func newSimulation(seed uint64, prior map[string]float64) *simulation {
-	t := New[string, string, string](DefaultConfig())
-	t.Apply(prior)
+	table := New[string, string, string](DefaultConfig())
+	table.Apply(prior)
 	return &simulation{
-		t:         t,
+		t:         table,
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		hardShare: 0.3,
 		now:       startTime,
@@ -61,47 +62,50 @@
 
 var usualPrior = map[string]float64{small: 0.7, large: 0.88}
 
-// answer runs one attempt and returns its true quality and what the rater says.
-func (b *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
-	n := b.qualities[v]
+// answer runs one attempt and returns the true quality of its answer and its
+// rating.
+func (sim *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
+	n := sim.qualities[v]
 	score = n.easy
 	if hard {
 		score = n.hard
 	}
-	score = min(max(score+0.06*b.rng.NormFloat64(), 0), 1)
-	rated, late = b.rater(score)
-	b.calls[v]++
+	score = min(max(score+0.06*sim.rng.NormFloat64(), 0), 1)
+	rated, late = sim.rater(score)
+	sim.calls[v]++
 	cost := map[string]float64{small: 1, large: 10}[v]
-	b.cost += cost * 256 / 1000
-	b.t.ObserveLength(draftTask, v, 256)
-	b.t.ObserveRating(draftTask, v, rated, late, b.now)
+	sim.cost += cost * 256 / 1000
+	sim.t.ObserveLength(draftTask, v, 256)
+	sim.t.ObserveRating(draftTask, v, rated, late, sim.now)
 	return score, rated, late
 }
 
-// serve runs n requests by the table's plans.
-func (b *simulation) serve(n int, target float64, mayHold bool) {
-	b.served, b.quality, b.cost = 0, 0, 0
-	b.calls = make(map[string]int)
+// serve resets the records and runs n requests by the table's plans.
+func (sim *simulation) serve(n int, target float64, mayHold bool) {
+	sim.served, sim.quality, sim.cost = 0, 0, 0
+	sim.calls = make(map[string]int)
 	for range n {
-		b.now = b.now.Add(100 * time.Millisecond)
-		hard := b.rng.Float64() < b.hardShare
-		p := b.t.Plan(query{Task: draftTask, Target: target, Options: bothOptions,
-			MayHold: mayHold, Draw: b.rng.Float64(), Now: b.now})
-		score, rated, late := b.answer(p.First, hard)
+		sim.now = sim.now.Add(100 * time.Millisecond)
+		hard := sim.rng.Float64() < sim.hardShare
+		p := sim.t.Plan(query{Task: draftTask, Target: target, Options: bothOptions,
+			MayHold: mayHold, Draw: sim.rng.Float64(), Now: sim.now})
+		score, rated, late := sim.answer(p.First, hard)
 		if !late && p.Escalate(rated, time.Minute, time.Second) {
-			score, rated, late = b.answer(p.Second, hard)
+			score, rated, late = sim.answer(p.Second, hard)
 			if !late {
-				b.t.ObserveEscalatedRating(draftTask, p.First, p.Second, rated)
+				sim.t.ObserveEscalatedRating(draftTask, p.First, p.Second, rated)
 			}
 		}
-		b.served++
-		b.quality += score
-		if b.onPlan != nil {
-			b.onPlan(p)
+		sim.served++
+		sim.quality += score
+		if sim.onPlan != nil {
+			sim.onPlan(p)
 		}
 	}
 }
 
+// Guards against plans that miss the quality target, or that pay for the
+// expensive version where the cheap one or a cascade of both meets it.
 func TestPlansMeetTheTargetAtLowCost(t *testing.T) {
 	usual := map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
 	equal := map[string]trueQuality{small: {0.9, 0.9}, large: {0.92, 0.85}}
@@ -111,78 +115,84 @@
 		natures map[string]trueQuality
 		target  float64
 		mayHold bool
-		// most is the dearest mean cost, in parts of always-large.
-		most float64
+		// maxCost is the highest mean cost, as a share of that of always using
+		// large.
+		maxCost float64
 	}{
 		{"cheap alone meets a low target", usual, 0.70, true, 0.3},
 		{"cascade", usual, 0.82, true, 0.55},
 		{"high target", usual, 0.86, true, 0.75},
-		{"cheap as good as dear, against the manifest", equal, 0.86, true, 0.2},
-		{"cheap step never pays", poor, 0.86, true, 1.05},
+		{"cheap as good as expensive, unlike the manifest", equal, 0.86, true, 0.2},
+		{"cheap step does not pay for itself", poor, 0.86, true, 1.05},
 		{"no hold", usual, 0.82, false, 1.05},
-		{"out of reach", usual, 0.99, true, 1.2},
+		{"unreachable target", usual, 0.99, true, 1.2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				b := newSimulation(seed, usualPrior)
-				b.qualities = c.natures
-				b.serve(1000, c.target, c.mayHold)
-				b.serve(2000, c.target, c.mayHold)
-				quality, cost := b.quality/2000, b.cost/2000/2.56
+				sim := newSimulation(seed, usualPrior)
+				sim.qualities = c.natures
+				sim.serve(1000, c.target, c.mayHold)
+				sim.serve(2000, c.target, c.mayHold)
+				quality, cost := sim.quality/2000, sim.cost/2000/2.56
 				want := min(c.target, 0.89) - 0.01
-				if quality < want || cost > c.most {
-					t.Errorf("seed %d: quality %.3f, cost %.2f of always-large", seed, quality, cost)
+				if quality < want || cost > c.maxCost {
+					t.Errorf("seed %d: quality %.3f, cost %.2f of that of always using large", seed, quality, cost)
 				}
 			}
 		})
 	}
 }
 
+// Guards against a faulty rating service: its ratings must not change the
+// estimates, no answer may be held for it, and it must be used again after it
+// has recovered.
 func TestRatingServiceFaults(t *testing.T) {
 	never := func(float64) (float64, bool) { return 0, true }
 	nonsense := func(float64) (float64, bool) { return math.NaN(), false }
-	tooBig := func(float64) (float64, bool) { return 85, false }
+	outOfRange := func(float64) (float64, bool) { return 85, false }
 	stuck := func(float64) (float64, bool) { return 0, false }
 	cases := []struct {
 		name  string
 		fault func(float64) (float64, bool)
-	}{{"late", never}, {"no number", nonsense}, {"out of range", tooBig}, {"stuck at 0", stuck}}
+	}{{"late", never}, {"not a number", nonsense}, {"out of range", outOfRange}, {"stuck at 0", stuck}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newSimulation(1, usualPrior)
-			b.qualities = map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
-			b.serve(2000, 0.82, true)
-			before, sure := b.t.Quality(draftTask, large, b.now)
-			healthy := b.rater
-			b.rater = c.fault
-			b.serve(60, 0.82, true)
-			if !b.t.RaterDown() {
-				t.Fatal("the fault was not noticed within 60 requests")
+			sim := newSimulation(1, usualPrior)
+			sim.qualities = map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
+			sim.serve(2000, 0.82, true)
+			before, stderrBefore := sim.t.Quality(draftTask, large, sim.now)
+			healthy := sim.rater
+			sim.rater = c.fault
+			sim.serve(60, 0.82, true)
+			if !sim.t.RaterDown() {
+				t.Fatal("the fault was not detected within 60 requests")
 			}
-			b.onPlan = func(p Plan[string]) {
+			sim.onPlan = func(p Plan[string]) {
 				if p.Cascade {
-					t.Fatal("an answer was held for a rating service that is down")
+					t.Fatal("an answer is held while the rating service is down")
 				}
 			}
-			b.serve(2000, 0.82, true)
-			b.onPlan = nil
-			after, unsure := b.t.Quality(draftTask, large, b.now.Add(time.Hour))
-			if math.Abs(before-after) > 0.05 || unsure < 1.5*sure {
-				t.Errorf("large went from %.3f±%.4f to %.3f±%.4f", before, sure, after, unsure)
+			sim.serve(2000, 0.82, true)
+			sim.onPlan = nil
+			after, stderrAfter := sim.t.Quality(draftTask, large, sim.now.Add(time.Hour))
+			if math.Abs(before-after) > 0.05 || stderrAfter < 1.5*stderrBefore {
+				t.Errorf("estimate of large changed from %.3f±%.4f to %.3f±%.4f", before, stderrBefore, after, stderrAfter)
 			}
-			if q := b.quality / 2000; q < 0.81 {
-				t.Errorf("quality fell to %.3f", q)
+			if q := sim.quality / 2000; q < 0.81 {
+				t.Errorf("quality %.3f while the rating service is down, want at least 0.81", q)
 			}
-			b.rater = healthy
-			b.serve(60, 0.82, true)
-			if b.t.RaterDown() {
-				t.Error("not trusted again within 60 requests")
+			sim.rater = healthy
+			sim.serve(60, 0.82, true)
+			if sim.t.RaterDown() {
+				t.Error("the rating service still counts as down 60 requests after its recovery")
 			}
 		})
 	}
 }
 
+// Guards against escalations of answers that meet the rating threshold, of single
+// versions, and without time for the second step.
 func TestEscalateNeedsTime(t *testing.T) {
 	p := Plan[string]{First: small, Cascade: true, Second: large, Threshold: 0.6}
 	single := Plan[string]{First: small}
@@ -200,25 +210,27 @@
 	}
 	for _, c := range cases {
 		if got := c.plan.Escalate(c.score, c.left, 2*time.Second); got != c.want {
-			t.Errorf("%+v rated %v with %v left: %v", c.plan, c.score, c.left, got)
+			t.Errorf("%+v, rating %v, %v left: escalate is %v", c.plan, c.score, c.left, got)
 		}
 	}
 }
 
-// A new class starts from what the other classes saw of a version.
+// Guards against a new class that starts from the manifest's quality although
+// other classes have ratings of the version.
 func TestNewClassStartsFromTheOthers(t *testing.T) {
-	b := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
+	sim := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
 	for range 500 {
-		b.t.ObserveRating(draftTask, small, 0.9, false, startTime)
-		b.t.ObserveRating(draftTask, small, 0.85, false, startTime)
+		sim.t.ObserveRating(draftTask, small, 0.9, false, startTime)
+		sim.t.ObserveRating(draftTask, small, 0.85, false, startTime)
 	}
-	if q, _ := b.t.Quality(key{"shops", "lookup"}, small, startTime); q < 0.8 {
-		t.Errorf("quality of the new class is %.2f", q)
+	if q, _ := sim.t.Quality(key{"shops", "lookup"}, small, startTime); q < 0.8 {
+		t.Errorf("quality of the new class is %.2f, want at least 0.8", q)
 	}
 }
 
-// Plans choose among the options only, the cost of a pair is never above that of
-// its dear step alone where both meet the target, and equal inputs plan alike.
+// Guards, for random inputs, against plans with versions that are no option,
+// cascades where holding is not allowed, invalid estimates, and plans that
+// differ for equal inputs.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New[string, string, string](DefaultConfig()), New[string, string, string](DefaultConfig())
@@ -244,9 +256,9 @@
 				x.ObserveRating(q.Task, o.Version, score, s&1024 == 0, now)
 				x.ObserveEscalatedRating(q.Task, options[0].Version, o.Version, score)
 			}
-			p, p2 := a.Plan(q), b.Plan(q)
-			if p != p2 {
-				t.Fatalf("%+v and %+v from equal inputs", p, p2)
+			p, other := a.Plan(q), b.Plan(q)
+			if p != other {
+				t.Fatalf("equal inputs give %+v and %+v", p, other)
 			}
 			checkPlan(t, p, q)
 		}
@@ -260,16 +272,18 @@
 		offered[o.Version] = true
 	}
 	if !offered[p.First] || p.Cascade && (!offered[p.Second] || p.First == p.Second) {
-		t.Fatalf("%+v for %v", p, q.Options)
+		t.Fatalf("plan %+v for options %v", p, q.Options)
 	}
 	if p.Cascade && !q.MayHold {
-		t.Fatalf("%+v may not hold", p)
+		t.Fatalf("plan %+v where holding is not allowed", p)
 	}
 	if math.IsNaN(p.Quality) || math.IsNaN(p.Cost) || p.Cost < 0 {
-		t.Fatalf("%+v", p)
+		t.Fatalf("invalid estimates in plan %+v", p)
 	}
 }
 
+// Guards against tables that grow without bound: with the classes that callers
+// choose, or with versions that the manifest does not list.
 func TestTasksAreBounded(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxTasks = 10
