--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -79,7 +79,7 @@
 				return &telemetry{log: l, clock: c, config: k, registry: reg}
 			},
 			func(c Clock, k *ConfigState) *restoreGuard { return &restoreGuard{clock: c, config: k} },
-			newDialer, newStartGate, provideSharing, provideDriver, provideObservationStore, provideServerList, provideRollouts, provideEdge, provideServer,
+			newDialer, newStartGate, provideSharing, provideDriver, provideObservationStore, provideServerList, provideRollouts, provideHandler, provideServer,
 		),
 		// The stop runs through these in reverse: the configuration must stay fresh until
 		// the last request has been answered.
@@ -107,7 +107,7 @@
 	return newSharing(cfg, p.Store, p.Records, j, c)
 }
 
-func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, k *ConfigState, trust *restoreGuard, j *telemetry, c Clock) *observationStore {
+func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, config *ConfigState, trust *restoreGuard, j *telemetry, c Clock) *observationStore {
 	b := newObservationStore(cfg.Instance, sh.observations, d, j, c)
 	b.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
 	b.fleetSize = sh.members.Count
@@ -121,11 +121,11 @@
 	}
 	take := func(others relay.Report) {
 		d.applyPeerReport(others)
-		k.ReportLostVersion(others.LostConfig)
+		config.ReportLostVersion(others.LostConfig)
 	}
 	sh.server.Loads = relay.NewLoads(sh.client, own, take)
 	sh.server.Loads.Unreadable = j.logUnreadableLoads
-	d.onObserved, d.onCrash, d.onSlowStart, d.onLimitChanged = b.recordAnswer, b.recordCrash, j.slowStart, j.rateLimitChanged
+	d.onObserved, d.onCrash, d.onSlowStart, d.onLimitChanged = b.recordResponse, b.recordCrash, j.slowStart, j.rateLimitChanged
 	return b
 }
 
@@ -143,12 +143,12 @@
 	return m
 }
 
-func provideEdge(p Platform, cfg seam.Settings, k *ConfigState, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Handler {
-	return &Handler{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
+func provideHandler(p Platform, cfg seam.Settings, config *ConfigState, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Handler {
+	return &Handler{headers: p.Headers, config: config, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
 }
 
-func provideServer(cfg seam.Settings, e *Handler, k *ConfigState, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
-	s := &server{settings: cfg, edge: e, config: k, driver: d, telemetry: j, registry: reg, log: out, onServeError: func(error) {}}
+func provideServer(cfg seam.Settings, handler *Handler, config *ConfigState, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
+	s := &server{settings: cfg, handler: handler, config: config, driver: d, telemetry: j, registry: reg, log: out, onServeError: func(error) {}}
 	return s
 }
 
@@ -161,7 +161,7 @@
 			return s.start(readyPath, metrics)
 		},
 		OnStop: func(context.Context) error {
-			s.stop(s.edge.clock.Now())
+			s.stop(s.handler.clock.Now())
 			s.telemetry.emit(logging.EventStop)
 			s.log.Flush()
 			return nil
@@ -170,9 +170,9 @@
 }
 
 // startReaders follows the store's topics, and carries roll-outs out.
-func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, k *ConfigState, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
+func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, config *ConfigState, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
 	op := &operator{
-		records: p.Records, config: k, driver: d, rollouts: m, telemetry: j, startGate: st,
+		records: p.Records, config: config, driver: d, rollouts: m, telemetry: j, startGate: st,
 		clock: c, restoreGuard: trust,
 		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Zones,
 		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
@@ -197,8 +197,8 @@
 
 // startTogether joins the others and starts the readers: an instance that knows its collector
 // saves its own reads.
-func joinAndRun(ctx context.Context, sh *sharing, first bool, runs []func(context.Context)) {
-	sh.join(ctx, first)
+func joinAndRun(ctx context.Context, sh *sharing, firstStart bool, runs []func(context.Context)) {
+	sh.join(ctx, firstStart)
 	for _, run := range runs {
 		go run(ctx)
 	}
@@ -206,7 +206,7 @@
 
 // watchSettings reads the settings file again on SIGHUP and when it has changed. Only the
 // bounds are taken over; addresses hold until the next start.
-func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, k *ConfigState, j *telemetry) {
+func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, config *ConfigState, j *telemetry) {
 	hup := make(chan os.Signal, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	reload := func() {
@@ -219,7 +219,7 @@
 			return
 		}
 		cfg = now
-		k.SetBound(now.Bounds.Revoke)
+		config.SetBound(now.Bounds.Revoke)
 		j.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.Revoke.Milliseconds()))
 	}
 	lc.Append(fx.Hook{
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -33,7 +33,7 @@
 }
 
 // answer is a backend server's whole answer.
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   []byte
@@ -41,8 +41,8 @@
 
 // outcome is how an attempt ended.
 type outcome struct {
-	result passthrough.Result
-	answer *answer
+	result   passthrough.Result
+	response *response
 	// load and limit are what the answer's head stated; stream says that the decision knows
 	// them since then.
 	load           *passthrough.Load
@@ -64,14 +64,14 @@
 	errWrongAttempt     = errors.New("the answer belongs to another request")
 	errUnsigned         = errors.New("a success without signature")
 	errMisleadingStatus = errors.New("a status that promises 'not run' without the server's word on it")
-	errSilent           = errors.New("the backend server is silent")
+	errTimedOut         = errors.New("the backend server is silent")
 	errEventOrder       = errors.New("an event is missing or comes twice")
 	errTruncatedEvent   = errors.New("the stream ends within an event")
 )
 
 // run sends the request and reads the answer.
 func (a *attempt) run(ctx context.Context) outcome {
-	c, err := a.exchange.edge.dialer.dial(ctx, a.server.ID, a.server.Address)
+	c, err := a.exchange.handler.dialer.dial(ctx, a.server.ID, a.server.Address)
 	if err != nil {
 		return outcome{result: passthrough.NotSent, err: err}
 	}
@@ -79,7 +79,7 @@
 	defer func() { _ = c.Close() }() // the connection serves one attempt, whatever comes of it
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
-	watch := a.watchSilence()
+	watch := a.watchIdle()
 	defer watch.stop()
 	req := a.request()
 	go a.send(req)
@@ -87,7 +87,7 @@
 	if err != nil {
 		return a.brokenOutcome(err)
 	}
-	a.firstByte = a.exchange.edge.clock.Now().Sub(a.startedAt)
+	a.firstByte = a.exchange.handler.clock.Now().Sub(a.startedAt)
 	return a.readOutcome(resp)
 }
 
@@ -138,7 +138,7 @@
 // broken is an attempt that may have run, without a whole answer.
 func (a *attempt) brokenOutcome(err error) outcome {
 	if a.timedOut.Load() {
-		return outcome{result: passthrough.Broken, err: errSilent, firstByte: a.firstByte}
+		return outcome{result: passthrough.Broken, err: errTimedOut, firstByte: a.firstByte}
 	}
 	if ctxErr := a.exchange.ctx.Err(); ctxErr != nil {
 		return outcome{result: passthrough.Broken, err: ctxErr, firstByte: a.firstByte} // its end closed the connection
@@ -148,7 +148,7 @@
 
 // judge takes the answer for what it is.
 func (a *attempt) readOutcome(resp *http.Response) outcome {
-	meta := a.exchange.edge.headers.ReadAnswer(resp.StatusCode, resp.Header)
+	meta := a.exchange.handler.headers.ReadAnswer(resp.StatusCode, resp.Header)
 	out := a.classify(resp, meta)
 	out.firstByte = a.firstByte
 	out.confidence = meta.Confidence
@@ -205,8 +205,8 @@
 
 // isStream says whether the answer is a series of events.
 func isStream(h http.Header) bool {
-	kind, _, err := mime.ParseMediaType(h.Get("Content-Type"))
-	return err == nil && kind == "text/event-stream"
+	mediaType, _, err := mime.ParseMediaType(h.Get("Content-Type"))
+	return err == nil && mediaType == "text/event-stream"
 }
 
 // wholeLimit bounds a plain answer.
@@ -220,8 +220,8 @@
 	}
 	result := outcome{
 		result:        passthrough.Completed,
-		answer:        &answer{resp.StatusCode, resp.Header, body},
-		eventInterval: a.exchange.edge.clock.Now().Sub(a.startedAt),
+		response:      &response{resp.StatusCode, resp.Header, body},
+		eventInterval: a.exchange.handler.clock.Now().Sub(a.startedAt),
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		result.result = passthrough.Failed
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -24,15 +24,15 @@
 // callers do who come back after a refusal. Past the limit each is closed with its answer.
 func TestConnectionsAreNotKeptWhereDescriptorsRunOut(t *testing.T) {
 	clock := newFakeClock()
-	known := NewConfigState(clock, time.Second)
+	config := NewConfigState(clock, time.Second)
 	st := newStartGate()
 	st.release()
 	const kept = 10
-	e := &Handler{headers: noHeaders{}, config: known, clock: clock, startGate: st, shutdown: &shutdown{},
+	handler := &Handler{headers: noHeaders{}, config: config, clock: clock, startGate: st, shutdown: &shutdown{},
 		conns:     newCallerConns(reservedDescriptors + kept/idleConnFraction),
-		telemetry: &telemetry{clock: clock, config: known, registry: metrics.NewRegistry()}}
-	srv := httptest.NewUnstartedServer(e)
-	srv.Config.ConnState = e.conns.track
+		telemetry: &telemetry{clock: clock, config: config, registry: metrics.NewRegistry()}}
+	srv := httptest.NewUnstartedServer(handler)
+	srv.Config.ConnState = handler.conns.track
 	srv.Start()
 	defer srv.Close()
 	closed := 0
@@ -54,7 +54,7 @@
 	if closed < 3*kept-1 {
 		t.Errorf("%d of %d connections closed with their answers", closed, 4*kept)
 	}
-	if n := e.conns.open.Load(); n > kept+2 {
+	if n := handler.conns.open.Load(); n > kept+2 {
 		t.Errorf("%d connections are open, %d may be kept", n, kept)
 	}
 }
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/cuts_test.go
@@ -23,7 +23,7 @@
 
 func (p *parts) observe(version string, o passthrough.Observed) {
 	o.Service, o.Route, o.Version = "shop", "r", version
-	p.observations.recordAnswer(o)
+	p.observations.recordResponse(o)
 }
 
 // tellsTo hands what an instance saw to another one.
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -70,82 +70,82 @@
 const retryElsewhereAfter = 200 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
-func (e *Handler) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	c := &call{request: req, caller: e.headers.ReadCaller(req.Header), arrived: e.clock.Now()}
+func (h *Handler) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	c := &call{request: req, caller: h.headers.ReadCaller(req.Header), arrived: h.clock.Now()}
 	c.uri = req.RequestURI
 	if !strings.HasPrefix(c.uri, "/") {
 		c.uri = req.URL.RequestURI()
 	}
 	c.path, _, _ = strings.Cut(c.uri, "?")
-	if e.conns.overLimit() {
+	if h.conns.overLimit() {
 		w.Header().Set("Connection", "close")
 	}
-	e.startGate.wait(req.Context())
-	if denied := e.admit(c); denied != nil {
-		e.refuse(w, c, *denied)
+	h.startGate.wait(req.Context())
+	if denied := h.admit(c); denied != nil {
+		h.refuse(w, c, *denied)
 		return
 	}
-	if denied := e.readBody(w, c); denied != nil {
-		e.refuse(w, c, *denied)
+	if denied := h.readBody(w, c); denied != nil {
+		h.refuse(w, c, *denied)
 		return
 	}
-	e.run(w, c)
+	h.run(w, c)
 }
 
 // admit finds the route and the team, by the configuration in force.
-func (e *Handler) admit(c *call) *refusal {
-	route, denied := e.resolve(c)
+func (h *Handler) admit(c *call) *refusal {
+	route, denied := h.resolve(c)
 	c.route = route
 	if denied != nil {
 		return denied
 	}
-	if e.shutdown.refuses(route.Kind) {
+	if h.shutdown.refuses(route.Kind) {
 		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonStopping, retryElsewhereAfter}
 	}
 	wait := route.Timeout
 	if c.caller.Wait > 0 {
 		wait = min(wait, c.caller.Wait)
 	}
-	c.deadline = e.shutdown.capDeadline(c.arrived.Add(wait))
+	c.deadline = h.shutdown.capDeadline(c.arrived.Add(wait))
 	return nil
 }
 
 // look finds the route and the team by the configuration as it is now, and says why the
 // request must not run, if so. It is asked at arrival and before each dispatch. While the
 // configuration is too old, nothing is refused for good by it.
-func (e *Handler) resolve(c *call) (*passthrough.Route, *refusal) {
-	index := e.config.Index()
+func (h *Handler) resolve(c *call) (*passthrough.Route, *refusal) {
+	index := h.config.Index()
 	if index == nil {
 		return nil, &refusal{http.StatusServiceUnavailable, reasonNoConfig, retryElsewhereAfter}
 	}
 	c.maxBody = index.Limits.MaxBodyBytes
 	route := index.Route(c.request.Host, c.path)
 	if route == nil {
-		return nil, e.deny(http.StatusNotFound, reasonNoRoute)
+		return nil, h.deny(http.StatusNotFound, reasonNoRoute)
 	}
 	c.team = index.Team(c.caller.Key)
 	if !index.NeedsKey(route) {
 		return route, nil
 	}
-	if !e.config.Fresh() {
+	if !h.config.Fresh() {
 		return route, &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
 	}
 	if c.team == nil {
-		return route, e.deny(http.StatusUnauthorized, reasonKey)
+		return route, h.deny(http.StatusUnauthorized, reasonKey)
 	}
 	return route, nil
 }
 
 // denied refuses for good, unless the configuration may be an old one.
-func (e *Handler) deny(status int, reason passthrough.Reason) *refusal {
-	if !e.config.Fresh() {
+func (h *Handler) deny(status int, reason passthrough.Reason) *refusal {
+	if !h.config.Fresh() {
 		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
 	}
 	return &refusal{status: status, reason: reason}
 }
 
 // readBody reads the body whole: a request that is to run again must be at hand.
-func (e *Handler) readBody(w http.ResponseWriter, c *call) *refusal {
+func (h *Handler) readBody(w http.ResponseWriter, c *call) *refusal {
 	if c.caller.Attempt == "" {
 		return &refusal{status: http.StatusBadRequest, reason: reasonNoAttemptID}
 	}
@@ -155,7 +155,7 @@
 	case errors.As(err, &tooLarge):
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge}
 	case err != nil:
-		e.telemetry.callerLost(c, err)
+		h.telemetry.callerLost(c, err)
 		panic(http.ErrAbortHandler) // the caller has broken off; there is nobody to answer
 	}
 	c.body = body
@@ -163,16 +163,16 @@
 }
 
 // refuse answers without having run the request.
-func (e *Handler) refuse(w http.ResponseWriter, c *call, refused refusal) {
-	e.telemetry.refused(c, refused)
-	h := w.Header()
+func (h *Handler) refuse(w http.ResponseWriter, c *call, refused refusal) {
+	h.telemetry.refused(c, refused)
+	header := w.Header()
 	if refused.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
+		header.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	if refused.reason == passthrough.ReasonStopping {
-		h.Set("Connection", "close")
+		header.Set("Connection", "close")
 	}
-	h.Set("Content-Type", "text/plain; charset=utf-8")
+	header.Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(refused.status)
 	writeAll(w, []byte(string(refused.reason)+"\n"))
 }
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -12,13 +12,13 @@
 
 // exchange carries one request from its admission to its final answer.
 type exchange struct {
-	edge   *Handler
-	call   *call
-	ticket *ticket
-	w      http.ResponseWriter
-	ctx    context.Context
+	handler *Handler
+	call    *call
+	ticket  *ticket
+	w       http.ResponseWriter
+	ctx     context.Context
 	// last is the backend server's failure that was kept for the caller, if any.
-	lastFailure *answer
+	lastFailure *response
 	// ran says that the request may have run.
 	mayHaveRun bool
 	// stream is the part of a stream that went to the caller.
@@ -28,20 +28,20 @@
 }
 
 // run asks for decisions and follows them until one final answer is out.
-func (e *Handler) run(w http.ResponseWriter, c *call) {
-	remaining := c.deadline.Sub(e.clock.Now())
+func (h *Handler) run(w http.ResponseWriter, c *call) {
+	remaining := c.deadline.Sub(h.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(remaining, 0))
 	defer cancel()
-	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{lastEvent: c.caller.LastEvent}}
+	x := &exchange{handler: h, call: c, w: w, ctx: ctx, stream: stream{lastEventID: c.caller.LastEvent}}
 	r := c.decisionRequest()
-	x.ticket = e.driver.open(r)
-	defer e.driver.close(x.ticket)
-	x.queueTimer = time.AfterFunc(passthrough.MaxWait(&r, e.clock.Now()), func() {
-		e.driver.Handle(passthrough.Waited{Request: x.ticket.id})
+	x.ticket = h.driver.open(r)
+	defer h.driver.close(x.ticket)
+	x.queueTimer = time.AfterFunc(passthrough.MaxWait(&r, h.clock.Now()), func() {
+		h.driver.Handle(passthrough.Waited{Request: x.ticket.id})
 	})
 	defer x.queueTimer.Stop()
 	for !x.step() {
-		x.queueTimer.Reset(passthrough.MaxWait(&r, e.clock.Now()))
+		x.queueTimer.Reset(passthrough.MaxWait(&r, h.clock.Now()))
 	}
 }
 
@@ -71,7 +71,7 @@
 // expired ends a request whose time has passed, or whose caller has gone.
 func (x *exchange) expire() {
 	if x.call.request.Context().Err() != nil {
-		x.edge.telemetry.callerLost(x.call, x.ctx.Err())
+		x.handler.telemetry.callerLost(x.call, x.ctx.Err())
 		panic(http.ErrAbortHandler)
 	}
 	if !x.mayHaveRun {
@@ -86,7 +86,7 @@
 	if x.stream.begun {
 		x.abort(refused.reason)
 	}
-	x.edge.refuse(x.w, x.call, refused)
+	x.handler.refuse(x.w, x.call, refused)
 }
 
 // finish ends a request that ran or may have run, with the backend server's own failure
@@ -96,8 +96,8 @@
 		x.fail(http.StatusBadGateway, reasonMayHaveRun)
 		return
 	}
-	x.edge.telemetry.finished(x.call, x.lastFailure.status, reason)
-	x.writeAnswer(x.lastFailure)
+	x.handler.telemetry.finished(x.call, x.lastFailure.status, reason)
+	x.writeResponse(x.lastFailure)
 }
 
 // fail ends a request that may have run, without an answer. Its status promises nothing.
@@ -105,7 +105,7 @@
 	if x.stream.begun {
 		x.abort(reason)
 	}
-	x.edge.telemetry.finished(x.call, status, reason)
+	x.handler.telemetry.finished(x.call, status, reason)
 	x.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(status)
 	writeAll(x.w, []byte(string(reason)+"\n"))
@@ -113,12 +113,12 @@
 
 // abort breaks the caller's connection, so that a part of an answer does not look whole.
 func (x *exchange) abort(reason passthrough.Reason) {
-	x.edge.telemetry.finished(x.call, 0, reason)
+	x.handler.telemetry.finished(x.call, 0, reason)
 	panic(http.ErrAbortHandler)
 }
 
 // deliver hands a whole answer to the caller, unchanged.
-func (x *exchange) writeAnswer(a *answer) {
+func (x *exchange) writeResponse(a *response) {
 	h := x.w.Header()
 	x.copyHeaders(a.header)
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -130,7 +130,7 @@
 // leaves out what is set to nil.
 func (x *exchange) copyHeaders(from http.Header) {
 	h := x.w.Header()
-	for name, values := range x.edge.headers.AnswerHeaders(from) {
+	for name, values := range x.handler.headers.AnswerHeaders(from) {
 		h[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
@@ -142,7 +142,7 @@
 
 // dispatch runs one attempt, unless the configuration forbids it by now.
 func (x *exchange) dispatch(d passthrough.Dispatch) bool {
-	if _, denied := x.edge.resolve(x.call); denied != nil {
+	if _, denied := x.handler.resolve(x.call); denied != nil {
 		if x.mayHaveRun {
 			x.fail(http.StatusBadGateway, denied.reason)
 			return true
@@ -152,24 +152,24 @@
 	}
 	a := x.newAttempt(d)
 	out := a.run(x.ctx)
-	x.edge.telemetry.attempted(x.call, d, out)
+	x.handler.telemetry.attempted(x.call, d, out)
 	x.mayHaveRun = x.mayHaveRun || out.result.Ran()
 	if out.load != nil && !out.loadReported {
-		x.edge.driver.Handle(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
+		x.handler.driver.Handle(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
 	}
 	limit := out.limit
 	if out.loadReported {
 		limit = nil
 	}
 	if x.ctx.Err() != nil && out.result != passthrough.Completed {
-		x.edge.driver.Handle(passthrough.Ended{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
+		x.handler.driver.Handle(passthrough.Ended{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
 		x.expire()
 		return true
 	}
-	if out.answer != nil {
-		x.lastFailure = out.answer
+	if out.response != nil {
+		x.lastFailure = out.response
 	}
-	x.edge.driver.Handle(passthrough.Ended{
+	x.handler.driver.Handle(passthrough.Ended{
 		Request: x.ticket.id, Result: out.result, Begun: x.stream.begun,
 		Misdirected: out.misdirected, Leaving: out.leaving, Cut: out.connectionLost, Pace: out.eventInterval,
 		Confidence: out.confidence, Limit: limit,
@@ -184,11 +184,11 @@
 // complete gives the caller the rest of a whole answer.
 func (x *exchange) complete(out outcome) {
 	status := http.StatusOK
-	if out.answer != nil {
-		status = out.answer.status
-		x.writeAnswer(out.answer)
+	if out.response != nil {
+		status = out.response.status
+		x.writeResponse(out.response)
 	}
-	x.edge.telemetry.finished(x.call, status, "")
+	x.handler.telemetry.finished(x.call, status, "")
 }
 
 // attempt prepares one attempt.
@@ -198,16 +198,16 @@
 	if c.team != nil {
 		team = c.team.Name
 	}
-	lastEvent := int64(-1)
+	lastEventID := int64(-1)
 	if x.stream.begun {
-		lastEvent = x.stream.lastEvent
+		lastEventID = x.stream.lastEventID
 	}
-	now := x.edge.clock.Now()
+	now := x.handler.clock.Now()
 	return &attempt{
 		exchange: x, server: d.Server, startedAt: now, firstByteTimeout: d.Patience,
-		header: x.edge.headers.WriteAttempt(c.request.Header, seam.Attempt{
+		header: x.handler.headers.WriteAttempt(c.request.Header, seam.Attempt{
 			Server: d.Server.ID, Team: team, Left: c.deadline.Sub(now), Model: d.Model,
-			Priority: passthrough.Rank(c.team, c.route), LastEvent: lastEvent,
+			Priority: passthrough.Rank(c.team, c.route), LastEvent: lastEventID,
 		}),
 	}
 }
--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -112,7 +112,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if known, ok := b.others[r.Key]; ok && known.answerCount() > s.answerCount() {
+	if known, ok := b.others[r.Key]; ok && known.responseCount() > s.responseCount() {
 		return // it is one of a copy of the store
 	}
 	s.readAt = b.clock.Now()
--- a/router/internal/passthrough/knowledge.go
+++ b/router/internal/passthrough/knowledge.go
@@ -34,48 +34,48 @@
 
 // NewKnowledge returns the knowledge of nothing; revoke is the revocation bound.
 func NewConfigState(clock Clock, revoke time.Duration) *ConfigState {
-	k := &ConfigState{clock: clock}
-	k.SetBound(revoke)
-	return k
+	s := &ConfigState{clock: clock}
+	s.SetBound(revoke)
+	return s
 }
 
 // SetBound changes the revocation bound.
-func (k *ConfigState) SetBound(revoke time.Duration) { k.bound.Store(int64(revoke)) }
+func (s *ConfigState) SetBound(revoke time.Duration) { s.bound.Store(int64(revoke)) }
 
 // Bound is the revocation bound.
-func (k *ConfigState) Bound() time.Duration { return time.Duration(k.bound.Load()) }
+func (s *ConfigState) Bound() time.Duration { return time.Duration(s.bound.Load()) }
 
 // Index is the configuration in force, or nil while none is known.
-func (k *ConfigState) Index() *passthrough.Index { return k.index.Load() }
+func (s *ConfigState) Index() *passthrough.Index { return s.index.Load() }
 
 // Apply puts a configuration in force, unless a newer one is. It says whether it did.
 // Only the reader of the operator's records calls it.
-func (k *ConfigState) Apply(c passthrough.Config) (*passthrough.Index, bool) {
-	if old := k.index.Load(); old != nil && c.Version <= old.Version {
+func (s *ConfigState) Apply(c passthrough.Config) (*passthrough.Index, bool) {
+	if old := s.index.Load(); old != nil && c.Version <= old.Version {
 		return old, false
 	}
 	x := passthrough.NewIndex(c)
-	k.index.Store(x)
+	s.index.Store(x)
 	return x, true
 }
 
 // Confirm notes that a read which began at the time showed what is known to be current.
-func (k *ConfigState) Confirm(began time.Time) {
-	if k.isSuperseded() {
+func (s *ConfigState) Confirm(began time.Time) {
+	if s.isSuperseded() {
 		return
 	}
-	if at := began.UnixNano(); at > k.confirmedAt.Load() {
-		k.confirmedAt.Store(at)
+	if at := began.UnixNano(); at > s.confirmedAt.Load() {
+		s.confirmedAt.Store(at)
 	}
 }
 
 // Age is how old the word on the configuration is.
-func (k *ConfigState) Age() time.Duration {
-	at := k.confirmedAt.Load()
+func (s *ConfigState) Age() time.Duration {
+	at := s.confirmedAt.Load()
 	if at == 0 {
 		return time.Duration(1<<63 - 1)
 	}
-	return k.clock.Now().Sub(time.Unix(0, at))
+	return s.clock.Now().Sub(time.Unix(0, at))
 }
 
 // lostVersionLife is how long a report counts that the store lacks a version: it comes several times a
@@ -85,14 +85,14 @@
 // NoteLostVersion takes in the highest version that another instance knows and that the store lacks since
 // it came back from a copy; 0 for none. What this instance confirmed by the copy does not count then,
 // also once nobody can tell it any more.
-func (k *ConfigState) ReportLostVersion(version uint64) {
+func (s *ConfigState) ReportLostVersion(version uint64) {
 	if version == 0 {
 		return
 	}
-	k.lostVersion.Store(version)
-	k.lostReportedAt.Store(k.clock.Now().UnixNano())
-	if k.isSuperseded() {
-		k.confirmedAt.Store(0)
+	s.lostVersion.Store(version)
+	s.lostReportedAt.Store(s.clock.Now().UnixNano())
+	if s.isSuperseded() {
+		s.confirmedAt.Store(0)
 	}
 }
 
@@ -100,18 +100,18 @@
 //
 // Load: an instance that starts right after the store came back from a copy. Harm prevented: keys
 // that were taken away, accepted by the configuration of the copy.
-func (k *ConfigState) isSuperseded() bool {
-	told := time.Unix(0, k.lostReportedAt.Load())
-	index := k.index.Load()
-	return index != nil && index.Version < k.lostVersion.Load() && k.clock.Now().Sub(told) < lostVersionTTL
+func (s *ConfigState) isSuperseded() bool {
+	reportedAt := time.Unix(0, s.lostReportedAt.Load())
+	index := s.index.Load()
+	return index != nil && index.Version < s.lostVersion.Load() && s.clock.Now().Sub(reportedAt) < lostVersionTTL
 }
 
 // Fresh says whether keys may be used.
-func (k *ConfigState) Fresh() bool { return k.ageWithin(refuseFraction) }
+func (s *ConfigState) Fresh() bool { return s.ageWithin(refuseFraction) }
 
 // Ready says whether callers should be sent here.
-func (k *ConfigState) Ready() bool { return k.Index() != nil && k.ageWithin(unreadyFraction) }
+func (s *ConfigState) Ready() bool { return s.Index() != nil && s.ageWithin(unreadyFraction) }
 
-func (k *ConfigState) ageWithin(part float64) bool {
-	return float64(k.Age()) < part*float64(k.bound.Load())
+func (s *ConfigState) ageWithin(fraction float64) bool {
+	return float64(s.Age()) < fraction*float64(s.bound.Load())
 }
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -124,11 +124,11 @@
 
 // every is the time between two reads of the store.
 func (l *serverList) readInterval() time.Duration {
-	span := max(time.Duration(readIntervalFraction*float64(l.drain)), minReadInterval)
+	interval := max(time.Duration(readIntervalFraction*float64(l.drain)), minReadInterval)
 	if l.readsAlone() {
-		return span
+		return interval
 	}
-	return min(span, maxReadInterval)
+	return min(interval, maxReadInterval)
 }
 
 // outageEnded notes that removals may now be lapses.
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -52,13 +52,13 @@
 // enough to complete it by one instance's word: of a version that fails three in ten, one
 // instance in seventy sees that. With five, one that failed half of its requests was
 // completed once in 30 runs.
-const minCleanAnswers = 12
+const minCleanResponses = 12
 
 // clean says whether what was seen of the new version leaves no doubt.
 //
 // Load: a store that comes back at the end of a roll-out of which it missed the most. Harm
 // prevented: a version that others saw failing, completed before they could tell.
-func (v view) clean() bool { return v.newCounts.Bad == 0 && v.newCounts.Good >= minCleanAnswers }
+func (v view) clean() bool { return v.newCounts.Bad == 0 && v.newCounts.Good >= minCleanResponses }
 
 // view sums up what all instances saw of the roll-out.
 func (b *observationStore) view(r *rollout, now time.Time) view {
@@ -105,7 +105,7 @@
 }
 
 // answers is the number of answers that a set counts. A process's counts only grow.
-func (s *observationSet) answerCount() int {
+func (s *observationSet) responseCount() int {
 	n := 0
 	for _, row := range s.Routes {
 		n += row.New.Good + row.New.Bad + row.Old.Good + row.Old.Bad
@@ -130,7 +130,7 @@
 		if !r.matches(&s) || id == (processID{b.instance, b.processStart}) {
 			continue
 		}
-		if known, ok := out[id]; !ok || known.answerCount() < s.answerCount() {
+		if known, ok := out[id]; !ok || known.responseCount() < s.responseCount() {
 			out[id] = s
 		}
 	}
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -75,7 +75,7 @@
 }
 
 // observed counts an answer. It must not block: the driver calls it.
-func (b *observationStore) recordAnswer(o passthrough.Observed) {
+func (b *observationStore) recordResponse(o passthrough.Observed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.own[o.Service]
@@ -146,9 +146,9 @@
 	defer b.mu.Unlock()
 	var out []keyedlog.Record
 	now := b.clock.Now()
-	quiet := !now.Before(b.nextIdleWrite)
+	idle := !now.Before(b.nextIdleWrite)
 	for _, s := range b.own {
-		if s.dirty || quiet {
+		if s.dirty || idle {
 			s.dirty = false
 			b.nextIdleWrite = now.Add(b.idleWriteDelay())
 			out = append(out, b.encode(s.key(), s))
@@ -168,8 +168,8 @@
 // all learn of an order at the same moment, and 295 observations at once held up what must be fresh
 // behind them, so that hundreds of instances turned to the store.
 func (b *observationStore) idleWriteDelay() time.Duration {
-	span := max(idleWriteInterval, time.Duration(b.fleetSize())*idleWritePerInstance)
-	return span/2 + rand.N(span)
+	interval := max(idleWriteInterval, time.Duration(b.fleetSize())*idleWritePerInstance)
+	return interval/2 + rand.N(interval)
 }
 
 // redo marks the observations as not written.
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -37,14 +37,14 @@
 }
 
 func (o *operator) wait() time.Duration {
-	part := readWaitFraction
+	fraction := readWaitFraction
 	switch {
 	case o.isCollector():
-		part = collectorWaitFraction
+		fraction = collectorWaitFraction
 	case !o.readsStore():
-		part = followerWaitFraction
+		fraction = followerWaitFraction
 	}
-	return time.Duration(part * float64(o.config.Bound()))
+	return time.Duration(fraction * float64(o.config.Bound()))
 }
 
 const (
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -30,7 +30,7 @@
 
 func (p *parts) observeMany(version string, bad bool, count int) {
 	for range count {
-		p.observations.recordAnswer(passthrough.Observed{Service: "shop", Route: "r", Version: version, Bad: bad})
+		p.observations.recordResponse(passthrough.Observed{Service: "shop", Route: "r", Version: version, Bad: bad})
 	}
 }
 
@@ -110,7 +110,7 @@
 	for _, c := range []struct {
 		good, bad int
 		want      passthrough.Phase
-	}{{2, 1, 0}, {0, 0, 0}, {minCleanAnswers, 0, passthrough.PhaseCompleted}} {
+	}{{2, 1, 0}, {0, 0, 0}, {minCleanResponses, 0, passthrough.PhaseCompleted}} {
 		clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 		a, b := newParts("a", clock, status, observations), newParts("b", clock, status, observations)
 		for _, p := range []*parts{a, b} {
@@ -209,7 +209,7 @@
 	paced := func(count int, x float64) {
 		for range count {
 			s := passthrough.Shift{N: 1, Sum: x, Squares: x * x}
-			p.observations.recordAnswer(passthrough.Observed{Service: "shop", Route: "r", Version: "v2", Pace: s})
+			p.observations.recordResponse(passthrough.Observed{Service: "shop", Route: "r", Version: "v2", Pace: s})
 		}
 	}
 	look := func() passthrough.Phase {
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -32,13 +32,13 @@
 	closeMargin = 600 * time.Millisecond
 	// answerMargin is the part before that by which plain calls that came late have their
 	// final answers.
-	answerMargin = 200 * time.Millisecond
+	responseMargin = 200 * time.Millisecond
 )
 
 // server listens for callers, readiness and metrics.
 type server struct {
 	settings  seam.Settings
-	edge      *Handler
+	handler   *Handler
 	config    *ConfigState
 	driver    *Driver
 	telemetry *telemetry
@@ -54,7 +54,7 @@
 // start opens the listeners; readyPath is what the balancer asks.
 func (s *server) start(readyPath, metricsAddress string) error {
 	s.callers = &http.Server{
-		Handler: s.edge, IdleTimeout: idleTimeout, ReadHeaderTimeout: readHeaderTimeout, ConnState: s.edge.conns.track,
+		Handler: s.handler, IdleTimeout: idleTimeout, ReadHeaderTimeout: readHeaderTimeout, ConnState: s.handler.conns.track,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError),
 	}
 	if err := s.listen(s.callers, s.settings.Frontend); err != nil {
@@ -96,7 +96,7 @@
 
 // isReady answers the balancer.
 func (s *server) serveReadiness(w http.ResponseWriter, _ *http.Request) {
-	stopping := s.edge.shutdown.begun()
+	stopping := s.handler.shutdown.begun()
 	ready := s.config.Ready() && !stopping
 	if s.ready.Swap(ready) != ready {
 		ev := logging.EventNotReady
@@ -118,19 +118,19 @@
 // connections are closed with an answer each.
 func (s *server) stop(began time.Time) {
 	grace := s.settings.Bounds.Grace - closeMargin
-	answerBy := began.Add(grace - answerMargin)
-	s.edge.shutdown.begin(answerBy)
+	respondBy := began.Add(grace - responseMargin)
+	s.handler.shutdown.begin(respondBy)
 	_, running := s.driver.Load()
 	s.telemetry.emit(logging.EventDrainBegin, slog.Int("running", running))
 	s.driver.Handle(passthrough.Stopping{At: began.Add(grace)})
 	time.Sleep(min(rotationDelay, grace/2))
-	s.edge.shutdown.enter(phaseFinishing)
+	s.handler.shutdown.enter(phaseFinishing)
 	s.callers.SetKeepAlivesEnabled(false)
-	remaining := grace - s.edge.clock.Now().Sub(began)
+	remaining := grace - s.handler.clock.Now().Sub(began)
 	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
 	defer cancel()
-	s.waitStreams(ctx, answerBy)
-	s.edge.shutdown.enter(phaseClosing)
+	s.waitStreams(ctx, respondBy)
+	s.handler.shutdown.enter(phaseClosing)
 	s.waitIdle(ctx)
 	_, running = s.driver.Load()
 	_ = s.callers.Close() // what is still open has had the whole grace time
@@ -147,7 +147,7 @@
 // waitStreams waits until no stream is in progress, or until the end of the time for new
 // calls.
 func (s *server) waitStreams(ctx context.Context, end time.Time) {
-	for s.driver.Streams() > 0 && s.edge.clock.Now().Before(end) && ctx.Err() == nil {
+	for s.driver.Streams() > 0 && s.handler.clock.Now().Before(end) && ctx.Err() == nil {
 		sleep(ctx, drainPollInterval, nil)
 	}
 }
@@ -159,11 +159,11 @@
 // that crossed are answered.
 func (s *server) waitIdle(ctx context.Context) {
 	const quietPolls = 6
-	for quiet := 0; quiet < quietPolls && ctx.Err() == nil; {
+	for idle := 0; idle < quietPolls && ctx.Err() == nil; {
 		waiting, running := s.driver.Load()
-		quiet++
+		idle++
 		if waiting+running > 0 {
-			quiet = 0
+			idle = 0
 		}
 		sleep(ctx, drainPollInterval, nil)
 	}
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -86,13 +86,13 @@
 		j.emit(logging.EventCollector, slog.String("topic", topic), slog.String("collector", name))
 	}
 	caches := map[string]*relay.Cache{}
-	topic := func(name string, log keyedlog.Log, oldest time.Duration) *relay.Log {
-		same := equalServers(records)
+	topic := func(name string, log keyedlog.Log, maxAge time.Duration) *relay.Log {
+		equal := equalServers(records)
 		if name != topicServers {
-			same = nil
+			equal = nil
 		}
-		caches[name] = relay.NewCache(clock.Now, same)
-		return relay.NewLog(name, log, s.client, caches[name], oldest, changed)
+		caches[name] = relay.NewCache(clock.Now, equal)
+		return relay.NewLog(name, log, s.client, caches[name], maxAge, changed)
 	}
 	s.operator = topic(topicOperator, store.Operator(), fractionOf(maxOperatorAgeFraction, cfg.Bounds.Revoke))
 	s.servers = topic(topicServers, store.Servers(), fractionOf(maxServersAgeFraction, cfg.Bounds.Drain))
@@ -106,17 +106,17 @@
 }
 
 // part is a part of a bound.
-func fractionOf(p float64, bound time.Duration) time.Duration {
-	return time.Duration(p * float64(bound))
+func fractionOf(f float64, bound time.Duration) time.Duration {
+	return time.Duration(f * float64(bound))
 }
 
 // sameServer says of two entries of a backend server that they differ in nothing that is
 // used: most are heartbeats.
 func equalServers(records Records) func(a, b keyedlog.Record) bool {
 	return func(a, b keyedlog.Record) bool {
-		x, errX := records.Server(a)
-		y, errY := records.Server(b)
-		return errX == nil && errY == nil && x == y
+		serverA, errX := records.Server(a)
+		serverB, errY := records.Server(b)
+		return errX == nil && errY == nil && serverA == serverB
 	}
 }
 
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -17,7 +17,7 @@
 	// begun says that the head is out.
 	begun bool
 	// last is the id of the last event that the caller has, -1 for none.
-	lastEvent int64
+	lastEventID int64
 }
 
 const (
@@ -38,7 +38,7 @@
 	if x.stream.begun || meta.Confidence < 0 {
 		return a.relayEvents(resp)
 	}
-	threshold := x.edge.driver.confidenceThreshold(x.ticket)
+	threshold := x.handler.driver.confidenceThreshold(x.ticket)
 	if meta.Confidence < threshold {
 		return outcome{result: passthrough.Dropped, confidenceThreshold: threshold}
 	}
@@ -53,7 +53,7 @@
 	var pending []byte
 	buf := make([]byte, streamBufferSize)
 	events, reported := 0, false
-	began := x.edge.clock.Now()
+	began := x.handler.clock.Now()
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
@@ -66,7 +66,7 @@
 				events += count
 				if events >= intervalEvents && !reported {
 					reported = true
-					x.edge.driver.Handle(passthrough.Paced{Request: x.ticket.id, Pace: eventInterval(x.edge.clock.Now().Sub(began), events)})
+					x.handler.driver.Handle(passthrough.Paced{Request: x.ticket.id, Pace: eventInterval(x.handler.clock.Now().Sub(began), events)})
 				}
 			}
 			if orderErr != nil {
@@ -78,7 +78,7 @@
 		case err == nil && len(pending) <= maxEventBytes:
 			continue
 		case errors.Is(err, io.EOF) && len(pending) == 0 && events > 0:
-			return outcome{result: passthrough.Completed, eventInterval: eventInterval(x.edge.clock.Now().Sub(began), events)}
+			return outcome{result: passthrough.Completed, eventInterval: eventInterval(x.handler.clock.Now().Sub(began), events)}
 		case errors.Is(err, io.EOF):
 			return outcome{result: passthrough.Broken, err: errTruncatedEvent}
 		case err != nil:
@@ -96,7 +96,7 @@
 // prevented: a load that is as old as the stream, taken for what the server has now.
 func (a *attempt) reportFirstByte(meta seam.Answer) {
 	x := a.exchange
-	x.edge.driver.Handle(passthrough.FirstByte{
+	x.handler.driver.Handle(passthrough.FirstByte{
 		Request: x.ticket.id, After: a.firstByte, Load: meta.Load, HasLoad: meta.HasLoad,
 		Limit: meta.Limit,
 	})
@@ -124,7 +124,7 @@
 func (x *exchange) writeEvents(events []byte) {
 	writeAll(x.w, events)
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
-		x.edge.telemetry.callerLost(x.call, err)
+		x.handler.telemetry.callerLost(x.call, err)
 	}
 }
 
@@ -142,7 +142,7 @@
 // order checks that the events follow on what the caller has, and counts them. Events
 // without an id are taken as they come.
 func (x *exchange) checkOrder(events []byte) (count int, err error) {
-	last := x.stream.lastEvent
+	lastID := x.stream.lastEventID
 	for line := range bytes.Lines(events) {
 		text, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:"))
 		if !ok {
@@ -152,12 +152,12 @@
 		if err != nil {
 			return count, errEventOrder
 		}
-		if (last >= 0 || x.stream.begun) && id != last+1 {
+		if (lastID >= 0 || x.stream.begun) && id != lastID+1 {
 			return count, errEventOrder
 		}
-		last = id
+		lastID = id
 		count++
 	}
-	x.stream.lastEvent = last
+	x.stream.lastEventID = lastID
 	return count, nil
 }
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -56,8 +56,8 @@
 
 // run follows the topic until ctx ends.
 func (t *topicReader) run(ctx context.Context) {
-	first := max(minRetryDelay, t.maxRetry/retryGrowth)
-	delay := first
+	minDelay := max(minRetryDelay, t.maxRetry/retryGrowth)
+	delay := minDelay
 	for ctx.Err() == nil {
 		if err := t.readOnce(ctx); err != nil {
 			t.noteOutage(ctx, err)
@@ -65,7 +65,7 @@
 			delay = min(2*delay, max(t.maxRetry, maxRetryDelay))
 			continue
 		}
-		delay = first
+		delay = minDelay
 		if t.pause != nil {
 			sleep(ctx, t.pause(), t.wake)
 		}
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -8,7 +8,7 @@
 )
 
 // watch gives up an attempt at a backend server that is silent.
-type silenceWatch struct {
+type idleWatch struct {
 	mu    sync.Mutex
 	timer *time.Timer
 	done  bool
@@ -16,35 +16,35 @@
 
 // watchEvery is how often an attempt is looked at: a part of the shortest patience, and
 // rare beside the events of a stream.
-const silenceCheckInterval = 200 * time.Millisecond
+const idleCheckInterval = 200 * time.Millisecond
 
 // watch starts watching the attempt, if the request may run again elsewhere.
-func (a *attempt) watchSilence() *silenceWatch {
-	wt := &silenceWatch{}
+func (a *attempt) watchIdle() *idleWatch {
+	wt := &idleWatch{}
 	if !a.exchange.call.route.Repeatable() {
 		return wt
 	}
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
-	wt.timer = time.AfterFunc(silenceCheckInterval, func() { wt.check(a) })
+	wt.timer = time.AfterFunc(idleCheckInterval, func() { wt.check(a) })
 	return wt
 }
 
-func (wt *silenceWatch) check(a *attempt) {
+func (wt *idleWatch) check(a *attempt) {
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
 	if wt.done {
 		return
 	}
-	if a.exceedsSilence() {
+	if a.hasTimedOut() {
 		a.timedOut.Store(true)
 		_ = a.conn.Close()
 		return
 	}
-	wt.timer.Reset(silenceCheckInterval)
+	wt.timer.Reset(idleCheckInterval)
 }
 
-func (wt *silenceWatch) stop() {
+func (wt *idleWatch) stop() {
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
 	wt.done = true
@@ -54,8 +54,8 @@
 }
 
 // isSilent asks the decision, by what was heard of the attempt and of its server.
-func (a *attempt) exceedsSilence() bool {
-	now := a.exchange.edge.clock.Now()
+func (a *attempt) hasTimedOut() bool {
+	now := a.exchange.handler.clock.Now()
 	s := passthrough.Silence{Route: a.exchange.call.route, Patience: a.firstByteTimeout,
 		PromptTokens: a.exchange.call.caller.PromptTokens, Begun: a.conn.lastReceived.Load() != 0}
 	s.Attempt = now.Sub(a.startedAt)
