--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -24,28 +24,32 @@
 	"masticplank.example/router/internal/settings"
 )
 
-// Platform is what an adapter gives.
+// Platform is the adapter of one platform: its headers, records, store and settings.
 type Platform struct {
 	Headers Headers
 	Records Records
 	Store   Store
-	// ReadyPath is what the balancer asks for readiness.
+	// ReadyPath is the path that the load balancer requests to check readiness.
 	ReadyPath string
-	// Settings reads the settings file; it is read again on SIGHUP and when it changed.
+	// Settings reads the settings file. It is called again on SIGHUP and every
+	// settingsPollInterval.
 	Settings func() (seam.Settings, error)
 }
 
 const (
-	// memoryPart is the part of the memory at which the collector works harder.
+	// memoryLimitFraction is the fraction of the memory at which the garbage collector
+	// works harder.
 	memoryLimitFraction = 0.6
-	// ratioPart is the part of the budget's ratio that is used: requests that are counted
-	// here may be counted in another window there.
+	// retryRatioFraction is the fraction of the retry budget's ratio that is used: a
+	// request counted here may fall into another window of the platform's count.
 	retryRatioFraction = 0.85
-	// settingsEvery is how often the settings file is looked at for a change.
+	// settingsPollInterval is the time between two checks of the settings file.
 	settingsPollInterval = 5 * time.Second
 )
 
-// Run serves until SIGTERM or an interrupt. metrics is the port of the metrics, or "".
+// Run serves until SIGTERM or an interrupt. metrics is the address to serve metrics on, or
+// "" for none. Run returns an error if the settings cannot be read, or if starting or
+// stopping fails.
 func Run(p Platform, metrics string, out io.Writer) error {
 	cfg, err := p.Settings()
 	if err != nil {
@@ -81,8 +85,8 @@
 			func(c Clock, k *ConfigState) *restoreGuard { return &restoreGuard{clock: c, config: k} },
 			newDialer, newStartGate, provideSharing, provideDriver, provideObservationStore, provideServerList, provideRollouts, provideHandler, provideServer,
 		),
-		// The stop runs through these in reverse: the configuration must stay fresh until
-		// the last request has been answered.
+		// Hooks stop in reverse order: the readers outlive the server, because the
+		// configuration must stay fresh until the last request has been answered.
 		fx.Invoke(watchSettings, startReaders,
 			func(lc fx.Lifecycle, s *server, sd fx.Shutdowner) { startServer(lc, s, sd, p.ReadyPath, metrics) }),
 	)
@@ -152,9 +156,9 @@
 	return s
 }
 
-// startServer opens the listeners, and stops when asked to.
+// startServer opens the listeners on start and drains them on stop.
 func startServer(lc fx.Lifecycle, s *server, sd fx.Shutdowner, readyPath, metrics string) {
-	s.onServeError = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // it fails only where the stop has begun
+	s.onServeError = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // fails only if the stop has already begun
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			s.telemetry.emit(logging.EventStart, slog.String("zone", s.settings.Zone))
@@ -169,7 +173,7 @@
 	})
 }
 
-// startReaders follows the store's topics, and carries roll-outs out.
+// startReaders starts the readers of the store's topics and the roll-out loop.
 func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, config *ConfigState, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
 	op := &operator{
 		records: p.Records, config: config, driver: d, rollouts: m, telemetry: j, startGate: st,
@@ -195,8 +199,8 @@
 	})
 }
 
-// startTogether joins the others and starts the readers: an instance that knows its collector
-// saves its own reads.
+// joinAndRun joins the other instances before it starts the readers: an instance that knows
+// its collector needs no reads of its own.
 func joinAndRun(ctx context.Context, sh *sharing, firstStart bool, runs []func(context.Context)) {
 	sh.join(ctx, firstStart)
 	for _, run := range runs {
@@ -204,8 +208,8 @@
 	}
 }
 
-// watchSettings reads the settings file again on SIGHUP and when it has changed. Only the
-// bounds are taken over; addresses hold until the next start.
+// watchSettings reads the settings file again on SIGHUP and every settingsPollInterval. Only
+// the revocation bound takes effect at once; addresses stay until the next start.
 func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, config *ConfigState, j *telemetry) {
 	hup := make(chan os.Signal, 1)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -16,8 +16,8 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// attempt is one try at one backend server, on a connection of its own: on a kept one
-// that dies nobody can tell whether the request ran.
+// attempt is one try of a request at one backend server. It uses a connection of its own:
+// when a reused connection breaks, nothing tells whether the request ran.
 type attempt struct {
 	exchange         *exchange
 	server           passthrough.Server
@@ -26,25 +26,25 @@
 	firstByteTimeout time.Duration
 
 	conn *conn
-	// silent says that the watch has given the attempt up.
+	// timedOut is set when the idle watch has closed the connection.
 	timedOut atomic.Bool
-	// first is the time to the answer's head.
+	// firstByte is the time from startedAt to the response head.
 	firstByte time.Duration
 }
 
-// answer is a backend server's whole answer.
+// response is a backend server's complete response.
 type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// outcome is how an attempt ended.
+// outcome is the result of an attempt.
 type outcome struct {
 	result   passthrough.Result
 	response *response
-	// load and limit are what the answer's head stated; stream says that the decision knows
-	// them since then.
+	// load and limit are from the response head, nil if absent. loadReported says that the
+	// decision got them when the head arrived, as for streams.
 	load           *passthrough.Load
 	limit          *passthrough.RateLimit
 	loadReported   bool
@@ -53,30 +53,30 @@
 	connectionLost bool
 	eventInterval  time.Duration
 	firstByte      time.Duration
-	// confidence is the engine's own, -1 where not told, bar that under which the answer was
-	// dropped.
+	// confidence is the one that the backend server states, -1 for none;
+	// confidenceThreshold is the one below which the response is dropped.
 	confidence          float64
 	confidenceThreshold float64
 	err                 error
 }
 
 var (
-	errWrongAttempt     = errors.New("the answer belongs to another request")
-	errUnsigned         = errors.New("a success without signature")
-	errMisleadingStatus = errors.New("a status that promises 'not run' without the server's word on it")
-	errTimedOut         = errors.New("the backend server is silent")
-	errEventOrder       = errors.New("an event is missing or comes twice")
-	errTruncatedEvent   = errors.New("the stream ends within an event")
+	errWrongAttempt     = errors.New("the response belongs to another request")
+	errUnsigned         = errors.New("the response is a success without a signature or with an altered body")
+	errMisleadingStatus = errors.New("the status implies that the request did not run, but the backend server does not confirm it")
+	errTimedOut         = errors.New("timed out: the backend server sent nothing for too long")
+	errEventOrder       = errors.New("an event of the stream is missing, repeated or has a malformed id")
+	errTruncatedEvent   = errors.New("the stream has no numbered event, ends within an event, or an event exceeds the size limit")
 )
 
-// run sends the request and reads the answer.
+// run sends the request and reads the response.
 func (a *attempt) run(ctx context.Context) outcome {
 	c, err := a.exchange.handler.dialer.dial(ctx, a.server.ID, a.server.Address)
 	if err != nil {
 		return outcome{result: passthrough.NotSent, err: err}
 	}
 	a.conn = c
-	defer func() { _ = c.Close() }() // the connection serves one attempt, whatever comes of it
+	defer func() { _ = c.Close() }() // a connection serves one attempt only
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	watch := a.watchIdle()
@@ -91,7 +91,8 @@
 	return a.readOutcome(resp)
 }
 
-// request makes the request as the backend server gets it: the caller's bytes.
+// request builds the request to the backend server: the caller's target and body unchanged, with
+// the attempt's headers.
 func (a *attempt) request() *http.Request {
 	c := a.exchange.call
 	req := &http.Request{
@@ -110,8 +111,9 @@
 	return req
 }
 
-// send writes the request. It runs beside the reading, since a server may answer before
-// it has read a long body. An error shows at the reading side, where the connection ends.
+// send writes the request. It runs concurrently with the reading, since a server may respond
+// before it has read a long body. A write error is not reported here: the connection breaks,
+// and the read fails too.
 func (a *attempt) send(req *http.Request) {
 	const bufferSize = 16 << 10
 	w := bufio.NewWriterSize(a.conn, bufferSize)
@@ -120,7 +122,7 @@
 	}
 }
 
-// readHead reads the final answer's head.
+// readHead reads the final response's head and skips informational (1xx) ones.
 func readHead(c *conn, req *http.Request) (*http.Response, error) {
 	r := bufio.NewReader(c)
 	for {
@@ -135,18 +137,18 @@
 	}
 }
 
-// broken is an attempt that may have run, without a whole answer.
+// brokenOutcome is the outcome of an attempt that may have run and has no complete response.
 func (a *attempt) brokenOutcome(err error) outcome {
 	if a.timedOut.Load() {
 		return outcome{result: passthrough.Broken, err: errTimedOut, firstByte: a.firstByte}
 	}
 	if ctxErr := a.exchange.ctx.Err(); ctxErr != nil {
-		return outcome{result: passthrough.Broken, err: ctxErr, firstByte: a.firstByte} // its end closed the connection
+		return outcome{result: passthrough.Broken, err: ctxErr, firstByte: a.firstByte} // the context's end closed the connection
 	}
 	return outcome{result: passthrough.Broken, err: err, connectionLost: true, firstByte: a.firstByte}
 }
 
-// judge takes the answer for what it is.
+// readOutcome reads the response and returns the attempt's outcome.
 func (a *attempt) readOutcome(resp *http.Response) outcome {
 	meta := a.exchange.handler.headers.ReadAnswer(resp.StatusCode, resp.Header)
 	out := a.classify(resp, meta)
@@ -163,8 +165,8 @@
 	return out
 }
 
-// tellsLimit says whether an answer tells of the server's rate limit, or that it has none. That it
-// has none only a success tells: what writes a refusal or a failure may not know.
+// reportsLimit reports whether a response states the server's rate limit, or that it has none. Only
+// a success states that there is none: whatever writes a refusal or a failure may not know.
 func reportsLimit(status int, meta seam.Answer) bool {
 	if meta.Misdirected {
 		return false
@@ -193,7 +195,7 @@
 	return a.readWhole(resp)
 }
 
-// promises says whether callers take the status for a promise that nothing has run.
+// impliesNotRun reports whether callers read the status as a promise that the request did not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
@@ -203,16 +205,16 @@
 	return false
 }
 
-// isStream says whether the answer is a series of events.
+// isStream reports whether the response is a stream of server-sent events.
 func isStream(h http.Header) bool {
 	mediaType, _, err := mime.ParseMediaType(h.Get("Content-Type"))
 	return err == nil && mediaType == "text/event-stream"
 }
 
-// wholeLimit bounds a plain answer.
+// maxResponseBytes bounds the body of a plain response.
 const maxResponseBytes = 16 << 20
 
-// whole reads a plain answer to its end before any of it goes out.
+// readWhole reads a plain response to its end before any of it goes to the caller.
 func (a *attempt) readWhole(resp *http.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
--- a/router/internal/passthrough/config_restore.go
+++ b/router/internal/passthrough/config_restore.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// configTrust says whether reads of the operator's records confirm the configuration in force.
-// Reads of a store that came back from a copy confirm it only once the operator has had time to
+// restoreGuard decides whether a read of the operator's records confirms the configuration in
+// force. After a restore of the store, reads confirm it only once the operator has had time to
 // write again what the copy lacks.
 //
-// Load: a configuration that takes a key away, acknowledged and lost with the copy. Harm prevented:
-// the key accepted for longer than its bound, as each read of the copy says that nothing is newer.
-// While nothing is confirmed, the configuration ages as in an outage of the store: the instance
-// leaves the rotation first, and then refuses requests with keys.
+// A configuration that revokes a key may have been acknowledged and then lost in the restore.
+// Every read of the copy would say that nothing newer exists, and the key would be accepted for
+// longer than the revocation bound. While no read confirms, the configuration ages as in an
+// outage of the store: the instance first leaves the rotation, then refuses requests with keys.
 type restoreGuard struct {
 	clock  Clock
 	config *ConfigState
 
 	mu sync.Mutex
-	// stored is the highest version that the store has.
+	// storedVersion is the highest version read from the store since the last restore.
 	storedVersion uint64
-	// until is when reads confirm again; written says that a configuration was written since the
-	// restore.
+	// settledAt is when reads confirm again; rewritten says that a configuration was written
+	// since the restore.
 	settledAt time.Time
 	rewritten bool
 }
 
-// settlePart is the part of the revocation bound for which reads of a restored store confirm
-// nothing. Under the half at which an instance leaves the rotation, with the age that the
-// configuration has when the store goes away.
+// settleFraction is the fraction of the revocation bound for which reads of a restored store
+// confirm nothing. Together with the configuration's age at the start of the outage it stays
+// below the half at which an instance leaves the rotation.
 const settleFraction = 0.25
 
-// restored notes that the store came back from a copy.
+// onRestore notes that the store was restored.
 func (c *restoreGuard) onRestore() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,8 +39,8 @@
 	c.settledAt = c.clock.Now().Add(fractionOf(settleFraction, c.config.Bound()))
 }
 
-// saw takes in a configuration that the store has; written says that it was read as a new record,
-// not among the newest ones.
+// noteStored records a version that the store has. written says that it was read as a new record
+// and not as part of a snapshot.
 func (c *restoreGuard) noteStored(version uint64, written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +48,7 @@
 	c.rewritten = c.rewritten || written
 }
 
-// confirms says whether a read confirms the configuration.
+// confirms reports whether a read confirms the configuration in force.
 func (c *restoreGuard) confirms() bool {
 	if c.lostVersion() != 0 {
 		return false
@@ -58,7 +58,7 @@
 	return c.rewritten || !c.clock.Now().Before(c.settledAt)
 }
 
-// lost is the version in force here if the store lacks it, 0 where it does not.
+// lostVersion returns the version in force here if the store lacks it, else 0.
 func (c *restoreGuard) lostVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// restoredConfig is an instance that knows configuration 9, whose store came back with version 5, or
-// with 9 too.
+// restoredConfig returns an instance that has configuration 9 in force. Its store was restored with
+// version 5 only if lost is set, else with both.
 func restoredConfig(t *testing.T, lost bool) (*parts, *topicReader, *fakeLog, *fakeClock) {
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
@@ -33,37 +33,38 @@
 	}
 }
 
-// TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks holds that an instance which knows more than
-// the store leaves the rotation, then refuses keys, and is back once the operator wrote again.
+// TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks checks that an instance whose configuration
+// is newer than the restored store's leaves the rotation, then refuses keys, and returns once the
+// operator has written the configuration again.
 func TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks(t *testing.T) {
 	p, reader, log, clock := restoredConfig(t, true)
 	if v := p.config.Index().Version; v != 9 {
-		t.Fatalf("version %d is in force", v)
+		t.Fatalf("version %d is in force, want 9", v)
 	}
 	for range 4 {
 		clock.advance(time.Second)
 		read(t, reader)
 	}
 	if p.config.Ready() || p.config.Fresh() {
-		t.Errorf("5 s after the last word on it: ready %v, fresh %v", p.config.Ready(), p.config.Fresh())
+		t.Errorf("5 s after the last confirmation: ready %v, fresh %v, want neither", p.config.Ready(), p.config.Fresh())
 	}
 	log.add("config", "config 9")
 	read(t, reader)
 	if !p.config.Ready() || p.config.Index().Version != 9 {
-		t.Errorf("after it was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
+		t.Errorf("after version 9 was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
 	}
 }
 
-// TestReadsOfACopyConfirmAfterAWhile holds that a configuration which the copy has is in doubt only
-// until the operator had time to write a newer one again, and that no instance leaves the rotation
-// for it.
+// TestReadsOfACopyConfirmAfterAWhile checks that a configuration which the restored store still has
+// stays unconfirmed only until the operator has had time to write a newer one again, and that no
+// instance leaves the rotation meanwhile.
 func TestReadsOfACopyConfirmAfterAWhile(t *testing.T) {
 	p, reader, _, clock := restoredConfig(t, false)
 	before := p.config.Age()
 	clock.advance(time.Second)
 	read(t, reader)
 	if got := p.config.Age(); got != before+time.Second {
-		t.Errorf("a read of the copy confirmed it: age %v, was %v", got, before)
+		t.Errorf("a read of the restored store confirmed the configuration: age %v, was %v", got, before)
 	}
 	clock.advance(fractionOf(settleFraction, 5*time.Second) - time.Second)
 	if !p.config.Ready() {
@@ -71,12 +72,13 @@
 	}
 	read(t, reader)
 	if p.config.Age() != 0 {
-		t.Errorf("age %v though the operator had time to write again", p.config.Age())
+		t.Errorf("age %v after the operator had time to write again, want 0", p.config.Age())
 	}
 }
 
-// TestKeyRevokedBeforeARestoreStaysRevoked plays restores at any distance after a configuration that
-// took a key away, which is written again later: no version ever goes back.
+// TestKeyRevokedBeforeARestoreStaysRevoked restores the store to each earlier version after a
+// configuration that revokes a key: the version in force never goes back, and is confirmed only once
+// it has been written again.
 func TestKeyRevokedBeforeARestoreStaysRevoked(t *testing.T) {
 	for keep := 1; keep <= 4; keep++ {
 		clock, log := newFakeClock(), &fakeLog{era: 1}
@@ -88,42 +90,42 @@
 		}
 		log.restore(keep)
 		read(t, reader)
-		log.add("config", fmt.Sprint("config ", keep)) // an earlier one comes first
+		log.add("config", fmt.Sprint("config ", keep)) // an earlier version is written first
 		read(t, reader)
 		if v := p.config.Index().Version; v != 4 {
-			t.Errorf("%d kept: version %d is in force", keep, v)
+			t.Errorf("%d records kept: version %d is in force, want 4", keep, v)
 		}
 		log.add("config", "config 4")
 		read(t, reader)
 		if p.config.Age() != 0 {
-			t.Errorf("%d kept: not confirmed after it was written again", keep)
+			t.Errorf("%d records kept: version 4 not confirmed after it was written again", keep)
 		}
 	}
 }
 
-// TestInstanceThatStartsAfterARestoreWaitsForTheOperator holds that an instance which has the copy's
-// configuration alone serves no keys while others know a later one.
+// TestInstanceThatStartsAfterARestoreWaitsForTheOperator checks that an instance which knows only the
+// restored store's configuration accepts no keys while its peers know a later one.
 func TestInstanceThatStartsAfterARestoreWaitsForTheOperator(t *testing.T) {
 	knows, _, log, clock := restoredConfig(t, true)
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
 	read(t, reader)
 	if !p.config.Fresh() {
-		t.Fatal("not fresh with what the store has")
+		t.Fatal("not fresh with the only configuration in the store")
 	}
 	p.config.ReportLostVersion(knows.operator.restoreGuard.lostVersion())
 	if p.config.Fresh() || p.config.Ready() {
-		t.Error("fresh by a configuration that others know to be an old one")
+		t.Error("fresh or ready with a configuration that a peer knows to be superseded")
 	}
 	log.add("config", "config 9")
 	read(t, reader)
 	if !p.config.Fresh() || p.config.Index().Version != 9 {
-		t.Error("not fresh by the one that was written again")
+		t.Error("not fresh with version 9, which was written again")
 	}
 }
 
-// TestInstanceThatWasToldKeepsThatWhenItIsCut holds that a configuration which is known to be an old one
-// does not become fresh once nobody can tell that any more.
+// TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable checks that a configuration which
+// a peer reported as superseded does not become fresh again once those reports have expired.
 func TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable(t *testing.T) {
 	_, _, log, clock := restoredConfig(t, true)
 	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
@@ -131,6 +133,6 @@
 	p.config.ReportLostVersion(9)
 	clock.advance(lostVersionTTL + time.Millisecond)
 	if p.config.Fresh() {
-		t.Error("fresh by a read of the copy")
+		t.Error("fresh by an earlier read of the restored store")
 	}
 }
--- a/router/internal/passthrough/conns.go
+++ b/router/internal/passthrough/conns.go
@@ -8,31 +8,32 @@
 
 // callerConns counts the open connections of callers.
 //
-// Load: callers who are refused and come back by another connection each time, while those before
-// stay open for as long as an idle one may. Harm prevented: a process without descriptors, which
-// neither takes connections nor opens any to backend servers, so that callers wait to their
-// deadline for nothing: 1,800 of 38,000 tries, with 4,000 descriptors in ten seconds.
+// Callers that are refused may retry on a new connection each time while the earlier ones stay
+// open for the idle timeout. The process then runs out of file descriptors, can neither accept
+// connections nor dial backend servers, and callers wait in vain until their deadline: 1,800 of
+// 38,000 tries did, with 4,000 descriptors used up in ten seconds.
 type callerConns struct {
 	open atomic.Int64
-	// limit is how many may stay open between requests, 0 for any number.
+	// idleLimit is how many may stay open between requests, 0 for no limit.
 	idleLimit int64
 }
 
 const (
-	// connsPart is the part of the descriptors that callers' idle connections may take: as many
-	// again are needed for those of requests in progress, and for the backend servers' of these.
+	// idleConnFraction is the fraction of the descriptors that callers' idle connections may
+	// take: requests in progress need as many again, and so do their connections to backend
+	// servers.
 	idleConnFraction = 0.25
-	// reservedFiles is how many descriptors are for files, the store and other instances.
+	// reservedDescriptors is how many descriptors are kept for files, the store and peers.
 	reservedDescriptors = 200
 )
 
-// newCallerConns returns the count of a process that may have so many descriptors, 0 where that
-// is not known.
+// newCallerConns returns the counter for a process that may open files descriptors, 0 if that is
+// not known.
 func newCallerConns(files int) *callerConns {
 	return &callerConns{idleLimit: int64(idleConnFraction * float64(max(files-reservedDescriptors, 0)))}
 }
 
-// track is told of each connection's state.
+// track counts a connection by its state; it is the server's ConnState hook.
 func (c *callerConns) track(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -42,5 +43,5 @@
 	}
 }
 
-// crowded says whether a connection is to be closed with its answer.
+// overLimit reports whether a connection is to be closed after its response.
 func (c *callerConns) overLimit() bool { return c.idleLimit > 0 && c.open.Load() > c.idleLimit }
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -12,7 +12,7 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// noHeaders reads and writes none.
+// noHeaders reads and writes no headers.
 type noHeaders struct{}
 
 func (noHeaders) ReadCaller(http.Header) seam.Caller                     { return seam.Caller{} }
@@ -21,7 +21,7 @@
 func (noHeaders) AnswerHeaders(h http.Header) http.Header                { return h }
 
 // TestConnectionsAreNotKeptWhereDescriptorsRunOut opens one connection after the other, as
-// callers do who come back after a refusal. Past the limit each is closed with its answer.
+// callers do that retry after a refusal. Past the limit each is closed after its response.
 func TestConnectionsAreNotKeptWhereDescriptorsRunOut(t *testing.T) {
 	clock := newFakeClock()
 	config := NewConfigState(clock, time.Second)
@@ -52,7 +52,7 @@
 		defer client.CloseIdleConnections()
 	}
 	if closed < 3*kept-1 {
-		t.Errorf("%d of %d connections closed with their answers", closed, 4*kept)
+		t.Errorf("%d of %d connections closed after their responses", closed, 4*kept)
 	}
 	if n := handler.conns.open.Load(); n > kept+2 {
 		t.Errorf("%d connections are open, %d may be kept", n, kept)
--- a/router/internal/passthrough/crashnotes.go
+++ b/router/internal/passthrough/crashnotes.go
@@ -10,11 +10,12 @@
 
 const (
 	crashKeyPrefix = "crash/"
-	// mostCrashes is how many are written at once; more are a fault of another kind.
+	// maxPendingCrashes bounds the fingerprints that wait to be written; more than that at
+	// once come from a fault of another kind.
 	maxPendingCrashes = 256
 )
 
-// crashed counts a crash. It must not block: the driver calls it.
+// recordCrash counts a crash. It must not block: the driver calls it.
 func (b *observationStore) recordCrash(c passthrough.CrashSeen) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -24,7 +25,8 @@
 	b.wakeUp()
 }
 
-// crashNotes makes the notes on the crashes that were not told yet; the lock is held.
+// crashRecords returns a record of each fingerprint whose crashes were not written yet. The lock is
+// held.
 func (b *observationStore) crashRecords(now time.Time) []keyedlog.Record {
 	var out []keyedlog.Record
 	for fingerprint, times := range b.pendingCrashes {
--- a/router/internal/passthrough/cuts.go
+++ b/router/internal/passthrough/cuts.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// cutTogetherMS is how long after each other answers are cut off that one crash of a server
-	// ends: the instances know the time since the order to some tenths of a second.
+	// crashWindowMS is the window, in milliseconds since the roll-out order, within which
+	// responses that one server truncates count as one crash: the instances know the time
+	// since the order to some tenths of a second.
 	crashWindowMS = 2000
-	// cutsMost bounds the crashes that a set tells of a route: more than are needed to judge.
+	// maxCrashKeys bounds the crashes that a set lists for a route: more than a verdict needs.
 	maxCrashKeys = 64
 )
 
-// cutKey names a crash of a server, alike at all instances.
+// crashKey names a crash of a server. All instances derive the same key.
 func crashKey(server string, elapsedMS int64) string {
 	return fmt.Sprintf("%08x/%d", uint32(hashOf(server)), elapsedMS/crashWindowMS)
 }
 
-// noteCut takes in that a server of the new version cut an answer off.
+// addCrash records that a server of the new version truncated a response.
 //
-// Load: a canary of few servers, of which some crash as old ones do, with a dozen answers each.
-// Harm prevented: a good version taken back, since eight answers that broke with three servers
-// passed for eight failures of eighty. All that one server cuts off at about the same time counts
-// as one failure, whoever saw it; a version that cuts off answers again and again is still told.
+// Servers of a canary crash as old ones do, each with a dozen responses in progress. Counted one by
+// one, eight responses that broke with three servers were eight failures of eighty, and a good
+// version was reverted. All that one server truncates at about the same time counts as one failure,
+// whichever instances saw it. A version that truncates responses again and again is still found.
 func (s *observationSet) addCrash(o passthrough.Observed) {
 	key := crashKey(o.Server, s.ElapsedMS)
 	list := s.CrashKeys[o.Route]
@@ -38,10 +39,10 @@
 	s.CrashKeys[o.Route] = append(list, key)
 }
 
-// cuts are the crashes of the new version's servers by route, by all instances.
+// crashSet holds the keys of the new version's server crashes by route, as seen by all instances.
 type crashSet map[string]map[string]bool
 
-// add takes in what one instance saw.
+// add merges what one instance saw.
 func (c crashSet) add(seen map[string][]string) {
 	for route, keys := range seen {
 		if c[route] == nil {
@@ -53,7 +54,7 @@
 	}
 }
 
-// count adds each crash to the new version's bad answers.
+// addTo counts each crash as one bad response of the new version.
 func (c crashSet) addTo(sums map[string]passthrough.Pair) {
 	for route, keys := range c {
 		pair := sums[route]
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/cuts_test.go
@@ -8,7 +8,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// startedRollout is an instance that knows of a roll-out of the shop to v2.
+// startRollout returns an instance with a roll-out of the shop to v2 in progress.
 func startRollout(t *testing.T, name string, clock *fakeClock) *parts {
 	t.Helper()
 	p := newParts(name, clock, &fakeLog{}, &fakeLog{})
@@ -18,7 +18,7 @@
 	return p
 }
 
-// look takes stock of the roll-out, and returns what all instances saw.
+// view returns what all instances saw of the roll-out.
 func (p *parts) view() view { return p.observations.view(p.rollouts.open["shop"], p.clock.Now()) }
 
 func (p *parts) observe(version string, o passthrough.Observed) {
@@ -26,15 +26,15 @@
 	p.observations.recordResponse(o)
 }
 
-// tellsTo hands what an instance saw to another one.
+// sendTo hands the instance's pending records to another one.
 func (p *parts) sendTo(other *parts) {
 	for _, r := range p.observations.pendingRecords() {
 		other.observations.apply(r)
 	}
 }
 
-// TestCrashOfAServerIsOneFailure plays a good version of whose servers three crash, each with
-// answers of several instances.
+// TestCrashOfAServerIsOneFailure guards against reverting a good version for crashes of its
+// servers: three servers crash, each with responses to several instances in progress.
 func TestCrashOfAServerIsOneFailure(t *testing.T) {
 	clock := newFakeClock()
 	a, b := startRollout(t, "a", clock), startRollout(t, "b", clock)
@@ -51,12 +51,12 @@
 	}
 	b.sendTo(a)
 	if v := a.view(); v.newCounts.Bad != 3 || v.newCounts.Good != 72 || v.bad {
-		t.Errorf("%d bad and %d good answers, bad %v", v.newCounts.Bad, v.newCounts.Good, v.bad)
+		t.Errorf("%d bad and %d good responses, verdict bad %v, want 3, 72, false", v.newCounts.Bad, v.newCounts.Good, v.bad)
 	}
 }
 
-// TestVersionThatCutsAnswersOffIsBad plays one whose servers go on, and cut off a third of their
-// answers all the time.
+// TestVersionThatCutsAnswersOffIsBad checks that a version is found bad whose servers keep running
+// and truncate a third of all responses.
 func TestVersionThatCutsAnswersOffIsBad(t *testing.T) {
 	clock := newFakeClock()
 	a := startRollout(t, "a", clock)
@@ -69,10 +69,10 @@
 			return
 		}
 	}
-	t.Error("not found in 30 s")
+	t.Error("not found bad within 30 s")
 }
 
-// TestFailuresCountEach holds that answers which a server failed by itself count one by one.
+// TestFailuresCountEach checks that failures without a lost connection count one by one.
 func TestFailuresCountEach(t *testing.T) {
 	a := startRollout(t, "a", newFakeClock())
 	for range 7 {
@@ -81,6 +81,6 @@
 		a.observe("v1", passthrough.Observed{})
 	}
 	if v := a.view(); v.newCounts.Bad != 7 || !v.bad {
-		t.Errorf("%d bad answers, bad %v", v.newCounts.Bad, v.bad)
+		t.Errorf("%d bad responses, verdict bad %v, want 7, true", v.newCounts.Bad, v.bad)
 	}
 }
--- a/router/internal/passthrough/dialer.go
+++ b/router/internal/passthrough/dialer.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// connectTimeout bounds a new connection to a backend server: 1 to 3 ms are usual, and a
-// lost first packet is sent again after a second, when another server has answered.
+// connectTimeout bounds the dial of a backend server. 1 to 3 ms are usual; a lost SYN is sent
+// again only after a second, by when another server can have answered.
 const connectTimeout = 350 * time.Millisecond
 
-// dialer opens connections to backend servers, one for each attempt, and knows when each
-// server was last heard of.
+// dialer opens connections to backend servers, one for each attempt, and records when bytes
+// last arrived from each server.
 type dialer struct {
 	clock Clock
 	net   net.Dialer
@@ -26,7 +26,8 @@
 	return &dialer{clock: clock, net: net.Dialer{Timeout: connectTimeout, KeepAlive: -1}, lastReceived: map[string]*atomic.Int64{}}
 }
 
-// pulse is when the server was last heard of, in Unix nanoseconds of the clock.
+// lastReceivedFrom returns the time at which bytes last arrived from the server, in Unix
+// nanoseconds of the clock; 0 for never.
 func (d *dialer) lastReceivedFrom(server string) *atomic.Int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,7 +39,7 @@
 	return p
 }
 
-// forget drops the servers that the list has dropped.
+// retain forgets the servers for which keep returns false.
 func (d *dialer) retain(keep func(server string) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,7 +50,7 @@
 	}
 }
 
-// dial opens a connection.
+// dial opens a connection to the server.
 func (d *dialer) dial(ctx context.Context, server, address string) (*conn, error) {
 	c, err := d.net.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -58,12 +59,12 @@
 	return &conn{Conn: c, clock: d.clock, serverLastReceived: d.lastReceivedFrom(server)}, nil
 }
 
-// conn notes when bytes come in.
+// conn records when bytes arrive.
 type conn struct {
 	net.Conn
 	clock              Clock
 	serverLastReceived *atomic.Int64
-	// heard is the time of the last byte, 0 before the first.
+	// lastReceived is when bytes last arrived, in Unix nanoseconds; 0 before the first.
 	lastReceived atomic.Int64
 }
 
--- a/router/internal/passthrough/doc.go
+++ b/router/internal/passthrough/doc.go
@@ -1,5 +1,5 @@
-// Package passthrough serves pass-through routes: it takes callers' requests, asks
-// decision/passthrough where each goes, runs the attempts, and hands the answers back
-// unchanged. It follows the operator's records and the list of backend servers, and carries
-// roll-outs out. What the platform calls things is behind the interfaces in ports.go.
+// Package passthrough serves pass-through routes: it accepts callers' requests, asks
+// decision/passthrough where to send each, runs the attempts, and returns the responses
+// unchanged. It follows the operator's records and the list of backend servers, and
+// executes roll-outs. The interfaces in ports.go hide the names and formats of the platform.
 package passthrough
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -11,8 +11,8 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// drain takes in that a failure domain is to get no new work, or is taken back. The order is in
-// force here when this returns, for what waits in the queue as well.
+// setDrained starts or ends the drain of a failure domain, which gets no new work meanwhile. The
+// order is in force here when setDrained returns, for queued requests too.
 func (o *operator) setDrained(domain string, drained bool, offset uint64) {
 	if o.drained[domain] == drained {
 		return
@@ -30,15 +30,15 @@
 		slog.Bool("known", slices.Contains(o.domains, domain)))
 }
 
-// drainKept is how long a failure domain stays drained whose order a restored store lacks: the
-// operator writes it again, unless the domain was taken back meanwhile.
+// keepDrainedFor is how long a failure domain stays drained after a restore if the store lacks its
+// order: the operator writes the order again, unless the drain has ended meanwhile.
 const keepDrainedFor = 5 * time.Second
 
-// takeDrained applies the newest orders to drain: a failure domain that is not among them was
-// taken back meanwhile, or its order is lost with a restored store.
+// replaceDrainOrders applies a snapshot's drain orders. For a failure domain that is not among them
+// the drain has ended meanwhile, or the order was lost in a restore.
 //
-// Load: an order to drain that was acknowledged and is not in the copy. Harm prevented: all
-// instances sending to a failure domain that is about to lose power.
+// An order that was acknowledged and then lost must not end the drain: all instances would send to
+// a failure domain that is about to lose power.
 func (o *operator) replaceDrainOrders(list []keyedlog.Record) {
 	clear(o.drainOrders)
 	for _, r := range list {
@@ -49,8 +49,8 @@
 	o.reconcileDrained()
 }
 
-// settleDrained takes back the failure domains that the store has no order for, unless they are
-// kept.
+// reconcileDrained ends the drain of failure domains for which the store has no order, unless they
+// are kept after a restore.
 func (o *operator) reconcileDrained() {
 	for _, domain := range slices.Sorted(maps.Keys(o.drained)) {
 		switch {
@@ -58,10 +58,10 @@
 		case o.clock.Now().Before(o.keepUntil):
 			if !o.keptLogged[domain] {
 				o.keptLogged[domain] = true
-				o.telemetry.logStateKept("drained", domain, "the store has no order for it")
+				o.telemetry.logStateKept("drained", domain, "the restored store has no drain order for it")
 			}
 		default:
-			const unknownOffset = 0 // the record that took it back is not kept
+			const unknownOffset = 0 // the record that ended the drain is not in the snapshot
 			o.setDrained(domain, false, unknownOffset)
 		}
 	}
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -17,17 +17,17 @@
 		want []string
 	}{
 		{"an order", func(o *operator) { o.applyNew(drainOrder("a", "{}", 1)) }, []string{"a"}},
-		{"bytes that cannot be read", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
-		{"a domain that nobody knows", func(o *operator) { o.applyNew(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
+		{"a malformed value", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
+		{"an unknown domain", func(o *operator) { o.applyNew(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
 		{"two domains", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("b", "{}", 2))
 		}, []string{"a", "b"}},
-		{"taken back", func(o *operator) {
+		{"drain ended", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("a", "", 2))
 		}, nil},
-		{"taken back while the history was dropped", func(o *operator) {
+		{"drain ended by a record that is no longer kept", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("b", "{}", 2))
 			o.applySnapshot([]keyedlog.Record{drainOrder("b", "{}", 2)})
@@ -47,8 +47,9 @@
 	}
 }
 
-// TestOrderIsKnownBeforeTheConfiguration holds that an instance which starts while a failure
-// domain is drained sends nothing there: the configuration lets requests in.
+// TestOrderIsKnownBeforeTheConfiguration guards against an instance that starts while a failure
+// domain is drained and sends requests there: requests are admitted once the configuration is in
+// force, so drain orders must be applied first.
 func TestOrderIsKnownBeforeTheConfiguration(t *testing.T) {
 	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	var drainedThen bool
@@ -59,7 +60,7 @@
 	}
 }
 
-// spyRecords tells when the configuration is decoded.
+// spyRecords calls seen when the configuration record is examined.
 type spyRecords struct {
 	fakeRecords
 	seen func()
@@ -67,14 +68,14 @@
 
 func (s spyRecords) DrainedDomain(r keyedlog.Record) (string, bool) {
 	if r.Key == "config" {
-		s.seen() // asked of each record before it is applied
+		s.seen() // called for each record before it is applied
 	}
 	return s.fakeRecords.DrainedDomain(r)
 }
 
-// TestDrainOrderOutlivesARestore holds that a failure domain stays drained where a copy of the store
-// lacks the order, until the operator had time to write it again; a copy's order that was taken back
-// counts until that is written again.
+// TestDrainOrderOutlivesARestore checks that a failure domain stays drained after a restore that lost
+// the order, until the operator has had time to write it again. An order that was withdrawn and comes
+// back with a restore counts until the withdrawal is written again.
 func TestDrainOrderOutlivesARestore(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{era: 1}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
@@ -107,6 +108,6 @@
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.advance(keepDrainedFor) // it was taken back while the store was away
+	clock.advance(keepDrainedFor) // the drain ended during the outage
 	drained()
 }
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -7,12 +7,14 @@
 	"masticplank.example/router/internal/relay"
 )
 
-// Driver owns the world: it takes events from many goroutines and hands the commands on.
+// Driver owns the decision's state, a passthrough.World. It accepts events from many goroutines
+// and passes the resulting commands on. It is safe for concurrent use.
 type Driver struct {
 	clock Clock
-	// hurry asks for the list of backend servers to be read at once.
+	// requestServerRead asks for the list of backend servers to be read at once.
 	requestServerRead func()
-	// observe and crash tell the other instances, cooled and limited the log.
+	// onObserved and onCrash inform the other instances; onSlowStart and onLimitChanged
+	// write to the log. They run with the lock held and must not block.
 	onObserved     func(passthrough.Observed)
 	onCrash        func(passthrough.CrashSeen)
 	onSlowStart    func(passthrough.Cooled)
@@ -24,17 +26,17 @@
 	lastID  passthrough.RequestID
 }
 
-// ticket is where the commands on one request go.
+// ticket receives the commands for one request.
 type ticket struct {
 	id       passthrough.RequestID
 	commands chan passthrough.Command
 }
 
-// ticketRoom is more commands than a request can be given before it takes one: each
-// waits for the event that it answers.
+// ticketBuffer exceeds the number of commands that can be pending for a request: each command
+// answers an event of that request.
 const ticketBuffer = 4
 
-// NewDriver returns a driver of a new world.
+// NewDriver returns a driver with a new passthrough.World.
 func NewDriver(clock Clock, cfg passthrough.Settings) *Driver {
 	return &Driver{
 		clock: clock, world: passthrough.New(cfg), tickets: map[passthrough.RequestID]*ticket{},
@@ -43,7 +45,7 @@
 	}
 }
 
-// open hands a request over; its commands come by the ticket.
+// open submits a request; its commands arrive on the ticket.
 func (d *Driver) open(r passthrough.Request) *ticket {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,7 +57,7 @@
 	return t
 }
 
-// close forgets a request.
+// close removes a request.
 func (d *Driver) close(t *ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,48 +65,48 @@
 	delete(d.tickets, t.id)
 }
 
-// Tell gives events to the world.
+// Handle applies events and passes on the resulting commands.
 func (d *Driver) Handle(events ...passthrough.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tick(events...)
 }
 
-// openSessions lists a service's sessions that may be open at another version than the
-// target, in the share.
+// openSessions lists a service's sessions that fall into the share and may be open at another
+// version than the target.
 func (d *Driver) openSessions(service, target string, share float64) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.world.OpenSessions(service, target, share)
 }
 
-// ownReport is what this instance tells the others.
+// ownReport returns this instance's load report for its peers.
 func (d *Driver) ownReport() relay.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return relay.Report{Loads: d.world.OwnLoads(), Limits: d.world.OwnLimits(), Instances: 1}
 }
 
-// takeReport takes in what the others tell.
+// applyPeerReport applies the load reports of the peers.
 func (d *Driver) applyPeerReport(others relay.Report) {
 	d.Handle(passthrough.PeerLoads{Loads: others.Loads, Instances: others.Instances}, passthrough.PeerLimits{Limits: others.Limits})
 }
 
-// bar is the confidence under which the request's answer is dropped now.
+// confidenceThreshold returns the confidence below which the request's response is dropped now.
 func (d *Driver) confidenceThreshold(t *ticket) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.world.Bar(t.id)
 }
 
-// Load counts the requests that wait and that run.
+// Load returns the number of queued and of running requests.
 func (d *Driver) Load() (waiting, running int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.world.Waiting()
 }
 
-// Streams counts the streams that wait or run.
+// Streams returns the number of streams that are queued or running.
 func (d *Driver) Streams() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -13,7 +13,8 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// Edge is the callers' side.
+// Handler serves callers' requests: it checks each against the configuration in force, submits it
+// to the driver, and writes the final response.
 type Handler struct {
 	headers   Headers
 	config    *ConfigState
@@ -21,41 +22,42 @@
 	dialer    *dialer
 	clock     Clock
 	telemetry *telemetry
-	// starting holds requests back until the process knows what it needs.
+	// startGate holds requests back until the process has what it needs to serve.
 	startGate *startGate
-	// stopping says how far the end of the process is.
+	// shutdown is the progress of the process's shutdown.
 	shutdown *shutdown
 	// conns counts callers' connections.
 	conns *callerConns
 }
 
-// call is one request of a caller, read whole.
+// call is one request of a caller with its whole body.
 type call struct {
 	request *http.Request
 	caller  seam.Caller
-	// uri is the request's target as the caller wrote it, path its path.
+	// uri is the request target as the caller wrote it, path its path.
 	uri  string
 	path string
 	body []byte
 	// maxBody bounds the body's bytes.
 	maxBody int64
-	// route is that of arrival, team the newest known.
+	// route is the one found at arrival; team is by the newest configuration.
 	route *passthrough.Route
 	team  *passthrough.Team
-	// arrived, and deadline, when the caller must have a final answer.
+	// arrived is when the request arrived, deadline when the caller must have a final
+	// response.
 	arrived  time.Time
 	deadline time.Time
 }
 
-// refusal is an answer of the router's own.
+// refusal is a response of the router's own to a request that did not run.
 type refusal struct {
 	status int
 	reason passthrough.Reason
-	// after tells when to come back; 0 for no word on it.
+	// retryAfter is the value of the Retry-After header; 0 for none.
 	retryAfter time.Duration
 }
 
-// The reasons that the edge gives.
+// The reasons that do not come from the decision.
 const (
 	reasonNoConfig    passthrough.Reason = "no_configuration"
 	reasonNoRoute     passthrough.Reason = "no_such_route"
@@ -66,7 +68,8 @@
 	reasonTimeout     passthrough.Reason = "timeout"
 )
 
-// retrySoon is told where another instance can take the request now.
+// retryElsewhereAfter is the Retry-After of refusals where another instance can take the request
+// now.
 const retryElsewhereAfter = 200 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
@@ -92,7 +95,8 @@
 	h.run(w, c)
 }
 
-// admit finds the route and the team, by the configuration in force.
+// admit sets the call's route, team and deadline by the configuration in force, or says why the
+// request is refused.
 func (h *Handler) admit(c *call) *refusal {
 	route, denied := h.resolve(c)
 	c.route = route
@@ -110,9 +114,9 @@
 	return nil
 }
 
-// look finds the route and the team by the configuration as it is now, and says why the
-// request must not run, if so. It is asked at arrival and before each dispatch. While the
-// configuration is too old, nothing is refused for good by it.
+// resolve finds the route and the team by the configuration in force, and says why the
+// request must not run, if so. It is called at arrival and before each dispatch. While the
+// configuration is too old, it refuses nothing permanently.
 func (h *Handler) resolve(c *call) (*passthrough.Route, *refusal) {
 	index := h.config.Index()
 	if index == nil {
@@ -136,7 +140,7 @@
 	return route, nil
 }
 
-// denied refuses for good, unless the configuration may be an old one.
+// deny refuses permanently, unless the configuration may be outdated.
 func (h *Handler) deny(status int, reason passthrough.Reason) *refusal {
 	if !h.config.Fresh() {
 		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
@@ -144,7 +148,7 @@
 	return &refusal{status: status, reason: reason}
 }
 
-// readBody reads the body whole: a request that is to run again must be at hand.
+// readBody reads the whole body: it is needed again for a retry.
 func (h *Handler) readBody(w http.ResponseWriter, c *call) *refusal {
 	if c.caller.Attempt == "" {
 		return &refusal{status: http.StatusBadRequest, reason: reasonNoAttemptID}
@@ -156,13 +160,13 @@
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge}
 	case err != nil:
 		h.telemetry.callerLost(c, err)
-		panic(http.ErrAbortHandler) // the caller has broken off; there is nobody to answer
+		panic(http.ErrAbortHandler) // the caller has disconnected; there is nobody to respond to
 	}
 	c.body = body
 	return nil
 }
 
-// refuse answers without having run the request.
+// refuse responds to a request that did not run.
 func (h *Handler) refuse(w http.ResponseWriter, c *call, refused refusal) {
 	h.telemetry.refused(c, refused)
 	header := w.Header()
@@ -177,11 +181,11 @@
 	writeAll(w, []byte(string(refused.reason)+"\n"))
 }
 
-// writeAll writes to a caller. A caller that has gone shows by its context too, and no
-// other way of telling it is left.
+// writeAll writes to a caller. A write error is ignored: the request's context reports a
+// disconnected caller too, and nothing more can be sent to it.
 func writeAll(w io.Writer, text []byte) { _, _ = w.Write(text) }
 
-// fraction turns a text into a fraction of 1 that is alike at all instances.
+// hashFraction hashes a text to a number in [0, 1) that is the same at all instances.
 func hashFraction(text string) float64 {
 	const bits = 53
 	return float64(hashOf(text)>>(64-bits)) / (1 << bits)
@@ -190,16 +194,16 @@
 func hashOf(texts ...string) uint64 {
 	h := fnv.New64a()
 	for _, t := range texts {
-		_, _ = io.WriteString(h, t) // a hash takes every write
+		_, _ = io.WriteString(h, t) // a hash's Write never fails
 		_, _ = h.Write([]byte{0})
 	}
 	x := h.Sum64()
 	x ^= x >> 29
-	x *= 0xbf58476d1ce4e5b9 // spreads the last characters over all bits
+	x *= 0xbf58476d1ce4e5b9 // spreads the last bytes over all bits
 	return x ^ x>>32
 }
 
-// describe makes the decision's request of a call.
+// decisionRequest returns the call as a request to the decision.
 func (c *call) decisionRequest() passthrough.Request {
 	team := ""
 	if c.team != nil {
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -10,24 +10,26 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// exchange carries one request from its admission to its final answer.
+// exchange carries one request from its admission to its final response.
 type exchange struct {
 	handler *Handler
 	call    *call
 	ticket  *ticket
 	w       http.ResponseWriter
 	ctx     context.Context
-	// last is the backend server's failure that was kept for the caller, if any.
+	// lastFailure is the last complete response of a failed attempt, kept for the caller; nil
+	// for none.
 	lastFailure *response
-	// ran says that the request may have run.
+	// mayHaveRun says that some attempt may have run the request.
 	mayHaveRun bool
-	// stream is the part of a stream that went to the caller.
+	// stream is what the caller has of a stream.
 	stream stream
-	// patience ends the wait in the queue, at arrival and after each attempt.
+	// queueTimer ends the wait in the queue, at arrival and after each attempt.
 	queueTimer *time.Timer
 }
 
-// run asks for decisions and follows them until one final answer is out.
+// run submits the request to the decision and executes its commands until the final response is
+// written.
 func (h *Handler) run(w http.ResponseWriter, c *call) {
 	remaining := c.deadline.Sub(h.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(remaining, 0))
@@ -45,7 +47,7 @@
 	}
 }
 
-// step waits for one command and follows it. It says whether the request has ended.
+// step waits for one command and executes it. It reports whether the request has ended.
 func (x *exchange) step() bool {
 	select {
 	case c := <-x.ticket.commands:
@@ -68,7 +70,7 @@
 	return true
 }
 
-// expired ends a request whose time has passed, or whose caller has gone.
+// expire ends a request whose deadline has passed or whose caller has disconnected.
 func (x *exchange) expire() {
 	if x.call.request.Context().Err() != nil {
 		x.handler.telemetry.callerLost(x.call, x.ctx.Err())
@@ -81,7 +83,7 @@
 	x.fail(http.StatusGatewayTimeout, reasonTimeout)
 }
 
-// refuse ends a request that has not run.
+// refuse ends a request that did not run.
 func (x *exchange) refuse(refused refusal) {
 	if x.stream.begun {
 		x.abort(refused.reason)
@@ -89,8 +91,8 @@
 	x.handler.refuse(x.w, x.call, refused)
 }
 
-// finish ends a request that ran or may have run, with the backend server's own failure
-// where there is one.
+// finish ends a request that ran or may have run. It responds with the backend server's own
+// failure, if there is one.
 func (x *exchange) finish(reason passthrough.Reason) {
 	if x.lastFailure == nil || x.stream.begun {
 		x.fail(http.StatusBadGateway, reasonMayHaveRun)
@@ -100,7 +102,8 @@
 	x.writeResponse(x.lastFailure)
 }
 
-// fail ends a request that may have run, without an answer. Its status promises nothing.
+// fail ends a request that may have run and has no response. The status must not imply that it
+// did not run.
 func (x *exchange) fail(status int, reason passthrough.Reason) {
 	if x.stream.begun {
 		x.abort(reason)
@@ -111,13 +114,13 @@
 	writeAll(x.w, []byte(string(reason)+"\n"))
 }
 
-// abort breaks the caller's connection, so that a part of an answer does not look whole.
+// abort breaks the caller's connection, so that a partial response does not look complete.
 func (x *exchange) abort(reason passthrough.Reason) {
 	x.handler.telemetry.finished(x.call, 0, reason)
 	panic(http.ErrAbortHandler)
 }
 
-// deliver hands a whole answer to the caller, unchanged.
+// writeResponse writes a complete response to the caller, unchanged.
 func (x *exchange) writeResponse(a *response) {
 	h := x.w.Header()
 	x.copyHeaders(a.header)
@@ -126,8 +129,8 @@
 	writeAll(x.w, a.body)
 }
 
-// copyHeaders copies a backend server's headers. No header of our own is added: net/http
-// leaves out what is set to nil.
+// copyHeaders copies a backend server's headers. Content-Type and Date are set to nil where the
+// server sent none, since net/http would add its own.
 func (x *exchange) copyHeaders(from http.Header) {
 	h := x.w.Header()
 	for name, values := range x.handler.headers.AnswerHeaders(from) {
@@ -140,7 +143,8 @@
 	}
 }
 
-// dispatch runs one attempt, unless the configuration forbids it by now.
+// dispatch runs one attempt, unless the configuration in force no longer permits the request. It
+// reports whether the request has ended.
 func (x *exchange) dispatch(d passthrough.Dispatch) bool {
 	if _, denied := x.handler.resolve(x.call); denied != nil {
 		if x.mayHaveRun {
@@ -181,7 +185,7 @@
 	return true
 }
 
-// complete gives the caller the rest of a whole answer.
+// complete ends a request that succeeded; a plain response is written here, a stream already was.
 func (x *exchange) complete(out outcome) {
 	status := http.StatusOK
 	if out.response != nil {
@@ -191,7 +195,7 @@
 	x.handler.telemetry.finished(x.call, status, "")
 }
 
-// attempt prepares one attempt.
+// newAttempt prepares an attempt.
 func (x *exchange) newAttempt(d passthrough.Dispatch) *attempt {
 	c := x.call
 	team := ""
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -13,7 +13,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// fakeClock is set by the test.
+// fakeClock is a clock that the test advances.
 type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -33,15 +33,15 @@
 	c.now = c.now.Add(d)
 }
 
-// fakeLog is a topic in memory.
+// fakeLog is an in-memory topic.
 type fakeLog struct {
 	mu        sync.Mutex
 	records   []keyedlog.Record
 	firstKept uint64
 	era       uint64
-	// read, newest and appended are errors of the next calls.
+	// readErrs, newestErrs and appendErrs are the errors of the next calls.
 	readErrs, newestErrs, appendErrs []error
-	// lose does the next append and gives the error all the same.
+	// appendDespiteErr makes appends take effect although they return an error.
 	appendDespiteErr bool
 	// beforeAppend runs before an append, once.
 	beforeAppend func()
@@ -116,12 +116,12 @@
 	return err
 }
 
-// end is where the topic ends. The lock is held.
+// end returns the position after the last record. The lock is held.
 func (l *fakeLog) end() keyedlog.Position {
 	return keyedlog.Position{Era: l.era, Offset: uint64(len(l.records))}
 }
 
-// restore has the topic come back with its first records only.
+// restore restores the topic from a copy with only its first records, and starts a new era.
 func (l *fakeLog) restore(records int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,9 +135,9 @@
 	l.records = append(l.records, keyedlog.Record{Key: key, Value: []byte(value), Offset: uint64(len(l.records))})
 }
 
-// fakeRecords reads records of words: "config VERSION", "order SERVICE TARGET SECONDS", the key
-// "drain/DOMAIN",
-// "server SERVICE VERSION ready|draining", "status TARGET PHASE".
+// fakeRecords decodes records whose values are words: "config VERSION",
+// "order SERVICE TARGET SECONDS", "server SERVICE VERSION ready|draining",
+// "status TARGET PHASE". A drain order has the key "drain/DOMAIN".
 type fakeRecords struct{}
 
 func (fakeRecords) Config(r keyedlog.Record) (c passthrough.Config, ok bool, err error) {
@@ -183,7 +183,7 @@
 	return keyedlog.Record{Key: "status/" + service, Value: fmt.Appendf(nil, "status %s %d", target, phase)}, nil
 }
 
-// parts are an instance's parts without its sockets.
+// parts is an instance without its listeners and connections.
 type parts struct {
 	clock        *fakeClock
 	config       *ConfigState
@@ -195,7 +195,7 @@
 	telemetry    *telemetry
 }
 
-// newParts puts an instance together on the given logs.
+// newParts builds an instance on the given logs.
 func newParts(name string, clock *fakeClock, status, observations keyedlog.Log) *parts {
 	p := &parts{clock: clock}
 	p.config = NewConfigState(clock, 5*time.Second)
--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -11,7 +11,8 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// reader follows the others' observations.
+// reader returns a reader of the peers' observations. active says whether a roll-out is in
+// progress.
 func (b *observationStore) reader(clock Clock, active func() bool) *topicReader {
 	t := &topicReader{
 		name: topicObservations, log: b.log, clock: clock, telemetry: b.telemetry, maxRetry: slowRetryDelay,
@@ -35,18 +36,19 @@
 	return t
 }
 
-// gossipTime is how long it takes until what one instance saw is known to another: each
-// writes and reads once in observationsEvery, and gathers before that.
+// propagationTime is how long an observation takes to reach the other instances: each writes
+// and reads once per observationInterval, and a write waits for batchDelay before.
 const propagationTime = 2500 * time.Millisecond
 
-// sound notes that the others' observations were read.
+// markRead notes that the peers' observations were read, as of the given time.
 func (b *observationStore) markRead(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lastReadAt = at
 }
 
-// regained notes the end of an outage in which nobody could tell anything.
+// onRecovery notes the end of an outage of the topic, in which no instance could share its
+// observations.
 func (b *observationStore) onRecovery(lost time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,24 +57,24 @@
 	}
 }
 
-// restored has this instance write its observations again: a copy of the store lacks some.
+// onRestore makes this instance write its observations again: the restored store may lack some.
 func (b *observationStore) onRestore() {
 	b.markDirty()
 	b.wakeUp()
 }
 
-// resumed notes that this process stood still, and may have missed what the others tell.
+// onPause notes that this process was suspended and may have missed observations of its peers.
 func (b *observationStore) onPause() { b.markIncomplete() }
 
-// unwritten notes that this instance could not tell what it saw: the others may be no better
-// off.
+// markIncomplete notes that peers may have observations that are not known here, for example
+// because this instance could not write its own: the peers may be no better off.
 func (b *observationStore) markIncomplete() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.completeSince = b.clock.Now()
 }
 
-// blind says whether the others may have seen what is not known here.
+// mayMissRecords reports whether peers may have observations that are not known here.
 func (b *observationStore) mayMissRecords() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,8 +82,7 @@
 	return now.Sub(b.lastReadAt) > propagationTime || now.Sub(b.completeSince) < propagationTime
 }
 
-// takeAll applies the newest observations. Notes on crashes among them may be old, and are left
-// out.
+// applySnapshot applies the newest observations. It skips crash records, which may be old.
 func (b *observationStore) applySnapshot(list []keyedlog.Record) {
 	for _, r := range list {
 		if !strings.HasPrefix(r.Key, crashKeyPrefix) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// take applies one set of another instance.
+// apply applies one set or crash record of another instance.
 func (b *observationStore) apply(r keyedlog.Record) {
 	if len(r.Value) == 0 {
 		return
@@ -113,7 +114,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if known, ok := b.others[r.Key]; ok && known.responseCount() > s.responseCount() {
-		return // it is one of a copy of the store
+		return // an earlier one, from a restored store
 	}
 	s.readAt = b.clock.Now()
 	b.others[r.Key] = s
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -10,9 +10,9 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// TestConfigurationHistories runs seeded histories of an operator and of instances that
-// read in any order, meet a store that is away or has dropped records, and start again: no
-// instance goes back, and in the end all have the newest version.
+// TestConfigurationHistories runs seeded histories of an operator and of instances that read
+// in any order, find the store unavailable or records dropped, and restart: no instance goes
+// back to an earlier version, and each has the newest one after a read.
 func TestConfigurationHistories(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playConfigurations(t, seed) })
@@ -42,13 +42,13 @@
 			newest += uint64(1 + rng.IntN(5))
 			log.add("config", fmt.Sprint("config ", newest))
 		case 1:
-			// A record that arrives late, and one that cannot be read.
+			// A record of an unknown kind, and a malformed one.
 			log.add("late", "???")
 			log.add("order/x", "???")
 		case 2:
 			log.readErrs = append(log.readErrs, keyedlog.ErrUnknown)
 		case 3:
-			log.firstKept = uint64(len(log.records)) // all but the newest are dropped
+			log.firstKept = uint64(len(log.records)) // all records before this point are dropped
 		case 4:
 			if rng.IntN(4) == 0 {
 				fleet[i] = start(i)
@@ -60,10 +60,10 @@
 			}
 			got := in.config.Index().Version
 			if got < in.version {
-				t.Fatalf("instance %d went back from %d to %d", i, in.version, got)
+				t.Fatalf("instance %d went back from version %d to %d", i, in.version, got)
 			}
 			if got != newest {
-				t.Fatalf("instance %d has %d after a read, the newest is %d", i, got, newest)
+				t.Fatalf("instance %d has version %d after a read, the newest is %d", i, got, newest)
 			}
 			in.version = got
 		}
@@ -71,8 +71,9 @@
 }
 
 // TestQuarantineHistories runs seeded histories of a request that crashes each server that
-// runs it and comes again at any instance, among requests that are only unlucky: once three
-// crashes were told, it runs no more, and the unlucky ones are not shut out.
+// runs it and is retried at any instance, among requests that crash a server only now and
+// then. Once three crashes are known to all instances the first must not run again, and the
+// others must not be quarantined.
 func TestQuarantineHistories(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playQuarantine(t, seed) })
@@ -98,7 +99,7 @@
 		}
 		fleet, readers = append(fleet, p), append(readers, reader)
 	}
-	// send sends a request at some instance and ends it as given; it says whether it ran.
+	// send sends a request through some instance and ends it as given; it reports whether it ran.
 	send := func(fingerprint uint64, end passthrough.Ended) bool {
 		d := fleet[rng.IntN(len(fleet))].driver
 		tk := d.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: fingerprint,
@@ -116,7 +117,7 @@
 	for range 60 {
 		clock.advance(time.Duration(rng.IntN(120)) * time.Millisecond)
 		known := crashes >= 3
-		if known { // the instances' reads and writes have gone through since
+		if known { // all instances have written and read since
 			for i, p := range fleet {
 				if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
 					t.Fatal(err)
@@ -142,12 +143,12 @@
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d runs after the third crash was told", late)
+		t.Errorf("%d runs after the third crash was known to all instances", late)
 	}
 	if crashes > 3 {
 		t.Errorf("%d servers crashed", crashes)
 	}
 	if !send(999, passthrough.Ended{Result: passthrough.Completed}) {
-		t.Error("another request was shut out")
+		t.Error("an unrelated request was refused")
 	}
 }
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -12,7 +12,7 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// journal writes the log and counts the metrics of the pass-through side.
+// telemetry writes the log events and metrics of pass-through routes.
 type telemetry struct {
 	log      *logging.Logger
 	clock    Clock
@@ -20,7 +20,7 @@
 	registry gometrics.Registry
 }
 
-// The attributes of a line on a request.
+// The log attributes of events about a request.
 const (
 	keyRequest = "request"
 	keyRoute   = "route"
@@ -33,8 +33,8 @@
 	keyTook    = "took_ms"
 )
 
-// about is what every line on a request says: its id, and by which configuration, of
-// which age, it was decided.
+// requestAttrs returns the attributes of every event about a request, followed by more: its id
+// and route, and the version and age of the configuration in force.
 func (j *telemetry) requestAttrs(c *call, more ...slog.Attr) []slog.Attr {
 	out := make([]slog.Attr, 0, 6+len(more))
 	out = append(out, slog.String(keyRequest, c.caller.Attempt))
@@ -67,27 +67,27 @@
 }
 
 func (j *telemetry) observeDuration(name string, took time.Duration) {
-	const sample, alpha = 1028, 0.015 // the library's own advice for a sample of five minutes
+	const sample, alpha = 1028, 0.015 // the library's recommendation for a bias to the last five minutes
 	h := j.registry.GetOrRegister("passthrough."+name, func() gometrics.Histogram {
 		return gometrics.NewHistogram(gometrics.NewExpDecaySample(sample, alpha))
 	}).(gometrics.Histogram)
 	h.Update(took.Milliseconds())
 }
 
-// cooled tells that servers are taken for cold. The driver calls it, so it must not block.
+// slowStart logs that servers have entered slow start. The driver calls it, so it must not block.
 func (j *telemetry) slowStart(c passthrough.Cooled) {
 	j.count("cooled." + string(c.Why))
 	j.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
 		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.For.Milliseconds()), slog.String(keyReason, string(c.Why)))
 }
 
-// stateKept tells of what is kept though a restored store says otherwise.
+// logStateKept logs state that is kept although a restored store lacks or contradicts it.
 func (j *telemetry) logStateKept(subject, key, why string) {
 	j.count("restore.kept." + subject)
 	j.emit(logging.EventStateKept, slog.String("subject", subject), slog.String("key", key), slog.String(keyReason, why))
 }
 
-// limitChanged tells of a server's rate limit. The driver calls it, so it must not block.
+// rateLimitChanged logs a change of a server's rate limit. The driver calls it, so it must not block.
 func (j *telemetry) rateLimitChanged(c passthrough.LimitChanged) {
 	if !c.Limit.Limited {
 		j.count("limit_ended")
@@ -99,7 +99,7 @@
 		slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
 }
 
-// unreadableLoads tells of another instance's report of loads that changes nothing.
+// logUnreadableLoads logs a peer's load report that cannot be read and is ignored.
 func (j *telemetry) logUnreadableLoads(from string, err error) {
 	j.emit(logging.EventRecordRejected, slog.String("from", from), slog.String(logging.KeyError, err.Error()))
 }
@@ -150,7 +150,7 @@
 	j.observeDuration("answer_ms", j.clock.Now().Sub(c.arrived))
 	j.count("finished")
 	if reason == "" {
-		return // the attempt's line says it all
+		return // the attempt's event has all details
 	}
 	j.count("failed." + string(reason))
 	j.emit(logging.EventPassFailed, j.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
--- a/router/internal/passthrough/knowledge.go
+++ b/router/internal/passthrough/knowledge.go
@@ -7,32 +7,36 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// Knowledge is the configuration in force and how old the word on it is.
+// ConfigState holds the configuration in force and when it was last confirmed to be current.
+// It is safe for concurrent use.
 //
-// The age counts from the start of the last read that confirmed it: a configuration that
-// was written while the read was on its way may be missing from the answer.
+// Its age counts from the start of the last read that confirmed it: a configuration that is
+// written while the read is in progress may be missing from the result.
 type ConfigState struct {
 	clock Clock
-	bound atomic.Int64 // nanoseconds for which a key may be used unconfirmed
+	bound atomic.Int64 // nanoseconds for which a key may be accepted without confirmation
 	index atomic.Pointer[passthrough.Index]
-	// confirmed is the start of the last read that confirmed it, in Unix nanoseconds.
+	// confirmedAt is the start of the last read that confirmed it, in Unix nanoseconds; 0 for
+	// never.
 	confirmedAt atomic.Int64
-	// lost is a version that another instance knows and the store lacks, told at lostAt.
+	// lostVersion is a version that a peer knows and the store lacks, reported at
+	// lostReportedAt (Unix nanoseconds).
 	lostVersion    atomic.Uint64
 	lostReportedAt atomic.Int64
 }
 
-// The parts of the revocation bound.
+// Fractions of the revocation bound.
 const (
-	// refusePart is the part after which requests with keys are refused: what is left
-	// is for the way to the backend server and for clocks that run unevenly.
+	// refuseFraction is the age from which requests with keys are refused: the remainder
+	// covers the way to the backend server and clock drift.
 	refuseFraction = 0.9
-	// unreadyPart is the part after which readiness fails, so that the balancer, which
-	// needs two seconds to notice, moves callers on before they are refused.
+	// unreadyFraction is the age from which readiness fails, so that the load balancer,
+	// which needs two seconds to notice, moves callers elsewhere before they are refused.
 	unreadyFraction = 0.5
 )
 
-// NewKnowledge returns the knowledge of nothing; revoke is the revocation bound.
+// NewConfigState returns a state without a configuration. revoke is the revocation bound: how
+// long a revoked key may still be accepted.
 func NewConfigState(clock Clock, revoke time.Duration) *ConfigState {
 	s := &ConfigState{clock: clock}
 	s.SetBound(revoke)
@@ -42,14 +46,15 @@
 // SetBound changes the revocation bound.
 func (s *ConfigState) SetBound(revoke time.Duration) { s.bound.Store(int64(revoke)) }
 
-// Bound is the revocation bound.
+// Bound returns the revocation bound.
 func (s *ConfigState) Bound() time.Duration { return time.Duration(s.bound.Load()) }
 
-// Index is the configuration in force, or nil while none is known.
+// Index returns the configuration in force, or nil while none is known.
 func (s *ConfigState) Index() *passthrough.Index { return s.index.Load() }
 
-// Apply puts a configuration in force, unless a newer one is. It says whether it did.
-// Only the reader of the operator's records calls it.
+// Apply puts a configuration in force, unless the version in force is the same or newer. It
+// returns the configuration in force and whether it changed. Only the reader of the operator's
+// records may call it.
 func (s *ConfigState) Apply(c passthrough.Config) (*passthrough.Index, bool) {
 	if old := s.index.Load(); old != nil && c.Version <= old.Version {
 		return old, false
@@ -59,7 +64,8 @@
 	return x, true
 }
 
-// Confirm notes that a read which began at the time showed what is known to be current.
+// Confirm notes that a read which started at began found the configuration in force current.
+// It has no effect while a peer reports a later version.
 func (s *ConfigState) Confirm(began time.Time) {
 	if s.isSuperseded() {
 		return
@@ -69,7 +75,8 @@
 	}
 }
 
-// Age is how old the word on the configuration is.
+// Age returns the time since the start of the last read that confirmed the configuration; the
+// longest duration if there was none.
 func (s *ConfigState) Age() time.Duration {
 	at := s.confirmedAt.Load()
 	if at == 0 {
@@ -78,13 +85,13 @@
 	return s.clock.Now().Sub(time.Unix(0, at))
 }
 
-// lostVersionLife is how long a report counts that the store lacks a version: it comes several times a
+// lostVersionTTL is how long a report of a lost version is valid; peers send it several times a
 // second.
 const lostVersionTTL = 2 * time.Second
 
-// NoteLostVersion takes in the highest version that another instance knows and that the store lacks since
-// it came back from a copy; 0 for none. What this instance confirmed by the copy does not count then,
-// also once nobody can tell it any more.
+// ReportLostVersion records the highest version that a peer knows and a restored store lacks; 0 for
+// none. If that version is later than the one in force, earlier confirmations by the restored store
+// are dropped and stay so when the report expires.
 func (s *ConfigState) ReportLostVersion(version uint64) {
 	if version == 0 {
 		return
@@ -96,20 +103,19 @@
 	}
 }
 
-// isSuperseded says whether another instance knows a later configuration, which the store has lost.
-//
-// Load: an instance that starts right after the store came back from a copy. Harm prevented: keys
-// that were taken away, accepted by the configuration of the copy.
+// isSuperseded reports whether a peer knows a later configuration, which the store has lost. Without
+// it an instance that starts right after a restore would accept revoked keys by the restored
+// configuration.
 func (s *ConfigState) isSuperseded() bool {
 	reportedAt := time.Unix(0, s.lostReportedAt.Load())
 	index := s.index.Load()
 	return index != nil && index.Version < s.lostVersion.Load() && s.clock.Now().Sub(reportedAt) < lostVersionTTL
 }
 
-// Fresh says whether keys may be used.
+// Fresh reports whether the configuration is recent enough to accept keys by it.
 func (s *ConfigState) Fresh() bool { return s.ageWithin(refuseFraction) }
 
-// Ready says whether callers should be sent here.
+// Ready reports whether the load balancer should send callers here.
 func (s *ConfigState) Ready() bool { return s.Index() != nil && s.ageWithin(unreadyFraction) }
 
 func (s *ConfigState) ageWithin(fraction float64) bool {
--- a/router/internal/passthrough/knowledge_test.go
+++ b/router/internal/passthrough/knowledge_test.go
@@ -17,18 +17,18 @@
 	}
 	k.Apply(passthrough.Config{Version: 1})
 	began := clock.Now()
-	clock.advance(1400 * time.Millisecond) // the read took this long
+	clock.advance(1400 * time.Millisecond) // duration of the read
 	k.Confirm(began)
 	if got := k.Age(); got != 1400*time.Millisecond || !k.Ready() {
 		t.Errorf("age %v, ready %v", got, k.Ready())
 	}
 	clock.advance(1200 * time.Millisecond)
 	if k.Ready() || !k.Fresh() {
-		t.Error("past half of the bound: want not ready, still fresh")
+		t.Error("at 2.6 s, past half of the bound: want not ready, but still fresh")
 	}
 	clock.advance(2 * time.Second)
 	if k.Fresh() {
-		t.Error("fresh past nine tenths of the bound")
+		t.Error("fresh at 4.6 s, past nine tenths of the bound")
 	}
 	k.Confirm(began)
 	if k.Fresh() {
@@ -41,11 +41,11 @@
 	k.Apply(passthrough.Config{Version: 7})
 	for _, version := range []uint64{3, 7} {
 		if _, applied := k.Apply(passthrough.Config{Version: version}); applied {
-			t.Errorf("version %d came in force after 7", version)
+			t.Errorf("version %d is in force after version 7", version)
 		}
 	}
 	if _, applied := k.Apply(passthrough.Config{Version: 9}); !applied || k.Index().Version != 9 {
-		t.Error("version 9 did not come in force")
+		t.Error("version 9 is not in force after version 7")
 	}
 }
 
@@ -68,7 +68,7 @@
 	log.add("config", "config 8")
 	log.firstKept = uint64(len(log.records))
 	if err := step(); err != nil || p.config.Index().Version != 8 {
-		t.Fatalf("after dropped records: version %d, %v", p.config.Index().Version, err)
+		t.Fatalf("after records were dropped: version %d, error %v", p.config.Index().Version, err)
 	}
 	log.readErrs = []error{keyedlog.ErrUnknown}
 	clock.advance(time.Second)
@@ -88,6 +88,6 @@
 	})
 	seen = p.rollouts.active()
 	if !seen || p.config.Index() == nil {
-		t.Errorf("order known %v, configuration %v", seen, p.config.Index())
+		t.Errorf("order known: %v, configuration: %v", seen, p.config.Index())
 	}
 }
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// listPart is the part of the time for which a leaving server may still get requests
-	// that lies between two reads of the list: a read may fail once. Each costs a call, so
-	// that they are no more frequent than listLeast. What goes by a collector is read twice,
-	// and so no less often than listMost; an instance that reads for itself alone, since it is
-	// cut off from the others, has no such second step.
+	// readIntervalFraction times the period for which a leaving server may still get requests
+	// is the interval between two reads of the list: one read may fail. Each read is a call to
+	// the store, so the interval is at least minReadInterval. What passes through a collector
+	// is read twice, so the interval is at most maxReadInterval, except at an instance that
+	// reads only for itself because it cannot reach its peers.
 	readIntervalFraction = 0.37
 	minReadInterval      = 300 * time.Millisecond
 	maxReadInterval      = 750 * time.Millisecond
-	// followPause gathers changes that come together into one read by a follower: a server that
-	// leaves, or is cold, must be known within a second, and not by one read for each heartbeat.
+	// followerPause is the time between two reads of a follower, which batches changes: a
+	// server that leaves or is in slow start must be known within a second, but not with one
+	// read per heartbeat.
 	followerPause = 100 * time.Millisecond
-	// followWait is how long such a read waits for a change. What it tells may have come by two
-	// other instances, and its age adds up.
+	// followerWait is how long a follower's read waits for a change. The data may have passed
+	// through two other instances, and the waits add up to its age.
 	followerWait = 350 * time.Millisecond
-	// lapseGrace is how long an entry that went away in an outage of the store is still
-	// believed once the store is back: it returns within two seconds, if the server
-	// lives.
+	// lapseGrace is how long an entry that expired in an outage of the store is still used once
+	// the store is back: a live server writes it again within two seconds.
 	lapseGrace = 1500 * time.Millisecond
-	// lapseAfter is the shortest outage in which entries may have lapsed.
+	// minLapseOutage is the shortest outage in which entries may have expired.
 	minLapseOutage = 800 * time.Millisecond
 )
 
-// list follows the list of backend servers.
+// serverList follows the list of backend servers and hands it to the decision.
 type serverList struct {
 	records   Records
 	driver    *Driver
@@ -44,25 +44,27 @@
 	clock     Clock
 	drain     time.Duration
 	wake      chan struct{}
-	// starting is told when the list was read first.
+	// startGate is informed when the list has been read.
 	startGate *startGate
-	// alone says whether this instance reads the store, and for itself only; follows that it
-	// reads from another instance.
+	// readsAlone says whether this instance reads the store, and only for itself;
+	// readsFromPeer whether it reads from another instance.
 	readsAlone    func() bool
 	readsFromPeer func() bool
 
 	mu      sync.Mutex
 	entries map[string]passthrough.Server
-	// lapsed are entries that went away in or right after an outage, with the time until
-	// which they are believed.
+	// lapsed are entries that were removed in or right after an outage, with the time until
+	// which they are still used.
 	lapsed map[string]time.Time
-	// until ends the time after an outage in which removals may be lapses.
+	// lapseUntil is the end of the period after an outage in which a removed entry may have
+	// expired only because of the outage.
 	lapseUntil time.Time
 	changed    bool
-	// tombstones are of servers that have left; unconfirmed are entries that are not used yet.
+	// tombstones are of servers that have left; unconfirmed are entries of a restored store
+	// that are not used yet.
 	tombstones  map[string]tombstone
 	unconfirmed map[string]unconfirmedEntry
-	// fromCopy says that the next newest entries are those of a store that came back from a copy.
+	// snapshotRestored says that the next snapshot is of a restored store.
 	snapshotRestored bool
 	unreadable       map[string]bool
 }
@@ -77,7 +79,7 @@
 	}
 }
 
-// hurry asks for the list to be read at once.
+// requestRead ends the pause before the next read of the list.
 func (l *serverList) requestRead() {
 	select {
 	case l.wake <- struct{}{}:
@@ -106,7 +108,7 @@
 }
 
 // wait is how long a read waits for a change: not at all in the store, where each heartbeat is
-// one, and for a while where another instance passes on what matters.
+// a change, but for a while at a peer, which passes on relevant changes only.
 func (l *serverList) wait() time.Duration {
 	if l.readsFromPeer() {
 		return min(followerWait, l.readInterval())
@@ -114,7 +116,7 @@
 	return 0
 }
 
-// pause is the time from a read to the next one.
+// pause is the time between two reads.
 func (l *serverList) pause() time.Duration {
 	if l.readsFromPeer() {
 		return followerPause
@@ -122,7 +124,7 @@
 	return l.readInterval()
 }
 
-// every is the time between two reads of the store.
+// readInterval is the time between two reads of the store.
 func (l *serverList) readInterval() time.Duration {
 	interval := max(time.Duration(readIntervalFraction*float64(l.drain)), minReadInterval)
 	if l.readsAlone() {
@@ -131,7 +133,7 @@
 	return min(interval, maxReadInterval)
 }
 
-// outageEnded notes that removals may now be lapses.
+// outageEnded starts the period in which removed entries may only have expired in the outage.
 func (l *serverList) outageEnded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,7 +144,7 @@
 	}
 }
 
-// replace takes over the newest entries.
+// replace applies a snapshot: entries that are not in it are removed.
 func (l *serverList) replace(records []keyedlog.Record) {
 	seen := map[string]bool{}
 	for _, r := range records {
@@ -164,7 +166,7 @@
 	l.snapshotRestored = false
 }
 
-// take applies one entry. An entry that cannot be read names no server to use.
+// apply applies one entry. A malformed entry removes its server.
 func (l *serverList) apply(r keyedlog.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -206,7 +208,7 @@
 		slog.String("software", s.Version), slog.Bool("draining", s.Draining), slog.Uint64("offset", offset))
 }
 
-// remove drops an entry, at once or, around an outage, after a while.
+// remove drops an entry, at once or, after an outage, after a grace period. The lock is held.
 func (l *serverList) remove(id string) {
 	delete(l.unconfirmed, id)
 	if _, ok := l.entries[id]; !ok {
@@ -231,7 +233,7 @@
 	l.telemetry.emit(logging.EventServerGone, slog.String(keyServer, id), slog.String(keyReason, why))
 }
 
-// publish tells the decision of a changed list.
+// publish hands a changed list to the decision.
 func (l *serverList) publish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -255,7 +257,7 @@
 	l.dialer.retain(func(id string) bool { _, ok := l.entries[id]; return ok })
 }
 
-// count is the number of usable servers of a service, at the version and at others.
+// countServers counts a service's servers that are not leaving, at the version and at others.
 func (l *serverList) countServers(service, version string) (at, others int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/router/internal/passthrough/list_restore.go
+++ b/router/internal/passthrough/list_restore.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// confirmAfter is how long an entry that a restored store has of a server that had left is not
-	// used: the entry of a server that is gone is removed after three heartbeats.
+	// unconfirmedDelay is how long a restored store's entry of a server that had left is not used:
+	// the entry of a server that is gone is removed after three missed heartbeats.
 	unconfirmedDelay = 5 * time.Second
-	// tombstoneLife is how long a tombstone is kept; copies of the store are some seconds old.
+	// tombstoneTTL is how long a tombstone is kept; the store is restored from copies that are
+	// some seconds old.
 	tombstoneTTL = 2 * time.Minute
 )
 
-// tombstone stands for a server that has left.
+// tombstone records a server process that has left.
 type tombstone struct {
 	born   int64
 	leftAt time.Time
 }
 
-// unconfirmedEntry is an entry of a copy that is not used yet.
+// unconfirmedEntry is an entry of a restored store that is not used yet.
 type unconfirmedEntry struct {
 	server passthrough.Server
 	offset uint64
 	until  time.Time
 }
 
-// bury leaves a tombstone of a server that has left. The lock is held.
+// addTombstone records that a server has left and drops old tombstones. The lock is held.
 func (l *serverList) addTombstone(s passthrough.Server) {
 	now := l.clock.Now()
 	for id, t := range l.tombstones {
@@ -38,11 +39,11 @@
 	l.tombstones[s.ID] = tombstone{s.Born, now}
 }
 
-// restored notes that the store came back from a copy.
+// onRestore notes that the store was restored and may lack what servers wrote in the last seconds
+// before.
 //
-// Load: a store that has forgotten some seconds of what servers wrote, before addresses that are
-// given to other servers. Harm prevented: servers that started lately, dropped until they write
-// again; and servers that have left, called at an address that is another one's by now.
+// Servers that started in those seconds must not be dropped until they write again, and servers
+// that left must not be called: another server may have their address by now.
 func (l *serverList) onRestore() {
 	l.outageEnded()
 	l.mu.Lock()
@@ -50,8 +51,9 @@
 	l.snapshotRestored = true
 }
 
-// reconcile merges an entry of a copy with what is known of the server: one that leaves still does, and
-// one that had left must write again, for which ok is false. The lock is held.
+// reconcile merges a restored store's entry with what is known of the server. A server that was
+// leaving still is. For one that had left ok is false, and the entry stays unconfirmed until the server
+// writes again or unconfirmedDelay has passed. The lock is held.
 func (l *serverList) reconcile(s passthrough.Server, offset uint64) (out passthrough.Server, ok bool) {
 	if old, known := l.entries[s.ID]; known && old.Born == s.Born {
 		s.Draining = s.Draining || old.Draining
@@ -59,13 +61,14 @@
 	}
 	if t, left := l.tombstones[s.ID]; left && t.born == s.Born {
 		l.unconfirmed[s.ID] = unconfirmedEntry{s, offset, l.clock.Now().Add(unconfirmedDelay)}
-		l.telemetry.logStateKept("server", s.ID, "it had left")
+		l.telemetry.logStateKept("server", s.ID, "the restored store lists a server that had left")
 		return s, false
 	}
 	return s, true
 }
 
-// confirmPending takes in the unconfirmed entries that still stand. The lock is held.
+// confirmPending applies the unconfirmed entries that are still in the store after unconfirmedDelay.
+// The lock is held.
 func (l *serverList) confirmPending(now time.Time) {
 	for id, entry := range l.unconfirmed {
 		if !now.Before(entry.until) {
--- a/router/internal/passthrough/list_restore_test.go
+++ b/router/internal/passthrough/list_restore_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// restoredList is a list whose store came back with its first records only, with one that stays,
-// one that left and one that is leaving since the copy, and one that started since.
+// restoredList returns an instance whose store was restored without the last records: since the copy
+// one server has left, one is leaving and one has started. One has not changed.
 func restoredList(t *testing.T) (*parts, *topicReader, *fakeLog, *fakeClock) {
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
@@ -33,12 +33,12 @@
 	log.add("started", "server shop v1 ready")
 	clock.advance(lapseGrace)
 	if err := reader.readOnce(t.Context()); err != nil || !p.servers.has("started") {
-		t.Errorf("%v; a server that wrote again is gone", err)
+		t.Errorf("error %v; a server that wrote again is gone", err)
 	}
 	p, reader, _, clock = restoredList(t)
 	clock.advance(lapseGrace)
 	if err := reader.readOnce(t.Context()); err != nil || p.servers.has("started") {
-		t.Errorf("%v; a server that did not write again is still there", err)
+		t.Errorf("error %v; a server that did not write again is still listed", err)
 	}
 }
 
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/list_test.go
@@ -21,7 +21,7 @@
 	}
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	if !p.servers.has("one") {
-		t.Error("an entry that can be read again is not taken")
+		t.Error("an entry that is well-formed again is not used")
 	}
 }
 
@@ -30,7 +30,7 @@
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.servers.apply(entry("one", ""))
 	if p.servers.has("one") {
-		t.Error("still there")
+		t.Error("a removed entry is still listed")
 	}
 }
 
@@ -46,13 +46,13 @@
 	log.readErrs = []error{keyedlog.ErrNotDone}
 	reader.noteOutage(t.Context(), reader.readOnce(t.Context()))
 	clock.advance(4 * time.Second)
-	log.add("one", "") // both lapsed while the store was away
+	log.add("one", "") // both expired during the outage
 	log.add("two", "")
 	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if !p.servers.has("one") || !p.servers.has("two") {
-		t.Fatalf("entries that may have lapsed are gone at once: %v", p.servers.entries)
+		t.Fatalf("entries that may only have expired in the outage are gone at once: %v", p.servers.entries)
 	}
 	log.add("one", "server shop v1 ready")
 	if err := reader.readOnce(t.Context()); err != nil {
@@ -63,12 +63,13 @@
 		t.Fatal(err)
 	}
 	if !p.servers.has("one") || p.servers.has("two") {
-		t.Errorf("want the one that came back alone: %v", p.servers.entries)
+		t.Errorf("want only the entry that was written again: %v", p.servers.entries)
 	}
 }
 
-// TestListIsReadOftenEnough bounds the time between two reads by what is left of the time for
-// which a leaving server may get requests: by a collector it is read twice.
+// TestListIsReadOftenEnough guards against requests to a server that has left because the list was
+// read too late: data that passes through a collector is read twice, and at an instance that reads
+// alone one read may fail.
 func TestListIsReadOftenEnough(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
 		p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
@@ -77,23 +78,23 @@
 		p.servers.readsAlone = func() bool { return true }
 		alone := p.servers.readInterval()
 		if 2*shared > drain*3/4 {
-			t.Errorf("drain %v: a word that goes by a collector may be %v old", drain, 2*shared)
+			t.Errorf("drain %v: an entry that passes through a collector may be %v old", drain, 2*shared)
 		}
 		if 2*alone > drain*3/4 { // one read may fail
-			t.Errorf("drain %v: with one failed read the word is %v old", drain, 2*alone)
+			t.Errorf("drain %v: with one failed read an entry is %v old", drain, 2*alone)
 		}
 	}
 }
 
-// TestFollowersHearOfChangesAtOnce holds that an instance that reads the list from another one
-// waits there for changes, and one that reads the store does not: each heartbeat is one there.
+// TestFollowersHearOfChangesAtOnce checks that an instance that reads the list from a peer waits there
+// for changes, and that one that reads the store does not: every heartbeat is a change there.
 func TestFollowersHearOfChangesAtOnce(t *testing.T) {
 	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	if p.servers.wait() != 0 || p.servers.pause() != p.servers.readInterval() {
-		t.Errorf("by the store: waits %v, pauses %v", p.servers.wait(), p.servers.pause())
+		t.Errorf("reading the store: wait %v, pause %v", p.servers.wait(), p.servers.pause())
 	}
 	p.servers.readsFromPeer = func() bool { return true }
 	if p.servers.wait() <= 0 || p.servers.pause() >= p.servers.readInterval()/4 {
-		t.Errorf("by another instance: waits %v, pauses %v", p.servers.wait(), p.servers.pause())
+		t.Errorf("reading from a peer: wait %v, pause %v", p.servers.wait(), p.servers.pause())
 	}
 }
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -11,18 +11,18 @@
 	"masticplank.example/router/internal/relay"
 )
 
-// firstSpread is the time over which the instances make themselves known when the whole system
-// starts for the first time, within 0.3 s: those that will collect first, so that the others
-// find them and need no call of their own. Nobody is served yet.
+// firstStartSpread is the time over which the instances announce themselves when the whole system
+// starts for the first time, where all processes start within 0.3 s. Future collectors go first, so
+// that the others find them and need no call of their own. No caller is served yet.
 const firstStartSpread = 1200 * time.Millisecond
 
-// joinMost bounds the wait for the others' names: the store answers in 4 ms, and in half a
-// second where hundreds of small instances start at once. Who does not hear from it reads all
-// topics by itself: with a tenth of a second half of 295 did, five calls each, and were ready
-// after 1.5 s.
+// joinTimeout bounds the read of the list of instances. The store answers in 4 ms, and in half a
+// second when hundreds of small instances start at once. An instance that gets no answer reads all
+// topics itself: with 100 ms half of 295 did, with five calls each, and were ready after 1.5 s.
 const joinTimeout = 700 * time.Millisecond
 
-// join makes this instance known and learns of the others.
+// join reads the list of instances in this failure domain and announces this one. On the first
+// start of the system it waits for its turn.
 func (s *sharing) join(ctx context.Context, firstStart bool) {
 	if s.self.Address == "" {
 		return
@@ -41,12 +41,13 @@
 	}
 }
 
-// lost notes that the store did not answer on the instances.
+// logStoreLost logs a failed call on the list of instances.
 func (s *sharing) logStoreLost(err error) {
 	s.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicInstances), slog.String(logging.KeyError, err.Error()))
 }
 
-// learn reads a failure domain's members from the store itself, and says whether it answered.
+// readMembers reads a failure domain's members from the store itself, and reports whether that
+// succeeded.
 func (s *sharing) readMembers(ctx context.Context, domain string) bool {
 	snap, err := s.store.Instances(domain).Newest(ctx)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return true
 }
 
-// enlist makes this instance known, by its collector if it has one.
+// announceSelf writes this instance's entry, through its collector if it has one.
 func (s *sharing) announceSelf(ctx context.Context) {
 	s.announcedAt = s.clock.Now()
 	text, err := json.Marshal(s.self)
@@ -69,11 +70,12 @@
 	}
 }
 
-// enlistAgain is how long after an instance was told to the store it must be listed.
+// reannounceAfter is how long after an announcement an instance that is not listed announces itself
+// again.
 const reannounceAfter = 5 * time.Second
 
-// keepListed makes this instance known once more where the store did not take it in: the
-// others would hold the fleet for smaller than it is.
+// reannounceIfMissing announces this instance again if the store does not list it: the others
+// would count too small a fleet.
 func (s *sharing) reannounceIfMissing(ctx context.Context) {
 	if !s.listed.Load() && s.clock.Now().Sub(s.announcedAt) > reannounceAfter {
 		s.announceSelf(ctx)
@@ -86,7 +88,7 @@
 	}
 }
 
-// member takes in one entry.
+// applyMember applies one entry of the list of instances.
 func (s *sharing) applyMember(r keyedlog.Record) {
 	if len(r.Value) == 0 {
 		return
@@ -104,7 +106,7 @@
 	}
 }
 
-// count tells of a changed number of instances, and of neighbours that joined.
+// reportCounts reports a changed number of instances, and changed peers in this failure domain.
 func (s *sharing) reportCounts() {
 	if near := int64(s.members.Near()); s.reportedPeers.Swap(near) != near {
 		s.onPeers(s.members.Names())
@@ -115,12 +117,12 @@
 	}
 }
 
-// censusEvery is how often the other failure domains' instances are counted: the retry budget,
-// which all share, has room for a fleet that is larger than counted by a sixth.
+// fleetCountInterval is the time between two counts of the other failure domains' instances. The
+// shared retry budget tolerates a fleet that is larger than counted by a sixth.
 const fleetCountInterval = 30 * time.Second
 
-// collect does what a collector does for its followers, until ctx ends: it makes them known, and
-// counts the fleet.
+// runCollector does a collector's work for its followers until ctx ends: it writes their
+// announcements and counts the fleet.
 func (s *sharing) runCollector(ctx context.Context) {
 	counted := time.Time{}
 	for ctx.Err() == nil {
@@ -133,9 +135,9 @@
 	}
 }
 
-// census counts the instances of all failure domains; the followers are told the sum. Each
-// failure domain has a list of its own: at a start of all, 295 instances that read the list of
-// all would wait for 20 MB from the store.
+// countFleet counts the instances of all failure domains; the followers get the sum. Each failure
+// domain has a list of its own: with one list, 295 instances that start together would read 20 MB
+// from the store.
 func (s *sharing) countFleet(ctx context.Context) {
 	for _, domain := range s.otherDomains {
 		s.readMembers(ctx, domain)
@@ -143,12 +145,12 @@
 	s.reportCounts()
 }
 
-// enlistEvery is how often a collector writes down the followers that have told it of
-// themselves: they need not be known sooner, as the others ask those that were there before.
+// followerWriteInterval is the time between two writes of the followers' announcements. They need
+// not be listed sooner: other instances ask those that were listed before.
 const followerWriteInterval = time.Second
 
-// enlistFollowers writes down the instances that told this one of themselves. What is lost
-// they tell again.
+// writeFollowers writes the announcements of followers. If the write fails they are lost, and the
+// followers announce themselves again.
 func (s *sharing) writeFollowers(ctx context.Context) {
 	records := s.takeHeld(topicInstances)
 	if len(records) == 0 {
@@ -159,16 +161,17 @@
 	}
 }
 
-// countsAll says whether this instance counts the fleet: it reads the store itself, for others
-// or as the first in rank. In an outage of the store all read it themselves, and must not.
+// countsFleet reports whether this instance counts the fleet: it does if it reads the store itself
+// and either collects for others or is the first in rank. In an outage of the store all instances
+// read it themselves, but must not all count.
 func (s *sharing) countsFleet() bool {
 	return s.instances.Direct() && (s.members.First() || s.server.Collects())
 }
 
-// instancesWait is how long a read of the members waits for a new one.
+// membersReadWait is how long a read of the list of instances waits for a new entry.
 const membersReadWait = 10 * time.Second
 
-// reader follows the members.
+// reader returns a reader of the list of instances in this failure domain.
 func (s *sharing) reader(ctx context.Context) *topicReader {
 	return &topicReader{
 		name: topicInstances, log: s.instances, clock: s.clock, telemetry: s.telemetry,
@@ -177,7 +180,7 @@
 		onRecord:   s.applyMember,
 		onSnapshot: s.applyMembers,
 		onRestore: func() {
-			// A copy of the store may lack this instance: unless it shows there, it is told at once.
+			// The restored store may lack this instance: it announces itself at once unless listed.
 			s.listed.Store(false)
 			s.announcedAt = time.Time{}
 		},
--- a/router/internal/passthrough/observationrow.go
+++ b/router/internal/passthrough/observationrow.go
@@ -9,15 +9,15 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// observationRow is a route's counts as they are written into an observation set: what is judged by, as whole
-// numbers in a fixed order. Hundreds of instances read the observations of all: written out with names
-// and all digits, 295 of them were 0.6 MB, which took the links of collectors a second.
+// observationRow is a route's counts as written in an observation set: the numbers that a verdict
+// uses, as integers in a fixed order. Each of hundreds of instances reads the observations of all: with
+// field names and all digits those of 295 instances took 0.6 MB, one second of a collector's link.
 type observationRow passthrough.Pair
 
-// observationUnits is how many parts of one a sum of logarithms is rounded to.
+// rowScale is the precision of a sum of logarithms in a row: units of 1/rowScale.
 const rowScale = 1000
 
-// rowLength is the number of a row's parts.
+// rowLength is the number of integers in a row.
 const rowLength = 13
 
 func toRowUnits(x float64) int64   { return int64(math.Round(x * rowScale)) }
@@ -41,7 +41,7 @@
 		return trace.Wrap(err)
 	}
 	if len(in) != rowLength {
-		return trace.BadParameter("a row of %d parts instead of %d", len(in), rowLength)
+		return trace.BadParameter("observation row has %d numbers, want %d", len(in), rowLength)
 	}
 	r.New = passthrough.Counts{
 		Good: int(in[0]), Bad: int(in[1]),
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -9,7 +9,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// busyRow is a row of a route that was asked for often.
+// busyRow returns the row of a busy route.
 func busyRow() observationRow {
 	return observationRow{
 		New: passthrough.Counts{Good: 120, Bad: 7,
@@ -30,23 +30,23 @@
 		t.Fatal(err)
 	}
 	if math.Abs(out.New.First.Sum-in.New.First.Sum) > 1.0/rowScale || math.Abs(out.New.Pace.Squares-in.New.Pace.Squares) > 1.0/rowScale {
-		t.Errorf("sums of %+v became %+v", in.New, out.New)
+		t.Errorf("sums of %+v were decoded as %+v", in.New, out.New)
 	}
 	out.New.First, in.New.First, out.New.Pace, in.New.Pace = passthrough.Shift{}, passthrough.Shift{}, passthrough.Shift{N: out.New.Pace.N, Slow: out.New.Pace.Slow}, passthrough.Shift{N: in.New.Pace.N, Slow: in.New.Pace.Slow}
 	if out != in {
-		t.Errorf("%+v became %+v", in, out)
+		t.Errorf("%+v was decoded as %+v", in, out)
 	}
 	for _, bad := range []string{`{}`, `[1,2]`, `"x"`, `[1,2,3,4,5,6,7,8,9,10,11,12,13,14]`} {
 		if err := json.Unmarshal([]byte(bad), &out); err == nil {
-			t.Errorf("%s was taken for a row", bad)
+			t.Errorf("%s was accepted as a row", bad)
 		}
 	}
 }
 
-// TestSheetsOfAFleetAreSmall bounds what all instances of the target fleet write of a roll-out
-// of five routes: with 4 KB a second for control, a second's observations are 25 at most.
+// TestObservationSetsOfAFleetAreSmall bounds the size of an observation set on a roll-out with five
+// routes: with 4 KB/s for control data, the fleet writes 25 sets a second at most.
 func TestObservationSetsOfAFleetAreSmall(t *testing.T) {
-	const most = 4096 / 6 // bytes: a sixth of a second's, beside heartbeats and configurations
+	const most = 4096 / 6 // bytes: a sixth of a second's budget, beside heartbeats and configurations
 	s := observationSet{Instance: "edge-salle-trois-pistoles-120", ProcessStart: 1 << 60, Service: "model-engines", Target: "v2", Order: 1 << 20,
 		ElapsedMS: 23_500, Routes: map[string]observationRow{}}
 	for i := range 5 {
@@ -57,6 +57,6 @@
 		t.Fatal(err)
 	}
 	if len(text) > most {
-		t.Errorf("a observationSet is %d bytes, more than %d", len(text), most)
+		t.Errorf("an observation set is %d bytes, want %d at most", len(text), most)
 	}
 }
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -8,59 +8,63 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// observationSet is one instance's counts of one roll-out.
+// observationSet is one instance's counts of one roll-out, or a record of crashes. It is stored
+// as JSON.
 type observationSet struct {
 	Instance string `json:"instance"`
-	// Life tells the instance's processes apart: one that starts again counts anew, and
-	// what the one before had seen still holds.
+	// ProcessStart distinguishes the instance's processes: it is the start time on the
+	// instance's clock in nanoseconds. A restarted process counts from zero, and its
+	// predecessor's counts remain valid.
 	ProcessStart uint64 `json:"life,omitempty"`
 	Service      string `json:"service"`
 	Target       string `json:"target"`
 	Order        uint64 `json:"order"`
-	// ElapsedMS is the time since the order, as the instance knew it when it wrote.
+	// ElapsedMS is the time since the order in milliseconds, as known to the instance when it
+	// wrote the set.
 	ElapsedMS int64 `json:"elapsed_ms"`
 	// Routes are the counts by route.
 	Routes map[string]observationRow `json:"routes"`
-	// Cuts name the crashes of the new version's servers that cut answers off, by route.
+	// CrashKeys name the crashes of the new version's servers that truncated responses, by
+	// route.
 	CrashKeys map[string][]string `json:"cuts,omitempty"`
-	// Sessions are those that were open at the old version when the order came, in the
-	// canary's share.
+	// Sessions are those in the canary's share that were open at the old version when the
+	// order arrived.
 	Sessions []string `json:"sessions,omitempty"`
-	// Crash and Times stand in a set on a request that crashes servers.
+	// CrashFingerprint and CrashCount are set in a record on a request that crashes servers.
 	CrashFingerprint uint64 `json:"crash,omitempty"`
 	CrashCount       int    `json:"times,omitempty"`
 
 	readAt time.Time
 	dirty  bool
-	// evidence judges the sums of all instances.
+	// evidence computes the verdict from the sums of all instances.
 	evidence passthrough.Evidence
 }
 
-// key is the set's key in the store.
+// key returns the set's key in the store.
 func (s *observationSet) key() string {
 	return fmt.Sprintf("%s/%s/%d/%s/%x", s.Service, s.Target, s.Order, s.Instance, s.ProcessStart)
 }
 
-// view is what all instances saw of one roll-out.
+// view is the sum of what all instances saw of one roll-out.
 type view struct {
 	elapsed              time.Duration
 	newCounts, oldCounts passthrough.Counts
 	bad                  bool
 }
 
-// cleanAnswers is how many good answers of the new version, with no bad one beside them, are
-// enough to complete it by one instance's word: of a version that fails three in ten, one
-// instance in seventy sees that. With five, one that failed half of its requests was
+// minCleanResponses is how many good responses of the new version, without a bad one, let an
+// instance complete a roll-out by its own counts alone. If a version fails three requests in ten,
+// one instance in seventy sees so many. With five, a version that failed half of its requests was
 // completed once in 30 runs.
 const minCleanResponses = 12
 
-// clean says whether what was seen of the new version leaves no doubt.
-//
-// Load: a store that comes back at the end of a roll-out of which it missed the most. Harm
-// prevented: a version that others saw failing, completed before they could tell.
+// clean reports whether this view suffices to complete the new version. When the store comes back at
+// the end of a roll-out, most of which fell into the outage, other instances may have seen the
+// version fail and not have reported it yet.
 func (v view) clean() bool { return v.newCounts.Bad == 0 && v.newCounts.Good >= minCleanResponses }
 
-// view sums up what all instances saw of the roll-out.
+// view sums up what all instances saw of the roll-out. It starts this instance's own set if there is
+// none.
 func (b *observationStore) view(r *rollout, now time.Time) view {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,7 +95,8 @@
 	return out
 }
 
-// reorder has the own set count for the offset at which the order stands now.
+// setOrderOffset moves this instance's set to the offset at which the order was written again, and
+// has its record under the old key deleted.
 func (b *observationStore) setOrderOffset(service string, offset uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +109,7 @@
 	s.dirty = true
 }
 
-// answers is the number of answers that a set counts. A process's counts only grow.
+// responseCount returns the number of responses that a set counts. A process's counts only grow.
 func (s *observationSet) responseCount() int {
 	n := 0
 	for _, row := range s.Routes {
@@ -113,7 +118,7 @@
 	return n
 }
 
-// covers says whether a set is one of the roll-out.
+// matches reports whether a set belongs to the roll-out.
 func (r *rollout) matches(s *observationSet) bool {
 	if s.Service != r.Service || s.Target != r.Target {
 		return false
@@ -121,8 +126,8 @@
 	return s.Order == r.offset || slices.Contains(r.earlierOffsets, s.Order)
 }
 
-// latest are the observations of other processes on a roll-out: one of each process, which writes under
-// another key once an order is written again. The lock is held.
+// latest returns the newest set of each other process on a roll-out. A process writes under another
+// key once the order was written again. The lock is held.
 func (b *observationStore) latest(r *rollout) map[processID]observationSet {
 	out := map[processID]observationSet{}
 	for _, s := range b.others {
@@ -137,7 +142,7 @@
 	return out
 }
 
-// processID tells the processes of all instances apart.
+// processID identifies a process among those of all instances.
 type processID struct {
 	instance string
 	start    uint64
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -14,55 +14,56 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// observationStore is what the instances tell each other by one topic: the answers that each saw in
-// a roll-out, and requests that crash backend servers. Each instance writes the whole of
-// its own under a key of its own, so that a record lost or written twice does no harm.
+// observationStore shares observations between instances through one topic: the responses that each
+// saw in a roll-out, and requests that crash backend servers. Each instance writes its complete counts
+// under a key of its own, so that a record lost or written twice does no harm.
 type observationStore struct {
 	instance string
-	// life tells this process from those before.
+	// processStart distinguishes this process from earlier ones of the instance.
 	processStart uint64
 	log          keyedlog.Log
 	driver       *Driver
 	telemetry    *telemetry
 	clock        Clock
 
-	// fleet is the number of instances that share the topic.
+	// fleetSize returns the number of instances that share the topic.
 	fleetSize func() int
-	// held gives the records of other instances that are to be written with the own.
+	// followerRecords returns records of followers that are to be written with the own.
 	followerRecords func() []keyedlog.Record
 
 	mu sync.Mutex
-	// own are this instance's observations by service, others those of the others by key.
+	// own are this instance's sets by service, others those of other processes by key.
 	own            map[string]*observationSet
 	others         map[string]observationSet
 	pendingCrashes map[uint64]int
 	wake           chan struct{}
-	// quietAt is when the set is written next though only good answers are to be told.
+	// nextIdleWrite is when sets are written next that have no news of the new version.
 	nextIdleWrite time.Time
-	// readAt is the last time that the others' observations were read, soundSince the end of the
-	// last outage in which they were not.
+	// lastReadAt is the last time as of which the peers' observations were read, completeSince
+	// the end of the last period in which observations may have been missed.
 	lastReadAt    time.Time
 	completeSince time.Time
-	// drops are keys of this instance's that are to be dropped, and when.
+	// deleteAt has the keys of this instance's that are to be deleted, with the time.
 	deleteAt map[string]time.Time
 }
 
 const (
-	// observationsEvery is the time between two writes of the own set while a roll-out is in
-	// progress and its counts of bad answers change.
+	// observationInterval is the time between two writes of the own set while a roll-out is
+	// in progress and the counts of its new version change.
 	observationInterval = 1100 * time.Millisecond
-	// quietEvery is the same while only good answers of the old version are to be told, and
-	// quietPerInstance what it is at least for each instance: each reads what all write, and 25
-	// observations a second tell the number of answers well enough.
+	// idleWriteInterval is the same while only counts of the old version change.
+	// idleWritePerInstance times the fleet size is its minimum: each instance reads what all
+	// write, and 25 sets a second report the number of responses precisely enough.
 	idleWriteInterval    = 6 * time.Second
 	idleWritePerInstance = 40 * time.Millisecond
-	// gatherTime is how long a write waits for more, so that what comes at once goes out in one
-	// call.
+	// batchDelay is how long a write waits for more records, so that simultaneous ones go out
+	// in one call.
 	batchDelay = 150 * time.Millisecond
-	// observationsWait is how long a read waits for a record while no roll-out is in progress.
+	// idleReadWait is how long a read waits for a record while no roll-out is in progress.
 	idleReadWait = 8 * time.Second
-	// noteLife is how long a note on a crash, or a set of a roll-out that has ended, stays in
-	// the store: those that read it then have counted it, and one that starts later must not.
+	// recordLifetime is how long a crash record, or a set of a roll-out that has ended, stays
+	// in the store: by then all running instances have counted it, and one that starts later
+	// must not.
 	recordLifetime = 30 * time.Second
 )
 
@@ -74,7 +75,7 @@
 	}
 }
 
-// observed counts an answer. It must not block: the driver calls it.
+// recordResponse counts a response. It must not block: the driver calls it.
 func (b *observationStore) recordResponse(o passthrough.Observed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,7 +85,7 @@
 	}
 	if o.Cut && o.Version == s.Target {
 		s.addCrash(o)
-		o.Early = true // its times count, and the crash by itself
+		o.Early = true // count its times only: the crash is counted once by its key
 	}
 	s.Routes[o.Route] = observationRow(passthrough.Pair(s.Routes[o.Route]).Add(o, s.Target))
 	s.dirty = s.dirty || o.Version == s.Target
@@ -97,7 +98,7 @@
 	}
 }
 
-// open adds the sessions that are open here to the own set.
+// addOpenSessions adds sessions that are open here to the own set.
 func (b *observationStore) addOpenSessions(service string, sessions []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,7 +114,7 @@
 	}
 }
 
-// run writes what this instance has to tell until ctx ends.
+// run writes this instance's and its followers' records until ctx ends.
 func (b *observationStore) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		records := append(b.pendingRecords(), b.followerRecords()...)
@@ -133,14 +134,14 @@
 	}
 }
 
-// busy says whether this instance keeps a set.
+// inRollout reports whether this instance keeps a set.
 func (b *observationStore) inRollout() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.own) > 0
 }
 
-// due makes the records that are to be written now.
+// pendingRecords returns the records that are to be written now.
 func (b *observationStore) pendingRecords() []keyedlog.Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,15 +165,15 @@
 	return out
 }
 
-// quietSpan is the time to the next set without news. It differs from instance to instance:
-// all learn of an order at the same moment, and 295 observations at once held up what must be fresh
-// behind them, so that hundreds of instances turned to the store.
+// idleWriteDelay returns a random time to the next write of a set without news. All instances get
+// an order at the same moment: 295 sets written at once delayed the reads that must be fresh, so that
+// hundreds of instances turned to the store themselves.
 func (b *observationStore) idleWriteDelay() time.Duration {
 	interval := max(idleWriteInterval, time.Duration(b.fleetSize())*idleWritePerInstance)
 	return interval/2 + rand.N(interval)
 }
 
-// redo marks the observations as not written.
+// markDirty marks the own sets as not written.
 func (b *observationStore) markDirty() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -189,8 +190,9 @@
 	return keyedlog.Record{Key: key, Value: text}
 }
 
-// close forgets the observations of a roll-out that has ended, here and, after the others had
-// time to read them, in the store, which keeps the newest record of a key for good.
+// endRollout drops the observations of a roll-out that has ended, here at once and in the store
+// after recordLifetime, when the others have read them: the store keeps the newest record of a key
+// until it is deleted.
 func (b *observationStore) endRollout(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,7 +206,7 @@
 		}
 		delete(b.others, key)
 		if s.Instance == b.instance {
-			b.deleteAt[key] = b.clock.Now().Add(recordLifetime) // of a process before this one
+			b.deleteAt[key] = b.clock.Now().Add(recordLifetime) // of an earlier process of this instance
 		}
 	}
 }
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// TestVersionThatTurnsBadLateIsFoundSoon holds for a version with a long good start.
+// TestVersionThatTurnsBadLateIsFoundSoon checks that many good responses at the start do not delay
+// the verdict on a version that fails later.
 func TestVersionThatTurnsBadLateIsFoundSoon(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
@@ -54,12 +55,12 @@
 		step(1, 1)
 	}
 	if r.ended != passthrough.PhaseReverted || bad > 20 {
-		t.Errorf("ended %v after %d bad answers", r.ended, bad)
+		t.Errorf("ended as %v after %d bad responses, want reverted after 20 at most", r.ended, bad)
 	}
 }
 
-// TestOldNotesOnCrashesDoNotCount holds for an instance that starts long after a crash, and
-// for the store, which must not keep what nobody needs.
+// TestOldNotesOnCrashesDoNotCount checks that an instance which starts after a crash does not
+// count its record, and that the record is deleted from the store in the end.
 func TestOldNotesOnCrashesDoNotCount(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
 	a := newParts("a", clock, &fakeLog{}, observations)
@@ -85,12 +86,12 @@
 	clock.advance(recordLifetime + time.Second)
 	write()
 	if snap, err := observations.Newest(t.Context()); err != nil || len(snap.Records) != 0 {
-		t.Errorf("the store keeps %v, %v", snap.Records, err)
+		t.Errorf("the store still has %v, error %v", snap.Records, err)
 	}
 }
 
-// TestWhatAProcessSawOutlivesIt kills an instance after it saw bad answers: they still
-// count, beside those that it sees once it has started again.
+// TestWhatAProcessSawOutlivesIt kills an instance after it saw bad responses: they still
+// count, together with those that it sees after the restart.
 func TestWhatAProcessSawOutlivesIt(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	write := func(p *parts) {
@@ -116,7 +117,7 @@
 	clock.advance(time.Second)
 	after.rollouts.advance(t.Context(), after.rollouts.open["shop"])
 	if got := storedEnds(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
-		t.Errorf("ends %v after six bad answers by two processes", got)
+		t.Errorf("ends %v after six bad responses seen by two processes, want one revert", got)
 	}
 	clock.advance(recordLifetime + time.Second)
 	dropped := 0
@@ -126,12 +127,13 @@
 		}
 	}
 	if dropped != 2 {
-		t.Errorf("%d sets are dropped, want those of both processes", dropped)
+		t.Errorf("%d sets are deleted, want those of both processes", dropped)
 	}
 }
 
-// TestReaderTakesABadVersionBackInTheEnd leaves the register to others, who do not see what
-// this instance sees.
+// TestReaderTakesABadVersionBackInTheEnd guards against a bad version that stays because only an
+// instance that does not write the register sees it fail: that instance reverts it after
+// revertTimeout.
 func TestReaderTakesABadVersionBackInTheEnd(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
@@ -143,11 +145,11 @@
 	p.observeMany("v2", true, 8)
 	p.rollouts.advance(t.Context(), r)
 	if got := storedEnds(status); len(got) != 0 {
-		t.Fatalf("ends %v at once", got)
+		t.Fatalf("ends %v before the timeout, want none", got)
 	}
 	clock.advance(revertTimeout)
 	p.rollouts.advance(t.Context(), r)
 	if got := storedEnds(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
-		t.Errorf("ends %v", got)
+		t.Errorf("ends %v after the timeout, want one revert", got)
 	}
 }
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -10,8 +10,8 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// operator follows the operator's records: the configuration, the roll-out orders, and the
-// failure domains that are to be drained.
+// operator follows the operator's records: the configuration, the roll-out orders and the drain
+// orders.
 type operator struct {
 	records   Records
 	config    *ConfigState
@@ -20,18 +20,18 @@
 	telemetry *telemetry
 	startGate *startGate
 	clock     Clock
-	// trust says whether reads confirm the configuration.
+	// restoreGuard says whether reads confirm the configuration.
 	restoreGuard *restoreGuard
-	// drained are the failure domains that get no new work, domains all that there are. ordered
-	// are those that the store has orders for; others among drained are kept until keepUntil.
+	// drained are the failure domains that get no new work. drainOrders are those for which the
+	// store has an order; others in drained are kept until keepUntil.
 	drained     map[string]bool
 	drainOrders map[string]bool
 	keepUntil   time.Time
-	// kept are those of which the log was told that they are kept.
+	// keptLogged are those whose being kept was logged. domains are all failure domains.
 	keptLogged map[string]bool
 	domains    []string
-	// collects says whether others read from this instance, direct whether it reads from
-	// the store itself.
+	// isCollector says whether others read from this instance, readsStore whether it reads
+	// from the store itself.
 	isCollector func() bool
 	readsStore  func() bool
 }
@@ -48,14 +48,14 @@
 }
 
 const (
-	// pollPart is the part of the revocation bound for which a read of the operator's
-	// records waits for one. What is known is up to twice as old, and must stay under the
-	// half at which readiness fails: 2.2 s of 5 s.
+	// readWaitFraction is the fraction of the revocation bound for which a read of the
+	// operator's records waits for one. The data is up to twice as old, and its age must stay
+	// below the half of the bound at which readiness fails: 2.2 s of 5 s.
 	readWaitFraction = 0.22
-	// collectPart and followPart are the same where others read from this instance, and
-	// where it reads from another one: the collector's word is up to twice its wait old,
-	// and the own wait comes on top: 2.1 s of 5 s. With a fifth instead of a tenth for
-	// those that follow, instances left the rotation whenever a collector changed.
+	// collectorWaitFraction and followerWaitFraction are the same for a collector and for an
+	// instance that reads from one. The collector's data is up to twice its wait old, and the
+	// follower's own wait is added: 2.1 s of 5 s. With a fifth instead of a tenth for
+	// followers, instances left the rotation whenever a collector changed.
 	collectorWaitFraction = 0.16
 	followerWaitFraction  = 0.1
 )
@@ -78,8 +78,8 @@
 	}
 }
 
-// takeAll applies the newest records, the configuration last: it lets requests in, and
-// these must find the roll-outs.
+// applySnapshot applies the newest records, the configuration last: once it is in force requests
+// are admitted, and the roll-outs must be known by then.
 func (o *operator) applySnapshot(list []keyedlog.Record) {
 	o.replaceDrainOrders(list)
 	for _, config := range []bool{false, true} {
@@ -91,18 +91,18 @@
 	}
 }
 
-// restored notes that the store came back from a copy.
+// onRestore notes that the store was restored.
 func (o *operator) onRestore() {
 	o.restoreGuard.onRestore()
 	o.rollouts.onRestore()
 	o.keepUntil = o.clock.Now().Add(keepDrainedFor)
 }
 
-// take applies one record that was written since the last read.
+// applyNew applies one record that was written since the last read.
 func (o *operator) applyNew(r keyedlog.Record) { o.applyRecord(r, true) }
 
-// takeRecord applies one record; written says that it is a new one, not one of the newest of each
-// key. One that cannot be read changes nothing.
+// applyRecord applies one record. written says that it is new and not part of a snapshot. A
+// malformed record changes nothing.
 func (o *operator) applyRecord(r keyedlog.Record, written bool) {
 	if domain, ok := o.records.DrainedDomain(r); ok {
 		o.drainOrders[domain] = len(r.Value) > 0
@@ -135,7 +135,7 @@
 	index, applied := o.config.Apply(c)
 	if !applied {
 		if c.Version < index.Version {
-			o.telemetry.logStateKept("configuration", strconv.FormatUint(index.Version, 10), "the store has an earlier one")
+			o.telemetry.logStateKept("configuration", strconv.FormatUint(index.Version, 10), "the store has an earlier version")
 		}
 		return
 	}
--- a/router/internal/passthrough/pooling_test.go
+++ b/router/internal/passthrough/pooling_test.go
@@ -9,7 +9,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// pooled is an instance that tells what it sees by its failure domain's collector.
+// poolInstance is an instance that shares its observations through its failure domain's collector.
 type poolInstance struct {
 	*parts
 	collector *poolInstance
@@ -19,8 +19,8 @@
 	readAt    time.Time
 }
 
-// poolFleet is 295 instances in five failure domains. The first of each reads the store, or the
-// second where the first is turned away.
+// poolFleet is 295 instances in five failure domains. The first instance of each reads the store, or
+// the second where the store rejects the first.
 type poolFleet struct {
 	t         *testing.T
 	clock     *fakeClock
@@ -58,7 +58,7 @@
 	return f
 }
 
-// step plays what the loops of all instances do at this moment.
+// step advances the clock and does what the loops of all instances do at that time.
 func (f *poolFleet) step(d time.Duration) {
 	f.clock.advance(d)
 	now := f.clock.Now()
@@ -103,14 +103,14 @@
 	return b
 }
 
-// TestPooledCountsOf300InstancesAreSoonKnown holds how old the pooled counts get at those that
-// judge: a bad version must be out within 5 s of its 50th bad answer, of which the look at the
-// counts, the write of the end and its way to all take one.
+// TestPooledCountsOf300InstancesAreSoonKnown bounds the age of the pooled counts at the instances that
+// write verdicts: a bad version must be out within 5 s of its 50th bad response, and evaluating the
+// counts, writing the end and distributing it take one of them.
 func TestPooledCountsOf300InstancesAreSoonKnown(t *testing.T) {
 	const oldest = 4 * time.Second
 	for name, away := range map[string]func(int) bool{
-		"all served":              func(int) bool { return false },
-		"two readers turned away": func(domain int) bool { return domain < 2 },
+		"the store serves all readers":  func(int) bool { return false },
+		"the store rejects two readers": func(domain int) bool { return domain < 2 },
 	} {
 		f := newPoolFleet(t, away)
 		for range 60 {
@@ -126,19 +126,19 @@
 			for !f.allCount(seen) {
 				f.step(50 * time.Millisecond)
 				if f.clock.Now().Sub(began) > time.Minute {
-					t.Fatalf("%s: an answer seen at %s is never known", name, p.observations.instance)
+					t.Fatalf("%s: a bad response seen at %s is not known to all readers after a minute", name, p.observations.instance)
 				}
 			}
 			worst = max(worst, f.clock.Now().Sub(began))
 		}
-		t.Logf("%s: a bad answer is known to all that judge after %v at most", name, worst)
+		t.Logf("%s: a bad response is known to all readers after %v at most", name, worst)
 		if worst > oldest {
-			t.Errorf("%s: a bad answer is known after %v, want %v at most", name, worst, oldest)
+			t.Errorf("%s: a bad response is known to all readers after %v, want %v at most", name, worst, oldest)
 		}
 	}
 }
 
-// known says whether all readers count so many bad answers.
+// allCount reports whether all readers count at least so many bad responses.
 func (f *poolFleet) allCount(count int) bool {
 	for _, p := range f.readers {
 		if p.observations.view(p.rollouts.open["shop"], f.clock.Now()).newCounts.Bad < count {
--- a/router/internal/passthrough/ports.go
+++ b/router/internal/passthrough/ports.go
@@ -9,7 +9,7 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// Headers reads and writes the headers of requests and answers.
+// Headers reads and writes the headers of requests and responses.
 type Headers interface {
 	ReadCaller(h http.Header) seam.Caller
 	WriteAttempt(caller http.Header, a seam.Attempt) http.Header
@@ -23,32 +23,33 @@
 	Config(r keyedlog.Record) (c passthrough.Config, ok bool, err error)
 	// Order decodes a roll-out order; ok is false for a record of another kind.
 	Order(r keyedlog.Record) (o passthrough.Order, ok bool, err error)
-	// DrainedDomain gives the failure domain that the record asks to drain, or takes back where
-	// its value is empty; ok is false for a record of another kind.
+	// DrainedDomain decodes a drain order: the failure domain to drain, or whose drain ends
+	// where the record's value is empty; ok is false for a record of another kind.
 	DrainedDomain(r keyedlog.Record) (domain string, ok bool)
 	// Server decodes a backend server's entry.
 	Server(r keyedlog.Record) (passthrough.Server, error)
-	// Status decodes how far a service's roll-out is; ok is false for a record of
+	// Status decodes the phase of a service's roll-out; ok is false for a record of
 	// another kind.
 	Status(r keyedlog.Record) (service, target string, phase passthrough.Phase, ok bool, err error)
-	// StatusRecord encodes how far a service's roll-out is.
+	// StatusRecord encodes the phase of a service's roll-out.
 	StatusRecord(service, target string, phase passthrough.Phase) (keyedlog.Record, error)
 }
 
-// Store gives the platform's topics.
+// Store provides the platform's topics.
 type Store interface {
-	// Operator holds the configuration and the roll-out orders.
+	// Operator holds the configuration, the roll-out orders and the drain orders.
 	Operator() keyedlog.Log
 	// Servers holds the backend servers' entries.
 	Servers() keyedlog.Log
-	// Status holds the roll-outs' states.
+	// Status holds the phases of roll-outs.
 	Status() keyedlog.Log
-	// Observations is what instances tell each other.
+	// Observations holds what instances share about responses and crashes.
 	Observations() keyedlog.Log
-	// Instances is where those of a failure domain find each other.
+	// Instances holds the entries of a failure domain's instances, by which they find each
+	// other.
 	Instances(domain string) keyedlog.Log
 }
 
-// Clock tells the time since some fixed moment. It must go on while the machine is
-// suspended, and must not follow changes of the time of day.
+// Clock measures time since a fixed moment. It must advance while the machine is suspended, and
+// must not follow changes of the time of day.
 type Clock interface{ Now() time.Time }
--- a/router/internal/passthrough/register.go
+++ b/router/internal/passthrough/register.go
@@ -11,21 +11,22 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// state is what the register holds of a service's newest roll-out.
+// registerState is the register's state of a service's newest roll-out.
 type registerState struct {
 	target string
 	phase  passthrough.Phase
 }
 
-// toldOf is what was read of the roll-out from the register's topic, and whether that was
-// read at all.
+// knownState returns what was read of the roll-out from the register's topic, and whether the topic
+// was read at all.
 func (m *rollouts) knownState(r *rollout) (phase passthrough.Phase, announced, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return r.readPhase, r.announced, m.statusRead
 }
 
-// reader follows the register's topic, so that an end is known everywhere at once.
+// reader returns a reader of the register's topic, by which all instances learn of an end at
+// once.
 func (m *rollouts) reader(log keyedlog.Log) *topicReader {
 	t := &topicReader{
 		name: topicStatus, log: log, clock: m.clock, telemetry: m.telemetry,
@@ -47,7 +48,7 @@
 	return t
 }
 
-// read takes in one record of the register's topic. The first end of a roll-out holds.
+// applyStatus applies one record of the register's topic. The first end of a roll-out holds.
 func (m *rollouts) applyStatus(rec keyedlog.Record) {
 	service, target, phase, ok, err := m.records.Status(rec)
 	if err != nil {
@@ -67,14 +68,14 @@
 	}
 }
 
-// olderState says whether a state is one of before the end that is known, as a copy of the store has
-// it. The lock is held.
+// predatesKnownEnd reports whether a state is one from before the known end, as a restored store may
+// have it. The lock is held.
 func (m *rollouts) predatesKnownEnd(service, target string, phase passthrough.Phase) bool {
 	known := m.states[service]
 	return m.restoredRecently() && known.target == target && known.phase.Ended() && !phase.Ended()
 }
 
-// takeState notes what the register holds of a roll-out.
+// applyState notes what the register holds of a roll-out. The lock is held.
 func (m *rollouts) applyState(r *rollout, phase passthrough.Phase) {
 	r.announced = true
 	if phase.Ended() && !r.readPhase.Ended() {
@@ -82,12 +83,12 @@
 	}
 }
 
-// register reads the register and, where it holds no end yet, writes the plan's. It
-// returns the plan that holds.
+// commitPlan reads the register and, if it holds no end yet, writes the plan's phase. It
+// returns the plan that is in force.
 //
-// Safety: the append is refused unless the topic ends where it was read, so an end that
-// another instance wrote in between is never overwritten. An append without an answer is
-// read back at the next look, before anything else is written.
+// The append fails unless the topic still ends where it was read, so an end that another
+// instance wrote in between is never overwritten. If an append's result is unknown, the next
+// call reads the register before it writes anything.
 func (m *rollouts) commitPlan(ctx context.Context, r *rollout, plan passthrough.Rollout, seen view) passthrough.Rollout {
 	stored, end, err := m.readStored(ctx, r)
 	if err != nil {
@@ -113,7 +114,8 @@
 	return plan
 }
 
-// stored is the phase that the register holds of the roll-out, 0 for none, and where its topic ends.
+// readStored returns the phase that the register holds of the roll-out, 0 for none, and the end of its
+// topic.
 func (m *rollouts) readStored(ctx context.Context, r *rollout) (phase passthrough.Phase, end keyedlog.Position, err error) {
 	snap, err := m.statusLog.Newest(ctx)
 	if err != nil {
@@ -128,7 +130,7 @@
 	return 0, snap.Next, nil
 }
 
-// write writes a phase of the roll-out where the topic ends at the position, and says whether it did.
+// writePhase writes a phase of the roll-out if the topic still ends at end, and reports whether it did.
 func (m *rollouts) writePhase(ctx context.Context, r *rollout, phase passthrough.Phase, end keyedlog.Position) bool {
 	rec, err := m.records.StatusRecord(r.Service, r.Target, phase)
 	if err == nil {
@@ -140,20 +142,20 @@
 	return err == nil
 }
 
-// unwritten tells why a roll-out's state is not in the register.
+// logUnwritten logs why a roll-out's state is not in the register.
 func (m *rollouts) logUnwritten(r *rollout, why string) {
 	m.telemetry.emit(logging.EventRolloutUnwritten, slog.String("service", r.Service), slog.String(logging.KeyError, why))
 }
 
-// announce notes that the register holds the roll-out.
+// markAnnounced notes that the register holds the roll-out.
 func (m *rollouts) markAnnounced(r *rollout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r.announced = true
 }
 
-// undecided is the plan while the register does not hold the end that this instance would
-// write: a bad version gets nothing already, a good one is not completed yet.
+// withoutCompletion returns the plan to follow while the register does not hold the planned end: a
+// bad version already gets nothing, a good one is not completed yet.
 func withoutCompletion(plan passthrough.Rollout) passthrough.Rollout {
 	if plan.Phase == passthrough.PhaseCompleted {
 		plan.Phase = passthrough.PhaseCanary
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -18,7 +18,7 @@
 		p.rollouts.applyOrder(testOrder, 1)
 		p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
 	}
-	a.observeMany("v2", true, 20) // a alone finds it bad; b would complete it
+	a.observeMany("v2", true, 20) // only a finds the version bad; b would complete it
 	clock.advance(19500 * time.Millisecond)
 	a.observations.markRead(clock.Now())
 	b.observations.markRead(clock.Now())
@@ -45,17 +45,17 @@
 	status.appendDespiteErr, status.appendErrs = true, []error{keyedlog.ErrUnknown}
 	p.rollouts.advance(t.Context(), r)
 	if r.ended != 0 {
-		t.Error("ended without knowing it")
+		t.Error("ended although the result of the write is unknown")
 	}
 	p.rollouts.advance(t.Context(), r)
 	if got := storedEnds(status); len(got) != 1 || r.ended != passthrough.PhaseCompleted {
-		t.Errorf("ends %v, known %v", got, r.ended)
+		t.Errorf("ends %v in the register, %v at the instance, want completed", got, r.ended)
 	}
 }
 
-// TestRegisterHistories runs seeded histories of instances that plan, lose answers, meet a
-// store that is away, and restart, in any order: one end is written, nobody believes in
-// another, and a version that was told to fail is never completed.
+// TestRegisterHistories runs seeded histories of instances that plan, lose results of writes,
+// find the store unavailable, and restart, in any order: one end is written, no instance
+// holds another, and a version that was reported to fail is never completed.
 func TestRegisterHistories(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRegister(t, seed) })
@@ -75,7 +75,7 @@
 		}
 		return p
 	}
-	if bad { // what was seen before, and told
+	if bad { // what an earlier instance saw and shared
 		first := start(9)
 		first.rollouts.advance(t.Context(), first.rollouts.open["shop"])
 		first.observeMany("v2", true, 10)
@@ -114,7 +114,7 @@
 				t.Fatal(err)
 			}
 		case 9:
-			// Another instance comes between the next read of the register and its write.
+			// Another instance advances between the next read of the register and its write.
 			other := fleet[rng.IntN(len(fleet))]
 			status.beforeAppend = func() {
 				if r := other.rollouts.open["shop"]; other != p && r.ended == 0 {
@@ -138,11 +138,11 @@
 	}
 	got := storedEnds(status)
 	if len(got) != 1 {
-		t.Fatalf("the register holds %v", got)
+		t.Fatalf("the register holds the ends %v, want one", got)
 	}
 	for i, p := range fleet {
 		if known := p.rollouts.open["shop"].ended; known != got[0] {
-			t.Errorf("instance %d has %v, the register %v", i, known, got[0])
+			t.Errorf("instance %d ended as %v, the register holds %v", i, known, got[0])
 		}
 	}
 	if bad && got[0] == passthrough.PhaseCompleted {
--- a/router/internal/passthrough/restore_model_test.go
+++ b/router/internal/passthrough/restore_model_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// restoreModel is some instances before a store that comes back from copies of itself, with an
-// operator who writes again what was lost.
+// restoreModel is a set of instances and a store that is restored from copies, with an operator who
+// writes again what was lost.
 type restoreModel struct {
 	t         *rapid.T
 	clock     *fakeClock
@@ -17,16 +17,16 @@
 	servers   *fakeLog
 	instances []*modelInstance
 	// version is the last that the operator wrote, revokedAt when each version was acknowledged:
-	// each takes a key away.
+	// each revokes a key.
 	version   int
 	revokedAt map[int]time.Time
-	// rewriteAt is when the operator writes again what the store lost, zero for nothing to write.
+	// rewriteAt is when the operator writes again what the store lost, zero if nothing was lost.
 	rewriteAt time.Time
-	// late says that this takes long.
+	// slowRewrite says that this takes up to maxSlowRewriteDelay.
 	slowRewrite bool
-	// entriesAt is when the servers' entries are as they should be again.
+	// entriesAt is when the servers' entries are correct again.
 	entriesAt time.Time
-	// alive are the servers that write entries, gone those that have left.
+	// alive are the servers that write entries, left those that have left.
 	alive map[string]bool
 	left  map[string]bool
 }
@@ -35,20 +35,21 @@
 	*parts
 	operatorReader, listReader *topicReader
 	disconnected               bool
-	// highest is the highest version that was in force in this process; startedAt when it began to read.
+	// highestVersion is the highest that was in force in this process, startedAt when it began to read.
 	highestVersion uint64
 	startedAt      time.Time
-	// mayKnow is the highest version that it read, or could have been told of.
+	// knowableVersion is the highest version that it read or that a peer could have reported.
 	knowableVersion int
-	// had are the servers that it knew, left those of them that it knows to have left.
+	// listedServers are the servers that it has listed, goneServers those of them that it has dropped since
+	// they left.
 	listedServers, goneServers map[string]bool
 }
 
-// rewriteWithin is how long after a restore the operator has written again; within the time for
-// which reads of the copy confirm nothing.
+// maxRewriteDelay is how long after a restore the operator has written again at the latest; it lies
+// within the time for which reads of the restored store confirm nothing.
 const maxRewriteDelay = time.Second
 
-// rewriteLate is the same where the operator takes long.
+// maxSlowRewriteDelay is the same for a slow operator.
 const maxSlowRewriteDelay = 12 * time.Second
 
 func newRestoreModel(t *rapid.T) *restoreModel {
@@ -74,7 +75,7 @@
 	}
 }
 
-// pass lets time go by: all but those that are cut read, and tell each other what the store lost.
+// pass advances the clock: all connected instances read, and report to each other what the store lost.
 func (m *restoreModel) pass(d time.Duration) {
 	m.clock.advance(d)
 	if !m.rewriteAt.IsZero() && !m.clock.Now().Before(m.rewriteAt) {
@@ -116,7 +117,7 @@
 	}
 }
 
-// check holds the invariants.
+// check checks the invariants.
 func (m *restoreModel) check() {
 	now := m.clock.Now()
 	for n, i := range m.instances {
@@ -130,14 +131,14 @@
 		i.highestVersion = index.Version
 		next, written := m.revokedAt[int(index.Version)+1]
 		late := written && now.Sub(next) > i.config.Bound()
-		// One that started since cannot know what the store lost until another one can tell it.
+		// An instance that started since cannot know what the store lost until a peer can report it.
 		uninformed := i.startedAt.After(next) && i.knowableVersion <= int(index.Version)
 		if late && i.config.Fresh() && !uninformed {
-			m.t.Fatalf("instance %d uses version %d, %v after %d was acknowledged", n, index.Version, now.Sub(next), index.Version+1)
+			m.t.Fatalf("instance %d accepts keys by version %d, %v after version %d was acknowledged", n, index.Version, now.Sub(next), index.Version+1)
 		}
 		for id := range m.left {
 			if i.goneServers[id] && i.servers.has(id) {
-				m.t.Fatalf("instance %d uses server %s again, which had left", n, id)
+				m.t.Fatalf("instance %d lists server %s again, which had left", n, id)
 			}
 			i.goneServers[id] = i.goneServers[id] || i.listedServers[id] && !i.servers.has(id)
 			i.listedServers[id] = i.listedServers[id] || i.servers.has(id)
@@ -145,7 +146,7 @@
 	}
 }
 
-// restore has the store come back from a copy, and the operator write again in time.
+// restore restores the store from a copy, and lets the operator write again within the given time.
 func (m *restoreModel) restore(t *rapid.T, within time.Duration) {
 	m.operator.restore(rapid.IntRange(0, len(m.operator.records)).Draw(t, "records"))
 	m.servers.restore(rapid.IntRange(0, len(m.servers.records)).Draw(t, "entries"))
@@ -158,12 +159,12 @@
 	}
 }
 
-// span draws a time up to so many milliseconds.
+// drawDuration draws a duration up to so many milliseconds.
 func drawDuration(t *rapid.T, most int) time.Duration {
 	return time.Duration(rapid.IntRange(0, most).Draw(t, "ms")) * time.Millisecond
 }
 
-// knowers is how many instances know the operator's last version and can tell the others.
+// countKnowing counts the connected instances that know the operator's last version and can report it.
 func (m *restoreModel) countKnowing() int {
 	n := 0
 	for _, i := range m.instances {
@@ -179,17 +180,18 @@
 	return !i.disconnected && index != nil && int(index.Version) == m.version
 }
 
-// maySpare says whether what the store lost is known without the instance: else nobody can know it
-// until the operator writes again, which takes long then.
+// mayLose reports whether the instance may be killed or disconnected: some other instance must know
+// what the store lost if the operator is slow to write it again.
 func (m *restoreModel) mayLose(i *modelInstance) bool {
 	return m.operatorSettled() || !m.slowRewrite || !m.knows(i) || m.countKnowing() > 1
 }
 
-// operatorSettled says whether nothing is to be written again.
+// operatorSettled reports whether the operator has nothing to write again.
 func (m *restoreModel) operatorSettled() bool { return m.rewriteAt.IsZero() }
 
-// TestRestoresInAnyOrder plays random schedules of writes, restores, cuts, kills and starts: no key is
-// used past its bound, no version goes back, and all that are not cut agree soon after the end.
+// TestRestoresInAnyOrder plays random schedules of writes, restores, disconnections, kills and starts:
+// no key is accepted past its bound, no version goes back, no server that left is used again, and all
+// instances agree soon after the end.
 func TestRestoresInAnyOrder(t *testing.T) {
 	const rounds = 40 // of 100 schedules, or as many as -rapid.checks says
 	for range rounds {
@@ -221,7 +223,7 @@
 				m.restore(t, maxSlowRewriteDelay)
 			}
 		},
-		"miss": func(t *rapid.T) { // an instance that misses what the store loses then
+		"miss": func(t *rapid.T) { // an instance misses a version that the store then loses
 			i := pick()
 			if !m.operatorSettled() {
 				return
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -11,8 +11,9 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// rollouts carries the operator's orders out. Each instance plans by itself, by the time
-// since the order and by what all saw; the end is written once, by whoever comes first.
+// rollouts executes the operator's roll-out orders. Each instance plans by itself, from the time
+// since the order and from what all instances saw. The end is written to the register once, by
+// the first instance that gets there.
 type rollouts struct {
 	records      Records
 	statusLog    keyedlog.Log
@@ -21,52 +22,53 @@
 	observations *observationStore
 	telemetry    *telemetry
 	clock        Clock
-	// limit bounds the requests that a version may get before its deadline.
+	// exposure bounds the requests that a bad version may get.
 	exposure passthrough.Exposure
-	// writes says whether this instance writes the register; the others of its failure
-	// domain only read it, which keeps the calls of a large fleet few.
+	// writesRegister says whether this instance writes the register; the others of its failure
+	// domain only read it, which keeps the number of calls low in a large fleet.
 	writesRegister func() bool
 
 	mu   sync.Mutex
 	open map[string]*rollout
-	// status is the newest state of each service's roll-out; known says that the
+	// states are the newest states of roll-outs by service; statusRead says that the
 	// register's topic was read.
 	states     map[string]registerState
 	statusRead bool
 	wake       chan struct{}
-	// lookedAt is when open roll-outs were looked at last, zero while there are none.
+	// lastRunAt is when open roll-outs were advanced last, zero while there are none.
 	lastRunAt time.Time
-	// restoredAt is when the store came back from a copy last.
+	// restoredAt is when the last restore of the store was noticed, zero for never.
 	restoredAt time.Time
 }
 
-// rollout is one order with what this instance knows of it.
+// rollout is one roll-out order with what this instance knows of its progress.
 type rollout struct {
 	passthrough.Order
 	offset uint64
-	// earlier are the offsets of the order before it was written again.
+	// earlierOffsets are the offsets of the order before it was written again.
 	earlierOffsets []uint64
-	// rewriteUntil is until when an end that the store lacks is written again; zero for never.
+	// rewriteUntil is until when an end that the store lacks is written again; zero if it need
+	// not be.
 	rewriteUntil time.Time
-	// since is the time of the order, as far as known.
+	// orderedAt is when this instance read the order.
 	orderedAt time.Time
 	plan      passthrough.Rollout
-	// ended is the phase that the register holds and that was taken over, 0 for none yet;
-	// told is the one that was read from it.
+	// ended is the end that this instance has applied, 0 for none yet; readPhase is the end
+	// that was read from the register's topic.
 	ended     passthrough.Phase
 	readPhase passthrough.Phase
-	// badSince is when this instance found the version bad, zero while it does not.
+	// badSince is when this instance found the version bad, zero if it does not.
 	badSince time.Time
-	// held says that the roll-out's time was over while its version was in doubt, finishAt when it
-	// ends since it was cleared.
+	// held says that the roll-out's time passed before a verdict on its version was possible;
+	// finishAt is when it ends after the version was found good.
 	held     bool
 	finishAt time.Time
-	// announced says that the register holds that the roll-out is in progress.
+	// announced says that the register holds the roll-out.
 	announced bool
 }
 
-// rolloutEvery is how often open roll-outs are looked at: a bad version must be out within
-// seconds of its 50th bad answer.
+// rolloutInterval is the time between two evaluations of open roll-outs: a bad version must be
+// out within seconds of its 50th bad response.
 const rolloutInterval = 400 * time.Millisecond
 
 func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, b *observationStore, j *telemetry, clock Clock, limit passthrough.Exposure) *rollouts {
@@ -76,7 +78,7 @@
 	}
 }
 
-// ordered takes in an order. One that is known already changes nothing.
+// applyOrder applies a roll-out order. One that is already known changes nothing.
 func (m *rollouts) applyOrder(o passthrough.Order, offset uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,7 +99,7 @@
 	m.wakeUp()
 }
 
-// wakeUp has the roll-outs looked at now.
+// wakeUp makes run evaluate the roll-outs now.
 func (m *rollouts) wakeUp() {
 	select {
 	case m.wake <- struct{}{}:
@@ -105,10 +107,10 @@
 	}
 }
 
-// active says whether some roll-out has not ended.
+// active reports whether some roll-out has not ended.
 func (m *rollouts) active() bool { return len(m.openRollouts()) > 0 }
 
-// run looks at the open roll-outs until ctx ends; without any it sleeps.
+// run advances the open roll-outs until ctx ends; while there are none it sleeps.
 func (m *rollouts) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !m.advanceAll(ctx) {
@@ -122,7 +124,7 @@
 	}
 }
 
-// look advances the open roll-outs and writes lost ends again. It says whether there were any.
+// advanceAll advances the open roll-outs and writes lost ends again. It reports whether there were any.
 func (m *rollouts) advanceAll(ctx context.Context) bool {
 	open, lost := m.openRollouts(), m.lostEnds()
 	m.detectPause(len(open) > 0)
@@ -135,11 +137,11 @@
 	return len(open)+len(lost) > 0
 }
 
-// noticePause finds out that this process stood still between two looks.
+// detectPause finds out whether this process was suspended since the last run.
 //
-// Load: an instance that is suspended for the second half of a roll-out, beside an outage of the store
-// that it does not see. Harm prevented: a bad version completed by one that has heard nothing of it,
-// before the others could tell.
+// An instance that is suspended for the second half of a roll-out may miss what its peers saw, and an
+// outage of the store may keep them from reporting it afterwards. Without this check such an instance
+// would complete a bad version before its peers can report it.
 func (m *rollouts) detectPause(open bool) {
 	now := m.clock.Now()
 	if !m.lastRunAt.IsZero() && now.Sub(m.lastRunAt) > propagationTime {
@@ -151,7 +153,7 @@
 	}
 }
 
-// snapshot copies the open roll-outs.
+// openRollouts returns the roll-outs that have not ended.
 func (m *rollouts) openRollouts() []*rollout {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,7 +166,7 @@
 	return out
 }
 
-// advance plans one roll-out anew, and ends it in the register where its time has come.
+// advance updates the plan of one roll-out and writes its end to the register when it is due.
 func (m *rollouts) advance(ctx context.Context, r *rollout) {
 	now := m.clock.Now()
 	seen := m.observations.view(r, now)
@@ -188,19 +190,19 @@
 	case (m.writesRegister() || r.revertOverdue(plan, now)) && (plan.Phase.Ended() || !announced):
 		plan = m.commitPlan(ctx, r, plan, seen)
 	case !known && !plan.Phase.Ended():
-		return // it may have ended long ago
+		return // the roll-out may have ended long ago
 	default:
 		plan = withoutCompletion(plan)
 	}
 	m.applyPlan(r, plan, seen)
 }
 
-// lateLead is how long the new version gets all new work before a roll-out that was held ends:
-// the old servers stop at once then, with the streams of some seconds that run there.
+// heldRolloutLead is how long the new version gets all new work before a held roll-out ends: the old
+// servers are stopped at the end, and streams of some seconds may still run there.
 const heldRolloutLead = 5 * time.Second
 
-// late lets a roll-out that was held end as it would have in time: the new version gets all new
-// work first.
+// delayHeldEnd delays the end of a roll-out that was held by heldRolloutLead, in which the new version
+// gets all new work, as it would have before an end in time.
 func (r *rollout) delayHeldEnd(plan passthrough.Rollout, now time.Time) passthrough.Rollout {
 	if plan.Held {
 		r.held, r.finishAt = true, time.Time{}
@@ -217,12 +219,12 @@
 	return plan
 }
 
-// revertAnyway is how long an instance that leaves the register to others waits for them to
-// take a bad version back: they look every 0.4 s, and learn what it saw within a second.
+// revertTimeout is how long an instance that does not write the register waits for others to revert
+// a bad version: they evaluate every 0.4 s, and learn what it saw within a second.
 const revertTimeout = 2 * time.Second
 
-// overdue says whether this instance should take a bad version back by itself: those that
-// write may have lost what they saw, or may never get it.
+// revertOverdue reports whether this instance should revert a bad version itself: the instances
+// that write the register may have lost the observations or may never get them.
 func (r *rollout) revertOverdue(plan passthrough.Rollout, now time.Time) bool {
 	if plan.Phase != passthrough.PhaseReverted {
 		r.badSince = time.Time{}
@@ -234,8 +236,8 @@
 	return now.Sub(r.badSince) >= revertTimeout
 }
 
-// mayComplete says whether the new version has the servers for all of the traffic: the
-// old ones are stopped at once.
+// mayComplete reports whether the new version has enough servers for all traffic: the old ones are
+// stopped at once when it completes.
 func (m *rollouts) mayComplete(r *rollout) bool {
 	current, old := m.servers.countServers(r.Service, r.Target)
 	return current > 0 && 2*current >= old
@@ -253,7 +255,7 @@
 		slog.Int("old_good", seen.oldCounts.Good), slog.Int("old_bad", seen.oldCounts.Bad))
 }
 
-// adopt tells the decision of a changed plan.
+// applyPlan hands a changed plan to the decision and logs each step.
 func (m *rollouts) applyPlan(r *rollout, plan passthrough.Rollout, seen view) {
 	if plan == r.plan {
 		return
--- a/router/internal/passthrough/rollouts_restore.go
+++ b/router/internal/passthrough/rollouts_restore.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// writtenAgainFor is how long after a restore of the store an order that equals the one known
-	// here is that one, which the operator wrote again.
+	// orderRewriteWindow is how long after a restore an order that equals the known one is taken
+	// for that one, written again by the operator.
 	orderRewriteWindow = 10 * time.Second
-	// rewriteFor is how long after a restore an end that the store lacks is written again.
+	// endRewriteWindow is how long after a restore an end that the store lacks is written again.
 	endRewriteWindow = 30 * time.Second
 )
 
-// restored notes that the store came back from a copy: ends that this instance knows may have to be
-// written again, and that roll-outs are in progress.
+// onRestore notes that the store was restored: the ends that this instance knows, and the states of
+// roll-outs in progress, may have to be written again.
 func (m *rollouts) onRestore() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -31,12 +31,12 @@
 	m.wakeUp()
 }
 
-// restoredLately says whether what the store lacked may still be written again. The lock is held.
+// restoredRecently reports whether what a restore lost may still be written again. The lock is held.
 func (m *rollouts) restoredRecently() bool {
 	return !m.restoredAt.IsZero() && m.clock.Now().Sub(m.restoredAt) < orderRewriteWindow
 }
 
-// known is the end that this instance knows, 0 for none. The lock is held.
+// knownEnd returns the end that this instance knows, 0 for none. The lock is held.
 func (r *rollout) knownEnd() passthrough.Phase {
 	if r.readPhase.Ended() {
 		return r.readPhase
@@ -44,11 +44,11 @@
 	return r.ended
 }
 
-// writtenAgain says whether the order, at another offset, is the one that is known here, and then
-// takes over the offset. The lock is held.
+// isRewrittenOrder reports whether an order at another offset is the known one, written again after
+// a restore, and then adopts the offset. The lock is held.
 //
-// Load: a store that comes back from a copy in the middle of a roll-out. Harm prevented: a roll-out
-// that begins anew, with a full share for a version of which much was seen.
+// Without it a roll-out would start again after a restore, and grant a full exposure to a version of
+// which much was seen already.
 func (m *rollouts) isRewrittenOrder(r *rollout, o passthrough.Order, offset uint64) bool {
 	if r.Order != o || !m.restoredRecently() {
 		return false
@@ -60,7 +60,7 @@
 	return true
 }
 
-// toRewrite are the roll-outs whose end may have to be written again.
+// lostEnds returns the roll-outs whose end may have to be written again.
 func (m *rollouts) lostEnds() []*rollout {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,15 +73,15 @@
 	return out
 }
 
-// rewrite writes the end of a roll-out again where the store lacks it. An end that another instance
-// wrote meanwhile is left, as in register.
+// rewriteEnd writes the end of a roll-out again if the store lacks it. An end that another instance
+// wrote meanwhile is kept, as in commitPlan.
 func (m *rollouts) rewriteEnd(ctx context.Context, r *rollout) {
 	if !m.writesRegister() {
 		return
 	}
 	stored, end, err := m.readStored(ctx, r)
 	if err != nil {
-		return // it is tried again at the next look
+		return // tried again in the next run
 	}
 	m.mu.Lock()
 	phase := r.knownEnd()
@@ -89,7 +89,7 @@
 	switch {
 	case stored.Ended():
 		if stored != phase {
-			m.logUnwritten(r, "the store holds another end")
+			m.logUnwritten(r, "the restored store holds another end")
 		}
 		m.clearRewrite(r)
 	case m.writePhase(ctx, r, phase, end):
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -10,7 +10,7 @@
 
 const orderValue = "order shop v2 20"
 
-// restoredFleet is some instances in a roll-out, on logs that can come back from a copy.
+// restoredFleet is a set of instances on logs that can be restored from a copy.
 type restoredFleet struct {
 	t                              *testing.T
 	clock                          *fakeClock
@@ -43,7 +43,7 @@
 	return i
 }
 
-// step has each instance read all topics, look at its roll-outs, and write what it has to tell.
+// step makes each instance read all topics, advance its roll-outs and write its records.
 func (f *restoredFleet) step() {
 	f.t.Helper()
 	for _, i := range f.instances {
@@ -60,9 +60,9 @@
 	f.clock.advance(400 * time.Millisecond)
 }
 
-// TestOrderWrittenAgainIsTheSameRollout holds that an order which comes at another offset after a
-// restore begins nothing anew: its time runs on, and what was seen counts, also for an instance that
-// knows the new offset alone.
+// TestOrderWrittenAgainIsTheSameRollout checks that an order which the operator writes again after a
+// restore, at another offset, does not start the roll-out again: its time continues, and earlier
+// observations count, also at an instance that knows only the new offset.
 func TestOrderWrittenAgainIsTheSameRollout(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
 	copied := len(f.operator.records)
@@ -90,11 +90,11 @@
 	}
 	for _, i := range f.instances {
 		if seen := i.observations.view(i.rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 3 {
-			t.Errorf("%s: %d bad answers are known, want 3", i.observations.instance, seen.newCounts.Bad)
+			t.Errorf("%s: counts %d bad responses, want 3", i.observations.instance, seen.newCounts.Bad)
 		}
 	}
 	if f.instances[0].rollouts.open["shop"] != r || r.orderedAt != since {
-		t.Error("the roll-out began anew")
+		t.Error("the roll-out was started again")
 	}
 	f.instances[2].observeMany("v2", true, 10)
 	for range 4 {
@@ -102,13 +102,13 @@
 	}
 	for _, i := range f.instances {
 		if got := i.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
-			t.Errorf("%s: ended as %v", i.observations.instance, got)
+			t.Errorf("%s: ended as %v, want reverted", i.observations.instance, got)
 		}
 	}
 }
 
-// TestEndOfARolloutIsWrittenAgainOnce holds that an end which a restored store lacks is written again,
-// by one instance, and that no other end is.
+// TestEndOfARolloutIsWrittenAgainOnce checks that an end which a restored store lacks is written again
+// by one instance, and that no other end is written.
 func TestEndOfARolloutIsWrittenAgainOnce(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b", "c")
 	f.operator.add("order/shop", orderValue)
@@ -135,12 +135,12 @@
 		t.Errorf("ends %v", got)
 	}
 	if got := late.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
-		t.Errorf("an instance that started after the restore has %v", got)
+		t.Errorf("an instance that started after the restore ended as %v, want reverted", got)
 	}
 }
 
-// TestCountsOfACopyDoNotReplaceLaterOnes holds that an instance knows no less of what the others saw
-// after a restore, before they write again.
+// TestCountsOfACopyDoNotReplaceLaterOnes checks that earlier counts in a restored store do not replace
+// the later ones that an instance has read from its peers, before they write again.
 func TestCountsOfACopyDoNotReplaceLaterOnes(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
 	f.operator.add("order/shop", orderValue)
@@ -155,12 +155,12 @@
 	f.observations.restore(copied)
 	read(t, f.instances[1].observationsReader)
 	if seen := f.instances[1].observations.view(f.instances[1].rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
-		t.Errorf("%d bad answers are known, want 4", seen.newCounts.Bad)
+		t.Errorf("%d bad responses are counted, want 4", seen.newCounts.Bad)
 	}
 	f.step()
 	last := f.start("last")
 	f.step()
 	if seen := last.observations.view(last.rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
-		t.Errorf("an instance that started after the restore knows %d bad answers, want 4", seen.newCounts.Bad)
+		t.Errorf("an instance that started after the restore counts %d bad responses, want 4", seen.newCounts.Bad)
 	}
 }
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -8,7 +8,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// ends are the ends that stand in the status topic, in order.
+// storedEnds returns the ends in the status topic, in order.
 func storedEnds(l *fakeLog) []passthrough.Phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 	clock.advance(9500 * time.Millisecond)
 	b.rollouts.advance(t.Context(), b.rollouts.open["shop"])
 	if got := b.rollouts.open["shop"].ended; got != passthrough.PhaseCompleted {
-		t.Errorf("the instance that began late has %v", got)
+		t.Errorf("the instance that started late ended as %v, want completed", got)
 	}
 }
 
@@ -69,12 +69,12 @@
 	clock.advance(19500 * time.Millisecond)
 	p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
 	if got := storedEnds(status); len(got) != 0 {
-		t.Errorf("ended with %v", got)
+		t.Errorf("ended as %v without the new version's servers", got)
 	}
 }
 
-// TestEndReachesInstancesThatDoNotWrite holds for an instance that reads the store by its
-// collector: it takes an end over from the topic, though it would not have judged so.
+// TestEndReachesInstancesThatDoNotWrite checks that an instance which does not write the register
+// applies an end from its topic, although its own observations would not lead to it.
 func TestEndReachesInstancesThatDoNotWrite(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	writer, follower := newParts("a", clock, status, &fakeLog{}), newParts("b", clock, status, &fakeLog{})
@@ -97,15 +97,16 @@
 	writer.observeMany("v2", true, 20)
 	step()
 	if got := follower.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
-		t.Errorf("the follower has %v", got)
+		t.Errorf("the follower ended as %v, want reverted", got)
 	}
 	if n := len(storedEnds(status)); n != 1 {
 		t.Errorf("%d ends written", n)
 	}
 }
 
-// TestNoCompletionBeforeTheOthersCanTell ends an outage of the store at the end of a
-// roll-out: an instance that saw little of the new version waits for the others' word.
+// TestNoCompletionBeforeTheOthersCanTell guards against the completion of a bad version right after
+// an outage of the store at the end of a roll-out: an instance that saw few responses of the new
+// version waits for the observations of its peers.
 func TestNoCompletionBeforeTheOthersCanTell(t *testing.T) {
 	for _, c := range []struct {
 		good, bad int
@@ -127,7 +128,7 @@
 		r := a.rollouts.open["shop"]
 		a.rollouts.advance(t.Context(), r)
 		if r.ended != c.want {
-			t.Errorf("%+v: ended as %v at once", c, r.ended)
+			t.Errorf("%+v: ended as %v before the peers could report", c, r.ended)
 		}
 		if err := observations.Append(t.Context(), keyedlog.Anywhere, b.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
@@ -137,13 +138,13 @@
 		a.observations.markRead(clock.Now())
 		a.rollouts.advance(t.Context(), r)
 		if c.want == 0 && r.ended != passthrough.PhaseReverted {
-			t.Errorf("%+v: ended as %v by the others' word", c, r.ended)
+			t.Errorf("%+v: ended as %v after the peers reported, want reverted", c, r.ended)
 		}
 	}
 }
 
-// TestNoCompletionRightAfterAPause holds that an instance which was suspended for most of a roll-out, and
-// finds the others' words unwritten, waits for them before it completes a version.
+// TestNoCompletionRightAfterAPause checks that an instance which was suspended for most of a roll-out,
+// while its peers could not write their observations, waits for these before it completes a version.
 func TestNoCompletionRightAfterAPause(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	a, b := newParts("a", clock, status, observations), newParts("b", clock, status, observations)
@@ -153,12 +154,12 @@
 		p.rollouts.advanceAll(t.Context())
 	}
 	b.observeMany("v2", true, 8)
-	clock.advance(testOrder.Duration) // a stands still, and b cannot write
+	clock.advance(testOrder.Duration) // a is suspended, and b cannot write
 	a.observations.markRead(clock.Now())
 	a.rollouts.advanceAll(t.Context())
 	r := a.rollouts.open["shop"]
 	if r.ended != 0 {
-		t.Fatalf("ended as %v at once", r.ended)
+		t.Fatalf("ended as %v right after the pause", r.ended)
 	}
 	if err := observations.Append(t.Context(), keyedlog.Anywhere, b.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
@@ -168,12 +169,12 @@
 	a.observations.markRead(clock.Now())
 	a.rollouts.advanceAll(t.Context())
 	if r.ended != passthrough.PhaseReverted {
-		t.Errorf("ended as %v by the others' word", r.ended)
+		t.Errorf("ended as %v after the peer reported, want reverted", r.ended)
 	}
 }
 
-// TestNoCompletionWhileNothingCanBeWritten holds that an instance whose own set does not
-// reach the store takes its view of the others' for a part only.
+// TestNoCompletionWhileNothingCanBeWritten checks that an instance which cannot write its own set
+// treats what it knows of its peers' observations as incomplete.
 func TestNoCompletionWhileNothingCanBeWritten(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	p := newParts("a", clock, status, observations)
@@ -193,12 +194,13 @@
 	p.observations.markRead(clock.Now())
 	p.rollouts.advance(t.Context(), r)
 	if r.ended != passthrough.PhaseCompleted {
-		t.Errorf("ended as %v once all can be told", r.ended)
+		t.Errorf("ended as %v once all could write, want completed", r.ended)
 	}
 }
 
-// TestHeldRolloutEndsOnceItsVersionIsCleared holds a version in doubt past its time, and has it
-// get all new work for a while before the old servers are stopped.
+// TestHeldRolloutEndsOnceItsVersionIsCleared holds a roll-out past its time while there is no verdict
+// on its version. Once that is found good it gets all new work for heldRolloutLead before the old
+// servers are stopped.
 func TestHeldRolloutEndsOnceItsVersionIsCleared(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
@@ -222,15 +224,15 @@
 	paced(15, 1.05)
 	clock.advance(19500 * time.Millisecond)
 	if got := look(); got != 0 || !r.plan.Held {
-		t.Fatalf("in doubt: ended %v, plan %+v", got, r.plan)
+		t.Fatalf("without a verdict: ended as %v, plan %+v, want held", got, r.plan)
 	}
 	paced(60, 0)
 	clock.advance(6 * time.Second)
 	if got := look(); got != 0 || r.plan.CompleteAt.IsZero() || r.plan.Held {
-		t.Fatalf("cleared: ended %v, plan %+v", got, r.plan)
+		t.Fatalf("found good: ended as %v, plan %+v, want an end in heldRolloutLead", got, r.plan)
 	}
 	clock.advance(heldRolloutLead)
 	if got := look(); got != passthrough.PhaseCompleted {
-		t.Errorf("at last: ended %v", got)
+		t.Errorf("after heldRolloutLead: ended as %v, want completed", got)
 	}
 }
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// idleMost is how long a connection stays open without a request: far longer than the
-	// 15 s for which the operators' configurations let callers use it, since one that is
-	// closed under a request on its way is an answer lost.
+	// idleTimeout is how long a connection stays open without a request. It far exceeds the
+	// 15 s for which operators' configurations let callers reuse one: a request that is on its
+	// way when the connection closes gets no response.
 	idleTimeout = 2 * time.Minute
-	// headerMost bounds the reading of a request's head; configurations allow 3 s.
+	// readHeaderTimeout bounds the reading of a request's head; configurations allow 3 s.
 	readHeaderTimeout = 5 * time.Second
-	// leaveRotation is how long after SIGTERM new requests are still served: the balancer
-	// asks once a second and needs two misses, or three where one gets lost.
+	// rotationDelay is how long after SIGTERM new requests are still served: the load balancer
+	// checks readiness once a second and needs two failed checks, or three if one gets lost.
 	rotationDelay = 3 * time.Second
-	// stopMargin is the end of the grace time that is left for closing down.
+	// closeMargin is the end of the grace period that is reserved for closing down.
 	closeMargin = 600 * time.Millisecond
-	// answerMargin is the part before that by which plain calls that came late have their
-	// final answers.
+	// responseMargin is how long before that plain calls that arrived late have their final
+	// responses.
 	responseMargin = 200 * time.Millisecond
 )
 
-// server listens for callers, readiness and metrics.
+// server listens for callers, readiness checks and metrics requests.
 type server struct {
 	settings  seam.Settings
 	handler   *Handler
@@ -51,7 +51,8 @@
 	onServeError func(error)
 }
 
-// start opens the listeners; readyPath is what the balancer asks.
+// start opens the listeners. readyPath is the path of readiness checks; metricsAddress is empty
+// for no metrics.
 func (s *server) start(readyPath, metricsAddress string) error {
 	s.callers = &http.Server{
 		Handler: s.handler, IdleTimeout: idleTimeout, ReadHeaderTimeout: readHeaderTimeout, ConnState: s.handler.conns.track,
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// isReady answers the balancer.
+// serveReadiness responds to the load balancer's readiness check.
 func (s *server) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	stopping := s.handler.shutdown.begun()
 	ready := s.config.Ready() && !stopping
@@ -112,10 +113,10 @@
 
 // stop takes the instance out of rotation, lets requests in progress end, and closes.
 //
-// Load: replacement of all instances, one after the other, while busy. Harm prevented:
-// answers that are cut off, and requests that find a closed port. New requests are served
-// until the balancer has noticed, and plain calls for as long as streams go on; then the
-// connections are closed with an answer each.
+// When all busy instances are replaced one after the other, no response may be truncated and
+// no request may find a closed port. So new requests are served until the load balancer has
+// noticed, and plain calls for as long as streams run; then each connection is closed after a
+// response.
 func (s *server) stop(began time.Time) {
 	grace := s.settings.Bounds.Grace - closeMargin
 	respondBy := began.Add(grace - responseMargin)
@@ -133,7 +134,7 @@
 	s.handler.shutdown.enter(phaseClosing)
 	s.waitIdle(ctx)
 	_, running = s.driver.Load()
-	_ = s.callers.Close() // what is still open has had the whole grace time
+	_ = s.callers.Close() // connections still open have had the whole grace period
 	for _, srv := range s.auxServers {
 		_ = srv.Close()
 	}
@@ -144,7 +145,7 @@
 	}
 }
 
-// waitStreams waits until no stream is in progress, or until the end of the time for new
+// waitStreams waits until no stream is in progress, or until end, the end of the time for new
 // calls.
 func (s *server) waitStreams(ctx context.Context, end time.Time) {
 	for s.driver.Streams() > 0 && s.handler.clock.Now().Before(end) && ctx.Err() == nil {
@@ -152,11 +153,11 @@
 	}
 }
 
-// idlePoll is how often the end of the last request is looked for.
+// drainPollInterval is the time between two checks for requests in progress.
 const drainPollInterval = 50 * time.Millisecond
 
-// waitIdle waits until no request is in progress and a moment more, in which requests
-// that crossed are answered.
+// waitIdle waits until no request is in progress for some checks in a row, so that requests which
+// were already on their way are answered.
 func (s *server) waitIdle(ctx context.Context) {
 	const quietPolls = 6
 	for idle := 0; idle < quietPolls && ctx.Err() == nil; {
@@ -169,7 +170,7 @@
 	}
 }
 
-// writeMetrics writes all metrics as text.
+// serveMetrics writes all metrics as text.
 func (s *server) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	waiting, running := s.driver.Load()
 	gometrics.GetOrRegisterGauge("passthrough.waiting", s.registry).Update(int64(waiting))
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -14,7 +14,8 @@
 	"masticplank.example/router/internal/relay"
 )
 
-// sharing lets the instances of a failure domain share their reads of the store.
+// sharing lets the instances of a failure domain share their reads of the store: a collector reads
+// and its followers read from it.
 type sharing struct {
 	self      relay.Member
 	store     Store
@@ -31,24 +32,26 @@
 	instances    *relay.Log
 
 	mu sync.Mutex
-	// held are records that followers gave, by topic, to be written with the own.
+	// held are records of followers, by topic, that are to be written with the own.
 	held   map[string][]keyedlog.Record
 	onHeld func()
-	// counted is told how many instances there are, told what it was told last.
+	// onFleetCount is called with the number of instances when it changes, reportedCount is
+	// the last one.
 	onFleetCount  func(int)
 	reportedCount atomic.Int64
-	// neighbours is told of the instances of this failure domain, near how many it was told of.
+	// onPeers is called with the names of this failure domain's instances when their number
+	// changes, reportedPeers is the last number.
 	onPeers       func([]string)
 	reportedPeers atomic.Int64
-	// elsewhere are the other failure domains.
+	// otherDomains are the other failure domains.
 	otherDomains []string
-	// listed says that the store has this instance as it is now, enlisted when it was last
-	// told.
+	// listed says that the store has this instance's current entry, announcedAt when it was
+	// last written.
 	listed      atomic.Bool
 	announcedAt time.Time
 }
 
-// The topics' names among instances.
+// The names of the topics in messages between instances and in logs.
 const (
 	topicOperator     = "operator"
 	topicServers      = "servers"
@@ -58,14 +61,14 @@
 )
 
 const (
-	// oldestOperator is the age, as a part of the revocation bound, past which a
-	// collector's word on the configuration is worth a read of one's own: one that reads
-	// well is at most two of its own waits behind.
+	// maxOperatorAgeFraction is the age of a collector's configuration, as a fraction of the
+	// revocation bound, from which a follower reads the store itself: a collector that works
+	// is at most two of its own waits behind.
 	maxOperatorAgeFraction = 0.36
-	// oldestServers is the same for the list, as a part of the time for which a leaving
-	// server may still get requests.
+	// maxServersAgeFraction is the same for the server list, as a fraction of the time for
+	// which a leaving server may still get requests.
 	maxServersAgeFraction = 0.65
-	// oldestOther is for topics that tell what they have to at once.
+	// maxOtherAge is for the other topics, which pass on what they have at once.
 	maxOtherAge = time.Hour
 )
 
@@ -105,13 +108,13 @@
 	return s
 }
 
-// part is a part of a bound.
+// fractionOf returns the fraction p of a bound.
 func fractionOf(f float64, bound time.Duration) time.Duration {
 	return time.Duration(f * float64(bound))
 }
 
-// sameServer says of two entries of a backend server that they differ in nothing that is
-// used: most are heartbeats.
+// equalServers returns a function that reports whether two entries of a backend server differ in
+// nothing that is used: most entries are heartbeats.
 func equalServers(records Records) func(a, b keyedlog.Record) bool {
 	return func(a, b keyedlog.Record) bool {
 		serverA, errX := records.Server(a)
@@ -120,13 +123,14 @@
 	}
 }
 
-// heldMost bounds the records that are held for followers.
+// maxHeldRecords bounds the records per topic that are held for followers.
 const maxHeldRecords = 1000
 
-// hold takes a follower's records.
+// holdRecords accepts a follower's records to be written later. It returns keyedlog.ErrRejected for
+// a topic that followers do not write, and keyedlog.ErrNotDone past maxHeldRecords.
 func (s *sharing) holdRecords(topic string, records []keyedlog.Record) error {
 	if topic != topicObservations && topic != topicInstances {
-		return keyedlog.ErrRejected // followers write to no other one
+		return keyedlog.ErrRejected // followers write to no other topic
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +144,7 @@
 	return nil
 }
 
-// take returns the held records of a topic.
+// takeHeld returns and removes the held records of a topic.
 func (s *sharing) takeHeld(topic string) []keyedlog.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +153,7 @@
 	return out
 }
 
-// listen answers the followers until ctx ends.
+// listen serves the followers until ctx ends.
 func (s *sharing) listen(ctx context.Context) error {
 	if s.self.Address == "" {
 		return nil
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -34,7 +34,7 @@
 	return l.fakeLog.Append(ctx, at, records...)
 }
 
-// fakeStore is a store with a list of instances for each failure domain.
+// fakeStore is a store with one list of instances per failure domain.
 type fakeStore struct {
 	fakeLog
 	mu      sync.Mutex
@@ -60,7 +60,7 @@
 	return s.domains[name]
 }
 
-// startSharing starts an instance's sharing at a port of its own.
+// startPeer starts the sharing of an instance on a port of its own.
 func startPeer(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
 	t.Helper()
 	j := &telemetry{clock: clock, config: NewConfigState(clock, time.Second), registry: metrics.NewRegistry()}
@@ -74,9 +74,9 @@
 	return sh
 }
 
-// TestFollowersAreEnlistedTogether holds that small instances which start beside a collector
-// are made known by it, in one call for all of them, and that each reads the list of its own
-// failure domain alone.
+// TestFollowersAreEnlistedTogether checks that a collector announces the small instances that start
+// after it with one call for all of them, and that each reads only the list of its own failure
+// domain.
 func TestFollowersAreEnlistedTogether(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	collector := startPeer(t, st, clock, "strong", 0.8)
@@ -90,39 +90,39 @@
 	}
 	own, other := st.domain("a"), st.domain("b")
 	if own.appends != 1 {
-		t.Errorf("%d calls made the first instance known, before the collector's own for the others", own.appends)
+		t.Errorf("%d appends after all instances joined, want the collector's own only", own.appends)
 	}
 	collector.writeFollowers(t.Context())
 	if own.appends != 2 || len(own.records) != 1+count {
-		t.Errorf("%d calls wrote %d instances", own.appends, len(own.records))
+		t.Errorf("%d appends wrote %d instances", own.appends, len(own.records))
 	}
 	if own.reads != 1+count || other.reads != 0 {
-		t.Errorf("%d reads of the own list, %d of another", own.reads, other.reads)
+		t.Errorf("%d reads of the own domain's list, %d of another's", own.reads, other.reads)
 	}
 	if !followers[0].readMembers(t.Context(), "a") || !followers[0].listed.Load() {
-		t.Error("a follower does not find itself")
+		t.Error("a follower does not find its own entry")
 	}
 }
 
-// TestInstanceIsToldAgainWhereItsCollectorLostIt holds for a collector that ends before it has
-// written its followers down.
+// TestInstanceIsToldAgainWhereItsCollectorLostIt checks that an instance announces itself again if
+// its collector ends before it has written the announcement.
 func TestInstanceIsToldAgainWhereItsCollectorLostIt(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
 	sh := startPeer(t, st, clock, "small", 0.2)
 	sh.join(t.Context(), false)
-	collector.takeHeld(topicInstances) // lost
+	collector.takeHeld(topicInstances) // the announcement is lost
 	clock.advance(reannounceAfter + time.Second)
 	sh.reannounceIfMissing(t.Context())
 	collector.writeFollowers(t.Context())
 	if n := len(st.domain("a").records); n != 2 {
-		t.Errorf("%d instances are known", n)
+		t.Errorf("%d instances are listed, want 2", n)
 	}
 }
 
-// TestInstanceThatACopyLacksIsToldAgain holds that a restored store has each instance soon, and that
-// one which is in the copy is not told again.
+// TestInstanceThatACopyLacksIsToldAgain checks that an instance announces itself again after a restore
+// that lost its entry, and does not if the entry is still there.
 func TestInstanceThatACopyLacksIsToldAgain(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	own := st.domain("a")
@@ -136,7 +136,7 @@
 		own.restore(keep)
 		read(t, reader)
 		if told := own.appends - before; told != 1-keep || len(own.records) != 1 {
-			t.Errorf("%d kept: told %d times, %d records", keep, told, len(own.records))
+			t.Errorf("%d records kept: announced %d times, %d records", keep, told, len(own.records))
 		}
 	}
 	if sh.members.Count() == 0 || len(sh.members.Names()) != 1 {
@@ -144,7 +144,7 @@
 	}
 }
 
-// freePort is an address on loopback that nobody listens on.
+// freePort returns a loopback address with an unused port.
 func freePort(t *testing.T) string {
 	t.Helper()
 	addr, err := standin.FreeAddress()
--- a/router/internal/passthrough/starting.go
+++ b/router/internal/passthrough/starting.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// startMost is how long after the start of the process callers are held: the
+// startTimeout is how long after the start of the process requests are held at most: the
 // configuration and the list of backend servers are read in 0.05 to 0.2 s, also when all
-// instances start at once. A caller who waits for longer than that is refused.
+// instances start at once. After that a request that cannot be served is refused.
 const startTimeout = 500 * time.Millisecond
 
-// starting holds callers back while a process that has just started learns what it needs.
+// startGate holds requests back until a process that has just started has read what it needs.
 //
-// Load: all instances killed at once, and callers who come back the moment the ports are
-// open. Harm prevented: a refusal that uses up a caller's last try, a tenth of a second
-// before the answer could have been had.
+// When all instances are killed at once, callers retry the moment the ports are open again. A
+// refusal then uses up a caller's last try, a tenth of a second before the request could be
+// served.
 type startGate struct {
 	mu      sync.Mutex
 	missing map[prerequisite]bool
-	// over is closed when all is learnt, or the time for that has passed.
+	// opened is closed when nothing is missing or startTimeout has passed.
 	opened  chan struct{}
 	release func()
 }
 
-// learnt is what a process must have learnt before it can serve.
+// prerequisite is something that a process must have read before it can serve.
 type prerequisite uint8
 
 const (
@@ -39,7 +39,7 @@
 	return s
 }
 
-// has notes what was learnt.
+// loaded notes that a prerequisite was read.
 func (s *startGate) loaded(what prerequisite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// wait returns when all is learnt, or the time for that has passed.
+// wait returns when nothing is missing, startTimeout has passed, or ctx ends.
 func (s *startGate) wait(ctx context.Context) {
 	select {
 	case <-s.opened:
--- a/router/internal/passthrough/starting_test.go
+++ b/router/internal/passthrough/starting_test.go
@@ -21,11 +21,11 @@
 		}()
 		s.wait(t.Context())
 		if took := time.Since(began); took != 100*time.Millisecond {
-			t.Errorf("held for %v, want until both are learnt", took)
+			t.Errorf("held for %v, want until both prerequisites are loaded", took)
 		}
 		s.wait(t.Context())
 		if took := time.Since(began); took != 100*time.Millisecond {
-			t.Errorf("held again, %v after the start", took)
+			t.Errorf("held again until %v after the start", took)
 		}
 	})
 }
@@ -34,18 +34,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartGate()
 		began := time.Now()
-		s.loaded(prerequisiteServers) // the configuration does not come
+		s.loaded(prerequisiteServers) // the configuration is never loaded
 		time.Sleep(startTimeout / 2)
 		s.wait(t.Context())
 		if took := time.Since(began); took != startTimeout {
-			t.Errorf("held until %v after the start", took)
+			t.Errorf("held until %v after the start, want startTimeout", took)
 		}
 		s.wait(t.Context())
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
 		newStartGate().wait(gone)
 		if took := time.Since(began); took != startTimeout {
-			t.Errorf("held past the end, or for a caller who has gone: %v", took)
+			t.Errorf("held past startTimeout, or for a caller that has disconnected: %v", took)
 		}
 	})
 }
--- a/router/internal/passthrough/stopping.go
+++ b/router/internal/passthrough/stopping.go
@@ -7,33 +7,34 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// phase is how far a process that was told to stop is.
+// shutdownPhase is the phase of a process's shutdown.
 type shutdownPhase int32
 
 const (
-	// phaseServing: it was not told to stop.
+	// phaseServing: the process was not asked to stop.
 	phaseServing shutdownPhase = iota
-	// phaseLeaving: it is not ready any more, and the balancer may not have noticed yet.
+	// phaseLeaving: it is no longer ready, but the load balancer may not have noticed yet.
 	phaseLeaving
-	// phaseFinishing: the balancer has noticed; streams in progress go on.
+	// phaseFinishing: the load balancer has noticed; streams in progress continue, and plain
+	// calls are still accepted.
 	phaseFinishing
-	// phaseClosing: nothing more is taken.
+	// phaseClosing: no new request is accepted.
 	phaseClosing
 )
 
-// stopping is what new requests meet at a process that was told to stop.
+// shutdown decides what happens to new requests while the process stops.
 //
-// Load: all instances stopped in turn, each while it finishes streams of seconds, so that
-// for some time none is left in rotation. Harm prevented: plain calls of a tenth of a second
-// refused everywhere though there is time for them. Streams are refused once the balancer has
-// noticed: one that was cut at the end would be lost.
+// When all instances are stopped in turn, each still finishes streams of seconds, and for some
+// time none is left in rotation. Plain calls of a tenth of a second are accepted meanwhile, since
+// there is time for them and they would be refused everywhere. Streams are refused once the load
+// balancer has noticed: one that is truncated at the end would be lost.
 type shutdown struct {
 	phase atomic.Int32
-	// end is when the process must have answered, in Unix nanoseconds; set once it leaves.
+	// end is when the last response must be complete, in Unix nanoseconds; set by begin.
 	end atomic.Int64
 }
 
-// leave notes that the process was told to stop, and when it must have answered.
+// begin starts the shutdown; the last response must be complete at end.
 func (s *shutdown) begin(end time.Time) {
 	s.end.Store(end.UnixNano())
 	s.enter(phaseLeaving)
@@ -43,10 +44,10 @@
 
 func (s *shutdown) current() shutdownPhase { return shutdownPhase(s.phase.Load()) }
 
-// begun says whether the process was told to stop.
+// begun reports whether the shutdown has begun.
 func (s *shutdown) begun() bool { return s.current() >= phaseLeaving }
 
-// refuses says whether a new request of the kind is refused.
+// refuses reports whether a new request of the kind is refused.
 func (s *shutdown) refuses(kind passthrough.Kind) bool {
 	switch s.current() {
 	case phaseServing, phaseLeaving:
@@ -57,8 +58,8 @@
 	return true
 }
 
-// bound brings a new request's deadline forward to the end of the process, so that its caller
-// gets a final answer in time.
+// capDeadline brings a new request's deadline forward to the end of the shutdown, so that its caller
+// gets a final response in time.
 func (s *shutdown) capDeadline(deadline time.Time) time.Time {
 	end := time.Unix(0, s.end.Load())
 	if s.current() < phaseFinishing || deadline.Before(end) {
