--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -12,26 +12,26 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// stream is the part of a stream that went to the caller.
+// stream is what the caller has of a stream.
 type stream struct {
-	// begun says that the head is out.
+	// begun says that the head was sent.
 	begun bool
-	// last is the id of the last event that the caller has, -1 for none.
+	// lastEventID is the id of the last event that the caller has, -1 for none.
 	lastEventID int64
 }
 
 const (
-	// streamBuffer is the room for reading a stream; an event is tens to hundreds of
-	// bytes long.
+	// streamBufferSize is the size of the read buffer in bytes; an event has tens to hundreds.
 	streamBufferSize = 4 << 10
-	// paceEvents is how many events tell a stream's pace: enough to level out a pause for
-	// another request's prompt, and two seconds of a version that is eight times slower.
+	// intervalEvents is the number of events over which a stream's event interval is measured:
+	// enough to average out a pause for another request's prompt, and at a version that is
+	// eight times slower they take two seconds.
 	intervalEvents = 6
-	// eventLimit bounds one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 1 << 20
 )
 
-// relay hands a stream to the caller, whole events only, as they come.
+// relayStream relays a stream to the caller, unless its confidence is below the threshold.
 func (a *attempt) relayStream(resp *http.Response, meta seam.Answer) outcome {
 	x := a.exchange
 	a.reportFirstByte(meta)
@@ -47,7 +47,7 @@
 	return out
 }
 
-// pass hands on the events.
+// relayEvents relays events to the caller as they arrive, and only whole ones.
 func (a *attempt) relayEvents(resp *http.Response) outcome {
 	x := a.exchange
 	var pending []byte
@@ -89,11 +89,11 @@
 	}
 }
 
-// tellBegun tells the decision that the answer has begun, and the server's load as its head
-// states it.
+// reportFirstByte reports to the decision that the response has begun, with the server's load and
+// rate limit from its head.
 //
-// Load: streams of many seconds, at servers whose load changes within tenths of one. Harm
-// prevented: a load that is as old as the stream, taken for what the server has now.
+// A stream lasts many seconds while a server's load changes within tenths of one. Reported at the
+// end of the stream, the load would be as old as the stream.
 func (a *attempt) reportFirstByte(meta seam.Answer) {
 	x := a.exchange
 	x.handler.driver.Handle(passthrough.FirstByte{
@@ -102,7 +102,7 @@
 	})
 }
 
-// pace is the mean time between events.
+// eventInterval returns the mean time between events, 0 for fewer than two.
 func eventInterval(elapsed time.Duration, events int) time.Duration {
 	if events < 2 {
 		return 0
@@ -110,7 +110,8 @@
 	return elapsed / time.Duration(events-1)
 }
 
-// begin sends the first backend server's head; a stream that goes on keeps it.
+// writeHead sends the first backend server's head to the caller. A stream that continues from
+// another server keeps it.
 func (x *exchange) writeHead(resp *http.Response) {
 	if x.stream.begun {
 		return
@@ -120,7 +121,7 @@
 	x.stream.begun = true
 }
 
-// forward sends events at once.
+// writeEvents sends events to the caller and flushes them.
 func (x *exchange) writeEvents(events []byte) {
 	writeAll(x.w, events)
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
@@ -128,7 +129,7 @@
 	}
 }
 
-// wholeEvents splits what was read into whole events and the begin of the next.
+// splitEvents splits what was read into whole events and the beginning of the next.
 func splitEvents(text []byte) (ready, rest []byte) {
 	end := 0
 	for _, mark := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -139,8 +140,9 @@
 	return text[:end], text[end:]
 }
 
-// order checks that the events follow on what the caller has, and counts them. Events
-// without an id are taken as they come.
+// checkOrder checks that the events' ids continue those that the caller has, and counts the events
+// with an id. Events without an id are not checked. It returns errEventOrder for a gap, a repetition
+// or a malformed id.
 func (x *exchange) checkOrder(events []byte) (count int, err error) {
 	lastID := x.stream.lastEventID
 	for line := range bytes.Lines(events) {
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -11,42 +11,40 @@
 )
 
 const (
-	// retryFirst and retryMost space the tries of a topic that does not answer: soon at
-	// first, since configurations must be in force within 2 s, then rarely enough that
-	// a fleet does not keep a store down that comes back.
+	// minRetryDelay and maxRetryDelay are the first and the longest delay between two tries to
+	// read a topic that does not answer: short at first, since configurations must be in force
+	// within 2 s, then long enough that a fleet does not overload a store that recovers.
 	minRetryDelay = 60 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
-	// retryRare is the same for topics that have no bound of their own.
+	// slowRetryDelay is the longest delay for topics without a bound on their age.
 	slowRetryDelay = 1500 * time.Millisecond
-	// retryParts is how often the first time between two tries goes into the longest one.
+	// retryGrowth is the ratio of the longest to the first delay.
 	retryGrowth = 4
 )
 
-// topicReader follows a topic: the newest record of each key first, then every record.
+// topicReader follows a topic: it reads the newest record of each key first, then every new record.
 type topicReader struct {
 	name      string
 	log       keyedlog.Log
 	clock     Clock
 	telemetry *telemetry
-	// wait is how long a read is kept waiting for a record, pause the time between two
-	// reads.
+	// wait is how long a read waits for a record, pause the time between two reads.
 	wait  func() time.Duration
 	pause func() time.Duration
-	// retry is the longest time between two tries of a topic that does not answer, retryParts
-	// times the first one; 0 for the shortest.
+	// maxRetry is the longest delay between two tries of a topic that does not answer,
+	// retryGrowth times the first one; 0 for maxRetryDelay.
 	maxRetry time.Duration
-	// nudge ends a pause early; nil for none.
+	// wake ends a pause early; nil for none.
 	wake chan struct{}
-	// whole is given the newest record of each key, and each the records that follow;
-	// read is told of every read with the time at which the log was as read.
+	// onSnapshot gets the newest record of each key, and onRecord each record that follows;
+	// onRead is called after every read with the time as of which the log was read.
 	onSnapshot func([]keyedlog.Record)
 	onRecord   func(keyedlog.Record)
 	onRead     func(began time.Time, records int)
-	// restored is told, before the newest records of a log that came back from a copy; nil for
-	// nobody.
+	// onRestore is called before onSnapshot gets the records of a restored log; nil for none.
 	onRestore func()
-	// back is told, before the first records after an outage, how long that was; nil for
-	// nobody.
+	// onRecovery is called with the length of an outage before the first records after it; nil
+	// for none.
 	onRecovery func(lost time.Duration)
 
 	next       keyedlog.Position
@@ -72,7 +70,7 @@
 	}
 }
 
-// once reads once.
+// readOnce reads once. It returns an error if the topic does not answer.
 func (t *topicReader) readOnce(ctx context.Context) error {
 	began := t.clock.Now()
 	if !t.positioned {
@@ -80,7 +78,7 @@
 	}
 	wait := time.Duration(0)
 	if t.wait != nil && t.lostSince.IsZero() {
-		wait = t.wait() // after a failure the first word counts, not the next record
+		wait = t.wait() // after a failure the first result matters, not the next record
 	}
 	batch, err := t.log.Read(ctx, t.next, wait)
 	if errors.Is(err, keyedlog.ErrGone) {
@@ -99,7 +97,7 @@
 	return nil
 }
 
-// restart reads the newest records. The reader goes on from the end that was read first.
+// readSnapshot reads the newest record of each key. Later reads continue from the snapshot's end.
 func (t *topicReader) readSnapshot(ctx context.Context, began time.Time) error {
 	snap, err := t.log.Newest(ctx)
 	if err != nil {
@@ -115,8 +113,8 @@
 	return nil
 }
 
-// fromCopy notes that the log came back from a copy of an earlier state: what was read of it may be
-// missing there.
+// noteRestore logs that the log was restored from an earlier state, and may lack records that were
+// read before.
 func (t *topicReader) noteRestore(era uint64) {
 	t.telemetry.count("store_restored")
 	t.telemetry.gauge("store_era", int(era))
@@ -127,8 +125,8 @@
 	}
 }
 
-// asOf is the time at which the log was as read: the read's start, unless the log says
-// how old its word is.
+// asOf returns the time as of which the log was read: the start of the read, unless the log
+// states the age of its result.
 func (t *topicReader) asOf(began time.Time, age time.Duration) time.Time {
 	if age == 0 {
 		return began
@@ -136,7 +134,7 @@
 	return t.clock.Now().Add(-age)
 }
 
-// failed notes the begin of an outage.
+// noteOutage notes and logs the start of an outage.
 func (t *topicReader) noteOutage(ctx context.Context, err error) {
 	if ctx.Err() != nil || !t.lostSince.IsZero() {
 		return
@@ -145,7 +143,7 @@
 	t.telemetry.emit(logging.EventStoreLost, slog.String("topic", t.name), slog.String(logging.KeyError, err.Error()))
 }
 
-// returned notes the end of an outage.
+// noteRecovery notes and logs the end of an outage.
 func (t *topicReader) noteRecovery() {
 	if t.lostSince.IsZero() {
 		return
@@ -158,7 +156,7 @@
 	t.lostSince = time.Time{}
 }
 
-// sleep waits for d, for a nudge or for the end of ctx.
+// sleep waits for d, for a value on wake or for the end of ctx.
 func sleep(ctx context.Context, d time.Duration, nudge <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -7,18 +7,19 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// watch gives up an attempt at a backend server that is silent.
+// idleWatch closes the connection of an attempt whose backend server has been silent for too
+// long.
 type idleWatch struct {
 	mu    sync.Mutex
 	timer *time.Timer
 	done  bool
 }
 
-// watchEvery is how often an attempt is looked at: a part of the shortest patience, and
-// rare beside the events of a stream.
+// idleCheckInterval is the time between two checks of an attempt: a fraction of the shortest
+// first-byte timeout, and long compared with the events of a stream.
 const idleCheckInterval = 200 * time.Millisecond
 
-// watch starts watching the attempt, if the request may run again elsewhere.
+// watchIdle starts the watch if the request may be retried elsewhere.
 func (a *attempt) watchIdle() *idleWatch {
 	wt := &idleWatch{}
 	if !a.exchange.call.route.Repeatable() {
@@ -53,7 +54,8 @@
 	}
 }
 
-// isSilent asks the decision, by what was heard of the attempt and of its server.
+// hasTimedOut asks the decision whether the attempt has timed out, given when bytes last arrived
+// on its connection and from its server.
 func (a *attempt) hasTimedOut() bool {
 	now := a.exchange.handler.clock.Now()
 	s := passthrough.Silence{Route: a.exchange.call.route, Patience: a.firstByteTimeout,
