--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -79,10 +79,10 @@
 			func() *logging.Async { return logging.NewAsync(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
 			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.Revoke) },
-			func(l *logging.Logger, c Clock, k *ConfigState, reg gometrics.Registry) *telemetry {
-				return &telemetry{log: l, clock: c, config: k, registry: reg}
+			func(l *logging.Logger, c Clock, config *ConfigState, reg gometrics.Registry) *telemetry {
+				return &telemetry{log: l, clock: c, config: config, registry: reg}
 			},
-			func(c Clock, k *ConfigState) *restoreGuard { return &restoreGuard{clock: c, config: k} },
+			func(c Clock, config *ConfigState) *restoreGuard { return &restoreGuard{clock: c, config: config} },
 			newDialer, newStartGate, provideSharing, provideDriver, provideObservationStore, provideServerList, provideRollouts, provideHandler, provideServer,
 		),
 		// Hooks stop in reverse order: the readers outlive the server, because the
@@ -107,20 +107,20 @@
 	})
 }
 
-func provideSharing(p Platform, cfg seam.Settings, j *telemetry, c Clock) *sharing {
-	return newSharing(cfg, p.Store, p.Records, j, c)
+func provideSharing(p Platform, cfg seam.Settings, tel *telemetry, c Clock) *sharing {
+	return newSharing(cfg, p.Store, p.Records, tel, c)
 }
 
-func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, config *ConfigState, trust *restoreGuard, j *telemetry, c Clock) *observationStore {
-	b := newObservationStore(cfg.Instance, sh.observations, d, j, c)
-	b.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
-	b.fleetSize = sh.members.Count
-	sh.onHeld = b.wakeUp
+func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, config *ConfigState, guard *restoreGuard, tel *telemetry, c Clock) *observationStore {
+	observations := newObservationStore(cfg.Instance, sh.observations, d, tel, c)
+	observations.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
+	observations.fleetSize = sh.members.Count
+	sh.onHeld = observations.wakeUp
 	sh.onFleetCount = func(n int) { d.Handle(passthrough.Fleet{Instances: n}) }
 	sh.onPeers = func(names []string) { d.Handle(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
-		out.LostConfig = trust.lostVersion()
+		out.LostConfig = guard.lostVersion()
 		return out
 	}
 	take := func(others relay.Report) {
@@ -128,31 +128,31 @@
 		config.ReportLostVersion(others.LostConfig)
 	}
 	sh.server.Loads = relay.NewLoads(sh.client, own, take)
-	sh.server.Loads.Unreadable = j.logUnreadableLoads
-	d.onObserved, d.onCrash, d.onSlowStart, d.onLimitChanged = b.recordResponse, b.recordCrash, j.slowStart, j.rateLimitChanged
-	return b
+	sh.server.Loads.Unreadable = tel.logUnreadableLoads
+	d.onObserved, d.onCrash, d.onSlowStart, d.onLimitChanged = observations.recordResponse, observations.recordCrash, tel.slowStart, tel.rateLimitChanged
+	return observations
 }
 
-func provideServerList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, j *telemetry, c Clock, st *startGate) *serverList {
-	l := newServerList(p.Records, d, dial, j, c, cfg.Bounds.Drain, st)
+func provideServerList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, tel *telemetry, c Clock, gate *startGate) *serverList {
+	l := newServerList(p.Records, d, dial, tel, c, cfg.Bounds.Drain, gate)
 	d.requestServerRead = l.requestRead
 	l.readsFromPeer = func() bool { return !sh.servers.Direct() }
 	l.readsAlone = func() bool { return sh.servers.Direct() && !sh.server.Collects() }
 	return l
 }
 
-func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, b *observationStore, j *telemetry, c Clock) *rollouts {
-	m := newRollouts(p.Records, p.Store.Status(), d, l, b, j, c, passthrough.Exposure{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
+func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, observations *observationStore, tel *telemetry, c Clock) *rollouts {
+	m := newRollouts(p.Records, p.Store.Status(), d, l, observations, tel, c, passthrough.Exposure{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
 	m.writesRegister = sh.status.Direct
 	return m
 }
 
-func provideHandler(p Platform, cfg seam.Settings, config *ConfigState, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Handler {
-	return &Handler{headers: p.Headers, config: config, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
+func provideHandler(p Platform, cfg seam.Settings, config *ConfigState, d *Driver, dial *dialer, c Clock, tel *telemetry, gate *startGate) *Handler {
+	return &Handler{headers: p.Headers, config: config, driver: d, dialer: dial, clock: c, telemetry: tel, startGate: gate, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
 }
 
-func provideServer(cfg seam.Settings, handler *Handler, config *ConfigState, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
-	s := &server{settings: cfg, handler: handler, config: config, driver: d, telemetry: j, registry: reg, log: out, onServeError: func(error) {}}
+func provideServer(cfg seam.Settings, handler *Handler, config *ConfigState, d *Driver, tel *telemetry, reg gometrics.Registry, out *logging.Async) *server {
+	s := &server{settings: cfg, handler: handler, config: config, driver: d, telemetry: tel, registry: reg, log: out, onServeError: func(error) {}}
 	return s
 }
 
@@ -174,10 +174,10 @@
 }
 
 // startReaders starts the readers of the store's topics and the roll-out loop.
-func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, config *ConfigState, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
+func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, config *ConfigState, d *Driver, l *serverList, m *rollouts, observations *observationStore, guard *restoreGuard, tel *telemetry, c Clock, gate *startGate) {
 	op := &operator{
-		records: p.Records, config: config, driver: d, rollouts: m, telemetry: j, startGate: st,
-		clock: c, restoreGuard: trust,
+		records: p.Records, config: config, driver: d, rollouts: m, telemetry: tel, startGate: gate,
+		clock: c, restoreGuard: guard,
 		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Zones,
 		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
 	}
@@ -186,7 +186,7 @@
 		OnStart: func(context.Context) error {
 			runs := []func(context.Context){
 				op.reader(sh.operator, c).run, l.reader(sh.servers, c).run,
-				b.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, b.run, m.run, sh.server.Loads.Run,
+				observations.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, observations.run, m.run, sh.server.Loads.Run,
 			}
 			go joinAndRun(ctx, sh, cfg.FirstStart, runs)
 			return sh.listen(ctx)
@@ -210,13 +210,13 @@
 
 // watchSettings reads the settings file again on SIGHUP and every settingsPollInterval. Only
 // the revocation bound takes effect at once; addresses stay until the next start.
-func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, config *ConfigState, j *telemetry) {
+func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, config *ConfigState, tel *telemetry) {
 	hup := make(chan os.Signal, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	reload := func() {
 		now, err := p.Settings()
 		if err != nil {
-			j.emit(logging.EventSettingsFaults, slog.String(logging.KeyError, err.Error()))
+			tel.emit(logging.EventSettingsFaults, slog.String(logging.KeyError, err.Error()))
 			return
 		}
 		if reflect.DeepEqual(now, cfg) {
@@ -224,7 +224,7 @@
 		}
 		cfg = now
 		config.SetBound(now.Bounds.Revoke)
-		j.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.Revoke.Milliseconds()))
+		tel.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.Revoke.Milliseconds()))
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -220,16 +220,16 @@
 	if err != nil {
 		return a.brokenOutcome(err)
 	}
-	result := outcome{
+	out := outcome{
 		result:        passthrough.Completed,
 		response:      &response{resp.StatusCode, resp.Header, body},
 		eventInterval: a.exchange.handler.clock.Now().Sub(a.startedAt),
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		result.result = passthrough.Failed
+		out.result = passthrough.Failed
 	}
 	if a.exchange.stream.begun {
 		return outcome{result: passthrough.Broken, err: errWrongAttempt}
 	}
-	return result
+	return out
 }
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -25,10 +25,10 @@
 func TestConnectionsAreNotKeptWhereDescriptorsRunOut(t *testing.T) {
 	clock := newFakeClock()
 	config := NewConfigState(clock, time.Second)
-	st := newStartGate()
-	st.release()
+	gate := newStartGate()
+	gate.release()
 	const kept = 10
-	handler := &Handler{headers: noHeaders{}, config: config, clock: clock, startGate: st, shutdown: &shutdown{},
+	handler := &Handler{headers: noHeaders{}, config: config, clock: clock, startGate: gate, shutdown: &shutdown{},
 		conns:     newCallerConns(reservedDescriptors + kept/idleConnFraction),
 		telemetry: &telemetry{clock: clock, config: config, registry: metrics.NewRegistry()}}
 	srv := httptest.NewUnstartedServer(handler)
--- a/router/internal/passthrough/crashnotes.go
+++ b/router/internal/passthrough/crashnotes.go
@@ -16,25 +16,25 @@
 )
 
 // recordCrash counts a crash. It must not block: the driver calls it.
-func (b *observationStore) recordCrash(c passthrough.CrashSeen) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.pendingCrashes) < maxPendingCrashes {
-		b.pendingCrashes[c.Fingerprint]++
+func (st *observationStore) recordCrash(c passthrough.CrashSeen) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if len(st.pendingCrashes) < maxPendingCrashes {
+		st.pendingCrashes[c.Fingerprint]++
 	}
-	b.wakeUp()
+	st.wakeUp()
 }
 
 // crashRecords returns a record of each fingerprint whose crashes were not written yet. The lock is
 // held.
-func (b *observationStore) crashRecords(now time.Time) []keyedlog.Record {
+func (st *observationStore) crashRecords(now time.Time) []keyedlog.Record {
 	var out []keyedlog.Record
-	for fingerprint, times := range b.pendingCrashes {
-		s := &observationSet{Instance: b.instance, CrashFingerprint: fingerprint, CrashCount: times}
-		key := crashKeyPrefix + strconv.FormatUint(fingerprint, 16) + "/" + b.instance
-		out = append(out, b.encode(key, s))
-		b.deleteAt[key] = now.Add(recordLifetime)
+	for fingerprint, times := range st.pendingCrashes {
+		s := &observationSet{Instance: st.instance, CrashFingerprint: fingerprint, CrashCount: times}
+		key := crashKeyPrefix + strconv.FormatUint(fingerprint, 16) + "/" + st.instance
+		out = append(out, st.encode(key, s))
+		st.deleteAt[key] = now.Add(recordLifetime)
 	}
-	clear(b.pendingCrashes)
+	clear(st.pendingCrashes)
 	return out
 }
--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -13,14 +13,14 @@
 
 // reader returns a reader of the peers' observations. active says whether a roll-out is in
 // progress.
-func (b *observationStore) reader(clock Clock, active func() bool) *topicReader {
+func (st *observationStore) reader(clock Clock, active func() bool) *topicReader {
 	t := &topicReader{
-		name: topicObservations, log: b.log, clock: clock, telemetry: b.telemetry, maxRetry: slowRetryDelay,
-		onRecord:   b.apply,
-		onRead:     func(began time.Time, _ int) { b.markRead(began) },
-		onRecovery: b.onRecovery, onRestore: b.onRestore,
+		name: topicObservations, log: st.log, clock: clock, telemetry: st.telemetry, maxRetry: slowRetryDelay,
+		onRecord:   st.apply,
+		onRead:     func(began time.Time, _ int) { st.markRead(began) },
+		onRecovery: st.onRecovery, onRestore: st.onRestore,
 	}
-	t.onSnapshot = b.applySnapshot
+	t.onSnapshot = st.applySnapshot
 	t.wait = func() time.Duration {
 		if active() {
 			return 0
@@ -41,81 +41,81 @@
 const propagationTime = 2500 * time.Millisecond
 
 // markRead notes that the peers' observations were read, as of the given time.
-func (b *observationStore) markRead(at time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lastReadAt = at
+func (st *observationStore) markRead(at time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.lastReadAt = at
 }
 
 // onRecovery notes the end of an outage of the topic, in which no instance could share its
 // observations.
-func (b *observationStore) onRecovery(lost time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *observationStore) onRecovery(lost time.Duration) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	if lost > observationInterval {
-		b.completeSince = b.clock.Now()
+		st.completeSince = st.clock.Now()
 	}
 }
 
 // onRestore makes this instance write its observations again: the restored store may lack some.
-func (b *observationStore) onRestore() {
-	b.markDirty()
-	b.wakeUp()
+func (st *observationStore) onRestore() {
+	st.markDirty()
+	st.wakeUp()
 }
 
 // onPause notes that this process was suspended and may have missed observations of its peers.
-func (b *observationStore) onPause() { b.markIncomplete() }
+func (st *observationStore) onPause() { st.markIncomplete() }
 
 // markIncomplete notes that peers may have observations that are not known here, for example
 // because this instance could not write its own: the peers may be no better off.
-func (b *observationStore) markIncomplete() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.completeSince = b.clock.Now()
+func (st *observationStore) markIncomplete() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.completeSince = st.clock.Now()
 }
 
 // mayMissRecords reports whether peers may have observations that are not known here.
-func (b *observationStore) mayMissRecords() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock.Now()
-	return now.Sub(b.lastReadAt) > propagationTime || now.Sub(b.completeSince) < propagationTime
+func (st *observationStore) mayMissRecords() bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	now := st.clock.Now()
+	return now.Sub(st.lastReadAt) > propagationTime || now.Sub(st.completeSince) < propagationTime
 }
 
 // applySnapshot applies the newest observations. It skips crash records, which may be old.
-func (b *observationStore) applySnapshot(list []keyedlog.Record) {
+func (st *observationStore) applySnapshot(list []keyedlog.Record) {
 	for _, r := range list {
 		if !strings.HasPrefix(r.Key, crashKeyPrefix) {
-			b.apply(r)
+			st.apply(r)
 		}
 	}
 }
 
 // apply applies one set or crash record of another instance.
-func (b *observationStore) apply(r keyedlog.Record) {
+func (st *observationStore) apply(r keyedlog.Record) {
 	if len(r.Value) == 0 {
 		return
 	}
 	var s observationSet
 	if err := json.Unmarshal(r.Value, &s); err != nil {
-		b.telemetry.emit(logging.EventRecordRejected, slog.String("key", r.Key), slog.String(logging.KeyError, err.Error()))
+		st.telemetry.emit(logging.EventRecordRejected, slog.String("key", r.Key), slog.String(logging.KeyError, err.Error()))
 		return
 	}
-	if s.Instance == b.instance && s.CrashFingerprint != 0 {
+	if s.Instance == st.instance && s.CrashFingerprint != 0 {
 		return
 	}
 	if s.CrashFingerprint != 0 {
-		b.driver.Handle(passthrough.Crashes{Fingerprint: s.CrashFingerprint, Count: s.CrashCount})
+		st.driver.Handle(passthrough.Crashes{Fingerprint: s.CrashFingerprint, Count: s.CrashCount})
 		return
 	}
 	if len(s.Sessions) > 0 {
-		b.driver.Handle(passthrough.SessionsOpen{Sessions: s.Sessions})
+		st.driver.Handle(passthrough.SessionsOpen{Sessions: s.Sessions})
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if known, ok := b.others[r.Key]; ok && known.responseCount() > s.responseCount() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if known, ok := st.others[r.Key]; ok && known.responseCount() > s.responseCount() {
 		return // an earlier one, from a restored store
 	}
-	s.readAt = b.clock.Now()
-	b.others[r.Key] = s
+	s.readAt = st.clock.Now()
+	st.others[r.Key] = s
 }
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -35,7 +35,7 @@
 
 // requestAttrs returns the attributes of every event about a request, followed by more: its id
 // and route, and the version and age of the configuration in force.
-func (j *telemetry) requestAttrs(c *call, more ...slog.Attr) []slog.Attr {
+func (t *telemetry) requestAttrs(c *call, more ...slog.Attr) []slog.Attr {
 	out := make([]slog.Attr, 0, 6+len(more))
 	out = append(out, slog.String(keyRequest, c.caller.Attempt))
 	if c.route != nil {
@@ -47,76 +47,76 @@
 	if c.caller.Session != "" {
 		out = append(out, slog.String(keySession, c.caller.Session))
 	}
-	if index := j.config.Index(); index != nil {
-		out = append(out, slog.Uint64(keyVersion, index.Version), slog.Int64(keyAge, j.config.Age().Milliseconds()))
+	if index := t.config.Index(); index != nil {
+		out = append(out, slog.Uint64(keyVersion, index.Version), slog.Int64(keyAge, t.config.Age().Milliseconds()))
 	}
-	out = append(out, slog.Int64(keyTook, j.clock.Now().Sub(c.arrived).Milliseconds()))
+	out = append(out, slog.Int64(keyTook, t.clock.Now().Sub(c.arrived).Milliseconds()))
 	return append(out, more...)
 }
 
-func (j *telemetry) emit(ev logging.Event, attrs ...slog.Attr) {
-	j.log.Emit(context.Background(), ev, attrs...)
+func (t *telemetry) emit(ev logging.Event, attrs ...slog.Attr) {
+	t.log.Emit(context.Background(), ev, attrs...)
 }
 
-func (j *telemetry) count(name string) {
-	gometrics.GetOrRegisterCounter("passthrough."+name, j.registry).Inc(1)
+func (t *telemetry) count(name string) {
+	gometrics.GetOrRegisterCounter("passthrough."+name, t.registry).Inc(1)
 }
 
-func (j *telemetry) gauge(name string, value int) {
-	gometrics.GetOrRegisterGauge("passthrough."+name, j.registry).Update(int64(value))
+func (t *telemetry) gauge(name string, value int) {
+	gometrics.GetOrRegisterGauge("passthrough."+name, t.registry).Update(int64(value))
 }
 
-func (j *telemetry) observeDuration(name string, took time.Duration) {
+func (t *telemetry) observeDuration(name string, duration time.Duration) {
 	const sample, alpha = 1028, 0.015 // the library's recommendation for a bias to the last five minutes
-	h := j.registry.GetOrRegister("passthrough."+name, func() gometrics.Histogram {
+	h := t.registry.GetOrRegister("passthrough."+name, func() gometrics.Histogram {
 		return gometrics.NewHistogram(gometrics.NewExpDecaySample(sample, alpha))
 	}).(gometrics.Histogram)
-	h.Update(took.Milliseconds())
+	h.Update(duration.Milliseconds())
 }
 
 // slowStart logs that servers have entered slow start. The driver calls it, so it must not block.
-func (j *telemetry) slowStart(c passthrough.Cooled) {
-	j.count("cooled." + string(c.Why))
-	j.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
+func (t *telemetry) slowStart(c passthrough.Cooled) {
+	t.count("cooled." + string(c.Why))
+	t.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
 		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.For.Milliseconds()), slog.String(keyReason, string(c.Why)))
 }
 
 // logStateKept logs state that is kept although a restored store lacks or contradicts it.
-func (j *telemetry) logStateKept(subject, key, why string) {
-	j.count("restore.kept." + subject)
-	j.emit(logging.EventStateKept, slog.String("subject", subject), slog.String("key", key), slog.String(keyReason, why))
+func (t *telemetry) logStateKept(subject, key, why string) {
+	t.count("restore.kept." + subject)
+	t.emit(logging.EventStateKept, slog.String("subject", subject), slog.String("key", key), slog.String(keyReason, why))
 }
 
 // rateLimitChanged logs a change of a server's rate limit. The driver calls it, so it must not block.
-func (j *telemetry) rateLimitChanged(c passthrough.LimitChanged) {
+func (t *telemetry) rateLimitChanged(c passthrough.LimitChanged) {
 	if !c.Limit.Limited {
-		j.count("limit_ended")
-		j.emit(logging.EventServerUnlimited, slog.String(keyServer, c.Server), slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
+		t.count("limit_ended")
+		t.emit(logging.EventServerUnlimited, slog.String(keyServer, c.Server), slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
 		return
 	}
-	j.count("limit_stated")
-	j.emit(logging.EventServerLimited, slog.String(keyServer, c.Server), slog.Float64("per_second", c.Limit.PerSecond),
+	t.count("limit_stated")
+	t.emit(logging.EventServerLimited, slog.String(keyServer, c.Server), slog.Float64("per_second", c.Limit.PerSecond),
 		slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
 }
 
 // logUnreadableLoads logs a peer's load report that cannot be read and is ignored.
-func (j *telemetry) logUnreadableLoads(from string, err error) {
-	j.emit(logging.EventRecordRejected, slog.String("from", from), slog.String(logging.KeyError, err.Error()))
+func (t *telemetry) logUnreadableLoads(from string, err error) {
+	t.emit(logging.EventRecordRejected, slog.String("from", from), slog.String(logging.KeyError, err.Error()))
 }
 
-func (j *telemetry) refused(c *call, ref refusal) {
-	j.count("refused." + string(ref.reason))
-	j.emit(logging.EventPassRefused, j.requestAttrs(c,
+func (t *telemetry) refused(c *call, ref refusal) {
+	t.count("refused." + string(ref.reason))
+	t.emit(logging.EventPassRefused, t.requestAttrs(c,
 		slog.Int("status", ref.status), slog.String(keyReason, string(ref.reason)),
 		slog.Int64("retry_after_ms", ref.retryAfter.Milliseconds()))...)
 }
 
-func (j *telemetry) attempted(c *call, d passthrough.Dispatch, out outcome) {
-	j.count("attempt." + out.result.String())
+func (t *telemetry) attempted(c *call, d passthrough.Dispatch, out outcome) {
+	t.count("attempt." + out.result.String())
 	if out.firstByte > 0 {
-		j.observeDuration("first_byte_ms", out.firstByte)
+		t.observeDuration("first_byte_ms", out.firstByte)
 	}
-	attrs := j.requestAttrs(c,
+	attrs := t.requestAttrs(c,
 		slog.String(keyServer, d.Server.ID), slog.String("software", d.Server.Version),
 		slog.Int("attempt", d.Attempt), slog.String("result", out.result.String()),
 		slog.Int("load", d.Load), slog.Int64("load_age_ms", d.LoadAge.Milliseconds()),
@@ -128,7 +128,7 @@
 			slog.Int("prompt_tokens", c.caller.PromptTokens), slog.Int("most_tokens", c.caller.MaxTokens))
 	}
 	if d.Limit.Limited {
-		j.count("dispatch.limited")
+		t.count("dispatch.limited")
 		attrs = append(attrs, slog.Float64("limit", d.Limit.PerSecond))
 	}
 	if out.limit != nil && out.limit.Limited {
@@ -143,20 +143,20 @@
 	if out.err != nil {
 		attrs = append(attrs, slog.String(logging.KeyError, out.err.Error()))
 	}
-	j.emit(logging.EventPassAttempt, attrs...)
+	t.emit(logging.EventPassAttempt, attrs...)
 }
 
-func (j *telemetry) finished(c *call, status int, reason passthrough.Reason) {
-	j.observeDuration("answer_ms", j.clock.Now().Sub(c.arrived))
-	j.count("finished")
+func (t *telemetry) finished(c *call, status int, reason passthrough.Reason) {
+	t.observeDuration("answer_ms", t.clock.Now().Sub(c.arrived))
+	t.count("finished")
 	if reason == "" {
 		return // the attempt's event has all details
 	}
-	j.count("failed." + string(reason))
-	j.emit(logging.EventPassFailed, j.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
+	t.count("failed." + string(reason))
+	t.emit(logging.EventPassFailed, t.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
 }
 
-func (j *telemetry) callerLost(c *call, err error) {
-	j.count("caller_lost")
-	j.emit(logging.EventCallerLost, j.requestAttrs(c, slog.String(logging.KeyError, err.Error()))...)
+func (t *telemetry) callerLost(c *call, err error) {
+	t.count("caller_lost")
+	t.emit(logging.EventCallerLost, t.requestAttrs(c, slog.String(logging.KeyError, err.Error()))...)
 }
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -69,9 +69,9 @@
 	unreadable       map[string]bool
 }
 
-func newServerList(records Records, driver *Driver, d *dialer, j *telemetry, clock Clock, drain time.Duration, st *startGate) *serverList {
+func newServerList(records Records, driver *Driver, d *dialer, tel *telemetry, clock Clock, drain time.Duration, gate *startGate) *serverList {
 	return &serverList{
-		records: records, driver: driver, dialer: d, telemetry: j, clock: clock, drain: drain, startGate: st,
+		records: records, driver: driver, dialer: d, telemetry: tel, clock: clock, drain: drain, startGate: gate,
 		readsAlone: func() bool { return false }, readsFromPeer: func() bool { return false },
 		wake: make(chan struct{}, 1), entries: map[string]passthrough.Server{},
 		lapsed: map[string]time.Time{}, unreadable: map[string]bool{},
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -65,14 +65,14 @@
 
 // view sums up what all instances saw of the roll-out. It starts this instance's own set if there is
 // none.
-func (b *observationStore) view(r *rollout, now time.Time) view {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own := b.own[r.Service]
+func (st *observationStore) view(r *rollout, now time.Time) view {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	own := st.own[r.Service]
 	if own == nil || own.Order != r.offset || own.Target != r.Target {
-		own = &observationSet{Instance: b.instance, ProcessStart: b.processStart, Service: r.Service, Target: r.Target, Order: r.offset, Routes: map[string]observationRow{}, dirty: true}
-		b.own[r.Service] = own
-		b.wakeUp()
+		own = &observationSet{Instance: st.instance, ProcessStart: st.processStart, Service: r.Service, Target: r.Target, Order: r.offset, Routes: map[string]observationRow{}, dirty: true}
+		st.own[r.Service] = own
+		st.wakeUp()
 	}
 	out := view{elapsed: now.Sub(r.orderedAt)}
 	sums, crashes := map[string]passthrough.Pair{}, crashSet{}
@@ -83,7 +83,7 @@
 		}
 	}
 	add(own)
-	for _, s := range b.latest(r) {
+	for _, s := range st.latest(r) {
 		add(&s)
 		out.elapsed = max(out.elapsed, time.Duration(s.ElapsedMS)*time.Millisecond+now.Sub(s.readAt))
 	}
@@ -97,14 +97,14 @@
 
 // setOrderOffset moves this instance's set to the offset at which the order was written again, and
 // has its record under the old key deleted.
-func (b *observationStore) setOrderOffset(service string, offset uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.own[service]
+func (st *observationStore) setOrderOffset(service string, offset uint64) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	s := st.own[service]
 	if s == nil {
 		return
 	}
-	b.deleteAt[s.key()] = b.clock.Now().Add(recordLifetime)
+	st.deleteAt[s.key()] = st.clock.Now().Add(recordLifetime)
 	s.Order = offset
 	s.dirty = true
 }
@@ -128,11 +128,11 @@
 
 // latest returns the newest set of each other process on a roll-out. A process writes under another
 // key once the order was written again. The lock is held.
-func (b *observationStore) latest(r *rollout) map[processID]observationSet {
+func (st *observationStore) latest(r *rollout) map[processID]observationSet {
 	out := map[processID]observationSet{}
-	for _, s := range b.others {
+	for _, s := range st.others {
 		id := processID{s.Instance, s.ProcessStart}
-		if !r.matches(&s) || id == (processID{b.instance, b.processStart}) {
+		if !r.matches(&s) || id == (processID{st.instance, st.processStart}) {
 			continue
 		}
 		if known, ok := out[id]; !ok || known.responseCount() < s.responseCount() {
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -67,19 +67,19 @@
 	recordLifetime = 30 * time.Second
 )
 
-func newObservationStore(instance string, log keyedlog.Log, driver *Driver, j *telemetry, clock Clock) *observationStore {
+func newObservationStore(instance string, log keyedlog.Log, driver *Driver, tel *telemetry, clock Clock) *observationStore {
 	return &observationStore{
-		instance: instance, processStart: uint64(clock.Now().UnixNano()), log: log, driver: driver, telemetry: j, clock: clock,
+		instance: instance, processStart: uint64(clock.Now().UnixNano()), log: log, driver: driver, telemetry: tel, clock: clock,
 		own: map[string]*observationSet{}, others: map[string]observationSet{}, pendingCrashes: map[uint64]int{}, deleteAt: map[string]time.Time{},
 		wake: make(chan struct{}, 1), fleetSize: func() int { return 1 }, followerRecords: func() []keyedlog.Record { return nil },
 	}
 }
 
 // recordResponse counts a response. It must not block: the driver calls it.
-func (b *observationStore) recordResponse(o passthrough.Observed) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.own[o.Service]
+func (st *observationStore) recordResponse(o passthrough.Observed) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	s := st.own[o.Service]
 	if s == nil {
 		return
 	}
@@ -91,18 +91,18 @@
 	s.dirty = s.dirty || o.Version == s.Target
 }
 
-func (b *observationStore) wakeUp() {
+func (st *observationStore) wakeUp() {
 	select {
-	case b.wake <- struct{}{}:
+	case st.wake <- struct{}{}:
 	default:
 	}
 }
 
 // addOpenSessions adds sessions that are open here to the own set.
-func (b *observationStore) addOpenSessions(service string, sessions []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.own[service]
+func (st *observationStore) addOpenSessions(service string, sessions []string) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	s := st.own[service]
 	if s == nil {
 		return
 	}
@@ -115,50 +115,50 @@
 }
 
 // run writes this instance's and its followers' records until ctx ends.
-func (b *observationStore) run(ctx context.Context) {
+func (st *observationStore) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		records := append(b.pendingRecords(), b.followerRecords()...)
+		records := append(st.pendingRecords(), st.followerRecords()...)
 		if len(records) > 0 {
-			if err := b.log.Append(ctx, keyedlog.Anywhere, records...); err != nil {
-				b.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
-				b.markDirty()
-				b.markIncomplete()
+			if err := st.log.Append(ctx, keyedlog.Anywhere, records...); err != nil {
+				st.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
+				st.markDirty()
+				st.markIncomplete()
 			}
 		}
 		wait := idleReadWait
-		if b.inRollout() {
+		if st.inRollout() {
 			wait = observationInterval
 		}
-		sleep(ctx, wait, b.wake)
+		sleep(ctx, wait, st.wake)
 		sleep(ctx, batchDelay, nil)
 	}
 }
 
 // inRollout reports whether this instance keeps a set.
-func (b *observationStore) inRollout() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.own) > 0
+func (st *observationStore) inRollout() bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return len(st.own) > 0
 }
 
 // pendingRecords returns the records that are to be written now.
-func (b *observationStore) pendingRecords() []keyedlog.Record {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (st *observationStore) pendingRecords() []keyedlog.Record {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	var out []keyedlog.Record
-	now := b.clock.Now()
-	idle := !now.Before(b.nextIdleWrite)
-	for _, s := range b.own {
+	now := st.clock.Now()
+	idle := !now.Before(st.nextIdleWrite)
+	for _, s := range st.own {
 		if s.dirty || idle {
 			s.dirty = false
-			b.nextIdleWrite = now.Add(b.idleWriteDelay())
-			out = append(out, b.encode(s.key(), s))
+			st.nextIdleWrite = now.Add(st.idleWriteDelay())
+			out = append(out, st.encode(s.key(), s))
 		}
 	}
-	out = append(out, b.crashRecords(now)...)
-	for key, at := range b.deleteAt {
+	out = append(out, st.crashRecords(now)...)
+	for key, at := range st.deleteAt {
 		if now.After(at) {
-			delete(b.deleteAt, key)
+			delete(st.deleteAt, key)
 			out = append(out, keyedlog.Record{Key: key})
 		}
 	}
@@ -168,21 +168,21 @@
 // idleWriteDelay returns a random time to the next write of a set without news. All instances get
 // an order at the same moment: 295 sets written at once delayed the reads that must be fresh, so that
 // hundreds of instances turned to the store themselves.
-func (b *observationStore) idleWriteDelay() time.Duration {
-	interval := max(idleWriteInterval, time.Duration(b.fleetSize())*idleWritePerInstance)
+func (st *observationStore) idleWriteDelay() time.Duration {
+	interval := max(idleWriteInterval, time.Duration(st.fleetSize())*idleWritePerInstance)
 	return interval/2 + rand.N(interval)
 }
 
 // markDirty marks the own sets as not written.
-func (b *observationStore) markDirty() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, s := range b.own {
+func (st *observationStore) markDirty() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	for _, s := range st.own {
 		s.dirty = true
 	}
 }
 
-func (b *observationStore) encode(key string, s *observationSet) keyedlog.Record {
+func (st *observationStore) encode(key string, s *observationSet) keyedlog.Record {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // a struct of strings and numbers always encodes
@@ -193,20 +193,20 @@
 // endRollout drops the observations of a roll-out that has ended, here at once and in the store
 // after recordLifetime, when the others have read them: the store keeps the newest record of a key
 // until it is deleted.
-func (b *observationStore) endRollout(service string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.own[service]; s != nil {
-		b.deleteAt[s.key()] = b.clock.Now().Add(recordLifetime)
+func (st *observationStore) endRollout(service string) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if s := st.own[service]; s != nil {
+		st.deleteAt[s.key()] = st.clock.Now().Add(recordLifetime)
 	}
-	delete(b.own, service)
-	for key, s := range b.others {
+	delete(st.own, service)
+	for key, s := range st.others {
 		if s.Service != service {
 			continue
 		}
-		delete(b.others, key)
-		if s.Instance == b.instance {
-			b.deleteAt[key] = b.clock.Now().Add(recordLifetime) // of an earlier process of this instance
+		delete(st.others, key)
+		if s.Instance == st.instance {
+			st.deleteAt[key] = st.clock.Now().Add(recordLifetime) // of an earlier process of this instance
 		}
 	}
 }
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -71,9 +71,9 @@
 // out within seconds of its 50th bad response.
 const rolloutInterval = 400 * time.Millisecond
 
-func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, b *observationStore, j *telemetry, clock Clock, limit passthrough.Exposure) *rollouts {
+func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, observations *observationStore, tel *telemetry, clock Clock, limit passthrough.Exposure) *rollouts {
 	return &rollouts{
-		records: records, statusLog: topic, driver: driver, servers: l, observations: b, telemetry: j, clock: clock,
+		records: records, statusLog: topic, driver: driver, servers: l, observations: observations, telemetry: tel, clock: clock,
 		exposure: limit, writesRegister: func() bool { return true }, open: map[string]*rollout{}, states: map[string]registerState{}, wake: make(chan struct{}, 1),
 	}
 }
@@ -172,10 +172,10 @@
 	seen := m.observations.view(r, now)
 	elapsed := max(now.Sub(r.orderedAt), seen.elapsed)
 	plan := passthrough.Plan(r.Order, now, elapsed, m.exposure, seen.newCounts, seen.oldCounts, seen.bad)
-	told, announced, known := m.knownState(r)
-	if told.Ended() {
-		plan.Phase = told
-		m.end(r, told, seen, "read")
+	stored, announced, statusRead := m.knownState(r)
+	if stored.Ended() {
+		plan.Phase = stored
+		m.end(r, stored, seen, "read")
 		m.applyPlan(r, plan, seen)
 		return
 	}
@@ -189,7 +189,7 @@
 	switch {
 	case (m.writesRegister() || r.revertOverdue(plan, now)) && (plan.Phase.Ended() || !announced):
 		plan = m.commitPlan(ctx, r, plan, seen)
-	case !known && !plan.Phase.Ended():
+	case !statusRead && !plan.Phase.Ended():
 		return // the roll-out may have ended long ago
 	default:
 		plan = withoutCompletion(plan)
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -72,10 +72,10 @@
 	maxOtherAge = time.Hour
 )
 
-func newSharing(cfg seam.Settings, store Store, records Records, j *telemetry, clock Clock) *sharing {
+func newSharing(cfg seam.Settings, store Store, records Records, tel *telemetry, clock Clock) *sharing {
 	s := &sharing{
 		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Zone, Address: cfg.Peers, Cores: cfg.Cores},
-		store: store, telemetry: j, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
+		store: store, telemetry: tel, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
 		onPeers: func([]string) {},
 	}
 	for _, zone := range cfg.Zones {
@@ -86,7 +86,7 @@
 	s.members = relay.NewMembers(s.self, 1+len(s.otherDomains), clock.Now)
 	s.client = relay.NewClient(s.members, clock.Now)
 	changed := func(topic, name string) {
-		j.emit(logging.EventCollector, slog.String("topic", topic), slog.String("collector", name))
+		tel.emit(logging.EventCollector, slog.String("topic", topic), slog.String("collector", name))
 	}
 	caches := map[string]*relay.Cache{}
 	topic := func(name string, log keyedlog.Log, maxAge time.Duration) *relay.Log {
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -63,10 +63,10 @@
 // startPeer starts the sharing of an instance on a port of its own.
 func startPeer(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
 	t.Helper()
-	j := &telemetry{clock: clock, config: NewConfigState(clock, time.Second), registry: metrics.NewRegistry()}
+	tel := &telemetry{clock: clock, config: NewConfigState(clock, time.Second), registry: metrics.NewRegistry()}
 	cfg := seam.Settings{Instance: name, Zone: "a", Zones: []string{"a", "b"}, Peers: freePort(t), Cores: cores,
 		Bounds: seam.Bounds{Revoke: time.Second, Drain: time.Second}}
-	sh := newSharing(cfg, st, fakeRecords{}, j, clock)
+	sh := newSharing(cfg, st, fakeRecords{}, tel, clock)
 	if err := sh.listen(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -135,8 +135,8 @@
 		before := own.appends
 		own.restore(keep)
 		read(t, reader)
-		if told := own.appends - before; told != 1-keep || len(own.records) != 1 {
-			t.Errorf("%d records kept: announced %d times, %d records", keep, told, len(own.records))
+		if announced := own.appends - before; announced != 1-keep || len(own.records) != 1 {
+			t.Errorf("%d records kept: announced %d times, %d records", keep, announced, len(own.records))
 		}
 	}
 	if sh.members.Count() == 0 || len(sh.members.Names()) != 1 {
