--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -55,7 +55,7 @@
 	return r
 }
 
-func lasting(r record.Record, d time.Duration) record.Record {
+func withLifetime(r record.Record, d time.Duration) record.Record {
 	r.Lifetime = d
 	return r
 }
@@ -104,12 +104,12 @@
 			{210 * s, put("session/a", 1), VerdictWon},
 		},
 		"expiry is exact": {
-			{0, lasting(put("session/a", 1), 1500*time.Millisecond), VerdictWon},
+			{0, withLifetime(put("session/a", 1), 1500*time.Millisecond), VerdictWon},
 			{1499 * time.Millisecond, put("session/a", 2), VerdictLost},
 			{1500 * time.Millisecond, put("session/a", 2), VerdictWon},
 		},
 		"time never goes back": {
-			{5 * s, lasting(put("session/a", 1), s), VerdictWon},
+			{5 * s, withLifetime(put("session/a", 1), s), VerdictWon},
 			{6 * s, put("session/b", 1), VerdictWon},
 			{0, put("session/a", 2), VerdictWon},
 		},
@@ -127,7 +127,7 @@
 			{210 * s, claim("claim/t/a", 2, 10*s), VerdictVoid},
 		},
 		"a bill lives for the retention": {
-			{0, lasting(put("bill/t/a", 1), s), VerdictWon},
+			{0, withLifetime(put("bill/t/a", 1), s), VerdictWon},
 			{199 * s, put("bill/t/a", 2), VerdictLost},
 			{199 * s, release("bill/t/a", 1), VerdictVoid},
 			{199 * s, put("bill/t/a", 2), VerdictLost},
@@ -237,10 +237,10 @@
 	if _, err := s.Apply(platformlog.Entry{Offset: 0, Data: []byte("junk")}, nil); err != nil {
 		t.Fatal(err)
 	}
-	if s.Malformed() != 1 || s.Digest().Next != 1 {
-		t.Errorf("malformed %d, next %d", s.Malformed(), s.Digest().Next)
+	if s.MalformedEntries() != 1 || s.Digest().NextOffset != 1 {
+		t.Errorf("malformed %d, next %d", s.MalformedEntries(), s.Digest().NextOffset)
 	}
-	if _, err := s.Apply(platformlog.Entry{Offset: 5}, nil); !errors.Is(err, ErrGap) {
+	if _, err := s.Apply(platformlog.Entry{Offset: 5}, nil); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("gap: %v", err)
 	}
 }
@@ -263,8 +263,8 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFeed(t)
 			for i, st := range stamps {
-				f.batch(time.Time{}, record.Batch{Writer: st.writer, Stamped: start.Add(st.after)})
-				if got := f.s.Now().Sub(start); got != st.want {
+				f.batch(time.Time{}, record.Batch{Writer: st.writer, WriterTime: start.Add(st.after)})
+				if got := f.s.LogTime().Sub(start); got != st.want {
 					t.Fatalf("step %d: log time %v, want %v", i, got, st.want)
 				}
 			}
@@ -278,7 +278,7 @@
 	b := record.Batch{Writer: "w", Records: []record.Record{put("session/a", 1), put("session/a", 2), put("session/b", 2)}}
 	f.batch(start, b)
 	a, _ := f.s.Lookup("session/a")
-	if a.Offset != 1 || a.Nonce != (record.Nonce{1}) || a.Writer != "w" || !a.At.Equal(start) {
+	if a.Offset != 1 || a.Nonce != (record.Nonce{1}) || a.Writer != "w" || !a.LogTime.Equal(start) {
 		t.Errorf("got %+v", a)
 	}
 	if regs := f.s.Registers("session"); len(regs) != 3 || regs[0].Key != "session/x" {
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -9,15 +9,15 @@
 )
 
 // BadKind is how a version turns bad.
-type BadKind uint8
+type FaultKind uint8
 
 // The ways that a version turns bad.
 const (
-	NotBad BadKind = iota
+	NoFault FaultKind = iota
 	// BadErrors: one answer in four is an error.
-	BadErrors
+	FaultErrors
 	// BadRatings: answers are worth half.
-	BadRatings
+	FaultRatings
 )
 
 // Load is a scripted load.
@@ -33,15 +33,15 @@
 	// model do the teams compete for one thing, so that shares can be told.
 	Model decision.ModelID
 	// Bad is what becomes of smallNew from BadFrom on.
-	Bad     BadKind
-	BadFrom time.Duration
+	Fault     FaultKind
+	FaultFrom time.Duration
 	// SlowFactor makes the first small and the first large server this much
 	// slower from SlowFrom on; 0 for none.
 	SlowFactor float64
 	SlowFrom   time.Duration
 	// Length of the run; what arrives before Warm is not counted.
-	Length time.Duration
-	Warm   time.Duration
+	Duration time.Duration
+	Warmup   time.Duration
 }
 
 func steady(rate float64) func(time.Duration) float64 {
@@ -50,7 +50,7 @@
 
 // rush is a quiet start, a quick rise over saturation and a fall: a wool-order
 // rush, or the first morning of a term.
-func rush(from, to time.Duration, quiet, peak float64) func(time.Duration) float64 {
+func surge(from, to time.Duration, quiet, peak float64) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
 		if t < from || t >= to {
 			return quiet
@@ -65,19 +65,19 @@
 
 const (
 	runLength = 240 * time.Second
-	runWarm   = 60 * time.Second
+	runWarmup = 60 * time.Second
 )
 
 // Loads lists the loads that are measured.
 func Loads() []Load {
 	coop, agency := Coop(), Agency()
 	base := func(name string, d Deployment, rate func(time.Duration) float64) Load {
-		return Load{Name: name, Deployment: d, Rate: rate, Length: runLength, Warm: runWarm}
+		return Load{Name: name, Deployment: d, Rate: rate, Duration: runLength, Warmup: runWarmup}
 	}
 	badErrors := base("version fails one in four", agency, steady(0.6))
-	badErrors.Bad, badErrors.BadFrom = BadErrors, 100*time.Second
+	badErrors.Fault, badErrors.FaultFrom = FaultErrors, 100*time.Second
 	badRatings := base("version rated half", coop, steady(0.6))
-	badRatings.Bad, badRatings.BadFrom = BadRatings, 100*time.Second
+	badRatings.Fault, badRatings.FaultFrom = FaultRatings, 100*time.Second
 	slow := base("one slow server a model", agency, steady(0.6))
 	slow.SlowFactor, slow.SlowFrom = 6, 60*time.Second
 	skew := base("one team at 80%, large model, saturation x2", coop, steady(2*largeSaturation))
@@ -87,8 +87,8 @@
 	return []Load{
 		base("usual day", coop, steady(0.5)),
 		base("usual day", agency, steady(0.5)),
-		base("wool-order rush", coop, rush(100*time.Second, 160*time.Second, 0.4, 1.6)),
-		base("term opening", agency, rush(80*time.Second, 200*time.Second, 0.3, 1.4)),
+		base("wool-order rush", coop, surge(100*time.Second, 160*time.Second, 0.4, 1.6)),
+		base("term opening", agency, surge(80*time.Second, 200*time.Second, 0.3, 1.4)),
 		base("saturation x1", coop, steady(1)),
 		base("saturation x2", coop, steady(2)),
 		base("saturation x1", agency, steady(1)),
@@ -110,9 +110,9 @@
 	// tokens is the length of the answer.
 	tokens int
 	// noise is how the answers differ from the versions' mean.
-	noise float64
+	qualityNoise float64
 	// fate decides, between 0 and 1, whether a failing version fails it.
-	fate float64
+	failDraw float64
 }
 
 // The shapes of requests.
@@ -120,7 +120,7 @@
 	blockTokens    = 32
 	templates      = 6
 	templateBlocks = 24
-	ownBlocks      = 8
+	uniqueBlocks   = 8
 	draftShare     = 0.5
 	hardShare      = 0.35
 	recordShare    = 0.1
@@ -138,7 +138,7 @@
 	for {
 		rate := l.Rate(at) * l.Saturation
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if at >= l.Length {
+		if at >= l.Duration {
 			return out
 		}
 		out = append(out, l.job(uint64(len(out)+1), at, rng))
@@ -149,16 +149,16 @@
 	team := pickTeam(rng, l.Skew)
 	j := &job{arrived: at, instance: rng.IntN(l.Instances)}
 	j.Request = decision.Request{
-		ID:          decision.RequestID(id),
-		Team:        teamID(team),
-		ShareHash:   rng.Float64(),
-		Fingerprint: decision.Fingerprint(rng.Uint64()),
-		Class:       lookup,
-		Idempotent:  true,
-		Streamed:    true,
+		ID:              decision.RequestID(id),
+		Team:            teamID(team),
+		RolloutPosition: rng.Float64(),
+		Fingerprint:     decision.Fingerprint(rng.Uint64()),
+		Class:           lookup,
+		Idempotent:      true,
+		Streamed:        true,
 	}
-	j.noise = answerNoise * rng.NormFloat64()
-	j.fate = rng.Float64()
+	j.qualityNoise = answerNoise * rng.NormFloat64()
+	j.failDraw = rng.Float64()
 	j.tokens = int(tokensLookup * math.Exp(0.4*rng.NormFloat64()))
 	template := rng.IntN(templates)
 	record := rng.Float64() < recordShare
@@ -204,19 +204,19 @@
 
 // prompt is a team's template and then what is the request's own.
 func prompt(team, template int, rng *rand.Rand) []decision.BlockHash {
-	out := make([]decision.BlockHash, 0, templateBlocks+ownBlocks)
+	out := make([]decision.BlockHash, 0, templateBlocks+uniqueBlocks)
 	for i := range templateBlocks {
 		out = append(out, decision.BlockHash(1e6*(team*templates+template+1)+i))
 	}
-	for range ownBlocks {
+	for range uniqueBlocks {
 		out = append(out, decision.BlockHash(rng.Uint64()|1<<63))
 	}
 	return out
 }
 
 // quality is what the answer of a version to this request is worth.
-func (j *job) quality(v decision.VersionID, bad BadKind) float64 {
-	t := truths[v]
+func (j *job) quality(v decision.VersionID, bad FaultKind) float64 {
+	t := trueQualities[v]
 	q := t.easy
 	switch {
 	case j.Class == lookup:
@@ -224,8 +224,8 @@
 	case j.hard:
 		q = t.hard
 	}
-	if bad == BadRatings && v == smallNew {
+	if bad == FaultRatings && v == smallNew {
 		q /= 2
 	}
-	return min(max(q+j.noise, 0), 1)
+	return min(max(q+j.qualityNoise, 0), 1)
 }
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -16,11 +16,11 @@
 // notices. The manifest stays as it is; the verdict bounds the exposure and is
 // told to the peers, so that each instance need not find out by its own callers.
 func (w *World) shift() {
-	if w.cfg.Policy.NoShift {
+	if w.cfg.Policy.NoVerdicts {
 		return
 	}
-	if !w.now.Before(w.shareAt) {
-		w.shareAt = w.now.Add(shareEvery)
+	if !w.now.Before(w.nextShare) {
+		w.nextShare = w.now.Add(shareInterval)
 		w.shareVerdicts()
 	}
 	for _, e := range w.outliers.Sweep(w.now) {
@@ -31,11 +31,11 @@
 // shareEvery is how often it is looked at whether there is a word for the peers: a
 // small part of the time that it takes to reach them, so that a tick of one event
 // does not pay for it.
-const shareEvery = 20 * time.Millisecond
+const shareInterval = 20 * time.Millisecond
 
 func (w *World) shareVerdicts() {
-	for _, word := range w.verdicts.Share(w.now) {
-		w.emit(ShareVerdict{Verdict: VersionVerdict{Version: word.Version, Bad: word.Bad, Until: word.Until}})
+	for _, v := range w.verdicts.VerdictsToShare(w.now) {
+		w.emit(ShareVerdict{Verdict: VersionVerdict{Version: v.Version, Bad: v.Bad, Until: v.Until}})
 	}
 }
 
@@ -48,19 +48,19 @@
 func newOutliers(cfg Config) *verdict.Outliers[ServerID, string] {
 	c := verdict.DefaultOutlierConfig()
 	c.SlowFactor = cfg.SlowFactor
-	c.MaxShare = cfg.MaxEjected
+	c.MaxEjectedShare = cfg.MaxEjected
 	return verdict.NewOutliers[ServerID, string](c)
 }
 
 // applyVerdicts tells the watcher of the manifest's versions.
 func (w *World) applyVerdicts() {
-	var rows []verdict.Row[VersionID]
+	var rows []verdict.VersionInfo[VersionID]
 	for _, v := range w.versions {
 		if !v.gone {
-			rows = append(rows, verdict.Row[VersionID]{ID: v.ID, Predecessor: v.Predecessor, Quality: v.Quality})
+			rows = append(rows, verdict.VersionInfo[VersionID]{ID: v.ID, Predecessor: v.Predecessor, Quality: v.Quality})
 		}
 	}
-	slices.SortFunc(rows, func(a, b verdict.Row[VersionID]) int {
+	slices.SortFunc(rows, func(a, b verdict.VersionInfo[VersionID]) int {
 		return strings.Compare(string(a.ID), string(b.ID))
 	})
 	w.verdicts.Apply(rows)
@@ -77,7 +77,7 @@
 	}
 	w.outliers.Apply(list)
 	for _, s := range w.serverList {
-		if s.ejected && w.outliers.Admit(s.ID, w.now) == verdict.Open {
+		if s.ejected && w.outliers.Admit(s.ID, w.now) == verdict.Allowed {
 			w.eject(s, false) // it changed its group and starts anew
 		}
 	}
@@ -98,42 +98,42 @@
 }
 
 func (w *World) ingestVerdict(e VersionVerdict) {
-	w.verdicts.Peer(verdict.Word[VersionID]{Version: e.Version, Bad: e.Bad, Until: e.Until}, w.now)
+	w.verdicts.ApplyPeerVerdict(verdict.SharedVerdict[VersionID]{Version: e.Version, Bad: e.Bad, Until: e.Until}, w.now)
 	w.recheck = true
 }
 
 // judgeVersion takes an attempt's end as evidence on its version. Ends that say
 // nothing of it are left out: not run, or cancelled.
-func (w *World) judgeVersion(a *attempt, e AttemptEnded) {
+func (w *World) recordVersionResult(a *attempt, e AttemptEnded) {
 	if a.version == "" || e.Result == AttemptNotRun || e.Result == AttemptCancelled {
 		return
 	}
-	end := verdict.End[ServerID]{
-		Server: a.server.ID,
-		Alone:  a.pool.usable <= 1,
-		Failed: e.Result != AttemptCompleted,
-		Broken: e.Result == AttemptUnknown || e.Result == AttemptCrashed,
+	end := verdict.AttemptResult[ServerID]{
+		Server:         a.server.ID,
+		OnlyServer:     a.pool.usable <= 1,
+		Failed:         e.Result != AttemptCompleted,
+		ConnectionLost: e.Result == AttemptUnknown || e.Result == AttemptCrashed,
 	}
-	if w.verdicts.Ended(a.version, end, w.now) {
+	if w.verdicts.ObserveAttempt(a.version, end, w.now) {
 		w.recheck = true
 	}
 }
 
 // rateVersion takes a rating as evidence on its version.
-func (w *World) rateVersion(e AnswerRated) {
-	if w.verdicts.Rated(e.Version, string(e.Class), e.Score, w.now) {
+func (w *World) recordVersionRating(e AnswerRated) {
+	if w.verdicts.ObserveRating(e.Version, string(e.Class), e.Score, w.now) {
 		w.recheck = true
 	}
 }
 
 // judgeServer takes an attempt's end as evidence on its backend server. One that
 // refuses because it is leaving does what it should.
-func (w *World) judgeServer(a *attempt, e AttemptEnded) {
-	if w.cfg.Policy.NoShift || e.Leaving || e.Result == AttemptCancelled {
+func (w *World) recordServerResult(a *attempt, e AttemptEnded) {
+	if w.cfg.Policy.NoVerdicts || e.Leaving || e.Result == AttemptCancelled {
 		return
 	}
 	failed := e.Result != AttemptCompleted
-	if change, ok := w.outliers.Ended(a.server.ID, failed, w.paceOf(a, e), w.now); ok {
+	if change, ok := w.outliers.ObserveAttempt(a.server.ID, failed, w.unitTime(a, e), w.now); ok {
 		w.ejection(change)
 	}
 	if a.server.ejected {
@@ -145,29 +145,29 @@
 // its backend server's pace: as many tokens as were to be expected, in the time
 // that it had. Without it a server that is so slow that little ends in time would
 // be judged by its shortest answers only, since the rest are cancelled.
-func (w *World) blameServer(a *attempt) {
-	if a == nil || w.cfg.Policy.NoShift {
+func (w *World) recordServerTimeout(a *attempt) {
+	if a == nil || w.cfg.Policy.NoVerdicts {
 		return
 	}
 	pace := w.now.Sub(a.started)
 	if a.pool.service == "" {
-		pace = w.tokenPace(a, int(a.pool.pace.answered*(a.cost-a.prompt)))
+		pace = w.timePerToken(a, int(a.pool.serviceTime.lengthRatio*(a.cost-a.prompt)))
 	}
-	if change, ok := w.outliers.Ended(a.server.ID, false, pace, w.now); ok {
+	if change, ok := w.outliers.ObserveAttempt(a.server.ID, false, pace, w.now); ok {
 		w.ejection(change)
 	}
 }
 
 // paceOf is the time a unit of work took at the server: by token from the first
 // one on for a model, whole for a plain service; 0 where it says nothing.
-func (w *World) paceOf(a *attempt, e AttemptEnded) time.Duration {
+func (w *World) unitTime(a *attempt, e AttemptEnded) time.Duration {
 	if a.pool.service != "" {
 		return w.now.Sub(a.started)
 	}
-	return w.tokenPace(a, e.Tokens)
+	return w.timePerToken(a, e.Tokens)
 }
 
-func (w *World) tokenPace(a *attempt, tokens int) time.Duration {
+func (w *World) timePerToken(a *attempt, tokens int) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
@@ -187,29 +187,29 @@
 // eject takes a server out of the choice, or back in, and tells the operators.
 func (w *World) eject(s *server, ejected bool) {
 	if s.ejected != ejected {
-		w.emit(NoteEjection{Server: s.ID, Ejected: ejected})
+		w.emit(ReportEjection{Server: s.ID, Ejected: ejected})
 	}
 	s.ejected = ejected
 	w.refresh(s)
 }
 
 // trialCheck is how often an ejected server is asked about.
-const trialCheck = time.Second
+const trialCheckInterval = time.Second
 
 // isBarred says whether the server is ejected and due no trial now.
 func (w *World) isBarred(s *server) bool {
-	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Barred {
+	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Blocked {
 		return false
 	}
-	w.wakeAt(s, w.now.Add(trialCheck))
+	w.wakeAt(s, w.now.Add(trialCheckInterval))
 	return true
 }
 
 // takesNew says whether no verdict speaks against new work for the version. One
 // request in many is let through as a probe, so that a mended version is found.
 func (w *World) takesNew(v *version) bool {
-	if w.cfg.Policy.NoShift {
+	if w.cfg.Policy.NoVerdicts {
 		return true
 	}
-	return w.verdicts.Admit(v.ID, w.now) != verdict.Barred
+	return w.verdicts.Admit(v.ID, w.now) != verdict.Blocked
 }
--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -78,7 +78,7 @@
 		fx.Provide(
 			func() *logging.Async { return logging.NewAsync(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
-			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.Revoke) },
+			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.RevocationDelay) },
 			func(l *logging.Logger, c Clock, config *ConfigState, reg gometrics.Registry) *telemetry {
 				return &telemetry{log: l, clock: c, config: config, registry: reg}
 			},
@@ -100,10 +100,10 @@
 func provideDriver(c Clock, cfg seam.Settings) *Driver {
 	const seedShift = 20
 	return NewDriver(c, passthrough.Settings{
-		Seed: hashOf(cfg.Instance) ^ uint64(c.Now().UnixNano()>>seedShift), Zone: cfg.Zone,
+		Seed: hashOf(cfg.Instance) ^ uint64(c.Now().UnixNano()>>seedShift), Domain: cfg.Domain,
 		RetryRatio: retryRatioFraction * cfg.Bounds.RetryRatio, RetrySlack: cfg.Bounds.RetrySlack,
-		RetryWindow: cfg.Bounds.RetryWindow, SessionLife: cfg.Bounds.SessionLife,
-		Domains: cfg.Zones, WarmUpBurst: cfg.Bounds.WarmUpBurst, WarmUpSlack: cfg.Bounds.WarmUpSlack,
+		RetryWindow: cfg.Bounds.RetryWindow, SessionTTL: cfg.Bounds.SessionTTL,
+		Domains: cfg.Domains, SlowStartBurst: cfg.Bounds.SlowStartBurst, SlowStartSlack: cfg.Bounds.SlowStartSlack,
 	})
 }
 
@@ -116,7 +116,7 @@
 	observations.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
 	observations.fleetSize = sh.members.Count
 	sh.onHeld = observations.wakeUp
-	sh.onFleetCount = func(n int) { d.Handle(passthrough.Fleet{Instances: n}) }
+	sh.onFleetCount = func(n int) { d.Handle(passthrough.FleetSize{Instances: n}) }
 	sh.onPeers = func(names []string) { d.Handle(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
@@ -142,13 +142,13 @@
 }
 
 func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, observations *observationStore, tel *telemetry, c Clock) *rollouts {
-	m := newRollouts(p.Records, p.Store.Status(), d, l, observations, tel, c, passthrough.Exposure{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
+	m := newRollouts(p.Records, p.Store.Status(), d, l, observations, tel, c, passthrough.ExposureLimit{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
 	m.writesRegister = sh.status.Direct
 	return m
 }
 
 func provideHandler(p Platform, cfg seam.Settings, config *ConfigState, d *Driver, dial *dialer, c Clock, tel *telemetry, gate *startGate) *Handler {
-	return &Handler{headers: p.Headers, config: config, driver: d, dialer: dial, clock: c, telemetry: tel, startGate: gate, shutdown: &shutdown{}, conns: newCallerConns(cfg.Files)}
+	return &Handler{headers: p.Headers, config: config, driver: d, dialer: dial, clock: c, telemetry: tel, startGate: gate, shutdown: &shutdown{}, conns: newCallerConns(cfg.MaxFiles)}
 }
 
 func provideServer(cfg seam.Settings, handler *Handler, config *ConfigState, d *Driver, tel *telemetry, reg gometrics.Registry, out *logging.Async) *server {
@@ -161,7 +161,7 @@
 	s.onServeError = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // fails only if the stop has already begun
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			s.telemetry.emit(logging.EventStart, slog.String("zone", s.settings.Zone))
+			s.telemetry.emit(logging.EventStart, slog.String("zone", s.settings.Domain))
 			return s.start(readyPath, metrics)
 		},
 		OnStop: func(context.Context) error {
@@ -178,7 +178,7 @@
 	op := &operator{
 		records: p.Records, config: config, driver: d, rollouts: m, telemetry: tel, startGate: gate,
 		clock: c, restoreGuard: guard,
-		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Zones,
+		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Domains,
 		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -223,8 +223,8 @@
 			return
 		}
 		cfg = now
-		config.SetBound(now.Bounds.Revoke)
-		tel.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.Revoke.Milliseconds()))
+		config.SetBound(now.Bounds.RevocationDelay)
+		tel.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.RevocationDelay.Milliseconds()))
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
--- a/router/internal/passthrough/crashnotes.go
+++ b/router/internal/passthrough/crashnotes.go
@@ -16,7 +16,7 @@
 )
 
 // recordCrash counts a crash. It must not block: the driver calls it.
-func (st *observationStore) recordCrash(c passthrough.CrashSeen) {
+func (st *observationStore) recordCrash(c passthrough.CrashSuspected) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if len(st.pendingCrashes) < maxPendingCrashes {
--- a/router/internal/passthrough/cuts.go
+++ b/router/internal/passthrough/cuts.go
@@ -27,7 +27,7 @@
 // one, eight responses that broke with three servers were eight failures of eighty, and a good
 // version was reverted. All that one server truncates at about the same time counts as one failure,
 // whichever instances saw it. A version that truncates responses again and again is still found.
-func (s *observationSet) addCrash(o passthrough.Observed) {
+func (s *observationSet) addCrash(o passthrough.Observation) {
 	key := crashKey(o.Server, s.ElapsedMS)
 	list := s.CrashKeys[o.Route]
 	if len(list) >= maxCrashKeys || slices.Contains(list, key) {
@@ -55,7 +55,7 @@
 }
 
 // addTo counts each crash as one bad response of the new version.
-func (c crashSet) addTo(sums map[string]passthrough.Pair) {
+func (c crashSet) addTo(sums map[string]passthrough.VersionCounts) {
 	for route, keys := range c {
 		pair := sums[route]
 		pair.New.Bad += len(keys)
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/cuts_test.go
@@ -21,7 +21,7 @@
 // view returns what all instances saw of the roll-out.
 func (p *parts) view() view { return p.observations.view(p.rollouts.open["shop"], p.clock.Now()) }
 
-func (p *parts) observe(version string, o passthrough.Observed) {
+func (p *parts) observe(version string, o passthrough.Observation) {
 	o.Service, o.Route, o.Version = "shop", "r", version
 	p.observations.recordResponse(o)
 }
@@ -40,12 +40,12 @@
 	a, b := startRollout(t, "a", clock), startRollout(t, "b", clock)
 	for _, p := range []*parts{a, b} {
 		for range 36 {
-			p.observe("v2", passthrough.Observed{})
-			p.observe("v1", passthrough.Observed{})
+			p.observe("v2", passthrough.Observation{})
+			p.observe("v1", passthrough.Observation{})
 		}
 		for server := range 3 {
 			for range 4 {
-				p.observe("v2", passthrough.Observed{Bad: true, Cut: true, Server: fmt.Sprint("s", server)})
+				p.observe("v2", passthrough.Observation{Bad: true, ConnectionLost: true, Server: fmt.Sprint("s", server)})
 			}
 		}
 	}
@@ -62,9 +62,9 @@
 	a := startRollout(t, "a", clock)
 	for i := range 30 {
 		clock.advance(time.Second)
-		a.observe("v1", passthrough.Observed{})
-		a.observe("v2", passthrough.Observed{})
-		a.observe("v2", passthrough.Observed{Bad: true, Cut: true, Server: fmt.Sprint("s", i%3)})
+		a.observe("v1", passthrough.Observation{})
+		a.observe("v2", passthrough.Observation{})
+		a.observe("v2", passthrough.Observation{Bad: true, ConnectionLost: true, Server: fmt.Sprint("s", i%3)})
 		if a.view().bad {
 			return
 		}
@@ -76,9 +76,9 @@
 func TestFailuresCountEach(t *testing.T) {
 	a := startRollout(t, "a", newFakeClock())
 	for range 7 {
-		a.observe("v2", passthrough.Observed{Bad: true, Server: "s"})
-		a.observe("v2", passthrough.Observed{})
-		a.observe("v1", passthrough.Observed{})
+		a.observe("v2", passthrough.Observation{Bad: true, Server: "s"})
+		a.observe("v2", passthrough.Observation{})
+		a.observe("v1", passthrough.Observation{})
 	}
 	if v := a.view(); v.newCounts.Bad != 7 || !v.bad {
 		t.Errorf("%d bad responses, verdict bad %v, want 7, true", v.newCounts.Bad, v.bad)
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -15,10 +15,10 @@
 	requestServerRead func()
 	// onObserved and onCrash inform the other instances; onSlowStart and onLimitChanged
 	// write to the log. They run with the lock held and must not block.
-	onObserved     func(passthrough.Observed)
-	onCrash        func(passthrough.CrashSeen)
-	onSlowStart    func(passthrough.Cooled)
-	onLimitChanged func(passthrough.LimitChanged)
+	onObserved     func(passthrough.Observation)
+	onCrash        func(passthrough.CrashSuspected)
+	onSlowStart    func(passthrough.SlowStartBegun)
+	onLimitChanged func(passthrough.RateLimitChanged)
 
 	mu      sync.Mutex
 	world   *passthrough.World
@@ -40,8 +40,8 @@
 func NewDriver(clock Clock, cfg passthrough.Settings) *Driver {
 	return &Driver{
 		clock: clock, world: passthrough.New(cfg), tickets: map[passthrough.RequestID]*ticket{},
-		requestServerRead: func() {}, onObserved: func(passthrough.Observed) {}, onCrash: func(passthrough.CrashSeen) {},
-		onSlowStart: func(passthrough.Cooled) {}, onLimitChanged: func(passthrough.LimitChanged) {},
+		requestServerRead: func() {}, onObserved: func(passthrough.Observation) {}, onCrash: func(passthrough.CrashSuspected) {},
+		onSlowStart: func(passthrough.SlowStartBegun) {}, onLimitChanged: func(passthrough.RateLimitChanged) {},
 	}
 }
 
@@ -53,7 +53,7 @@
 	t := &ticket{id: d.lastID, commands: make(chan passthrough.Command, ticketBuffer)}
 	d.tickets[t.id] = t
 	r.ID = t.id
-	d.tick(passthrough.Arrived{Request: r})
+	d.tick(passthrough.RequestArrived{Request: r})
 	return t
 }
 
@@ -61,7 +61,7 @@
 func (d *Driver) close(t *ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tick(passthrough.Left{Request: t.id})
+	d.tick(passthrough.RequestCancelled{Request: t.id})
 	delete(d.tickets, t.id)
 }
 
@@ -96,21 +96,21 @@
 func (d *Driver) confidenceThreshold(t *ticket) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.world.Bar(t.id)
+	return d.world.ConfidenceThreshold(t.id)
 }
 
 // Load returns the number of queued and of running requests.
 func (d *Driver) Load() (waiting, running int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.world.Waiting()
+	return d.world.RequestCounts()
 }
 
 // Streams returns the number of streams that are queued or running.
 func (d *Driver) Streams() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.world.Streams()
+	return d.world.StreamCount()
 }
 
 func (d *Driver) tick(events ...passthrough.Event) {
@@ -122,15 +122,15 @@
 			d.send(c.Request, c)
 		case passthrough.Finish:
 			d.send(c.Request, c)
-		case passthrough.Observed:
+		case passthrough.Observation:
 			d.onObserved(c)
-		case passthrough.CrashSeen:
+		case passthrough.CrashSuspected:
 			d.onCrash(c)
-		case passthrough.Suspect:
+		case passthrough.RefreshServers:
 			d.requestServerRead()
-		case passthrough.Cooled:
+		case passthrough.SlowStartBegun:
 			d.onSlowStart(c)
-		case passthrough.LimitChanged:
+		case passthrough.RateLimitChanged:
 			d.onLimitChanged(c)
 		}
 	}
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -34,16 +34,16 @@
 	remaining := c.deadline.Sub(h.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(remaining, 0))
 	defer cancel()
-	x := &exchange{handler: h, call: c, w: w, ctx: ctx, stream: stream{lastEventID: c.caller.LastEvent}}
+	x := &exchange{handler: h, call: c, w: w, ctx: ctx, stream: stream{lastEventID: c.caller.LastEventID}}
 	r := c.decisionRequest()
 	x.ticket = h.driver.open(r)
 	defer h.driver.close(x.ticket)
-	x.queueTimer = time.AfterFunc(passthrough.MaxWait(&r, h.clock.Now()), func() {
-		h.driver.Handle(passthrough.Waited{Request: x.ticket.id})
+	x.queueTimer = time.AfterFunc(passthrough.MaxQueueWait(&r, h.clock.Now()), func() {
+		h.driver.Handle(passthrough.QueueWaitExpired{Request: x.ticket.id})
 	})
 	defer x.queueTimer.Stop()
 	for !x.step() {
-		x.queueTimer.Reset(passthrough.MaxWait(&r, h.clock.Now()))
+		x.queueTimer.Reset(passthrough.MaxQueueWait(&r, h.clock.Now()))
 	}
 }
 
@@ -157,7 +157,7 @@
 	a := x.newAttempt(d)
 	out := a.run(x.ctx)
 	x.handler.telemetry.attempted(x.call, d, out)
-	x.mayHaveRun = x.mayHaveRun || out.result.Ran()
+	x.mayHaveRun = x.mayHaveRun || out.result.MayHaveRun()
 	if out.load != nil && !out.loadReported {
 		x.handler.driver.Handle(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
 	}
@@ -166,16 +166,16 @@
 		limit = nil
 	}
 	if x.ctx.Err() != nil && out.result != passthrough.Completed {
-		x.handler.driver.Handle(passthrough.Ended{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
+		x.handler.driver.Handle(passthrough.AttemptEnded{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
 		x.expire()
 		return true
 	}
 	if out.response != nil {
 		x.lastFailure = out.response
 	}
-	x.handler.driver.Handle(passthrough.Ended{
+	x.handler.driver.Handle(passthrough.AttemptEnded{
 		Request: x.ticket.id, Result: out.result, Begun: x.stream.begun,
-		Misdirected: out.misdirected, Leaving: out.leaving, Cut: out.connectionLost, Pace: out.eventInterval,
+		Misdirected: out.misdirected, Leaving: out.leaving, ConnectionLost: out.connectionLost, EventInterval: out.eventInterval,
 		Confidence: out.confidence, Limit: limit,
 	})
 	if out.result != passthrough.Completed {
@@ -208,10 +208,10 @@
 	}
 	now := x.handler.clock.Now()
 	return &attempt{
-		exchange: x, server: d.Server, startedAt: now, firstByteTimeout: d.Patience,
+		exchange: x, server: d.Server, startedAt: now, firstByteTimeout: d.FirstByteTimeout,
 		header: x.handler.headers.WriteAttempt(c.request.Header, seam.Attempt{
-			Server: d.Server.ID, Team: team, Left: c.deadline.Sub(now), Model: d.Model,
-			Priority: passthrough.Rank(c.team, c.route), LastEvent: lastEventID,
+			Server: d.Server.ID, Team: team, Remaining: c.deadline.Sub(now), Model: d.Model,
+			Priority: passthrough.EffectivePriority(c.team, c.route), LastEventID: lastEventID,
 		}),
 	}
 }
--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -105,11 +105,11 @@
 		return
 	}
 	if s.CrashFingerprint != 0 {
-		st.driver.Handle(passthrough.Crashes{Fingerprint: s.CrashFingerprint, Count: s.CrashCount})
+		st.driver.Handle(passthrough.PeerCrashes{Fingerprint: s.CrashFingerprint, Count: s.CrashCount})
 		return
 	}
 	if len(s.Sessions) > 0 {
-		st.driver.Handle(passthrough.SessionsOpen{Sessions: s.Sessions})
+		st.driver.Handle(passthrough.PeerSessions{Sessions: s.Sessions})
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -37,7 +37,7 @@
 // and route, and the version and age of the configuration in force.
 func (t *telemetry) requestAttrs(c *call, more ...slog.Attr) []slog.Attr {
 	out := make([]slog.Attr, 0, 6+len(more))
-	out = append(out, slog.String(keyRequest, c.caller.Attempt))
+	out = append(out, slog.String(keyRequest, c.caller.RequestID))
 	if c.route != nil {
 		out = append(out, slog.String(keyRoute, c.route.Name))
 	}
@@ -75,10 +75,10 @@
 }
 
 // slowStart logs that servers have entered slow start. The driver calls it, so it must not block.
-func (t *telemetry) slowStart(c passthrough.Cooled) {
-	t.count("cooled." + string(c.Why))
+func (t *telemetry) slowStart(c passthrough.SlowStartBegun) {
+	t.count("cooled." + string(c.Cause))
 	t.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
-		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.For.Milliseconds()), slog.String(keyReason, string(c.Why)))
+		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.Duration.Milliseconds()), slog.String(keyReason, string(c.Cause)))
 }
 
 // logStateKept logs state that is kept although a restored store lacks or contradicts it.
@@ -88,7 +88,7 @@
 }
 
 // rateLimitChanged logs a change of a server's rate limit. The driver calls it, so it must not block.
-func (t *telemetry) rateLimitChanged(c passthrough.LimitChanged) {
+func (t *telemetry) rateLimitChanged(c passthrough.RateLimitChanged) {
 	if !c.Limit.Limited {
 		t.count("limit_ended")
 		t.emit(logging.EventServerUnlimited, slog.String(keyServer, c.Server), slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
@@ -123,8 +123,8 @@
 		slog.Int64("first_ms", out.firstByte.Milliseconds()))
 	if d.Model != "" {
 		attrs = append(attrs, slog.String("model", d.Model), slog.Float64("confidence", out.confidence), slog.Float64("bar", math.Round(100*out.confidenceThreshold)/100),
-			slog.Float64("taken", math.Round(100*d.Taken)/100),
-			slog.Int64("wait_ms", d.Wait.Milliseconds()), slog.Int64("mean_wait_ms", d.MeanWait.Milliseconds()), slog.Float64("repeats_left", math.Round(d.Repeats)),
+			slog.Float64("taken", math.Round(100*d.Utilization)/100),
+			slog.Int64("wait_ms", d.PrefillWait.Milliseconds()), slog.Int64("mean_wait_ms", d.MeanPrefillWait.Milliseconds()), slog.Float64("repeats_left", math.Round(d.RetriesLeft)),
 			slog.Int("prompt_tokens", c.caller.PromptTokens), slog.Int("most_tokens", c.caller.MaxTokens))
 	}
 	if d.Limit.Limited {
--- a/router/internal/passthrough/list_restore.go
+++ b/router/internal/passthrough/list_restore.go
@@ -36,7 +36,7 @@
 			delete(l.tombstones, id)
 		}
 	}
-	l.tombstones[s.ID] = tombstone{s.Born, now}
+	l.tombstones[s.ID] = tombstone{s.StartTime, now}
 }
 
 // onRestore notes that the store was restored and may lack what servers wrote in the last seconds
@@ -55,11 +55,11 @@
 // leaving still is. For one that had left ok is false, and the entry stays unconfirmed until the server
 // writes again or unconfirmedDelay has passed. The lock is held.
 func (l *serverList) reconcile(s passthrough.Server, offset uint64) (out passthrough.Server, ok bool) {
-	if old, known := l.entries[s.ID]; known && old.Born == s.Born {
+	if old, known := l.entries[s.ID]; known && old.StartTime == s.StartTime {
 		s.Draining = s.Draining || old.Draining
 		return s, true
 	}
-	if t, left := l.tombstones[s.ID]; left && t.born == s.Born {
+	if t, left := l.tombstones[s.ID]; left && t.born == s.StartTime {
 		l.unconfirmed[s.ID] = unconfirmedEntry{s, offset, l.clock.Now().Add(unconfirmedDelay)}
 		l.telemetry.logStateKept("server", s.ID, "the restored store lists a server that had left")
 		return s, false
--- a/router/internal/passthrough/observationrow.go
+++ b/router/internal/passthrough/observationrow.go
@@ -12,7 +12,7 @@
 // observationRow is a route's counts as written in an observation set: the numbers that a verdict
 // uses, as integers in a fixed order. Each of hundreds of instances reads the observations of all: with
 // field names and all digits those of 295 instances took 0.6 MB, one second of a collector's link.
-type observationRow passthrough.Pair
+type observationRow passthrough.VersionCounts
 
 // rowScale is the precision of a sum of logarithms in a row: units of 1/rowScale.
 const rowScale = 1000
@@ -28,9 +28,9 @@
 	newer, older := r.New, r.Old
 	return json.Marshal([rowLength]int64{
 		int64(newer.Good), int64(newer.Bad),
-		int64(newer.First.N), toRowUnits(newer.First.Sum), toRowUnits(newer.First.Squares),
-		int64(newer.Pace.N), toRowUnits(newer.Pace.Sum), toRowUnits(newer.Pace.Squares), int64(newer.Pace.Slow),
-		int64(older.Good), int64(older.Bad), int64(older.Pace.N), int64(older.Pace.Slow),
+		int64(newer.FirstByte.N), toRowUnits(newer.FirstByte.Sum), toRowUnits(newer.FirstByte.Squares),
+		int64(newer.EventInterval.N), toRowUnits(newer.EventInterval.Sum), toRowUnits(newer.EventInterval.Squares), int64(newer.EventInterval.Slow),
+		int64(older.Good), int64(older.Bad), int64(older.EventInterval.N), int64(older.EventInterval.Slow),
 	})
 }
 
@@ -45,12 +45,12 @@
 	}
 	r.New = passthrough.Counts{
 		Good: int(in[0]), Bad: int(in[1]),
-		First: passthrough.Shift{N: int(in[2]), Sum: fromRowUnits(in[3]), Squares: fromRowUnits(in[4])},
-		Pace:  passthrough.Shift{N: int(in[5]), Sum: fromRowUnits(in[6]), Squares: fromRowUnits(in[7]), Slow: int(in[8])},
+		FirstByte:     passthrough.LogRatioStats{N: int(in[2]), Sum: fromRowUnits(in[3]), Squares: fromRowUnits(in[4])},
+		EventInterval: passthrough.LogRatioStats{N: int(in[5]), Sum: fromRowUnits(in[6]), Squares: fromRowUnits(in[7]), Slow: int(in[8])},
 	}
 	r.Old = passthrough.Counts{
 		Good: int(in[9]), Bad: int(in[10]),
-		Pace: passthrough.Shift{N: int(in[11]), Slow: int(in[12])},
+		EventInterval: passthrough.LogRatioStats{N: int(in[11]), Slow: int(in[12])},
 	}
 	return nil
 }
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -75,11 +75,11 @@
 		st.wakeUp()
 	}
 	out := view{elapsed: now.Sub(r.orderedAt)}
-	sums, crashes := map[string]passthrough.Pair{}, crashSet{}
+	sums, crashes := map[string]passthrough.VersionCounts{}, crashSet{}
 	add := func(s *observationSet) {
 		crashes.add(s.CrashKeys)
 		for route, row := range s.Routes {
-			sums[route] = sums[route].Plus(passthrough.Pair(row))
+			sums[route] = sums[route].Plus(passthrough.VersionCounts(row))
 		}
 	}
 	add(own)
@@ -88,9 +88,9 @@
 		out.elapsed = max(out.elapsed, time.Duration(s.ElapsedMS)*time.Millisecond+now.Sub(s.readAt))
 	}
 	crashes.addTo(sums)
-	all := passthrough.Total(sums)
+	all := passthrough.SumRoutes(sums)
 	out.newCounts, out.oldCounts = all.New, all.Old
-	out.bad = own.evidence.Bad(now, sums)
+	out.bad = own.evidence.Evaluate(now, sums)
 	own.ElapsedMS = out.elapsed.Milliseconds()
 	return out
 }
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -76,18 +76,18 @@
 }
 
 // recordResponse counts a response. It must not block: the driver calls it.
-func (st *observationStore) recordResponse(o passthrough.Observed) {
+func (st *observationStore) recordResponse(o passthrough.Observation) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	s := st.own[o.Service]
 	if s == nil {
 		return
 	}
-	if o.Cut && o.Version == s.Target {
+	if o.ConnectionLost && o.Version == s.Target {
 		s.addCrash(o)
-		o.Early = true // count its times only: the crash is counted once by its key
+		o.TimingOnly = true // count its times only: the crash is counted once by its key
 	}
-	s.Routes[o.Route] = observationRow(passthrough.Pair(s.Routes[o.Route]).Add(o, s.Target))
+	s.Routes[o.Route] = observationRow(passthrough.VersionCounts(s.Routes[o.Route]).Add(o, s.Target))
 	s.dirty = s.dirty || o.Version == s.Target
 }
 
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -74,12 +74,12 @@
 
 func newSharing(cfg seam.Settings, store Store, records Records, tel *telemetry, clock Clock) *sharing {
 	s := &sharing{
-		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Zone, Address: cfg.Peers, Cores: cfg.Cores},
+		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Domain, Address: cfg.PeerAddr, Cores: cfg.Cores},
 		store: store, telemetry: tel, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
 		onPeers: func([]string) {},
 	}
-	for _, zone := range cfg.Zones {
-		if zone != cfg.Zone {
+	for _, zone := range cfg.Domains {
+		if zone != cfg.Domain {
 			s.otherDomains = append(s.otherDomains, zone)
 		}
 	}
@@ -97,13 +97,13 @@
 		caches[name] = relay.NewCache(clock.Now, equal)
 		return relay.NewLog(name, log, s.client, caches[name], maxAge, changed)
 	}
-	s.operator = topic(topicOperator, store.Operator(), fractionOf(maxOperatorAgeFraction, cfg.Bounds.Revoke))
+	s.operator = topic(topicOperator, store.Operator(), fractionOf(maxOperatorAgeFraction, cfg.Bounds.RevocationDelay))
 	s.servers = topic(topicServers, store.Servers(), fractionOf(maxServersAgeFraction, cfg.Bounds.Drain))
 	s.servers.Far = true
 	s.operator.Urgent = true
 	s.status = topic(topicStatus, store.Status(), maxOtherAge)
 	s.observations = topic(topicObservations, store.Observations(), maxOtherAge)
-	s.instances = topic(topicInstances, store.Instances(cfg.Zone), maxOtherAge)
+	s.instances = topic(topicInstances, store.Instances(cfg.Domain), maxOtherAge)
 	s.server = relay.NewServer(clock.Now, caches, s.holdRecords, s.members.Count)
 	return s
 }
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -32,7 +32,7 @@
 )
 
 // relayStream relays a stream to the caller, unless its confidence is below the threshold.
-func (a *attempt) relayStream(resp *http.Response, meta seam.Answer) outcome {
+func (a *attempt) relayStream(resp *http.Response, meta seam.Response) outcome {
 	x := a.exchange
 	a.reportFirstByte(meta)
 	if x.stream.begun || meta.Confidence < 0 {
@@ -66,7 +66,7 @@
 				events += count
 				if events >= intervalEvents && !reported {
 					reported = true
-					x.handler.driver.Handle(passthrough.Paced{Request: x.ticket.id, Pace: eventInterval(x.handler.clock.Now().Sub(began), events)})
+					x.handler.driver.Handle(passthrough.EventIntervalMeasured{Request: x.ticket.id, EventInterval: eventInterval(x.handler.clock.Now().Sub(began), events)})
 				}
 			}
 			if orderErr != nil {
@@ -94,7 +94,7 @@
 //
 // A stream lasts many seconds while a server's load changes within tenths of one. Reported at the
 // end of the stream, the load would be as old as the stream.
-func (a *attempt) reportFirstByte(meta seam.Answer) {
+func (a *attempt) reportFirstByte(meta seam.Response) {
 	x := a.exchange
 	x.handler.driver.Handle(passthrough.FirstByte{
 		Request: x.ticket.id, After: a.firstByte, Load: meta.Load, HasLoad: meta.HasLoad,
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -22,7 +22,7 @@
 // watchIdle starts the watch if the request may be retried elsewhere.
 func (a *attempt) watchIdle() *idleWatch {
 	wt := &idleWatch{}
-	if !a.exchange.call.route.Repeatable() {
+	if !a.exchange.call.route.Retryable() {
 		return wt
 	}
 	wt.mu.Lock()
@@ -58,12 +58,12 @@
 // on its connection and from its server.
 func (a *attempt) hasTimedOut() bool {
 	now := a.exchange.handler.clock.Now()
-	s := passthrough.Silence{Route: a.exchange.call.route, Patience: a.firstByteTimeout,
+	s := passthrough.Inactivity{Route: a.exchange.call.route, FirstByteTimeout: a.firstByteTimeout,
 		PromptTokens: a.exchange.call.caller.PromptTokens, Begun: a.conn.lastReceived.Load() != 0}
-	s.Attempt = now.Sub(a.startedAt)
+	s.AttemptIdle = now.Sub(a.startedAt)
 	if at := a.conn.lastReceived.Load(); at != 0 {
-		s.Attempt = now.Sub(time.Unix(0, at))
+		s.AttemptIdle = now.Sub(time.Unix(0, at))
 	}
-	s.Server = now.Sub(time.Unix(0, max(a.conn.serverLastReceived.Load(), a.startedAt.UnixNano())))
-	return s.GiveUp()
+	s.ServerIdle = now.Sub(time.Unix(0, max(a.conn.serverLastReceived.Load(), a.startedAt.UnixNano())))
+	return s.TimedOut()
 }
