--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -129,7 +129,7 @@
 	}
 	sh.server.Loads = relay.NewLoads(sh.client, own, take)
 	sh.server.Loads.Unreadable = tel.logUnreadableLoads
-	d.onObserved, d.onCrash, d.onSlowStart, d.onLimitChanged = observations.recordResponse, observations.recordCrash, tel.slowStart, tel.rateLimitChanged
+	d.onObservation, d.onCrash, d.onSlowStart, d.onLimitChanged = observations.recordResponse, observations.recordCrash, tel.slowStart, tel.rateLimitChanged
 	return observations
 }
 
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -61,7 +61,7 @@
 }
 
 var (
-	errWrongAttempt     = errors.New("the response belongs to another request")
+	errWrongRequest     = errors.New("the response belongs to another request")
 	errUnsigned         = errors.New("the response is a success without a signature or with an altered body")
 	errMisleadingStatus = errors.New("the status implies that the request did not run, but the backend server does not confirm it")
 	errTimedOut         = errors.New("timed out: the backend server sent nothing for too long")
@@ -176,7 +176,7 @@
 
 func (a *attempt) classify(resp *http.Response, meta seam.Response) outcome {
 	if meta.RequestID != a.exchange.call.caller.RequestID && !meta.Misdirected {
-		return outcome{result: passthrough.Broken, err: errWrongAttempt}
+		return outcome{result: passthrough.Broken, err: errWrongRequest}
 	}
 	if meta.NotRun {
 		return outcome{result: passthrough.Rejected}
@@ -229,7 +229,7 @@
 		out.result = passthrough.Failed
 	}
 	if a.exchange.stream.begun {
-		return outcome{result: passthrough.Broken, err: errWrongAttempt}
+		return outcome{result: passthrough.Broken, err: errWrongRequest}
 	}
 	return out
 }
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -15,7 +15,7 @@
 	requestServerRead func()
 	// onObserved and onCrash inform the other instances; onSlowStart and onLimitChanged
 	// write to the log. They run with the lock held and must not block.
-	onObserved     func(passthrough.Observation)
+	onObservation  func(passthrough.Observation)
 	onCrash        func(passthrough.CrashSuspected)
 	onSlowStart    func(passthrough.SlowStartBegun)
 	onLimitChanged func(passthrough.RateLimitChanged)
@@ -40,7 +40,7 @@
 func NewDriver(clock Clock, cfg passthrough.Settings) *Driver {
 	return &Driver{
 		clock: clock, world: passthrough.New(cfg), tickets: map[passthrough.RequestID]*ticket{},
-		requestServerRead: func() {}, onObserved: func(passthrough.Observation) {}, onCrash: func(passthrough.CrashSuspected) {},
+		requestServerRead: func() {}, onObservation: func(passthrough.Observation) {}, onCrash: func(passthrough.CrashSuspected) {},
 		onSlowStart: func(passthrough.SlowStartBegun) {}, onLimitChanged: func(passthrough.RateLimitChanged) {},
 	}
 }
@@ -123,7 +123,7 @@
 		case passthrough.Finish:
 			d.send(c.Request, c)
 		case passthrough.Observation:
-			d.onObserved(c)
+			d.onObservation(c)
 		case passthrough.CrashSuspected:
 			d.onCrash(c)
 		case passthrough.RefreshServers:
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -63,7 +63,7 @@
 	reasonNoRoute     passthrough.Reason = "no_such_route"
 	reasonKey         passthrough.Reason = "unknown_key"
 	reasonTooLarge    passthrough.Reason = "body_too_large"
-	reasonNoAttemptID passthrough.Reason = "attempt_id_missing"
+	reasonNoRequestID passthrough.Reason = "attempt_id_missing"
 	reasonMayHaveRun  passthrough.Reason = "may_have_run"
 	reasonTimeout     passthrough.Reason = "timeout"
 )
@@ -106,11 +106,11 @@
 	if h.shutdown.refuses(route.Kind) {
 		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonStopping, retryElsewhereAfter}
 	}
-	wait := route.Timeout
+	timeout := route.Timeout
 	if c.caller.Timeout > 0 {
-		wait = min(wait, c.caller.Timeout)
+		timeout = min(timeout, c.caller.Timeout)
 	}
-	c.deadline = h.shutdown.capDeadline(c.arrived.Add(wait))
+	c.deadline = h.shutdown.capDeadline(c.arrived.Add(timeout))
 	return nil
 }
 
@@ -151,7 +151,7 @@
 // readBody reads the whole body: it is needed again for a retry.
 func (h *Handler) readBody(w http.ResponseWriter, c *call) *refusal {
 	if c.caller.RequestID == "" {
-		return &refusal{status: http.StatusBadRequest, reason: reasonNoAttemptID}
+		return &refusal{status: http.StatusBadRequest, reason: reasonNoRequestID}
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, c.request.Body, c.maxBody))
 	var tooLarge *http.MaxBytesError
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -202,7 +202,7 @@
 	p.telemetry = &telemetry{clock: clock, config: p.config, registry: metrics.NewRegistry()}
 	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
 	p.observations = newObservationStore(name, observations, p.driver, p.telemetry, clock)
-	p.driver.onObserved, p.driver.onCrash = p.observations.recordResponse, p.observations.recordCrash
+	p.driver.onObservation, p.driver.onCrash = p.observations.recordResponse, p.observations.recordCrash
 	p.servers = newServerList(fakeRecords{}, p.driver, newDialer(clock), p.telemetry, clock, 2*time.Second, newStartGate())
 	p.rollouts = newRollouts(fakeRecords{}, status, p.driver, p.servers, p.observations, p.telemetry, clock,
 		passthrough.ExposureLimit{Share: 0.15, Tolerance: 30})
--- a/router/internal/passthrough/knowledge_test.go
+++ b/router/internal/passthrough/knowledge_test.go
@@ -9,7 +9,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-func TestKnowledgeIsAsOldAsTheStartOfItsRead(t *testing.T) {
+func TestConfigurationAgeCountsFromTheStartOfItsRead(t *testing.T) {
 	clock := newFakeClock()
 	k := NewConfigState(clock, 5*time.Second)
 	if k.Fresh() || k.Ready() {
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -42,7 +42,7 @@
 	dialer    *dialer
 	telemetry *telemetry
 	clock     Clock
-	drain     time.Duration
+	drainTime time.Duration
 	wake      chan struct{}
 	// startGate is informed when the list has been read.
 	startGate *startGate
@@ -69,9 +69,9 @@
 	unreadable       map[string]bool
 }
 
-func newServerList(records Records, driver *Driver, d *dialer, tel *telemetry, clock Clock, drain time.Duration, gate *startGate) *serverList {
+func newServerList(records Records, driver *Driver, d *dialer, tel *telemetry, clock Clock, drainTime time.Duration, gate *startGate) *serverList {
 	return &serverList{
-		records: records, driver: driver, dialer: d, telemetry: tel, clock: clock, drain: drain, startGate: gate,
+		records: records, driver: driver, dialer: d, telemetry: tel, clock: clock, drainTime: drainTime, startGate: gate,
 		readsAlone: func() bool { return false }, readsFromPeer: func() bool { return false },
 		wake: make(chan struct{}, 1), entries: map[string]passthrough.Server{},
 		lapsed: map[string]time.Time{}, unreadable: map[string]bool{},
@@ -126,7 +126,7 @@
 
 // readInterval is the time between two reads of the store.
 func (l *serverList) readInterval() time.Duration {
-	interval := max(time.Duration(readIntervalFraction*float64(l.drain)), minReadInterval)
+	interval := max(time.Duration(readIntervalFraction*float64(l.drainTime)), minReadInterval)
 	if l.readsAlone() {
 		return interval
 	}
@@ -137,7 +137,7 @@
 func (l *serverList) outageEnded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	grace := min(lapseGrace, l.drain*3/4)
+	grace := min(lapseGrace, l.drainTime*3/4)
 	l.lapseUntil = l.clock.Now().Add(grace)
 	for id := range l.lapsed {
 		l.lapsed[id] = l.lapseUntil
--- a/router/internal/passthrough/list_restore.go
+++ b/router/internal/passthrough/list_restore.go
@@ -17,8 +17,8 @@
 
 // tombstone records a server process that has left.
 type tombstone struct {
-	born   int64
-	leftAt time.Time
+	startTime int64
+	leftAt    time.Time
 }
 
 // unconfirmedEntry is an entry of a restored store that is not used yet.
@@ -59,7 +59,7 @@
 		s.Draining = s.Draining || old.Draining
 		return s, true
 	}
-	if t, left := l.tombstones[s.ID]; left && t.born == s.StartTime {
+	if t, left := l.tombstones[s.ID]; left && t.startTime == s.StartTime {
 		l.unconfirmed[s.ID] = unconfirmedEntry{s, offset, l.clock.Now().Add(unconfirmedDelay)}
 		l.telemetry.logStateKept("server", s.ID, "the restored store lists a server that had left")
 		return s, false
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/list_test.go
@@ -73,7 +73,7 @@
 func TestListIsReadOftenEnough(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
 		p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
-		p.servers.drain = drain
+		p.servers.drainTime = drain
 		shared := p.servers.readInterval()
 		p.servers.readsAlone = func() bool { return true }
 		alone := p.servers.readInterval()
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -36,9 +36,9 @@
 	if out != in {
 		t.Errorf("%+v was decoded as %+v", in, out)
 	}
-	for _, bad := range []string{`{}`, `[1,2]`, `"x"`, `[1,2,3,4,5,6,7,8,9,10,11,12,13,14]`} {
-		if err := json.Unmarshal([]byte(bad), &out); err == nil {
-			t.Errorf("%s was accepted as a row", bad)
+	for _, malformed := range []string{`{}`, `[1,2]`, `"x"`, `[1,2,3,4,5,6,7,8,9,10,11,12,13,14]`} {
+		if err := json.Unmarshal([]byte(malformed), &out); err == nil {
+			t.Errorf("%s was accepted as a row", malformed)
 		}
 	}
 }
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -78,9 +78,9 @@
 		store: store, telemetry: tel, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
 		onPeers: func([]string) {},
 	}
-	for _, zone := range cfg.Domains {
-		if zone != cfg.Domain {
-			s.otherDomains = append(s.otherDomains, zone)
+	for _, domain := range cfg.Domains {
+		if domain != cfg.Domain {
+			s.otherDomains = append(s.otherDomains, domain)
 		}
 	}
 	s.members = relay.NewMembers(s.self, 1+len(s.otherDomains), clock.Now)
