--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -174,6 +174,7 @@
 	return meta.Limit.Limited || meta.Signed && status < http.StatusMultipleChoices
 }
 
+// classify checks the response's headers, and reads its body or relays its stream if it is valid.
 func (a *attempt) classify(resp *http.Response, meta seam.Response) outcome {
 	if meta.RequestID != a.exchange.call.caller.RequestID && !meta.Misdirected {
 		return outcome{result: passthrough.Broken, err: errWrongRequest}
--- a/router/internal/passthrough/crashnotes.go
+++ b/router/internal/passthrough/crashnotes.go
@@ -9,6 +9,7 @@
 )
 
 const (
+	// crashKeyPrefix starts the keys of crash records.
 	crashKeyPrefix = "crash/"
 	// maxPendingCrashes bounds the fingerprints that wait to be written; more than that at
 	// once come from a fault of another kind.
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -113,6 +113,7 @@
 	return d.world.StreamCount()
 }
 
+// tick applies events and passes on the resulting commands. The lock is held.
 func (d *Driver) tick(events ...passthrough.Event) {
 	for _, c := range d.world.Tick(d.clock.Now(), events...) {
 		switch c := c.(type) {
@@ -136,6 +137,7 @@
 	}
 }
 
+// send passes a command to its request, unless that was closed. The lock is held.
 func (d *Driver) send(id passthrough.RequestID, c passthrough.Command) {
 	if t := d.tickets[id]; t != nil {
 		t.commands <- c
--- a/router/internal/passthrough/knowledge_test.go
+++ b/router/internal/passthrough/knowledge_test.go
@@ -9,6 +9,8 @@
 	"masticplank.example/decision/passthrough"
 )
 
+// TestConfigurationAgeCountsFromTheStartOfItsRead guards against keys that are accepted past the
+// bound: a configuration written while a read is in progress may be missing from its result.
 func TestConfigurationAgeCountsFromTheStartOfItsRead(t *testing.T) {
 	clock := newFakeClock()
 	k := NewConfigState(clock, 5*time.Second)
@@ -78,6 +80,8 @@
 	}
 }
 
+// TestOrdersAreKnownBeforeRequestsAreLetIn checks that a snapshot's roll-out orders are applied as well
+// as its configuration, which admits requests.
 func TestOrdersAreKnownBeforeRequestsAreLetIn(t *testing.T) {
 	clock := newFakeClock()
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -42,6 +42,7 @@
 	dialer    *dialer
 	telemetry *telemetry
 	clock     Clock
+	// drainTime is how long a leaving server may still get requests.
 	drainTime time.Duration
 	wake      chan struct{}
 	// startGate is informed when the list has been read.
@@ -66,7 +67,8 @@
 	unconfirmed map[string]unconfirmedEntry
 	// snapshotRestored says that the next snapshot is of a restored store.
 	snapshotRestored bool
-	unreadable       map[string]bool
+	// unreadable are the entries that were logged as malformed.
+	unreadable map[string]bool
 }
 
 func newServerList(records Records, driver *Driver, d *dialer, tel *telemetry, clock Clock, drainTime time.Duration, gate *startGate) *serverList {
@@ -87,6 +89,7 @@
 	}
 }
 
+// reader returns a reader of the list.
 func (l *serverList) reader(log keyedlog.Log, clock Clock) *topicReader {
 	t := &topicReader{
 		name: topicServers, log: log, clock: clock, telemetry: l.telemetry, wake: l.wake,
@@ -221,6 +224,7 @@
 	l.drop(id, "removed")
 }
 
+// drop removes an entry at once and leaves a tombstone. The lock is held.
 func (l *serverList) drop(id, why string) {
 	s, ok := l.entries[id]
 	if !ok {
--- a/router/internal/passthrough/list_restore_test.go
+++ b/router/internal/passthrough/list_restore_test.go
@@ -25,6 +25,8 @@
 	return p, reader, log, clock
 }
 
+// TestServersThatACopyLacksStayForAWhile guards against dropping a server that started since the copy:
+// it stays for lapseGrace, within which a live one writes again.
 func TestServersThatACopyLacksStayForAWhile(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if !p.servers.has("started") || !p.servers.has("stays") {
@@ -42,6 +44,8 @@
 	}
 }
 
+// TestServersThatLeftDoNotComeBackWithACopy guards against calls to a server that left since the copy,
+// whose address may belong to another one by now.
 func TestServersThatLeftDoNotComeBackWithACopy(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if p.servers.has("left") {
@@ -50,34 +54,34 @@
 	if s := p.servers.entries["leaves"]; !s.Draining {
 		t.Error("a server that is leaving is ready again")
 	}
-	log.add("left", "") // its silence was noticed
+	log.add("left", "") // the entry is removed after missed heartbeats
 	clock.advance(unconfirmedDelay)
 	if err := reader.readOnce(t.Context()); err != nil || p.servers.has("left") {
-		t.Errorf("%v; it is back after all", err)
+		t.Errorf("error %v; a server that had left is back after its entry was removed", err)
 	}
 }
 
-// TestServerThatWritesAgainIsBelieved holds for one that was taken for gone and lives, also where
-// its heartbeats are not passed on by the instance that reads the store.
+// TestServerThatWritesAgainIsBelieved checks that a live server which counted as gone is used once it
+// writes again, and also after unconfirmedDelay where the collector does not pass on its heartbeats.
 func TestServerThatWritesAgainIsBelieved(t *testing.T) {
 	p, reader, log, _ := restoredList(t)
 	log.add("left", "server shop v1 ready")
 	if err := reader.readOnce(t.Context()); err != nil || !p.servers.has("left") {
-		t.Errorf("%v; a server that wrote again is missing", err)
+		t.Errorf("error %v; a server that wrote again is missing", err)
 	}
 	p, reader, _, clock := restoredList(t)
 	clock.advance(unconfirmedDelay - time.Millisecond)
 	if err := reader.readOnce(t.Context()); err != nil || p.servers.has("left") {
-		t.Errorf("%v; believed too soon", err)
+		t.Errorf("error %v; an unconfirmed entry is used before unconfirmedDelay", err)
 	}
 	clock.advance(time.Millisecond)
 	if err := reader.readOnce(t.Context()); err != nil || !p.servers.has("left") {
-		t.Errorf("%v; an entry that still stands is not believed", err)
+		t.Errorf("error %v; an entry that still exists is not used after unconfirmedDelay", err)
 	}
 }
 
-// TestDoubtEndsWithItsEntry holds that an entry which is not used yet, and is missing after a
-// second restore, is not believed later.
+// TestUnconfirmedEntryIsDroppedAfterASecondRestore checks that an unconfirmed entry which a second
+// restore loses is not used later.
 func TestUnconfirmedEntryIsDroppedAfterASecondRestore(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	log.restore(0)
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/list_test.go
@@ -34,6 +34,8 @@
 	}
 }
 
+// TestEntriesThatLapsedInAnOutageAreBelievedForAWhile guards against dropping live servers after an
+// outage of the store in which their entries expired: they are kept for lapseGrace.
 func TestEntriesThatLapsedInAnOutageAreBelievedForAWhile(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -19,6 +19,8 @@
 	}
 }
 
+// TestObservationRowKeepsWhatVerdictsUse checks that encoding keeps counts exactly and sums to the
+// precision of a row, and that malformed rows are rejected.
 func TestObservationRowKeepsWhatVerdictsUse(t *testing.T) {
 	in := busyRow()
 	text, err := json.Marshal(in)
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -17,8 +17,9 @@
 	// predecessor's counts remain valid.
 	ProcessStart uint64 `json:"life,omitempty"`
 	Service      string `json:"service"`
-	Target       string `json:"target"`
-	Order        uint64 `json:"order"`
+	// Target is the new version, Order the offset of the roll-out order.
+	Target string `json:"target"`
+	Order  uint64 `json:"order"`
 	// ElapsedMS is the time since the order in milliseconds, as known to the instance when it
 	// wrote the set.
 	ElapsedMS int64 `json:"elapsed_ms"`
@@ -34,6 +35,8 @@
 	CrashFingerprint uint64 `json:"crash,omitempty"`
 	CrashCount       int    `json:"times,omitempty"`
 
+	// readAt is when another instance's set was read; dirty says that the own set has changes
+	// to be written.
 	readAt time.Time
 	dirty  bool
 	// evidence computes the verdict from the sums of all instances.
@@ -54,8 +57,8 @@
 
 // minCleanResponses is how many good responses of the new version, without a bad one, let an
 // instance complete a roll-out by its own counts alone. If a version fails three requests in ten,
-// one instance in seventy sees so many. With five, a version that failed half of its requests was
-// completed once in 30 runs.
+// one instance in seventy still sees twelve good responses and no bad one. With five, a version that
+// failed half of its requests was completed once in 30 runs.
 const minCleanResponses = 12
 
 // clean reports whether this view suffices to complete the new version. When the store comes back at
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -8,6 +8,8 @@
 	"masticplank.example/decision/passthrough"
 )
 
+// TestStoreSharesCrashesWithPeers checks that a request which crashed servers at one instance is
+// quarantined at another.
 func TestStoreSharesCrashesWithPeers(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
 	a, b := newParts("a", clock, &fakeLog{}, observations), newParts("b", clock, &fakeLog{}, observations)
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -36,6 +36,7 @@
 	readsStore  func() bool
 }
 
+// wait is how long a read of the operator's records waits for a new one.
 func (o *operator) wait() time.Duration {
 	fraction := readWaitFraction
 	switch {
@@ -60,6 +61,7 @@
 	followerWaitFraction  = 0.1
 )
 
+// reader returns a reader of the operator's records.
 func (o *operator) reader(log keyedlog.Log, clock Clock) *topicReader {
 	return &topicReader{
 		name: topicOperator, log: log, clock: clock, telemetry: o.telemetry, wait: o.wait,
--- a/router/internal/passthrough/ports.go
+++ b/router/internal/passthrough/ports.go
@@ -11,13 +11,18 @@
 
 // Headers reads and writes the headers of requests and responses.
 type Headers interface {
+	// ReadCaller decodes the headers of a caller's request.
 	ReadCaller(h http.Header) seam.Caller
+	// WriteAttempt returns the headers of an attempt, made from the caller's.
 	WriteAttempt(caller http.Header, a seam.Attempt) http.Header
+	// ReadAnswer decodes the status and headers of a backend server's response.
 	ReadAnswer(status int, h http.Header) seam.Response
+	// AnswerHeaders returns those of a backend server's response headers that go to the caller.
 	AnswerHeaders(h http.Header) http.Header
 }
 
-// Records decodes and encodes the records of the platform's topics.
+// Records decodes and encodes the records of the platform's topics. Decoding a malformed record
+// returns an error.
 type Records interface {
 	// Config decodes the configuration; ok is false for a record of another kind.
 	Config(r keyedlog.Record) (c passthrough.Config, ok bool, err error)
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -10,6 +10,8 @@
 	"masticplank.example/decision/passthrough"
 )
 
+// TestRegisterHoldsOneEnd guards against two ends of one roll-out: b writes an end between a's read of
+// the register and its write.
 func TestRegisterHoldsOneEnd(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	a, b := newParts("a", clock, status, &fakeLog{}), newParts("b", clock, status, &fakeLog{})
@@ -33,6 +35,8 @@
 	}
 }
 
+// TestLostAnswerOfTheEndIsReadBack guards against a second end where a write took effect but its
+// result was lost: the register is read before anything is written again.
 func TestLostAnswerOfTheEndIsReadBack(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
--- a/router/internal/passthrough/restore_model_test.go
+++ b/router/internal/passthrough/restore_model_test.go
@@ -31,6 +31,7 @@
 	left  map[string]bool
 }
 
+// modelInstance is an instance of the model with what the invariants need to know of it.
 type modelInstance struct {
 	*parts
 	operatorReader, listReader *topicReader
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -243,6 +243,8 @@
 	return current > 0 && 2*current >= old
 }
 
+// end notes and logs the end of a roll-out. how is "written" if this instance wrote it to the
+// register, else "read".
 func (m *rollouts) end(r *rollout, phase passthrough.Phase, seen view, how string) {
 	m.mu.Lock()
 	r.ended = phase
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -34,6 +34,8 @@
 	}
 }
 
+// TestRestartedInstanceCarriesTheRolloutOn checks that an instance which starts in the middle of a
+// roll-out takes the elapsed time and the counts from its peers and completes it in time.
 func TestRestartedInstanceCarriesTheRolloutOn(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	a := newParts("a", clock, status, observations)
@@ -61,6 +63,8 @@
 	}
 }
 
+// TestNoCompletionWithoutTheNewServers guards against completing a version that has no servers: the
+// old ones are stopped at completion.
 func TestNoCompletionWithoutTheNewServers(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -74,12 +74,14 @@
 	return s.open(metricsPage, metricsAddress)
 }
 
+// open serves h on an auxiliary listener.
 func (s *server) open(h http.Handler, address string) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	s.auxServers = append(s.auxServers, srv)
 	return s.listen(srv, address)
 }
 
+// listen opens a listener and serves it in the background.
 func (s *server) listen(srv *http.Server, address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/router/internal/passthrough/starting_test.go
+++ b/router/internal/passthrough/starting_test.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// TestCallersWaitUntilTheProcessKnows guards against refusals right after a start: requests are held
+// until all prerequisites are loaded.
 func TestCallersWaitUntilTheProcessKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartGate()
@@ -30,6 +32,8 @@
 	})
 }
 
+// TestCallersAreNotHeldForLong checks that requests are held for startTimeout at most where a
+// prerequisite is missing, and not after their caller has disconnected.
 func TestCallersAreNotHeldForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartGate()
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -31,6 +31,7 @@
 	return wt
 }
 
+// check closes the connection of an attempt that has timed out, else schedules the next check.
 func (wt *idleWatch) check(a *attempt) {
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
