--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -146,7 +146,7 @@
 		t.Errorf("%d runs after the third crash was known to all instances", late)
 	}
 	if crashes > 3 {
-		t.Errorf("%d servers crashed", crashes)
+		t.Errorf("%d servers crashed, want three at most", crashes)
 	}
 	if !send(999, passthrough.AttemptEnded{Result: passthrough.Completed}) {
 		t.Error("an unrelated request was refused")
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -28,10 +28,10 @@
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
 	if got := storedEnds(status); len(got) != 1 {
-		t.Fatalf("the register holds %d ends", len(got))
+		t.Fatalf("the register holds %d ends, want one", len(got))
 	}
 	if x, y := a.rollouts.open["shop"].ended, b.rollouts.open["shop"].ended; x != y || x == 0 {
-		t.Errorf("a ended with %v, b with %v", x, y)
+		t.Errorf("a ended as %v, b as %v, want the same", x, y)
 	}
 }
 
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -119,7 +119,7 @@
 		f.step()
 	}
 	if got := storedEnds(f.status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
-		t.Fatalf("ends %v", got)
+		t.Fatalf("ends %v before the restore, want one revert", got)
 	}
 	f.status.restore(copied)
 	f.operator.restore(len(f.operator.records))
@@ -132,7 +132,7 @@
 		f.step()
 	}
 	if got := storedEnds(f.status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
-		t.Errorf("ends %v", got)
+		t.Errorf("ends %v after the restore, want one revert", got)
 	}
 	if got := late.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
 		t.Errorf("an instance that started after the restore ended as %v, want reverted", got)
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -104,7 +104,7 @@
 		t.Errorf("the follower ended as %v, want reverted", got)
 	}
 	if n := len(storedEnds(status)); n != 1 {
-		t.Errorf("%d ends written", n)
+		t.Errorf("%d ends written, want one", n)
 	}
 }
 
@@ -192,7 +192,7 @@
 	p.observations.markIncomplete()
 	p.rollouts.advance(t.Context(), r)
 	if r.ended != 0 {
-		t.Fatalf("ended as %v", r.ended)
+		t.Fatalf("ended as %v while its own set could not be written", r.ended)
 	}
 	clock.advance(propagationTime)
 	p.observations.markRead(clock.Now())
