--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -77,8 +77,8 @@
 }
 
 // TestKeyRevokedBeforeARestoreStaysRevoked restores the store to each earlier version after a
-// configuration that revokes a key: the version in force never goes back, and is confirmed only once
-// it has been written again.
+// configuration that revokes a key: the version in force never goes back, and is confirmed once it has
+// been written again.
 func TestKeyRevokedBeforeARestoreStaysRevoked(t *testing.T) {
 	for keep := 1; keep <= 4; keep++ {
 		clock, log := newFakeClock(), &fakeLog{era: 1}
