--- a/router/internal/passthrough/config_restore.go
+++ b/router/internal/passthrough/config_restore.go
@@ -9,8 +9,8 @@
 // force. After a restore of the store, reads confirm it only once the operator has had time to
 // write again what the copy lacks.
 //
-// A configuration that revokes a key may have been acknowledged and then lost in the restore.
-// Every read of the copy would say that nothing newer exists, and the key would be accepted for
+// Load: a configuration that revokes a key is acknowledged and then lost in the restore. Harm
+// prevented: every read of the copy says that nothing newer exists, and the key is accepted for
 // longer than the revocation bound. While no read confirms, the configuration ages as in an
 // outage of the store: the instance first leaves the rotation, then refuses requests with keys.
 type restoreGuard struct {
--- a/router/internal/passthrough/conns.go
+++ b/router/internal/passthrough/conns.go
@@ -8,10 +8,10 @@
 
 // callerConns counts the open connections of callers.
 //
-// Callers that are refused may retry on a new connection each time while the earlier ones stay
-// open for the idle timeout. The process then runs out of file descriptors, can neither accept
-// connections nor dial backend servers, and callers wait in vain until their deadline: 1,800 of
-// 38,000 tries did, with 4,000 descriptors used up in ten seconds.
+// Load: callers that are refused retry on a new connection each time, while the earlier ones
+// stay open for the idle timeout. Harm prevented: the process runs out of file descriptors, can
+// neither accept connections nor dial backend servers, and callers wait in vain until their
+// deadline: 1,800 of 38,000 tries did, with 4,000 descriptors used up in ten seconds.
 type callerConns struct {
 	open atomic.Int64
 	// idleLimit is how many may stay open between requests, 0 for no limit.
--- a/router/internal/passthrough/cuts.go
+++ b/router/internal/passthrough/cuts.go
@@ -23,10 +23,11 @@
 
 // addCrash records that a server of the new version truncated a response.
 //
-// Servers of a canary crash as old ones do, each with a dozen responses in progress. Counted one by
-// one, eight responses that broke with three servers were eight failures of eighty, and a good
-// version was reverted. All that one server truncates at about the same time counts as one failure,
-// whichever instances saw it. A version that truncates responses again and again is still found.
+// Load: a canary of few servers, of which some crash as old ones do, each with a dozen responses in
+// progress. Harm prevented: a good version is reverted, since eight responses that broke with three
+// servers, counted one by one, were eight failures of eighty. All that one server truncates at
+// about the same time counts as one failure, whichever instances saw it. A version that truncates
+// responses again and again is still found.
 func (s *observationSet) addCrash(o passthrough.Observation) {
 	key := crashKey(o.Server, s.ElapsedMS)
 	list := s.CrashKeys[o.Route]
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -37,8 +37,8 @@
 // replaceDrainOrders applies a snapshot's drain orders. For a failure domain that is not among them
 // the drain has ended meanwhile, or the order was lost in a restore.
 //
-// An order that was acknowledged and then lost must not end the drain: all instances would send to
-// a failure domain that is about to lose power.
+// Load: a drain order that was acknowledged and is not in the restored store. Harm prevented: the
+// drain ends, and all instances send to a failure domain that is about to lose power.
 func (o *operator) replaceDrainOrders(list []keyedlog.Record) {
 	clear(o.drainOrders)
 	for _, r := range list {
--- a/router/internal/passthrough/knowledge.go
+++ b/router/internal/passthrough/knowledge.go
@@ -103,9 +103,10 @@
 	}
 }
 
-// isSuperseded reports whether a peer knows a later configuration, which the store has lost. Without
-// it an instance that starts right after a restore would accept revoked keys by the restored
-// configuration.
+// isSuperseded reports whether a peer knows a later configuration, which the store has lost.
+//
+// Load: an instance starts right after a restore. Harm prevented: it accepts revoked keys by the
+// restored configuration.
 func (s *ConfigState) isSuperseded() bool {
 	reportedAt := time.Unix(0, s.lostReportedAt.Load())
 	index := s.index.Load()
--- a/router/internal/passthrough/list_restore.go
+++ b/router/internal/passthrough/list_restore.go
@@ -39,11 +39,11 @@
 	l.tombstones[s.ID] = tombstone{s.StartTime, now}
 }
 
-// onRestore notes that the store was restored and may lack what servers wrote in the last seconds
-// before.
+// onRestore notes that the store was restored.
 //
-// Servers that started in those seconds must not be dropped until they write again, and servers
-// that left must not be called: another server may have their address by now.
+// Load: a restored store lacks what servers wrote in the last seconds before, while addresses are
+// given to other servers. Harm prevented: servers that started in those seconds are dropped until
+// they write again, and servers that left are called at an address that another server has by now.
 func (l *serverList) onRestore() {
 	l.outageEnded()
 	l.mu.Lock()
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -61,9 +61,10 @@
 // failed half of its requests was completed once in 30 runs.
 const minCleanResponses = 12
 
-// clean reports whether this view suffices to complete the new version. When the store comes back at
-// the end of a roll-out, most of which fell into the outage, other instances may have seen the
-// version fail and not have reported it yet.
+// clean reports whether this view suffices to complete the new version.
+//
+// Load: the store comes back at the end of a roll-out, most of which fell into the outage. Harm
+// prevented: a version that other instances saw fail is completed before they can report it.
 func (v view) clean() bool { return v.newCounts.Bad == 0 && v.newCounts.Good >= minCleanResponses }
 
 // view sums up what all instances saw of the roll-out. It starts this instance's own set if there is
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -139,9 +139,9 @@
 
 // detectPause finds out whether this process was suspended since the last run.
 //
-// An instance that is suspended for the second half of a roll-out may miss what its peers saw, and an
-// outage of the store may keep them from reporting it afterwards. Without this check such an instance
-// would complete a bad version before its peers can report it.
+// Load: an instance is suspended for the second half of a roll-out, and does not notice an outage
+// of the store in that time, which keeps its peers from reporting what they saw. Harm prevented:
+// the instance, which knows of no failure, completes a bad version before its peers can report it.
 func (m *rollouts) detectPause(open bool) {
 	now := m.clock.Now()
 	if !m.lastRunAt.IsZero() && now.Sub(m.lastRunAt) > propagationTime {
--- a/router/internal/passthrough/rollouts_restore.go
+++ b/router/internal/passthrough/rollouts_restore.go
@@ -47,8 +47,8 @@
 // isRewrittenOrder reports whether an order at another offset is the known one, written again after
 // a restore, and then adopts the offset. The lock is held.
 //
-// Without it a roll-out would start again after a restore, and grant a full exposure to a version of
-// which much was seen already.
+// Load: the store is restored in the middle of a roll-out. Harm prevented: the roll-out starts
+// again, and grants a full exposure to a version of which much was seen already.
 func (m *rollouts) isRewrittenOrder(r *rollout, o passthrough.Order, offset uint64) bool {
 	if r.Order != o || !m.restoredRecently() {
 		return false
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -115,10 +115,10 @@
 
 // stop takes the instance out of rotation, lets requests in progress end, and closes.
 //
-// When all busy instances are replaced one after the other, no response may be truncated and
-// no request may find a closed port. So new requests are served until the load balancer has
-// noticed, and plain calls for as long as streams run; then each connection is closed after a
-// response.
+// Load: all instances are replaced, one after the other, while they are busy. Harm prevented:
+// responses are truncated, and requests find a closed port. So new requests are served until
+// the load balancer has noticed, and plain calls for as long as streams run; then each
+// connection is closed after a response.
 func (s *server) stop(began time.Time) {
 	grace := s.settings.Bounds.Grace - closeMargin
 	respondBy := began.Add(grace - responseMargin)
--- a/router/internal/passthrough/starting.go
+++ b/router/internal/passthrough/starting.go
@@ -13,9 +13,9 @@
 
 // startGate holds requests back until a process that has just started has read what it needs.
 //
-// When all instances are killed at once, callers retry the moment the ports are open again. A
-// refusal then uses up a caller's last try, a tenth of a second before the request could be
-// served.
+// Load: all instances are killed at once, and callers retry the moment the ports are open
+// again. Harm prevented: a refusal uses up a caller's last try, a tenth of a second before
+// the request could be served.
 type startGate struct {
 	mu      sync.Mutex
 	missing map[prerequisite]bool
--- a/router/internal/passthrough/stopping.go
+++ b/router/internal/passthrough/stopping.go
@@ -24,10 +24,10 @@
 
 // shutdown decides what happens to new requests while the process stops.
 //
-// When all instances are stopped in turn, each still finishes streams of seconds, and for some
-// time none is left in rotation. Plain calls of a tenth of a second are accepted meanwhile, since
-// there is time for them and they would be refused everywhere. Streams are refused once the load
-// balancer has noticed: one that is truncated at the end would be lost.
+// Load: all instances are stopped in turn, each while it still finishes streams of seconds, and
+// for some time none is left in rotation. Harm prevented: plain calls of a tenth of a second are
+// refused everywhere, although there is time for them. So they are accepted meanwhile. Streams
+// are refused once the load balancer has noticed: one that is truncated at the end would be lost.
 type shutdown struct {
 	phase atomic.Int32
 	// end is when the last response must be complete, in Unix nanoseconds; set by begin.
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -92,8 +92,9 @@
 // reportFirstByte reports to the decision that the response has begun, with the server's load and
 // rate limit from its head.
 //
-// A stream lasts many seconds while a server's load changes within tenths of one. Reported at the
-// end of the stream, the load would be as old as the stream.
+// Load: streams last many seconds, at servers whose load changes within tenths of one. Harm
+// prevented: a load reported at the end of the stream is as old as the stream, and is taken for
+// the server's load at that time.
 func (a *attempt) reportFirstByte(meta seam.Response) {
 	x := a.exchange
 	x.handler.driver.Handle(passthrough.FirstByte{
