--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -11,15 +11,16 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// reader follows the others' observations.
-func (b *observationStore) reader(clock Clock, active func() bool) *topicReader {
+// reader returns a reader of the peers' observations. active says whether a roll-out is in
+// progress.
+func (st *observationStore) reader(clock Clock, active func() bool) *topicReader {
 	t := &topicReader{
-		name: topicObservations, log: b.log, clock: clock, telemetry: b.telemetry, maxRetry: slowRetryDelay,
-		onRecord:   b.apply,
-		onRead:     func(began time.Time, _ int) { b.markRead(began) },
-		onRecovery: b.onRecovery, onRestore: b.onRestore,
+		name: topicObservations, log: st.log, clock: clock, telemetry: st.telemetry, maxRetry: slowRetryDelay,
+		onRecord:   st.apply,
+		onRead:     func(began time.Time, _ int) { st.markRead(began) },
+		onRecovery: st.onRecovery, onRestore: st.onRestore,
 	}
-	t.onSnapshot = b.applySnapshot
+	t.onSnapshot = st.applySnapshot
 	t.wait = func() time.Duration {
 		if active() {
 			return 0
@@ -35,86 +36,86 @@
 	return t
 }
 
-// gossipTime is how long it takes until what one instance saw is known to another: each
-// writes and reads once in observationsEvery, and gathers before that.
+// propagationTime is how long an observation takes to reach the other instances: each writes
+// and reads once per observationInterval, and a write waits for batchDelay before.
 const propagationTime = 2500 * time.Millisecond
 
-// sound notes that the others' observations were read.
-func (b *observationStore) markRead(at time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lastReadAt = at
+// markRead notes that the peers' observations were read, as of the given time.
+func (st *observationStore) markRead(at time.Time) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.lastReadAt = at
 }
 
-// regained notes the end of an outage in which nobody could tell anything.
-func (b *observationStore) onRecovery(lost time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// onRecovery notes the end of an outage of the topic, in which no instance could share its
+// observations.
+func (st *observationStore) onRecovery(lost time.Duration) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	if lost > observationInterval {
-		b.completeSince = b.clock.Now()
+		st.completeSince = st.clock.Now()
 	}
 }
 
-// restored has this instance write its observations again: a copy of the store lacks some.
-func (b *observationStore) onRestore() {
-	b.markDirty()
-	b.wakeUp()
+// onRestore makes this instance write its observations again: the restored store may lack some.
+func (st *observationStore) onRestore() {
+	st.markDirty()
+	st.wakeUp()
 }
 
-// resumed notes that this process stood still, and may have missed what the others tell.
-func (b *observationStore) onPause() { b.markIncomplete() }
+// onPause notes that this process was suspended and may have missed observations of its peers.
+func (st *observationStore) onPause() { st.markIncomplete() }
 
-// unwritten notes that this instance could not tell what it saw: the others may be no better
-// off.
-func (b *observationStore) markIncomplete() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.completeSince = b.clock.Now()
+// markIncomplete notes that peers may have observations that are not known here, for example
+// because this instance could not write its own: the peers may be no better off.
+func (st *observationStore) markIncomplete() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.completeSince = st.clock.Now()
 }
 
-// blind says whether the others may have seen what is not known here.
-func (b *observationStore) mayMissRecords() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock.Now()
-	return now.Sub(b.lastReadAt) > propagationTime || now.Sub(b.completeSince) < propagationTime
+// mayMissRecords reports whether peers may have observations that are not known here.
+func (st *observationStore) mayMissRecords() bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	now := st.clock.Now()
+	return now.Sub(st.lastReadAt) > propagationTime || now.Sub(st.completeSince) < propagationTime
 }
 
-// takeAll applies the newest observations. Notes on crashes among them may be old, and are left
-// out.
-func (b *observationStore) applySnapshot(list []keyedlog.Record) {
+// applySnapshot applies the newest observations. It skips crash records, which may be old.
+func (st *observationStore) applySnapshot(list []keyedlog.Record) {
 	for _, r := range list {
 		if !strings.HasPrefix(r.Key, crashKeyPrefix) {
-			b.apply(r)
+			st.apply(r)
 		}
 	}
 }
 
-// take applies one set of another instance.
-func (b *observationStore) apply(r keyedlog.Record) {
+// apply applies one set or crash record of another instance.
+func (st *observationStore) apply(r keyedlog.Record) {
 	if len(r.Value) == 0 {
 		return
 	}
 	var s observationSet
 	if err := json.Unmarshal(r.Value, &s); err != nil {
-		b.telemetry.emit(logging.EventRecordRejected, slog.String("key", r.Key), slog.String(logging.KeyError, err.Error()))
+		st.telemetry.emit(logging.EventRecordRejected, slog.String("key", r.Key), slog.String(logging.KeyError, err.Error()))
 		return
 	}
-	if s.Instance == b.instance && s.CrashFingerprint != 0 {
+	if s.Instance == st.instance && s.CrashFingerprint != 0 {
 		return
 	}
 	if s.CrashFingerprint != 0 {
-		b.driver.Handle(passthrough.PeerCrashes{Fingerprint: s.CrashFingerprint, Count: s.CrashCount})
+		st.driver.Handle(passthrough.PeerCrashes{Fingerprint: s.CrashFingerprint, Count: s.CrashCount})
 		return
 	}
 	if len(s.Sessions) > 0 {
-		b.driver.Handle(passthrough.PeerSessions{Sessions: s.Sessions})
+		st.driver.Handle(passthrough.PeerSessions{Sessions: s.Sessions})
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if known, ok := b.others[r.Key]; ok && known.answerCount() > s.answerCount() {
-		return // it is one of a copy of the store
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if known, ok := st.others[r.Key]; ok && known.responseCount() > s.responseCount() {
+		return // an earlier one, from a restored store
 	}
-	s.readAt = b.clock.Now()
-	b.others[r.Key] = s
+	s.readAt = st.clock.Now()
+	st.others[r.Key] = s
 }
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -14,94 +14,95 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// observationStore is what the instances tell each other by one topic: the answers that each saw in
-// a roll-out, and requests that crash backend servers. Each instance writes the whole of
-// its own under a key of its own, so that a record lost or written twice does no harm.
+// observationStore shares observations between instances through one topic: the responses that each
+// saw in a roll-out, and requests that crash backend servers. Each instance writes its complete counts
+// under a key of its own, so that a record lost or written twice does no harm.
 type observationStore struct {
 	instance string
-	// life tells this process from those before.
+	// processStart distinguishes this process from earlier ones of the instance.
 	processStart uint64
 	log          keyedlog.Log
 	driver       *Driver
 	telemetry    *telemetry
 	clock        Clock
 
-	// fleet is the number of instances that share the topic.
+	// fleetSize returns the number of instances that share the topic.
 	fleetSize func() int
-	// held gives the records of other instances that are to be written with the own.
+	// followerRecords returns records of followers that are to be written with the own.
 	followerRecords func() []keyedlog.Record
 
 	mu sync.Mutex
-	// own are this instance's observations by service, others those of the others by key.
+	// own are this instance's sets by service, others those of other processes by key.
 	own            map[string]*observationSet
 	others         map[string]observationSet
 	pendingCrashes map[uint64]int
 	wake           chan struct{}
-	// quietAt is when the set is written next though only good answers are to be told.
+	// nextIdleWrite is when sets are written next that have no news of the new version.
 	nextIdleWrite time.Time
-	// readAt is the last time that the others' observations were read, soundSince the end of the
-	// last outage in which they were not.
+	// lastReadAt is the last time as of which the peers' observations were read, completeSince
+	// the end of the last period in which observations may have been missed.
 	lastReadAt    time.Time
 	completeSince time.Time
-	// drops are keys of this instance's that are to be dropped, and when.
+	// deleteAt has the keys of this instance's that are to be deleted, with the time.
 	deleteAt map[string]time.Time
 }
 
 const (
-	// observationsEvery is the time between two writes of the own set while a roll-out is in
-	// progress and its counts of bad answers change.
+	// observationInterval is the time between two writes of the own set while a roll-out is
+	// in progress and the counts of its new version change.
 	observationInterval = 1100 * time.Millisecond
-	// quietEvery is the same while only good answers of the old version are to be told, and
-	// quietPerInstance what it is at least for each instance: each reads what all write, and 25
-	// observations a second tell the number of answers well enough.
+	// idleWriteInterval is the same while only counts of the old version change.
+	// idleWritePerInstance times the fleet size is its minimum: each instance reads what all
+	// write, and 25 sets a second report the number of responses precisely enough.
 	idleWriteInterval    = 6 * time.Second
 	idleWritePerInstance = 40 * time.Millisecond
-	// gatherTime is how long a write waits for more, so that what comes at once goes out in one
-	// call.
+	// batchDelay is how long a write waits for more records, so that simultaneous ones go out
+	// in one call.
 	batchDelay = 150 * time.Millisecond
-	// observationsWait is how long a read waits for a record while no roll-out is in progress.
+	// idleReadWait is how long a read waits for a record while no roll-out is in progress.
 	idleReadWait = 8 * time.Second
-	// noteLife is how long a note on a crash, or a set of a roll-out that has ended, stays in
-	// the store: those that read it then have counted it, and one that starts later must not.
+	// recordLifetime is how long a crash record, or a set of a roll-out that has ended, stays
+	// in the store: by then all running instances have counted it, and one that starts later
+	// must not.
 	recordLifetime = 30 * time.Second
 )
 
-func newObservationStore(instance string, log keyedlog.Log, driver *Driver, j *telemetry, clock Clock) *observationStore {
+func newObservationStore(instance string, log keyedlog.Log, driver *Driver, tel *telemetry, clock Clock) *observationStore {
 	return &observationStore{
-		instance: instance, processStart: uint64(clock.Now().UnixNano()), log: log, driver: driver, telemetry: j, clock: clock,
+		instance: instance, processStart: uint64(clock.Now().UnixNano()), log: log, driver: driver, telemetry: tel, clock: clock,
 		own: map[string]*observationSet{}, others: map[string]observationSet{}, pendingCrashes: map[uint64]int{}, deleteAt: map[string]time.Time{},
 		wake: make(chan struct{}, 1), fleetSize: func() int { return 1 }, followerRecords: func() []keyedlog.Record { return nil },
 	}
 }
 
-// observed counts an answer. It must not block: the driver calls it.
-func (b *observationStore) recordAnswer(o passthrough.Observation) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.own[o.Service]
+// recordResponse counts a response. It must not block: the driver calls it.
+func (st *observationStore) recordResponse(o passthrough.Observation) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	s := st.own[o.Service]
 	if s == nil {
 		return
 	}
 	if o.ConnectionLost && o.Version == s.Target {
 		s.addCrash(o)
-		o.TimingOnly = true // its times count, and the crash by itself
+		o.TimingOnly = true // count its times only: the crash is counted once by its key
 	}
 	s.Routes[o.Route] = observationRow(passthrough.VersionCounts(s.Routes[o.Route]).Add(o, s.Target))
 	s.dirty = s.dirty || o.Version == s.Target
 }
 
-func (b *observationStore) wakeUp() {
+func (st *observationStore) wakeUp() {
 	select {
-	case b.wake <- struct{}{}:
+	case st.wake <- struct{}{}:
 	default:
 	}
 }
 
-// open adds the sessions that are open here to the own set.
-func (b *observationStore) addOpenSessions(service string, sessions []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.own[service]
+// addOpenSessions adds sessions that are open here to the own set.
+func (st *observationStore) addOpenSessions(service string, sessions []string) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	s := st.own[service]
 	if s == nil {
 		return
 	}
@@ -113,75 +114,75 @@
 	}
 }
 
-// run writes what this instance has to tell until ctx ends.
-func (b *observationStore) run(ctx context.Context) {
+// run writes this instance's and its followers' records until ctx ends.
+func (st *observationStore) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		records := append(b.pendingRecords(), b.followerRecords()...)
+		records := append(st.pendingRecords(), st.followerRecords()...)
 		if len(records) > 0 {
-			if err := b.log.Append(ctx, keyedlog.Anywhere, records...); err != nil {
-				b.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
-				b.markDirty()
-				b.markIncomplete()
+			if err := st.log.Append(ctx, keyedlog.Anywhere, records...); err != nil {
+				st.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
+				st.markDirty()
+				st.markIncomplete()
 			}
 		}
 		wait := idleReadWait
-		if b.inRollout() {
+		if st.inRollout() {
 			wait = observationInterval
 		}
-		sleep(ctx, wait, b.wake)
+		sleep(ctx, wait, st.wake)
 		sleep(ctx, batchDelay, nil)
 	}
 }
 
-// busy says whether this instance keeps a set.
-func (b *observationStore) inRollout() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.own) > 0
+// inRollout reports whether this instance keeps a set.
+func (st *observationStore) inRollout() bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return len(st.own) > 0
 }
 
-// due makes the records that are to be written now.
-func (b *observationStore) pendingRecords() []keyedlog.Record {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// pendingRecords returns the records that are to be written now.
+func (st *observationStore) pendingRecords() []keyedlog.Record {
+	st.mu.Lock()
+	defer st.mu.Unlock()
 	var out []keyedlog.Record
-	now := b.clock.Now()
-	quiet := !now.Before(b.nextIdleWrite)
-	for _, s := range b.own {
-		if s.dirty || quiet {
+	now := st.clock.Now()
+	idle := !now.Before(st.nextIdleWrite)
+	for _, s := range st.own {
+		if s.dirty || idle {
 			s.dirty = false
-			b.nextIdleWrite = now.Add(b.idleWriteDelay())
-			out = append(out, b.encode(s.key(), s))
+			st.nextIdleWrite = now.Add(st.idleWriteDelay())
+			out = append(out, st.encode(s.key(), s))
 		}
 	}
-	out = append(out, b.crashRecords(now)...)
-	for key, at := range b.deleteAt {
+	out = append(out, st.crashRecords(now)...)
+	for key, at := range st.deleteAt {
 		if now.After(at) {
-			delete(b.deleteAt, key)
+			delete(st.deleteAt, key)
 			out = append(out, keyedlog.Record{Key: key})
 		}
 	}
 	return out
 }
 
-// quietSpan is the time to the next set without news. It differs from instance to instance:
-// all learn of an order at the same moment, and 295 observations at once held up what must be fresh
-// behind them, so that hundreds of instances turned to the store.
-func (b *observationStore) idleWriteDelay() time.Duration {
-	span := max(idleWriteInterval, time.Duration(b.fleetSize())*idleWritePerInstance)
-	return span/2 + rand.N(span)
+// idleWriteDelay returns a random time to the next write of a set without news. All instances get
+// an order at the same moment: 295 sets written at once delayed the reads that must be fresh, so that
+// hundreds of instances turned to the store themselves.
+func (st *observationStore) idleWriteDelay() time.Duration {
+	interval := max(idleWriteInterval, time.Duration(st.fleetSize())*idleWritePerInstance)
+	return interval/2 + rand.N(interval)
 }
 
-// redo marks the observations as not written.
-func (b *observationStore) markDirty() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, s := range b.own {
+// markDirty marks the own sets as not written.
+func (st *observationStore) markDirty() {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	for _, s := range st.own {
 		s.dirty = true
 	}
 }
 
-func (b *observationStore) encode(key string, s *observationSet) keyedlog.Record {
+func (st *observationStore) encode(key string, s *observationSet) keyedlog.Record {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // a struct of strings and numbers always encodes
@@ -189,22 +190,23 @@
 	return keyedlog.Record{Key: key, Value: text}
 }
 
-// close forgets the observations of a roll-out that has ended, here and, after the others had
-// time to read them, in the store, which keeps the newest record of a key for good.
-func (b *observationStore) endRollout(service string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.own[service]; s != nil {
-		b.deleteAt[s.key()] = b.clock.Now().Add(recordLifetime)
+// endRollout drops the observations of a roll-out that has ended, here at once and in the store
+// after recordLifetime, when the others have read them: the store keeps the newest record of a key
+// until it is deleted.
+func (st *observationStore) endRollout(service string) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if s := st.own[service]; s != nil {
+		st.deleteAt[s.key()] = st.clock.Now().Add(recordLifetime)
 	}
-	delete(b.own, service)
-	for key, s := range b.others {
+	delete(st.own, service)
+	for key, s := range st.others {
 		if s.Service != service {
 			continue
 		}
-		delete(b.others, key)
-		if s.Instance == b.instance {
-			b.deleteAt[key] = b.clock.Now().Add(recordLifetime) // of a process before this one
+		delete(st.others, key)
+		if s.Instance == st.instance {
+			st.deleteAt[key] = st.clock.Now().Add(recordLifetime) // of an earlier process of this instance
 		}
 	}
 }
