--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -26,7 +26,7 @@
 
 	live    map[string]bool
 	hasList bool
-	answers map[string]peerAnswer
+	vouches map[string]receivedVouch
 
 	lastTick time.Time
 	// resumed is when the last pause was found; nothing before it counts.
@@ -39,9 +39,9 @@
 	head uint64
 }
 
-type peerAnswer struct {
-	at     time.Time
-	status Vouch
+type receivedVouch struct {
+	at    time.Time
+	vouch Vouch
 }
 
 // Report is a Mode with what it rests on.
@@ -60,7 +60,7 @@
 	if cfg.Bound <= 0 {
 		cfg.Bound = DefaultBound
 	}
-	return &Tracker{self: cfg.Self, bound: cfg.Bound, answers: map[string]peerAnswer{}}
+	return &Tracker{self: cfg.Self, bound: cfg.Bound, vouches: map[string]receivedVouch{}}
 }
 
 // HeadRead: the log was asked at the time at, and its head is head.
@@ -105,11 +105,11 @@
 	if v.Peer == t.self || v.Peer == "" {
 		return
 	}
-	if known, ok := t.answers[v.Peer]; ok && known.at.After(at) {
+	if known, ok := t.vouches[v.Peer]; ok && known.at.After(at) {
 		return
 	}
 	if t.live[v.Peer] {
-		t.answers[v.Peer] = peerAnswer{at, v}
+		t.vouches[v.Peer] = receivedVouch{at, v}
 	}
 	if v.HeadAge >= 0 && v.HeadAge <= t.bound {
 		t.observeHead(observedHead{at.Add(-v.HeadAge), v.Head})
@@ -129,9 +129,9 @@
 			t.live[name] = true
 		}
 	}
-	for name := range t.answers {
+	for name := range t.vouches {
 		if !t.live[name] {
-			delete(t.answers, name)
+			delete(t.vouches, name)
 		}
 	}
 }
@@ -179,11 +179,11 @@
 	if t.recent(now, t.failedAt) && t.failedAt.After(t.readAt) {
 		unreachable++
 	}
-	for _, answer := range t.answers {
+	for _, answer := range t.vouches {
 		if !t.recent(now, answer.at) {
 			continue
 		}
-		if answer.status.LogReachable || answer.status.Head > t.folded {
+		if answer.vouch.LogReachable || answer.vouch.Head > t.folded {
 			return unreachable, true
 		}
 		unreachable++
--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func (s *scenario) peer(peer string, head uint64, age time.Duration, reachable bool) {
+func (s *scenario) vouch(peer string, head uint64, age time.Duration, reachable bool) {
 	s.tr.Vouched(s.now, Vouch{Peer: peer, Head: head, HeadAge: age, LogReachable: reachable})
 }
 
@@ -84,8 +84,8 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 9, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 9, time.Minute, false)
 			})
 			s.want(ModeOutage)
 			s.fresh()
@@ -95,7 +95,7 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
@@ -103,8 +103,8 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("x", 10, time.Minute, false)
-				s.peer("y", 10, time.Minute, false)
+				s.vouch("x", 10, time.Minute, false)
+				s.vouch("y", 10, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
@@ -112,9 +112,9 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 10, time.Minute, false)
-				s.peer("c", 11, 0, true)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 10, time.Minute, false)
+				s.vouch("c", 11, 0, true)
 			})
 			s.want(ModeStale)
 		},
@@ -122,8 +122,8 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 11, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 11, time.Minute, false)
 			})
 			s.want(ModeStale)
 			s.tr.Folded(11)
@@ -131,15 +131,15 @@
 		},
 		"log down, own read does not know it": func(s *scenario) {
 			s.run(6, func() {
-				s.peer("a", 0, time.Minute, false)
-				s.peer("b", 0, time.Minute, false)
+				s.vouch("a", 0, time.Minute, false)
+				s.vouch("b", 0, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
 		"old answers do not make a majority": func(s *scenario) {
 			s.fresh()
-			s.peer("a", 10, time.Minute, false)
-			s.peer("b", 10, time.Minute, false)
+			s.vouch("a", 10, time.Minute, false)
+			s.vouch("b", 10, time.Minute, false)
 			s.run(6, func() { s.tr.ReadFailed(s.now) })
 			s.want(ModeStale)
 		},
@@ -147,12 +147,12 @@
 			s.fresh()
 			s.run(20, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Second, true)
+				s.vouch("a", 10, time.Second, true)
 			})
 			s.want(ModeFresh)
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 11, time.Second, true)
+				s.vouch("a", 11, time.Second, true)
 			})
 			s.want(ModeStale)
 			s.tr.Folded(11)
@@ -160,13 +160,13 @@
 		},
 		"a vouch is as old as its head": func(s *scenario) {
 			s.tr.Folded(10)
-			s.peer("a", 10, 4*time.Second, true)
+			s.vouch("a", 10, 4*time.Second, true)
 			s.want(ModeFresh)
 			s.run(1.1, nil)
 			s.want(ModeStale)
-			s.peer("a", 10, 6*time.Second, true)
+			s.vouch("a", 10, 6*time.Second, true)
 			s.want(ModeStale)
-			s.peer("a", 10, -time.Hour, true)
+			s.vouch("a", 10, -time.Hour, true)
 			s.want(ModeStale)
 		},
 		"cut from all": func(s *scenario) {
@@ -194,8 +194,8 @@
 			s.fresh()
 			down := func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 10, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 10, time.Minute, false)
 			}
 			s.run(6, down)
 			s.now = s.now.Add(3 * time.Second)
@@ -207,8 +207,8 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 10, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 10, time.Minute, false)
 			})
 			s.tr.SetLiveInstances([]string{"me", "b", "c", "d"})
 			s.want(ModeStale)
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -173,13 +173,13 @@
 func TestManifests(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
-		seen := newGenerationWatch(t)
+		watch := newGenerationWatch(t)
 		work := func(c *cluster, rng *rand.Rand, client int) {
 			for op := range opsPerClient {
 				n := c.node(rng.IntN(nodeCount))
-				seen.observe(n)
+				watch.observe(n)
 				r.publish(c, rng, n, client, op)
-				seen.observe(n)
+				watch.observe(n)
 				time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 			}
 		}
--- a/coordination/lease/example_test.go
+++ b/coordination/lease/example_test.go
@@ -26,10 +26,10 @@
 	}
 	defer m.Close()
 	fmt.Println("taken:", m.Acquire(ctx))
-	fence, refusal := m.Check(lease.FencingEnforced)
-	fmt.Println("may order, fencing number:", refusal == lease.Allowed, fence)
-	_, refusal = m.Check(lease.FencingIgnored)
-	fmt.Println("engine without fencing waits:", refusal == lease.WaitingForPredecessor)
+	fence, result := m.Check(lease.FencingEnforced)
+	fmt.Println("may order, fencing number:", result == lease.Allowed, fence)
+	_, result = m.Check(lease.FencingIgnored)
+	fmt.Println("engine without fencing waits:", result == lease.WaitingForPredecessor)
 	// Output:
 	// taken: true
 	// may order, fencing number: true 0
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -55,7 +55,7 @@
 	return fence
 }
 
-func wantTake(t *testing.T, m *Manager, want bool) {
+func wantAcquire(t *testing.T, m *Manager, want bool) {
 	t.Helper()
 	if got := m.Acquire(t.Context()); got != want {
 		t.Fatalf("%s took the lease: %v, want %v", m.cfg.Holder, got, want)
@@ -68,12 +68,12 @@
 		_, ms, _ := managers(t, 2)
 		a, b := ms[0], ms[1]
 		wantCheck(t, a, FencingEnforced, NotHolder)
-		wantTake(t, a, true)
-		wantTake(t, b, false)
+		wantAcquire(t, a, true)
+		wantAcquire(t, b, false)
 		first := wantCheck(t, a, FencingEnforced, Allowed)
 		wantCheck(t, a, FencingIgnored, WaitingForPredecessor)
 		time.Sleep(5 * time.Second)
-		wantTake(t, a, true)
+		wantAcquire(t, a, true)
 		if second := wantCheck(t, a, FencingEnforced, Allowed); second <= first {
 			t.Errorf("fencing numbers %d, then %d", first, second)
 		}
@@ -85,9 +85,9 @@
 		// The holder stops ClockBound and PauseGuard before its end.
 		time.Sleep(799 * time.Millisecond)
 		wantCheck(t, a, FencingEnforced, Expired)
-		wantTake(t, b, false)
+		wantAcquire(t, b, false)
 		time.Sleep(2100 * time.Millisecond)
-		wantTake(t, b, true)
+		wantAcquire(t, b, true)
 		wantCheck(t, a, FencingEnforced, NotHolder)
 		wantCheck(t, b, FencingEnforced, Allowed)
 		wantCheck(t, b, FencingIgnored, WaitingForPredecessor)
@@ -98,7 +98,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, _ := managers(t, 2)
 		a, b := ms[0], ms[1]
-		wantTake(t, a, true)
+		wantAcquire(t, a, true)
 		if b.HandOver(t.Context()) {
 			t.Error("handed over by who does not hold it")
 		}
@@ -107,7 +107,7 @@
 		}
 		wantCheck(t, a, FencingEnforced, NotHolder)
 		time.Sleep(time.Second)
-		wantTake(t, b, true)
+		wantAcquire(t, b, true)
 		wantCheck(t, b, FencingIgnored, Allowed)
 	})
 }
@@ -116,11 +116,11 @@
 // the order of goroutines.
 func TestTwoTakeAtOnce(t *testing.T) {
 	for range 100 {
-		synctest.Test(t, takeAtOnce)
+		synctest.Test(t, acquireAtOnce)
 	}
 }
 
-func takeAtOnce(t *testing.T) {
+func acquireAtOnce(t *testing.T) {
 	_, ms, _ := managers(t, 3)
 	won := make(chan bool, len(ms))
 	for _, m := range ms {
@@ -141,10 +141,10 @@
 func TestLogDownLapses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, ms, _ := managers(t, 1)
-		wantTake(t, ms[0], true)
+		wantAcquire(t, ms[0], true)
 		log.SetDown(true)
 		time.Sleep(5 * time.Second)
-		wantTake(t, ms[0], false)
+		wantAcquire(t, ms[0], false)
 		wantCheck(t, ms[0], FencingEnforced, Allowed)
 		time.Sleep(3 * time.Second)
 		wantCheck(t, ms[0], FencingEnforced, Expired)
@@ -157,7 +157,7 @@
 		log, ms, _ := managers(t, 1)
 		log.SetSlow(time.Second)
 		sent := time.Now()
-		wantTake(t, ms[0], true)
+		wantAcquire(t, ms[0], true)
 		time.Sleep(time.Until(sent.Add(7899 * time.Millisecond)))
 		wantCheck(t, ms[0], FencingEnforced, Allowed)
 		time.Sleep(time.Millisecond)
@@ -174,9 +174,9 @@
 			t.Fatal(res)
 		}
 		time.Sleep(time.Second)
-		wantTake(t, ms[1], false)
+		wantAcquire(t, ms[1], false)
 		time.Sleep(10 * time.Second)
-		wantTake(t, ms[1], true)
+		wantAcquire(t, ms[1], true)
 	})
 }
 
@@ -228,7 +228,7 @@
 		next := term{number: c.state.current.number + 1, holder: c.state.cfg.Holder, duration: c.state.cfg.Duration}
 		c.pending = &pendingPut{sentAt: w.now, landsAt: w.now.Add(late), term: next}
 	}
-	if _, refusal := c.state.check(w.now, FencingIgnored); refusal != Allowed {
+	if _, result := c.state.check(w.now, FencingIgnored); result != Allowed {
 		return
 	}
 	for j, other := range w.contenders {
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -79,7 +79,7 @@
 
 // Check decides, right before an order is sent, whether it may be, and under
 // which fencing number. It costs no I/O.
-func (m *Manager) Check(engine FencingSupport) (fence uint64, r CheckResult) {
+func (m *Manager) Check(engine FencingSupport) (fence uint64, result CheckResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.check(m.now(), engine)
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -101,10 +101,10 @@
 
 // FullFor says the same where open requests without a reservation will each need
 // room for a bill too: all of them may end while the log takes nothing.
-func (b *Buffer) FullWithOpen(open int) bool {
+func (b *Buffer) FullWithOpen(openRequests int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fullFor(open)
+	return b.fullWithOpen(openRequests)
 }
 
 // Len is how many bills are held.
@@ -127,12 +127,12 @@
 
 // The methods below are called with mu held.
 
-func (b *Buffer) full() bool { return b.fullFor(0) }
+func (b *Buffer) full() bool { return b.fullWithOpen(0) }
 
-func (b *Buffer) fullFor(open int) bool {
-	open += b.reserved
-	tooMany := len(b.held)+open >= b.limits.MaxBills
-	return tooMany || b.bytes+(open+1)*maxHeldBillBytes > b.limits.MaxBytes
+func (b *Buffer) fullWithOpen(openRequests int) bool {
+	openRequests += b.reserved
+	tooMany := len(b.held)+openRequests >= b.limits.MaxBills
+	return tooMany || b.bytes+(openRequests+1)*maxHeldBillBytes > b.limits.MaxBytes
 }
 
 // keep returns false where the bill was held before.
