--- a/coordination/fold/bench_test.go
+++ b/coordination/fold/bench_test.go
@@ -10,11 +10,11 @@
 	"masticplank.example/coordination/record"
 )
 
-// perBatch is how many records a group commit carries under load.
+// recordsPerBatch is how many records a group commit carries under load.
 const recordsPerBatch = 100
 
-// flow makes entries whose keys live until n of them do, so that in a steady
-// state each new register replaces one that expires.
+// workload generates batches whose keys live until n keys are live. In the
+// steady state each new register then replaces one that expires.
 type workload struct {
 	n        int
 	next     int
@@ -60,8 +60,9 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkFold is the cost of one record in a steady state of n live keys,
-// decoded before (fold) or from the log's bytes (decode+fold).
+// BenchmarkFold measures the cost of one record in a steady state of n live
+// keys, for batches that are decoded already (fold) and for encoded ones
+// (decode+fold).
 func BenchmarkFold(b *testing.B) {
 	for _, n := range []int{1_000, 100_000, 1_000_000} {
 		for _, decode := range []bool{false, true} {
@@ -112,7 +113,8 @@
 	runtime.KeepAlive(s)
 }
 
-// BenchmarkSnapshot is the cost of a checkpoint and its size per key.
+// BenchmarkSnapshot measures encoding and restoring a snapshot, and its size
+// per key.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{1_000, 100_000} {
 		s := fill(b, newWorkload(n))
--- a/coordination/fold/checkpoint.go
+++ b/coordination/fold/checkpoint.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// partSize is how much of a snapshot one checkpoint record carries. A
-	// large state spreads over several appends, so other records are not held
-	// up behind one huge append.
+	// partBytes is the size of the piece of a snapshot in one checkpoint record. A
+	// large state is spread over several appends, so that other records do not
+	// wait behind one huge append.
 	partBytes = 512 << 10
-	// maxParts follows from MaxSnapshot.
+	// maxParts follows from MaxSnapshotBytes.
 	maxParts = MaxSnapshotBytes/partBytes + 1
-	// maxOpen is how many unfinished checkpoints an Assembler keeps. Writers
-	// append theirs one after the other; a few may overlap.
+	// maxPartialCheckpoints is how many incomplete checkpoints a
+	// CheckpointAssembler keeps. Writers append theirs one after the other; a few
+	// may overlap.
 	maxPartialCheckpoints = 4
 )
 
-// wirePart is the value of a checkpoint record. Parts with one nonce belong
-// together.
+// wirePart is the value of a checkpoint record. Parts with the same nonce
+// belong together.
 type wirePart struct {
 	_          struct{} `cbor:",toarray"`
 	NextOffset uint64
@@ -29,8 +30,8 @@
 	Data       []byte
 }
 
-// Checkpoint returns the records that carry the state as of now. A reader that
-// finds the records before Digest().Next trimmed starts from them.
+// Checkpoint returns the records that carry the current state. A reader that
+// finds the entries before Digest().NextOffset trimmed starts from them.
 func (s *State) Checkpoint(nonce record.Nonce) ([]record.Record, error) {
 	snapshot, err := s.Snapshot()
 	if err != nil {
@@ -49,8 +50,8 @@
 	return out, nil
 }
 
-// CheckpointPart says which part of how many r carries; ok is false where r is
-// no part of a checkpoint.
+// ParseCheckpointPart returns the index and the total number of parts of the
+// checkpoint that r belongs to; ok is false if r is not a valid part.
 func ParseCheckpointPart(r *record.Record) (part, parts int, ok bool) {
 	w, ok := parsePart(r)
 	return int(w.Part), int(w.Parts), ok
@@ -69,10 +70,11 @@
 	return w, true
 }
 
-// Assembler joins the parts of checkpoints read from the log and keeps the one
-// with the highest Next. Which one it is does not matter for the outcome: each
-// is the state after a prefix, and the reader folds the rest of the log on it.
-// The zero value is ready. Not safe for concurrent use.
+// CheckpointAssembler joins the parts of checkpoints read from the log and
+// keeps the complete one with the highest next offset. The choice does not
+// affect the outcome: each is the state after some prefix, and the reader folds
+// the rest of the log onto it. The zero value is ready to use. It is not safe
+// for concurrent use.
 type CheckpointAssembler struct {
 	partial    []*partialCheckpoint
 	latest     []byte
@@ -86,8 +88,7 @@
 	received   int
 }
 
-// Add takes one record; others than checkpoints and malformed parts are
-// ignored.
+// Add takes one record. It ignores records of other kinds and malformed parts.
 func (a *CheckpointAssembler) Add(r *record.Record) {
 	w, ok := parsePart(r)
 	if !ok {
@@ -104,7 +105,8 @@
 	}
 }
 
-// Best returns the complete checkpoint with the highest Next.
+// Latest returns the complete checkpoint with the highest next offset; ok is
+// false if no checkpoint is complete yet.
 func (a *CheckpointAssembler) Latest() (snapshot []byte, next uint64, ok bool) {
 	return a.latest, a.nextOffset, a.latest != nil
 }
--- a/coordination/fold/clock.go
+++ b/coordination/fold/clock.go
@@ -1,30 +1,34 @@
 package fold
 
-// maxStamp bounds a stamped time (the year 3111), so that sums of times and
-// lifetimes never overflow.
+// maxTimestampMicros bounds a writer's time (the year 3111), so that sums of
+// times and lifetimes never overflow.
 const maxTimestampMicros = 1 << 55
 
-// clock is the log's time in microseconds. It only grows.
+// clock is the log's time in Unix microseconds. It never decreases.
 //
-// Where entries carry the log's own time, it is their running maximum. Else it
-// is the running maximum of the writers' stamped times. One writer with a wrong
-// clock must not move it far: a stamp more than skew ahead waits until another
-// writer stamps a time beyond the skew too, and then the lesser of the two
-// counts, so that one sane writer of the two is enough. The very first stamp
-// has nothing to be compared with and counts at once; if it was wrong, claims
-// are refused (never doubled) until time has caught up.
+// If the log timestamps its entries, the clock is the running maximum of those
+// times. Otherwise it is the running maximum of the writers' times, guarded
+// against a writer with a wrong clock: a time more than skew ahead is pending
+// until another writer's time is beyond the skew too, and then the lesser of
+// the two counts, so that one of the two writers being right is enough. The
+// very first time cannot be compared with anything and counts at once; if it
+// was wrong, claims are refused (never granted twice) until real time has
+// caught up.
 //
-// A lone writer that pauses for longer than the skew stands still until a
-// second one appends; with one instance, use a log that gives times.
+// With a single writer, the clock stops once that writer pauses for longer than
+// the skew, until a second writer appends. A deployment of one instance
+// therefore needs a log that timestamps its entries.
 type clock struct {
 	skew int64
 	now  int64
-	// waiting is the jump not confirmed yet; waitingWriter is empty for none.
+	// pendingJump is a time beyond the skew that no second writer has confirmed
+	// yet; pendingWriter is empty if there is none.
 	pendingJump   int64
 	pendingWriter string
 }
 
-// observe takes the times of one entry; logTime is zero where there is none.
+// observe takes the times of one entry in microseconds. logTime is 0 if the log
+// does not timestamp its entries.
 func (c *clock) observe(logTime, stamped int64, writer string) {
 	if logTime > 0 {
 		c.advance(logTime)
--- a/coordination/fold/fold.go
+++ b/coordination/fold/fold.go
@@ -1,17 +1,18 @@
-// Package fold computes shared state from the log: first-writer-wins
-// registers, the same at every reader that has folded the same prefix.
+// Package fold computes first-writer-wins registers from the records of a
+// shared log. Every reader that has folded the same prefix of the log holds the
+// same registers.
 //
-// It is a pure state machine: no I/O, no clock, no goroutine. Time is only
-// what the entries bring.
+// It is a pure state machine: no I/O, no clock, no goroutines. The only times
+// that it knows are those of the log's entries.
 //
-// Why it is safe: every rule looks at nothing but the entries before it, so two
+// Why it is safe: each rule depends on nothing but the entries so far, so two
 // readers of the same prefix hold the same state, whenever and however often
-// they read it. A key has one winner, since the first live Put takes it and
-// later ones find it taken. A released nonce never wins, since a tombstone
-// stands for it longer than the log can still bring it. A claim is never won
+// they read it. A key has one winner, since the first live Put takes the key
+// and later ones find it taken. A released nonce never wins, since its
+// tombstone outlives every copy of its Put in the log. A claim is never won
 // twice, since its register outlives the window in which the key may be
-// claimed. A manifest is never taken back, since it wins only as the child of
-// the manifest in force and a Release does not reach it.
+// claimed. A manifest is never reverted, since it wins only as the child of the
+// manifest in force and a Release has no effect on it.
 package fold
 
 import (
@@ -20,78 +21,85 @@
 	"masticplank.example/coordination/record"
 )
 
-// Register is the winner for one key.
+// Register is the winning Put of one key.
 type Register struct {
 	Key    record.Key
 	Nonce  record.Nonce
 	Value  []byte
 	Writer string
-	// Offset is where the winning Put stands in the log. It grows with every
-	// later winner of any key, so it serves as a fencing number.
+	// Offset is the log offset of the entry with the winning Put. Every later
+	// winner of any key has a greater one, or the same within one batch, so it
+	// serves as a fencing number.
 	Offset uint64
-	// At is the log's time of the winning Put; Expires is zero for never.
+	// LogTime is the log's time at the winning Put. Expires is zero if the
+	// register does not expire.
 	LogTime time.Time
 	Expires time.Time
 }
 
-// Verdict says what the fold made of one record.
+// Verdict is the effect that the fold gave to one record.
 type Verdict uint8
 
 const (
-	// VerdictWon: the Put is its key's register now.
+	// VerdictWon means that the Put is its key's register now.
 	VerdictWon Verdict = iota + 1
-	// VerdictLost: another Put of that key came first and is live.
+	// VerdictLost means that another Put of the key came first and is live.
 	VerdictLost
-	// VerdictVoid: the Put can never win (released before, key outside its
-	// time window, or refused by the class's check).
+	// VerdictVoid means that the record has no effect: a Put that can never win
+	// (released before, outside the time window of its key, or rejected by its
+	// class's rules or validator), or the Release of a manifest or bill that has
+	// won.
 	VerdictVoid
-	// VerdictReleased: a Release took effect or left a tombstone.
+	// VerdictReleased means that a Release removed its register or left a
+	// tombstone.
 	VerdictReleased
-	// VerdictCheckpoint: a checkpoint was read. It changes nothing at a reader
-	// that has folded all records before it.
+	// VerdictCheckpoint means that the record is a checkpoint. It changes nothing
+	// at a reader that has folded all records before it.
 	VerdictCheckpoint
-	// VerdictDuplicate: the winning Put was read again; nothing changed.
+	// VerdictDuplicate means that the winning Put was read again; nothing changed.
 	VerdictDuplicate
 )
 
-// Change reports one record's effect, in log order.
+// Change is the effect of one record. Changes are reported in log order.
 type Change struct {
 	Verdict Verdict
 	Record  record.Record
-	// Register is the key's register after the record; for VerdictLost it is
-	// the winner. Zero where the key has none.
+	// Register is the key's register after the record. For VerdictLost it is the
+	// winner. Zero if the key has none.
 	Register Register
 }
 
 // Digest summarises a state for comparison between peers.
 type Digest struct {
-	// Next is the offset that will be folded next.
+	// NextOffset is the offset of the entry to be folded next.
 	NextOffset uint64
-	// Generation is the number of the manifest in force.
+	// Generation is the generation of the manifest in force, 0 if there is none.
 	Generation uint64
-	// Hash covers the live registers; equal Next and unlike Hash is a broken
-	// invariant.
+	// Hash covers all registers held. Two states with the same NextOffset and
+	// different hashes violate the fold's invariant.
 	Hash uint64
 }
 
-// Config sets the fold's bounds. All instances must use the same values.
+// Config sets the time bounds of the fold. All instances must use the same
+// values.
 type Config struct {
-	// ClaimWindow is how far the log's time may be past a claim's KeyTime.
-	// Default 12 h (half of a day's retention).
+	// ClaimWindow is how far the log's time may be past a claim's KeyTime. Default
+	// 12 h (half of a day's retention).
 	ClaimWindow time.Duration
-	// ClockSkew is how far a claim's KeyTime may be ahead of the log's time,
-	// and the bound on a jump of stamped time. Default 30 s.
+	// ClockSkew is how far a claim's KeyTime may be ahead of the log's time, and
+	// how far a single writer's time may move the log's time forward. Default 30
+	// s.
 	ClockSkew time.Duration
-	// Retention is how long the log keeps records. Default 24 h.
+	// Retention is how long the log keeps entries. Default 24 h.
 	Retention time.Duration
-	// BillLife is how long a bill's register is kept in memory. Default 10 min,
-	// at most the Retention: long enough that the retries of a bill, and the
-	// copies that peers held, meet it. Whoever reads the ledger keeps them for
-	// the Retention, so a doubled bill is void there however late it comes.
+	// BillLifetime is how long a bill's register is kept in memory, at most
+	// Retention. Default 10 min, which is long enough for the retries of a bill
+	// and the copies at peers to find the register taken. A reader of the ledger
+	// keeps bills for the whole Retention, so later duplicates are void there.
 	BillLifetime time.Duration
 }
 
-// DefaultConfig returns the defaults given at Config's fields.
+// DefaultConfig returns the defaults documented at the fields of Config.
 func DefaultConfig() Config {
 	return Config{
 		ClaimWindow:  12 * time.Hour,
--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -14,7 +14,7 @@
 
 var testConfig = Config{ClaimWindow: 100 * time.Second, ClockSkew: 10 * time.Second, Retention: 200 * time.Second}
 
-// feed applies single records to a State and keeps the offsets.
+// feed applies single records to a State and keeps count of the offsets.
 type feed struct {
 	t *testing.T
 	s *State
@@ -70,7 +70,7 @@
 	return r
 }
 
-// step is one record at a time after start, with the verdict wanted.
+// step is one record, applied at a time after start, and the expected verdict.
 type step struct {
 	after time.Duration
 	rec   record.Record
@@ -91,14 +91,14 @@
 			{0, put("session/a", 1), VerdictVoid},
 			{0, put("session/a", 2), VerdictWon},
 		},
-		"release before the put": {
+		"release before the put voids it": {
 			{0, release("session/a", 1), VerdictReleased},
 			{0, put("session/a", 1), VerdictVoid},
 			{0, put("session/a", 2), VerdictWon},
 			{0, release("session/a", 1), VerdictReleased},
 			{0, put("session/a", 3), VerdictLost},
 		},
-		"a tombstone outlives what it voids, and no more": {
+		"a tombstone lasts as long as the put can still be read": {
 			{0, release("session/a", 1), VerdictReleased},
 			{209 * s, put("session/a", 1), VerdictVoid},
 			{210 * s, put("session/a", 1), VerdictWon},
@@ -108,7 +108,7 @@
 			{1499 * time.Millisecond, put("session/a", 2), VerdictLost},
 			{1500 * time.Millisecond, put("session/a", 2), VerdictWon},
 		},
-		"time never goes back": {
+		"an entry with an earlier time does not move the clock back": {
 			{5 * s, withLifetime(put("session/a", 1), s), VerdictWon},
 			{6 * s, put("session/b", 1), VerdictWon},
 			{0, put("session/a", 2), VerdictWon},
@@ -120,19 +120,19 @@
 			{0, claim("claim/t/b", 1, 10*s), VerdictWon},
 			{0, put("claim/t/c", 1), VerdictVoid},
 		},
-		"a claim can't be won twice, however late": {
+		"a claim cannot be won twice, however late": {
 			{0, claim("claim/t/a", 1, 10*s), VerdictWon},
 			{110 * s, claim("claim/t/a", 2, 10*s), VerdictLost},
 			{111 * s, claim("claim/t/a", 2, 10*s), VerdictLost},
 			{210 * s, claim("claim/t/a", 2, 10*s), VerdictVoid},
 		},
-		"a bill lives for the retention": {
+		"a bill is kept for the retention": {
 			{0, withLifetime(put("bill/t/a", 1), s), VerdictWon},
 			{199 * s, put("bill/t/a", 2), VerdictLost},
 			{199 * s, release("bill/t/a", 1), VerdictVoid},
 			{199 * s, put("bill/t/a", 2), VerdictLost},
 		},
-		"manifests are a chain": {
+		"a manifest wins only as the child of the one in force": {
 			{0, manifest(2, nil, 1, "x"), VerdictVoid},
 			{0, manifest(1, []byte("?"), 1, "x"), VerdictVoid},
 			{0, manifest(1, nil, 1, "one"), VerdictWon},
@@ -144,7 +144,7 @@
 			{0, manifest(1, nil, 1, "one"), VerdictDuplicate},
 			{0, put("manifest/zero", 7), VerdictVoid},
 		},
-		"a manifest is never taken back": {
+		"a manifest in force is never released": {
 			{0, manifest(1, nil, 1, "one"), VerdictWon},
 			{0, release(record.ManifestKey(1, ""), 1), VerdictVoid},
 			{9999 * s, manifest(1, nil, 2, "other"), VerdictLost},
@@ -173,10 +173,10 @@
 	f.apply(0, manifest(2, []byte("one"), 2, "two"))
 	c := f.apply(0, manifest(2, []byte("other"), 3, "three"))
 	if string(c.Register.Value) != "two" || f.s.Digest().Generation != 2 {
-		t.Errorf("got %q at generation %d", c.Register.Value, f.s.Digest().Generation)
+		t.Errorf("winner %q at generation %d, want \"two\" at 2", c.Register.Value, f.s.Digest().Generation)
 	}
 	if m, ok := f.s.Manifest(); !ok || m.Nonce != (record.Nonce{2}) {
-		t.Errorf("in force: %+v", m)
+		t.Errorf("manifest in force: %+v", m)
 	}
 }
 
@@ -189,10 +189,10 @@
 	}
 	f := &feed{t, New(testConfig, Options{Validators: map[record.Class]Validator{record.ClassManifest: refuse}})}
 	if c := f.apply(0, manifest(1, nil, 1, "bad")); c.Verdict != VerdictVoid {
-		t.Errorf("bad content: verdict %d", c.Verdict)
+		t.Errorf("content that the validator rejects: verdict %d", c.Verdict)
 	}
 	if c := f.apply(0, manifest(1, nil, 2, "good")); c.Verdict != VerdictWon {
-		t.Errorf("good content: verdict %d", c.Verdict)
+		t.Errorf("content that the validator accepts: verdict %d", c.Verdict)
 	}
 }
 
@@ -203,7 +203,7 @@
 		f.apply(at, put(record.Key(fmt.Sprintf("bill/t/%d", i)), 1))
 		f.apply(at, release(record.Key(fmt.Sprintf("session/%d", i)), 1))
 	}
-	// 200 s of bills and 210 s of tombstones at 10 a second, and a bucket.
+	// Bills of 200 s and tombstones of 210 s at 10 a second, and one bucket.
 	if n := f.s.Len(); n > 2011 {
 		t.Errorf("%d registers", n)
 	}
@@ -215,7 +215,8 @@
 	}
 }
 
-// TestBillsAreForgottenLongBeforeTheLog counts what a day's bills leave behind.
+// A bill's register must leave memory after BillLifetime, long before the log
+// drops its entry: kept for the retention, a day's bills would fill the memory.
 func TestBillsAreForgottenLongBeforeTheLog(t *testing.T) {
 	s := New(DefaultConfig(), Options{})
 	start := time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
@@ -226,7 +227,7 @@
 			t.Fatal(err)
 		}
 	}
-	// One a second for 10 min, and a bucket.
+	// One a second for 10 min, and one bucket.
 	if n := s.Len(); n > 610 {
 		t.Errorf("%d registers", n)
 	}
@@ -241,7 +242,7 @@
 		t.Errorf("malformed %d, next %d", s.MalformedEntries(), s.Digest().NextOffset)
 	}
 	if _, err := s.Apply(platformlog.Entry{Offset: 5}, nil); !errors.Is(err, ErrOutOfOrder) {
-		t.Errorf("gap: %v", err)
+		t.Errorf("entry with a wrong offset: error %v, want ErrOutOfOrder", err)
 	}
 }
 
@@ -253,11 +254,11 @@
 	}
 	const s = time.Second
 	tests := map[string][]stamp{
-		"running maximum":            {{"a", 0, 0}, {"a", 5 * s, 5 * s}, {"b", 2 * s, 5 * s}, {"b", 15 * s, 15 * s}},
-		"lone jump does not count":   {{"a", 0, 0}, {"b", 999 * s, 0}, {"b", 999 * s, 0}, {"a", s, s}},
-		"confirmed by the lesser":    {{"a", 0, 0}, {"b", 999 * s, 0}, {"a", 50 * s, 50 * s}, {"a", 51 * s, 51 * s}},
-		"second writer jumps beyond": {{"a", 0, 0}, {"a", 50 * s, 0}, {"b", 999 * s, 50 * s}, {"a", 52 * s, 52 * s}},
-		"a wrong clock set right":    {{"a", 0, 0}, {"b", 999 * s, 0}, {"b", 20 * s, 0}, {"a", 999 * s, 20 * s}},
+		"running maximum":             {{"a", 0, 0}, {"a", 5 * s, 5 * s}, {"b", 2 * s, 5 * s}, {"b", 15 * s, 15 * s}},
+		"unconfirmed jump":            {{"a", 0, 0}, {"b", 999 * s, 0}, {"b", 999 * s, 0}, {"a", s, s}},
+		"lesser of two jumps counts":  {{"a", 0, 0}, {"b", 999 * s, 0}, {"a", 50 * s, 50 * s}, {"a", 51 * s, 51 * s}},
+		"second writer jumps further": {{"a", 0, 0}, {"a", 50 * s, 0}, {"b", 999 * s, 50 * s}, {"a", 52 * s, 52 * s}},
+		"writer corrects its clock":   {{"a", 0, 0}, {"b", 999 * s, 0}, {"b", 20 * s, 0}, {"a", 999 * s, 20 * s}},
 	}
 	for name, stamps := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/coordination/fold/main_test.go
+++ b/coordination/fold/main_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestMain fixes the seed of rapid, so that each run gives the same verdict, and
-// makes ten times its usual checks; flags on the command line still count.
+// TestMain fixes the seed of rapid, so that runs are reproducible, and runs ten
+// times its default number of checks. Flags on the command line take
+// precedence.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "1000")
--- a/coordination/fold/property_test.go
+++ b/coordination/fold/property_test.go
@@ -12,7 +12,8 @@
 	"masticplank.example/coordination/record"
 )
 
-// model is the rule in its plainest form: no index, no wheel, no hash.
+// model implements the rules of the fold in the simplest form: no index, no
+// timing wheel, no hash.
 type model struct {
 	now            time.Time
 	live           map[record.Key]Register
@@ -25,7 +26,7 @@
 	return &model{live: map[record.Key]Register{}, released: map[proposal]time.Time{}}
 }
 
-// tick takes the time of an entry, also of one without records.
+// tick advances the model to the time of an entry, with or without records.
 func (m *model) tick(at time.Time) {
 	if at.After(m.now) {
 		m.now = at
@@ -98,10 +99,10 @@
 	return r
 }
 
-// TestFoldMatchesModelAtEveryReader: whatever is appended, in whatever order,
-// repeated or released, the fold agrees with the model; a second reader agrees
-// with the first; and a reader that starts from a snapshot at any place and
-// folds the tail ends in the same bytes as a full replay.
+// Whatever is appended, in any order, repeated or released: the fold agrees
+// with the model, two readers of the log agree with each other, and a reader
+// restored from a snapshot at any point that folds the rest ends in the same
+// bytes as a full replay.
 func TestFoldMatchesModelAtEveryReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
@@ -159,7 +160,7 @@
 			}
 		}
 		if g := full.Digest().Generation; g < generation {
-			t.Fatalf("generation went back from %d to %d", generation, g)
+			t.Fatalf("generation decreased from %d to %d", generation, g)
 		}
 		generation = full.Digest().Generation
 	}
@@ -176,16 +177,17 @@
 		}
 	}
 	if full.Digest() != second.Digest() {
-		t.Fatalf("digests differ: %+v and %+v", full.Digest(), second.Digest())
+		t.Fatalf("digests differ: full replay %+v, restored reader %+v", full.Digest(), second.Digest())
 	}
 	if !bytes.Equal(mustSnapshot(t, full), mustSnapshot(t, second)) {
-		t.Fatal("snapshots differ")
+		t.Fatal("snapshots of the full replay and of the restored reader differ")
 	}
 }
 
-// TestCollectionLeavesTheSameStateAtEveryReader: a slot is freed early and used
-// again. The old row's reference must not collect the new row sooner than at a
-// reader that started from a snapshot and never had that reference.
+// Guards against readers that differ after collection. A row is released before
+// its expiry and its slot is reused, so an outdated reference in the timing
+// wheel points to the new row. It must not collect that row earlier than at a
+// reader that was restored from a snapshot and never had the reference.
 func TestCollectionLeavesTheSameStateAtEveryReader(t *testing.T) {
 	f := newFeed(t)
 	f.apply(0, withLifetime(put("session/a", 1), 1200*time.Millisecond))
@@ -238,29 +240,29 @@
 		t.Fatalf("%d parts", len(newParts))
 	}
 	var a CheckpointAssembler
-	// Parts of two writers overlap, one comes twice, one is junk.
+	// The parts of two writers overlap, one part is repeated, one is malformed.
 	a.Add(&record.Record{Kind: record.KindCheckpoint, Value: []byte("junk")})
 	a.Add(&newParts[0])
 	a.Add(&newParts[0])
 	for i := range oldParts {
 		if _, _, ok := a.Latest(); ok {
-			t.Fatal("complete too soon")
+			t.Fatal("a checkpoint is complete before its last part")
 		}
 		a.Add(&oldParts[i])
 	}
 	if _, next, _ := a.Latest(); next != 3 {
-		t.Fatalf("best at %d, want 3", next)
+		t.Fatalf("latest checkpoint at offset %d, want 3", next)
 	}
 	for i := range newParts[1:] {
 		a.Add(&newParts[1+i])
 	}
-	// A stale one that is read later changes nothing.
+	// A checkpoint with a lower next offset that is read later is ignored.
 	for i := range oldParts {
 		a.Add(&oldParts[i])
 	}
 	data, next, ok := a.Latest()
 	if !ok || next != 5 {
-		t.Fatalf("best at %d, %v", next, ok)
+		t.Fatalf("latest checkpoint at offset %d (found: %v), want 5", next, ok)
 	}
 	s, err := Restore(testConfig, Options{}, data)
 	if err != nil || s.Digest() != fresh.Digest() {
@@ -277,10 +279,10 @@
 	other.Retention++
 	other.Retention += time.Second
 	if _, err := Restore(other, Options{}, good); !errors.Is(err, ErrInvalidSnapshot) {
-		t.Errorf("other bounds: %v", err)
+		t.Errorf("snapshot of another configuration: error %v, want ErrInvalidSnapshot", err)
 	}
-	// Any single damaged byte is either refused or harmless in form; it never
-	// panics, and never yields another manifest or other registers.
+	// A single damaged byte is either rejected or harmless. It never panics and
+	// never yields another manifest or generation.
 	for i := range good {
 		bad := bytes.Clone(good)
 		bad[i] ^= 0x41
--- a/coordination/fold/registers.go
+++ b/coordination/fold/registers.go
@@ -6,8 +6,9 @@
 	"masticplank.example/coordination/record"
 )
 
-// live is the row of key, or nil if there is none or it has expired. An expired
-// row that waits for its bucket is removed, which makes room for a new winner.
+// liveRow returns the row of key, or nil if there is none or it has expired. It
+// removes an expired row that still waits for collection, so that the key can
+// be taken by a new winner.
 func (s *State) liveRow(key record.Key) *row {
 	w := s.table.find(key)
 	if w == nil {
@@ -20,7 +21,8 @@
 	return w
 }
 
-// Lookup returns the live register of key. A bill's value is not kept.
+// Lookup returns the live register of key. The values of bills are not stored,
+// so a bill's register has none.
 func (s *State) Lookup(key record.Key) (Register, bool) {
 	w := s.table.find(key)
 	if w == nil || w.expired(s.clock.now) {
@@ -29,7 +31,7 @@
 	return w.register(), true
 }
 
-// Manifest returns the manifest in force; false before the first.
+// Manifest returns the manifest in force; ok is false before the first one.
 func (s *State) Manifest() (Register, bool) {
 	if s.generation == 0 {
 		return Register{}, false
@@ -37,26 +39,27 @@
 	return s.Lookup(s.manifestKey)
 }
 
-// Registers returns the live registers of class in the order of their offsets.
+// Registers returns the live registers of class, ordered by offset.
 func (s *State) Registers(class record.Class) []Register {
 	return s.table.registers(func(w *row) bool {
 		return !w.expired(s.clock.now) && w.key.Class() == class
 	})
 }
 
-// Digest summarises the state.
+// Digest returns a summary of the state.
 func (s *State) Digest() Digest {
 	return Digest{NextOffset: s.next, Generation: s.generation, Hash: s.table.hash}
 }
 
-// Len is the number of registers held.
+// Len returns the number of registers held, including expired ones that are not
+// collected yet.
 func (s *State) Len() int { return len(s.table.index) }
 
-// Malformed counts the entries that were no valid batch.
+// MalformedEntries returns how many entries were not a valid batch.
 func (s *State) MalformedEntries() uint64 { return s.malformed }
 
-// Now is the log's time.
+// LogTime returns the log's time: the running maximum of its entries' times.
 func (s *State) LogTime() time.Time { return record.FromMicros(s.clock.now) }
 
-// Config returns the bounds that the state was made with.
+// Config returns the configuration with its defaults filled in.
 func (s *State) Config() Config { return s.cfg }
--- a/coordination/fold/rules.go
+++ b/coordination/fold/rules.go
@@ -8,7 +8,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// rules holds what differs between classes; times are in microseconds.
+// rules holds the time bounds of the register classes, in microseconds.
 type rules struct {
 	claimWindow       int64
 	skew              int64
@@ -25,16 +25,16 @@
 		retention:    cfg.Retention.Microseconds(),
 		billLifetime: cfg.BillLifetime.Microseconds(),
 	}
-	// A key may be claimed from skew before its time until a window past it,
-	// so a claim is kept for longer than any other Put of its key can win.
+	// A key may be claimed from skew before its KeyTime until claimWindow after
+	// it, so a claim is kept for longer than any other Put of its key can win.
 	r.claimLifetime = 2*r.claimWindow + r.skew
-	// A Put may lie in the log no longer than the retention, and a claim can
-	// win no later than its window: past both, a tombstone has no more to void.
+	// A Put stays in the log no longer than the retention, and a claim cannot win
+	// after its window. Once both are over, a tombstone has nothing left to void.
 	r.tombstoneLifetime = max(r.retention, r.claimLifetime)
 	return r
 }
 
-// expiry is when a register that wins now ends; zero for never.
+// expiry returns when a register that wins now expires, zero for never.
 func (r *rules) expiry(class record.Class, now int64, lifetime time.Duration) int64 {
 	switch class {
 	case record.ClassManifest:
@@ -42,8 +42,8 @@
 	case record.ClassClaim:
 		return now + r.claimLifetime
 	case record.ClassBill:
-		// Nobody but the ledger's reader needs a bill for longer, and bills are
-		// most of all records: see Config.BillLife.
+		// Only readers of the ledger need a bill for longer, and bills are the
+		// majority of all records: see Config.BillLifetime.
 		return now + r.billLifetime
 	}
 	if lifetime == 0 {
@@ -52,8 +52,9 @@
 	return now + max(1, lifetime.Microseconds())
 }
 
-// kept is what stays of a value in memory. Bills are read from the stream, and
-// there are many: only the fact that one was taken stays.
+// storedValue returns the part of a value that is kept in memory. Bills are
+// read from the log and are numerous, so only the fact that one was taken is
+// kept.
 func (r *rules) storedValue(class record.Class, value []byte) []byte {
 	if class == record.ClassBill {
 		return nil
@@ -61,12 +62,12 @@
 	return value
 }
 
-// final says that a winner of the class can't be released.
+// irrevocable reports whether a winner of the class cannot be released.
 func (r *rules) irrevocable(class record.Class) bool {
 	return class == record.ClassManifest || class == record.ClassBill
 }
 
-// check judges a Put whose key is free; zero means that it wins.
+// checkPut checks a Put whose key is free. Zero means that it wins.
 func (s *State) checkPut(class record.Class, r *record.Record) Verdict {
 	switch class {
 	case record.ClassClaim:
@@ -85,8 +86,9 @@
 	return 0
 }
 
-// claimable: a key older than the window might have been claimed and forgotten,
-// and one from the future would be forgotten before its window ends.
+// claimable reports whether a claim with keyTime may win now. A key older than
+// the window might have been claimed and forgotten; the register of a key from
+// the future would expire before the key's window ends.
 func (r *rules) claimable(now, keyTime int64) bool {
 	if keyTime <= 0 {
 		return false
@@ -94,8 +96,8 @@
 	return now-keyTime <= r.claimWindow && keyTime-now <= r.skew
 }
 
-// checkManifest admits only the child of the manifest in force, so generations
-// grow by one and never go back, and of two children the first one wins.
+// checkManifest accepts only the child of the manifest in force, so generations
+// grow by one, never go back, and the first of two children wins.
 func (s *State) checkManifest(r *record.Record) Verdict {
 	generation, parent, err := record.ParseManifestKey(r.Key)
 	if err != nil {
@@ -110,8 +112,9 @@
 	return 0
 }
 
-// supersede makes r the manifest in force. The one before stays for the
-// retention without its value, so that a late retry of its Put is known.
+// supersede makes r the manifest in force. Its predecessor is kept for the
+// retention without its value, so that a late retry of its Put is recognised as
+// a duplicate.
 func (s *State) supersede(r *record.Record) {
 	if old := s.table.find(s.manifestKey); old != nil && s.generation > 0 {
 		s.table.setExpiry(old, s.clock.now+s.rules.retention)
--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -10,19 +10,21 @@
 	"masticplank.example/coordination/record"
 )
 
-// ErrSnapshot means that bytes are no snapshot that this reader can take.
-var ErrInvalidSnapshot = errors.New("fold: malformed snapshot")
+// ErrInvalidSnapshot means that bytes are not a snapshot that this reader can
+// restore: malformed, too large, inconsistent, or made with another Config.
+var ErrInvalidSnapshot = errors.New("fold: invalid snapshot")
 
 const (
 	snapshotVersion = 1
-	// MaxSnapshot is the longest snapshot in bytes: what an instance of 256 MB
-	// can hold beside the state that it replaces.
+	// MaxSnapshotBytes is the maximum length of a snapshot: what an instance with
+	// 256 MB of memory can hold beside the state that the snapshot replaces.
 	MaxSnapshotBytes = 96 << 20
-	// maxRows bounds the registers and tombstones of a snapshot.
+	// maxSnapshotRows bounds the registers and the tombstones of a snapshot.
 	maxSnapshotRows = 4_000_000
 )
 
-// wireSnapshot is a State in order of keys: equal states give equal bytes.
+// wireSnapshot is an encoded State. Rows and tombstones are ordered by key, so
+// that equal states have equal encodings. Times are in microseconds.
 type wireSnapshot struct {
 	_              struct{} `cbor:",toarray"`
 	Version        uint64
@@ -75,7 +77,8 @@
 	return m
 }
 
-// Snapshot encodes the state: equal states give equal bytes.
+// Snapshot encodes the state. Equal states have equal encodings. Errors wrap
+// ErrInvalidSnapshot if the state is too large.
 func (s *State) Snapshot() ([]byte, error) {
 	w := wireSnapshot{
 		Version:        snapshotVersion,
@@ -99,7 +102,7 @@
 		return nil, trace.Wrap(err)
 	}
 	if len(data) > MaxSnapshotBytes {
-		return nil, trace.Wrap(ErrInvalidSnapshot, "%d bytes are beyond the limit", len(data))
+		return nil, trace.Wrap(ErrInvalidSnapshot, "snapshot of %d bytes is too large", len(data))
 	}
 	return data, nil
 }
@@ -138,13 +141,14 @@
 	return out
 }
 
-// Restore makes a State from a snapshot. It must come from an instance with the
-// same configuration. Errors wrap ErrSnapshot. It checks the form, the hash and
-// the manifest's place; a snapshot forged as a whole is for mutual TLS to keep
-// out.
+// Restore decodes a snapshot. It must come from an instance with the same
+// configuration. Errors wrap ErrInvalidSnapshot. Restore checks the form, the
+// hash and that the manifest in force matches its generation; it cannot detect
+// a snapshot that is forged as a whole, which mutual TLS between peers must
+// prevent.
 func Restore(cfg Config, opts Options, snapshot []byte) (*State, error) {
 	if len(snapshot) > MaxSnapshotBytes {
-		return nil, trace.Wrap(ErrInvalidSnapshot, "%d bytes are beyond the limit", len(snapshot))
+		return nil, trace.Wrap(ErrInvalidSnapshot, "snapshot of %d bytes is too large", len(snapshot))
 	}
 	var w wireSnapshot
 	if err := snapshotDecMode.Unmarshal(snapshot, &w); err != nil {
@@ -170,13 +174,13 @@
 
 func (s *State) checkHeader(w *wireSnapshot) error {
 	if w.Version != snapshotVersion {
-		return trace.Wrap(ErrInvalidSnapshot, "version %d", w.Version)
+		return trace.Wrap(ErrInvalidSnapshot, "unknown snapshot version %d", w.Version)
 	}
 	if w.ClaimWindow != s.rules.claimWindow || w.ClockSkew != s.rules.skew || w.Retention != s.rules.retention {
-		return trace.Wrap(ErrInvalidSnapshot, "made with other bounds")
+		return trace.Wrap(ErrInvalidSnapshot, "made with another configuration")
 	}
 	if w.Now < 0 || w.Now > maxTimestampMicros || len(w.PendingWriter) > record.MaxWriterBytes {
-		return trace.Wrap(ErrInvalidSnapshot, "time out of range")
+		return trace.Wrap(ErrInvalidSnapshot, "log time or pending writer out of range")
 	}
 	return nil
 }
@@ -185,7 +189,7 @@
 	for i := range rows {
 		w := &rows[i]
 		if i > 0 && rows[i-1].Key >= w.Key {
-			return trace.Wrap(ErrInvalidSnapshot, "registers out of order")
+			return trace.Wrap(ErrInvalidSnapshot, "register keys are not in ascending order")
 		}
 		r := row{
 			key:     record.Key(w.Key),
@@ -198,7 +202,7 @@
 		bad := len(w.Nonce) != len(r.nonce) || len(w.Key) > record.MaxKeyBytes || len(w.Value) > record.MaxValueBytes ||
 			len(w.Writer) > record.MaxWriterBytes || r.key.Class() == "" || w.Offset >= s.next || w.Expires < 0
 		if bad {
-			return trace.Wrap(ErrInvalidSnapshot, "register %d", i)
+			return trace.Wrap(ErrInvalidSnapshot, "register %d is invalid", i)
 		}
 		copy(r.nonce[:], w.Nonce)
 		if len(w.Value) == 0 {
@@ -214,11 +218,11 @@
 		w := &tombstones[i]
 		p := proposal{key: record.Key(w.Key)}
 		if len(w.Nonce) != len(p.nonce) || len(w.Key) > record.MaxKeyBytes || w.Expires < 0 {
-			return trace.Wrap(ErrInvalidSnapshot, "tombstone %d", i)
+			return trace.Wrap(ErrInvalidSnapshot, "tombstone %d is invalid", i)
 		}
 		copy(p.nonce[:], w.Nonce)
 		if _, duplicate := s.tombstones[p]; duplicate {
-			return trace.Wrap(ErrInvalidSnapshot, "tombstone %d stands twice", i)
+			return trace.Wrap(ErrInvalidSnapshot, "tombstone %d is a duplicate", i)
 		}
 		s.tombstones[p] = w.Expires
 		s.tombstoneExpiries.add(w.Expires, p)
@@ -228,11 +232,11 @@
 
 func (s *State) checkRestored(hash uint64) error {
 	if s.table.hash != hash {
-		return trace.Wrap(ErrInvalidSnapshot, "hash differs")
+		return trace.Wrap(ErrInvalidSnapshot, "hash does not match the registers")
 	}
 	if s.generation == 0 {
 		if s.manifestKey != "" || s.manifestDigest != "" {
-			return trace.Wrap(ErrInvalidSnapshot, "manifest without a generation")
+			return trace.Wrap(ErrInvalidSnapshot, "manifest in force has no generation")
 		}
 		return nil
 	}
--- a/coordination/fold/state.go
+++ b/coordination/fold/state.go
@@ -12,21 +12,23 @@
 	"masticplank.example/coordination/record"
 )
 
-// ErrGap means that an entry was offered out of its order.
-var ErrOutOfOrder = errors.New("fold: entry is not the next one")
+// ErrOutOfOrder means that an entry does not have the next offset.
+var ErrOutOfOrder = errors.New("fold: entry is out of order")
 
-// Validator judges the content of a Put that would otherwise win. It must be
-// pure: what it returns may depend on nothing but its arguments, since every
-// reader asks its own. It must not change the state.
+// Validator checks the content of a Put that would otherwise win; an error
+// makes the Put void. It must be pure and depend on nothing but its arguments,
+// since every reader calls its own. It must not change the state.
 type Validator func(r record.Record, s *State) error
 
-// Options of a State. All instances must use the same.
+// Options of a State. All instances must use the same ones.
 type Options struct {
-	// Validators by class; a class without one takes any content.
+	// Validators holds the validators by class. A class without one accepts any
+	// content.
 	Validators map[record.Class]Validator
 }
 
-// State is the state folded so far. It is not safe for concurrent use.
+// State is the result of folding a prefix of the log. It is not safe for
+// concurrent use.
 type State struct {
 	cfg   Config
 	opts  Options
@@ -34,17 +36,19 @@
 	clock clock
 	next  uint64
 	table table
-	// tombstones void the Puts of released nonces; the value is the expiry.
+	// tombstones void the Puts of released nonces; the value is the expiry in
+	// microseconds of the log's time.
 	tombstones        map[proposal]int64
 	tombstoneExpiries timingWheel[proposal]
-	// manifest is the key of the manifest in force; digest is its value's.
+	// manifestKey and manifestDigest are the register key and the value's digest
+	// of the manifest in force.
 	manifestKey    record.Key
 	manifestDigest string
 	generation     uint64
 	malformed      uint64
 }
 
-// proposal names one Put: retries of it carry the same key and nonce.
+// proposal identifies one Put: its retries carry the same key and nonce.
 type proposal struct {
 	key   record.Key
 	nonce record.Nonce
@@ -65,9 +69,10 @@
 	}
 }
 
-// NewFrom returns a state that starts at the entry next, as if nothing had come
-// before. It is right only for classes whose registers live no longer than the
-// log keeps records (bills), for a reader that starts at the oldest entry kept.
+// NewAtOffset returns a state that starts at the entry next, as if nothing
+// preceded it. It is correct only for classes whose registers live no longer
+// than the log keeps entries (bills), and for a reader that starts at the
+// oldest entry kept.
 func NewAtOffset(cfg Config, opts Options, next uint64) *State {
 	s := New(cfg, opts)
 	s.next = next
@@ -92,8 +97,9 @@
 	return c
 }
 
-// Apply folds the next entry and appends what its records did to out. An entry
-// that is no valid batch changes nothing but the time. The one error is ErrGap.
+// Apply folds the next entry and appends one Change per record to out. An entry
+// that is not a valid batch advances the log's time and changes nothing else.
+// The only error is ErrOutOfOrder, wrapped.
 func (s *State) Apply(e platformlog.Entry, out []Change) ([]Change, error) {
 	if e.Offset != s.next {
 		return out, trace.Wrap(ErrOutOfOrder, "offset %d, want %d", e.Offset, s.next)
@@ -106,7 +112,8 @@
 	return s.ApplyBatch(e.Offset, e.Time, &b, out)
 }
 
-// ApplyBatch is Apply for an entry that was decoded already.
+// ApplyBatch is Apply for an entry that is decoded already. A zero logTime
+// means that the log does not timestamp its entries.
 func (s *State) ApplyBatch(offset uint64, logTime time.Time, b *record.Batch, out []Change) ([]Change, error) {
 	if offset != s.next {
 		return out, trace.Wrap(ErrOutOfOrder, "offset %d, want %d", offset, s.next)
@@ -131,8 +138,8 @@
 	}
 }
 
-// put judges one Put: taken keys first, so that a late resend learns of the
-// winner and not of a window that has closed since.
+// put applies one Put. It checks for a taken key first, so that a late retry
+// learns the winner instead of that the key's window has closed since.
 func (s *State) put(offset uint64, writer string, r *record.Record) Change {
 	p := proposal{r.Key, r.Nonce}
 	if s.isReleased(p) {
@@ -159,8 +166,8 @@
 	return c
 }
 
-// rival is what a Put lost against where its own key has no register: a
-// manifest of a generation that is past loses to the one in force.
+// manifestWinner returns what a Put lost to if its own key has no register: a
+// manifest of a past generation loses to the one in force.
 func (s *State) manifestWinner(v Verdict) Register {
 	if v != VerdictLost {
 		return Register{}
@@ -185,9 +192,9 @@
 	return s.table.insert(w)
 }
 
-// release voids one nonce for good, and takes the register that it holds.
-// Manifests and bills that have won are not taken back: one must never revert,
-// and the other must never be charged anew.
+// release voids one nonce permanently and removes the register that it holds.
+// Manifests and bills that have won are not released: a manifest must never
+// revert, and a request must not be billed a second time.
 func (s *State) release(r *record.Record) Change {
 	w := s.liveRow(r.Key)
 	if w != nil && w.nonce == r.Nonce {
@@ -219,8 +226,8 @@
 	return ok && expires > s.clock.now
 }
 
-// collect drops what has expired a whole bucket ago. It runs at each entry, by
-// the log's time, so that equal prefixes leave equal tables and digests.
+// collectExpired drops what expired in a past bucket. It runs at each entry and
+// uses the log's time, so that equal prefixes leave equal tables and digests.
 func (s *State) collectExpired() {
 	now := s.clock.now
 	s.table.expiries.collect(now, func(i uint32) {
@@ -236,7 +243,7 @@
 	})
 }
 
-// rowHash is one register's part in Digest.Hash.
+// rowHash returns one row's contribution to Digest.Hash.
 func rowHash(w *row) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/coordination/fold/table.go
+++ b/coordination/fold/table.go
@@ -6,7 +6,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// row is a register as held in memory; times are in microseconds.
+// row is a register in memory. Times are Unix microseconds, 0 if unset.
 type row struct {
 	key     record.Key
 	nonce   record.Nonce
@@ -33,12 +33,12 @@
 	}
 }
 
-// maxInterned bounds the names of writers shared between rows. Instances are
-// replaced all day, so the names are dropped once there are many.
+// maxInterned bounds the writer names shared between rows. Instances are
+// replaced all day, so the names are dropped once there are too many.
 const maxInterned = 4096
 
-// table holds the rows, with an index by key, a wheel by expiry, and the hash
-// of all rows kept up at each step.
+// table holds the rows, an index by key, a timing wheel by expiry, and the
+// incrementally maintained hash of all rows.
 type table struct {
 	rows     []row
 	free     []uint32
@@ -64,8 +64,8 @@
 	return &t.rows[i]
 }
 
-// insert adds w, whose key must not be there. The pointer that it returns is
-// good until the next insert.
+// insert adds w, whose key must not be present. The returned pointer is valid
+// until the next insert.
 func (t *table) insert(w row) *row {
 	w.writer = t.intern(w.writer)
 	i := t.allocate()
@@ -88,8 +88,8 @@
 	return uint32(len(t.rows) - 1)
 }
 
-// remove drops w. A reference to it may stay in the wheel; collecting checks
-// the expiry of whatever stands in the slot by then.
+// remove drops w. A reference to its slot may remain in the timing wheel;
+// collection checks the expiry of the row that occupies the slot by then.
 func (t *table) remove(w *row) {
 	i := t.index[w.key]
 	t.hash ^= rowHash(w)
@@ -98,7 +98,7 @@
 	t.free = append(t.free, i)
 }
 
-// expire sets when w expires, and drops its value.
+// setExpiry sets the expiry of w in microseconds and drops its value.
 func (t *table) setExpiry(w *row, expires int64) {
 	w.value = nil
 	w.expires = expires
--- a/coordination/fold/wheel.go
+++ b/coordination/fold/wheel.go
@@ -2,13 +2,14 @@
 
 import "container/heap"
 
-// bucketWidth is the wheel's step in microseconds. A register may stay in
-// memory that long past its expiry; lookups compare the exact time.
+// bucketMicros is the width of a bucket of the timing wheel in microseconds. A
+// register may stay in memory that long past its expiry; lookups compare the
+// exact time.
 const bucketMicros = 1_000_000
 
-// wheel orders references by the second in which they expire. Adding costs one
-// map access and collecting one step for each reference, whatever the number
-// held: a full scan of a million registers at each entry would not do.
+// timingWheel groups references by the second in which they expire. Adding one
+// costs a map access, and collecting one a single step, however many are held;
+// scanning a million registers at each entry would be too slow.
 type timingWheel[T any] struct {
 	buckets map[int64][]T
 	order   bucketHeap
@@ -18,7 +19,7 @@
 	return timingWheel[T]{buckets: map[int64][]T{}}
 }
 
-// add files ref under the time expires, in microseconds.
+// add files ref under its expiry in microseconds.
 func (w *timingWheel[T]) add(expires int64, ref T) {
 	b := expires / bucketMicros
 	refs, ok := w.buckets[b]
@@ -28,7 +29,7 @@
 	w.buckets[b] = append(refs, ref)
 }
 
-// collect calls f for each reference in a bucket that lies wholly before now.
+// collect calls f for each reference in a bucket that ends at or before now.
 func (w *timingWheel[T]) collect(now int64, f func(T)) {
 	for len(w.order) > 0 && (w.order[0]+1)*bucketMicros <= now {
 		b := heap.Pop(&w.order).(int64)
@@ -40,10 +41,11 @@
 	}
 }
 
-// collectable says whether what expires at that time is due for collection: its
-// whole bucket is past. References may be older than what stands behind them,
-// so this, and not being referred to, decides; otherwise a reader that started
-// from a snapshot, and lacks the old references, would hold another state.
+// collectable reports whether something with that expiry is due for collection:
+// its whole bucket is past. References may be older than the row that they
+// point to, so this decides and not the existence of a reference. Otherwise a
+// reader restored from a snapshot, which lacks the old references, would hold a
+// different state.
 func collectable(expires, now int64) bool {
 	return (expires/bucketMicros+1)*bucketMicros <= now
 }
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxPending bounds the heads that wait to be folded. Long polls bring a few a
+// maxPendingHeads bounds the heads that wait to be folded. Long polls bring a few a
 // second; where folding lags by more, the oldest ones are the first to count.
 const maxPendingHeads = 64
 
@@ -18,7 +18,7 @@
 
 	folded       uint64
 	pendingHeads []observedHead
-	// confirmed is the time of the youngest confirmation.
+	// confirmedAt is the time of the youngest confirmation.
 	confirmedAt time.Time
 
 	readAt   time.Time
@@ -29,11 +29,11 @@
 	vouches map[string]receivedVouch
 
 	lastTick time.Time
-	// resumed is when the last pause was found; nothing before it counts.
+	// resumedAt is when the last pause was found; nothing before it counts.
 	resumedAt time.Time
 }
 
-// headSeen is a head of the log and when it was read.
+// observedHead is a head of the log and when it was read.
 type observedHead struct {
 	at   time.Time
 	head uint64
@@ -49,7 +49,7 @@
 	Mode Mode
 	// Age of the youngest confirmation; negative where there is none.
 	Age time.Duration
-	// Answering counts the live instances, oneself included, that say they
+	// LogUnreachable counts the live instances, oneself included, that say they
 	// can't reach the log; Live is the size of the list.
 	LogUnreachable int
 	LiveInstances  int
@@ -172,7 +172,7 @@
 	return r
 }
 
-// poll counts who says now that the log can't be reached. The second result is
+// countUnreachable counts who says now that the log can't be reached. The second result is
 // true if anybody who answered reaches it, or knows of a record that the own
 // state lacks: such a record may be a manifest, and comes from that peer first.
 func (t *Tracker) countUnreachable(now time.Time) (unreachable int, reachable bool) {
@@ -213,7 +213,7 @@
 	t.lastTick = latest(t.lastTick, now)
 }
 
-// pauseOf is the time between two ticks by whichever clock says more: the
+// pauseBetween is the time between two ticks by whichever clock says more: the
 // monotonic clock stands still while a virtual machine is suspended, and the
 // wall clock does not.
 func pauseBetween(before, now time.Time) time.Duration {
--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// script drives a Tracker by seconds after start, ticking each 100 ms.
+// scenario drives a Tracker by seconds after start, ticking each 100 ms.
 type scenario struct {
 	t   *testing.T
 	tr  *Tracker
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -50,7 +50,7 @@
 	return others[:n:n]
 }
 
-// pickOutside draws the index of a peer outside domain; -1 if there is none.
+// pickOtherDomain draws the index of a peer outside domain; -1 if there is none.
 func pickOtherDomain(rng *rand.Rand, domain string, peers []Peer) int {
 	chosen, seen := -1, 0
 	for i, p := range peers {
@@ -80,7 +80,7 @@
 	RelationBehind
 	// RelationAhead: the own instance has folded more.
 	RelationAhead
-	// RelationBroken: the same prefix gave two states. This can't be while all
+	// RelationDiverged: the same prefix gave two states. This can't be while all
 	// run the same rules; neither state is to be trusted.
 	RelationDiverged
 )
--- a/coordination/history/cluster.go
+++ b/coordination/history/cluster.go
@@ -38,7 +38,7 @@
 	opsPerClient = 8
 )
 
-// run makes one seeded history: work runs in clients goroutines while faults
+// runHistory makes one seeded history: work runs in clients goroutines while faults
 // strike; afterwards the log is healthy again and all nodes must agree.
 func runHistory(t *testing.T, seed uint64, work func(c *cluster, rng *rand.Rand, client int), check func(c *cluster)) {
 	t.Helper()
@@ -103,7 +103,7 @@
 	return c.nodes[slot%nodeCount]
 }
 
-// faults strikes at random until stop is closed.
+// injectFaults strikes at random until stop is closed.
 func (c *cluster) injectFaults(rng *rand.Rand, stop chan struct{}) {
 	for {
 		select {
@@ -181,7 +181,7 @@
 	}
 }
 
-// whole is a log with all entries, trimmed or not.
+// fullLog is a log with all entries, trimmed or not.
 func (c *cluster) fullLog() *logtest.Log {
 	log := logtest.New()
 	for _, e := range append(c.archive, c.log.Entries()...) {
@@ -219,7 +219,7 @@
 	return s
 }
 
-// each calls f for each record of key in the log, trimmed or not.
+// eachRecord calls f for each record of key in the log, trimmed or not.
 func (c *cluster) eachRecord(key record.Key, f func(e platformlog.Entry, writer string, r record.Record)) {
 	for _, e := range append(c.archive, c.log.Entries()...) {
 		b, err := record.Decode(e.Data)
@@ -234,7 +234,7 @@
 	}
 }
 
-// records lists what the log has of key.
+// describeRecords lists what the log has of key.
 func (c *cluster) describeRecords(key record.Key) []string {
 	var out []string
 	c.eachRecord(key, func(e platformlog.Entry, writer string, r record.Record) {
@@ -244,7 +244,7 @@
 	return out
 }
 
-// copies counts the Puts of each nonce of key in the log.
+// countPuts counts the Puts of each nonce of key in the log.
 func (c *cluster) countPuts(key record.Key) map[record.Nonce]int {
 	out := map[record.Nonce]int{}
 	c.eachRecord(key, func(_ platformlog.Entry, _ string, r record.Record) {
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// saidNo: the caller was told that its Put lost or is void.
+// toldRefused: the caller was told that its Put lost or is void.
 func toldRefused(op porcupine.Operation) bool {
 	res, ok := op.Output.(node.Result)
 	return ok && (res.Outcome == node.OutcomeLost || res.Outcome == node.OutcomeVoid)
@@ -213,7 +213,7 @@
 	r.add(porcupine.Operation{ClientId: client, Input: in, Call: call, Output: res, Return: returned})
 }
 
-// generations checks that no node's generation ever goes back.
+// generationWatch checks that no node's generation ever goes back.
 type generationWatch struct {
 	t    *testing.T
 	mu   sync.Mutex
@@ -234,7 +234,7 @@
 	g.seen[n] = now
 }
 
-// books counts, per request, what callers would see: runs and bills.
+// billing counts, per request, what callers would see: runs and bills.
 type billing struct {
 	mu    sync.Mutex
 	runs  map[string]int
@@ -270,7 +270,7 @@
 	})
 }
 
-// ran bills a run: the first try may fail in any way, and is not waited for.
+// bill bills a run: the first try may fail in any way, and is not waited for.
 // Sometimes a copy with other content is billed too, as by a second run.
 func (b *billing) bill(t *testing.T, c *cluster, rng *rand.Rand, request string) {
 	bill := ledger.Bill{Team: "t", RequestID: request, CostMicros: 7, Attempts: 1}
--- a/coordination/history/models.go
+++ b/coordination/history/models.go
@@ -9,7 +9,7 @@
 
 // The sequential models that histories are checked against.
 
-// step is one operation on a register: a Put, or a Release.
+// registerOp is one operation on a register: a Put, or a Release.
 type registerOp struct {
 	key     record.Key
 	nonce   record.Nonce
@@ -82,7 +82,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// publish is one try to replace the manifest of generation parent.
+// publishOp is one try to replace the manifest of generation parent.
 type publishOp struct {
 	parent uint64
 	digest string
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -36,10 +36,10 @@
 	// Duration of one term. Default 10 s: a crashed holder is followed in
 	// twice that, and renewing costs one record in a third of it.
 	Duration time.Duration
-	// ClockBound is how far two clocks may drift apart in one term. Default
+	// MaxClockDrift is how far two clocks may drift apart in one term. Default
 	// 100 ms: 1% of it, several times what a machine's clock does.
 	MaxClockDrift time.Duration
-	// PauseGuard is the longest pause between a check and its order's arrival
+	// MaxPause is the longest pause between a check and its order's arrival
 	// that an engine without fencing is guarded against. Default 2 s.
 	MaxPause time.Duration
 }
@@ -48,7 +48,7 @@
 	defaultDuration   = 10 * time.Second
 	defaultClockBound = 100 * time.Millisecond
 	defaultPauseGuard = 2 * time.Second
-	// keepTerms is how many durations a term's register outlives its lease, so
+	// termRetentionDurations is how many durations a term's register outlives its lease, so
 	// that a late copy of its Put finds it taken.
 	termRetentionDurations = 60
 )
@@ -66,17 +66,17 @@
 	return c
 }
 
-// Engine says what a backend server does with a fencing number.
+// FencingSupport says what a backend server does with a fencing number.
 type FencingSupport uint8
 
 const (
-	// EngineFences: it refuses orders with a number lower than one it has seen.
+	// FencingEnforced: it refuses orders with a number lower than one it has seen.
 	FencingEnforced FencingSupport = iota + 1
-	// EngineIgnores: it takes any order.
+	// FencingIgnored: it takes any order.
 	FencingIgnored
 )
 
-// Refusal says why no order may be sent now.
+// CheckResult says why no order may be sent now.
 type CheckResult uint8
 
 const (
@@ -84,9 +84,9 @@
 	Allowed CheckResult = iota
 	// NotHolder: another instance, or none, holds the lease.
 	NotHolder
-	// Lapsed: too little is left of the own term.
+	// Expired: too little is left of the own term.
 	Expired
-	// Waiting: the one before may still act on an engine without fencing.
+	// WaitingForPredecessor: the one before may still act on an engine without fencing.
 	WaitingForPredecessor
 )
 
@@ -105,18 +105,18 @@
 	cfg     Config
 	current term
 	known   bool
-	// blocked is until when the holder may believe in its lease, by the time
+	// blockedUntil is until when the holder may believe in its lease, by the time
 	// at which the own instance read it.
 	blockedUntil time.Time
-	// mine: the current term is the own; validUntil is when to stop.
+	// held: the current term is the own; validUntil is when to stop.
 	held       bool
 	validUntil time.Time
-	// ordersFrom is when an engine without fencing may get the first order.
+	// ordersAllowedFrom is when an engine without fencing may get the first order.
 	ordersAllowedFrom time.Time
 	handedOver        bool
 }
 
-// won takes a term that was read from the log at the time now. sent is when the
+// observeTerm takes a term that was read from the log at the time now. sent is when the
 // own instance sent its Put, zero for other's terms.
 func (s *state) observeTerm(now time.Time, t term, sent time.Time) {
 	if s.known && t.offset <= s.current.offset {
@@ -144,7 +144,7 @@
 	}
 }
 
-// released takes the Release of a term: its writer never acted on it. Whoever
+// observeRelease takes the Release of a term: its writer never acted on it. Whoever
 // held the term before may, so the block stays.
 func (s *state) observeRelease(nonce record.Nonce) {
 	if s.known && s.current.nonce == nonce {
@@ -152,7 +152,7 @@
 	}
 }
 
-// takeable is from when the own instance may take the next term.
+// mayAcquire is from when the own instance may take the next term.
 func (s *state) mayAcquire(now time.Time) bool {
 	return !s.known || s.held || certainlyReached(now, s.blockedUntil)
 }
@@ -171,7 +171,7 @@
 	}
 }
 
-// inside and past compare by both clocks, and each errs to the safe side: the
+// certainlyBefore and past compare by both clocks, and each errs to the safe side: the
 // monotonic clock stands still while a virtual machine is suspended, and the
 // wall clock may be set.
 func certainlyBefore(now, end time.Time) bool {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// world is a log of terms read by contenders with lags and pauses of their own.
+// simulation is a log of terms read by contenders with lags and pauses of their own.
 type simulation struct {
 	rng        *rand.Rand
 	now        time.Time
@@ -204,7 +204,7 @@
 	lastOrder time.Time
 }
 
-// proposed is a Put that lands in the log at the time lands.
+// pendingPut is a Put that lands in the log at the time lands.
 type pendingPut struct {
 	sentAt  time.Time
 	landsAt time.Time
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -16,7 +16,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// ErrName means that a lease's name or holder is unusable.
+// ErrInvalidConfig means that a lease's name or holder is unusable.
 var ErrInvalidConfig = errors.New("lease: empty name, slash in the name, or no holder")
 
 // Store is what a Manager needs of *node.Node.
@@ -42,11 +42,11 @@
 	stop  func()
 	now   func() time.Time
 
-	// proposing serialises the own Puts.
+	// proposeMu serialises the own Puts.
 	proposeMu sync.Mutex
 	mu        sync.Mutex
 	state     state
-	// sent holds when the Puts of this process were sent, by nonce.
+	// sentAt holds when the Puts of this process were sent, by nonce.
 	sentAt map[record.Nonce]time.Time
 }
 
@@ -85,7 +85,7 @@
 	return m.state.check(m.now(), engine)
 }
 
-// Take tries for the next term if the current one is over, or renews the own
+// Acquire tries for the next term if the current one is over, or renews the own
 // one. It reports whether the own instance holds the lease after it. A Put with
 // unknown outcome is released: a term that was not read back is not held.
 func (m *Manager) Acquire(ctx context.Context) bool {
@@ -117,7 +117,7 @@
 	return m.putTerm(ctx, next, wireTerm{})
 }
 
-// propose puts the term number, which must have been read together with what
+// putTerm puts the term number, which must have been read together with what
 // allows it: read later, it may follow a term that nobody has judged.
 func (m *Manager) putTerm(ctx context.Context, number uint64, w wireTerm) bool {
 	value, err := cbor.Marshal(w)
@@ -175,7 +175,7 @@
 // is taken, and it blocks for a whole duration.
 const unknownHolder = "?"
 
-// parse reads a term of this lease; those of others are ignored.
+// parseTerm reads a term of this lease; those of others are ignored.
 func (m *Manager) parseTerm(reg fold.Register) (term, bool) {
 	prefix := string(record.ClassLease) + "/" + m.cfg.Name + "/"
 	rest, ok := strings.CutPrefix(string(reg.Key), prefix)
--- a/coordination/ledger/bill.go
+++ b/coordination/ledger/bill.go
@@ -23,10 +23,10 @@
 
 // Errors of this package.
 var (
-	// ErrBill means that a bill lacks its team or request id, or that a record
+	// ErrInvalidBill means that a bill lacks its team or request id, or that a record
 	// holds no bill.
 	ErrInvalidBill = errors.New("ledger: invalid bill")
-	// ErrFull means that the outage buffer has no room; new work is refused.
+	// ErrBufferFull means that the outage buffer has no room; new work is refused.
 	ErrBufferFull = errors.New("ledger: outage buffer is full")
 	// ErrNoCopy means that no peer keeps a copy of a bill.
 	ErrNoCopy = errors.New("ledger: no peer keeps a copy")
@@ -35,10 +35,10 @@
 // MicrosPerUnit is how many CostMicros make one unit of the manifest's cost.
 const MicrosPerUnit = 1_000_000
 
-// maxField bounds a bill's names in bytes; escaped they must fit in a key.
+// maxFieldBytes bounds a bill's names in bytes; escaped they must fit in a key.
 const maxFieldBytes = 128
 
-// MaxValue bounds an encoded bill in bytes: four names and the numbers. A longer
+// MaxBillBytes bounds an encoded bill in bytes: four names and the numbers. A longer
 // one comes from somebody else, and would take more memory than is counted.
 const MaxBillBytes = 1 << 10
 
@@ -75,7 +75,7 @@
 	Canceled     bool
 }
 
-// Check reports what a bill lacks. Errors wrap ErrBill.
+// Validate reports what a bill lacks. Errors wrap ErrBill.
 func (b *Bill) Validate() error {
 	if b.Team == "" || b.RequestID == "" {
 		return trace.Wrap(ErrInvalidBill, "no team or no request id")
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Key is the register of a request's bill. Slashes in names are escaped, so no
+// BillKey is the register of a request's bill. Slashes in names are escaped, so no
 // two requests share a key.
 func BillKey(team, request string) record.Key {
 	return record.Key(string(record.ClassBill) + "/" + url.PathEscape(team) + "/" + url.PathEscape(request))
@@ -126,7 +126,7 @@
 	return r, nil
 }
 
-// Parse reads the bill that r puts. Errors wrap ErrBill; a bill under another
+// ParseBill reads the bill that r puts. Errors wrap ErrBill; a bill under another
 // request's key is one.
 func ParseBill(r record.Record) (Bill, error) {
 	if r.Kind != record.KindPut || !strings.HasPrefix(string(r.Key), string(record.ClassBill)+"/") {
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -19,18 +19,18 @@
 type CopyFunc func(ctx context.Context, r record.Record) error
 
 const (
-	// DefaultBills is how many bills an instance holds in an outage: about ten
+	// DefaultMaxBills is how many bills an instance holds in an outage: about ten
 	// minutes of 100 requests a second.
 	DefaultMaxBills = 60_000
-	// DefaultBytes bounds their memory: the default count of bills of some 250
+	// DefaultMaxBytes bounds their memory: the default count of bills of some 250
 	// bytes, which is more than usual names take.
 	DefaultMaxBytes = 16 << 20
-	// maxHeldBill is the most that one bill takes; a reservation takes it whole,
+	// maxHeldBillBytes is the most that one bill takes; a reservation takes it whole,
 	// since the bill's size is not known yet.
 	maxHeldBillBytes = record.MaxKeyBytes + MaxBillBytes
 )
 
-// Limits bound a Buffer; 0 means the default.
+// BufferLimits bound a Buffer; 0 means the default.
 type BufferLimits struct {
 	MaxBills int
 	MaxBytes int
@@ -61,7 +61,7 @@
 	reserved int
 }
 
-// heldID is one proposal. Two bills of one request are two proposals: the log
+// billID is one proposal. Two bills of one request are two proposals: the log
 // decides between them, not the buffer.
 type billID struct {
 	key   record.Key
@@ -78,7 +78,7 @@
 	return &Buffer{put: put, sendCopy: sendCopy, limits: limits.withDefaults(), held: map[billID]record.Record{}}
 }
 
-// Accept keeps a copy for a peer; the same bill again changes nothing. Errors
+// AcceptCopy keeps a copy for a peer; the same bill again changes nothing. Errors
 // wrap ErrBill or ErrFull.
 func (b *Buffer) AcceptCopy(bill record.Record) error {
 	if _, err := ParseBill(bill); err != nil {
@@ -99,7 +99,7 @@
 // Full says that no room for another bill can be had.
 func (b *Buffer) Full() bool { return b.FullWithOpen(0) }
 
-// FullFor says the same where open requests without a reservation will each need
+// FullWithOpen says the same where open requests without a reservation will each need
 // room for a bill too: all of them may end while the log takes nothing.
 func (b *Buffer) FullWithOpen(openRequests int) bool {
 	b.mu.Lock()
@@ -145,7 +145,7 @@
 	return true
 }
 
-// settle drops a bill: the log has it, or a peer keeps it instead.
+// remove drops a bill: the log has it, or a peer keeps it instead.
 func (b *Buffer) remove(bill record.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/ledger/export.go
+++ b/coordination/ledger/export.go
@@ -12,7 +12,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// Line is one bill of an export.
+// ExportedBill is one bill of an export.
 type ExportedBill struct {
 	Offset uint64    `json:"offset"`
 	At     time.Time `json:"at"`
@@ -20,12 +20,12 @@
 	Bill
 }
 
-// Summary tells what an export covered.
+// ExportSummary tells what an export covered.
 type ExportSummary struct {
-	// First is the oldest offset that the log still kept; bills before it were
+	// FirstOffset is the oldest offset that the log still kept; bills before it were
 	// for earlier exports.
 	FirstOffset uint64
-	// Next is where the next export starts (its From).
+	// NextOffset is where the next export starts (its From).
 	NextOffset uint64
 	// Bills were exported, Duplicates were void.
 	Bills      int
@@ -35,7 +35,7 @@
 	Malformed int
 }
 
-// exportPage is how many entries one read asks for.
+// exportPageEntries is how many entries one read asks for.
 const exportPageEntries = 512
 
 // Export reads the log to its head and calls emit for each bill that counts, in
@@ -77,7 +77,7 @@
 	}
 }
 
-// firstKept asks for offset 0 and learns the oldest offset from the answer.
+// oldestOffset asks for offset 0 and learns the oldest offset from the answer.
 func oldestOffset(ctx context.Context, log platformlog.Log) (uint64, error) {
 	page, err := log.Read(ctx, 0, 1, 0)
 	if err != nil && !errors.Is(err, platformlog.ErrTrimmed) {
--- a/coordination/ledger/flush.go
+++ b/coordination/ledger/flush.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// flushWidth is how many Puts one flush has under way: they share groups,
+	// flushConcurrency is how many Puts one flush has under way: they share groups,
 	// so the width sets how many bills an append carries, and leaves room in
 	// the node's queue for the records of new requests.
 	flushConcurrency = 256
--- a/coordination/ledger/log.go
+++ b/coordination/ledger/log.go
@@ -7,7 +7,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// Log takes bills. Writer is one with a stream of its own, StoreLog one that
+// BillLog takes bills. Writer is one with a stream of its own, StoreLog one that
 // shares the log of all other records. Implementations are safe for concurrent
 // use.
 type BillLog interface {
--- a/coordination/ledger/reservation.go
+++ b/coordination/ledger/reservation.go
@@ -45,7 +45,7 @@
 	return used && r.buffer.copyToPeer(ctx, bill) == nil
 }
 
-// HoldTwice keeps the bill here and at a peer, or fails. After an error this
+// HoldWithCopy keeps the bill here and at a peer, or fails. After an error this
 // buffer holds what it held before: where it kept the same bill for a peer
 // already, it still does.
 func (r *Reservation) HoldWithCopy(ctx context.Context, bill record.Record) error {
@@ -64,7 +64,7 @@
 	return err
 }
 
-// keep turns the reservation into the held bill.
+// use turns the reservation into the held bill.
 func (r *Reservation) use(bill record.Record) (used, added bool) {
 	r.once.Do(func() {
 		r.buffer.mu.Lock()
@@ -75,7 +75,7 @@
 	return used, added
 }
 
-// copyOut has a peer keep a copy. Errors wrap ErrNoCopy.
+// copyToPeer has a peer keep a copy. Errors wrap ErrNoCopy.
 func (b *Buffer) copyToPeer(ctx context.Context, bill record.Record) error {
 	if b.sendCopy == nil {
 		return trace.Wrap(ErrNoCopy, "no peers")
--- a/coordination/ledger/writer.go
+++ b/coordination/ledger/writer.go
@@ -27,7 +27,7 @@
 	// failedAt is when the last append failed, in Unix nanoseconds; 0 when it
 	// did not.
 	failedAt atomic.Int64
-	// last is the append loop's own.
+	// lastAppend is the append loop's own.
 	lastAppend time.Time
 }
 
@@ -38,24 +38,24 @@
 	// Linger is the time between two appends; it is asked before each, since it
 	// follows the number of instances. Default 20 ms.
 	Linger func() time.Duration
-	// CallTimeout bounds one append. Default 2 s.
+	// AppendTimeout bounds one append. Default 2 s.
 	AppendTimeout time.Duration
 }
 
 const (
 	defaultWriterLinger  = 20 * time.Millisecond
 	defaultAppendTimeout = 2 * time.Second
-	// writerQueue is how many bills may wait for the next append: one batch.
+	// writerQueueBills is how many bills may wait for the next append: one batch.
 	writerQueueBills = record.MaxRecords
-	// writerRest is waited after a failed append, so that a log that is down is
+	// appendRetryDelay is waited after a failed append, so that a log that is down is
 	// not asked by every bill.
 	appendRetryDelay = 100 * time.Millisecond
-	// writerProbe is how long a failed append keeps bills from the log: they are
+	// unreachablePeriod is how long a failed append keeps bills from the log: they are
 	// held at once meanwhile, without a wait for each.
 	unreachablePeriod = time.Second
 )
 
-// pending is one bill that waits for its append.
+// pendingBill is one bill that waits for its append.
 type pendingBill struct {
 	record record.Record
 	// done has room for the one outcome, so a waiter that has left blocks nobody.
@@ -124,7 +124,7 @@
 	}
 }
 
-// pace keeps the fleet's appends within its budget. After an idle linger the
+// waitLinger keeps the fleet's appends within its budget. After an idle linger the
 // first bill goes out at once.
 func (w *Writer) waitLinger(ctx context.Context) {
 	timer := time.NewTimer(time.Until(w.lastAppend.Add(w.cfg.Linger())))
@@ -135,7 +135,7 @@
 	}
 }
 
-// gather takes what else waits.
+// collectGroup takes what else waits.
 func (w *Writer) collectGroup(first *pendingBill) []*pendingBill {
 	group := []*pendingBill{first}
 	for len(group) < record.MaxRecords {
--- a/coordination/record/codec.go
+++ b/coordination/record/codec.go
@@ -8,19 +8,20 @@
 	"github.com/gravitational/trace"
 )
 
-// codecVersion stands first in every batch. A batch of another version is
-// malformed at every reader alike, so it changes no reader's state.
+// codecVersion is the first element of every batch. All readers treat a batch
+// of another version as malformed, so that it changes the state of none.
 const codecVersion = 1
 
-// MaxWriter is the longest name of a writer in bytes.
+// MaxWriterBytes is the maximum length of a writer's name.
 const MaxWriterBytes = 128
 
-// MaxBatch is the longest encoded batch in bytes. It leaves room for one value
-// of MaxValue and the small records that share its append.
+// MaxBatchBytes is the maximum length of an encoded batch. It leaves room for
+// one value of MaxValueBytes and the small records in the same batch.
 const MaxBatchBytes = MaxValueBytes + 1<<20
 
-// wireBatch and wireRecord are the encoded forms: arrays, so that no field name
-// travels, with times in microseconds since 1970 and zero for none.
+// wireBatch and wireRecord are the encoded forms. They are CBOR arrays, so that
+// no field names are transmitted. Times are Unix microseconds, 0 if unset;
+// lifetimes are nanoseconds.
 type wireBatch struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
@@ -53,8 +54,8 @@
 }
 
 func mustDecMode() cbor.DecMode {
-	// A batch is three levels deep. Indefinite lengths and tags have no use
-	// here, and each is a way to make one batch read in two ways.
+	// A batch nests three levels deep. Indefinite lengths and tags are not
+	// needed, and each would give one batch more than one encoding.
 	opts := cbor.DecOptions{
 		MaxNestedLevels:  4,
 		MaxArrayElements: MaxRecords,
@@ -70,9 +71,9 @@
 	return m
 }
 
-// Encode returns b's bytes, the same for equal batches. It refuses what Decode
-// would refuse, so that no writer appends a batch which readers drop. Errors
-// wrap ErrInvalid or ErrTooLarge.
+// Encode returns the encoding of b, which is the same for equal batches. It
+// rejects what Decode would reject, so that no writer appends a batch that
+// readers drop. Errors wrap ErrInvalid or ErrTooLarge.
 func Encode(b Batch) ([]byte, error) {
 	if err := b.Validate(); err != nil {
 		return nil, err
@@ -96,8 +97,8 @@
 	return data, nil
 }
 
-// Decode reads a batch. It holds no reference to data. Errors wrap
-// ErrMalformed, ErrInvalid or ErrTooLarge; the batch is then void as a whole.
+// Decode decodes a batch. It keeps no reference to data. Errors wrap
+// ErrMalformed, ErrInvalid or ErrTooLarge; the whole batch is void then.
 func Decode(data []byte) (Batch, error) {
 	if len(data) > MaxBatchBytes {
 		return Batch{}, trace.Wrap(ErrTooLarge, "batch of %d bytes", len(data))
@@ -107,7 +108,7 @@
 		return Batch{}, trace.Wrap(ErrMalformed, "%v", err)
 	}
 	if w.Version != codecVersion {
-		return Batch{}, trace.Wrap(ErrMalformed, "codec version %d", w.Version)
+		return Batch{}, trace.Wrap(ErrMalformed, "unknown codec version %d", w.Version)
 	}
 	b := Batch{
 		Writer:     w.Writer,
@@ -125,16 +126,17 @@
 	return b, nil
 }
 
-// Check reports the first field of b that breaks a limit or its kind's rules.
+// Validate reports the first field of b or of its records that exceeds a limit
+// or is not valid. Errors wrap ErrInvalid or ErrTooLarge.
 func (b *Batch) Validate() error {
 	if len(b.Writer) > MaxWriterBytes {
-		return trace.Wrap(ErrTooLarge, "writer of %d bytes", len(b.Writer))
+		return trace.Wrap(ErrTooLarge, "writer name of %d bytes", len(b.Writer))
 	}
 	if b.Writer == "" {
-		return trace.Wrap(ErrInvalid, "no writer")
+		return trace.Wrap(ErrInvalid, "writer name is empty")
 	}
 	if len(b.Records) > MaxRecords {
-		return trace.Wrap(ErrTooLarge, "%d records", len(b.Records))
+		return trace.Wrap(ErrTooLarge, "batch of %d records", len(b.Records))
 	}
 	for i := range b.Records {
 		if err := b.Records[i].Validate(); err != nil {
@@ -144,7 +146,8 @@
 	return nil
 }
 
-// Check reports the first field of r that breaks a limit or its kind's rules.
+// Validate reports the first field of r that exceeds a limit or contradicts the
+// record's kind. Errors wrap ErrInvalid or ErrTooLarge.
 func (r *Record) Validate() error {
 	if len(r.Key) > MaxKeyBytes {
 		return trace.Wrap(ErrTooLarge, "key of %d bytes", len(r.Key))
@@ -153,27 +156,27 @@
 		return trace.Wrap(ErrTooLarge, "value of %d bytes", len(r.Value))
 	}
 	if r.Lifetime < 0 {
-		return trace.Wrap(ErrInvalid, "negative lifetime")
+		return trace.Wrap(ErrInvalid, "lifetime is negative")
 	}
 	switch r.Kind {
 	case KindPut, KindRelease:
 		if r.Key.Class() == "" {
-			return trace.Wrap(ErrInvalid, "key without a class")
+			return trace.Wrap(ErrInvalid, "key has no class")
 		}
 		if r.Nonce == (Nonce{}) {
-			return trace.Wrap(ErrInvalid, "no nonce")
+			return trace.Wrap(ErrInvalid, "nonce is zero")
 		}
 	case KindCheckpoint:
 		if r.Key != "" {
-			return trace.Wrap(ErrInvalid, "checkpoint with a key")
+			return trace.Wrap(ErrInvalid, "checkpoint has a key")
 		}
 	default:
-		return trace.Wrap(ErrInvalid, "kind %d", r.Kind)
+		return trace.Wrap(ErrInvalid, "unknown record kind %d", r.Kind)
 	}
 	return nil
 }
 
-// Class is the part of k before its first slash; empty where there is none.
+// Class returns the part of k before its first slash; empty if k has no class.
 func (k Key) Class() Class {
 	i := strings.IndexByte(string(k), '/')
 	if i <= 0 {
@@ -208,7 +211,7 @@
 	return nil
 }
 
-// Micros is the time in Unix microseconds, 0 for the zero time.
+// Micros returns t in Unix microseconds, 0 for the zero time.
 func Micros(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -216,7 +219,7 @@
 	return t.UnixMicro()
 }
 
-// FromMicros is the time of Unix microseconds in UTC, the zero time for 0.
+// FromMicros returns the UTC time of us Unix microseconds, the zero time for 0.
 func FromMicros(us int64) time.Time {
 	if us == 0 {
 		return time.Time{}
--- a/coordination/record/codec_test.go
+++ b/coordination/record/codec_test.go
@@ -49,7 +49,7 @@
 		}
 		again, err := Encode(out)
 		if err != nil || !bytes.Equal(data, again) {
-			t.Fatalf("encoding is not stable: %v", err)
+			t.Fatalf("encoding a decoded batch gives other bytes: %v", err)
 		}
 		if len(out.Records) != len(in.Records) {
 			t.Fatalf("%d records, want %d", len(out.Records), len(in.Records))
@@ -129,11 +129,11 @@
 func TestNonces(t *testing.T) {
 	first, second := NewNonce(), NewNonce()
 	if first == second || first == (Nonce{}) {
-		t.Error("a new nonce is not new")
+		t.Error("NewNonce returned a duplicate or the zero nonce")
 	}
 	from, again, other := DeriveNonce("a", "bc"), DeriveNonce("a", "bc"), DeriveNonce("ab", "c")
 	if from != again || from == other {
-		t.Error("a nonce does not follow from its parts")
+		t.Error("DeriveNonce is not a function of its parts and their boundaries")
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 	for _, bad := range []Key{"manifest/", "manifest/x-", "manifest/01-", "claim/1-", "manifest/7"} {
 		if _, _, err := ParseManifestKey(bad); !errors.Is(err, ErrInvalid) {
-			t.Errorf("%s: got %v", bad, err)
+			t.Errorf("%s: got error %v, want ErrInvalid", bad, err)
 		}
 	}
 }
--- a/coordination/record/errors.go
+++ b/coordination/record/errors.go
@@ -2,12 +2,14 @@
 
 import "errors"
 
-// Errors of the codec. Encode and Decode wrap them; callers use errors.Is.
+// Errors of the codec. Encode and Decode wrap them; test with errors.Is.
 var (
-	// ErrMalformed means that the bytes are not a batch of this version.
+	// ErrMalformed means that the bytes are not a batch of the codec version
+	// that this package reads.
 	ErrMalformed = errors.New("record: malformed batch")
-	// ErrTooLarge means that a batch passes one of the limits below.
-	ErrTooLarge = errors.New("record: batch beyond a limit")
-	// ErrInvalid means that a record's fields contradict its kind.
+	// ErrTooLarge means that a batch exceeds one of the codec's limits.
+	ErrTooLarge = errors.New("record: batch exceeds a limit")
+	// ErrInvalid means that a required field of a batch or record is missing or
+	// contradicts the record's kind.
 	ErrInvalid = errors.New("record: invalid record")
 )
--- a/coordination/record/main_test.go
+++ b/coordination/record/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of rapid, so that each run gives the same verdict;
-// -rapid.seed given on the command line still counts.
+// TestMain fixes the seed of rapid, so that runs are reproducible; -rapid.seed on
+// the command line takes precedence.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/coordination/record/manifestkey.go
+++ b/coordination/record/manifestkey.go
@@ -9,15 +9,16 @@
 	"github.com/gravitational/trace"
 )
 
-// ManifestKey names the register of a manifest: its generation, and the digest
-// of the manifest that it replaces (empty for generation 1). Two publishers
-// that start from the same parent meet at the same key, so one of them loses.
+// ManifestKey returns the register key of a manifest: its generation and the
+// digest of its parent, the manifest that it replaces (empty for generation 1).
+// Two publishers that start from the same parent propose the same key, so only
+// one of them wins.
 func ManifestKey(generation uint64, parent string) Key {
 	return Key(string(ClassManifest) + "/" + strconv.FormatUint(generation, 10) + "-" + parent)
 }
 
 // ParseManifestKey is the inverse of ManifestKey. Errors wrap ErrInvalid. Only
-// the one canonical form of a key is accepted ("manifest/01-" is not).
+// the canonical form of a key is accepted ("manifest/01-" is not).
 func ParseManifestKey(k Key) (generation uint64, parent string, err error) {
 	rest, ok := strings.CutPrefix(string(k), string(ClassManifest)+"/")
 	if !ok {
@@ -29,12 +30,12 @@
 	}
 	generation, err = strconv.ParseUint(number, 10, 64)
 	if err != nil || ManifestKey(generation, parent) != k {
-		return 0, "", trace.Wrap(ErrInvalid, "generation of a manifest key")
+		return 0, "", trace.Wrap(ErrInvalid, "manifest key with an invalid generation")
 	}
 	return generation, parent, nil
 }
 
-// ManifestDigest is the digest of a manifest's bytes: SHA-256 in hex.
+// ManifestDigest returns the SHA-256 digest of a manifest's bytes in hex.
 func ManifestDigest(value []byte) string {
 	sum := sha256.Sum256(value)
 	return hex.EncodeToString(sum[:])
--- a/coordination/record/nonce.go
+++ b/coordination/record/nonce.go
@@ -7,16 +7,16 @@
 	"github.com/google/uuid"
 )
 
-// NewNonce returns a random nonce (a UUIDv4). A proposal takes a new one; a
-// retry of it keeps the old.
+// NewNonce returns a random nonce (a UUIDv4). Each proposal needs a new one;
+// retries of a proposal reuse its nonce.
 func NewNonce() Nonce {
 	return Nonce(uuid.New())
 }
 
-// NonceFrom returns the nonce of a proposal that is the same whoever makes it,
-// and however often, such as one publication of a manifest. Such a nonce must
-// not be released by a process that gives up: the others' retries would be void
-// as well.
+// DeriveNonce returns a nonce that depends on nothing but parts, for a proposal
+// that several processes may make, such as the publication of a manifest. A
+// process that abandons such a proposal must not release the nonce, since that
+// would also void the retries of the other processes.
 func DeriveNonce(parts ...string) Nonce {
 	h := sha256.New()
 	for _, p := range parts {
--- a/coordination/record/record.go
+++ b/coordination/record/record.go
@@ -1,31 +1,33 @@
 // Package record defines the records that instances append to the platform's
-// log, and their codec.
+// shared log, and their encoding.
 package record
 
 import "time"
 
-// Kind says what a Record does to its register.
+// Kind is the effect that a Record has on its register.
 type Kind uint8
 
 const (
 	// KindPut proposes Value for Key; the first live Put in log order wins.
 	KindPut Kind = iota + 1
 	// KindRelease voids the Put with the same Key and Nonce, wherever in the
-	// log that Put appears, also if it appears later.
+	// log that Put stands, before or after the Release.
 	KindRelease
-	// KindCheckpoint carries an encoded fold snapshot in Value. Its Nonce is
-	// the writer's; Key is empty.
+	// KindCheckpoint carries one part of an encoded fold snapshot in Value. All
+	// parts of one checkpoint share a Nonce; Key is empty.
 	KindCheckpoint
 )
 
-// Key names a register: a class, a slash, and the rest ("bill/team/request").
+// Key names a register: a class, a slash and an identifier that is unique in
+// the class ("bill/team/request").
 type Key string
 
-// Class is the part of a key before its first slash. It selects the rules of
-// the fold (how long a register is kept, whether a key has a time of its own).
+// Class is the part of a key before its first slash. It selects the rules that
+// the fold applies: how long a register is kept, and whether a Put must carry a
+// KeyTime.
 type Class string
 
-// The classes of register that masticplank uses.
+// The register classes that masticplank uses.
 const (
 	ClassManifest   Class = "manifest"
 	ClassClaim      Class = "claim"
@@ -35,8 +37,8 @@
 	ClassLease      Class = "lease"
 )
 
-// Nonce identifies one proposal. A retry of the same append carries the same
-// nonce, which makes records idempotent.
+// Nonce identifies one proposal for a register. Retries of an append carry the
+// same nonce, which makes records idempotent.
 type Nonce [16]byte
 
 // Record is one entry of a batch. The zero value is not valid.
@@ -44,32 +46,34 @@
 	Kind  Kind
 	Key   Key
 	Nonce Nonce
-	// Value is opaque to the fold, at most MaxValue bytes.
+	// Value is opaque to the fold and at most MaxValueBytes long.
 	Value []byte
-	// Lifetime is how long the register lives, counted from the append time of
-	// the winning Put. Zero means that it does not expire.
+	// Lifetime is how long the register lives, counted from the log time of the
+	// winning Put. Zero means that it does not expire. Classes with a fixed
+	// lifetime (manifest, claim, bill) ignore it.
 	Lifetime time.Duration
-	// KeyTime is the time that the key itself carries (the time of a UUIDv7
-	// for a claim); zero where the class has none.
+	// KeyTime is the time encoded in the key (for a claim, the timestamp of its
+	// UUIDv7). Zero for classes whose keys carry no time.
 	KeyTime time.Time
 }
 
-// Batch is what one append to the log carries.
+// Batch is the content of one log entry.
 type Batch struct {
-	// Writer is the instance that appended it.
+	// Writer is the name of the instance that appended the batch.
 	Writer string
-	// Stamped is the writer's clock at the append. The fold uses it only where
-	// the log gives no time of its own.
+	// WriterTime is the writer's wall clock at the append. The fold uses it only
+	// if the log does not timestamp its entries.
 	WriterTime time.Time
 	Records    []Record
 }
 
-// Limits of the codec; a batch beyond them is refused by Encode and Decode.
+// Limits of the codec. Encode and Decode reject a batch that exceeds one.
 const (
-	// MaxKey is the longest key in bytes.
+	// MaxKeyBytes is the maximum length of a key.
 	MaxKeyBytes = 512
-	// MaxValue is the longest value in bytes. A manifest is the largest.
+	// MaxValueBytes is the maximum length of a value. Manifests are the largest
+	// values.
 	MaxValueBytes = 4 << 20
-	// MaxRecords is the most records in one batch.
+	// MaxRecords is the maximum number of records in one batch.
 	MaxRecords = 10_000
 )
--- a/coordination/record/record_test.go
+++ b/coordination/record/record_test.go
@@ -6,7 +6,7 @@
 	seen := map[Class]bool{}
 	for _, c := range []Class{ClassManifest, ClassClaim, ClassBill, ClassSession, ClassQuarantine, ClassLease} {
 		if seen[c] {
-			t.Errorf("class %q stands twice", c)
+			t.Errorf("class %q is used for two kinds of register", c)
 		}
 		seen[c] = true
 	}
