--- a/decision/passthrough/drained.go
+++ b/decision/passthrough/drained.go
@@ -15,55 +15,55 @@
 		w.drained[domain] = true
 	}
 	for _, s := range w.servers {
-		s.drained = w.drained[s.Zone]
+		s.drained = w.drained[s.Domain]
 	}
 	for domain := range before {
 		if !w.drained[domain] {
-			w.beginDomainSlowStart(domain, WhyDomainBack)
+			w.beginDomainSlowStart(domain, CauseDomainUndrained)
 		}
 	}
 	for _, s := range w.services {
-		w.free(s)
+		w.markFreed(s)
 	}
 }
 
 // beginDomainSlowStart takes all servers of a failure domain for cold.
-func (w *World) beginDomainSlowStart(domain string, why WhyCold) {
+func (w *World) beginDomainSlowStart(domain string, why SlowStartCause) {
 	count := 0
 	var span time.Duration
 	for _, s := range w.servers {
-		if s.Zone != domain {
+		if s.Domain != domain {
 			continue
 		}
-		if s.beginSlowStart(s.assumedStart(), w.now) {
+		if s.beginSlowStart(s.assumedSlowStart(), w.now) {
 			count++
-			span = max(span, s.assumedStart())
+			span = max(span, s.assumedSlowStart())
 		}
 	}
 	if count > 0 {
-		w.emit(Cooled{Domain: domain, Servers: count, For: span, Why: why})
+		w.emit(SlowStartBegun{Domain: domain, Servers: count, Duration: span, Cause: why})
 	}
 }
 
 // lostServer notes that a server could not be reached, or broke off: it may start again at any
 // moment. Where several of a failure domain are lost and none there answers, all of it is taken
 // to be starting again: most instances have not asked each of its servers meanwhile.
-func (w *World) lostServer(s *server) {
+func (w *World) serverLost(s *server) {
 	if s.service.slowStart.span <= 0 {
 		return
 	}
-	w.cool(s, s.assumedStart(), WhyLost)
-	lost := w.lost[s.Zone]
+	w.enterSlowStart(s, s.assumedSlowStart(), CauseServerLost)
+	lost := w.lostServers[s.Domain]
 	if lost == nil {
 		lost = map[*server]bool{}
-		w.lost[s.Zone] = lost
+		w.lostServers[s.Domain] = lost
 	}
 	lost[s] = true
-	if len(lost) >= domainLostAfter {
-		delete(w.lost, s.Zone)
-		w.beginDomainSlowStart(s.Zone, WhyDomainLost)
+	if len(lost) >= domainLostThreshold {
+		delete(w.lostServers, s.Domain)
+		w.beginDomainSlowStart(s.Domain, CauseDomainLost)
 	}
 }
 
 // domainAnswers notes that a server has answered: its failure domain is there.
-func (w *World) domainAnswers(s *server) { delete(w.lost, s.Zone) }
+func (w *World) domainResponded(s *server) { delete(w.lostServers, s.Domain) }
--- a/decision/passthrough/world.go
+++ b/decision/passthrough/world.go
@@ -12,7 +12,7 @@
 	// Seed makes every random choice repeatable.
 	Seed uint64
 	// Zone is the instance's own failure domain, Domains all that have instances.
-	Zone    string
+	Domain  string
 	Domains []string
 	// RetryRatio, RetrySlack and RetryWindow bound repeats at a service: in each window
 	// as many as the ratio times the requests, and this instance's part of the slack,
@@ -21,15 +21,15 @@
 	RetrySlack  float64
 	RetryWindow time.Duration
 	// SessionLife is how long after its last request a session goes on.
-	SessionLife time.Duration
+	SessionTTL time.Duration
 	// WarmUpBurst times a cold server's rate, and WarmUpSlack beside that, is what it may get in
 	// one second from all instances.
-	WarmUpBurst float64
-	WarmUpSlack float64
+	SlowStartBurst float64
+	SlowStartSlack float64
 }
 
 // sessionTable bounds the sessions that are kept.
-const sessionTable = 8192
+const maxSessions = 8192
 
 // World holds the tables. It is not safe for concurrent use: one owner calls Tick.
 type World struct {
@@ -40,61 +40,61 @@
 	requests map[RequestID]*request
 	rollouts map[string]*Rollout
 	// barred are the versions that were reverted, by service.
-	barred   map[versionKey]bool
-	sessions *simplelru.LRU[string, sessionRow]
+	revertedVersions map[versionKey]bool
+	sessions         *simplelru.LRU[string, sessionRow]
 	// keptOld are sessions that stay at the old version in a roll-out's first half.
-	keptOld map[string]bool
-	crashes crashes
-	routes  map[string]*routeStats
+	keptOnOldVersion map[string]bool
+	crashes          crashes
+	routes           map[string]*routeStats
 	// drained are the failure domains that get no new work.
 	drained map[string]bool
 	// lost are the servers of each failure domain that were lost since one there answered.
-	lost map[string]map[*server]bool
-	near neighbours
+	lostServers map[string]map[*server]bool
+	neighbours  neighbours
 	// limited are the servers whose rate limit, or its end, other instances may have to be told.
-	limited map[*server]bool
+	limitedServers map[*server]bool
 	// peerLoadsAt is when the other instances' word on their loads came in, named the servers that it
 	// named, byKey all servers by what stands for them there.
-	peerLoadsAt time.Time
-	named       []*server
-	byKey       map[uint32]*server
+	peerLoadsAt     time.Time
+	reportedByPeers []*server
+	serversByKey    map[uint32]*server
 
 	// fleet is the number of instances, 0 where not known.
-	fleet int
+	fleetSize int
 	// endsAt is when this instance ends, where it was told.
-	endsAt time.Time
-	now    time.Time
-	out    []Command
+	endsAt   time.Time
+	now      time.Time
+	commands []Command
 	// freed are the services in which a place may have become free in this tick.
 	freed []*service
 	// views and drawn are kept between decisions to save allocations.
-	views []view
-	drawn []view
+	views    []serverView
+	eligible []serverView
 }
 
 // New returns an empty world: it refuses everything until it has been told a
 // configuration and backend servers.
 func New(cfg Settings) *World {
-	sessions, err := simplelru.NewLRU[string, sessionRow](sessionTable, nil)
+	sessions, err := simplelru.NewLRU[string, sessionRow](maxSessions, nil)
 	if err != nil {
 		panic(err) // the library fails only for a size below 1
 	}
 	const stream = 0x70617373 // any constant: one stream per world
 	return &World{
-		cfg:      cfg,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, stream)),
-		servers:  map[string]*server{},
-		services: map[string]*service{},
-		requests: map[RequestID]*request{},
-		rollouts: map[string]*Rollout{},
-		barred:   map[versionKey]bool{},
-		sessions: sessions,
-		keptOld:  map[string]bool{},
-		crashes:  newCrashes(),
-		routes:   map[string]*routeStats{},
-		lost:     map[string]map[*server]bool{},
-		limited:  map[*server]bool{},
-		byKey:    map[uint32]*server{},
+		cfg:              cfg,
+		rng:              rand.New(rand.NewPCG(cfg.Seed, stream)),
+		servers:          map[string]*server{},
+		services:         map[string]*service{},
+		requests:         map[RequestID]*request{},
+		rollouts:         map[string]*Rollout{},
+		revertedVersions: map[versionKey]bool{},
+		sessions:         sessions,
+		keptOnOldVersion: map[string]bool{},
+		crashes:          newCrashes(),
+		routes:           map[string]*routeStats{},
+		lostServers:      map[string]map[*server]bool{},
+		limitedServers:   map[*server]bool{},
+		serversByKey:     map[uint32]*server{},
 	}
 }
 
@@ -104,45 +104,45 @@
 	if now.After(w.now) {
 		w.now = now
 	}
-	w.out = w.out[:0]
+	w.commands = w.commands[:0]
 	w.freed = w.freed[:0]
 	for _, e := range in {
 		w.apply(e)
 	}
 	w.wakeWaiting()
-	w.placeWaiting()
-	return w.out
+	w.dispatchQueued()
+	return w.commands
 }
 
 func (w *World) apply(e Event) {
 	switch e := e.(type) {
 	case Configured:
 		w.configure(e.Index)
-	case Listed:
-		w.list(e.Servers)
-	case Arrived:
+	case ServersListed:
+		w.setServers(e.Servers)
+	case RequestArrived:
 		w.arrive(e.Request)
-	case Left:
-		w.leave(e.Request)
-	case Waited:
-		w.waited(e.Request)
-	case Ended:
-		w.end(e)
+	case RequestCancelled:
+		w.cancel(e.Request)
+	case QueueWaitExpired:
+		w.queueWaitExpired(e.Request)
+	case AttemptEnded:
+		w.attemptEnded(e)
 	case LoadReported:
 		w.observeLoad(e)
 	case FirstByte:
-		w.firstByte(e)
-	case Paced:
-		w.paced(e)
-	case Crashes:
-		w.crashes.broke(e.Fingerprint, e.Count, w.now)
-	case Fleet:
-		w.share(e.Instances)
-	case SessionsOpen:
-		w.keepOld(e.Sessions)
+		w.observeFirstByte(e)
+	case EventIntervalMeasured:
+		w.observeEventInterval(e)
+	case PeerCrashes:
+		w.crashes.record(e.Fingerprint, e.Count, w.now)
+	case FleetSize:
+		w.setFleetSize(e.Instances)
+	case PeerSessions:
+		w.keepOnOldVersion(e.Sessions)
 	case Stopping:
 		w.endsAt = e.At
-	case Drained:
+	case DomainsDrained:
 		w.setDrained(e.Domains)
 	case Neighbours:
 		w.setNeighbours(e)
@@ -150,29 +150,29 @@
 		w.applyPeerLoads(e)
 	case PeerLimits:
 		w.applyPeerLimits(e.Limits)
-	case RolloutSet:
+	case RolloutUpdated:
 		w.setRollout(e.Rollout)
 	}
 }
 
-func (w *World) emit(c Command) { w.out = append(w.out, c) }
+func (w *World) emit(c Command) { w.commands = append(w.commands, c) }
 
 func (w *World) setRollout(r Rollout) {
 	if old := w.rollouts[r.Service]; old == nil || old.Order != r.Order {
-		clear(w.keptOld)
+		clear(w.keptOnOldVersion)
 	}
 	key := versionKey{r.Service, r.Target}
 	if r.Phase == PhaseReverted {
-		w.barred[key] = true
+		w.revertedVersions[key] = true
 	} else {
-		delete(w.barred, key)
+		delete(w.revertedVersions, key)
 	}
 	w.rollouts[r.Service] = &r
-	w.free(w.serviceOf(r.Service))
+	w.markFreed(w.serviceOf(r.Service))
 }
 
 // Streams is the number of streams that wait or run.
-func (w *World) Streams() int {
+func (w *World) StreamCount() int {
 	count := 0
 	for _, r := range w.requests {
 		if r.Route.Kind == KindStream {
@@ -184,9 +184,9 @@
 
 // Waiting is the number of requests in the queues, and Running of those at backend
 // servers.
-func (w *World) Waiting() (waiting, running int) {
+func (w *World) RequestCounts() (waiting, running int) {
 	for _, r := range w.requests {
-		if r.waiting {
+		if r.queued {
 			waiting++
 		} else {
 			running++
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -33,7 +33,7 @@
 	if !t.services[r.Service] {
 		return refused(ReasonNotAllowed)
 	}
-	return w.withServer(nil, w.serviceOf(r.Service))
+	return w.withServer(nil, w.servicePool(r.Service))
 }
 
 // resolvePinned keeps a session on its version: it is that version or a refusal,
@@ -63,7 +63,7 @@
 	if tm == nil {
 		return refused(ReasonNotAllowed)
 	}
-	v := w.rollout(tm, r.ShareHash)
+	v := w.rollout(tm, r.RolloutPosition)
 	if v == nil {
 		return refused(ReasonUnknownModel) // no version of it serves new work
 	}
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -17,20 +17,20 @@
 
 func (noHeaders) ReadCaller(http.Header) seam.Caller                     { return seam.Caller{} }
 func (noHeaders) WriteAttempt(h http.Header, _ seam.Attempt) http.Header { return h }
-func (noHeaders) ReadAnswer(int, http.Header) seam.Answer                { return seam.Answer{} }
+func (noHeaders) ReadAnswer(int, http.Header) seam.Response              { return seam.Response{} }
 func (noHeaders) AnswerHeaders(h http.Header) http.Header                { return h }
 
 // TestConnectionsAreNotKeptWhereDescriptorsRunOut opens one connection after the other, as
 // callers do who come back after a refusal. Past the limit each is closed with its answer.
 func TestConnectionsAreNotKeptWhereDescriptorsRunOut(t *testing.T) {
 	clock := newFakeClock()
-	known := NewKnowledge(clock, time.Second)
-	st := newStarting()
+	known := NewConfigState(clock, time.Second)
+	st := newStartGate()
 	st.release()
 	const kept = 10
-	e := &Edge{headers: noHeaders{}, known: known, clock: clock, starting: st, stopping: &stopping{},
-		conns:   newCallerConns(reservedFiles + kept/connsPart),
-		journal: &journal{clock: clock, known: known, reg: metrics.NewRegistry()}}
+	e := &Handler{headers: noHeaders{}, config: known, clock: clock, startGate: st, shutdown: &shutdown{},
+		conns:     newCallerConns(reservedDescriptors + kept/idleConnFraction),
+		telemetry: &telemetry{clock: clock, config: known, registry: metrics.NewRegistry()}}
 	srv := httptest.NewUnstartedServer(e)
 	srv.Config.ConnState = e.conns.track
 	srv.Start()
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -13,13 +13,13 @@
 func busyRow() observationRow {
 	return observationRow{
 		New: passthrough.Counts{Good: 120, Bad: 7,
-			First: passthrough.Shift{N: 127, Sum: -61.5271, Squares: 204.33391},
-			Pace:  passthrough.Shift{N: 101, Sum: 55.25, Squares: 91.118, Slow: 19}},
-		Old: passthrough.Counts{Good: 4021, Bad: 55, Pace: passthrough.Shift{N: 3320, Slow: 41}},
+			FirstByte:     passthrough.LogRatioStats{N: 127, Sum: -61.5271, Squares: 204.33391},
+			EventInterval: passthrough.LogRatioStats{N: 101, Sum: 55.25, Squares: 91.118, Slow: 19}},
+		Old: passthrough.Counts{Good: 4021, Bad: 55, EventInterval: passthrough.LogRatioStats{N: 3320, Slow: 41}},
 	}
 }
 
-func TestSheetRowKeepsWhatIsJudged(t *testing.T) {
+func TestObservationRowKeepsWhatVerdictsUse(t *testing.T) {
 	in := busyRow()
 	text, err := json.Marshal(in)
 	if err != nil {
@@ -29,10 +29,10 @@
 	if err := json.Unmarshal(text, &out); err != nil {
 		t.Fatal(err)
 	}
-	if math.Abs(out.New.First.Sum-in.New.First.Sum) > 1.0/observationUnits || math.Abs(out.New.Pace.Squares-in.New.Pace.Squares) > 1.0/observationUnits {
+	if math.Abs(out.New.FirstByte.Sum-in.New.FirstByte.Sum) > 1.0/rowScale || math.Abs(out.New.EventInterval.Squares-in.New.EventInterval.Squares) > 1.0/rowScale {
 		t.Errorf("sums of %+v became %+v", in.New, out.New)
 	}
-	out.New.First, in.New.First, out.New.Pace, in.New.Pace = passthrough.Shift{}, passthrough.Shift{}, passthrough.Shift{N: out.New.Pace.N, Slow: out.New.Pace.Slow}, passthrough.Shift{N: in.New.Pace.N, Slow: in.New.Pace.Slow}
+	out.New.FirstByte, in.New.FirstByte, out.New.EventInterval, in.New.EventInterval = passthrough.LogRatioStats{}, passthrough.LogRatioStats{}, passthrough.LogRatioStats{N: out.New.EventInterval.N, Slow: out.New.EventInterval.Slow}, passthrough.LogRatioStats{N: in.New.EventInterval.N, Slow: in.New.EventInterval.Slow}
 	if out != in {
 		t.Errorf("%+v became %+v", in, out)
 	}
@@ -45,9 +45,9 @@
 
 // TestSheetsOfAFleetAreSmall bounds what all instances of the target fleet write of a roll-out
 // of five routes: with 4 KB a second for control, a second's observations are 25 at most.
-func TestSheetsOfAFleetAreSmall(t *testing.T) {
+func TestObservationSetsOfAFleetAreSmall(t *testing.T) {
 	const most = 4096 / 6 // bytes: a sixth of a second's, beside heartbeats and configurations
-	s := observationSet{Instance: "edge-salle-trois-pistoles-120", Life: 1 << 60, Service: "model-engines", Target: "v2", Order: 1 << 20,
+	s := observationSet{Instance: "edge-salle-trois-pistoles-120", ProcessStart: 1 << 60, Service: "model-engines", Target: "v2", Order: 1 << 20,
 		ElapsedMS: 23_500, Routes: map[string]observationRow{}}
 	for i := range 5 {
 		s.Routes[fmt.Sprintf("r-vhma%dj5", i)] = busyRow()
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -61,11 +61,11 @@
 }
 
 // startSharing starts an instance's sharing at a port of its own.
-func startSharing(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
+func startPeer(t *testing.T, st Store, clock Clock, name string, cores float64) *sharing {
 	t.Helper()
-	j := &journal{clock: clock, known: NewKnowledge(clock, time.Second), reg: metrics.NewRegistry()}
-	cfg := seam.Settings{Instance: name, Zone: "a", Zones: []string{"a", "b"}, Peers: freePort(t), Cores: cores,
-		Bounds: seam.Bounds{Revoke: time.Second, Drain: time.Second}}
+	j := &telemetry{clock: clock, config: NewConfigState(clock, time.Second), registry: metrics.NewRegistry()}
+	cfg := seam.Settings{Instance: name, Domain: "a", Domains: []string{"a", "b"}, PeerAddr: freePort(t), Cores: cores,
+		Bounds: seam.Bounds{RevocationDelay: time.Second, Drain: time.Second}}
 	sh := newSharing(cfg, st, fakeRecords{}, j, clock)
 	if err := sh.listen(t.Context()); err != nil {
 		t.Fatal(err)
@@ -79,12 +79,12 @@
 // failure domain alone.
 func TestFollowersAreEnlistedTogether(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
-	collector := startSharing(t, st, clock, "strong", 0.8)
+	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
 	const count = 20
 	var followers []*sharing
 	for i := range count {
-		sh := startSharing(t, st, clock, fmt.Sprint("small", i), 0.2)
+		sh := startPeer(t, st, clock, fmt.Sprint("small", i), 0.2)
 		sh.join(t.Context(), false)
 		followers = append(followers, sh)
 	}
@@ -92,14 +92,14 @@
 	if own.appends != 1 {
 		t.Errorf("%d calls made the first instance known, before the collector's own for the others", own.appends)
 	}
-	collector.enlistFollowers(t.Context())
+	collector.writeFollowers(t.Context())
 	if own.appends != 2 || len(own.records) != 1+count {
 		t.Errorf("%d calls wrote %d instances", own.appends, len(own.records))
 	}
 	if own.reads != 1+count || other.reads != 0 {
 		t.Errorf("%d reads of the own list, %d of another", own.reads, other.reads)
 	}
-	if !followers[0].learn(t.Context(), "a") || !followers[0].listed.Load() {
+	if !followers[0].readMembers(t.Context(), "a") || !followers[0].listed.Load() {
 		t.Error("a follower does not find itself")
 	}
 }
@@ -108,14 +108,14 @@
 // written its followers down.
 func TestInstanceIsToldAgainWhereItsCollectorLostIt(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
-	collector := startSharing(t, st, clock, "strong", 0.8)
+	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
-	sh := startSharing(t, st, clock, "small", 0.2)
+	sh := startPeer(t, st, clock, "small", 0.2)
 	sh.join(t.Context(), false)
-	collector.take(topicInstances) // lost
-	clock.pass(enlistAgain + time.Second)
-	sh.keepListed(t.Context())
-	collector.enlistFollowers(t.Context())
+	collector.takeHeld(topicInstances) // lost
+	clock.advance(reannounceAfter + time.Second)
+	sh.reannounceIfMissing(t.Context())
+	collector.writeFollowers(t.Context())
 	if n := len(st.domain("a").records); n != 2 {
 		t.Errorf("%d instances are known", n)
 	}
@@ -127,14 +127,14 @@
 	st, clock := &fakeStore{}, newFakeClock()
 	own := st.domain("a")
 	own.era = 1
-	sh := startSharing(t, st, clock, "strong", 0.8)
-	tl := sh.reader(t.Context())
+	sh := startPeer(t, st, clock, "strong", 0.8)
+	reader := sh.reader(t.Context())
 	sh.join(t.Context(), false)
-	read(t, tl)
+	read(t, reader)
 	for _, keep := range []int{1, 0} {
 		before := own.appends
 		own.restore(keep)
-		read(t, tl)
+		read(t, reader)
 		if told := own.appends - before; told != 1-keep || len(own.records) != 1 {
 			t.Errorf("%d kept: told %d times, %d records", keep, told, len(own.records))
 		}
