--- a/coordination/fold/clock.go
+++ b/coordination/fold/clock.go
@@ -29,29 +29,29 @@
 
 // observe takes the times of one entry in microseconds. logTime is 0 if the log
 // does not timestamp its entries.
-func (c *clock) observe(logTime, stamped int64, writer string) {
+func (c *clock) observe(logTime, writerTime int64, writer string) {
 	if logTime > 0 {
 		c.advance(logTime)
 		return
 	}
-	if stamped <= 0 || stamped > maxTimestampMicros || stamped <= c.now {
+	if writerTime <= 0 || writerTime > maxTimestampMicros || writerTime <= c.now {
 		return
 	}
-	if c.now == 0 || stamped <= c.now+c.skew {
-		c.advance(stamped)
+	if c.now == 0 || writerTime <= c.now+c.skew {
+		c.advance(writerTime)
 		return
 	}
-	c.observeJump(stamped, writer)
+	c.observeJump(writerTime, writer)
 }
 
-func (c *clock) observeJump(stamped int64, writer string) {
+func (c *clock) observeJump(writerTime int64, writer string) {
 	if c.pendingWriter == "" || c.pendingWriter == writer {
-		c.pendingJump, c.pendingWriter = stamped, writer
+		c.pendingJump, c.pendingWriter = writerTime, writer
 		return
 	}
-	lesser := min(stamped, c.pendingJump)
-	if stamped > c.pendingJump {
-		c.pendingJump, c.pendingWriter = stamped, writer
+	lesser := min(writerTime, c.pendingJump)
+	if writerTime > c.pendingJump {
+		c.pendingJump, c.pendingWriter = writerTime, writer
 	}
 	c.advance(lesser)
 }
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -40,7 +40,7 @@
 }
 
 type receivedVouch struct {
-	at    time.Time
+	askedAt    time.Time
 	vouch Vouch
 }
 
@@ -105,7 +105,7 @@
 	if v.Peer == t.self || v.Peer == "" {
 		return
 	}
-	if known, ok := t.vouches[v.Peer]; ok && known.at.After(at) {
+	if known, ok := t.vouches[v.Peer]; ok && known.askedAt.After(at) {
 		return
 	}
 	if t.live[v.Peer] {
@@ -180,7 +180,7 @@
 		unreachable++
 	}
 	for _, answer := range t.vouches {
-		if !t.recent(now, answer.at) {
+		if !t.recent(now, answer.askedAt) {
 			continue
 		}
 		if answer.vouch.LogReachable || answer.vouch.Head > t.folded {
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -93,12 +93,12 @@
 	defer m.proposeMu.Unlock()
 	m.mu.Lock()
 	ok := m.state.mayAcquire(m.now())
-	next := m.state.current.number + 1
+	number := m.state.current.number + 1
 	m.mu.Unlock()
 	if !ok {
 		return false
 	}
-	return m.putTerm(ctx, next, wireTerm{Holder: m.cfg.Holder, Duration: int64(m.cfg.Duration)})
+	return m.putTerm(ctx, number, wireTerm{Holder: m.cfg.Holder, Duration: int64(m.cfg.Duration)})
 }
 
 // HandOver gives the lease up, so that the next holder need not wait. The
@@ -108,13 +108,13 @@
 	defer m.proposeMu.Unlock()
 	m.mu.Lock()
 	held := m.state.held && certainlyBefore(m.now(), m.state.validUntil)
-	next := m.state.current.number + 1
+	number := m.state.current.number + 1
 	m.state.held = false
 	m.mu.Unlock()
 	if !held {
 		return false
 	}
-	return m.putTerm(ctx, next, wireTerm{})
+	return m.putTerm(ctx, number, wireTerm{})
 }
 
 // putTerm puts the term number, which must have been read together with what
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -217,8 +217,8 @@
 // was held for a peer.
 func TestHoldTwice(t *testing.T) {
 	noPeer := func(context.Context, record.Record) error { return errors.New("no peer") }
-	kept := 0
-	taken := func(context.Context, record.Record) error { kept++; return nil }
+	copies := 0
+	accept := func(context.Context, record.Record) error { copies++; return nil }
 	for _, c := range []struct {
 		name   string
 		copyTo CopyFunc
@@ -226,7 +226,7 @@
 		want   error
 		held   int
 	}{
-		{"both", taken, false, nil, 1},
+		{"both", accept, false, nil, 1},
 		{"no peers at all", nil, false, ErrNoCopy, 0},
 		{"no peer answers", noPeer, false, ErrNoCopy, 0},
 		{"no peer answers, held for one", noPeer, true, ErrNoCopy, 1},
@@ -249,8 +249,8 @@
 			t.Errorf("%s: used twice", c.name)
 		}
 	}
-	if kept != 1 {
-		t.Errorf("%d copies", kept)
+	if copies != 1 {
+		t.Errorf("%d copies", copies)
 	}
 }
 
@@ -258,12 +258,12 @@
 // not settle under the same nonce, and the rest goes to a peer.
 func TestFlushAndHandOver(t *testing.T) {
 	var mu sync.Mutex
-	puts, takes := 0, 0
+	puts, accepted := 0, 0
 	put := func(context.Context, record.Record) node.Result {
 		mu.Lock()
 		defer mu.Unlock()
 		puts++
-		if puts <= takes {
+		if puts <= accepted {
 			return node.Result{Outcome: node.OutcomeLost}
 		}
 		return node.Result{Outcome: node.OutcomeUnknown}
@@ -277,7 +277,7 @@
 	if left := b.Flush(t.Context()); left != 10*flushConcurrency || puts != 1 {
 		t.Errorf("log down: %d left after %d puts", left, puts)
 	}
-	puts, takes = 0, 5
+	puts, accepted = 0, 5
 	if left := b.Flush(t.Context()); left != 10*flushConcurrency-5 || puts > 5+2*flushConcurrency {
 		t.Errorf("log down midway: %d left after %d puts", left, puts)
 	}
