--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -40,8 +40,8 @@
 }
 
 type receivedVouch struct {
-	askedAt    time.Time
-	vouch Vouch
+	askedAt time.Time
+	vouch   Vouch
 }
 
 // Report is a Mode with what it rests on.
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -129,10 +129,10 @@
 
 func (b *Buffer) full() bool { return b.fullWithOpen(0) }
 
-func (b *Buffer) fullWithOpen(openRequests int) bool {
-	openRequests += b.reserved
-	tooMany := len(b.held)+openRequests >= b.limits.MaxBills
-	return tooMany || b.bytes+(openRequests+1)*maxHeldBillBytes > b.limits.MaxBytes
+func (b *Buffer) fullWithOpen(expected int) bool {
+	expected += b.reserved
+	tooMany := len(b.held)+expected >= b.limits.MaxBills
+	return tooMany || b.bytes+(expected+1)*maxHeldBillBytes > b.limits.MaxBytes
 }
 
 // keep returns false where the bill was held before.
