--- a/coordination/ledger/bill.go
+++ b/coordination/ledger/bill.go
@@ -1,12 +1,11 @@
-// Package ledger holds bills: one for each completed request, whoever writes it
-// and however often.
+// Package ledger records bills: exactly one for each completed request,
+// whichever instances write it and however often.
 //
-// Why each request is billed once: a bill is the register
-// "bill/<team>/<request id>", so the first one in the log's order counts and
-// the fold voids every other; the fold never takes a bill back. A reader of the
-// stream folds it the same way and so exports the same bills. The nonce of a
-// bill follows from its content, so the copy that a peer holds is the same
-// proposal as the original, and no proposal of its own.
+// Why each request is billed once: a bill is the register "bill/<team>/<request
+// id>", so the first bill in the log wins, the fold voids every other one, and
+// it never releases a bill. A reader of the log applies the same fold and so
+// exports the same bills. The nonce of a bill is derived from its content, so
+// the copy that a peer holds is the same proposal as the original.
 package ledger
 
 import (
@@ -23,45 +22,49 @@
 
 // Errors of this package.
 var (
-	// ErrInvalidBill means that a bill lacks its team or request id, or that a record
-	// holds no bill.
+	// ErrInvalidBill means that a bill lacks its team or request id, that one of
+	// its fields is out of range, or that a record does not hold a bill.
 	ErrInvalidBill = errors.New("ledger: invalid bill")
-	// ErrBufferFull means that the outage buffer has no room; new work is refused.
+	// ErrBufferFull means that the outage buffer has no room for another bill. New
+	// work must be refused.
 	ErrBufferFull = errors.New("ledger: outage buffer is full")
-	// ErrNoCopy means that no peer keeps a copy of a bill.
-	ErrNoCopy = errors.New("ledger: no peer keeps a copy")
+	// ErrNoCopy means that no peer has accepted a copy of a bill.
+	ErrNoCopy = errors.New("ledger: no peer accepted a copy")
 )
 
-// MicrosPerUnit is how many CostMicros make one unit of the manifest's cost.
+// MicrosPerUnit is the number of CostMicros in one unit of the manifest's cost.
 const MicrosPerUnit = 1_000_000
 
-// maxFieldBytes bounds a bill's names in bytes; escaped they must fit in a key.
+// maxFieldBytes bounds each name in a bill. Escaped, the team and the request
+// id must also fit in a key.
 const maxFieldBytes = 128
 
-// MaxBillBytes bounds an encoded bill in bytes: four names and the numbers. A longer
-// one comes from somebody else, and would take more memory than is counted.
+// MaxBillBytes bounds an encoded bill: four names and the numbers. A longer one
+// was not written by an instance, and would use more memory than is counted for
+// a bill.
 const MaxBillBytes = 1 << 10
 
-// Bill is what one completed request costs its team, all attempts and cascade
-// steps included.
+// Bill is the cost of one completed request to its team. It covers all attempts
+// and cascade steps.
 type Bill struct {
 	Team      string `json:"team"`
 	RequestID string `json:"request"`
-	// Version that gave the answer; empty for a plain service.
+	// Version is the model version that answered; empty for a plain service.
 	Version string `json:"version,omitempty"`
 	Service string `json:"service,omitempty"`
-	// PromptTokens and OutputTokens count all attempts.
+	// PromptTokens and OutputTokens are sums over all attempts.
 	PromptTokens uint64 `json:"prompt_tokens"`
 	OutputTokens uint64 `json:"output_tokens"`
-	// CostMicros is the cost in millionths of the manifest's unit of cost. It
-	// is a whole number so that sums are exact.
+	// CostMicros is the cost in millionths of the manifest's unit of cost; a whole
+	// number, so that sums are exact.
 	CostMicros int64  `json:"cost_micros"`
 	Attempts   uint32 `json:"attempts"`
-	// Canceled: the caller left, and what was generated until then is billed.
+	// Canceled means that the caller disconnected; what was generated until then
+	// is billed.
 	Canceled bool `json:"canceled,omitempty"`
 }
 
-// wireBill is a Bill in the log.
+// wireBill is the encoding of a Bill in the log.
 type wireBill struct {
 	_            struct{} `cbor:",toarray"`
 	Team         string
@@ -75,33 +78,33 @@
 	Canceled     bool
 }
 
-// Validate reports what a bill lacks. Errors wrap ErrBill.
+// Validate reports a missing or out-of-range field. Errors wrap ErrInvalidBill.
 func (b *Bill) Validate() error {
 	if b.Team == "" || b.RequestID == "" {
-		return trace.Wrap(ErrInvalidBill, "no team or no request id")
+		return trace.Wrap(ErrInvalidBill, "team or request id is empty")
 	}
 	for _, f := range []string{b.Team, b.RequestID, b.Version, b.Service} {
 		if len(f) > maxFieldBytes {
-			return trace.Wrap(ErrInvalidBill, "field of %d bytes", len(f))
+			return trace.Wrap(ErrInvalidBill, "name of %d bytes is too long", len(f))
 		}
 	}
 	if b.CostMicros < 0 {
-		return trace.Wrap(ErrInvalidBill, "negative cost")
+		return trace.Wrap(ErrInvalidBill, "cost is negative")
 	}
 	if len(BillKey(b.Team, b.RequestID)) > record.MaxKeyBytes {
-		return trace.Wrap(ErrInvalidBill, "names too long")
+		return trace.Wrap(ErrInvalidBill, "team and request id do not fit in a key")
 	}
 	return nil
 }
 
-// BillKey is the register of a request's bill. Slashes in names are escaped, so no
-// two requests share a key.
+// BillKey returns the register key of a request's bill. Slashes in names are
+// escaped, so no two requests share a key.
 func BillKey(team, request string) record.Key {
 	return record.Key(string(record.ClassBill) + "/" + url.PathEscape(team) + "/" + url.PathEscape(request))
 }
 
-// Record is the bill's Put, with the same nonce whenever it is made from the
-// same bill. Errors wrap ErrBill.
+// Record returns the bill's Put. Equal bills give equal nonces. Errors wrap
+// ErrInvalidBill.
 func (b *Bill) Record() (record.Record, error) {
 	if err := b.Validate(); err != nil {
 		return record.Record{}, err
@@ -126,14 +129,14 @@
 	return r, nil
 }
 
-// ParseBill reads the bill that r puts. Errors wrap ErrBill; a bill under another
-// request's key is one.
+// ParseBill decodes the bill in a Put. Errors wrap ErrInvalidBill, also for a
+// bill under the key of another request.
 func ParseBill(r record.Record) (Bill, error) {
 	if r.Kind != record.KindPut || !strings.HasPrefix(string(r.Key), string(record.ClassBill)+"/") {
-		return Bill{}, trace.Wrap(ErrInvalidBill, "not the Put of a bill")
+		return Bill{}, trace.Wrap(ErrInvalidBill, "record is not the Put of a bill")
 	}
 	if len(r.Key) > record.MaxKeyBytes || len(r.Value) > MaxBillBytes {
-		return Bill{}, trace.Wrap(ErrInvalidBill, "key of %d and value of %d bytes", len(r.Key), len(r.Value))
+		return Bill{}, trace.Wrap(ErrInvalidBill, "key of %d bytes or value of %d bytes is too long", len(r.Key), len(r.Value))
 	}
 	var w wireBill
 	if err := cbor.Unmarshal(r.Value, &w); err != nil {
@@ -154,7 +157,7 @@
 		return Bill{}, err
 	}
 	if BillKey(b.Team, b.RequestID) != r.Key {
-		return Bill{}, trace.Wrap(ErrInvalidBill, "bill under another request's key")
+		return Bill{}, trace.Wrap(ErrInvalidBill, "bill is stored under the key of another request")
 	}
 	return b, nil
 }
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -11,26 +11,27 @@
 	"masticplank.example/coordination/record"
 )
 
-// PutFunc appends a bill and says what became of it; *node.Node's Put is one.
+// PutFunc appends a bill and returns the outcome. Put of *node.Node is one.
 type PutFunc func(ctx context.Context, r record.Record) node.Result
 
-// CopyFunc hands a copy of a bill to one peer, best in another failure domain,
-// which calls Accept on its Buffer. It returns nil once the peer holds it.
+// CopyFunc sends a copy of a bill to one peer, preferably in another failure
+// domain, which calls AcceptCopy on its Buffer. It returns nil once the peer
+// holds the copy.
 type CopyFunc func(ctx context.Context, r record.Record) error
 
 const (
-	// DefaultMaxBills is how many bills an instance holds in an outage: about ten
-	// minutes of 100 requests a second.
+	// DefaultMaxBills is how many bills an instance holds during an outage: about
+	// ten minutes of 100 requests a second.
 	DefaultMaxBills = 60_000
-	// DefaultMaxBytes bounds their memory: the default count of bills of some 250
-	// bytes, which is more than usual names take.
+	// DefaultMaxBytes bounds the memory of the held bills: DefaultMaxBills of some
+	// 250 bytes each, which is more than usual names need.
 	DefaultMaxBytes = 16 << 20
-	// maxHeldBillBytes is the most that one bill takes; a reservation takes it whole,
-	// since the bill's size is not known yet.
+	// maxHeldBillBytes is the largest size of a held bill. A reservation counts as
+	// that much, since the size of its bill is not known yet.
 	maxHeldBillBytes = record.MaxKeyBytes + MaxBillBytes
 )
 
-// BufferLimits bound a Buffer; 0 means the default.
+// BufferLimits bounds a Buffer; 0 means the default.
 type BufferLimits struct {
 	MaxBills int
 	MaxBytes int
@@ -46,10 +47,10 @@
 	return l
 }
 
-// Buffer holds bills while the log is down, own ones and copies for peers. Room
-// is reserved before a request runs, since a bill that finds no room afterwards
-// would be lost: a full buffer refuses work, never a bill. Safe for concurrent
-// use.
+// Buffer holds bills while the log is unreachable: the instance's own, and
+// copies for peers. Room is reserved before a request runs, since a bill that
+// finds no room afterwards would be lost: a full buffer refuses work, never a
+// bill. It is safe for concurrent use.
 type Buffer struct {
 	put      PutFunc
 	sendCopy CopyFunc
@@ -61,8 +62,8 @@
 	reserved int
 }
 
-// billID is one proposal. Two bills of one request are two proposals: the log
-// decides between them, not the buffer.
+// billID identifies one proposal. Two bills of one request are two proposals;
+// the log decides which one wins, not the buffer.
 type billID struct {
 	key   record.Key
 	nonce record.Nonce
@@ -72,14 +73,13 @@
 
 func sizeOf(r record.Record) int { return len(r.Key) + len(r.Value) }
 
-// NewBuffer returns an empty Buffer; a nil copyTo means that no peer gets a
-// copy.
+// NewBuffer returns an empty Buffer. If sendCopy is nil, no peer gets a copy.
 func NewBuffer(limits BufferLimits, put PutFunc, sendCopy CopyFunc) *Buffer {
 	return &Buffer{put: put, sendCopy: sendCopy, limits: limits.withDefaults(), held: map[billID]record.Record{}}
 }
 
-// AcceptCopy keeps a copy for a peer; the same bill again changes nothing. Errors
-// wrap ErrBill or ErrFull.
+// AcceptCopy holds a copy of a peer's bill; accepting the same bill again
+// changes nothing. Errors wrap ErrInvalidBill or ErrBufferFull.
 func (b *Buffer) AcceptCopy(bill record.Record) error {
 	if _, err := ParseBill(bill); err != nil {
 		return err
@@ -96,25 +96,27 @@
 	return nil
 }
 
-// Full says that no room for another bill can be had.
+// Full reports whether there is no room for another bill.
 func (b *Buffer) Full() bool { return b.FullWithOpen(0) }
 
-// FullWithOpen says the same where open requests without a reservation will each need
-// room for a bill too: all of them may end while the log takes nothing.
+// FullWithOpen reports whether there is no room for another bill once each of
+// openRequests has its bill too. These are requests that run without a
+// reservation; all of them may end while the log is unreachable.
 func (b *Buffer) FullWithOpen(openRequests int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.fullWithOpen(openRequests)
 }
 
-// Len is how many bills are held.
+// Len returns how many bills are held.
 func (b *Buffer) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.held)
 }
 
-// Bills returns the bills held, in no order: each is a proposal of its own.
+// Bills returns the held bills in no particular order: each is a proposal of
+// its own, so their order does not matter.
 func (b *Buffer) Bills() []record.Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,17 +127,18 @@
 	return out
 }
 
-// The methods below are called with mu held.
+// full, fullWithOpen and add must be called with mu held.
 
 func (b *Buffer) full() bool { return b.fullWithOpen(0) }
 
+// expected is the number of bills to come, beside those that are reserved.
 func (b *Buffer) fullWithOpen(expected int) bool {
 	expected += b.reserved
 	tooMany := len(b.held)+expected >= b.limits.MaxBills
 	return tooMany || b.bytes+(expected+1)*maxHeldBillBytes > b.limits.MaxBytes
 }
 
-// keep returns false where the bill was held before.
+// add returns false if the bill was held already.
 func (b *Buffer) add(bill record.Record) (added bool) {
 	if _, have := b.held[idOf(bill)]; have {
 		return false
@@ -145,7 +148,8 @@
 	return true
 }
 
-// remove drops a bill: the log has it, or a peer keeps it instead.
+// remove drops a bill, since the log has it or a peer holds it instead. It
+// takes mu itself.
 func (b *Buffer) remove(bill record.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -155,7 +159,7 @@
 	}
 }
 
-// Run flushes each interval until ctx ends.
+// Run flushes at each interval until ctx ends.
 func (b *Buffer) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/coordination/ledger/example_test.go
+++ b/coordination/ledger/example_test.go
@@ -6,7 +6,7 @@
 	"masticplank.example/coordination/ledger"
 )
 
-// One bill is one proposal, whoever makes the record.
+// The same bill gives the same proposal, whoever makes the record.
 func ExampleBill_Record() {
 	b := ledger.Bill{Team: "weavers", RequestID: "r-1", Version: "draft@3", OutputTokens: 210, CostMicros: 420, Attempts: 1}
 	own, _ := b.Record()
--- a/coordination/ledger/export.go
+++ b/coordination/ledger/export.go
@@ -20,28 +20,29 @@
 	Bill
 }
 
-// ExportSummary tells what an export covered.
+// ExportSummary describes what an export covered.
 type ExportSummary struct {
-	// FirstOffset is the oldest offset that the log still kept; bills before it were
-	// for earlier exports.
+	// FirstOffset is the oldest offset that the log still had; earlier exports
+	// cover the bills before it.
 	FirstOffset uint64
-	// NextOffset is where the next export starts (its From).
+	// NextOffset is the from of the next export.
 	NextOffset uint64
-	// Bills were exported, Duplicates were void.
+	// Bills is the number of exported bills, Duplicates the number of void ones.
 	Bills      int
 	Duplicates int
-	// Malformed bills won their register but can't be read; they are not
-	// exported, and somebody should look at them.
+	// Malformed is the number of bills that won their register but cannot be
+	// decoded. They are not exported and need manual inspection.
 	Malformed int
 }
 
-// exportPageEntries is how many entries one read asks for.
+// exportPageEntries is the maximum number of entries of one read.
 const exportPageEntries = 512
 
-// Export reads the log to its head and calls emit for each bill that counts, in
-// log order, from offset from on. It folds from the oldest offset kept, since a
-// copy after from may be of a bill before it; two exports in a row therefore
-// give each bill once. An error of emit ends it and is returned.
+// Export reads the log up to its head and calls emit for each bill that won, in
+// log order, starting at offset from. It folds from the oldest offset kept,
+// since a record after from may duplicate a bill before it; so two consecutive
+// exports give each bill once. An error of emit ends the export and is
+// returned.
 func Export(ctx context.Context, log platformlog.Log, cfg fold.Config, from uint64, emit func(ExportedBill) error) (ExportSummary, error) {
 	e := exporter{from: from, emit: emit}
 	first, err := oldestOffset(ctx, log)
@@ -49,8 +50,8 @@
 		return e.sum, err
 	}
 	e.sum.FirstOffset, e.sum.NextOffset = first, first
-	// The reader keeps bills for as long as the log does: it is here that a copy
-	// which comes late is void.
+	// The reader keeps bills for as long as the log does, since late duplicates
+	// are voided only here.
 	if cfg.Retention <= 0 {
 		cfg.Retention = fold.DefaultConfig().Retention
 	}
@@ -77,7 +78,7 @@
 	}
 }
 
-// oldestOffset asks for offset 0 and learns the oldest offset from the answer.
+// oldestOffset reads offset 0 and takes the oldest offset from the reply.
 func oldestOffset(ctx context.Context, log platformlog.Log) (uint64, error) {
 	page, err := log.Read(ctx, 0, 1, 0)
 	if err != nil && !errors.Is(err, platformlog.ErrTrimmed) {
--- a/coordination/ledger/flush.go
+++ b/coordination/ledger/flush.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// flushConcurrency is how many Puts one flush has under way: they share groups,
-	// so the width sets how many bills an append carries, and leaves room in
-	// the node's queue for the records of new requests.
+	// flushConcurrency is how many Puts of one flush are in flight. Concurrent
+	// Puts share appends, so it sets how many bills an append carries; it leaves
+	// room in the node's queue for the records of new requests.
 	flushConcurrency = 256
 	// flushTimeout bounds one Put of a flush.
 	flushTimeout = 5 * time.Second
 )
 
-// Flush puts the held bills into the log, each with its own nonce, and drops
-// those that the log has, by this Put or by an earlier one. It returns how many
-// are left. The first Put goes alone, and none follows one that failed: with
-// the log down, one failed try is enough.
+// Flush puts the held bills into the log, each with its original nonce, and
+// drops those that are in the log by this Put or an earlier one. It returns how
+// many are left. The first Put runs alone and none is started after a failed
+// one, since a single failure is enough to see that the log is unreachable.
 func (b *Buffer) Flush(ctx context.Context) (left int) {
 	bills := b.Bills()
 	if len(bills) == 0 {
@@ -53,9 +53,10 @@
 	_ = g.Wait()
 }
 
-// flushOne puts one bill. It is settled once any bill for the request is the
-// register, by this copy, the other one, or an earlier try. Otherwise it stays
-// held, with the same nonce: putting it again is harmless, dropping it is not.
+// flushOne puts one bill and drops it once any bill of its request holds the
+// register: this copy, the peer's copy, or an earlier attempt. Otherwise the
+// bill stays held with the same nonce: putting it again is harmless, dropping
+// it would lose it.
 func (b *Buffer) flushOne(ctx context.Context, bill record.Record) bool {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
@@ -68,9 +69,9 @@
 	}
 }
 
-// HandOver has a peer keep one more copy of each bill held and drops it here,
-// for an instance that stops while the log takes nothing. It returns how many
-// are left, which is 0 unless no peer takes them or ctx ended.
+// HandOver sends one more copy of each held bill to a peer and drops it here.
+// An instance that stops while the log is unreachable calls it. It returns how
+// many bills are left, which is 0 unless no peer accepts them or ctx ends.
 func (b *Buffer) HandOver(ctx context.Context) (left int) {
 	for _, bill := range b.Bills() {
 		if ctx.Err() != nil {
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -42,13 +42,13 @@
 		t.Fatalf("got %+v, %v", got, err)
 	}
 	if again := mustRecord(t, b); again.Nonce != r.Nonce {
-		t.Error("one bill has two nonces")
+		t.Error("two records of one bill have different nonces")
 	}
 	if other := mustRecord(t, bill("r/1", 6)); other.Nonce == r.Nonce || other.Key != r.Key {
-		t.Error("another bill of the request is not told apart")
+		t.Error("another bill of the request does not have the same key and another nonce")
 	}
 	if BillKey("a/b", "c") == BillKey("a", "b/c") {
-		t.Error("two requests share a key")
+		t.Error("two requests have the same key")
 	}
 }
 
@@ -82,7 +82,7 @@
 	got := map[string]int64{}
 	sum, err := Export(t.Context(), log.Client("x"), fold.DefaultConfig(), from, func(l ExportedBill) error {
 		if _, twice := got[l.RequestID]; twice {
-			t.Errorf("%s is exported twice", l.RequestID)
+			t.Errorf("bill of %s exported twice", l.RequestID)
 		}
 		got[l.RequestID] = l.CostMicros
 		return nil
@@ -108,7 +108,7 @@
 	if want := (ExportSummary{FirstOffset: 0, NextOffset: 5, Bills: 2, Duplicates: 3, Malformed: 1}); sum != want {
 		t.Errorf("summary %+v, want %+v", sum, want)
 	}
-	// The next export starts behind it; late copies of what it had are void.
+	// The next export starts after this one; late duplicates of its bills are void.
 	inject(t, log, b, mustRecord(t, bill("c", 3)))
 	log.Trim(1)
 	got, sum = export(t, log, sum.NextOffset)
@@ -134,13 +134,13 @@
 		t.Fatal(err1, err2)
 	}
 	if _, err := b.Reserve(); !errors.Is(err, ErrBufferFull) {
-		t.Errorf("third: %v", err)
+		t.Errorf("third reservation with room for two: %v", err)
 	}
 	if err := b.AcceptCopy(mustRecord(t, bill("x", 1))); !errors.Is(err, ErrBufferFull) {
-		t.Errorf("copy for a peer: %v", err)
+		t.Errorf("copy for a peer with all room reserved: %v", err)
 	}
 	if r1.Hold(t.Context(), mustRecord(t, bill("a", 1))) {
-		t.Error("copied to nobody")
+		t.Error("Hold reports a copy without a peer")
 	}
 	r1.Cancel()
 	r2.Cancel()
@@ -149,15 +149,16 @@
 		t.Error(err)
 	}
 	if _, err := b.Reserve(); !errors.Is(err, ErrBufferFull) || b.Len() != 2 {
-		t.Errorf("held %d, %v", b.Len(), err)
+		t.Errorf("%d bills held, reservation error %v", b.Len(), err)
 	}
 	if err := b.AcceptCopy(record.Record{Kind: record.KindPut}); !errors.Is(err, ErrInvalidBill) {
-		t.Errorf("junk of a peer: %v", err)
+		t.Errorf("malformed copy of a peer: %v", err)
 	}
 }
 
-// TestBufferIsBoundedInBytes: a reservation counts as the largest bill, and what
-// a held bill does not take of it is free again.
+// A reservation counts as a bill of the maximum size; what the held bill does
+// not need of it is free again. Otherwise bills could exceed the memory limit,
+// or a buffer with room would refuse work.
 func TestBufferIsBoundedInBytes(t *testing.T) {
 	first := mustRecord(t, bill("a", 1))
 	b := NewBuffer(BufferLimits{MaxBytes: maxHeldBillBytes + sizeOf(first)}, nil, nil)
@@ -166,31 +167,32 @@
 		t.Fatal(err)
 	}
 	if !b.Full() {
-		t.Error("a second reservation may not find its bytes, but it is not full")
+		t.Error("not full, although a second reservation would exceed the bytes")
 	}
 	room.Hold(t.Context(), first)
 	if b.Full() {
-		t.Error("full, with room for the largest bill")
+		t.Error("full, although a bill of the maximum size fits")
 	}
 	if err := b.AcceptCopy(mustRecord(t, bill("b", 1))); err != nil {
 		t.Error(err)
 	}
 	if err := b.AcceptCopy(mustRecord(t, bill("c", 1))); !errors.Is(err, ErrBufferFull) {
-		t.Errorf("past the bytes: %v", err)
+		t.Errorf("copy that exceeds the bytes: %v", err)
 	}
 	long := first
 	long.Value = make([]byte, MaxBillBytes+1)
 	if err := b.AcceptCopy(long); !errors.Is(err, ErrInvalidBill) {
-		t.Errorf("long value: %v", err)
+		t.Errorf("copy with a value that is too long: %v", err)
 	}
 	b.remove(first)
 	b.remove(first)
 	if b.bytes != sizeOf(mustRecord(t, bill("b", 1))) || b.Full() {
-		t.Errorf("%d bytes counted", b.bytes)
+		t.Errorf("%d bytes counted after a double removal", b.bytes)
 	}
 }
 
-// TestFullForOpenRequests: each open request counts as a bill to come.
+// Each open request counts as a bill to come, since all of them may end while
+// the log is unreachable.
 func TestFullForOpenRequests(t *testing.T) {
 	for name, limits := range map[string]BufferLimits{
 		"in count": {MaxBills: 4},
@@ -203,18 +205,18 @@
 		}
 		for open, want := range []bool{false, false, false, true} {
 			if got := b.FullWithOpen(open); got != want {
-				t.Errorf("%s: full for %d open: %v", name, open, got)
+				t.Errorf("%s: full with %d open requests: %v", name, open, got)
 			}
 		}
 		room.Cancel()
 		if b.FullWithOpen(3) || !b.FullWithOpen(4) {
-			t.Errorf("%s: a reservation given back still counts", name)
+			t.Errorf("%s: a cancelled reservation still counts", name)
 		}
 	}
 }
 
-// TestHoldTwice: both copies or an error, and an error takes nothing away that
-// was held for a peer.
+// HoldWithCopy results in both copies or an error, and an error leaves a bill
+// that was held for a peer before.
 func TestHoldTwice(t *testing.T) {
 	noPeer := func(context.Context, record.Record) error { return errors.New("no peer") }
 	copies := 0
@@ -227,9 +229,9 @@
 		held   int
 	}{
 		{"both", accept, false, nil, 1},
-		{"no peers at all", nil, false, ErrNoCopy, 0},
+		{"no peers configured", nil, false, ErrNoCopy, 0},
 		{"no peer answers", noPeer, false, ErrNoCopy, 0},
-		{"no peer answers, held for one", noPeer, true, ErrNoCopy, 1},
+		{"no peer answers, bill held for a peer before", noPeer, true, ErrNoCopy, 1},
 	} {
 		b := NewBuffer(BufferLimits{}, nil, c.copyTo)
 		r := mustRecord(t, bill("a", 1))
@@ -246,7 +248,7 @@
 			t.Errorf("%s: %v, %d held, %d reserved", c.name, err, b.Len(), b.reserved)
 		}
 		if room.HoldWithCopy(t.Context(), r) == nil {
-			t.Errorf("%s: used twice", c.name)
+			t.Errorf("%s: the reservation could be used twice", c.name)
 		}
 	}
 	if copies != 1 {
@@ -254,8 +256,8 @@
 	}
 }
 
-// TestFlushAndHandOver: a flush stops at the first failure, keeps what it could
-// not settle under the same nonce, and the rest goes to a peer.
+// A flush stops at the first failure and keeps the bills that it could not put,
+// with their nonces; a hand-over moves the rest to a peer.
 func TestFlushAndHandOver(t *testing.T) {
 	var mu sync.Mutex
 	puts, accepted := 0, 0
@@ -279,20 +281,20 @@
 	}
 	puts, accepted = 0, 5
 	if left := b.Flush(t.Context()); left != 10*flushConcurrency-5 || puts > 5+2*flushConcurrency {
-		t.Errorf("log down midway: %d left after %d puts", left, puts)
+		t.Errorf("log down during the flush: %d left after %d puts", left, puts)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	if left := b.HandOver(ended); left != 10*flushConcurrency-5 {
-		t.Errorf("no time: %d left", left)
+		t.Errorf("hand-over with its context ended: %d left", left)
 	}
 	if left := b.HandOver(t.Context()); left != 0 || b.bytes != 0 {
-		t.Errorf("%d left in %d bytes", left, b.bytes)
+		t.Errorf("hand-over: %d bills of %d bytes left", left, b.bytes)
 	}
 }
 
-// TestOutage: bills of an outage reach the log once each, from the instance and
-// from its peer, also where the instance is gone before the log is back.
+// Bills of an outage reach the log once each, from the instance and from its
+// peer, even if the instance is killed before the log is back.
 func TestOutage(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("killed=%v", killed), func(t *testing.T) {
@@ -319,11 +321,11 @@
 						t.Fatal(err)
 					}
 					if !res.Hold(t.Context(), mustRecord(t, bill(fmt.Sprint(i), int64(i)))) {
-						t.Fatal("no copy")
+						t.Fatal("the peer has no copy of the bill")
 					}
 				}
 				if left := own.Flush(t.Context()); left != 500 {
-					t.Errorf("%d left while down", left)
+					t.Errorf("%d bills left while the log is down, want 500", left)
 				}
 				log.SetDown(false)
 				time.Sleep(10 * time.Second)
@@ -336,13 +338,13 @@
 				wg.Go(func() { peer.Flush(t.Context()) })
 				wg.Wait()
 				if peer.Len() != 0 || !killed && own.Len() != 0 {
-					t.Errorf("left: own %d, peer %d", own.Len(), peer.Len())
+					t.Errorf("bills left after the flushes: own %d, peer %d", own.Len(), peer.Len())
 				}
 				if got, _ := export(t, log, 0); len(got) != 500 {
 					t.Errorf("%d bills exported", len(got))
 				}
 				if n := log.Appends(); n > 20 {
-					t.Errorf("%d appends for the flush", n)
+					t.Errorf("%d appends for flushing 500 bills", n)
 				}
 				_ = a.Stop(t.Context())
 				_ = b.Stop(t.Context())
@@ -360,13 +362,13 @@
 			return
 		}
 		if r := mustRecord(t, b); string(r.Key) != key {
-			t.Errorf("key %q became %q", key, r.Key)
+			t.Errorf("key %q is %q after a round trip", key, r.Key)
 		}
 	})
 }
 
-// TestLateCopyIsVoidAtTheReader appends a bill twice, hours apart: instances have
-// forgotten the first one by then, the ledger's reader has not.
+// A bill is appended twice, hours apart, so that the instances have forgotten
+// the first one by then. The reader of the ledger must still void the second.
 func TestLateCopyIsVoidAtTheReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
--- a/coordination/ledger/log.go
+++ b/coordination/ledger/log.go
@@ -7,21 +7,21 @@
 	"masticplank.example/coordination/record"
 )
 
-// BillLog takes bills. Writer is one with a stream of its own, StoreLog one that
-// shares the log of all other records. Implementations are safe for concurrent
-// use.
+// BillLog appends bills. Writer uses a log of its own, StoreLog the log that
+// holds all other records. Implementations are safe for concurrent use.
 type BillLog interface {
 	// Put is a PutFunc.
 	Put(ctx context.Context, r record.Record) node.Result
-	// Reachable says whether it is worth a wait to put a bill now.
+	// Reachable reports whether the log is expected to take a bill now. If it is
+	// false, the caller holds the bill instead of waiting for a Put.
 	Reachable() bool
 }
 
-// StoreLog puts bills into the log that the store tails.
+// StoreLog puts bills into the log that Store reads and folds.
 type StoreLog struct{ Store node.Store }
 
-// Put implements Log.
+// Put implements BillLog.
 func (l StoreLog) Put(ctx context.Context, r record.Record) node.Result { return l.Store.Put(ctx, r) }
 
-// Reachable implements Log.
+// Reachable implements BillLog.
 func (l StoreLog) Reachable() bool { return l.Store.Status().LogReachable }
--- a/coordination/ledger/reservation.go
+++ b/coordination/ledger/reservation.go
@@ -9,15 +9,15 @@
 	"masticplank.example/coordination/record"
 )
 
-// Reservation is room for one bill. Use exactly one of Hold, HoldTwice and
-// Cancel; calls after the first do nothing.
+// Reservation is room for one bill. Use exactly one of Hold, HoldWithCopy and
+// Cancel; later calls have no effect.
 type Reservation struct {
 	buffer *Buffer
 	once   sync.Once
 }
 
-// Reserve takes room for the bill of a request that is about to be admitted.
-// Errors wrap ErrFull: refuse the request.
+// Reserve reserves room for the bill of a request that is about to be admitted.
+// Errors wrap ErrBufferFull; the request must be refused then.
 func (b *Buffer) Reserve() (*Reservation, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,7 +28,7 @@
 	return &Reservation{buffer: b}, nil
 }
 
-// Cancel gives the room back: the request was billed through the log, or did
+// Cancel frees the room, since the request was billed through the log or did
 // not run.
 func (r *Reservation) Cancel() {
 	r.once.Do(func() {
@@ -38,16 +38,17 @@
 	})
 }
 
-// Hold keeps the bill and hands one copy to a peer. It never fails to keep it;
-// copied says whether a peer has it too, so that it outlives this process.
+// Hold holds the bill and sends one copy to a peer. Holding never fails; copied
+// reports whether a peer has the bill too, so that it survives this process.
 func (r *Reservation) Hold(ctx context.Context, bill record.Record) (copied bool) {
 	used, _ := r.use(bill)
 	return used && r.buffer.copyToPeer(ctx, bill) == nil
 }
 
-// HoldWithCopy keeps the bill here and at a peer, or fails. After an error this
-// buffer holds what it held before: where it kept the same bill for a peer
-// already, it still does.
+// HoldWithCopy holds the bill here and at a peer, or returns an error. After an
+// error the buffer holds the same bills as before; if it already held this bill
+// for a peer, it still does. Errors wrap ErrInvalidBill, ErrNoCopy or, for a
+// used reservation, ErrBufferFull.
 func (r *Reservation) HoldWithCopy(ctx context.Context, bill record.Record) error {
 	if _, err := ParseBill(bill); err != nil {
 		r.Cancel()
@@ -55,7 +56,7 @@
 	}
 	used, added := r.use(bill)
 	if !used {
-		return trace.Wrap(ErrBufferFull, "the reservation was used before")
+		return trace.Wrap(ErrBufferFull, "the reservation is already used")
 	}
 	err := r.buffer.copyToPeer(ctx, bill)
 	if err != nil && added {
@@ -64,7 +65,8 @@
 	return err
 }
 
-// use turns the reservation into the held bill.
+// use turns the reservation into the held bill. used is false if the
+// reservation was used before, added is false if the bill was held already.
 func (r *Reservation) use(bill record.Record) (used, added bool) {
 	r.once.Do(func() {
 		r.buffer.mu.Lock()
@@ -75,10 +77,10 @@
 	return used, added
 }
 
-// copyToPeer has a peer keep a copy. Errors wrap ErrNoCopy.
+// copyToPeer sends a copy to a peer. Errors wrap ErrNoCopy.
 func (b *Buffer) copyToPeer(ctx context.Context, bill record.Record) error {
 	if b.sendCopy == nil {
-		return trace.Wrap(ErrNoCopy, "no peers")
+		return trace.Wrap(ErrNoCopy, "no peers configured")
 	}
 	if err := b.sendCopy(ctx, bill); err != nil {
 		return trace.Wrap(ErrNoCopy, "%v", err)
--- a/coordination/ledger/writer.go
+++ b/coordination/ledger/writer.go
@@ -11,32 +11,34 @@
 	"masticplank.example/coordination/record"
 )
 
-// Writer appends bills to a log of their own, which no instance tails or folds.
+// Writer appends bills to a log of their own, which no instance reads or folds.
 //
-// Load: a fleet's bills, which are most of its records. Harm prevented: every
-// instance reading every bill, in proportion to the whole fleet's requests.
+// Bills are the majority of a fleet's records. In the shared log, every
+// instance would read all of them, so its load would grow with the requests of
+// the whole fleet.
 //
-// Why an acknowledged append is enough: the first bill of a request counts at the
-// reader of the stream, whichever instance wrote it, so nobody needs to know who
-// was first, only that a bill is in. An append whose reply was lost is sent again
-// with the same nonce; the copy is void at the reader. Safe for concurrent use.
+// An acknowledged append is enough: the first bill of a request wins at the
+// reader of the log, whichever instance wrote it, so an instance needs to know
+// only that a bill is in the log and not whether it was first. An append whose
+// reply was lost is repeated with the same nonce, and the reader voids the
+// duplicate. Writer is safe for concurrent use.
 type Writer struct {
 	log   platformlog.Log
 	cfg   WriterConfig
 	queue chan *pendingBill
-	// failedAt is when the last append failed, in Unix nanoseconds; 0 when it
-	// did not.
+	// failedAt is when the last append failed, in Unix nanoseconds; 0 if it
+	// succeeded.
 	failedAt atomic.Int64
-	// lastAppend is the append loop's own.
+	// lastAppend is when the last append started. Only Run accesses it.
 	lastAppend time.Time
 }
 
-// WriterConfig of a Writer. Zero fields take the defaults named at each.
+// WriterConfig configures a Writer. Zero fields take the documented defaults.
 type WriterConfig struct {
-	// Name of the instance. Required.
+	// Name is the name of the instance. Required.
 	Name string
-	// Linger is the time between two appends; it is asked before each, since it
-	// follows the number of instances. Default 20 ms.
+	// Linger returns the minimum time between two appends. It is called before
+	// each append, since the time follows the number of instances. Default 20 ms.
 	Linger func() time.Duration
 	// AppendTimeout bounds one append. Default 2 s.
 	AppendTimeout time.Duration
@@ -47,22 +49,23 @@
 	defaultAppendTimeout = 2 * time.Second
 	// writerQueueBills is how many bills may wait for the next append: one batch.
 	writerQueueBills = record.MaxRecords
-	// appendRetryDelay is waited after a failed append, so that a log that is down is
-	// not asked by every bill.
+	// appendRetryDelay is the pause after a failed append, so that queued bills do
+	// not flood a log that is down.
 	appendRetryDelay = 100 * time.Millisecond
-	// unreachablePeriod is how long a failed append keeps bills from the log: they are
-	// held at once meanwhile, without a wait for each.
+	// unreachablePeriod is how long Reachable stays false after a failed append.
+	// Bills are held at once during that time, instead of each waiting for the
+	// log.
 	unreachablePeriod = time.Second
 )
 
-// pendingBill is one bill that waits for its append.
+// pendingBill is a bill that waits for its append.
 type pendingBill struct {
 	record record.Record
-	// done has room for the one outcome, so a waiter that has left blocks nobody.
+	// done has a buffer of one, so that a caller that has left blocks nobody.
 	done chan error
 }
 
-// NewWriter returns a Writer; Run starts it.
+// NewWriter returns a Writer. It appends nothing until Run is called.
 func NewWriter(log platformlog.Log, cfg WriterConfig) *Writer {
 	if cfg.Linger == nil {
 		cfg.Linger = func() time.Duration { return defaultWriterLinger }
@@ -73,16 +76,16 @@
 	return &Writer{log: log, cfg: cfg, queue: make(chan *pendingBill, writerQueueBills)}
 }
 
-// Reachable is false for a while after an append that failed; then the next bill
-// asks the log again.
+// Reachable returns false for a short time after a failed append. After that,
+// the next bill tries the log again.
 func (w *Writer) Reachable() bool {
 	failed := w.failedAt.Load()
 	return failed == 0 || time.Now().UnixNano()-failed > int64(unreachablePeriod)
 }
 
-// Put appends a bill with others. OutcomeWon says that it is in the log,
-// OutcomeVoid that it never was handed over, OutcomeUnknown that it may be in;
-// putting it again is harmless. It is a PutFunc.
+// Put appends a bill, in one batch with others. OutcomeWon means that it is in
+// the log, OutcomeVoid that it is not, and OutcomeUnknown that it may
+// be in the log; putting it again is harmless. Put is a PutFunc.
 func (w *Writer) Put(ctx context.Context, r record.Record) node.Result {
 	p := &pendingBill{record: r, done: make(chan error, 1)}
 	select {
@@ -94,7 +97,7 @@
 	case err := <-p.done:
 		return node.Result{Outcome: outcomeOf(err)}
 	case <-ctx.Done():
-		// The loop may take it up in this moment; unknown is true in any case.
+		// Run may take the bill off the queue at this moment.
 		return node.Result{Outcome: node.OutcomeUnknown}
 	}
 }
@@ -110,7 +113,8 @@
 	}
 }
 
-// Run appends until ctx ends, and then what is queued. Run it once.
+// Run appends queued bills until ctx ends, and then what is still queued. It
+// must be called once.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
@@ -124,8 +128,8 @@
 	}
 }
 
-// waitLinger keeps the fleet's appends within its budget. After an idle linger the
-// first bill goes out at once.
+// waitLinger keeps the appends of the fleet within its budget. After an idle
+// linger, the next bill is appended at once.
 func (w *Writer) waitLinger(ctx context.Context) {
 	timer := time.NewTimer(time.Until(w.lastAppend.Add(w.cfg.Linger())))
 	defer timer.Stop()
@@ -135,7 +139,7 @@
 	}
 }
 
-// collectGroup takes what else waits.
+// collectGroup adds the other queued bills, up to a full batch.
 func (w *Writer) collectGroup(first *pendingBill) []*pendingBill {
 	group := []*pendingBill{first}
 	for len(group) < record.MaxRecords {
--- a/coordination/ledger/writer_test.go
+++ b/coordination/ledger/writer_test.go
@@ -13,8 +13,7 @@
 	"masticplank.example/coordination/platformlog/logtest"
 )
 
-// TestWriterUnderFaults puts bills through each fault of the log, again until
-// they are in, and exports them: each once.
+// A bill that is put again after any fault of the log is exported exactly once.
 func TestWriterUnderFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault func(*logtest.Log)
@@ -44,12 +43,12 @@
 				t.Errorf("%s: reachable %v", name, w.Reachable())
 			}
 			if got := w.Put(t.Context(), r).Outcome; got != node.OutcomeWon {
-				t.Errorf("%s, again: outcome %v", name, got)
+				t.Errorf("%s, second Put: outcome %v", name, got)
 			}
 			stop()
 			running.Wait()
 			if n := exported(t, log); n != 1 {
-				t.Errorf("%s: %d bills", name, n)
+				t.Errorf("%s: %d bills exported, want 1", name, n)
 			}
 		})
 	}
@@ -64,8 +63,8 @@
 	return sum.Bills
 }
 
-// TestWriterGroups puts many bills at once: they share appends, paced by the
-// linger, and a stop appends what is queued.
+// Many bills put at once share appends at intervals of the linger, and stopping
+// appends the queued ones.
 func TestWriterGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bills = 500
