--- a/coordination/lease/example_test.go
+++ b/coordination/lease/example_test.go
@@ -9,7 +9,8 @@
 	"masticplank.example/coordination/platformlog/logtest"
 )
 
-// The holder checks right before each order and sends the fencing number along.
+// The holder checks right before each order and sends the fencing number with
+// it.
 func Example() {
 	ctx := context.Background()
 	n, err := node.New(logtest.New().Client("a"), node.Config{Name: "a"})
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,23 +1,25 @@
-// Package lease gives one instance at a time the right to send orders, by
-// registers "lease/<name>/<term>" and with their offsets as fencing numbers.
+// Package lease gives one instance at a time the right to send orders to
+// backend servers. Each term of a lease is a register "lease/<name>/<term>", and
+// the log offset of its winning Put is the fencing number of the term.
 //
-// Why it is safe. A term is a register, so it has one winner, and its offset is
-// greater than that of every term before it: an engine that refuses a lower
-// fencing number is protected whatever the clocks do. For an engine that
-// ignores the number there are only clocks, and no two of them are compared:
+// Why it is safe: a term is a register, so it has one winner, and its offset is
+// greater than that of every earlier term. A backend server that refuses lower
+// fencing numbers is therefore protected whatever the clocks do. A server that
+// ignores the number is protected by clocks only, and no clock is compared with
+// another:
 //
-//   - The holder counts the lease from before it sent its Put, and stops
-//     ClockBound plus PauseGuard before its end. It checks right before each
-//     order, so a pause before the check is seen, and a pause after it that is
-//     shorter than PauseGuard ends inside the lease.
-//   - Another instance counts the lease from when it read it, which is later,
-//     and takes the next term no sooner than its end. It then waits for another
-//     Duration plus ClockBound plus PauseGuard before its first order.
+//   - The holder counts its term from before it sent the Put, and stops
+//     MaxClockDrift plus MaxPause before the term's end. It checks right before
+//     each order, so a pause before the check is detected, and a pause after it
+//     that is shorter than MaxPause ends within the term.
+//   - Any other instance counts the term from when it read it, which is later,
+//     and takes the next term only after that end. It then waits for another
+//     Duration plus MaxClockDrift plus MaxPause before its first order.
 //
-// ClockBound bounds how far two clocks drift apart within one lease. A pause
-// after the check that is longer than all these waits together can still let
-// one old order out; so orders must state the whole wanted state and be
-// idempotent, and the new holder reconciles.
+// MaxClockDrift bounds how far two clocks drift apart within one term. After a
+// pause between check and order that is longer than all these waits together,
+// one outdated order can still be sent. Orders must therefore state the complete
+// wanted state and be idempotent, and a new holder must reconcile.
 package lease
 
 import (
@@ -26,21 +28,23 @@
 	"masticplank.example/coordination/record"
 )
 
-// Config of a lease. Zero durations take the defaults.
+// Config configures a lease. Zero durations take the documented defaults.
 type Config struct {
-	// Name of the lease, such as the failure domain whose backend servers it
-	// is for.
+	// Name identifies the lease, such as by the failure domain whose backend
+	// servers it covers. It must not contain a slash.
 	Name string
-	// Holder is the own instance's name.
+	// Holder is the name of this instance.
 	Holder string
-	// Duration of one term. Default 10 s: a crashed holder is followed in
-	// twice that, and renewing costs one record in a third of it.
+	// Duration is the length of one term. Default 10 s: a crashed holder is
+	// replaced within twice that, and renewing every third of it costs one record
+	// each.
 	Duration time.Duration
-	// MaxClockDrift is how far two clocks may drift apart in one term. Default
-	// 100 ms: 1% of it, several times what a machine's clock does.
+	// MaxClockDrift is how far two clocks may drift apart within one term. Default
+	// 100 ms: 1% of the term, several times the drift of a usual machine clock.
 	MaxClockDrift time.Duration
-	// MaxPause is the longest pause between a check and its order's arrival
-	// that an engine without fencing is guarded against. Default 2 s.
+	// MaxPause is the longest time from a check until its order arrives against
+	// which a backend server that ignores fencing numbers is protected. Default 2
+	// s.
 	MaxPause time.Duration
 }
 
@@ -48,8 +52,8 @@
 	defaultDuration   = 10 * time.Second
 	defaultClockBound = 100 * time.Millisecond
 	defaultPauseGuard = 2 * time.Second
-	// termRetentionDurations is how many durations a term's register outlives its lease, so
-	// that a late copy of its Put finds it taken.
+	// termRetentionDurations is how many times Duration a term's register is kept,
+	// so that a late copy of its Put finds the register taken.
 	termRetentionDurations = 60
 )
 
@@ -66,31 +70,35 @@
 	return c
 }
 
-// FencingSupport says what a backend server does with a fencing number.
+// FencingSupport is what a backend server does with a fencing number.
 type FencingSupport uint8
 
 const (
-	// FencingEnforced: it refuses orders with a number lower than one it has seen.
+	// FencingEnforced means that the server refuses an order whose number is lower
+	// than one that it has seen.
 	FencingEnforced FencingSupport = iota + 1
-	// FencingIgnored: it takes any order.
+	// FencingIgnored means that the server accepts any order.
 	FencingIgnored
 )
 
-// CheckResult says why no order may be sent now.
+// CheckResult says whether an order may be sent now, and if not, why.
 type CheckResult uint8
 
 const (
-	// Allowed: the order may be sent.
+	// Allowed means that the order may be sent.
 	Allowed CheckResult = iota
-	// NotHolder: another instance, or none, holds the lease.
+	// NotHolder means that another instance or none holds the lease.
 	NotHolder
-	// Expired: too little is left of the own term.
+	// Expired means that less than MaxClockDrift plus MaxPause is left of this
+	// instance's term, or that it is over.
 	Expired
-	// WaitingForPredecessor: the one before may still act on an engine without fencing.
+	// WaitingForPredecessor means that an order of the previous holder may still
+	// reach a server that ignores fencing numbers.
 	WaitingForPredecessor
 )
 
-// term is what one register of the lease says.
+// term is the content of one register of the lease. An empty holder marks a
+// hand-over.
 type term struct {
 	number   uint64
 	holder   string
@@ -99,25 +107,29 @@
 	nonce    record.Nonce
 }
 
-// state is the lease as one instance knows it. Pure: the caller brings the
-// time. Terms are ordered by their offsets.
+// state is the lease as this instance knows it. It is pure: the caller supplies
+// the time. Terms are ordered by offset.
 type state struct {
 	cfg     Config
 	current term
 	known   bool
-	// blockedUntil is until when the holder may believe in its lease, by the time
-	// at which the own instance read it.
+	// blockedUntil is how long the holder may consider the lease its own, counted
+	// from when this instance read the term.
 	blockedUntil time.Time
-	// held: the current term is the own; validUntil is when to stop.
+	// held means that this instance has the current term; it may send orders until
+	// validUntil.
 	held       bool
 	validUntil time.Time
-	// ordersAllowedFrom is when an engine without fencing may get the first order.
+	// ordersAllowedFrom is when a server that ignores fencing numbers may get the
+	// first order.
 	ordersAllowedFrom time.Time
-	handedOver        bool
+	// handedOver means that the current term is a hand-over, so nobody holds the
+	// lease.
+	handedOver bool
 }
 
-// observeTerm takes a term that was read from the log at the time now. sent is when the
-// own instance sent its Put, zero for other's terms.
+// observeTerm takes a term that was read from the log at now. sent is when this
+// process sent the term's Put, zero for terms that it did not propose.
 func (s *state) observeTerm(now time.Time, t term, sent time.Time) {
 	if s.known && t.offset <= s.current.offset {
 		return
@@ -144,20 +156,21 @@
 	}
 }
 
-// observeRelease takes the Release of a term: its writer never acted on it. Whoever
-// held the term before may, so the block stays.
+// observeRelease takes the Release of a term, which its writer never acted on.
+// The holder of the term before may still act, so blockedUntil stays.
 func (s *state) observeRelease(nonce record.Nonce) {
 	if s.known && s.current.nonce == nonce {
 		s.held = false
 	}
 }
 
-// mayAcquire is from when the own instance may take the next term.
+// mayAcquire reports whether this instance may propose the next term now.
 func (s *state) mayAcquire(now time.Time) bool {
 	return !s.known || s.held || certainlyReached(now, s.blockedUntil)
 }
 
-// check decides whether an order may be sent now, under which fencing number.
+// check returns whether an order may be sent now, and under which fencing
+// number.
 func (s *state) check(now time.Time, engine FencingSupport) (uint64, CheckResult) {
 	switch {
 	case !s.held:
@@ -171,9 +184,9 @@
 	}
 }
 
-// certainlyBefore and past compare by both clocks, and each errs to the safe side: the
-// monotonic clock stands still while a virtual machine is suspended, and the
-// wall clock may be set.
+// certainlyBefore and certainlyReached compare by the monotonic and by the wall
+// clock, and are true only if both agree: the monotonic clock stops while a
+// virtual machine is suspended, and the wall clock may be set.
 func certainlyBefore(now, end time.Time) bool {
 	return now.Before(end) && now.Round(0).Before(end.Round(0))
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -18,7 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// managers starts n instances on one log, each with a Manager of one lease.
+// managers starts n instances on one log, each with a Manager of the same
+// lease.
 func managers(t *testing.T, n int) (*logtest.Log, []*Manager, []*node.Node) {
 	log := logtest.New()
 	var ms []*Manager
@@ -50,7 +51,7 @@
 	t.Helper()
 	fence, got := m.Check(e)
 	if got != want {
-		t.Fatalf("%s, engine %d: refusal %d, want %d", m.cfg.Holder, e, got, want)
+		t.Fatalf("%s, fencing support %d: check result %d, want %d", m.cfg.Holder, e, got, want)
 	}
 	return fence
 }
@@ -58,9 +59,9 @@
 func wantAcquire(t *testing.T, m *Manager, want bool) {
 	t.Helper()
 	if got := m.Acquire(t.Context()); got != want {
-		t.Fatalf("%s took the lease: %v, want %v", m.cfg.Holder, got, want)
+		t.Fatalf("%s acquired the lease: %v, want %v", m.cfg.Holder, got, want)
 	}
-	synctest.Wait() // for the others to read it
+	synctest.Wait() // for the other instances to read the term
 }
 
 func TestTakeRenewAndTakeOver(t *testing.T) {
@@ -77,12 +78,12 @@
 		if second := wantCheck(t, a, FencingEnforced, Allowed); second <= first {
 			t.Errorf("fencing numbers %d, then %d", first, second)
 		}
-		// A renewal does not begin the wait anew: 12.1 s after the first term.
+		// A renewal does not restart the wait: it ends 12.1 s after the first term.
 		time.Sleep(7099 * time.Millisecond)
 		wantCheck(t, a, FencingIgnored, WaitingForPredecessor)
 		time.Sleep(2 * time.Millisecond)
 		wantCheck(t, a, FencingIgnored, Allowed)
-		// The holder stops ClockBound and PauseGuard before its end.
+		// The holder stops MaxClockDrift and MaxPause before the end of its term.
 		time.Sleep(799 * time.Millisecond)
 		wantCheck(t, a, FencingEnforced, Expired)
 		wantAcquire(t, b, false)
@@ -100,10 +101,10 @@
 		a, b := ms[0], ms[1]
 		wantAcquire(t, a, true)
 		if b.HandOver(t.Context()) {
-			t.Error("handed over by who does not hold it")
+			t.Error("an instance that does not hold the lease handed it over")
 		}
 		if !a.HandOver(t.Context()) {
-			t.Fatal("not handed over")
+			t.Fatal("the holder could not hand the lease over")
 		}
 		wantCheck(t, a, FencingEnforced, NotHolder)
 		time.Sleep(time.Second)
@@ -112,8 +113,9 @@
 	})
 }
 
-// TestTwoTakeAtOnce: in a hundred rounds, since what goes wrong here depends on
-// the order of goroutines.
+// Several instances acquire a free lease at the same time; exactly one must
+// hold it. A hundred rounds, since a fault here would depend on the scheduling
+// of goroutines.
 func TestTwoTakeAtOnce(t *testing.T) {
 	for range 100 {
 		synctest.Test(t, acquireAtOnce)
@@ -133,11 +135,11 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("%d holders", n)
+		t.Errorf("%d instances hold the lease, want 1", n)
 	}
 }
 
-// TestLogDownLapses: who can't renew stops in time.
+// A holder that cannot renew since the log is down stops before its term ends.
 func TestLogDownLapses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, ms, _ := managers(t, 1)
@@ -151,7 +153,9 @@
 	})
 }
 
-// TestTermCountsFromBeforeItsPut: the holder can't know when the log took it.
+// The holder counts its term from before the Put, since it cannot know when the
+// log appended it: counted from the reply, a slow append would prolong the
+// term.
 func TestTermCountsFromBeforeItsPut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, ms, _ := managers(t, 1)
@@ -165,7 +169,8 @@
 	})
 }
 
-// TestUnreadableTermBlocks: it takes its number and a whole duration.
+// A term that cannot be decoded takes its number and blocks the lease for one
+// Duration, since its holder may act on it.
 func TestUnreadableTermBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, nodes := managers(t, 2)
@@ -188,7 +193,8 @@
 	}
 }
 
-// simulation is a log of terms read by contenders with lags and pauses of their own.
+// simulation is a log of terms and contenders that read it with lags and
+// pauses.
 type simulation struct {
 	rng        *rand.Rand
 	now        time.Time
@@ -200,19 +206,19 @@
 	state   state
 	read    int
 	pending *pendingPut
-	// lastOrder is when an order sent under the last check may arrive.
+	// lastOrder is the latest time at which an order of the last check may arrive.
 	lastOrder time.Time
 }
 
-// pendingPut is a Put that lands in the log at the time lands.
+// pendingPut is a Put that is appended to the log at landsAt.
 type pendingPut struct {
 	sentAt  time.Time
 	landsAt time.Time
 	term    term
 }
 
-// step lets one contender act: read some of the log, take or renew, or send an
-// order that arrives up to PauseGuard after its check.
+// step lets one contender act: read part of the log, acquire or renew, or send
+// an order that arrives up to MaxPause after its check.
 func (w *simulation) step(t *testing.T) {
 	w.now = w.now.Add(time.Duration(w.rng.IntN(1500)) * time.Millisecond)
 	i := w.rng.IntN(len(w.contenders))
@@ -233,13 +239,13 @@
 	}
 	for j, other := range w.contenders {
 		if j != i && !w.now.After(other.lastOrder) {
-			t.Fatalf("%d may order at %v while an order of %d may arrive until %v", i, w.now, j, other.lastOrder)
+			t.Fatalf("contender %d may send an order at %v, while an order of %d may arrive until %v", i, w.now, j, other.lastOrder)
 		}
 	}
 	c.lastOrder = w.now.Add(c.state.cfg.MaxPause)
 }
 
-// land appends a pending Put once its time has come, if its term is free.
+// land appends a pending Put once its time has come, unless its term is taken.
 func (w *simulation) land(c *contender) {
 	p := c.pending
 	if p == nil || p.term.offset != 0 || w.now.Before(p.landsAt) {
@@ -266,9 +272,9 @@
 	c.state.observeTerm(w.now, next, sent)
 }
 
-// TestOneOrderAtATime: over seeded runs of lagging readers, late appends and
-// pauses up to PauseGuard, an engine that ignores fencing numbers never gets
-// orders of two holders crossed.
+// A backend server that ignores fencing numbers must never get interleaved
+// orders of two holders. Seeded runs of lagging readers, late appends and
+// pauses up to MaxPause try to bring that about.
 func TestOneOrderAtATime(t *testing.T) {
 	orders := 0
 	for seed := range uint64(300) {
@@ -287,7 +293,7 @@
 		}
 	}
 	if orders < 300 {
-		t.Errorf("only %d contenders ever sent an order", orders)
+		t.Errorf("%d contenders sent an order, want at least 300", orders)
 	}
 }
 
@@ -297,7 +303,7 @@
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		got, ok := m.parseTerm(fold.Register{Key: record.Key(key), Value: value})
 		if ok && got.duration < 0 {
-			t.Errorf("a term of %v", got.duration)
+			t.Errorf("term has the negative duration %v", got.duration)
 		}
 	})
 }
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -16,10 +16,11 @@
 	"masticplank.example/coordination/record"
 )
 
-// ErrInvalidConfig means that a lease's name or holder is unusable.
-var ErrInvalidConfig = errors.New("lease: empty name, slash in the name, or no holder")
+// ErrInvalidConfig means that the name or the holder of a lease is missing, or
+// that the name contains a slash.
+var ErrInvalidConfig = errors.New("lease: name is empty or contains a slash, or holder is empty")
 
-// Store is what a Manager needs of *node.Node.
+// Store is the part of *node.Node that a Manager uses.
 type Store interface {
 	Put(ctx context.Context, r record.Record) node.Result
 	Release(key record.Key, nonce record.Nonce)
@@ -27,31 +28,32 @@
 	Registers(class record.Class) []fold.Register
 }
 
-// wireTerm is the value of a term's register. An empty holder hands over.
+// wireTerm is the encoded value of a term's register. Duration is in
+// nanoseconds. An empty Holder is a hand-over.
 type wireTerm struct {
 	_        struct{} `cbor:",toarray"`
 	Holder   string
 	Duration int64
 }
 
-// Manager takes, renews, checks and hands over one lease. Safe for concurrent
-// use; one call of Take, Renew or HandOver at a time makes progress.
+// Manager acquires, renews, checks and hands over one lease. It is safe for
+// concurrent use; calls of Acquire and HandOver run one at a time.
 type Manager struct {
 	store Store
 	cfg   Config
 	stop  func()
 	now   func() time.Time
 
-	// proposeMu serialises the own Puts.
+	// proposeMu serialises the Puts of this instance.
 	proposeMu sync.Mutex
 	mu        sync.Mutex
 	state     state
-	// sentAt holds when the Puts of this process were sent, by nonce.
+	// sentAt holds when this process sent its Puts, by nonce.
 	sentAt map[record.Nonce]time.Time
 }
 
-// New returns a Manager that follows the lease from now on. now is the clock;
-// nil means time.Now. Errors wrap ErrName.
+// New returns a Manager that follows the lease until Close. now is the clock;
+// nil means time.Now. Errors wrap ErrInvalidConfig.
 func New(store Store, cfg Config, now func() time.Time) (*Manager, error) {
 	if cfg.Name == "" || strings.Contains(cfg.Name, "/") || cfg.Holder == "" {
 		return nil, trace.Wrap(ErrInvalidConfig)
@@ -74,20 +76,21 @@
 	return m, nil
 }
 
-// Close ends the following of the lease.
+// Close stops following the lease. It does not hand it over.
 func (m *Manager) Close() { m.stop() }
 
-// Check decides, right before an order is sent, whether it may be, and under
-// which fencing number. It costs no I/O.
+// Check returns whether an order may be sent, and under which fencing number.
+// Call it right before each order. It does no I/O.
 func (m *Manager) Check(engine FencingSupport) (fence uint64, result CheckResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.check(m.now(), engine)
 }
 
-// Acquire tries for the next term if the current one is over, or renews the own
-// one. It reports whether the own instance holds the lease after it. A Put with
-// unknown outcome is released: a term that was not read back is not held.
+// Acquire proposes the next term if the current one is over, or renews the term
+// of this instance. It returns whether this instance holds the lease
+// afterwards. A Put with an unknown outcome is released, since a term whose Put
+// was not confirmed must not be used.
 func (m *Manager) Acquire(ctx context.Context) bool {
 	m.proposeMu.Lock()
 	defer m.proposeMu.Unlock()
@@ -101,8 +104,10 @@
 	return m.putTerm(ctx, number, wireTerm{Holder: m.cfg.Holder, Duration: int64(m.cfg.Duration)})
 }
 
-// HandOver gives the lease up, so that the next holder need not wait. The
-// caller must have no order on its way. From the call on, Check refuses.
+// HandOver ends this instance's term, so that the next holder does not have to
+// wait for its end. No order of the caller may be in flight. Check refuses
+// orders from the call on, also if HandOver returns false because the lease was
+// not held or the Put failed.
 func (m *Manager) HandOver(ctx context.Context) bool {
 	m.proposeMu.Lock()
 	defer m.proposeMu.Unlock()
@@ -117,8 +122,9 @@
 	return m.putTerm(ctx, number, wireTerm{})
 }
 
-// putTerm puts the term number, which must have been read together with what
-// allows it: read later, it may follow a term that nobody has judged.
+// putTerm puts the term with the given number. The number must have been read
+// under the same lock as the state that allows it: read later, it could follow
+// a term that the caller has not considered.
 func (m *Manager) putTerm(ctx context.Context, number uint64, w wireTerm) bool {
 	value, err := cbor.Marshal(w)
 	if err != nil {
@@ -171,11 +177,12 @@
 	m.state.observeTerm(m.now(), t, m.sentAt[reg.Nonce])
 }
 
-// unknownHolder stands for the writer of a term that can't be read: its number
-// is taken, and it blocks for a whole duration.
+// unknownHolder replaces the holder of a term that cannot be decoded. Such a
+// term takes its number and blocks the lease for one Duration.
 const unknownHolder = "?"
 
-// parseTerm reads a term of this lease; those of others are ignored.
+// parseTerm decodes a term of this lease; ok is false for those of other
+// leases.
 func (m *Manager) parseTerm(reg fold.Register) (term, bool) {
 	prefix := string(record.ClassLease) + "/" + m.cfg.Name + "/"
 	rest, ok := strings.CutPrefix(string(reg.Key), prefix)
@@ -190,7 +197,8 @@
 	if err := cbor.Unmarshal(reg.Value, &w); err != nil || w.Duration < 0 {
 		w = wireTerm{Holder: unknownHolder, Duration: int64(m.cfg.Duration)}
 	}
-	// No instance takes a lease for so long; it must not block the name for good.
+	// No instance takes a term that long; an invalid value must not block the
+	// lease forever.
 	duration := min(time.Duration(w.Duration), termRetentionDurations*m.cfg.Duration)
 	return term{number, w.Holder, duration, reg.Offset, reg.Nonce}, true
 }
