--- a/coordination/freshness/example_test.go
+++ b/coordination/freshness/example_test.go
@@ -7,6 +7,8 @@
 	"masticplank.example/coordination/freshness"
 )
 
+// A head of the log makes an instance fresh once everything before it is
+// folded, and a pause makes it stale.
 func Example() {
 	now := time.Unix(1_800_000_000, 0)
 	t := freshness.New(freshness.Config{Self: "a"})
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -1,25 +1,28 @@
-// Package freshness decides when an instance may trust the state it has
-// folded. It is a pure state machine: the caller reports what it saw and when.
+// Package freshness decides whether an instance may rely on the state that it
+// has folded. It is a pure state machine: the caller reports events and their
+// times.
 //
-// Why it is safe. A confirmation is a head of the log, the time at which that
-// head was read (never later than the truth: the time at which the read or the
-// question to a peer was sent), and the fact that everything before it is
-// folded here. An instance is fresh while its youngest confirmation is at most
-// F old, so whatever was accepted more than F ago is in force here. A pause is
-// seen as a gap between ticks, and nothing from before it counts after it.
+// Why it is safe: a confirmation is a head of the log up to which this instance
+// has folded everything, and the time at which that head was read. That time is
+// never later than the actual one: it is when the read, or the question to a
+// peer, was sent. An instance is fresh while its newest confirmation is no
+// older than the bound, so every record accepted longer ago than the bound is
+// in force here. A pause of the process shows as a gap between ticks; nothing
+// from before a pause counts after it.
 //
-// In an outage nothing can be accepted through the log, so the last state stays
-// right however old it is. That it is an outage and not the own connection is
-// believed only if a majority of the live list, oneself included, says within F
-// that it can't reach the log, nobody who answered says that it can, and
-// nobody who answered knows of a later record than the own state. What this
-// does not rule out: an instance outside the answering majority that was the
-// only one to read a last record before the log went down.
+// In an outage of the log nothing can be accepted through it, so the last state
+// stays valid however old it is. An outage, rather than a broken connection of
+// this instance, is assumed only if a majority of the live instances, including
+// this one, reports within the bound that it cannot reach the log, no report
+// says that the log is reachable, and no report names a later record than those
+// folded here. One case is not covered: an instance outside the reporting
+// majority may have been the only one to read a last record before the log went
+// down.
 //
-// A list of one makes that one the majority: a single instance whose log is
-// down goes into outage mode, since there is nobody else through whom a
-// manifest could have been accepted. Without a
-// list, or with an empty one, there is no majority.
+// With a single instance in the list, that instance is the majority: it enters
+// outage mode when the log is down, since no other instance exists through
+// which a manifest could have been accepted. Without a list, or with an empty
+// one, there is no majority.
 package freshness
 
 import "time"
@@ -28,36 +31,39 @@
 type Mode uint8
 
 const (
-	// ModeStale: refuse new work as not run and fail readiness.
+	// ModeStale means that new work must be refused as not run and that readiness
+	// fails.
 	ModeStale Mode = iota
-	// ModeFresh: everything is allowed.
+	// ModeFresh means that everything is allowed.
 	ModeFresh
-	// ModeOutage: the log is down for everybody; idempotent work goes on with
-	// the last manifest, non-idempotent work is refused as not run.
+	// ModeOutage means that the log is down for all instances. Idempotent work
+	// goes on with the last manifest, non-idempotent work is refused as not run.
 	ModeOutage
 )
 
-// DefaultBound is how old a confirmation may be (F in docs/DESIGN.md). It is
-// the longest time that a withdrawn version can still get work at an instance
-// which was cut off, and several times the log's long poll, so that one slow
-// poll does not make a healthy instance stale.
+// DefaultBound is the maximum age of a confirmation (F in docs/DESIGN.md). It
+// is the longest time that a withdrawn version can still get work at a
+// disconnected instance, and several times the log's long poll, so that one
+// slow poll does not make a healthy instance stale.
 const DefaultBound = 5 * time.Second
 
-// Config of a Tracker.
+// Config configures a Tracker.
 type Config struct {
-	// Self is the own name in the live list; it counts once, listed or not.
+	// Self is this instance's name in the live list. It counts once, listed or
+	// not.
 	Self string
-	// Bound is F; see DefaultBound.
+	// Bound is the maximum age of a confirmation. 0 means DefaultBound.
 	Bound time.Duration
 }
 
-// Vouch is a peer's word: its state, and whether it reached the log itself.
+// Vouch is a peer's report on the log: the head that it knows, and whether it
+// can reach the log itself.
 type Vouch struct {
 	Peer string
-	// Head is the log's head that the peer knows of.
+	// Head is the highest head of the log that the peer knows.
 	Head uint64
-	// HeadAge is how long ago the peer itself read that head from the log.
+	// HeadAge is how long ago the peer read that head from the log.
 	HeadAge time.Duration
-	// LogReachable is false when the peer's own reads fail.
+	// LogReachable is false while the peer's own reads fail.
 	LogReachable bool
 }
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
-// maxPendingHeads bounds the heads that wait to be folded. Long polls bring a few a
-// second; where folding lags by more, the oldest ones are the first to count.
+// maxPendingHeads bounds the heads that wait until they are folded. Long polls
+// bring a few a second. Further heads are dropped: if folding lags that much,
+// the oldest heads are confirmed first anyway.
 const maxPendingHeads = 64
 
-// Tracker holds what was seen. Safe for concurrent use; the zero value is not
-// valid, see New. Call Tick several times in F.
+// Tracker derives the Mode of this instance from reported events. It is safe
+// for concurrent use. The zero value is not usable; see New. Call Tick several
+// times per bound.
 type Tracker struct {
 	mu    sync.Mutex
 	self  string
@@ -18,22 +20,24 @@
 
 	folded       uint64
 	pendingHeads []observedHead
-	// confirmedAt is the time of the youngest confirmation.
+	// confirmedAt is the time of the newest confirmation.
 	confirmedAt time.Time
 
 	readAt   time.Time
 	failedAt time.Time
 
+	// live holds the listed instances other than this one. hasList is false if
+	// there is no list or an empty one.
 	live    map[string]bool
 	hasList bool
 	vouches map[string]receivedVouch
 
 	lastTick time.Time
-	// resumedAt is when the last pause was found; nothing before it counts.
+	// resumedAt is the end of the last pause. Nothing from before it counts.
 	resumedAt time.Time
 }
 
-// observedHead is a head of the log and when it was read.
+// observedHead is a head of the log and the time at which it was read.
 type observedHead struct {
 	at   time.Time
 	head uint64
@@ -44,18 +48,19 @@
 	vouch   Vouch
 }
 
-// Report is a Mode with what it rests on.
+// Report is a Mode and what it is based on.
 type Report struct {
 	Mode Mode
-	// Age of the youngest confirmation; negative where there is none.
+	// Age is the age of the newest confirmation, negative if there is none.
 	Age time.Duration
-	// LogUnreachable counts the live instances, oneself included, that say they
-	// can't reach the log; Live is the size of the list.
+	// LogUnreachable is how many live instances, including this one, report that
+	// they cannot reach the log. Counting stops at a report that rules an outage
+	// out. LiveInstances is the size of the live list, including this one.
 	LogUnreachable int
 	LiveInstances  int
 }
 
-// New returns a Tracker that has seen nothing: ModeStale.
+// New returns a Tracker without any confirmation: its mode is ModeStale.
 func New(cfg Config) *Tracker {
 	if cfg.Bound <= 0 {
 		cfg.Bound = DefaultBound
@@ -63,7 +68,7 @@
 	return &Tracker{self: cfg.Self, bound: cfg.Bound, vouches: map[string]receivedVouch{}}
 }
 
-// HeadRead: the log was asked at the time at, and its head is head.
+// HeadRead reports that a read of the log, sent at the time at, returned head.
 func (t *Tracker) HeadRead(at time.Time, head uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,14 +76,15 @@
 	t.observeHead(observedHead{at, head})
 }
 
-// ReadFailed: at the time at, a read of the log was given up.
+// ReadFailed reports that a read of the log failed or was abandoned at the time
+// at.
 func (t *Tracker) ReadFailed(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failedAt = latest(t.failedAt, at)
 }
 
-// Folded: everything before next is folded here.
+// Folded reports that everything before the offset next is folded here.
 func (t *Tracker) Folded(next uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,8 +103,8 @@
 	t.pendingHeads = left
 }
 
-// Vouched: a peer that was asked at the time at answered v. A vouch counts for
-// the head that it names whether or not the peer still reaches the log.
+// Vouched reports that a peer that was asked at the time at answered v. A vouch
+// confirms its head whether or not the peer still reaches the log.
 func (t *Tracker) Vouched(at time.Time, v Vouch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,12 +122,12 @@
 	}
 }
 
-// Live sets the list of live instances; it may name oneself. It lags, which is
-// why it only sets how many must answer.
+// SetLiveInstances sets the list of live instances, which may include this one.
+// The list lags, so it only determines how many reports make a majority.
 func (t *Tracker) SetLiveInstances(names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// An empty list is a fault of the list, not a fleet of one.
+	// An empty list is an error of its source, not a fleet of one instance.
 	t.hasList = len(names) > 0
 	t.live = map[string]bool{}
 	for _, name := range names {
@@ -136,20 +142,21 @@
 	}
 }
 
-// Tick tells the time; a gap of more than F/2 between ticks is a pause.
+// Tick reports the time. A gap of more than half the bound between ticks counts
+// as a pause.
 func (t *Tracker) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.observeTick(now)
 }
 
-// Mode is what the instance may do at the time now. It finds a pause too, so
-// that no request is dispatched between the resume and the next Tick.
+// Mode returns the mode at the time now. It detects a pause too, so that no
+// request is dispatched between the end of a pause and the next Tick.
 func (t *Tracker) Mode(now time.Time) Mode {
 	return t.Report(now).Mode
 }
 
-// Report is Mode with what it rests on.
+// Report returns the mode at the time now and what it is based on.
 func (t *Tracker) Report(now time.Time) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,9 +179,10 @@
 	return r
 }
 
-// countUnreachable counts who says now that the log can't be reached. The second result is
-// true if anybody who answered reaches it, or knows of a record that the own
-// state lacks: such a record may be a manifest, and comes from that peer first.
+// countUnreachable counts the instances that now report the log as unreachable.
+// reachable is true if any report rules an outage out: the reporter reaches the
+// log, or knows of a record that is not folded here. Such a record may be a
+// manifest, which that peer then delivers. It is also true without any report.
 func (t *Tracker) countUnreachable(now time.Time) (unreachable int, reachable bool) {
 	if t.recent(now, t.failedAt) && t.failedAt.After(t.readAt) {
 		unreachable++
@@ -191,7 +199,7 @@
 	return unreachable, unreachable == 0
 }
 
-// recent: at most F ago, and not before the last pause.
+// recent reports whether at is within the bound and not before the last pause.
 func (t *Tracker) recent(now, at time.Time) bool {
 	return !at.IsZero() && !at.Before(t.resumedAt) && now.Sub(at) <= t.bound
 }
@@ -213,8 +221,8 @@
 	t.lastTick = latest(t.lastTick, now)
 }
 
-// pauseBetween is the time between two ticks by whichever clock says more: the
-// monotonic clock stands still while a virtual machine is suspended, and the
+// pauseBetween returns the time between two ticks by whichever clock shows
+// more: the monotonic clock stops while a virtual machine is suspended, the
 // wall clock does not.
 func pauseBetween(before, now time.Time) time.Duration {
 	if before.IsZero() {
--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// scenario drives a Tracker by seconds after start, ticking each 100 ms.
+// scenario drives a Tracker that ticks every 100 ms.
 type scenario struct {
 	t   *testing.T
 	tr  *Tracker
@@ -73,7 +73,7 @@
 			s.tr.Folded(10)
 			s.want(ModeStale)
 		},
-		"fresh for F and no longer": func(s *scenario) {
+		"fresh for the bound and no longer": func(s *scenario) {
 			s.fresh()
 			s.run(5, nil)
 			s.want(ModeFresh)
@@ -91,7 +91,7 @@
 			s.fresh()
 			s.want(ModeFresh)
 		},
-		"log down, half of the list answers": func(s *scenario) {
+		"log down, only half of the list reports": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
@@ -99,7 +99,7 @@
 			})
 			s.want(ModeStale)
 		},
-		"log down, who answers is not in the list": func(s *scenario) {
+		"log down, the reporting peers are not in the list": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
@@ -129,21 +129,21 @@
 			s.tr.Folded(11)
 			s.want(ModeOutage)
 		},
-		"log down, own read does not know it": func(s *scenario) {
+		"log down, but no own read has failed": func(s *scenario) {
 			s.run(6, func() {
 				s.vouch("a", 0, time.Minute, false)
 				s.vouch("b", 0, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
-		"old answers do not make a majority": func(s *scenario) {
+		"outdated reports do not make a majority": func(s *scenario) {
 			s.fresh()
 			s.vouch("a", 10, time.Minute, false)
 			s.vouch("b", 10, time.Minute, false)
 			s.run(6, func() { s.tr.ReadFailed(s.now) })
 			s.want(ModeStale)
 		},
-		"cut from the log, a peer vouches": func(s *scenario) {
+		"disconnected from the log, a peer vouches": func(s *scenario) {
 			s.fresh()
 			s.run(20, func() {
 				s.tr.ReadFailed(s.now)
@@ -158,7 +158,7 @@
 			s.tr.Folded(11)
 			s.want(ModeFresh)
 		},
-		"a vouch is as old as its head": func(s *scenario) {
+		"a vouch is as old as the head that it names": func(s *scenario) {
 			s.tr.Folded(10)
 			s.vouch("a", 10, 4*time.Second, true)
 			s.want(ModeFresh)
@@ -169,7 +169,7 @@
 			s.vouch("a", 10, -time.Hour, true)
 			s.want(ModeStale)
 		},
-		"cut from all": func(s *scenario) {
+		"disconnected from the log and from all peers": func(s *scenario) {
 			s.fresh()
 			s.run(60, func() { s.tr.ReadFailed(s.now) })
 			s.want(ModeStale)
@@ -180,12 +180,12 @@
 			s.want(ModeStale)
 			s.tr.Tick(s.now)
 			s.want(ModeStale)
-			s.tr.HeadRead(s.now.Add(-time.Second), 10) // sent before the resume
+			s.tr.HeadRead(s.now.Add(-time.Second), 10) // sent before the pause ended
 			s.want(ModeStale)
 			s.tr.HeadRead(s.now, 10)
 			s.want(ModeFresh)
 		},
-		"a pause shorter than F/2": func(s *scenario) {
+		"a pause shorter than half the bound": func(s *scenario) {
 			s.fresh()
 			s.now = s.now.Add(2400 * time.Millisecond)
 			s.want(ModeFresh)
@@ -203,7 +203,7 @@
 			down()
 			s.want(ModeOutage)
 		},
-		"a name that left the list": func(s *scenario) {
+		"a reporting peer is no longer listed": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
@@ -242,7 +242,8 @@
 	}
 }
 
-// TestSuspendedMachine: the monotonic clock stood still, the wall clock ran on.
+// While a machine is suspended, the monotonic clock stops and the wall clock
+// does not. The pause must be detected by the latter.
 func TestSuspendedMachine(t *testing.T) {
 	s := newScenario(t, fleet...)
 	s.fresh()
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -1,11 +1,12 @@
-// Package gossip chooses which peers an instance compares digests with, and
-// says what a comparison means. It is pure: the exchange is the caller's.
+// Package gossip chooses the peers whose digests an instance compares with its
+// own, and interprets the comparison. It is pure: the caller does the exchange.
 //
-// Why a few random peers will do: news that one instance has reaches n
+// A few random peers suffice: information that one instance has reaches n
 // instances in about log2(n)/log2(1+Fanout) rounds, while the cost of a round
-// per instance does not depend on n. One peer outside the own failure domain in
-// each round keeps a domain that was cut off for a while from talking only to
-// itself when the cut is over.
+// per instance does not depend on n. One peer of each round is outside the
+// instance's own failure domain. Otherwise a domain that was partitioned for a
+// while could keep exchanging digests only within itself after the partition is
+// over.
 package gossip
 
 import (
@@ -14,20 +15,20 @@
 	"masticplank.example/coordination/fold"
 )
 
-// Fanout is how many peers are asked in one round.
+// Fanout is the number of peers asked in one round.
 const Fanout = 3
 
 // Peer is an instance in the live list.
 type Peer struct {
 	Name   string
 	Domain string
-	// Addr is its IP:port for peers.
+	// Addr is the IP:port for traffic between peers.
 	Addr string
 }
 
 // Pick draws up to n distinct peers other than self, one of them outside self's
-// failure domain where there is such a peer. The draw depends on nothing but
-// rng and the arguments.
+// failure domain if such a peer exists. The result depends only on rng and the
+// arguments. peers is not modified.
 func Pick(rng *rand.Rand, self Peer, peers []Peer, n int) []Peer {
 	others := make([]Peer, 0, len(peers))
 	for _, p := range peers {
@@ -50,7 +51,8 @@
 	return others[:n:n]
 }
 
-// pickOtherDomain draws the index of a peer outside domain; -1 if there is none.
+// pickOtherDomain draws the index of a peer outside domain, -1 if there is
+// none.
 func pickOtherDomain(rng *rand.Rand, domain string, peers []Peer) int {
 	chosen, seen := -1, 0
 	for i, p := range peers {
@@ -70,22 +72,23 @@
 	peers[i], peers[j] = peers[j], peers[i]
 }
 
-// Relation is what two digests say of each other.
+// Relation is the result of comparing this instance's digest with a peer's.
 type Relation uint8
 
 const (
-	// RelationEqual: nothing to exchange.
+	// RelationEqual means that there is nothing to exchange.
 	RelationEqual Relation = iota
-	// RelationBehind: the peer has folded more than the own instance.
+	// RelationBehind means that the peer has folded more than this instance.
 	RelationBehind
-	// RelationAhead: the own instance has folded more.
+	// RelationAhead means that this instance has folded more than the peer.
 	RelationAhead
-	// RelationDiverged: the same prefix gave two states. This can't be while all
-	// run the same rules; neither state is to be trusted.
+	// RelationDiverged means that the same prefix of the log gave two states. This
+	// cannot happen while all instances apply the same rules; neither state is to
+	// be trusted.
 	RelationDiverged
 )
 
-// Compare relates the own digest to a peer's.
+// Compare compares this instance's digest with a peer's.
 func Compare(own, peer fold.Digest) Relation {
 	switch {
 	case own.NextOffset < peer.NextOffset:
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -35,19 +35,19 @@
 				outside := false
 				for _, p := range got {
 					if names[p.Name] {
-						t.Fatalf("%v holds %s twice or oneself", got, p.Name)
+						t.Fatalf("%v contains %s twice, or the instance itself", got, p.Name)
 					}
 					names[p.Name] = true
 					drawn[p.Name]++
 					outside = outside || p.Domain != peers[0].Domain
 				}
 				if tt.domains > 1 && !outside {
-					t.Fatalf("%v is all in the own domain", got)
+					t.Fatalf("%v has no peer outside the instance's failure domain", got)
 				}
 			}
-			// Everybody is drawn, or news would not reach all.
+			// Every peer must be drawn, or information would not reach all instances.
 			if want := min(tt.instances, 500) - 1; len(drawn) < want {
-				t.Errorf("only %d of %d were ever drawn", len(drawn), tt.instances-1)
+				t.Errorf("only %d of %d peers were ever drawn", len(drawn), tt.instances-1)
 			}
 		})
 	}
@@ -58,10 +58,10 @@
 	before := slices.Clone(peers)
 	draw := func() []Peer { return Pick(rand.New(rand.NewPCG(7, 7)), peers[3], peers, Fanout) }
 	if !slices.Equal(draw(), draw()) {
-		t.Error("one seed drew two sets")
+		t.Error("two draws with the same seed differ")
 	}
 	if !slices.Equal(peers, before) {
-		t.Error("the list was reordered")
+		t.Error("Pick changed the order of its argument")
 	}
 }
 
@@ -75,7 +75,7 @@
 	}
 	for want, peer := range tests {
 		if got := Compare(own, peer); got != want {
-			t.Errorf("%+v: %d, want %d", peer, got, want)
+			t.Errorf("digest %+v: relation %d, want %d", peer, got, want)
 		}
 	}
 }
--- a/coordination/history/cluster.go
+++ b/coordination/history/cluster.go
@@ -17,7 +17,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// cluster is a few nodes on one log that goes wrong, in a synctest bubble.
+// cluster is a few nodes on one log with injected faults, in a synctest bubble.
 type cluster struct {
 	t         *testing.T
 	log       *logtest.Log
@@ -38,13 +38,14 @@
 	opsPerClient = 8
 )
 
-// runHistory makes one seeded history: work runs in clients goroutines while faults
-// strike; afterwards the log is healthy again and all nodes must agree.
+// runHistory runs one seeded history: work runs in clientCount goroutines while
+// faults are injected. Afterwards the log is healthy again, all nodes must
+// agree, and check is called.
 func runHistory(t *testing.T, seed uint64, work func(c *cluster, rng *rand.Rand, client int), check func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, log: logtest.New(), seed: seed, startTime: time.Now()}
-		// Every other log gives no times of its own.
+		// Every other log does not timestamp its entries.
 		c.log.SetTimeless(seed%2 == 1)
 		c.nodes, c.names = make([]*node.Node, nodeCount), make([]string, nodeCount)
 		for i := range nodeCount {
@@ -68,7 +69,7 @@
 	})
 }
 
-// replace kills the node of a slot, with no flush, and starts a new one.
+// replace kills the node of a slot without flushing it and starts a new one.
 func (c *cluster) replace(slot int) {
 	c.mu.Lock()
 	old := c.nodes[slot]
@@ -103,7 +104,7 @@
 	return c.nodes[slot%nodeCount]
 }
 
-// injectFaults strikes at random until stop is closed.
+// injectFaults injects random faults until stop is closed.
 func (c *cluster) injectFaults(rng *rand.Rand, stop chan struct{}) {
 	for {
 		select {
@@ -149,7 +150,7 @@
 	}
 }
 
-// trim drops what the last whole checkpoint in the log stands for.
+// trim drops the entries that the latest complete checkpoint in the log covers.
 func (c *cluster) trim() {
 	entries := c.log.Entries()
 	var found fold.CheckpointAssembler
@@ -170,7 +171,7 @@
 	c.log.Trim(next)
 }
 
-// transfer offers one node's state to another, as peers do.
+// transfer restores one node's snapshot at another, as peers do.
 func (c *cluster) transfer(from, to int) {
 	snapshot, err := c.node(from).Snapshot()
 	if err != nil {
@@ -181,7 +182,7 @@
 	}
 }
 
-// fullLog is a log with all entries, trimmed or not.
+// fullLog returns a log with all entries, including those that were trimmed.
 func (c *cluster) fullLog() *logtest.Log {
 	log := logtest.New()
 	for _, e := range append(c.archive, c.log.Entries()...) {
@@ -190,7 +191,8 @@
 	return log
 }
 
-// heal ends all faults and waits until all is appended and folded.
+// heal ends all faults, waits until everything is appended and folded, and
+// checks that the nodes agree with a replay.
 func (c *cluster) heal() {
 	c.log.SetDown(false)
 	c.log.SetSlow(0)
@@ -203,7 +205,7 @@
 	want := c.replay().Digest()
 	for i, n := range c.nodes {
 		if got := n.Digest(); got != want {
-			c.t.Errorf("seed %d: node %s is at %+v, a replay at %+v", c.seed, c.names[i], got, want)
+			c.t.Errorf("seed %d: node %s has the digest %+v, a replay has %+v", c.seed, c.names[i], got, want)
 		}
 	}
 }
@@ -219,7 +221,7 @@
 	return s
 }
 
-// eachRecord calls f for each record of key in the log, trimmed or not.
+// eachRecord calls f for each record of key in the log, including trimmed ones.
 func (c *cluster) eachRecord(key record.Key, f func(e platformlog.Entry, writer string, r record.Record)) {
 	for _, e := range append(c.archive, c.log.Entries()...) {
 		b, err := record.Decode(e.Data)
@@ -234,7 +236,7 @@
 	}
 }
 
-// describeRecords lists what the log has of key.
+// describeRecords lists the records of key in the log.
 func (c *cluster) describeRecords(key record.Key) []string {
 	var out []string
 	c.eachRecord(key, func(e platformlog.Entry, writer string, r record.Record) {
@@ -244,7 +246,7 @@
 	return out
 }
 
-// countPuts counts the Puts of each nonce of key in the log.
+// countPuts counts the Puts of key in the log by nonce.
 func (c *cluster) countPuts(key record.Key) map[record.Nonce]int {
 	out := map[record.Nonce]int{}
 	c.eachRecord(key, func(_ platformlog.Entry, _ string, r record.Record) {
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -21,8 +21,9 @@
 	"masticplank.example/coordination/record"
 )
 
-// seeds is how many histories each test makes: -history.seeds=10000 for the
-// long run. They are the numbers from 0 on, so a failing one can be repeated.
+// seeds is how many histories each test runs; long runs use
+// -history.seeds=10000. The seeds are consecutive from first, so a failing one
+// can be repeated.
 var (
 	seeds = flag.Int("history.seeds", 100, "histories per test")
 	first = flag.Uint64("history.first", 0, "first seed")
@@ -40,7 +41,7 @@
 	}
 }
 
-// recorder collects operations; those with unknown outcome never return.
+// recorder collects operations. Those with an unknown outcome never return.
 type recorder struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -52,9 +53,9 @@
 	r.ops = append(r.ops, op)
 }
 
-// check looks at each register's history by itself, and prints the one that is
-// wrong with the log's records of its key. At the end nobody may hold a key who
-// was told that it lost or is void.
+// check checks each register's history separately. If one is not legal, it logs
+// the history and the records of the key. At the end no key may be held by a
+// caller that was told that its Put lost or is void.
 func (r *recorder) check(t *testing.T, c *cluster) {
 	model := registerModel.ToModel()
 	final := c.replay()
@@ -63,27 +64,27 @@
 		holder, _ := final.Lookup(key)
 		for _, op := range ops {
 			if toldRefused(op) && op.Input.(registerOp).nonce == holder.Nonce {
-				t.Errorf("seed %d: %s is held by %x, who was told no", c.seed, key, holder.Nonce[:4])
+				t.Errorf("seed %d: %s is held by %x, whose caller was told that its Put lost or is void", c.seed, key, holder.Nonce[:4])
 			}
 		}
 		if !porcupine.CheckOperations(model, append(ops, lateCopies(ops, c.countPuts(key))...)) {
-			t.Errorf("seed %d: the history of %s is not that of a register", c.seed, key)
+			t.Errorf("seed %d: the history of %s is not linearizable as a register", c.seed, key)
 			logHistory(t, c, key, ops)
 		}
 	}
 }
 
-// toldRefused: the caller was told that its Put lost or is void.
+// toldRefused reports whether the caller was told that its Put lost or is void.
 func toldRefused(op porcupine.Operation) bool {
 	res, ok := op.Output.(node.Result)
 	return ok && (res.Outcome == node.OutcomeLost || res.Outcome == node.OutcomeVoid)
 }
 
-// lateCopies allows for what a Put that was told no may do where the log has
-// more than one copy of it: a copy that lands between the Release of the winner
-// and the own Release holds the key until the latter. Nobody acts on it, and all
-// of it is over before the caller is told. Without a second copy in the log
-// nothing is allowed for.
+// lateCopies returns the additional operations that are legal if the log has
+// more than one copy of a Put whose caller was told that it lost or is void: a
+// copy between the Release of the winner and the Release of the Put itself
+// holds the key until the latter. No caller acts on it, and it is over before
+// the caller gets its outcome. With a single copy in the log, nothing is added.
 func lateCopies(ops []porcupine.Operation, copies map[record.Nonce]int) []porcupine.Operation {
 	var out []porcupine.Operation
 	for _, op := range ops {
@@ -100,6 +101,7 @@
 	return out
 }
 
+// logHistory logs the operations and the records of key.
 func logHistory(t *testing.T, c *cluster, key record.Key, ops []porcupine.Operation) {
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	for _, op := range ops {
@@ -119,8 +121,8 @@
 	return n
 }
 
-// propose makes one Put with a deadline of its own and records it. A Put of
-// unknown outcome is released.
+// propose makes one Put with a deadline of its own and records it. A Put with
+// an unknown outcome is released.
 func (r *recorder) propose(c *cluster, rng *rand.Rand, client int, rec record.Record) node.Result {
 	n := c.node(rng.IntN(nodeCount))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(rng.IntN(2000))*time.Millisecond)
@@ -139,8 +141,8 @@
 	return res
 }
 
-// release counts from its call until any later time: it takes effect when the
-// log has it, or never if its process is killed first.
+// release records a Release that may take effect at any time after its call,
+// when the log has it, or never if its process is killed before.
 func (r *recorder) release(c *cluster, n *node.Node, client int, rec record.Record) {
 	call := c.elapsed()
 	n.Release(rec.Key, rec.Nonce)
@@ -148,8 +150,8 @@
 	r.add(porcupine.Operation{ClientId: 1000 + client, Input: in, Call: call, Return: math.MaxInt64})
 }
 
-// TestRegisters: Puts and releases through killed, cut and slow nodes are those
-// of one register per key.
+// Puts and Releases through killed, disconnected and slow nodes must be
+// linearizable as one register per key.
 func TestRegisters(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
@@ -168,8 +170,9 @@
 	})
 }
 
-// TestManifests: racing publishers, each on the manifest that its instance has
-// in force, make one chain that never goes back at any instance.
+// Concurrent publishers, each replacing the manifest that its instance has in
+// force, must produce one chain of generations that never goes back at any
+// instance.
 func TestManifests(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
@@ -185,7 +188,7 @@
 		}
 		runHistory(t, seed, work, func(*cluster) {
 			if !porcupine.CheckOperations(manifestModel.ToModel(), r.ops) {
-				t.Errorf("seed %d: the history is not one chain of manifests", seed)
+				t.Errorf("seed %d: the history is not linearizable as one chain of manifests", seed)
 			}
 		})
 	})
@@ -213,7 +216,7 @@
 	r.add(porcupine.Operation{ClientId: client, Input: in, Call: call, Output: res, Return: returned})
 }
 
-// generationWatch checks that no node's generation ever goes back.
+// generationWatch checks that the generation of no node decreases.
 type generationWatch struct {
 	t    *testing.T
 	mu   sync.Mutex
@@ -229,22 +232,22 @@
 	defer g.mu.Unlock()
 	now := n.Digest().Generation
 	if now < g.seen[n] {
-		g.t.Errorf("generation went back from %d to %d", g.seen[n], now)
+		g.t.Errorf("generation decreased from %d to %d", g.seen[n], now)
 	}
 	g.seen[n] = now
 }
 
-// billing counts, per request, what callers would see: runs and bills.
+// billing counts the runs and holds the bills of each request.
 type billing struct {
 	mu    sync.Mutex
 	runs  map[string]int
 	bills map[string]record.Record
 }
 
-// TestClaimsAndBills: requests are sent again and again to several instances;
-// whoever wins the claim runs the request and bills it through a buffer, which
-// outlives the outage. Each request runs at most once; each that ran is billed
-// once, and no other.
+// Requests are sent repeatedly to several instances. Whoever wins the claim
+// runs the request and bills it through a buffer that outlives the outage. Each
+// request must run at most once, each that ran must be billed once, and no
+// other may be.
 func TestClaimsAndBills(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
@@ -270,8 +273,8 @@
 	})
 }
 
-// bill bills a run: the first try may fail in any way, and is not waited for.
-// Sometimes a copy with other content is billed too, as by a second run.
+// bill bills a run. The first Put may fail in any way and its outcome is
+// ignored. Sometimes the same bill is put twice.
 func (b *billing) bill(t *testing.T, c *cluster, rng *rand.Rand, request string) {
 	bill := ledger.Bill{Team: "t", RequestID: request, CostMicros: 7, Attempts: 1}
 	rec, err := bill.Record()
@@ -289,7 +292,7 @@
 	}
 }
 
-// check flushes what two buffers hold of all bills, then reads the ledger.
+// check flushes two buffers that hold all bills and then exports the ledger.
 func (b *billing) check(t *testing.T, c *cluster) {
 	for request, n := range b.runs {
 		if n > 1 {
@@ -304,7 +307,7 @@
 			}
 		}
 		if left := buffer.Flush(context.Background()); left != 0 {
-			t.Errorf("seed %d: %d bills left", c.seed, left)
+			t.Errorf("seed %d: %d bills left after the flush", c.seed, left)
 		}
 	}
 	exported := map[string]int{}
@@ -317,10 +320,10 @@
 	}
 	for request := range b.runs {
 		if exported[request] != 1 {
-			t.Errorf("seed %d: %s is billed %d times", c.seed, request, exported[request])
+			t.Errorf("seed %d: %s was billed %d times, want 1", c.seed, request, exported[request])
 		}
 	}
 	if len(exported) != len(b.runs) {
-		t.Errorf("seed %d: %d requests billed, %d ran", c.seed, len(exported), len(b.runs))
+		t.Errorf("seed %d: %d requests were billed, %d ran", c.seed, len(exported), len(b.runs))
 	}
 }
--- a/coordination/history/models.go
+++ b/coordination/history/models.go
@@ -7,17 +7,17 @@
 	"masticplank.example/coordination/record"
 )
 
-// The sequential models that histories are checked against.
+// This file has the sequential models that histories are checked against.
 
-// registerOp is one operation on a register: a Put, or a Release.
+// registerOp is one operation on a register: a Put or a Release.
 type registerOp struct {
 	key     record.Key
 	nonce   record.Nonce
 	release bool
 }
 
-// registerState is a register with one winner at most. dead holds the released
-// nonces in a comparable form.
+// registerState is a register with at most one winner. released holds the
+// released nonces, concatenated in a string so that states are comparable.
 type registerState struct {
 	winner   record.Nonce
 	released string
@@ -32,7 +32,8 @@
 	return false
 }
 
-// registerModel is what a register may do, one operation at a time.
+// registerModel defines the legal sequential behaviour of registers. Each key
+// is checked separately.
 var registerModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[record.Key][]porcupine.Operation{}
@@ -82,7 +83,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// publishOp is one try to replace the manifest of generation parent.
+// publishOp is one attempt to replace the manifest of generation parent.
 type publishOp struct {
 	parent uint64
 	digest string
@@ -95,6 +96,8 @@
 	digest     string
 }
 
+// manifestModel defines the legal sequential behaviour of manifests: each one
+// that wins is the child of the manifest in force.
 var manifestModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{manifestState{}} },
 	Step: func(state, input, output any) []any {
