--- a/coordination/fold/checkpoint.go
+++ b/coordination/fold/checkpoint.go
@@ -107,7 +107,7 @@
 
 // Latest returns the complete checkpoint with the highest next offset; ok is
 // false if no checkpoint is complete yet.
-func (a *CheckpointAssembler) Latest() (snapshot []byte, next uint64, ok bool) {
+func (a *CheckpointAssembler) Latest() (snapshot []byte, nextOffset uint64, ok bool) {
 	return a.latest, a.nextOffset, a.latest != nil
 }
 
--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -117,7 +117,7 @@
 			Value:   w.value,
 			Writer:  w.writer,
 			Offset:  w.offset,
-			At:      w.at,
+			At:      w.logTime,
 			Expires: w.expires,
 		})
 	}
@@ -196,12 +196,12 @@
 			value:   w.Value,
 			writer:  w.Writer,
 			offset:  w.Offset,
-			at:      w.At,
+			logTime: w.At,
 			expires: w.Expires,
 		}
-		bad := len(w.Nonce) != len(r.nonce) || len(w.Key) > record.MaxKeyBytes || len(w.Value) > record.MaxValueBytes ||
+		invalid := len(w.Nonce) != len(r.nonce) || len(w.Key) > record.MaxKeyBytes || len(w.Value) > record.MaxValueBytes ||
 			len(w.Writer) > record.MaxWriterBytes || r.key.Class() == "" || w.Offset >= s.next || w.Expires < 0
-		if bad {
+		if invalid {
 			return trace.Wrap(ErrInvalidSnapshot, "register %d is invalid", i)
 		}
 		copy(r.nonce[:], w.Nonce)
--- a/coordination/fold/state.go
+++ b/coordination/fold/state.go
@@ -183,7 +183,7 @@
 		value:   s.rules.storedValue(class, r.Value),
 		writer:  writer,
 		offset:  offset,
-		at:      s.clock.now,
+		logTime: s.clock.now,
 		expires: s.rules.expiry(class, s.clock.now, r.Lifetime),
 	}
 	if class == record.ClassManifest {
--- a/coordination/fold/table.go
+++ b/coordination/fold/table.go
@@ -13,7 +13,7 @@
 	value   []byte
 	writer  string
 	offset  uint64
-	at      int64
+	logTime int64
 	expires int64
 }
 
@@ -28,14 +28,14 @@
 		Value:   w.value,
 		Writer:  w.writer,
 		Offset:  w.offset,
-		LogTime: record.FromMicros(w.at),
+		LogTime: record.FromMicros(w.logTime),
 		Expires: record.FromMicros(w.expires),
 	}
 }
 
 // maxInterned bounds the writer names shared between rows. Instances are
 // replaced all day, so the names are dropped once there are too many.
-const maxInterned = 4096
+const maxInternedWriters = 4096
 
 // table holds the rows, an index by key, a timing wheel by expiry, and the
 // incrementally maintained hash of all rows.
@@ -109,7 +109,7 @@
 	if shared, ok := t.writers[writer]; ok {
 		return shared
 	}
-	if len(t.writers) >= maxInterned {
+	if len(t.writers) >= maxInternedWriters {
 		clear(t.writers)
 	}
 	t.writers[writer] = writer
--- a/coordination/history/cluster.go
+++ b/coordination/history/cluster.go
@@ -56,11 +56,11 @@
 			wg.Go(func() { work(c, rand.New(rand.NewPCG(seed, uint64(client))), client) })
 		}
 		stop := make(chan struct{})
-		var chaos sync.WaitGroup
-		chaos.Go(func() { c.injectFaults(rand.New(rand.NewPCG(seed, 99)), stop) })
+		var faults sync.WaitGroup
+		faults.Go(func() { c.injectFaults(rand.New(rand.NewPCG(seed, 99)), stop) })
 		wg.Wait()
 		close(stop)
-		chaos.Wait()
+		faults.Wait()
 		c.heal()
 		check(c)
 		for _, n := range c.nodes {
@@ -153,17 +153,17 @@
 // trim drops the entries that the latest complete checkpoint in the log covers.
 func (c *cluster) trim() {
 	entries := c.log.Entries()
-	var found fold.CheckpointAssembler
+	var assembler fold.CheckpointAssembler
 	for _, e := range entries {
 		b, err := record.Decode(e.Data)
 		if err != nil {
 			c.t.Error(err)
 		}
 		for i := range b.Records {
-			found.Add(&b.Records[i])
+			assembler.Add(&b.Records[i])
 		}
 	}
-	_, next, ok := found.Latest()
+	_, next, ok := assembler.Latest()
 	if !ok || next <= entries[0].Offset {
 		return
 	}
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -92,11 +92,11 @@
 		if !toldRefused(op) || copies[in.nonce] < 2 {
 			continue
 		}
-		late := porcupine.Operation{Input: in, Call: op.Call, Return: op.Return}
-		late.ClientId, late.Output = 2000+op.ClientId, node.Result{Outcome: node.OutcomeUnknown}
-		gone := porcupine.Operation{ClientId: 3000 + op.ClientId, Call: op.Call, Return: op.Return}
-		gone.Input = registerOp{in.key, in.nonce, true}
-		out = append(out, late, gone)
+		put := porcupine.Operation{Input: in, Call: op.Call, Return: op.Return}
+		put.ClientId, put.Output = 2000+op.ClientId, node.Result{Outcome: node.OutcomeUnknown}
+		release := porcupine.Operation{ClientId: 3000 + op.ClientId, Call: op.Call, Return: op.Return}
+		release.Input = registerOp{in.key, in.nonce, true}
+		out = append(out, put, release)
 	}
 	return out
 }
--- a/coordination/history/models.go
+++ b/coordination/history/models.go
@@ -102,11 +102,11 @@
 	Init: func() []any { return []any{manifestState{}} },
 	Step: func(state, input, output any) []any {
 		s, in, res := state.(manifestState), input.(publishOp), output.(node.Result)
-		fits := s.generation == in.parent && s.digest == in.digest
+		isChild := s.generation == in.parent && s.digest == in.digest
 		next := manifestState{in.parent + 1, record.ManifestDigest([]byte(in.value))}
 		switch res.Outcome {
 		case node.OutcomeWon:
-			if fits {
+			if isChild {
 				return []any{next}
 			}
 			return nil
@@ -116,7 +116,7 @@
 			}
 			return nil
 		case node.OutcomeUnknown:
-			if fits {
+			if isChild {
 				return []any{s, next}
 			}
 			return []any{s}
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -49,9 +49,9 @@
 }
 
 const (
-	defaultDuration   = 10 * time.Second
-	defaultClockBound = 100 * time.Millisecond
-	defaultPauseGuard = 2 * time.Second
+	defaultDuration      = 10 * time.Second
+	defaultMaxClockDrift = 100 * time.Millisecond
+	defaultMaxPause      = 2 * time.Second
 	// termRetentionDurations is how many times Duration a term's register is kept,
 	// so that a late copy of its Put finds the register taken.
 	termRetentionDurations = 60
@@ -62,10 +62,10 @@
 		c.Duration = defaultDuration
 	}
 	if c.MaxClockDrift <= 0 {
-		c.MaxClockDrift = defaultClockBound
+		c.MaxClockDrift = defaultMaxClockDrift
 	}
 	if c.MaxPause <= 0 {
-		c.MaxPause = defaultPauseGuard
+		c.MaxPause = defaultMaxPause
 	}
 	return c
 }
@@ -171,13 +171,13 @@
 
 // check returns whether an order may be sent now, and under which fencing
 // number.
-func (s *state) check(now time.Time, engine FencingSupport) (uint64, CheckResult) {
+func (s *state) check(now time.Time, fencing FencingSupport) (uint64, CheckResult) {
 	switch {
 	case !s.held:
 		return 0, NotHolder
 	case !certainlyBefore(now, s.validUntil):
 		return 0, Expired
-	case engine == FencingIgnored && !certainlyReached(now, s.ordersAllowedFrom):
+	case fencing == FencingIgnored && !certainlyReached(now, s.ordersAllowedFrom):
 		return 0, WaitingForPredecessor
 	default:
 		return s.current.offset, Allowed
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -47,11 +47,11 @@
 	return log, ms, nodes
 }
 
-func wantCheck(t *testing.T, m *Manager, e FencingSupport, want CheckResult) uint64 {
+func wantCheck(t *testing.T, m *Manager, fencing FencingSupport, want CheckResult) uint64 {
 	t.Helper()
-	fence, got := m.Check(e)
+	fence, got := m.Check(fencing)
 	if got != want {
-		t.Fatalf("%s, fencing support %d: check result %d, want %d", m.cfg.Holder, e, got, want)
+		t.Fatalf("%s, fencing support %d: check result %d, want %d", m.cfg.Holder, fencing, got, want)
 	}
 	return fence
 }
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -81,10 +81,10 @@
 
 // Check returns whether an order may be sent, and under which fencing number.
 // Call it right before each order. It does no I/O.
-func (m *Manager) Check(engine FencingSupport) (fence uint64, result CheckResult) {
+func (m *Manager) Check(fencing FencingSupport) (fence uint64, result CheckResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.state.check(m.now(), engine)
+	return m.state.check(m.now(), fencing)
 }
 
 // Acquire proposes the next term if the current one is over, or renews the term
--- a/coordination/ledger/export.go
+++ b/coordination/ledger/export.go
@@ -47,9 +47,9 @@
 	e := exporter{from: from, emit: emit}
 	first, err := oldestOffset(ctx, log)
 	if err != nil {
-		return e.sum, err
+		return e.summary, err
 	}
-	e.sum.FirstOffset, e.sum.NextOffset = first, first
+	e.summary.FirstOffset, e.summary.NextOffset = first, first
 	// The reader keeps bills for as long as the log does, since late duplicates
 	// are voided only here.
 	if cfg.Retention <= 0 {
@@ -58,22 +58,22 @@
 	cfg.BillLifetime = cfg.Retention
 	state := fold.NewAtOffset(cfg, fold.Options{}, first)
 	for {
-		page, err := log.Read(ctx, e.sum.NextOffset, exportPageEntries, 0)
+		page, err := log.Read(ctx, e.summary.NextOffset, exportPageEntries, 0)
 		if err != nil {
-			return e.sum, trace.Wrap(err)
+			return e.summary, trace.Wrap(err)
 		}
 		for _, entry := range page.Entries {
 			changes, err := state.Apply(entry, nil)
 			if err != nil {
-				return e.sum, err
+				return e.summary, err
 			}
 			if err := e.addEntry(changes); err != nil {
-				return e.sum, err
+				return e.summary, err
 			}
-			e.sum.NextOffset = entry.Offset + 1
+			e.summary.NextOffset = entry.Offset + 1
 		}
-		if len(page.Entries) == 0 || e.sum.NextOffset >= page.Head {
-			return e.sum, nil
+		if len(page.Entries) == 0 || e.summary.NextOffset >= page.Head {
+			return e.summary, nil
 		}
 	}
 }
@@ -88,9 +88,9 @@
 }
 
 type exporter struct {
-	from uint64
-	emit func(ExportedBill) error
-	sum  ExportSummary
+	from    uint64
+	emit    func(ExportedBill) error
+	summary ExportSummary
 }
 
 func (e *exporter) addEntry(changes []fold.Change) error {
@@ -100,7 +100,7 @@
 			continue
 		}
 		if c.Verdict != fold.VerdictWon {
-			e.sum.Duplicates++
+			e.summary.Duplicates++
 			continue
 		}
 		if c.Register.Offset < e.from {
@@ -116,9 +116,9 @@
 func (e *exporter) emitBill(c *fold.Change) error {
 	b, err := ParseBill(c.Record)
 	if err != nil {
-		e.sum.Malformed++
+		e.summary.Malformed++
 		return nil
 	}
-	e.sum.Bills++
+	e.summary.Bills++
 	return e.emit(ExportedBill{Offset: c.Register.Offset, At: c.Register.LogTime, Writer: c.Register.Writer, Bill: b})
 }
