--- a/coordination/fold/fold.go
+++ b/coordination/fold/fold.go
@@ -9,10 +9,10 @@
 // readers of the same prefix hold the same state, whenever and however often
 // they read it. A key has one winner, since the first live Put takes the key
 // and later ones find it taken. A released nonce never wins, since its
-// tombstone outlives every copy of its Put in the log. A claim is never won
-// twice, since its register outlives the window in which the key may be
-// claimed. A manifest is never reverted, since it wins only as the child of the
-// manifest in force and a Release has no effect on it.
+// tombstone lasts longer than the log can still deliver the Put. A claim is
+// never won twice, since its register outlives the window in which the key may
+// be claimed. A manifest is never reverted, since it wins only as the child of
+// the manifest in force and a Release has no effect on it.
 package fold
 
 import (
@@ -87,8 +87,8 @@
 	// 12 h (half of a day's retention).
 	ClaimWindow time.Duration
 	// ClockSkew is how far a claim's KeyTime may be ahead of the log's time, and
-	// how far a single writer's time may move the log's time forward. Default 30
-	// s.
+	// how far a single writer's time may move the log's time forward. The default
+	// is 30 s.
 	ClockSkew time.Duration
 	// Retention is how long the log keeps entries. Default 24 h.
 	Retention time.Duration
--- a/coordination/fold/registers.go
+++ b/coordination/fold/registers.go
@@ -21,8 +21,8 @@
 	return w
 }
 
-// Lookup returns the live register of key. The values of bills are not stored,
-// so a bill's register has none.
+// Lookup returns the live register of key, or false if there is none. The
+// values of bills are not stored, so a bill's register has no value.
 func (s *State) Lookup(key record.Key) (Register, bool) {
 	w := s.table.find(key)
 	if w == nil || w.expired(s.clock.now) {
@@ -31,7 +31,7 @@
 	return w.register(), true
 }
 
-// Manifest returns the manifest in force; ok is false before the first one.
+// Manifest returns the manifest in force, or false before the first one.
 func (s *State) Manifest() (Register, bool) {
 	if s.generation == 0 {
 		return Register{}, false
--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -77,8 +77,8 @@
 	return m
 }
 
-// Snapshot encodes the state. Equal states have equal encodings. Errors wrap
-// ErrInvalidSnapshot if the state is too large.
+// Snapshot encodes the state. Equal states have equal encodings. An error wraps
+// ErrInvalidSnapshot if the encoding exceeds MaxSnapshotBytes.
 func (s *State) Snapshot() ([]byte, error) {
 	w := wireSnapshot{
 		Version:        snapshotVersion,
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -35,16 +35,17 @@
 	Name string
 	// Holder is the name of this instance.
 	Holder string
-	// Duration is the length of one term. Default 10 s: a crashed holder is
-	// replaced within twice that, and renewing every third of it costs one record
-	// each.
+	// Duration is the length of one term. The default is 10 s: a crashed holder is
+	// replaced within twice that, and a renewal, which costs one record, is due
+	// every third of it.
 	Duration time.Duration
-	// MaxClockDrift is how far two clocks may drift apart within one term. Default
-	// 100 ms: 1% of the term, several times the drift of a usual machine clock.
+	// MaxClockDrift is how far two clocks may drift apart within one term. The
+	// default is 100 ms: 1% of the default term, several times the drift of a
+	// usual clock.
 	MaxClockDrift time.Duration
 	// MaxPause is the longest time from a check until its order arrives against
-	// which a backend server that ignores fencing numbers is protected. Default 2
-	// s.
+	// which a backend server that ignores fencing numbers is protected. The
+	// default is 2 s.
 	MaxPause time.Duration
 }
 
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -105,9 +105,8 @@
 }
 
 // HandOver ends this instance's term, so that the next holder does not have to
-// wait for its end. No order of the caller may be in flight. Check refuses
-// orders from the call on, also if HandOver returns false because the lease was
-// not held or the Put failed.
+// wait for its end. No order of the caller may be in flight. It returns whether
+// the lease was handed over; Check refuses orders from the call on either way.
 func (m *Manager) HandOver(ctx context.Context) bool {
 	m.proposeMu.Lock()
 	defer m.proposeMu.Unlock()
@@ -181,8 +180,7 @@
 // term takes its number and blocks the lease for one Duration.
 const unknownHolder = "?"
 
-// parseTerm decodes a term of this lease; ok is false for those of other
-// leases.
+// parseTerm decodes a term of this lease. It returns false for those of others.
 func (m *Manager) parseTerm(reg fold.Register) (term, bool) {
 	prefix := string(record.ClassLease) + "/" + m.cfg.Name + "/"
 	rest, ok := strings.CutPrefix(string(reg.Key), prefix)
--- a/coordination/ledger/bill.go
+++ b/coordination/ledger/bill.go
@@ -1,11 +1,11 @@
 // Package ledger records bills: exactly one for each completed request,
 // whichever instances write it and however often.
 //
-// Why each request is billed once: a bill is the register "bill/<team>/<request
-// id>", so the first bill in the log wins, the fold voids every other one, and
-// it never releases a bill. A reader of the log applies the same fold and so
-// exports the same bills. The nonce of a bill is derived from its content, so
-// the copy that a peer holds is the same proposal as the original.
+// Why each request is billed once: a bill is a register with the key
+// "bill/<team>/<request>". The first bill in the log wins, the fold voids every
+// other one, and it never releases a bill. A reader of the log applies the same
+// fold and so exports the same bills. The nonce of a bill is derived from its
+// content, so the copy that a peer holds is the same proposal as the original.
 package ledger
 
 import (
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -115,8 +115,8 @@
 	return len(b.held)
 }
 
-// Bills returns the held bills in no particular order: each is a proposal of
-// its own, so their order does not matter.
+// Bills returns the held bills in no particular order. Each is a proposal of
+// its own, so the order does not matter.
 func (b *Buffer) Bills() []record.Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,7 +131,8 @@
 
 func (b *Buffer) full() bool { return b.fullWithOpen(0) }
 
-// expected is the number of bills to come, beside those that are reserved.
+// fullWithOpen is FullWithOpen without locking. Reserved bills are added to the
+// expected ones.
 func (b *Buffer) fullWithOpen(expected int) bool {
 	expected += b.reserved
 	tooMany := len(b.held)+expected >= b.limits.MaxBills
--- a/coordination/ledger/export.go
+++ b/coordination/ledger/export.go
@@ -25,7 +25,7 @@
 	// FirstOffset is the oldest offset that the log still had; earlier exports
 	// cover the bills before it.
 	FirstOffset uint64
-	// NextOffset is the from of the next export.
+	// NextOffset is the offset from which the next export must start.
 	NextOffset uint64
 	// Bills is the number of exported bills, Duplicates the number of void ones.
 	Bills      int
