--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -205,18 +205,18 @@
 	}
 	// Bills of 200 s and tombstones of 210 s at 10 a second, and one bucket.
 	if n := f.s.Len(); n > 2011 {
-		t.Errorf("%d registers", n)
+		t.Errorf("%d registers, want at most 2011", n)
 	}
 	if n := len(f.s.tombstones); n > 2111 {
-		t.Errorf("%d tombstones", n)
+		t.Errorf("%d tombstones, want at most 2111", n)
 	}
 	if n := len(f.s.table.rows); n > 2111 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want at most 2111", n)
 	}
 }
 
 // A bill's register must leave memory after BillLifetime, long before the log
-// drops its entry: kept for the retention, a day's bills would fill the memory.
+// drops its entry, since bills are the majority of all records.
 func TestBillsAreForgottenLongBeforeTheLog(t *testing.T) {
 	s := New(DefaultConfig(), Options{})
 	start := time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
@@ -229,7 +229,7 @@
 	}
 	// One a second for 10 min, and one bucket.
 	if n := s.Len(); n > 610 {
-		t.Errorf("%d registers", n)
+		t.Errorf("%d registers, want at most 610", n)
 	}
 }
 
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	if s.MalformedEntries() != 1 || s.Digest().NextOffset != 1 {
-		t.Errorf("malformed %d, next %d", s.MalformedEntries(), s.Digest().NextOffset)
+		t.Errorf("%d malformed entries, next offset %d, want 1 and 1", s.MalformedEntries(), s.Digest().NextOffset)
 	}
 	if _, err := s.Apply(platformlog.Entry{Offset: 5}, nil); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("entry with a wrong offset: error %v, want ErrOutOfOrder", err)
@@ -280,9 +280,9 @@
 	f.batch(start, b)
 	a, _ := f.s.Lookup("session/a")
 	if a.Offset != 1 || a.Nonce != (record.Nonce{1}) || a.Writer != "w" || !a.LogTime.Equal(start) {
-		t.Errorf("got %+v", a)
+		t.Errorf("register of session/a: %+v", a)
 	}
 	if regs := f.s.Registers("session"); len(regs) != 3 || regs[0].Key != "session/x" {
-		t.Errorf("registers %+v", regs)
+		t.Errorf("registers in the order of their offsets: %+v", regs)
 	}
 }
--- a/coordination/fold/property_test.go
+++ b/coordination/fold/property_test.go
@@ -202,10 +202,10 @@
 		reader.batch(start.Add(2500*time.Millisecond), record.Batch{Writer: "w"})
 	}
 	if f.s.Digest() != second.Digest() {
-		t.Errorf("digests differ: %+v and %+v", f.s.Digest(), second.Digest())
+		t.Errorf("digests differ: full replay %+v, restored reader %+v", f.s.Digest(), second.Digest())
 	}
 	if !bytes.Equal(mustSnapshot(t, f.s), mustSnapshot(t, second)) {
-		t.Error("snapshots differ")
+		t.Error("snapshots of the full replay and of the restored reader differ")
 	}
 }
 
@@ -237,7 +237,7 @@
 	}
 	newParts, _ := fresh.Checkpoint(record.Nonce{2})
 	if len(newParts) < 3 {
-		t.Fatalf("%d parts", len(newParts))
+		t.Fatalf("checkpoint of %d parts, want at least 3", len(newParts))
 	}
 	var a CheckpointAssembler
 	// The parts of two writers overlap, one part is repeated, one is malformed.
@@ -266,7 +266,7 @@
 	}
 	s, err := Restore(testConfig, Options{}, data)
 	if err != nil || s.Digest() != fresh.Digest() {
-		t.Fatalf("restored %+v, %v", s, err)
+		t.Fatalf("state restored from the checkpoint: %+v, error %v", s, err)
 	}
 }
 
--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -250,6 +250,6 @@
 	now := time.Now()
 	before := now.Round(0).Add(-time.Hour)
 	if got := pauseBetween(before, now); got < time.Hour {
-		t.Errorf("pause of %v", got)
+		t.Errorf("detected a pause of %v, want at least 1h", got)
 	}
 }
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -36,7 +36,7 @@
 	for i := range uint64(*seeds) {
 		f(t, *first+i)
 		if t.Failed() {
-			t.Fatalf("seed %d", *first+i)
+			t.Fatalf("failed with seed %d", *first+i)
 		}
 	}
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -76,7 +76,7 @@
 		time.Sleep(5 * time.Second)
 		wantAcquire(t, a, true)
 		if second := wantCheck(t, a, FencingEnforced, Allowed); second <= first {
-			t.Errorf("fencing numbers %d, then %d", first, second)
+			t.Errorf("fencing number is %d, then %d after a renewal", first, second)
 		}
 		// A renewal does not restart the wait: it ends 12.1 s after the first term.
 		time.Sleep(7099 * time.Millisecond)
@@ -170,7 +170,7 @@
 }
 
 // A term that cannot be decoded takes its number and blocks the lease for one
-// Duration, since its holder may act on it.
+// Duration.
 func TestUnreadableTermBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, nodes := managers(t, 2)
@@ -188,7 +188,7 @@
 func TestNewRefuses(t *testing.T) {
 	for _, cfg := range []Config{{Holder: "a"}, {Name: "a/b", Holder: "a"}, {Name: "a"}} {
 		if _, err := New(nil, cfg, nil); !errors.Is(err, ErrInvalidConfig) {
-			t.Errorf("%+v: %v", cfg, err)
+			t.Errorf("New with %+v: error %v, want ErrInvalidConfig", cfg, err)
 		}
 	}
 }
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -39,7 +39,7 @@
 	r := mustRecord(t, b)
 	got, err := ParseBill(r)
 	if err != nil || got != b {
-		t.Fatalf("got %+v, %v", got, err)
+		t.Fatalf("bill after a round trip: %+v, error %v", got, err)
 	}
 	if again := mustRecord(t, b); again.Nonce != r.Nonce {
 		t.Error("two records of one bill have different nonces")
@@ -55,7 +55,7 @@
 func TestBillRefuses(t *testing.T) {
 	for _, b := range []Bill{{}, {Team: "t"}, {Team: "t", RequestID: "r", CostMicros: -1}} {
 		if _, err := b.Record(); !errors.Is(err, ErrInvalidBill) {
-			t.Errorf("%+v: %v", b, err)
+			t.Errorf("record of %+v: error %v, want ErrInvalidBill", b, err)
 		}
 	}
 	moved := mustRecord(t, bill("a", 1))
@@ -63,7 +63,7 @@
 	junk := record.Record{Kind: record.KindPut, Key: BillKey("t", "r"), Value: []byte("junk")}
 	for _, r := range []record.Record{moved, junk, {}} {
 		if _, err := ParseBill(r); !errors.Is(err, ErrInvalidBill) {
-			t.Errorf("%s: %v", r.Key, err)
+			t.Errorf("parsing %s: error %v, want ErrInvalidBill", r.Key, err)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	log.Inject([]byte("junk"))
 	got, sum := export(t, log, 0)
 	if len(got) != 2 || got["a"] != 1 || got["b"] != 2 {
-		t.Errorf("exported %v", got)
+		t.Errorf("exported costs %v, want 1 for a and 2 for b", got)
 	}
 	if want := (ExportSummary{FirstOffset: 0, NextOffset: 5, Bills: 2, Duplicates: 3, Malformed: 1}); sum != want {
 		t.Errorf("summary %+v, want %+v", sum, want)
@@ -113,7 +113,7 @@
 	log.Trim(1)
 	got, sum = export(t, log, sum.NextOffset)
 	if len(got) != 1 || got["c"] != 3 || sum.FirstOffset != 1 {
-		t.Errorf("second export %v, %+v", got, sum)
+		t.Errorf("second export: costs %v, summary %+v", got, sum)
 	}
 }
 
@@ -122,7 +122,7 @@
 	log.SetDown(true)
 	_, err := Export(t.Context(), log.Client("x"), fold.DefaultConfig(), 0, nil)
 	if !errors.Is(err, platformlog.ErrUnavailable) {
-		t.Errorf("got %v", err)
+		t.Errorf("export with the log down: error %v, want ErrUnavailable", err)
 	}
 }
 
@@ -134,10 +134,10 @@
 		t.Fatal(err1, err2)
 	}
 	if _, err := b.Reserve(); !errors.Is(err, ErrBufferFull) {
-		t.Errorf("third reservation with room for two: %v", err)
+		t.Errorf("third reservation with room for two: error %v, want ErrBufferFull", err)
 	}
 	if err := b.AcceptCopy(mustRecord(t, bill("x", 1))); !errors.Is(err, ErrBufferFull) {
-		t.Errorf("copy for a peer with all room reserved: %v", err)
+		t.Errorf("copy for a peer with all room reserved: error %v, want ErrBufferFull", err)
 	}
 	if r1.Hold(t.Context(), mustRecord(t, bill("a", 1))) {
 		t.Error("Hold reports a copy without a peer")
@@ -152,7 +152,7 @@
 		t.Errorf("%d bills held, reservation error %v", b.Len(), err)
 	}
 	if err := b.AcceptCopy(record.Record{Kind: record.KindPut}); !errors.Is(err, ErrInvalidBill) {
-		t.Errorf("malformed copy of a peer: %v", err)
+		t.Errorf("malformed copy of a peer: error %v, want ErrInvalidBill", err)
 	}
 }
 
@@ -177,12 +177,12 @@
 		t.Error(err)
 	}
 	if err := b.AcceptCopy(mustRecord(t, bill("c", 1))); !errors.Is(err, ErrBufferFull) {
-		t.Errorf("copy that exceeds the bytes: %v", err)
+		t.Errorf("copy that exceeds the bytes: error %v, want ErrBufferFull", err)
 	}
 	long := first
 	long.Value = make([]byte, MaxBillBytes+1)
 	if err := b.AcceptCopy(long); !errors.Is(err, ErrInvalidBill) {
-		t.Errorf("copy with a value that is too long: %v", err)
+		t.Errorf("copy with a value that is too long: error %v, want ErrInvalidBill", err)
 	}
 	b.remove(first)
 	b.remove(first)
@@ -245,14 +245,14 @@
 			t.Fatal(err)
 		}
 		if err := room.HoldWithCopy(t.Context(), r); !errors.Is(err, c.want) || b.Len() != c.held || b.reserved != 0 {
-			t.Errorf("%s: %v, %d held, %d reserved", c.name, err, b.Len(), b.reserved)
+			t.Errorf("%s: error %v, %d bills held, %d reserved", c.name, err, b.Len(), b.reserved)
 		}
 		if room.HoldWithCopy(t.Context(), r) == nil {
 			t.Errorf("%s: the reservation could be used twice", c.name)
 		}
 	}
 	if copies != 1 {
-		t.Errorf("%d copies", copies)
+		t.Errorf("%d copies at the peer, want 1", copies)
 	}
 }
 
@@ -341,10 +341,10 @@
 					t.Errorf("bills left after the flushes: own %d, peer %d", own.Len(), peer.Len())
 				}
 				if got, _ := export(t, log, 0); len(got) != 500 {
-					t.Errorf("%d bills exported", len(got))
+					t.Errorf("%d bills exported, want 500", len(got))
 				}
 				if n := log.Appends(); n > 20 {
-					t.Errorf("%d appends for flushing 500 bills", n)
+					t.Errorf("%d appends for flushing 500 bills, want at most 20", n)
 				}
 				_ = a.Stop(t.Context())
 				_ = b.Stop(t.Context())
--- a/coordination/ledger/writer_test.go
+++ b/coordination/ledger/writer_test.go
@@ -90,10 +90,10 @@
 		stop()
 		running.Wait()
 		if n := log.Appends(); n > 3 {
-			t.Errorf("%d appends for %d bills at once", n, bills)
+			t.Errorf("%d appends for %d bills put at once, want at most 3", n, bills)
 		}
 		if n := exported(t, log); n != bills {
-			t.Errorf("%d bills, want %d", n, bills)
+			t.Errorf("%d bills exported, want %d", n, bills)
 		}
 	})
 }
--- a/coordination/record/codec_test.go
+++ b/coordination/record/codec_test.go
@@ -141,7 +141,7 @@
 	digest := ManifestDigest([]byte("x"))
 	generation, parent, err := ParseManifestKey(ManifestKey(7, digest))
 	if err != nil || generation != 7 || parent != digest {
-		t.Errorf("got %d %q %v", generation, parent, err)
+		t.Errorf("parsed generation %d, parent %q, error %v", generation, parent, err)
 	}
 	for _, bad := range []Key{"manifest/", "manifest/x-", "manifest/01-", "claim/1-", "manifest/7"} {
 		if _, _, err := ParseManifestKey(bad); !errors.Is(err, ErrInvalid) {
