--- a/decision/passthrough/budget.go
+++ b/decision/passthrough/budget.go
@@ -54,10 +54,10 @@
 // advance clears the parts of the window that have passed.
 func (b *RetryBudget) advance(now time.Time) {
 	at := now.UnixNano() / int64(b.bucketWidth)
-	passed := min(at-b.bucket, budgetBuckets)
-	for i := int64(1); i <= passed; i++ {
+	elapsed := min(at-b.bucket, budgetBuckets)
+	for i := int64(1); i <= elapsed; i++ {
 		slot := (b.bucket + i) % budgetBuckets
-		if passed == budgetBuckets {
+		if elapsed == budgetBuckets {
 			slot = (at + i) % budgetBuckets
 		}
 		b.requests[slot], b.retries[slot] = 0, 0
@@ -74,11 +74,11 @@
 // Left is the number of repeats that may go now.
 func (b *RetryBudget) Remaining(now time.Time) float64 {
 	repeats := 0
-	whole := b.allowed(now)
+	allowed := b.allowed(now)
 	for _, n := range b.retries {
 		repeats += n
 	}
-	return whole - float64(repeats)
+	return allowed - float64(repeats)
 }
 
 // whole is the number of repeats that the window allows.
--- a/decision/passthrough/cascade.go
+++ b/decision/passthrough/cascade.go
@@ -69,14 +69,14 @@
 // first; its answer is dropped where it doubts it itself, as long as nothing was sent. What
 // was dropped once is asked of a larger one, however full the servers are: the smallest
 // would give the same answer again.
-func (w *World) chooseModel(r *request, room float64) int {
+func (w *World) chooseModel(r *request, headroom float64) int {
 	last := len(r.Route.Models) - 1
 	switch {
 	case r.nextModel > 0 && r.lastAttempt():
 		return last
 	case r.nextModel > 0:
 		return r.nextModel
-	case room <= 0:
+	case headroom <= 0:
 		return 0
 	case r.lastAttempt():
 		return last
@@ -108,11 +108,11 @@
 	if !r.service.budget.AllowsOptional(w.now) {
 		return 0
 	}
-	f := occupancyOf(r.service, w.viewServers(r.service))
-	if !w.largestInTime(r, f.prefillWait) {
+	occ := occupancyOf(r.service, w.viewServers(r.service))
+	if !w.largestInTime(r, occ.prefillWait) {
 		return 0
 	}
-	return minConfidence * f.headroom(r)
+	return minConfidence * occ.headroom(r)
 }
 
 // endsPart is the part of the time to the deadline in which the largest model must begin its
--- a/decision/passthrough/drained.go
+++ b/decision/passthrough/drained.go
@@ -28,7 +28,7 @@
 }
 
 // beginDomainSlowStart takes all servers of a failure domain for cold.
-func (w *World) beginDomainSlowStart(domain string, why SlowStartCause) {
+func (w *World) beginDomainSlowStart(domain string, cause SlowStartCause) {
 	count := 0
 	var span time.Duration
 	for _, s := range w.servers {
@@ -41,7 +41,7 @@
 		}
 	}
 	if count > 0 {
-		w.emit(SlowStartBegun{Domain: domain, Servers: count, Duration: span, Cause: why})
+		w.emit(SlowStartBegun{Domain: domain, Servers: count, Duration: span, Cause: cause})
 	}
 }
 
--- a/decision/passthrough/ended.go
+++ b/decision/passthrough/ended.go
@@ -45,7 +45,7 @@
 	}
 	if e.Result == NotSent {
 		r.attempts--
-		s.excludedUntil = w.now.Add(unreachableBackoff)
+		s.backoffUntil = w.now.Add(unreachableBackoff)
 		w.serverLost(s)
 		w.emit(RefreshServers{Server: s.ID})
 		return
@@ -58,7 +58,7 @@
 		r.service.throttle.observeEnd(e, w.now)
 	}
 	if e.Result == Rejected {
-		s.excludedUntil = w.now.Add(rejectedBackoff)
+		s.backoffUntil = w.now.Add(rejectedBackoff)
 		return
 	}
 	bad := e.Result != Completed
--- a/decision/passthrough/evidence.go
+++ b/decision/passthrough/evidence.go
@@ -66,9 +66,9 @@
 	if e.bad {
 		return true
 	}
-	lately := e.recentCounts(now, sums)
+	recent := e.recentCounts(now, sums)
 	e.past = append(e.past, pastSums{now, sums})
-	e.bad = anyRouteBad(sums) || anyRouteBad(lately)
+	e.bad = anyRouteBad(sums) || anyRouteBad(recent)
 	return e.bad
 }
 
--- a/decision/passthrough/fill.go
+++ b/decision/passthrough/fill.go
@@ -9,9 +9,9 @@
 
 // room is how far the largest model may be asked for a request of the rank: 1 where there is
 // room for it, less while load grows, 0 where there is none.
-func (f loadRamp) headroom(rank int, load float64) float64 {
-	full := f.full - f.step*float64(min(rank, lowestPriority))
-	return min(max((full-load)/f.width, 0), 1)
+func (l loadRamp) headroom(priority int, load float64) float64 {
+	end := l.full - l.step*float64(min(priority, lowestPriority))
+	return min(max((end-load)/l.width, 0), 1)
 }
 
 var (
@@ -43,11 +43,11 @@
 }
 
 // plusOne takes one more place.
-func (f occupancy) withOneMore() occupancy {
-	if f.slots > 0 {
-		f.utilization += 1 / float64(f.slots)
+func (o occupancy) withOneMore() occupancy {
+	if o.slots > 0 {
+		o.utilization += 1 / float64(o.slots)
 	}
-	return f
+	return o
 }
 
 // filled sums up the views of a service's servers, by what this instance knows by itself: it tells
@@ -68,6 +68,6 @@
 }
 
 // room is how far the largest model may be asked for the request: 1 for freely, 0 for never.
-func (f occupancy) headroom(r *request) float64 {
-	return min(utilizationRamp.headroom(r.Priority, f.utilization), prefillWaitRamp.headroom(r.Priority, f.prefillWait/r.Route.TargetLatency.Seconds()))
+func (o occupancy) headroom(r *request) float64 {
+	return min(utilizationRamp.headroom(r.Priority, o.utilization), prefillWaitRamp.headroom(r.Priority, o.prefillWait/r.Route.TargetLatency.Seconds()))
 }
--- a/decision/passthrough/nextsize.go
+++ b/decision/passthrough/nextsize.go
@@ -28,20 +28,20 @@
 }
 
 // chance is how likely the middle model is sure of an answer that the smallest one doubted.
-func (n *escalationStats) chance(doubt float64) float64 {
-	at := confidenceBucket(doubt)
-	prior := min(max(priorAtThreshold-priorSlope*(minConfidence-doubt), 0), 1)
+func (n *escalationStats) chance(confidence float64) float64 {
+	at := confidenceBucket(confidence)
+	prior := min(max(priorAtThreshold-priorSlope*(minConfidence-confidence), 0), 1)
 	return (n.confident[at] + escalationPriorWeight*prior) / (n.asked[at] + escalationPriorWeight)
 }
 
-func (n *escalationStats) learn(doubt float64, sure bool) {
-	at := confidenceBucket(doubt)
+func (n *escalationStats) learn(confidence float64, confident bool) {
+	at := confidenceBucket(confidence)
 	if n.asked[at] >= escalationMemory {
 		n.asked[at] *= 1 - 1.0/escalationMemory
 		n.confident[at] *= 1 - 1.0/escalationMemory
 	}
 	n.asked[at]++
-	if sure {
+	if confident {
 		n.confident[at]++
 	}
 }
--- a/decision/passthrough/pace.go
+++ b/decision/passthrough/pace.go
@@ -31,19 +31,19 @@
 
 // of is the mean pace in seconds of answers by a model size, usual the logarithm of what is
 // usual of it, by load.
-func (p *intervalStats) average(size int) *movingAverage { return rowFor(&p.perModel, size) }
+func (p *intervalStats) average(model int) *movingAverage { return rowFor(&p.perModel, model) }
 
-func (p *intervalStats) baseline(size int) *baselineTimes { return rowFor(&p.baselines, size) }
+func (p *intervalStats) baseline(model int) *baselineTimes { return rowFor(&p.baselines, model) }
 
 // bySize is the map's row of a model size, made where there is none.
-func rowFor[T any](by *map[int]*T, size int) *T {
-	if *by == nil {
-		*by = map[int]*T{}
+func rowFor[T any](rows *map[int]*T, model int) *T {
+	if *rows == nil {
+		*rows = map[int]*T{}
 	}
-	row := (*by)[size]
+	row := (*rows)[model]
 	if row == nil {
 		row = new(T)
-		(*by)[size] = row
+		(*rows)[model] = row
 	}
 	return row
 }
@@ -71,8 +71,8 @@
 
 // wait estimates how long it takes until so many have left.
 func (d *departureMeter) wait(count int) time.Duration {
-	const leastRate = 1.0 // a second: no worse guess than that after a silence
-	return seconds(float64(count) / max(d.rate, leastRate))
+	const minRate = 1.0 // a second: no worse guess than that after a silence
+	return seconds(float64(count) / max(d.rate, minRate))
 }
 
 // slowMost bounds how slow a server is thought to be: enough to keep work away, not so
@@ -80,24 +80,24 @@
 const maxSlowdown = 10
 
 // notePace takes in an answer's pace as evidence on its server.
-func (w *World) recordInterval(r *request, s *server, pace time.Duration) {
-	if pace <= 0 {
+func (w *World) recordInterval(r *request, s *server, interval time.Duration) {
+	if interval <= 0 {
 		return
 	}
-	all := r.service.intervals.average(r.model)
-	x := pace.Seconds()
-	if all.n > 3 && all.value > 0 {
-		s.relativeTime.add(min(x/all.value, maxSlowdown))
+	mean := r.service.intervals.average(r.model)
+	x := interval.Seconds()
+	if mean.n > 3 && mean.value > 0 {
+		s.relativeTime.add(min(x/mean.value, maxSlowdown))
 	}
 	if !w.runsTarget(s) {
-		all.add(x)
+		mean.add(x)
 	}
 }
 
 // slowness is how many times slower than the service's mean the server is: 1 for most.
 func (s *server) slowdown() float64 {
-	const leastAnswers = 3
-	if s.relativeTime.n < leastAnswers || s.relativeTime.value < 1 {
+	const minCount = 3
+	if s.relativeTime.n < minCount || s.relativeTime.value < 1 {
 		return 1
 	}
 	return s.relativeTime.value
--- a/decision/passthrough/peerload.go
+++ b/decision/passthrough/peerload.go
@@ -34,13 +34,13 @@
 // OwnLoads is what this instance has at the servers now.
 func (w *World) OwnLoads() []PeerLoad {
 	var out []PeerLoad
-	told := map[*server]bool{}
+	seen := map[*server]bool{}
 	for _, r := range w.requests {
 		s := r.server
-		if s == nil || told[s] || !s.service.engine {
+		if s == nil || seen[s] || !s.service.engine {
 			continue
 		}
-		told[s] = true
+		seen[s] = true
 		out = append(out, PeerLoad{Key: s.peerKey(), Requests: s.ownRequests, PrefillTime: seconds(s.prefillRemaining(w.now))})
 	}
 	return out
--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -22,7 +22,7 @@
 // sending to the one that looked idle. A request goes to the server that a hash of its
 // shared prompt names, so that all instances agree without a word, and on to the next by
 // the hash once that one has more than its part.
-func (w *World) pickServer(r *request, views []serverView, f occupancy) (v serverView, ok bool) {
+func (w *World) pickServer(r *request, views []serverView, occ occupancy) (v serverView, ok bool) {
 	list := w.candidates(r, views)
 	if len(list) == 0 {
 		return serverView{}, false
@@ -31,40 +31,40 @@
 		return v, true
 	}
 	if r.PrefixHash != 0 {
-		return w.pickByPrefix(r, list, f), true
+		return w.pickByPrefix(r, list, occ), true
 	}
 	return w.pickByLoad(list), true
 }
 
 // pickByPrompt prefers the server that the hash names, in the own failure domain where
 // there is time for that, among those within the bound; else it takes the least loaded.
-func (w *World) pickByPrefix(r *request, list []serverView, f occupancy) serverView {
-	bound, wait := loadBound(list), meanPrefillWait(list)
-	keepNear := staysLocal(r, f.prefillWait)
-	best, near, least := noIndex, noIndex, 0
-	var bestScore, nearScore uint64
+func (w *World) pickByPrefix(r *request, list []serverView, occ occupancy) serverView {
+	maxWeight, meanWait := loadBound(list), meanPrefillWait(list)
+	keepLocal := staysLocal(r, occ.prefillWait)
+	best, local, lightest := noIndex, noIndex, 0
+	var bestScore, localScore uint64
 	for i, v := range list {
-		if v.weight < list[least].weight {
-			least = i
+		if v.weight < list[lightest].weight {
+			lightest = i
 		}
-		if v.weight > bound || v.wait > wait+prefillWaitSlack {
+		if v.weight > maxWeight || v.wait > meanWait+prefillWaitSlack {
 			continue
 		}
 		score := mix(v.server.hash ^ r.PrefixHash)
 		if best == noIndex || score > bestScore {
 			best, bestScore = i, score
 		}
-		if keepNear && v.server.Domain == w.cfg.Domain && (near == noIndex || score > nearScore) {
-			near, nearScore = i, score
+		if keepLocal && v.server.Domain == w.cfg.Domain && (local == noIndex || score > localScore) {
+			local, localScore = i, score
 		}
 	}
 	switch {
-	case near != noIndex:
-		return list[near]
+	case local != noIndex:
+		return list[local]
 	case best != noIndex:
 		return list[best]
 	}
-	return list[least]
+	return list[lightest]
 }
 
 // none is the index of no server.
@@ -111,15 +111,15 @@
 // slowly as the smallest, however idle the engines are: what an engine generates for others
 // stands still meanwhile.
 func staysLocal(r *request, wait float64) bool {
-	readAgain := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
-	if readAgain > maxRepeatedPrefill {
+	repeatedPrefill := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
+	if repeatedPrefill > maxRepeatedPrefill {
 		return false
 	}
-	shared := 1.0
+	sharedFraction := 1.0
 	if r.PromptTokens > 0 {
-		shared = min(float64(r.PrefixTokens)/float64(r.PromptTokens), 1)
+		sharedFraction = min(float64(r.PrefixTokens)/float64(r.PromptTokens), 1)
 	}
-	return shared*wait < localPrefillWait && wait < maxLocalPrefillWait
+	return sharedFraction*wait < localPrefillWait && wait < maxLocalPrefillWait
 }
 
 // nearWeight is the part of a request by which a server in the own failure domain is
--- a/decision/passthrough/place.go
+++ b/decision/passthrough/place.go
@@ -6,8 +6,8 @@
 // now.
 func (w *World) tryDispatch(r *request) bool {
 	views := w.viewServers(r.service)
-	f := occupancyOf(r.service, views)
-	v, ok := w.pickServer(r, views, f)
+	occ := occupancyOf(r.service, views)
+	v, ok := w.pickServer(r, views, occ)
 	if !ok {
 		return false
 	}
@@ -37,9 +37,9 @@
 		cmd.LoadAge = w.now.Sub(s.reportedAt)
 	}
 	if r.ChooseModel && len(r.Route.Models) > 0 {
-		f = f.withOneMore()
-		cmd.Utilization, cmd.MeanPrefillWait, cmd.RetriesLeft = f.utilization, seconds(f.prefillWait), r.service.budget.Remaining(w.now)
-		r.model = w.chooseModel(r, f.headroom(r))
+		occ = occ.withOneMore()
+		cmd.Utilization, cmd.MeanPrefillWait, cmd.RetriesLeft = occ.utilization, seconds(occ.prefillWait), r.service.budget.Remaining(w.now)
+		r.model = w.chooseModel(r, occ.headroom(r))
 		cmd.Model = r.Route.Models[r.model]
 	}
 	if r.service.engine {
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -39,10 +39,10 @@
 
 func (q *queue) push(r *request, cost float64) {
 	rq, flow := q.flow(r)
-	wt := &queueEntry{request: r, class: rq}
-	wt.item.Value, wt.item.Cost = wt, max(cost, 1)
-	r.queueEntry = wt
-	rq.queue.Push(flow, &wt.item)
+	entry := &queueEntry{request: r, class: rq}
+	entry.item.Value, entry.item.Cost = entry, max(cost, 1)
+	r.queueEntry = entry
+	rq.queue.Push(flow, &entry.item)
 	q.len++
 }
 
@@ -89,15 +89,15 @@
 }
 
 // rank finds the queue of a rank; the ranks stand in order.
-func (q *queue) class(rank int) *priorityClass {
+func (q *queue) class(priority int) *priorityClass {
 	at := 0
-	for at < len(q.classes) && q.classes[at].priority < rank {
+	for at < len(q.classes) && q.classes[at].priority < priority {
 		at++
 	}
-	if at < len(q.classes) && q.classes[at].priority == rank {
+	if at < len(q.classes) && q.classes[at].priority == priority {
 		return q.classes[at]
 	}
-	rq := &priorityClass{priority: rank, flows: map[string]*fair.Flow[*queueEntry]{}}
+	rq := &priorityClass{priority: priority, flows: map[string]*fair.Flow[*queueEntry]{}}
 	q.classes = append(q.classes, nil)
 	copy(q.classes[at+1:], q.classes[at:])
 	q.classes[at] = rq
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -128,33 +128,33 @@
 
 // limitTurn counts the subsets that have passed since anyone heard of the server's limit.
 func (s *server) limitRotation(now time.Time) uint64 {
-	each := usedLimit(s.limit.PerSecond) / float64(limitSubset(s.limit.PerSecond))
-	turn := limitStaleAfter + seconds(limitStaleSends/each)
-	return uint64(max(now.Sub(s.limit.statedAt), 0) / turn)
+	perInstance := usedLimit(s.limit.PerSecond) / float64(limitSubset(s.limit.PerSecond))
+	period := limitStaleAfter + seconds(limitStaleSends/perInstance)
+	return uint64(max(now.Sub(s.limit.statedAt), 0) / period)
 }
 
 // limitShare is this instance's part of a server's limit, in requests a second.
 func (w *World) limitShare(s *server) float64 {
-	view := limitShareInputs{s.limit.PerSecond, w.neighbours.version, w.fleetSize, s.limitRotation(w.now)}
-	if view != s.limit.shareInputs {
-		s.limit.shareInputs = view
-		s.limit.share = w.computeLimitShare(s, view.rotation)
+	inputs := limitShareInputs{s.limit.PerSecond, w.neighbours.version, w.fleetSize, s.limitRotation(w.now)}
+	if inputs != s.limit.shareInputs {
+		s.limit.shareInputs = inputs
+		s.limit.share = w.computeLimitShare(s, inputs.rotation)
 		s.limit.bucket.setRate(s.limit.share, w.now)
 	}
 	return s.limit.share
 }
 
-func (w *World) computeLimitShare(s *server, turn uint64) float64 {
+func (w *World) computeLimitShare(s *server, rotation uint64) float64 {
 	used := usedLimit(s.limit.PerSecond)
 	if w.fleetSize > 0 && float64(w.fleetSize) <= s.limit.PerSecond+limitAllMargin {
 		return used / float64(w.fleetSize)
 	}
-	zone, key := s.Domain, s.hash
-	if turn > 0 {
-		zone, key = "", mix(s.hash+turn) // any failure domain: all instances of its own may be gone
+	domain, key := s.Domain, s.hash
+	if rotation > 0 {
+		domain, key = "", mix(s.hash+rotation) // any failure domain: all instances of its own may be gone
 	}
 	size := limitSubset(s.limit.PerSecond)
-	if !w.inSubset(zone, key, size) {
+	if !w.inSubset(domain, key, size) {
 		return 0
 	}
 	return used / float64(min(size, max(len(w.neighbours.hashes), 1)))
@@ -266,8 +266,8 @@
 	if b.rate <= 0 {
 		return 0
 	}
-	most := max(b.rate*limitBurstDuration.Seconds(), minLimitBurst)
-	return min(b.tokens+b.rate*now.Sub(b.at).Seconds(), most)
+	capacity := max(b.rate*limitBurstDuration.Seconds(), minLimitBurst)
+	return min(b.tokens+b.rate*now.Sub(b.at).Seconds(), capacity)
 }
 
 // next refills the bucket, and says whether a token is in it, or when there will be one.
--- a/decision/passthrough/reading.go
+++ b/decision/passthrough/reading.go
@@ -50,9 +50,9 @@
 type ratio struct{ numerator, denominator float64 }
 
 // add takes in one more of each; whole grows to memory at most.
-func (q *ratio) add(part, whole, memory float64) {
-	q.numerator += part
-	q.denominator += whole
+func (q *ratio) add(numerator, denominator, memory float64) {
+	q.numerator += numerator
+	q.denominator += denominator
 	if over := q.denominator / memory; over > 1 {
 		q.numerator /= over
 		q.denominator /= over
@@ -66,12 +66,12 @@
 
 // perToken is how long a prompt token takes to be read, in seconds, with what was cached
 // taken in.
-func (rs *prefillStats) perToken(size int) float64 {
+func (rs *prefillStats) perToken(model int) float64 {
 	prior := smallestPrefillPerToken
-	if size > 0 {
+	if model > 0 {
 		prior = largerPrefillPerToken
 	}
-	speed := rs.perModel[size]
+	speed := rs.perModel[model]
 	if speed == nil {
 		return prior
 	}
@@ -80,14 +80,14 @@
 }
 
 // learn takes in the time to the first event of an answer that had its engine for itself.
-func (rs *prefillStats) learn(size, tokens int, took time.Duration) {
+func (rs *prefillStats) learn(model, tokens int, took time.Duration) {
 	const drift = 1.001 // a least that an odd answer set too low is forgotten
 	x := took.Seconds()
 	rs.minFirstByte *= drift
 	if rs.minFirstByte == 0 || x < rs.minFirstByte {
 		rs.minFirstByte = x
 	}
-	rowFor(&rs.perModel, size).add(x-rs.minFirstByte, float64(tokens), prefillMemoryTokens)
+	rowFor(&rs.perModel, model).add(x-rs.minFirstByte, float64(tokens), prefillMemoryTokens)
 }
 
 const (
@@ -115,9 +115,9 @@
 }
 
 // scale is what forecasts are multiplied by, to be right in the mean, by what came of earlier ones.
-func forecastScale(came *ratio) float64 {
+func forecastScale(accuracy *ratio) float64 {
 	const right, priorSeconds = 1.0, 1.0 // until there were answers
-	return min(max(came.value(right, priorSeconds), minScale), maxScale)
+	return min(max(accuracy.value(right, priorSeconds), minScale), maxScale)
 }
 
 // toRead counts a request's prompt at the engine that it is sent to.
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -111,8 +111,8 @@
 
 // cost sizes a request for the teams' shares: tokens, with prompts read in parallel.
 func (w *World) cost(r *request) float64 {
-	const promptPart = 0.1 // of a generated token's cost, as decision.Config.PromptWeight
-	return promptPart*float64(r.PromptTokens) + float64(r.MaxTokens)
+	const promptWeight = 0.1 // of a generated token's cost, as decision.Config.PromptWeight
+	return promptWeight*float64(r.PromptTokens) + float64(r.MaxTokens)
 }
 
 // waited refuses a request that has waited for as long as it may, unless there is room by
--- a/decision/passthrough/rollout.go
+++ b/decision/passthrough/rollout.go
@@ -89,11 +89,11 @@
 // Load: a version that fails in a part of its answers or is slow, at once, later, or on
 // one route only. Harm prevented: callers who get its answers until a person notices. Recent
 // counts are judged too, so that a version that turns bad late is not excused by its start.
-func IsBad(fresh, old Counts) bool {
-	if firstByteTest.exceeds(fresh.FirstByte) || intervalTest.exceeds(fresh.EventInterval) || slowTooOften(fresh.EventInterval, old.EventInterval) {
+func IsBad(newCounts, oldCounts Counts) bool {
+	if firstByteTest.exceeds(newCounts.FirstByte) || intervalTest.exceeds(newCounts.EventInterval) || slowTooOften(newCounts.EventInterval, oldCounts.EventInterval) {
 		return true
 	}
-	return failsTooOften(fresh, old, minBadForVerdict)
+	return failsTooOften(newCounts, oldCounts, minBadForVerdict)
 }
 
 // slowMore says whether more of the new version's answers than of the old one's are slow by
@@ -102,14 +102,14 @@
 // Load: a version that is slow in a part of its answers, under a burst. Harm prevented: its
 // mean alone lies near the limit, as the other part is quick at servers that have little to
 // do: one slow by six in 60 of 100 was completed at 1.7 times the usual pace.
-func slowTooOften(fresh, old LogRatioStats) bool {
-	return fresh.slow().exceeds(old.slow(), minBadForVerdict)
+func slowTooOften(newTimes, oldTimes LogRatioStats) bool {
+	return newTimes.slow().exceeds(oldTimes.slow(), minBadForVerdict)
 }
 
 // failsMore says whether the new version fails more than the old one may, by so many bad
 // answers at least.
-func failsTooOften(fresh, old Counts, least int) bool {
-	return fresh.failed().exceeds(old.failed(), least)
+func failsTooOften(newCounts, oldCounts Counts, minBad int) bool {
+	return newCounts.failed().exceeds(oldCounts.failed(), minBad)
 }
 
 // proportion is how many of a version's answers were bad in one way.
@@ -117,15 +117,15 @@
 
 // more says whether the new version has more bad answers than it is allowed beside the old one,
 // and so many at least.
-func (p proportion) exceeds(old proportion, least int) bool {
-	usual := old.smoothed(oldPriorWeight)
-	return p.bad >= least && p.smoothed(newPriorWeight) > min(badFloor+badFactor*usual, usual+maxExcessBad)
+func (p proportion) exceeds(old proportion, minBad int) bool {
+	oldRatio := old.smoothed(oldPriorWeight)
+	return p.bad >= minBad && p.smoothed(newPriorWeight) > min(badFloor+badFactor*oldRatio, oldRatio+maxExcessBad)
 }
 
 // share is the part of bad answers, with so many answers added, half a one of them bad, that a
 // few say little.
-func (p proportion) smoothed(added float64) float64 {
-	return (float64(p.bad) + 0.5) / (float64(p.total) + added)
+func (p proportion) smoothed(prior float64) float64 {
+	return (float64(p.bad) + 0.5) / (float64(p.total) + prior)
 }
 
 // Exposure bounds the requests that a version may get before its roll-out's deadline, be
@@ -138,29 +138,29 @@
 
 // Plan says how far a roll-out is after the time elapsed since its order, by what all
 // instances saw of both versions.
-func PlanRollout(o Order, now time.Time, elapsed time.Duration, limit ExposureLimit, fresh, old Counts, bad bool) Rollout {
+func PlanRollout(o Order, now time.Time, elapsed time.Duration, limit ExposureLimit, newCounts, oldCounts Counts, bad bool) Rollout {
 	complete := max(o.Duration-completionMargin, o.Duration/2)
 	r := Rollout{Order: o, Phase: PhaseCanary, Share: limit.Share * canaryFraction}
 	r.FirstHalf = elapsed < o.Duration/2
 	r.CollectingSessions = elapsed < min(maxCollectingTime, time.Duration(collectingFraction*float64(o.Duration)))
 	r.CompleteAt = now.Add(complete - elapsed)
-	r.MaxLead = leadTime(o, elapsed, limit, fresh, old)
-	doubted := intervalTest.mayExceed(fresh.EventInterval)
-	if doubted {
+	r.MaxLead = leadTime(o, elapsed, limit, newCounts, oldCounts)
+	inDoubt := intervalTest.mayExceed(newCounts.EventInterval)
+	if inDoubt {
 		r.CompleteAt, r.MaxLead = time.Time{}, 0
 	}
 	switch {
 	case bad:
 		r.Phase, r.Share = PhaseReverted, 0
-	case elapsed >= complete && failsTooOften(fresh, old, minBadAtCompletion):
+	case elapsed >= complete && failsTooOften(newCounts, oldCounts, minBadAtCompletion):
 		// Load: a version of which little was seen, as instances were killed or cut off.
 		// Harm prevented: one that failed two of seven answers completed all the same.
 		r.Phase, r.Share = PhaseReverted, 0
-	case doubted:
+	case inDoubt:
 		// Load: a version that looks slow under a burst in which little can be told. Harm
 		// prevented: old servers that are gone when it turns out to be slow. It may come late.
 		r.Held = elapsed >= complete
-		if fresh.suspectCount() >= maxSuspects {
+		if newCounts.suspectCount() >= maxSuspects {
 			r.Share = 0
 		}
 	case elapsed >= complete:
@@ -179,13 +179,13 @@
 
 // lead is how long before the end all requests may go to the new version, so that it gets
 // no more than the limit allows up to the deadline.
-func leadTime(o Order, elapsed time.Duration, limit ExposureLimit, fresh, old Counts) time.Duration {
-	total := fresh.Total() + old.Total()
+func leadTime(o Order, elapsed time.Duration, limit ExposureLimit, newCounts, oldCounts Counts) time.Duration {
+	total := newCounts.Total() + oldCounts.Total()
 	if total == 0 || elapsed <= 0 {
 		return 0
 	}
 	rate := float64(total) / elapsed.Seconds()
-	allowed := limit.Share*rate*o.Duration.Seconds() + toleranceFraction*limit.Tolerance - float64(fresh.Total())
+	allowed := limit.Share*rate*o.Duration.Seconds() + toleranceFraction*limit.Tolerance - float64(newCounts.Total())
 	spare := time.Duration(allowed/rate*float64(time.Second)) - completionMargin
 	return max(time.Duration(leadFactor*float64(spare)), 0)
 }
--- a/decision/passthrough/rollout_load_test.go
+++ b/decision/passthrough/rollout_load_test.go
@@ -114,10 +114,10 @@
 
 // playRollout plays a roll-out of 20 s under so many times the load that the engines bear,
 // which begins a second before the order and lasts for 14 s.
-func playRollout(t *testing.T, seed uint64, load, share, by float64) *simRollout {
+func playRollout(t *testing.T, seed uint64, load, share, factor float64) *simRollout {
 	s := newSim(t, 3, []simCallerKind{{team: "a", rate: simCapacity}})
 	s.setSeed(seed)
-	ro := &simRollout{share: share, factor: by}
+	ro := &simRollout{share: share, factor: factor}
 	s.play(3*time.Second, 0.5)
 	s.play(time.Second, load)
 	s.startRollout(ro)
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -34,9 +34,9 @@
 		row := w.servers[s.ID]
 		if row != nil && row.StartTime == s.StartTime && row.Address == s.Address && row.Service == s.Service {
 			s.Draining = s.Draining || row.Draining
-			told := s.SlowStartRemaining != row.SlowStartRemaining
+			changed := s.SlowStartRemaining != row.SlowStartRemaining
 			row.Server = s
-			if told {
+			if changed {
 				w.enterSlowStart(row, s.SlowStartRemaining, CauseListed)
 			}
 			continue
@@ -64,9 +64,9 @@
 }
 
 // cool takes one server for cold, and tells of it.
-func (w *World) enterSlowStart(s *server, span time.Duration, why SlowStartCause) {
+func (w *World) enterSlowStart(s *server, span time.Duration, cause SlowStartCause) {
 	if s.beginSlowStart(span, w.now) {
-		w.emit(SlowStartBegun{Server: s.ID, Domain: s.Domain, Servers: 1, Duration: span, Cause: why})
+		w.emit(SlowStartBegun{Server: s.ID, Domain: s.Domain, Servers: 1, Duration: span, Cause: cause})
 	}
 }
 
@@ -136,13 +136,13 @@
 
 // usable says whether the server may get new work, sick or not.
 func (s *server) usable(now time.Time) bool {
-	return !s.gone && !s.Draining && !s.drained && !now.Before(s.excludedUntil)
+	return !s.gone && !s.Draining && !s.drained && !now.Before(s.backoffUntil)
 }
 
 // hashText is a hash of a name that is alike at all instances.
-func hashString(text string) uint64 {
+func hashString(s string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(text)) // never fails, by its contract
+	_, _ = h.Write([]byte(s)) // never fails, by its contract
 	return mix(h.Sum64())
 }
 
--- a/decision/passthrough/silence.go
+++ b/decision/passthrough/silence.go
@@ -47,9 +47,9 @@
 	if s.Begun {
 		return s.AttemptIdle > max(time.Duration(gapFactor*float64(s.Route.TargetGap)), minGap)
 	}
-	reading := time.Duration(s.PromptTokens) * prefillAllowance
-	if s.ServerIdle > min(time.Duration(serverIdleFraction*float64(s.Route.TargetLatency)), maxServerIdle)+reading {
+	prefill := time.Duration(s.PromptTokens) * prefillAllowance
+	if s.ServerIdle > min(time.Duration(serverIdleFraction*float64(s.Route.TargetLatency)), maxServerIdle)+prefill {
 		return true
 	}
-	return s.AttemptIdle > firstByteFactor*s.Route.TargetLatency+reading
+	return s.AttemptIdle > firstByteFactor*s.Route.TargetLatency+prefill
 }
--- a/decision/passthrough/slowstart.go
+++ b/decision/passthrough/slowstart.go
@@ -31,8 +31,8 @@
 
 // slowStartQuota is how many instances send to a server in slow start, and how many requests each
 // of them may send a second. The server takes rate a second, and bears most in one.
-func slowStartQuota(rate, most float64) (subset, quota int) {
-	total := max(int(min(rate, most/maxSubsetViews)), 1)
+func slowStartQuota(rate, maxPerSecond float64) (subset, quota int) {
+	total := max(int(min(rate, maxPerSecond/maxSubsetViews)), 1)
 	subset = min(total, slowStartSubset)
 	return subset, total / subset
 }
--- a/decision/passthrough/subset.go
+++ b/decision/passthrough/subset.go
@@ -40,15 +40,15 @@
 // inSubset says whether this instance is one of so many that may send to a server of the failure
 // domain, chosen by the key. An instance that does not know its neighbours is in no subset: it may
 // be one of hundreds.
-func (w *World) inSubset(zone string, key uint64, size int) bool {
-	return w.neighbours.version > 0 && w.subsetDomain(zone, key) == w.cfg.Domain && w.neighbours.position(key) < size
+func (w *World) inSubset(domain string, key uint64, size int) bool {
+	return w.neighbours.version > 0 && w.subsetDomain(domain, key) == w.cfg.Domain && w.neighbours.position(key) < size
 }
 
 // subsetDomain is the failure domain of the instances that may send to a server: its own, or one by
 // the key where no instances run there.
-func (w *World) subsetDomain(zone string, key uint64) string {
-	if len(w.cfg.Domains) == 0 || slices.Contains(w.cfg.Domains, zone) {
-		return zone
+func (w *World) subsetDomain(domain string, key uint64) string {
+	if len(w.cfg.Domains) == 0 || slices.Contains(w.cfg.Domains, domain) {
+		return domain
 	}
 	return slices.MaxFunc(w.cfg.Domains, func(a, b string) int {
 		return cmp.Compare(mix(hashString(a)^key), mix(hashString(b)^key))
--- a/decision/passthrough/tables.go
+++ b/decision/passthrough/tables.go
@@ -42,8 +42,8 @@
 	ownAtReport        int
 	prefillingAtReport int
 	// shutUntil keeps it out of the choice for a moment.
-	excludedUntil time.Time
-	health        health
+	backoffUntil time.Time
+	health       health
 	// slow is the server's pace beside its service's mean.
 	relativeTime movingAverage
 	// hash is the server's part of the affinity hash.
--- a/decision/passthrough/throttle.go
+++ b/decision/passthrough/throttle.go
@@ -60,36 +60,36 @@
 	at    time.Time
 }
 
-func (f *decayingCount) valueAt(now time.Time) float64 {
-	if !f.at.IsZero() {
-		f.value *= math.Exp(-now.Sub(f.at).Seconds() / throttleMemory.Seconds())
+func (c *decayingCount) valueAt(now time.Time) float64 {
+	if !c.at.IsZero() {
+		c.value *= math.Exp(-now.Sub(c.at).Seconds() / throttleMemory.Seconds())
 	}
-	f.at = now
-	return f.value
+	c.at = now
+	return c.value
 }
 
-func (f *decayingCount) add(now time.Time, x float64) { f.value = max(f.valueAt(now)+x, 0) }
+func (c *decayingCount) add(now time.Time, x float64) { c.value = max(c.valueAt(now)+x, 0) }
 
 // observeDemand counts a request of a team.
-func (q *throttle) observeDemand(rank int, team string, now time.Time) {
-	asked := q.demandAt(rank)
-	asked.all.add(now, 1)
-	if len(asked.teams) > throttleTeams {
-		clear(asked.teams)
+func (q *throttle) observeDemand(priority int, team string, now time.Time) {
+	d := q.demandAt(priority)
+	d.all.add(now, 1)
+	if len(d.teams) > throttleTeams {
+		clear(d.teams)
 	}
-	count := asked.teams[team]
+	count := d.teams[team]
 	if count == nil {
 		count = &decayingCount{}
-		asked.teams[team] = count
+		d.teams[team] = count
 	}
 	count.add(now, 1)
 }
 
 // rank finds what was asked for at a rank.
-func (q *throttle) demandAt(rank int) *demand {
-	at, found := slices.BinarySearchFunc(q.demands, rank, func(a *demand, rank int) int { return cmp.Compare(a.priority, rank) })
+func (q *throttle) demandAt(priority int) *demand {
+	at, found := slices.BinarySearchFunc(q.demands, priority, func(a *demand, priority int) int { return cmp.Compare(a.priority, priority) })
 	if !found {
-		q.demands = slices.Insert(q.demands, at, &demand{priority: rank, teams: map[string]*decayingCount{}})
+		q.demands = slices.Insert(q.demands, at, &demand{priority: priority, teams: map[string]*decayingCount{}})
 	}
 	return q.demands[at]
 }
@@ -122,24 +122,24 @@
 
 // refuses says whether a team's request, which was counted, is refused; draw is a random part
 // of 1.
-func (q *throttle) refuses(rank int, team string, now time.Time, draw float64) bool {
+func (q *throttle) refuses(priority int, team string, now time.Time, draw float64) bool {
 	if q.rejected.valueAt(now) < throttleThreshold {
 		return false
 	}
 	allowed := throttleExcess*q.accepted.valueAt(now) + throttleProbes
-	asked := q.demandAt(rank)
-	left := max(allowed-q.demandAbove(rank, now), lowPriorityShare*allowed)
-	if asked.all.valueAt(now) <= left {
+	d := q.demandAt(priority)
+	left := max(allowed-q.demandAbove(priority, now), lowPriorityShare*allowed)
+	if d.all.valueAt(now) <= left {
 		return false
 	}
-	return draw*asked.teams[team].valueAt(now) > asked.fairShare(now, left)
+	return draw*d.teams[team].valueAt(now) > d.fairShare(now, left)
 }
 
 // above is what was asked for at higher ranks.
-func (q *throttle) demandAbove(rank int, now time.Time) float64 {
+func (q *throttle) demandAbove(priority int, now time.Time) float64 {
 	sum := 0.0
 	for _, other := range q.demands {
-		if other.priority < rank {
+		if other.priority < priority {
 			sum += other.all.valueAt(now)
 		}
 	}
@@ -148,9 +148,9 @@
 
 // fairShare is what each team may have of so many requests, if those that ask for less get all
 // that they ask for.
-func (q *demand) fairShare(now time.Time, allowed float64) float64 {
-	counts := make([]float64, 0, len(q.teams))
-	for _, count := range q.teams {
+func (d *demand) fairShare(now time.Time, allowed float64) float64 {
+	counts := make([]float64, 0, len(d.teams))
+	for _, count := range d.teams {
 		counts = append(counts, count.valueAt(now))
 	}
 	slices.Sort(counts)
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -83,14 +83,14 @@
 func (m timingTest) mayExceed(s LogRatioStats) bool { return m.meanAbove(s, doubtStdErrors) }
 
 // above says whether the mean ratio, with so many standard errors added, is above the limit.
-func (m timingTest) meanAbove(s LogRatioStats, errors float64) bool {
+func (m timingTest) meanAbove(s LogRatioStats, stdErrors float64) bool {
 	if s.N < m.minCount {
 		return false
 	}
 	n := float64(s.N)
 	mean := s.Sum / n
 	variance := max(s.Squares/n-mean*mean, 0) + m.priorVariance
-	return mean+errors*math.Sqrt(variance/n) > math.Log(m.maxRatio)
+	return mean+stdErrors*math.Sqrt(variance/n) > math.Log(m.maxRatio)
 }
 
 // onTrial says whether the server has the version that is being rolled out.
@@ -137,17 +137,17 @@
 
 // compare sets an answer's time beside what is usual of the old version at like load, and
 // takes it into that if the server has the old version.
-func (w *World) compareWithBaseline(s *server, usual *baselineTimes, at loadLevel, took time.Duration) LogRatioStats {
+func (w *World) compareWithBaseline(s *server, baseline *baselineTimes, at loadLevel, took time.Duration) LogRatioStats {
 	var out LogRatioStats
 	if took <= 0 {
 		return out
 	}
 	x := math.Log(took.Seconds())
-	if usually, ok := usual.at(at); ok {
-		out.add(x - usually)
+	if usual, ok := baseline.at(at); ok {
+		out.add(x - usual)
 	}
 	if !w.runsTarget(s) && !w.revertedVersions[versionKey{s.Service, s.Version}] {
-		usual.add(at, x)
+		baseline.add(at, x)
 	}
 	return out
 }
--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -12,30 +12,30 @@
 // started lately may not know yet that the old servers are gone. A bad version gets
 // nothing even then.
 func (w *World) wantedVersion(r *request, ro *Rollout) string {
-	fresh, old := w.countVersions(r.service, ro.Target)
+	atTarget, others := w.countVersions(r.service, ro.Target)
 	switch {
-	case ro.Phase == PhaseReverted, w.wantsTarget(r, ro) && fresh == 0:
+	case ro.Phase == PhaseReverted, w.wantsTarget(r, ro) && atTarget == 0:
 		return ""
-	case w.wantsTarget(r, ro) && ro.Phase == PhaseCanary && old > 0 && w.limitsBlockVersion(r.service, ro.Target):
+	case w.wantsTarget(r, ro) && ro.Phase == PhaseCanary && others > 0 && w.limitsBlockVersion(r.service, ro.Target):
 		return "" // the canary waits, not its share of the callers
-	case w.wantsTarget(r, ro), old == 0:
+	case w.wantsTarget(r, ro), others == 0:
 		return ro.Target
 	}
 	return ""
 }
 
 // versions counts the servers that do not leave, at the version and at others.
-func (w *World) countVersions(s *service, target string) (at, others int) {
+func (w *World) countVersions(s *service, target string) (atTarget, others int) {
 	for _, srv := range s.servers {
 		switch {
 		case srv.gone, srv.Draining, srv.drained, w.revertedVersions[versionKey{srv.Service, srv.Version}]:
 		case srv.Version == target:
-			at++
+			atTarget++
 		default:
 			others++
 		}
 	}
-	return at, others
+	return atTarget, others
 }
 
 // fitting says of a server whether it has the version that the request goes to. A version
@@ -45,13 +45,13 @@
 	if ro == nil {
 		return func(*server) bool { return true }
 	}
-	wants := w.wantedVersion(r, ro)
-	least := uint64(0)
-	if wants == ro.Target && ro.Phase == PhaseCanary && !w.switchesEarly(r, ro) {
-		least = w.canaryMinHash(r.service, ro)
+	wanted := w.wantedVersion(r, ro)
+	minHash := uint64(0)
+	if wanted == ro.Target && ro.Phase == PhaseCanary && !w.switchesEarly(r, ro) {
+		minHash = w.canaryMinHash(r.service, ro)
 	}
 	return func(s *server) bool {
-		return (s.Version == ro.Target) == (wants == ro.Target) && s.hash >= least &&
+		return (s.Version == ro.Target) == (wanted == ro.Target) && s.hash >= minHash &&
 			!w.revertedVersions[versionKey{s.Service, s.Version}]
 	}
 }
--- a/decision/passthrough/view.go
+++ b/decision/passthrough/view.go
@@ -35,19 +35,19 @@
 
 // look views the service's servers that may get work. The list is valid until the next look.
 func (w *World) viewServers(s *service) []serverView {
-	by := w.forecastInput(s)
+	in := w.forecastInput(s)
 	w.views = w.views[:0]
 	for _, srv := range s.servers {
 		if !srv.usable(w.now) {
 			continue
 		}
-		slowness := srv.slowdown()
-		v := serverView{server: srv, own: by.ownForecast(srv, slowness)}
+		slowdown := srv.slowdown()
+		v := serverView{server: srv, own: in.ownForecast(srv, slowdown)}
 		v.forecast = v.own
-		if by.peersFresh {
-			v.forecast = by.peerForecast(srv, slowness)
+		if in.peersFresh {
+			v.forecast = in.peerForecast(srv, slowdown)
 		}
-		v.weight = (v.load+1)*slowness + v.wait/prefillSecondsPerRequest
+		v.weight = (v.load+1)*slowdown + v.wait/prefillSecondsPerRequest
 		w.views = append(w.views, v)
 	}
 	return w.views
@@ -78,24 +78,24 @@
 }
 
 // ownForecast is a server's forecast by what this instance knows by itself.
-func (k *forecastInput) ownForecast(srv *server, slowness float64) forecast {
-	forgotten := elapsedFraction(srv.reportedAt, k.now, k.reportTTL)
-	forgottenUnread := elapsedFraction(srv.reportedAt, k.now, reportedPrefillTTL)
-	stated := max(srv.reportedOthers(), 0) * (1 - forgotten)
-	unread := srv.othersPrefilling()*(1-forgottenUnread) + k.meanOthersPrefilling*forgottenUnread
-	f := forecast{known: float64(srv.ownRequests) + stated}
-	f.load = f.known + k.service.meanOthers.value*forgotten
-	f.unscaledWait = (srv.prefillBacklog + unread*k.service.prefill.meanPrefillTime.value) * slowness
-	f.wait = f.unscaledWait * k.ownScale
+func (in *forecastInput) ownForecast(srv *server, slowdown float64) forecast {
+	aged := elapsedFraction(srv.reportedAt, in.now, in.reportTTL)
+	prefillAged := elapsedFraction(srv.reportedAt, in.now, reportedPrefillTTL)
+	reported := max(srv.reportedOthers(), 0) * (1 - aged)
+	prefilling := srv.othersPrefilling()*(1-prefillAged) + in.meanOthersPrefilling*prefillAged
+	f := forecast{known: float64(srv.ownRequests) + reported}
+	f.load = f.known + in.service.meanOthers.value*aged
+	f.unscaledWait = (srv.prefillBacklog + prefilling*in.service.prefill.meanPrefillTime.value) * slowdown
+	f.wait = f.unscaledWait * in.ownScale
 	return f
 }
 
 // sharedForecast is a server's forecast by the word of all instances.
-func (k *forecastInput) peerForecast(srv *server, slowness float64) forecast {
+func (in *forecastInput) peerForecast(srv *server, slowdown float64) forecast {
 	load := float64(srv.ownRequests) + srv.peers.requests
 	f := forecast{known: load, load: load}
-	f.unscaledWait = (srv.prefillRemaining(k.now) + srv.peers.prefillTime) * slowness
-	f.wait = f.unscaledWait * k.peerScale
+	f.unscaledWait = (srv.prefillRemaining(in.now) + srv.peers.prefillTime) * slowdown
+	f.wait = f.unscaledWait * in.peerScale
 	return f
 }
 
