--- a/decision/passthrough/budget.go
+++ b/decision/passthrough/budget.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// budgetBuckets is into how many parts the budget's window is cut: a tenth is the error
-// by which requests count for too long, and the ratio's margin pays for it.
+// budgetBuckets is the number of buckets of the budget's window. Requests may count a tenth of the
+// window too long, which the margin of the ratio covers.
 const budgetBuckets = 10
 
-// Budget bounds the arrivals at one service beyond the first of each request.
+// RetryBudget bounds the attempts at one service beyond the first of each request.
 //
-// Load: a service that fails under load, where each failure brings a repeat. Harm
-// prevented: repeats that keep it down. The bound holds over all instances without a
-// message, since each keeps it over its own requests and takes an equal part of the
-// slack.
+// A service may fail under load, and each failure brings a retry; these must not keep it down. The
+// bound holds over all instances without coordination, since each enforces it for its own requests
+// and uses an equal part of the slack.
 type RetryBudget struct {
 	ratio       float64
 	slack       float64
@@ -21,14 +20,14 @@
 	retries     [budgetBuckets]int
 }
 
-// unknownFleet is how many instances are thought to share the slack until they are counted:
-// more than the largest deployment is planned to have, 880.
+// assumedFleetSize is the assumed number of instances that share the slack until they are counted:
+// more than the 880 of the largest planned deployment.
 const assumedFleetSize = 1000
 
-// spareInstances is the part by which the fleet may be larger than counted.
+// fleetSizeMargin is the fraction by which the fleet may be larger than counted.
 const fleetSizeMargin = 0.15
 
-// share takes this instance's part of the slack.
+// setFleetSize sets the number of instances, and with it this instance's part of the slack.
 func (w *World) setFleetSize(instances int) {
 	w.fleetSize = instances
 	for _, s := range w.services {
@@ -36,7 +35,7 @@
 	}
 }
 
-// slack is this instance's part of the retry budget's.
+// retrySlack is this instance's part of the retry budget's slack.
 func (w *World) retrySlack() float64 {
 	count := float64(w.fleetSize) * (1 + fleetSizeMargin)
 	if w.fleetSize == 0 {
@@ -45,13 +44,13 @@
 	return w.cfg.RetrySlack / count
 }
 
-// NewBudget returns a budget: in each window as many repeats as ratio times the
-// requests, and slack more.
+// NewRetryBudget returns a budget that allows, in each window, ratio times the number of requests
+// plus slack retries.
 func NewRetryBudget(ratio, slack float64, window time.Duration) *RetryBudget {
 	return &RetryBudget{ratio: ratio, slack: slack, bucketWidth: max(window/budgetBuckets, time.Millisecond)}
 }
 
-// advance clears the parts of the window that have passed.
+// advance clears the buckets that have left the window.
 func (b *RetryBudget) advance(now time.Time) {
 	at := now.UnixNano() / int64(b.bucketWidth)
 	elapsed := min(at-b.bucket, budgetBuckets)
@@ -65,13 +64,13 @@
 	b.bucket = max(b.bucket, at)
 }
 
-// Request counts a request for the service.
+// RecordRequest counts a request for the service.
 func (b *RetryBudget) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.requests[b.bucket%budgetBuckets]++
 }
 
-// Left is the number of repeats that may go now.
+// Remaining is the number of retries that are allowed now.
 func (b *RetryBudget) Remaining(now time.Time) float64 {
 	repeats := 0
 	allowed := b.allowed(now)
@@ -81,7 +80,7 @@
 	return allowed - float64(repeats)
 }
 
-// whole is the number of repeats that the window allows.
+// allowed is the number of retries that the window allows.
 func (b *RetryBudget) allowed(now time.Time) float64 {
 	b.advance(now)
 	firsts := 0
@@ -92,23 +91,25 @@
 }
 
 const (
-	// spareRepeats is what the budget must hold for a repeat that could be done without: those
-	// of failures go first. An instance that gets little keeps spareBudget of what it has, as each
-	// of its requests brings most of what its own repeat takes.
+	// optionalReserve is what must remain in the budget for an optional retry, as retries of
+	// failures come first. For an instance that gets few requests, the reserve is
+	// optionalReserveFraction of its whole budget, as each of its requests brings most of what its
+	// own retry takes.
 	optionalReserve         = 3.0
 	optionalReserveFraction = 0.2
 )
 
-// Spares says whether a repeat may go that could be done without.
+// AllowsOptional says whether an optional retry is allowed: one that replaces a response of low
+// confidence, not a failure.
 //
-// Load: hundreds of instances, each with a request in some seconds. Harm prevented: a reserve that
-// none of them ever has, so that all their weak answers are kept.
+// With hundreds of instances, each with a request every few seconds, none would ever have a fixed
+// reserve, and all would keep their weak responses.
 func (b *RetryBudget) AllowsOptional(now time.Time) bool {
 	need := min(max(optionalReserveFraction*b.allowed(now), 1), optionalReserve)
 	return b.Remaining(now) >= need
 }
 
-// Spend takes one repeat, or says that none is left.
+// Spend takes one retry from the budget, and returns false if none is left.
 func (b *RetryBudget) Spend(now time.Time) bool {
 	if b.Remaining(now) < 1 {
 		return false
--- a/decision/passthrough/cascade.go
+++ b/decision/passthrough/cascade.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// routeStats is what is learnt of a route's answers.
+// routeStats are statistics of a route's responses.
 type routeStats struct {
-	// first is the usual time to the first event, by size.
+	// firstByte is the usual time to the first event, by model index.
 	firstByte map[int]*baselineTimes
-	// took is the mean time to the whole answer, from the request's arrival, in seconds.
+	// responseTime is the mean time from a request's arrival to the end of its response, in
+	// seconds.
 	responseTime movingAverage
 	escalation   escalationStats
 }
@@ -20,17 +21,17 @@
 	return st
 }
 
-// usual is how long the route's whole answers take, times a factor.
+// expectedDuration is the mean response time of the route, times a factor.
 func (w *World) expectedDuration(route *Route, factor float64) time.Duration {
 	return seconds(factor * w.statsOf(route.Name).responseTime.value)
 }
 
-// firstOf is the usual time to the first event of answers like the request's.
+// firstByteBaseline is the usual time to the first event of responses like the request's.
 func (w *World) firstByteBaseline(r *request) *baselineTimes {
 	return rowFor(&w.statsOf(r.Route.Name).firstByte, r.model)
 }
 
-// firstByte notes the time to an answer's first byte.
+// observeFirstByte applies the begin of a response.
 func (w *World) observeFirstByte(e FirstByte) {
 	r := w.requests[e.Request]
 	if r == nil || r.server == nil {
@@ -49,26 +50,26 @@
 }
 
 const (
-	// barEven is the engine's own even odds on its answer. Measured by asking each of three
-	// models for the same load: answers to requests that a model is too weak for lie below
-	// it, but for one in twenty.
+	// evenConfidence is the confidence at which an engine's response is as likely good as bad
+	// by its own estimate. In measurements with three models and the same load, responses to
+	// requests that a model is too weak for were below it, except for one in twenty.
 	evenConfidence = 0.5
-	// barMargin is added since a weak answer costs its whole worth, and an answer replaced
-	// for nothing only a second prompt.
+	// confidenceMargin is added because a weak response loses its whole value, while
+	// replacing a good one costs only a second prefill.
 	confidenceMargin = 0.04
-	// sureFrom is the confidence from which on an answer is kept, where there is room for a
+	// minConfidence is the confidence from which a response is kept while there is room for a
 	// larger model.
 	minConfidence = evenConfidence + confidenceMargin
 )
 
-// chooseSize is the index of the model to ask.
+// chooseModel returns the index of the model to request.
 //
-// Load: requests of which the smallest model answers a half well, and a rush that the
-// largest, ten times as slow, cannot bear. Harm prevented: the largest model's price and
-// time for all, weak answers for the hard half, refusals in a rush. The smallest is asked
-// first; its answer is dropped where it doubts it itself, as long as nothing was sent. What
-// was dropped once is asked of a larger one, however full the servers are: the smallest
-// would give the same answer again.
+// The smallest model gives a good response to half of the requests. The largest is ten times
+// as slow and cannot bear a burst: its price and time must not be paid for all requests, nor
+// requests be refused in a burst for its sake, while the harder half must not get weak
+// responses. So the smallest model is requested first, and its response is dropped if its own
+// confidence is low and nothing was forwarded yet. After that a larger model is requested
+// however full the servers are: the smallest would give the same response again.
 func (w *World) chooseModel(r *request, headroom float64) int {
 	last := len(r.Route.Models) - 1
 	switch {
@@ -84,19 +85,20 @@
 	return 0
 }
 
-// onlyTry says that no other attempt may follow the one that is being made, so that a weak
-// answer could not be replaced.
+// lastAttempt says that no other attempt may follow the current one, so that a weak response
+// could not be replaced.
 func (r *request) lastAttempt() bool {
 	return r.attempts >= r.Route.MaxAttempts || !r.Route.Retryable()
 }
 
-// Bar is the confidence under which the answer that has begun is to be dropped, while nothing
-// of it was sent on, and the request to be ended as Dropped; 0 for never. As engines fill,
-// only the weakest answers are dropped.
+// ConfidenceThreshold is the confidence below which the response that has begun is to be
+// dropped, as long as nothing of it was forwarded, and the attempt to be ended as Dropped; 0
+// to keep any response. As engines fill up, only the weakest responses are dropped.
 //
-// Load: a rush that begins while answers of the smallest model are on their way. Harm
-// prevented: half of them dropped by what was known when they were sent: all engines then
-// read prompts for the largest model, two seconds of them each, before anyone notices.
+// The threshold is computed now, not when the request was sent. Otherwise, when a burst
+// begins while responses of the smallest model are in flight, half of them would be dropped,
+// and all engines would be busy with the largest model's prefill, two seconds for each,
+// before any instance notices.
 func (w *World) ConfidenceThreshold(id RequestID) float64 {
 	r := w.requests[id]
 	if r == nil || r.server == nil || r.model == noModel {
@@ -115,11 +117,11 @@
 	return minConfidence * occ.headroom(r)
 }
 
-// endsPart is the part of the time to the deadline in which the largest model must begin its
-// answer, for the rest of it to come too.
+// escalationFraction is the fraction of the time to the deadline within which the largest
+// model must begin its response, to leave time for the rest of it.
 const escalationFraction = 0.5
 
-// largestEnds says whether the largest model's answer would come before the deadline.
+// largestInTime says whether the largest model's response would come before the deadline.
 func (w *World) largestInTime(r *request, wait float64) bool {
 	begins := wait + r.service.prefill.perToken(len(r.Route.Models)-1)*float64(r.PromptTokens)
 	return begins < escalationFraction*r.Deadline.Sub(w.now).Seconds()
--- a/decision/passthrough/config.go
+++ b/decision/passthrough/config.go
@@ -7,78 +7,79 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may be repeated.
 type Kind uint8
 
 const (
 	// KindIdempotent requests may run more than once.
 	KindIdempotent Kind = iota + 1
-	// KindOnce requests run at most once.
+	// KindAtMostOnce requests run at most once.
 	KindAtMostOnce
-	// KindStream answers are events that flow as they come.
+	// KindStream responses are streams of events, forwarded as they arrive.
 	KindStream
 )
 
-// Route sends the requests of a host below a path prefix to a service.
+// Route maps the requests of a host below a path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may continue at another backend server.
 	Resumable bool
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
-	// MaxAttempts bounds the backend servers that one request is sent to.
+	// MaxAttempts bounds the attempts of a request that reach a backend server.
 	MaxAttempts int
 	// Timeout bounds how long a caller is kept waiting.
 	Timeout time.Duration
-	// Target is the time within which an answer has its full worth: to the whole
-	// answer, or to a stream's first event.
+	// TargetLatency is the time within which a response has its full value: until the whole
+	// response, or until the first event of a stream.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between events of a stream that is in time.
+	// TargetGap is the longest pause between events that still meets the target.
 	TargetGap time.Duration
-	// Priority is the rank, 0 first.
+	// Priority is the default priority of requests; 0 is the highest.
 	Priority int
-	// Sizes are the models that the router chooses from, smallest first; none where
-	// the caller names the model.
+	// Models are the models that the router chooses from, smallest first; empty if the caller
+	// names the model.
 	Models []string
-	// Backends are the services with their weights.
+	// Backends are the services and their weights.
 	Backends []Backend
 }
 
-// Backend is a service's part of a route.
+// Backend is a service with its weight in a route.
 type Backend struct {
 	Service string
 	Weight  float64
 }
 
-// Repeatable says whether a request of the route may run again after it may have run.
+// Retryable says whether a request of the route may run again after it may have run.
 func (r *Route) Retryable() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// Service is a group of alike backend servers.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name string
-	// Slots is how many requests an engine runs at once; 0 for a plain service.
+	// Slots is how many requests an engine runs at once; 0 for a plain service, which runs no
+	// models.
 	Slots int
-	// WarmUp is how long after its start a server takes little, WarmUpRate how many requests a
-	// second it takes then; 0 where a start makes no difference.
+	// SlowStartDuration is how long after its start a server takes only SlowStartRate requests
+	// per second; 0 if the service needs no slow start.
 	SlowStartDuration time.Duration
 	SlowStartRate     float64
 }
 
-// Team is a customer with its keys.
+// Team is a customer with its API keys.
 type Team struct {
 	Name string
 	Keys []string
-	// Priority takes the place of the route's where Ranked is set.
+	// Priority replaces the route's if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bounds what a caller may send, and how long it may take.
+// Limits bounds the size of what a caller sends and the time that it takes for it.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -86,7 +87,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Config is one version of the configuration, whole.
+// Config is one complete version of the configuration.
 type Config struct {
 	Version  uint64
 	Routes   []Route
@@ -95,7 +96,7 @@
 	Limits   Limits
 }
 
-// Index finds routes and teams of one configuration. It is read-only once made.
+// Index finds routes and teams of one configuration. It is read-only once built.
 type Index struct {
 	Config
 	hosts map[string][]*Route
@@ -121,8 +122,8 @@
 	return x
 }
 
-// Route returns the route with the longest prefix that begins the path, or nil. Host
-// may carry a port.
+// Route returns the route with the longest matching path prefix, or nil. Host may include a
+// port.
 func (x *Index) Route(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -135,14 +136,13 @@
 	return nil
 }
 
-// Team returns the team that holds the key, or nil.
+// Team returns the team that owns the key, or nil.
 func (x *Index) Team(key string) *Team { return x.keys[key] }
 
-// NeedsKey says whether the route's requests need a key.
+// NeedsKey says whether the route's requests need an API key.
 func (x *Index) NeedsKey(r *Route) bool { return len(x.Teams) > 0 && !r.Public }
 
-// Rank is the priority of the team's requests on the route: the team's where it has
-// one, else the route's.
+// EffectivePriority is the team's priority if it has one, else the route's.
 func EffectivePriority(t *Team, r *Route) int {
 	if t != nil && t.HasPriority {
 		return t.Priority
@@ -150,8 +150,8 @@
 	return r.Priority
 }
 
-// Pick chooses a service by weight; at is a fraction of 1. It returns "" where no
-// backend has a weight.
+// PickService chooses a service by weight; at is in [0, 1). It returns "" if no backend has a
+// weight.
 func (r *Route) PickService(at float64) string {
 	sum := 0.0
 	for _, b := range r.Backends {
--- a/decision/passthrough/counts.go
+++ b/decision/passthrough/counts.go
@@ -1,15 +1,15 @@
 package passthrough
 
-// Counts are the answers of one version, by all instances.
+// Counts are the counts of one version's responses over all instances.
 type Counts struct {
 	Good int
 	Bad  int
-	// First and Pace compare its times with the old version's.
+	// FirstByte and EventInterval compare its times with the old version's.
 	FirstByte     LogRatioStats
 	EventInterval LogRatioStats
 }
 
-// Add counts one answer.
+// Add counts one response.
 func (c Counts) Add(o Observation) Counts {
 	switch {
 	case o.TimingOnly:
@@ -22,19 +22,19 @@
 	return c
 }
 
-// Plus sums two counts.
+// Plus returns the sum of two counts.
 func (c Counts) Plus(o Counts) Counts {
 	return Counts{Good: c.Good + o.Good, Bad: c.Bad + o.Bad, FirstByte: c.FirstByte.plus(o.FirstByte), EventInterval: c.EventInterval.plus(o.EventInterval)}
 }
 
-// since is what came since an earlier count. An instance that started again counts anew;
-// what it had counted is left out then.
+// since returns what was added after an earlier state. An instance that restarts counts
+// from zero again; what it had counted before is then left out.
 func (c Counts) since(o Counts) Counts {
 	return Counts{Good: max(c.Good-o.Good, 0), Bad: max(c.Bad-o.Bad, 0), FirstByte: c.FirstByte.since(o.FirstByte), EventInterval: c.EventInterval.since(o.EventInterval)}
 }
 
-// Total is the number of answers.
+// Total is the number of responses.
 func (c Counts) Total() int { return c.Good + c.Bad }
 
-// failed is the failures among the answers.
+// failed is the proportion of failures.
 func (c Counts) failed() proportion { return proportion{c.Bad, c.Total()} }
--- a/decision/passthrough/drained.go
+++ b/decision/passthrough/drained.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// setDrained takes over which failure domains get no new work. The servers of one that is taken
-// back may be cold, all of them at the same moment.
+// setDrained sets the failure domains that get no new requests. When a domain is no longer
+// drained, its servers may all be cold, so they enter slow start.
 //
-// Load: a failure domain that is emptied for work on it, under full traffic. Harm prevented:
-// requests cut when it goes down; and a rush of all instances at its idle servers once it is
-// back.
+// A failure domain is drained for maintenance under full traffic. Requests must not be cut off
+// when it goes down, nor may all instances rush to its idle servers once it is back.
 func (w *World) setDrained(domains []string) {
 	before := w.drained
 	w.drained = map[string]bool{}
@@ -27,7 +26,7 @@
 	}
 }
 
-// beginDomainSlowStart takes all servers of a failure domain for cold.
+// beginDomainSlowStart puts all servers of a failure domain in slow start.
 func (w *World) beginDomainSlowStart(domain string, cause SlowStartCause) {
 	count := 0
 	var span time.Duration
@@ -45,9 +44,10 @@
 	}
 }
 
-// lostServer notes that a server could not be reached, or broke off: it may start again at any
-// moment. Where several of a failure domain are lost and none there answers, all of it is taken
-// to be starting again: most instances have not asked each of its servers meanwhile.
+// serverLost records that a server could not be reached or lost a connection: it may restart at
+// any moment. If several servers of a failure domain are lost and none there responds, the
+// whole domain is assumed to restart: most instances have not tried each of its servers
+// meanwhile.
 func (w *World) serverLost(s *server) {
 	if s.service.slowStart.span <= 0 {
 		return
@@ -65,5 +65,5 @@
 	}
 }
 
-// domainAnswers notes that a server has answered: its failure domain is there.
+// domainResponded records that a server has responded, so its failure domain is up.
 func (w *World) domainResponded(s *server) { delete(w.lostServers, s.Domain) }
--- a/decision/passthrough/ended.go
+++ b/decision/passthrough/ended.go
@@ -1,6 +1,6 @@
 package passthrough
 
-// end takes in an attempt's end, and decides what follows.
+// attemptEnded applies an attempt's end and decides what follows.
 func (w *World) attemptEnded(e AttemptEnded) {
 	r := w.requests[e.Request]
 	if r == nil {
@@ -34,7 +34,8 @@
 	}
 }
 
-// judge takes the end as evidence on the server, and tells others of it.
+// recordOutcome records what the end says about the server, and emits an observation
+// for the other instances.
 func (w *World) recordOutcome(r *request, s *server, e AttemptEnded) {
 	if s == nil || e.Result == Abandoned {
 		return
@@ -74,13 +75,14 @@
 	w.observeAttempt(r, s, e)
 }
 
-// triesMost bounds the servers tried in vain beside the attempts that count.
+// maxVainDispatches is how many dispatches a request may have beyond its route's
+// MaxAttempts, for those that reached no server.
 const maxVainDispatches = 5
 
-// again sends the request to another server than the last one, if it may go there.
+// retry sends the request to another server than the last one, if that is allowed.
 //
-// Load: servers that crash, refuse or go silent. Harm prevented: an answer lost where
-// another server could give it, and repeats that bring down those that are left.
+// Where servers crash, reject requests or time out, another server may still give a
+// response. But the retries must not bring down the servers that are left.
 func (w *World) retry(r *request, last *server) {
 	if last != nil {
 		r.tried = append(r.tried, last)
@@ -94,7 +96,7 @@
 	}
 }
 
-// barsAgain gives the reason why no other attempt may follow.
+// retryRefusal gives the reason why no other attempt may follow; "" if one may.
 func (w *World) retryRefusal(r *request) Reason {
 	switch {
 	case !r.Deadline.After(w.now):
--- a/decision/passthrough/events.go
+++ b/decision/passthrough/events.go
@@ -2,45 +2,47 @@
 
 import "time"
 
-// Event is anything that a tick takes in. The set is closed.
+// Event is an input of Tick. The set is closed.
 type Event interface{ event() }
 
 // Configured replaces the configuration.
 type Configured struct{ Index *Index }
 
-// Listed replaces the list of backend servers.
+// ServersListed replaces the list of backend servers.
 type ServersListed struct{ Servers []Server }
 
-// Arrived hands over a request. It is answered by one Dispatch or Refuse, at once or
-// when its turn comes, unless Left comes first.
+// RequestArrived hands over a request. One Dispatch or Refuse follows, at once or when the
+// request's turn comes, unless RequestCancelled comes first.
 type RequestArrived struct{ Request Request }
 
-// Left says that nobody waits for the request any more.
+// RequestCancelled says that the caller no longer waits for the request.
 type RequestCancelled struct{ Request RequestID }
 
-// Ended closes a Dispatch. It is answered by a Dispatch, Refuse or Finish, unless the
-// result is Completed or Abandoned.
+// AttemptEnded ends a Dispatch. A Dispatch, Refuse or Finish follows, unless the result is
+// Completed or Abandoned.
 type AttemptEnded struct {
 	Request RequestID
 	Result  Result
-	// Begun says that a part of the answer went to the caller.
+	// Begun says that a part of the response was forwarded to the caller.
 	Begun bool
-	// Misdirected says that another backend server has the address.
+	// Misdirected says that another backend server now has the address.
 	Misdirected bool
-	// Leaving says that the backend server is leaving.
+	// Leaving says that the backend server is shutting down.
 	Leaving bool
-	// Cut says that the connection broke, as it does when a backend server crashes.
+	// ConnectionLost says that the connection broke, as it does when a backend server crashes.
 	ConnectionLost bool
-	// Pace is the mean time between the events of a stream, or the time of a whole
-	// plain answer; 0 where it is not known.
+	// EventInterval is the mean time between the events of a stream, or the response time of a
+	// plain response; 0 if unknown.
 	EventInterval time.Duration
-	// Confidence is the engine's own in its answer, from 0 to 1; below 0 where not told.
+	// Confidence is the engine's confidence in its response, from 0 to 1; negative if it stated
+	// none.
 	Confidence float64
-	// Limit is what the answer states, nil where there is none or FirstByte has told it.
+	// Limit is the rate limit that the response states; nil if there was no response, or if
+	// FirstByte has reported it.
 	Limit *RateLimit
 }
 
-// Waited says that a request has waited in the queue for as long as MaxWait allows.
+// QueueWaitExpired says that a request has been queued for as long as MaxQueueWait allows.
 type QueueWaitExpired struct{ Request RequestID }
 
 // LoadReported is the load that a backend server reports.
@@ -49,8 +51,8 @@
 	Load   Load
 }
 
-// FirstByte says that the attempt's answer began, after the time given, and what its head
-// states of the server's load, if anything.
+// FirstByte says that an attempt's response began, After its dispatch, with the load and the
+// rate limit that its head states.
 type FirstByte struct {
 	Request RequestID
 	After   time.Duration
@@ -59,55 +61,55 @@
 	Limit   RateLimit
 }
 
-// Paced is the pace of a stream's first events: the mean time between them.
+// EventIntervalMeasured is the mean time between the first events of a stream.
 type EventIntervalMeasured struct {
 	Request       RequestID
 	EventInterval time.Duration
 }
 
-// Crashes is the count of crashes by requests with this fingerprint at other instances.
+// PeerCrashes counts the crashes that peers saw with requests of the fingerprint.
 type PeerCrashes struct {
 	Fingerprint uint64
 	Count       int
 }
 
-// SessionsOpen names sessions that were open at the old version when an order came.
+// PeerSessions names sessions that were open at the old version when a roll-out was ordered.
 type PeerSessions struct{ Sessions []string }
 
-// Fleet is the number of instances that share the retry budget's slack.
+// FleetSize is the number of instances, which share the retry budget's slack.
 type FleetSize struct{ Instances int }
 
-// Stopping says that this instance ends at the time given.
+// Stopping says that this instance stops at the given time.
 type Stopping struct{ At time.Time }
 
-// Drained replaces the failure domains whose servers get no new work.
+// DomainsDrained replaces the set of failure domains whose servers get no new requests.
 type DomainsDrained struct{ Domains []string }
 
-// Neighbours are the instances of this one's failure domain, itself among them.
+// Neighbours are the instances of this one's failure domain, itself included.
 type Neighbours struct {
 	Self  string
 	Names []string
 }
 
-// PeerLoads is what so many other instances have at the engines.
+// PeerLoads is the load at the engines of the given number of other instances.
 type PeerLoads struct {
 	Loads     []PeerLoad
 	Instances int
 }
 
-// PeerLimit is what a server's answer to another instance stated of its rate limit.
+// PeerLimit is a rate limit that a server stated to another instance.
 type PeerLimit struct {
-	// Key stands for the server, as in PeerLoad.
+	// Key identifies the server, as in PeerLoad.
 	Key   uint32
 	Limit RateLimit
-	// Age is how long ago that was.
+	// Age is the time since the server stated it.
 	Age time.Duration
 }
 
-// PeerLimits is what other instances were told of servers' rate limits.
+// PeerLimits are the rate limits that servers stated to other instances.
 type PeerLimits struct{ Limits []PeerLimit }
 
-// RolloutSet says how far a roll-out is.
+// RolloutUpdated replaces the state of a service's roll-out.
 type RolloutUpdated struct{ Rollout Rollout }
 
 func (Configured) event()            {}
@@ -129,29 +131,29 @@
 func (PeerLimits) event()            {}
 func (Neighbours) event()            {}
 
-// Command is anything that a tick asks for. The set is closed.
+// Command is an output of Tick. The set is closed.
 type Command interface{ command() }
 
 // Dispatch sends the request to a backend server.
 type Dispatch struct {
 	Request RequestID
 	Server  Server
-	// Attempt counts the request's dispatches from 1.
+	// Attempt numbers the request's dispatches from 1.
 	Attempt int
-	// Model is the chosen one where the request leaves it open.
+	// Model is the chosen model if the request leaves the choice to the router.
 	Model string
-	// Patience is how long the attempt may stay silent; 0 for no bound of its own.
+	// FirstByteTimeout bounds the time to the first byte; 0 for no bound of its own.
 	FirstByteTimeout time.Duration
-	// Load is the server's load as believed, with its age, for the log.
+	// Load is the server's forecast load, LoadAge the age of its last report; for the log.
 	Load    int
 	LoadAge time.Duration
-	// Limit is the server's rate limit as known, for the log.
+	// Limit is the server's known rate limit, for the log.
 	Limit RateLimit
-	// Wait is how long the prompt is thought to wait at the server for others to be read.
+	// PrefillWait is how long the prompt is expected to wait at the server for other prompts.
 	PrefillWait time.Duration
-	// Taken is the part of the service's places that is taken, as believed, MeanWait the mean
-	// wait at its servers, and Repeats what the retry budget holds: what decided on the
-	// model.
+	// Utilization is the forecast fraction of the service's slots that are taken,
+	// MeanPrefillWait the mean wait at its servers, and RetriesLeft the rest of the retry
+	// budget: the inputs to the choice of the model.
 	Utilization     float64
 	MeanPrefillWait time.Duration
 	RetriesLeft     float64
@@ -164,43 +166,43 @@
 	RetryAfter time.Duration
 }
 
-// Finish ends a request with what its last attempt left: the backend server's failure,
-// or word that it may have run.
+// Finish ends a request with the result of its last attempt: the backend server's failure, or
+// the statement that the request may have run.
 type Finish struct {
 	Request RequestID
 	Reason  Reason
 }
 
-// Observed is an end of an attempt that other instances should know of while a
-// roll-out is in progress.
+// Observation is the outcome of an attempt, for all instances to judge a roll-out by.
 type Observation struct {
 	Service string
 	Route   string
 	Version string
 	Bad     bool
-	// Cut says that the answer was cut off, as when Server crashes.
+	// ConnectionLost says that the connection broke, as it does when Server crashes.
 	ConnectionLost bool
 	Server         string
-	// Early says that the answer goes on, and is not counted yet.
+	// TimingOnly says that the response is not counted as good or bad; its times are.
 	TimingOnly bool
-	// First and Pace compare the answer's times with the old version's, for answers of
-	// the new one.
+	// FirstByte and EventInterval compare the times of the target version's responses with the
+	// old version's.
 	FirstByte     LogRatioStats
 	EventInterval LogRatioStats
 }
 
-// CrashSeen says that a request seems to have crashed a backend server.
+// CrashSuspected says that a request seems to have crashed a backend server.
 type CrashSuspected struct {
 	Fingerprint uint64
 }
 
-// Suspect says that the list of backend servers should be read at once.
+// RefreshServers asks for the list of backend servers to be read at once, as Server may have
+// gone.
 type RefreshServers struct{ Server string }
 
-// WhyCold says why servers are taken for cold.
+// SlowStartCause says why servers enter slow start.
 type SlowStartCause string
 
-// The reasons.
+// The causes of a slow start.
 const (
 	CauseListed          SlowStartCause = "listed"
 	CauseRestarted       SlowStartCause = "started_again"
@@ -209,8 +211,8 @@
 	CauseDomainUndrained SlowStartCause = "failure_domain_taken_back"
 )
 
-// Cooled says that servers which were warm are taken for cold from now on: one, or all of a
-// failure domain where Server is empty.
+// SlowStartBegun says that servers enter slow start: one, or all of a failure domain if Server
+// is empty.
 type SlowStartBegun struct {
 	Server   string
 	Domain   string
@@ -219,12 +221,12 @@
 	Cause    SlowStartCause
 }
 
-// LimitChanged says that a server's rate limit is another one from now on.
+// RateLimitChanged says that a server's rate limit has changed.
 type RateLimitChanged struct {
 	Server string
 	Limit  RateLimit
-	// Own says that this instance was told by the server's answer, not by another instance; Age
-	// is how old that is.
+	// Own is true if the server stated the limit to this instance, false if a peer reported it;
+	// Age is the time since then.
 	Own bool
 	Age time.Duration
 }
--- a/decision/passthrough/evidence.go
+++ b/decision/passthrough/evidence.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Pair is the answers of the new and of the old version.
+// VersionCounts are the counts of the new and of the old version.
 type VersionCounts struct {
 	New Counts
 	Old Counts
 }
 
-// Add counts one answer, as the new version's if it has the target.
+// Add counts one response, as the new version's if it is of the target version.
 func (p VersionCounts) Add(o Observation, target string) VersionCounts {
 	if o.Version == target {
 		p.New = p.New.Add(o)
@@ -18,17 +18,17 @@
 	return p
 }
 
-// Plus sums two pairs.
+// Plus returns the sum of two counts.
 func (p VersionCounts) Plus(o VersionCounts) VersionCounts {
 	return VersionCounts{New: p.New.Plus(o.New), Old: p.Old.Plus(o.Old)}
 }
 
-// since is what came since an earlier pair.
+// since returns the counts that were added after an earlier state.
 func (p VersionCounts) since(o VersionCounts) VersionCounts {
 	return VersionCounts{New: p.New.since(o.New), Old: p.Old.since(o.Old)}
 }
 
-// Total sums the routes' pairs.
+// SumRoutes returns the sum over all routes.
 func SumRoutes(sums map[string]VersionCounts) VersionCounts {
 	var all VersionCounts
 	for _, p := range sums {
@@ -37,31 +37,33 @@
 	return all
 }
 
-// Evidence judges a roll-out by the sums of all instances, by route: since the order, and
-// lately, so that a version that turns bad late is not excused by its start.
+// Evidence judges a roll-out by the counts of all instances, by route: those since the roll-out
+// was ordered, and the recent ones alone, so that a good start does not hide a version that
+// turns bad late.
 type Evidence struct {
-	// bad says that the version was found bad: it gets nothing from then on, so that nothing
-	// could clear it but failures of the old version.
+	// bad says that the version was judged bad. It gets no requests from then on, so only
+	// failures of the old version could make it look good again.
 	bad bool
-	// past are the sums at earlier looks, oldest first.
+	// past are the counts at earlier evaluations, oldest first.
 	past []pastSums
 }
 
-// pastSums is what all instances had seen at a time, by route.
+// pastSums are the counts of all instances at one time, by route.
 type pastSums struct {
 	at   time.Time
 	sums map[string]VersionCounts
 }
 
-// recent is how far back the counts reach that are judged beside the whole: long enough
-// for five bad answers of a canary, short beside a good first half of a roll-out.
+// recentWindow is how far back the recent counts reach: long enough for five bad responses of a
+// canary, short compared to a good first half of a roll-out.
 const recentWindow = 5 * time.Second
 
-// Bad takes in the sums of now, which the caller must not change later, and says whether the
-// new version is bad, on some route or on all. That is final.
+// Evaluate takes in the current counts, which the caller must not change later, and says
+// whether the new version is bad, on any route or over all. That is final.
 //
-// Load: a fault that cuts off the old version's answers while a bad version is taken back. Harm
-// prevented: the bad one let in again, as the old one looks no better by then.
+// A fault may cut off the old version's responses while a bad version is being reverted. The
+// old version then looks no better than the bad one, which must not get requests again for
+// that.
 func (e *Evidence) Evaluate(now time.Time, sums map[string]VersionCounts) bool {
 	if e.bad {
 		return true
@@ -72,7 +74,7 @@
 	return e.bad
 }
 
-// lately is what came in the recent time.
+// recentCounts returns the counts of the recentWindow.
 func (e *Evidence) recentCounts(now time.Time, sums map[string]VersionCounts) map[string]VersionCounts {
 	for len(e.past) > 1 && now.Sub(e.past[1].at) >= recentWindow {
 		e.past = e.past[1:]
@@ -87,7 +89,7 @@
 	return out
 }
 
-// judgeRoutes says whether the new version is bad, on some route or on all.
+// anyRouteBad says whether the new version is bad on any route, or over all.
 func anyRouteBad(sums map[string]VersionCounts) bool {
 	for _, p := range sums {
 		if IsBad(p.New, p.Old) {
--- a/decision/passthrough/filter.go
+++ b/decision/passthrough/filter.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// overcommit is how many requests over its slots a plain server is given: one that
-// waits there starts at once when a place is free.
+// overcommit is how many requests beyond its slots a plain server is given: one that
+// waits there starts as soon as a slot is free.
 const overcommit = 1
 
-// candidates lists the servers that may take the request and have a free place. Sick ones
-// are left out, and those that the request has tried, as long as others are there: where
-// all look sick, it is the requests or the network, and a try is better than a refusal.
+// candidates lists the servers that may take the request and have a free slot. It leaves
+// out ejected servers and those that the request has already tried, if there are others.
+// If all are ejected, the fault is likely with the requests or the network, and an
+// attempt is better than a refusal.
 func (w *World) candidates(r *request, views []serverView) []serverView {
 	fits, mostUnread := w.versionFilter(r), r.maxPrefillWait(w.now)
 	var spare, last []serverView
@@ -35,8 +36,9 @@
 	return last
 }
 
-// hasRoom says whether the server can take one more, by what is known of it: what is only
-// likely of a server must shut nobody out, since who sends nothing there hears nothing.
+// hasRoom says whether the server has a free slot. It counts only what is known: if a
+// likely load kept an instance out, it would send the server nothing, and so never learn
+// its load.
 func (v serverView) hasRoom() bool {
 	s := v.server
 	slots := s.Slots
--- a/decision/passthrough/health.go
+++ b/decision/passthrough/health.go
@@ -3,28 +3,31 @@
 import "time"
 
 const (
-	// healthMemory is the number of attempts that a server's record looks back on.
+	// healthMemory is the number of attempts that a server's failure ratio looks back
+	// on.
 	healthMemory = 12
-	// sickShare is the part of failed attempts that makes a server sick: a route's own
-	// failures, 14 in 100 at one of the sites, must not.
+	// ejectionRatio is the ratio of failed attempts at which a server is ejected. A
+	// route's own failures, 14 in 100 at one of the sites, must not reach it.
 	ejectionRatio = 0.35
-	// sickAfter is the least number of recent failures: fewer happen by chance.
+	// minEjectionFailures is the least number of recent failures for an ejection: fewer
+	// happen by chance.
 	minEjectionFailures = 3
-	// sickFor is how long a sick server is left out before it is tried again, doubled
-	// up to sickMost with each relapse.
+	// minEjectionTime is how long a server is ejected before it is tried again. The
+	// time doubles with each further ejection, up to maxEjectionTime.
 	minEjectionTime = 1500 * time.Millisecond
 	maxEjectionTime = 12 * time.Second
-	// refusedFor leaves out a server that refused a connection or a request.
+	// rejectedBackoff is how long a server is left out after it rejected a request.
 	rejectedBackoff = 150 * time.Millisecond
-	// absentFor leaves out one that could not be reached at all: it is down, and a
-	// crashed server needs seconds to come back.
+	// unreachableBackoff is how long a server is left out after it could not be
+	// reached: it is down, and a crashed server needs seconds to come back.
 	unreachableBackoff = 700 * time.Millisecond
 )
 
-// health is a server's recent record, by this instance's attempts.
+// health tracks the failures of a server's attempts from this instance, for outlier
+// ejection.
 //
-// Load: one server among many that fails part of its requests while its own health
-// check is good. Harm prevented: it fails fast, looks idle, and draws work.
+// A server among many may fail part of its requests while its own health check passes.
+// It fails fast, so it looks idle and would attract more requests.
 type health struct {
 	failed       float64
 	total        float64
@@ -32,7 +35,7 @@
 	ejectionTime time.Duration
 }
 
-// note takes in an attempt's end.
+// record records an attempt's end.
 func (h *health) record(ok bool, now time.Time) {
 	const keep = 1 - 1.0/healthMemory
 	h.failed *= keep
--- a/decision/passthrough/level.go
+++ b/decision/passthrough/level.go
@@ -1,23 +1,23 @@
 package passthrough
 
-// A busy engine is slow with any version: 128 requests at once and prompts that wait to be
-// read stretch the time between events eightfold. A new version's servers have a small part
-// of the requests and are less busy. So times are compared at like load only.
+// A busy engine is slow with any version: 128 concurrent requests and waiting prompts stretch
+// the event interval eightfold. A new version's servers get a small part of the requests and are
+// less busy. So times are compared only at a similar load.
 
 var (
-	// waitSteps are the numbers of waiting prompts from which on an engine is at the next level:
-	// they matter by their order of magnitude.
+	// waitSteps are the numbers of waiting prompts at which the next load level begins: their
+	// order of magnitude matters.
 	waitSteps = [...]int{1, 4, 16}
-	// runSteps are the same for the places that are taken, as one in so many of all: with an
-	// eighth taken an engine generates about as fast as an idle one, with a half not much faster
-	// than a full one.
+	// runSteps are the same for the taken slots, as one in so many of all: with an eighth taken
+	// an engine generates about as fast as an idle one, with half not much faster than a full
+	// one.
 	runSteps = [...]int{8, 2}
 )
 
-// level is how many steps a stated load has reached.
+// loadLevel is the number of steps that a reported load has reached.
 type loadLevel struct{ waiting, running int }
 
-// levelOf cuts a server's word on its load.
+// loadLevelOf returns the level of a reported load.
 func loadLevelOf(load Load) loadLevel {
 	var l loadLevel
 	for _, step := range waitSteps {
@@ -33,17 +33,17 @@
 	return l
 }
 
-// usualAnswers is how many answers of the old version make a usual time.
+// minBaselineCount is how many responses of the old version make a baseline.
 const minBaselineCount = 4
 
-// usualTimes are the mean logarithms of the old version's times, by load.
+// baselineTimes are the mean logarithms of the old version's times in seconds, by load.
 type baselineTimes [len(waitSteps) + 1][len(runSteps) + 1]movingAverage
 
-// add takes in one time of the old version.
+// add adds a time of the old version.
 func (u *baselineTimes) add(l loadLevel, x float64) { u[l.waiting][l.running].add(x) }
 
-// at is the usual time at a load, or at the next higher one of which enough was seen: that
-// takes a version for faster than it is, never for slower.
+// at is the baseline at a load, or at the next higher load with enough responses: that can only
+// make a version look faster than it is, never slower.
 func (u *baselineTimes) at(l loadLevel) (usual float64, ok bool) {
 	for waiting := l.waiting; waiting < len(u); waiting++ {
 		for running := l.running; running < len(u[waiting]); running++ {
--- a/decision/passthrough/nextsize.go
+++ b/decision/passthrough/nextsize.go
@@ -1,24 +1,27 @@
 package passthrough
 
-// doubtParts is into how many parts confidences are cut, to learn what follows on them.
+// confidenceBuckets is the number of buckets of confidence, each of which learns by itself.
 const confidenceBuckets = 20
 
-// nextStats is what is learnt of a route's answers by a middle model, after the smallest one
-// doubted its own: by the doubt, how many the middle one was sure of.
+// escalationStats counts, for a route, the responses of a middle model requested after the
+// smallest one's was dropped, by the confidence of the dropped response: how many were
+// requested, and how many the middle model was confident of.
 type escalationStats struct {
 	asked, confident [confidenceBuckets + 1]float64
 }
 
 const (
-	// nextMemory is the number of answers that a part looks back on.
+	// escalationMemory is the number of responses that a bucket looks back on.
 	escalationMemory = 40
-	// nextPrior is the weight of what is thought before anything was seen.
+	// escalationPriorWeight is the weight of the prior, in responses.
 	escalationPriorWeight = 6
-	// nextLeast is the chance from which on the middle model is asked: it costs half of the
-	// largest one's price, and a quarter of its time, and is paid besides where it fails.
+	// minMiddleChance is the least chance of success for which the middle model is
+	// requested: it costs half of the largest model's price and a quarter of its time, in
+	// vain if it fails.
 	minMiddleChance = 0.6
-	// nearDoubt is the chance that a middle model is sure where the smallest one nearly was,
-	// doubtSlope what that falls by for a whole of confidence less: until seen otherwise.
+	// priorAtThreshold is the prior chance that a middle model is confident if the smallest
+	// one's confidence was just below minConfidence; priorSlope is how much the chance falls
+	// per 1.0 of confidence below that.
 	priorAtThreshold = 0.9
 	priorSlope       = 2.5
 )
@@ -27,7 +30,8 @@
 	return min(max(int(confidence*confidenceBuckets), 0), confidenceBuckets)
 }
 
-// chance is how likely the middle model is sure of an answer that the smallest one doubted.
+// chance is how likely the middle model is confident of a request on which the smallest
+// model had the given confidence.
 func (n *escalationStats) chance(confidence float64) float64 {
 	at := confidenceBucket(confidence)
 	prior := min(max(priorAtThreshold-priorSlope*(minConfidence-confidence), 0), 1)
@@ -46,11 +50,11 @@
 	}
 }
 
-// doubted takes in that an answer was dropped, and says which model to ask next.
+// chooseEscalation chooses the next model after a response was dropped.
 //
-// Load: requests a little too hard for the smallest model, a fifth of those that it doubts.
-// Harm prevented: the largest one's price and ten times the reading, where a middle one
-// answers as well.
+// A fifth of the requests that the smallest model has low confidence in are only a little
+// too hard for it. For these a middle model does as well as the largest one, which has a
+// higher price and takes ten times as long for prefill.
 func (w *World) chooseEscalation(r *request, confidence float64) {
 	last := len(r.Route.Models) - 1
 	r.nextModel = last
@@ -63,7 +67,7 @@
 	}
 }
 
-// noteNext learns from how sure a middle model was.
+// learnEscalation records whether a middle model was confident.
 func (w *World) learnEscalation(r *request, confidence float64) {
 	if r.nextModel > 0 && r.model == r.nextModel && r.model < len(r.Route.Models)-1 && confidence >= 0 {
 		w.statsOf(r.Route.Name).escalation.learn(r.droppedConfidence, confidence >= minConfidence)
--- a/decision/passthrough/pace.go
+++ b/decision/passthrough/pace.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// seconds turns seconds into a duration.
+// seconds converts seconds to a Duration.
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// paceMemory is the number of answers that a mean pace looks back on.
+// averageMemory is the number of values that a moving average looks back on.
 const averageMemory = 20
 
-// mean is an exponential mean of the last answers.
+// movingAverage is the plain mean of the first averageMemory values, and an exponential
+// moving average after that.
 type movingAverage struct {
 	value float64
 	n     float64
@@ -19,23 +20,23 @@
 	m.value += (x - m.value) / m.n
 }
 
-// plainSize stands for the model's size of a request that asks for none.
+// noModel stands for the model index of a request that asks for no model of the route.
 const noModel = -1
 
-// paceStats is the mean pace of a service's answers by model size.
+// intervalStats are the event intervals of a service's responses, by model index.
 type intervalStats struct {
 	perModel   map[int]*movingAverage
 	baselines  map[int]*baselineTimes
 	departures departureMeter
 }
 
-// of is the mean pace in seconds of answers by a model size, usual the logarithm of what is
-// usual of it, by load.
+// average is the mean event interval of a model in seconds; baseline is the mean logarithm
+// of the old version's, by load.
 func (p *intervalStats) average(model int) *movingAverage { return rowFor(&p.perModel, model) }
 
 func (p *intervalStats) baseline(model int) *baselineTimes { return rowFor(&p.baselines, model) }
 
-// bySize is the map's row of a model size, made where there is none.
+// rowFor returns the map's row for a model index, and creates it if needed.
 func rowFor[T any](rows *map[int]*T, model int) *T {
 	if *rows == nil {
 		*rows = map[int]*T{}
@@ -48,14 +49,14 @@
 	return row
 }
 
-// drainMeter measures how many requests a second leave this instance for a service: with a
-// queue, that is how fast it gets shorter.
+// departureMeter measures how many requests per second leave this instance for a service,
+// which is how fast a queue shrinks.
 type departureMeter struct {
 	rate float64
 	last time.Time
 }
 
-// drainWindow is the time that the measured rate looks back on.
+// departureWindow is the time that the measured rate looks back on.
 const departureWindow = 2 * time.Second
 
 func (d *departureMeter) record(now time.Time) {
@@ -69,17 +70,17 @@
 	d.rate += part * (1/gap.Seconds() - d.rate)
 }
 
-// wait estimates how long it takes until so many have left.
+// wait estimates how long it takes until count requests have left.
 func (d *departureMeter) wait(count int) time.Duration {
-	const minRate = 1.0 // a second: no worse guess than that after a silence
+	const minRate = 1.0 // per second: after a pause the rate is assumed to be no lower
 	return seconds(float64(count) / max(d.rate, minRate))
 }
 
-// slowMost bounds how slow a server is thought to be: enough to keep work away, not so
-// much that one stall of many seconds keeps it away for good.
+// maxSlowdown bounds how slow a server is considered to be: enough to keep requests away,
+// but not for good after one stall of many seconds.
 const maxSlowdown = 10
 
-// notePace takes in an answer's pace as evidence on its server.
+// recordInterval records a response's event interval for its server and its service.
 func (w *World) recordInterval(r *request, s *server, interval time.Duration) {
 	if interval <= 0 {
 		return
@@ -94,7 +95,7 @@
 	}
 }
 
-// slowness is how many times slower than the service's mean the server is: 1 for most.
+// slowdown is how many times slower than the service's mean the server is: 1 for most.
 func (s *server) slowdown() float64 {
 	const minCount = 3
 	if s.relativeTime.n < minCount || s.relativeTime.value < 1 {
--- a/decision/passthrough/peerload.go
+++ b/decision/passthrough/peerload.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// PeerLoad is what some instances have at one backend server.
+// PeerLoad is the load that some instances have at one backend server.
 type PeerLoad struct {
-	// Key stands for the server: a part of the hash of its id, alike at all instances.
+	// Key identifies the server: part of the hash of its id, the same at all instances.
 	Key uint32
-	// Requests is how many they have there, Reading how long their prompts take to be read.
+	// Requests is the number of their requests at the server, PrefillTime how long the prompts
+	// among them still take for prefill.
 	Requests    int
 	PrefillTime time.Duration
 }
 
-// peerLoadLife is how long a report of the other instances' loads counts: most prompts are read by
-// then.
+// peerLoadTTL is how long a load report of the peers counts: most of the prompts in it are
+// processed by then.
 const peerLoadTTL = 700 * time.Millisecond
 
-// peerCoverage is the part of the other instances that a report must cover: one that covers too few
-// under-counts load.
+// peerCoverage is the fraction of the other instances that a load report must cover: one that
+// covers too few underestimates the load.
 const peerCoverage = 0.9
 
-// peerReport is what the other instances report to have at a server.
+// peerReport is the load that the other instances report at a server.
 type peerReport struct {
 	requests    float64
 	prefillTime float64 // seconds
 }
 
-// keyOf stands for the server among instances.
+// peerKey identifies the server in load reports.
 func (s *server) peerKey() uint32 {
 	const lowBits = 32
 	return uint32(s.hash >> lowBits)
 }
 
-// OwnLoads is what this instance has at the servers now.
+// OwnLoads returns this instance's current load at the engines.
 func (w *World) OwnLoads() []PeerLoad {
 	var out []PeerLoad
 	seen := map[*server]bool{}
@@ -46,12 +47,12 @@
 	return out
 }
 
-// applyPeerLoads takes in what all other instances report to have at the servers: nothing where a
-// server is not named.
+// applyPeerLoads applies a load report of all other instances. They have no load at servers that
+// are not in it.
 //
-// Load: dozens of instances before more engines than each of them hears from in a second, and
-// prompts that hold up an engine for most of one. Harm prevented: two instances that send such
-// prompts to one engine, each taking it for idle, while others are.
+// With dozens of instances and more engines than each hears from in a second, two instances that
+// consider an engine idle could both send it prompts that occupy it for most of a second, while
+// other engines are idle.
 func (w *World) applyPeerLoads(e PeerLoads) {
 	if float64(e.Instances) < peerCoverage*float64(w.fleetSize-1) {
 		return
@@ -72,5 +73,5 @@
 	}
 }
 
-// knowsPeerLoads says whether the report of the other instances' loads is fresh.
+// peerLoadsFresh says whether the load report of the other instances still counts.
 func (w *World) peerLoadsFresh() bool { return elapsedFraction(w.peerLoadsAt, w.now, peerLoadTTL) < 1 }
--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -3,25 +3,25 @@
 import "math"
 
 const (
-	// boundFactor and boundSlack are how far over the mean load a server may be and
-	// still be preferred for what its cache holds. A batch that is a third larger costs
-	// a few per cent of each token; a prompt read again costs hundreds of milliseconds.
+	// boundFactor and boundSlack bound how far a server may be above the mean load and still
+	// be preferred for its cache. A batch that is a third larger costs a few per cent of each
+	// token; repeating the prefill of a prompt costs hundreds of milliseconds.
 	boundFactor = 1.35
 	boundSlack  = 3
 )
 
-// waitSlack is how many seconds longer than the mean a prompt may wait at a server that is
-// preferred for what its cache holds: a shared prompt of 6,000 tokens takes the smallest model
-// 20 ms to read again, and the largest 200.
+// prefillWaitSlack is how many seconds longer than the mean a prompt may wait at a server that
+// is preferred for its cache: repeating the prefill of a shared prefix of 6,000 tokens takes
+// the smallest model 20 ms, and the largest 200.
 const prefillWaitSlack = 0.15
 
-// pick chooses a server, if one has a free place.
+// pickServer chooses a server, if one has a free slot.
 //
-// Load: many requests that share long prompts, on servers whose load is known late and by
-// all instances alike. Harm prevented: prompts read again everywhere, and all instances
-// sending to the one that looked idle. A request goes to the server that a hash of its
-// shared prompt names, so that all instances agree without a word, and on to the next by
-// the hash once that one has more than its part.
+// Many requests share long prefixes, and the servers' load is known late and to all instances
+// alike. Prefill must not be repeated everywhere, nor may all instances send to the server
+// that looked idle. So a request goes to the server that its prefix hash selects, which is the
+// same at all instances without coordination, and to the next one by the hash if that has more
+// than its part of the load (consistent hashing with bounded loads).
 func (w *World) pickServer(r *request, views []serverView, occ occupancy) (v serverView, ok bool) {
 	list := w.candidates(r, views)
 	if len(list) == 0 {
@@ -36,8 +36,9 @@
 	return w.pickByLoad(list), true
 }
 
-// pickByPrompt prefers the server that the hash names, in the own failure domain where
-// there is time for that, among those within the bound; else it takes the least loaded.
+// pickByPrefix prefers the server with the highest hash score among those within the load
+// bound, in the own failure domain if there is time for that. If none is within the bound, it
+// takes the least loaded.
 func (w *World) pickByPrefix(r *request, list []serverView, occ occupancy) serverView {
 	maxWeight, meanWait := loadBound(list), meanPrefillWait(list)
 	keepLocal := staysLocal(r, occ.prefillWait)
@@ -67,10 +68,10 @@
 	return list[lightest]
 }
 
-// none is the index of no server.
+// noIndex stands for no server.
 const noIndex = -1
 
-// meanWait is the mean wait of prompts at the servers of the list, in seconds.
+// meanPrefillWait is the mean wait of prompts at the servers of the list, in seconds.
 func meanPrefillWait(list []serverView) float64 {
 	sum := 0.0
 	for _, v := range list {
@@ -79,7 +80,7 @@
 	return sum / float64(len(list))
 }
 
-// bound is the weight up to which a server of the list may be preferred for its cache.
+// loadBound is the weight up to which a server of the list may be preferred for its cache.
 func loadBound(list []serverView) float64 {
 	sum := 0.0
 	for _, v := range list {
@@ -89,27 +90,27 @@
 }
 
 const (
-	// nearWait is the mean wait of prompts, in seconds, up to which a prompt that is all
-	// shared stays in its failure domain; one of which a tenth is shared may at ten times
-	// that, but for nearMost: a failure domain with more than its part of the load must not
-	// keep it then.
+	// localPrefillWait is the mean wait of prompts, in seconds, up to which a prompt that is
+	// entirely shared stays in its failure domain. One of which a tenth is shared stays up to
+	// ten times that, but at most maxLocalPrefillWait: a failure domain with more than its
+	// part of the load must not keep it then.
 	localPrefillWait    = 0.06
 	maxLocalPrefillWait = 0.25
 )
 
-// readAgainMost is how many seconds a server may spend on reading a request's shared prompt
-// once more in each failure domain, for the prompt's bytes to stay in one.
+// maxRepeatedPrefill is how many seconds of prefill of a request's shared prefix may be
+// repeated in each failure domain to save the traffic of the prompt between domains.
 const maxRepeatedPrefill = 0.1
 
-// staysNear says whether the request is kept in the own failure domain.
+// staysLocal says whether the request is kept in the own failure domain.
 //
-// Load: prompts of 18 kB, two thirds of which went to another failure domain and cost a
-// thirtieth of what their answers are worth. Harm prevented: those bytes; and, where engines
-// are behind with reading, each shared prompt read once in every failure domain: then all go
-// to the server that the hash names among all, which holds them already, as it is the one of
-// its own failure domain too. So do long prompts that a larger model is to read, ten times as
-// slowly as the smallest, however idle the engines are: what an engine generates for others
-// stands still meanwhile.
+// Two thirds of the prompts, of 18 kB, went to another failure domain, and their traffic cost
+// a thirtieth of the value of their responses. But keeping them repeats the prefill of each
+// shared prefix in every failure domain. If engines are behind with prefill, all requests of a
+// prefix go to the server that the hash selects over all domains, which has the prefix cached
+// already, as it is also the one of its own domain. So do long prompts for a larger model,
+// whose prefill is ten times as slow as the smallest's, however idle the engines are: an
+// engine generates nothing for others meanwhile.
 func staysLocal(r *request, wait float64) bool {
 	repeatedPrefill := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
 	if repeatedPrefill > maxRepeatedPrefill {
@@ -122,11 +123,11 @@
 	return sharedFraction*wait < localPrefillWait && wait < maxLocalPrefillWait
 }
 
-// nearWeight is the part of a request by which a server in the own failure domain is
-// preferred: it saves 3 ms and bytes between failure domains.
+// localPreference is the part of a request by which a server in the own failure domain is
+// preferred: that saves 3 ms, and traffic between failure domains.
 const localPreference = 0.4
 
-// pickByLoad takes the better of two drawn servers; of few it looks at all.
+// pickByLoad takes the better of two random servers; if there are few it compares all.
 func (w *World) pickByLoad(list []serverView) serverView {
 	const fewServers = 8 // a scan costs no more than two draws
 	draws := 2
--- a/decision/passthrough/place.go
+++ b/decision/passthrough/place.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// place sends the request to a server with a free place. It says no where there is none
-// now.
+// tryDispatch sends the request to a server with a free slot. It returns false if there
+// is none now.
 func (w *World) tryDispatch(r *request) bool {
 	views := w.viewServers(r.service)
 	occ := occupancyOf(r.service, views)
@@ -52,17 +52,18 @@
 }
 
 const (
-	// silentPart is the part of the time to the target for which a repeatable plain
-	// request waits for the first byte of an answer before it is tried elsewhere.
+	// firstByteTimeoutFactor is how many times its target latency a retryable plain
+	// request waits for the first byte before it is tried elsewhere.
 	firstByteTimeoutFactor = 2.5
-	// silentLeast bounds that time from below: a slow server is no dead one.
+	// minFirstByteTimeout is the least such wait: a slow server is not a dead one.
 	minFirstByteTimeout = 400 * time.Millisecond
 )
 
-// patience is how long an attempt may stay silent before another server is asked.
+// firstByteTimeout is how long an attempt may take to its first byte before another
+// server is tried.
 //
-// Load: a server that hangs or has gone dark. Harm prevented: a caller who waits for it
-// to the end. Only what may run again is given up.
+// A caller must not wait to its deadline for a server that hangs or is down. Only
+// requests that may run again time out this way.
 func firstByteTimeout(r *request) time.Duration {
 	if r.Route.Kind != KindIdempotent || r.attempts >= r.Route.MaxAttempts {
 		return 0
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -6,12 +6,12 @@
 	"masticplank.example/decision/internal/fair"
 )
 
-// queue holds the requests that wait for a service: by rank, and within a rank by fair
-// shares of the teams.
+// queue holds the requests that wait for a service: by priority, and within a priority by
+// fair shares of the teams.
 //
-// Load: one team that sends many times its usual, and urgent work behind work that can
-// wait. Harm prevented: a small team that waits behind a large one's burst, and a caller
-// of the first rank behind callers of the last.
+// A team may send many times its usual load, and urgent requests may arrive behind ones that
+// can wait. A small team must not wait behind a large one's burst, nor callers of the highest
+// priority behind those of the lowest.
 type queue struct {
 	group    fair.Group
 	accounts map[string]*fair.Account
@@ -26,15 +26,15 @@
 	flows    map[string]*fair.Flow[*queueEntry]
 }
 
-// waiter is a request's place in the queue.
+// queueEntry is a request in the queue.
 type queueEntry struct {
 	item    fair.Item[*queueEntry]
 	request *request
 	class   *priorityClass
 }
 
-// lowTurn gives each so many-th place to the last rank first, so that work of a low rank
-// is slowed by a long rush of the higher ones and not stopped.
+// lowPriorityTurn is the interval at which a slot goes to the lowest priority first, so that
+// a long burst at higher priorities delays it but does not starve it.
 const lowPriorityTurn = 8
 
 func (q *queue) push(r *request, cost float64) {
@@ -46,7 +46,7 @@
 	q.len++
 }
 
-// flow finds the part of the queue that the request's team has at its rank.
+// flow returns the flow of the request's team at its priority.
 func (q *queue) flow(r *request) (*priorityClass, *fair.Flow[*queueEntry]) {
 	if q.accounts == nil {
 		q.accounts = map[string]*fair.Account{}
@@ -66,10 +66,10 @@
 	return rq, flow
 }
 
-// ahead estimates how many requests would go before this one.
+// ahead estimates how many requests would be served before this one.
 //
-// Load: a queue that one large team has filled. Harm prevented: a small team's requests
-// refused for a wait that is not theirs, as their turn comes by their own share.
+// In a queue filled by one large team, a small team's request is served by its own share. It
+// must not be refused for a wait that it would not have.
 func (q *queue) ahead(r *request) int {
 	if q.len == 0 {
 		return 0
@@ -88,7 +88,7 @@
 	return count
 }
 
-// rank finds the queue of a rank; the ranks stand in order.
+// class returns the requests of a priority; q.classes is sorted by priority.
 func (q *queue) class(priority int) *priorityClass {
 	at := 0
 	for at < len(q.classes) && q.classes[at].priority < priority {
@@ -130,7 +130,7 @@
 	q.len--
 }
 
-// remove takes a request out that need not wait any more.
+// remove removes a request that no longer waits.
 func (q *queue) remove(r *request) {
 	if r.queueEntry == nil {
 		return
@@ -141,25 +141,26 @@
 }
 
 const (
-	// waitPart is the part of the time to a request's target that it may spend in the
-	// queue: the rest is the backend server's. Past it a caller does better to come
-	// back, as one refusal with a time costs less than an answer that comes too late.
+	// queueWaitFraction is the fraction of the time to a request's target that it may spend
+	// in the queue; the rest is the backend server's. After that a caller does better to
+	// retry, as one refusal with a retry-after time costs less than a response that comes too
+	// late.
 	queueWaitFraction = 0.4
-	// waitMost bounds the wait of requests with distant targets.
+	// queueWaitCap bounds the wait of requests with distant targets.
 	queueWaitCap = 3 * time.Second
 )
 
-// MaxWait is how long the request may wait in the queue from now.
+// MaxQueueWait is how long the request may wait in the queue from now on.
 func MaxQueueWait(r *Request, now time.Time) time.Duration {
 	return max(min(time.Duration(queueWaitFraction*float64(r.timeLeft(now))), queueWaitCap), 0)
 }
 
-// lateWait is the part of the time to the deadline that a request may still wait for once its
-// target has passed.
+// lateWaitFraction is the fraction of the time to the deadline that a request may still wait
+// for once its target time has passed.
 const lateWaitFraction = 0.25
 
-// timeLeft is how long the request has from now for an answer in time, or, where it is too
-// late for that, for one at all.
+// timeLeft is the time from now until the request's target time; once that has passed, a
+// fraction of the time until the deadline.
 func (r *Request) timeLeft(now time.Time) time.Duration {
 	room := min(r.TargetTime.Sub(now), r.Deadline.Sub(now))
 	if room <= 0 {
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// A server in need states how many requests a second it takes from all instances together. A subset
-// of them sends to it, each a fixed part of that, by a token bucket; the others send none. What one
-// instance learns of a limit, the others are told with their load reports.
+// An overloaded server states how many requests per second it takes from all instances together. A
+// subset of the instances sends to it, each a fixed part of the limit enforced by a token bucket;
+// the others send nothing. An instance that learns of a limit tells the others in its load reports.
 
 const (
-	// limitPart is the part of a limit that is used: the instances may not agree for a moment on
-	// the subset, and requests that were sent apart may arrive together.
+	// limitUtilization is the fraction of a limit that is used: for a moment the instances may
+	// disagree on the subset, and requests that were sent apart may arrive together.
 	limitUtilization = 0.7
-	// limitSubsetLeast is how many instances send to a limited server at least: with one alone it
-	// would get nothing while that one is down.
+	// minLimitSubset is the least number of instances that send to a limited server: a single one
+	// could be down, and the server would get nothing.
 	minLimitSubset = 2
-	// limitPerInstance is how much of a limit, in requests a second, there is in the subset for
-	// each instance, so that few requests of a small limit are sent at the same moment.
+	// limitPerInstance is the part of a limit, in requests per second, for each instance of the
+	// subset. A small limit gets a small subset, so that few requests are sent at the same moment.
 	limitPerInstance = 2.0
-	// limitForAll is by how much a limit in requests a second may be below the number of instances
-	// for all of them to send to the server.
+	// limitAllMargin is by how much a limit, in requests per second, may be below the number of
+	// instances for all of them to send to the server.
 	limitAllMargin = 2.0
-	// limitBurst is how long an instance's part of a limit may add up, and limitBurstLeast how
-	// many requests that are at least.
+	// limitBurstDuration is how long tokens of an instance's part accumulate; minLimitBurst is the
+	// least size of the bucket in requests.
 	limitBurstDuration = 500 * time.Millisecond
 	minLimitBurst      = 1.0
-	// limitLeast is how many requests a second go to a server that takes fewer or none: only its
-	// answers tell that it takes more again.
+	// limitProbeRate is how many requests per second go to a server whose limit is lower or zero:
+	// only its responses tell that the limit has risen.
 	limitProbeRate = 0.05
-	// limitSilence is how long nobody may have heard of a limit for another subset to take over,
-	// beside the time in which each instance of the present one should have sent limitSilenceSends
-	// requests: all of these may be gone.
+	// limitStaleAfter is how long no instance must have heard of a limit for another subset to take
+	// over, plus the time in which each instance of the present subset should have sent
+	// limitStaleSends requests: all of these may be gone.
 	limitStaleAfter = 10 * time.Second
 	limitStaleSends = 2
-	// limitUnheard is how long nobody may have heard of a limit for the next request to go to its
-	// server, whatever else speaks against that.
+	// limitProbeAfter is how long no instance must have heard of a limit for the next request to go
+	// to its server, in preference to all others.
 	limitProbeAfter = 5 * time.Second
-	// limitTold is how long after a server's answer the other instances are told of its limit, or
-	// of its end.
+	// limitReportPeriod is how long after a server's response its limit, or the end of it, is
+	// reported to the other instances.
 	limitReportPeriod = 30 * time.Second
 )
 
-// serverLimit is a server's rate limit as this instance knows it.
+// serverLimit is a server's rate limit as known to this instance.
 type serverLimit struct {
 	RateLimit
-	// statedAt is when the newest answer that states it came in, at this instance if own, or at
-	// another one.
+	// statedAt is when the latest response that states the limit came in, at this instance if own,
+	// else at another one.
 	statedAt time.Time
 	own      bool
-	// share is this instance's part in requests a second, as of shareAsOf.
+	// share is this instance's part of the limit in requests per second, computed from shareInputs.
 	share       float64
 	shareInputs limitShareInputs
 	bucket      tokenBucket
 }
 
-// limitView is what an instance's part of a limit depends on.
+// limitShareInputs are the values that an instance's part of a limit depends on.
 type limitShareInputs struct {
 	perSecond  float64
 	neighbours int
@@ -63,9 +63,9 @@
 	rotation   uint64
 }
 
-// noteLimit takes in what a server's answer to a request sent at the time states. Answers
-// overtake each other: one without a limit ends it only if its request was sent after the limit
-// was stated.
+// observeLimit applies what the response to a request that was sent at the given time states.
+// Responses overtake each other: one without a limit ends the limit only if its request was sent
+// after the limit was stated.
 func (w *World) observeLimit(s *server, sent time.Time, stated RateLimit) {
 	if s == nil || !stated.Limited && (!s.limit.Limited || sent.Before(s.limit.statedAt)) {
 		return
@@ -73,7 +73,8 @@
 	w.setLimit(s, stated, w.now, true)
 }
 
-// applyPeerLimits takes in what other instances were told. The newest answer counts, whoever got it.
+// applyPeerLimits applies the limits that servers stated to peers. The latest response counts,
+// whichever instance got it.
 func (w *World) applyPeerLimits(limits []PeerLimit) {
 	for _, l := range limits {
 		s := w.serversByKey[l.Key]
@@ -84,8 +85,8 @@
 	}
 }
 
-// setLimit sets a server's limit. A limit that begins finds an empty bucket, as requests of before
-// are still on their way.
+// setLimit sets a server's limit. The bucket of a new limit is empty, as earlier requests are still
+// in flight.
 func (w *World) setLimit(s *server, stated RateLimit, at time.Time, own bool) {
 	changed := stated != s.limit.RateLimit
 	s.limit.RateLimit, s.limit.statedAt, s.limit.own = stated, at, own
@@ -94,7 +95,7 @@
 		return
 	}
 	if stated.Limited {
-		w.limitShare(s) // the bucket fills from now on
+		w.limitShare(s) // starts to fill the bucket
 	} else {
 		s.limit.share, s.limit.shareInputs, s.limit.bucket = 0, limitShareInputs{}, tokenBucket{}
 		w.markFreed(s.service)
@@ -102,8 +103,8 @@
 	w.emit(RateLimitChanged{Server: s.ID, Limit: stated, Own: own, Age: w.now.Sub(at)})
 }
 
-// OwnLimits are the limits that this instance was told by servers' answers lately, and those that
-// have ended.
+// OwnLimits returns the limits, and the ends of limits, that servers recently stated to this
+// instance.
 func (w *World) OwnLimits() []PeerLimit {
 	var out []PeerLimit
 	for s := range w.limitedServers {
@@ -123,17 +124,18 @@
 	return max(int(perSecond/limitPerInstance)+1, minLimitSubset)
 }
 
-// usedLimit is how many requests a second all instances send to a server with the limit.
+// usedLimit is how many requests per second all instances together send to a server with the limit.
 func usedLimit(perSecond float64) float64 { return limitUtilization * max(perSecond, limitProbeRate) }
 
-// limitTurn counts the subsets that have passed since anyone heard of the server's limit.
+// limitRotation counts how often the subset has been replaced since any instance heard of the
+// server's limit.
 func (s *server) limitRotation(now time.Time) uint64 {
 	perInstance := usedLimit(s.limit.PerSecond) / float64(limitSubset(s.limit.PerSecond))
 	period := limitStaleAfter + seconds(limitStaleSends/perInstance)
 	return uint64(max(now.Sub(s.limit.statedAt), 0) / period)
 }
 
-// limitShare is this instance's part of a server's limit, in requests a second.
+// limitShare is this instance's part of a server's limit, in requests per second.
 func (w *World) limitShare(s *server) float64 {
 	inputs := limitShareInputs{s.limit.PerSecond, w.neighbours.version, w.fleetSize, s.limitRotation(w.now)}
 	if inputs != s.limit.shareInputs {
@@ -151,7 +153,7 @@
 	}
 	domain, key := s.Domain, s.hash
 	if rotation > 0 {
-		domain, key = "", mix(s.hash+rotation) // any failure domain: all instances of its own may be gone
+		domain, key = "", mix(s.hash+rotation) // any failure domain: all instances of the server's own may be gone
 	}
 	size := limitSubset(s.limit.PerSecond)
 	if !w.inSubset(domain, key, size) {
@@ -160,12 +162,12 @@
 	return used / float64(min(size, max(len(w.neighbours.hashes), 1)))
 }
 
-// allowLimit says whether this instance may send to the server as far as its rate limit goes. One
-// that has had its part may send more at a later time, which is noted.
+// allowLimit says whether the server's rate limit lets this instance send to it now. If the bucket
+// is empty, it schedules a wake-up for the next token.
 //
-// Load: a server in need that takes a fifth of its usual requests, before hundreds of instances
-// each of which sends it few. Harm prevented: instances that all keep to the limit and exceed it
-// together, so that the server does not recover.
+// An overloaded server may take a fifth of its usual requests, from hundreds of instances that each
+// send it few. If each instance kept to the limit by itself, together they would exceed it, and the
+// server would not recover.
 func (w *World) allowLimit(s *server) bool {
 	if !s.limit.Limited {
 		return true
@@ -187,10 +189,10 @@
 	}
 }
 
-// unheard finds a server whose limit nobody has heard of for a while.
+// pickStaleLimited returns a server whose limit no instance has heard of for limitProbeAfter.
 //
-// Load: many servers, so that the few instances that may send to one of them hardly ever choose it.
-// Harm prevented: a server that takes everything again and gets nothing for a minute.
+// With many servers the few instances that may send to a limited one hardly ever choose it: a
+// server that takes everything again would get nothing for a minute.
 func (w *World) pickStaleLimited(list []serverView) (v serverView, ok bool) {
 	if len(w.limitedServers) == 0 {
 		return serverView{}, false
@@ -203,7 +205,7 @@
 	return serverView{}, false
 }
 
-// limitsHoldBack says whether the limits of a version's servers let none of them take a request
+// limitsBlockVersion says whether rate limits keep every server of a version from taking a request
 // of this instance now.
 func (w *World) limitsBlockVersion(s *service, version string) bool {
 	limited := false
@@ -219,11 +221,11 @@
 	return limited
 }
 
-// never is a wait that does not end.
+// never is a wait without end.
 const never = time.Duration(math.MaxInt64)
 
-// limitWait is how long the request waits for its turn where all servers that may take it are
-// limited; ok is false where one is not.
+// limitWait is how long the request waits for its turn if all servers that may take it are limited;
+// ok is false if one is not.
 func (w *World) limitWait(r *request) (wait time.Duration, ok bool) {
 	if len(w.limitedServers) == 0 {
 		return 0, false
@@ -247,21 +249,21 @@
 	return max(seconds(missing/rate), 0), true
 }
 
-// tokenBucket lets a rate of requests through, and a few more after a pause.
+// tokenBucket lets a rate of requests through, and a short burst after a pause.
 type tokenBucket struct {
-	// rate is in tokens a second.
+	// rate is in tokens per second.
 	rate   float64
 	tokens float64
 	at     time.Time
 }
 
-// setRate changes the rate; a bucket that had none is empty.
+// setRate changes the rate, from now on. A bucket that had no rate is empty.
 func (b *tokenBucket) setRate(rate float64, now time.Time) {
 	b.tokens = b.available(now)
 	b.rate, b.at = rate, now
 }
 
-// level is the number of tokens now.
+// available is the number of tokens at the given time.
 func (b *tokenBucket) available(now time.Time) float64 {
 	if b.rate <= 0 {
 		return 0
@@ -270,7 +272,7 @@
 	return min(b.tokens+b.rate*now.Sub(b.at).Seconds(), capacity)
 }
 
-// next refills the bucket, and says whether a token is in it, or when there will be one.
+// nextToken refills the bucket. ok says whether it holds a token; if not, at is when it will.
 func (b *tokenBucket) nextToken(now time.Time) (at time.Time, ok bool) {
 	const rounding = 1e-9
 	b.tokens, b.at = b.available(now), now
@@ -280,5 +282,5 @@
 	return now.Add(seconds((1 - b.tokens) / b.rate)), false
 }
 
-// take takes a token, which next has found.
+// take removes a token after nextToken has reported one.
 func (b *tokenBucket) take() { b.tokens-- }
--- a/decision/passthrough/reading.go
+++ b/decision/passthrough/reading.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// An engine's time goes into reading prompts: idle, it generates at 15 ms an event with any
-// model, but reads 300 tokens a millisecond with the smallest and 30 with the largest, and
-// all that it generates waits meanwhile. So load is measured here in seconds that an engine
-// has still to read, not in places.
+// The prefill of prompts is most of an engine's work. An idle engine generates an event every 15 ms
+// with any model, but processes 300 prompt tokens per millisecond with the smallest model and 30
+// with the largest, and all generation waits meanwhile. So load is measured here in seconds of
+// outstanding prefill, not in slots.
 
 const (
-	// smallestRead and largerRead are the seconds that a prompt token takes to be read by
-	// the smallest and by a larger model, until answers of idle engines have told.
+	// smallestPrefillPerToken and largerPrefillPerToken are the initial estimates of the prefill
+	// time of a token in seconds, for the smallest and for larger models, until there are responses
+	// of idle engines.
 	smallestPrefillPerToken = 5e-6
 	largerPrefillPerToken   = 30e-6
-	// readMemory is how many prompt tokens the measured speeds look back on: some 50
+	// prefillMemoryTokens is how many prompt tokens the measured speeds look back on: some 50
 	// prompts.
 	prefillMemoryTokens = 200_000
-	// waitLife is how long an engine's word on prompts that wait there counts: they are
-	// read within a second.
+	// reportedPrefillTTL is how long an engine's report of waiting prompts counts: they are
+	// processed within a second.
 	reportedPrefillTTL = time.Second
-	// usualLife is how long what others usually have waiting at a server counts when no
-	// server says anything: who is kept from sending hears nothing.
+	// meanPrefillTTL is how long the mean number of waiting prompts counts when no server reports:
+	// an instance that is kept from sending gets no reports.
 	meanPrefillTTL = 3 * time.Second
 )
 
-// readStats is what is learnt of how a service's engines read prompts.
+// prefillStats are statistics of the prefill at a service's engines.
 type prefillStats struct {
-	// by is the seconds of answers of idle engines to their prompts' tokens, by model size;
-	// plainSize stands for models that callers name.
+	// perModel is the prefill time of idle engines in seconds over prompt tokens, by model index;
+	// noModel stands for models named by callers.
 	perModel map[int]*ratio
-	// least is the time to a first event where nothing was to be read, in seconds.
+	// minFirstByte is the time to the first event without prefill, in seconds.
 	minFirstByte float64
-	// came is the times to first events to this instance's own forecasts of them, both in seconds,
-	// cameShared to those by the word of all instances.
+	// ownAccuracy is the ratio of actual to forecast times to the first event, both in seconds, for
+	// forecasts from this instance's knowledge; peerAccuracy is for those from the peers' load
+	// reports.
 	ownAccuracy  ratio
 	peerAccuracy ratio
-	// heardAt is when a server last stated its load.
+	// lastReportAt is when a server last reported its load.
 	lastReportAt time.Time
-	// work is the mean of the seconds that a prompt takes, and unread that of the prompts of
-	// other instances which wait at a server.
+	// meanPrefillTime is the mean prefill time of a prompt in seconds; meanOthersPrefilling is the
+	// mean number of other instances' prompts that wait at a server.
 	meanPrefillTime      movingAverage
 	meanOthersPrefilling movingAverage
 }
 
-// ratio is a sum to another one, of which the older parts fade.
+// ratio is the ratio of two sums in which older terms fade.
 type ratio struct{ numerator, denominator float64 }
 
-// add takes in one more of each; whole grows to memory at most.
+// add adds a term to both sums, and scales them down so that the denominator is at most memory.
 func (q *ratio) add(numerator, denominator, memory float64) {
 	q.numerator += numerator
 	q.denominator += denominator
@@ -59,13 +61,13 @@
 	}
 }
 
-// value is the ratio, with so much weight given to what is thought before anything was seen.
+// value is the ratio, with a prior of the given weight.
 func (q ratio) value(prior, weight float64) float64 {
 	return (q.numerator + prior*weight) / (q.denominator + weight)
 }
 
-// perToken is how long a prompt token takes to be read, in seconds, with what was cached
-// taken in.
+// perToken is the prefill time of a prompt token in seconds, averaged over cached and uncached
+// tokens.
 func (rs *prefillStats) perToken(model int) float64 {
 	prior := smallestPrefillPerToken
 	if model > 0 {
@@ -75,13 +77,13 @@
 	if speed == nil {
 		return prior
 	}
-	const priorTokens = 10_000 // weighs as much as one or two prompts
+	const priorTokens = 10_000 // as much as one or two prompts
 	return speed.value(prior, priorTokens)
 }
 
-// learn takes in the time to the first event of an answer that had its engine for itself.
+// learn records the time to the first event of a response that had its engine for itself.
 func (rs *prefillStats) learn(model, tokens int, took time.Duration) {
-	const drift = 1.001 // a least that an odd answer set too low is forgotten
+	const drift = 1.001 // the minimum rises slowly, to forget an outlier
 	x := took.Seconds()
 	rs.minFirstByte *= drift
 	if rs.minFirstByte == 0 || x < rs.minFirstByte {
@@ -91,15 +93,15 @@
 }
 
 const (
-	// scaleMemory is the seconds of waiting that the scale of forecasts looks back on.
+	// scaleMemory is how many seconds of forecasts the scale looks back on.
 	scaleMemory = 20.0
-	// scaleLeast and scaleMost bound it: forecasts that are off by more are none.
+	// minScale and maxScale bound the scale: forecasts that are off by more are useless.
 	minScale = 0.3
 	maxScale = 2.0
 )
 
-// began takes in an answer's first event: how right its forecast was, and, where the engine
-// had nothing else to read, how fast it reads.
+// observeFirstByte records how accurate the forecast of a response's first event was and, if the
+// engine had no other prompts, how fast its prefill is.
 func (rs *prefillStats) observeFirstByte(r *request, e FirstByte) {
 	if !r.prefilling {
 		return
@@ -114,13 +116,14 @@
 	}
 }
 
-// scale is what forecasts are multiplied by, to be right in the mean, by what came of earlier ones.
+// forecastScale is the factor that makes forecasts right in the mean, from the accuracy of earlier
+// ones.
 func forecastScale(accuracy *ratio) float64 {
-	const right, priorSeconds = 1.0, 1.0 // until there were answers
+	const right, priorSeconds = 1.0, 1.0 // until there are responses
 	return min(max(accuracy.value(right, priorSeconds), minScale), maxScale)
 }
 
-// toRead counts a request's prompt at the engine that it is sent to.
+// beginPrefill adds a request's prompt to the backlog of the server that it is sent to.
 func (w *World) beginPrefill(r *request, v serverView) {
 	s := v.server
 	rs := &r.service.prefill
@@ -136,27 +139,28 @@
 	s.prefillBacklog += r.prefillTime
 }
 
-// hasRead takes the request's prompt off what its server has to read.
+// endPrefill removes the request's prompt from its server's backlog.
 func (r *request) endPrefill() {
 	if !r.prefilling || r.server == nil {
 		return
 	}
 	r.prefilling = false
 	r.server.prefilling = slices.DeleteFunc(r.server.prefilling, func(x *request) bool { return x == r })
-	r.server.prefillBacklog = max(r.server.prefillBacklog-r.prefillTime, 0) // rounding may go below
+	r.server.prefillBacklog = max(r.server.prefillBacklog-r.prefillTime, 0) // rounding could make it negative
 	if len(r.server.prefilling) == 0 {
 		r.server.prefillBacklog = 0
 	}
 }
 
-// overdue is how long after it was due an answer that has not begun tells that its engine is behind.
+// overdueAfter is how long after a response was due its absence shows that the engine is behind.
 const overdueAfter = 150 * time.Millisecond
 
-// remaining is how many seconds of this instance's prompts the server has still to read: less and
-// less until an answer is due, and all of it again once that is overdue.
+// prefillRemaining is how many seconds of this instance's prefill the server still has to do. Each
+// prompt's part shrinks until its response is due, and counts in full again once that is overdue.
 //
-// Load: prompts of tenths of a second, of which most are read in part. Harm prevented: engines that
-// pass for twice as busy as they are, and dark ones that pass for idle.
+// Prompts may take tenths of a second, and most are partly processed. Counted in full, they would
+// make engines look twice as busy as they are; without the overdue ones, unresponsive engines would
+// look idle.
 func (s *server) prefillRemaining(now time.Time) float64 {
 	sum := 0.0
 	for _, r := range s.prefilling {
@@ -170,18 +174,17 @@
 	return sum
 }
 
-// unreadPart is the part of the time that a request has left for which it may wait at an
-// engine.
+// prefillWaitFraction is the fraction of a request's remaining time for which its prompt may wait
+// at an engine.
 const prefillWaitFraction = 0.8
 
-// mostUnread is how long the request's prompt may wait at an engine, in seconds, by what is
-// thought of that.
+// maxPrefillWait is how long the request's prompt may be expected to wait at an engine, in seconds.
 //
-// Load: more prompts than the engines read. Harm prevented: all of them sent on at once, so
-// that each waits for all others, the urgent ones and those of small teams too, and is given
-// up at its deadline. What waits in the queue here goes by rank and team, and can be refused
-// as not run. A request that has run before is not kept: its caller would have waited for
-// nothing.
+// If there are more prompts than the engines can process and all were sent at once, each would wait
+// for all others, including those of high priority and of small teams, and time out at its
+// deadline. Requests in this instance's queue are served by priority and team instead, and can be
+// refused as not run. A request that has run before is not held back: its caller would have waited
+// in vain.
 func (r *request) maxPrefillWait(now time.Time) float64 {
 	if !r.service.engine || r.mayHaveRun {
 		return math.Inf(1)
@@ -189,7 +192,8 @@
 	return prefillWaitFraction * r.timeLeft(now).Seconds()
 }
 
-// othersUnread is the other instances' prompts that waited at the server by its own word.
+// othersPrefilling is the number of other instances' prompts that waited at the server by its own
+// report.
 func (s *server) othersPrefilling() float64 {
 	return float64(max(s.reported.Waiting-s.prefillingAtReport, 0))
 }
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// arrive admits a request: it is placed at once, waits, or is refused at once with when
-// to come back.
+// arrive admits a request: it dispatches it, queues it, or refuses it with a time to retry after.
 func (w *World) arrive(in Request) {
 	r := &request{Request: in, arrived: w.now, model: noModel}
 	r.service = w.serviceOf(in.Service)
@@ -31,15 +30,15 @@
 	w.enqueue(r)
 }
 
-// stretch is how much longer than the mean an answer may take: half of them take longer
-// than that.
+// durationFactor is how many times the mean a response is assumed to take, as half of the
+// responses take longer than the mean.
 const durationFactor = 1.3
 
-// outlasts says whether the request's answer would be cut by the end of this instance.
+// outlivesInstance says whether the response would be cut off as this instance stops.
 //
-// Load: an instance that is told to stop, and gets requests until the balancer has noticed,
-// among them streams as long as all of its grace time. Harm prevented: a stream that is cut
-// midway, where a refusal sends the caller on to an instance that stays.
+// An instance that is told to stop still gets requests until the load balancer notices, among them
+// streams as long as its whole grace period. Refusing those sends the callers to another instance,
+// instead of cutting their streams midway.
 func (w *World) outlivesInstance(r *request) bool {
 	if w.endsAt.IsZero() || r.Route.Kind != KindStream {
 		return false
@@ -47,22 +46,22 @@
 	return w.now.Add(w.expectedDuration(r.Route, durationFactor)).After(w.endsAt)
 }
 
-// throttled counts the request, and says whether it is refused since its service turns too many
-// away.
+// throttled counts the request, and says whether it is refused because its service rejects too
+// many.
 func (w *World) throttled(r *request) bool {
 	q := &r.service.throttle
 	if r.service.engine {
-		return false // these are chosen by their load
+		return false // engines are chosen by their load
 	}
 	q.observeDemand(r.Priority, r.Team, w.now)
 	return q.refuses(r.Priority, r.Team, w.now, w.rng.Float64())
 }
 
-// await queues a request whose turn comes later, or refuses it at once.
+// enqueue queues a request, or refuses it at once.
 //
-// Load: demand over capacity. Harm prevented: callers who wait for an answer that comes
-// too late. The queue is as long as what drains within the wait that the request can
-// afford; who finds it longer learns at once when to come back.
+// When demand exceeds capacity, callers must not wait for responses that come too late. So the
+// queue is no longer than what drains within the wait that the request can afford; others are
+// refused at once with a time to retry after.
 func (w *World) enqueue(r *request) {
 	s := r.service
 	if reason := w.serverRefusal(r); reason != "" {
@@ -77,7 +76,8 @@
 	s.queue.push(r, w.cost(r))
 }
 
-// waitsTooLong gives the reason why the request's turn would come too late; "" where it would not.
+// waitRefusal gives the reason for a refusal if the request would wait too long in the queue; ""
+// if it would not.
 func (w *World) waitRefusal(r *request) Reason {
 	longest := MaxQueueWait(&r.Request, w.now)
 	if wait, limited := w.limitWait(r); limited {
@@ -92,8 +92,8 @@
 	return ""
 }
 
-// noneUsable gives the reason why no server may take the request, now or when it has room; ""
-// where one may.
+// serverRefusal gives the reason for a refusal if no server may take the request, now or once it
+// has a free slot; "" if one may.
 func (w *World) serverRefusal(r *request) Reason {
 	fits := w.versionFilter(r)
 	reason := ReasonNoServer
@@ -109,14 +109,16 @@
 	return reason
 }
 
-// cost sizes a request for the teams' shares: tokens, with prompts read in parallel.
+// cost is the size of a request in the teams' fair shares, in generated tokens. Prompt tokens cost
+// less, as they are processed in parallel.
 func (w *World) cost(r *request) float64 {
 	const promptWeight = 0.1 // of a generated token's cost, as decision.Config.PromptWeight
 	return promptWeight*float64(r.PromptTokens) + float64(r.MaxTokens)
 }
 
-// waited refuses a request that has waited for as long as it may, unless there is room by
-// now: what is known of engines ages, and no event tells when it has.
+// queueWaitExpired refuses a request that has waited for as long as it may, unless a server has
+// room by now: knowledge about engines ages without an event that would dispatch the request
+// earlier.
 func (w *World) queueWaitExpired(id RequestID) {
 	r := w.requests[id]
 	if r == nil || !r.queued {
@@ -129,7 +131,7 @@
 	}
 }
 
-// leave forgets a request that nobody waits for. Its attempt's end comes by itself.
+// cancel removes a request that nobody waits for. The end of its attempt is reported separately.
 func (w *World) cancel(id RequestID) {
 	r := w.requests[id]
 	if r == nil {
@@ -139,7 +141,7 @@
 	w.remove(r)
 }
 
-// drop takes a request out of all tables.
+// remove takes a request out of all tables.
 func (w *World) remove(r *request) {
 	if r.queued {
 		r.service.queue.remove(r)
@@ -148,7 +150,7 @@
 	delete(w.requests, r.ID)
 }
 
-// release takes the request's attempt off its server.
+// releaseServer ends the request's attempt at its server.
 func (w *World) releaseServer(r *request) {
 	if r.server == nil {
 		return
@@ -159,7 +161,7 @@
 	r.server = nil
 }
 
-// free marks that a place may have become free.
+// markFreed notes that a slot may have become free.
 func (w *World) markFreed(s *service) {
 	if !s.slotFreed && s.queue.len > 0 {
 		s.slotFreed = true
@@ -167,7 +169,7 @@
 	}
 }
 
-// placeWaiting gives free places to those that wait.
+// dispatchQueued dispatches queued requests to free slots.
 func (w *World) dispatchQueued() {
 	for _, s := range w.freed {
 		s.slotFreed = false
@@ -179,8 +181,8 @@
 	}
 }
 
-// giveUp ends a request without another attempt: refused if it has not run, else with
-// what its last attempt left.
+// finishOrRefuse ends a request without another attempt: it refuses it if it has not run, else it
+// finishes it with the result of its last attempt.
 func (w *World) finishOrRefuse(r *request, reason Reason) {
 	if !r.mayHaveRun {
 		w.refuse(r, reason)
@@ -191,17 +193,18 @@
 }
 
 const (
-	// comeBackLeast and comeBackMost bound the time that a refused caller is told.
+	// minRetryAfter and maxRetryAfter bound the retry-after time of a refusal.
 	minRetryAfter = 150 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// comeBackPart is the part of its remaining time that a caller waits at most.
+	// retryAfterFraction is the largest fraction of its remaining time that a caller is told to
+	// wait.
 	retryAfterFraction = 0.3
-	// comeBackSpread spreads the times of callers that were refused together, so that
-	// they do not come back together.
+	// retryAfterJitter spreads the times of callers that were refused together, so that they do
+	// not return together.
 	retryAfterJitter = 0.5
 )
 
-// refuse ends a request that has not run, with when to come back.
+// refuse ends a request that has not run, and tells the caller when to retry.
 func (w *World) refuse(r *request, reason Reason) {
 	after := r.service.intervals.departures.wait(r.service.queue.ahead(r))
 	switch reason {
--- a/decision/passthrough/seam/seam.go
+++ b/decision/passthrough/seam/seam.go
@@ -1,6 +1,6 @@
-// Package seam holds what an adapter of a platform and the router's edge tell each other:
-// plain types in the project's words. An adapter fills them in from the platform's
-// messages and makes messages out of them; it decides nothing.
+// Package seam defines what a platform adapter and the router's edge exchange: plain
+// types that are independent of the platform. An adapter converts between them and the
+// platform's messages, and makes no decisions.
 package seam
 
 import (
@@ -9,59 +9,61 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// Caller is what a caller's headers say.
+// Caller is what a caller's request headers say.
 type Caller struct {
-	// Attempt is the caller's id of this request.
+	// RequestID is the caller's id of this request.
 	RequestID string
-	// Key is the caller's key, empty for none.
+	// Key is the caller's API key; empty for none.
 	Key string
-	// Wait is how long the caller waits; 0 where it did not say.
+	// Timeout is how long the caller waits; 0 if it did not say.
 	Timeout time.Duration
 	// Session is empty for none.
 	Session string
-	// Subject is the last part of the prompt that other requests share; empty for none.
+	// Prefix identifies the last part of the prompt that other requests share; empty for
+	// none.
 	Prefix string
-	// SubjectTokens is its length.
+	// PrefixTokens is the length of that part.
 	PrefixTokens int
-	// PromptTokens and MaxTokens are the work; 0 where unknown.
+	// PromptTokens and MaxTokens are the size of the request; 0 if unknown.
 	PromptTokens int
 	MaxTokens    int
-	// ModelOpen says that the router chooses the model.
+	// ChooseModel says that the router chooses the model.
 	ChooseModel bool
-	// LastEvent is the id of the last event that the caller has, -1 for none.
+	// LastEventID is the id of the last event that the caller has, -1 for none.
 	LastEventID int64
 }
 
-// Attempt is what the router tells a backend server.
+// Attempt is what the router tells a backend server about a request.
 type Attempt struct {
 	Server    string
 	Team      string
 	Remaining time.Duration
 	Model     string
 	Priority  int
-	// LastEvent is the id after which a stream goes on, -1 for the caller's own.
+	// LastEventID is the id of the event after which a stream continues; -1 to keep the
+	// caller's own header.
 	LastEventID int64
 }
 
-// Answer is what a backend server's answer says of itself.
+// Response is what a backend server's response headers say.
 type Response struct {
-	// Attempt is the echoed id.
+	// RequestID is the echoed id of the request.
 	RequestID string
-	// Signed says that the server signed the answer.
+	// Signed says that the server signed the response.
 	Signed bool
-	// NotRun says that it has not run the request.
+	// NotRun says that the server has not run the request.
 	NotRun bool
-	// Misdirected says that another server has the address.
+	// Misdirected says that another server now has the address.
 	Misdirected bool
 	// Leaving says that the server closes the connection.
 	Leaving bool
 	// Encoded says that the body is not the server's own bytes.
 	Encoded bool
-	// Load is its load, where told.
+	// Load is the server's load if HasLoad.
 	Load    passthrough.Load
 	HasLoad bool
-	// Limit is its rate limit; none where not told.
+	// Limit is the server's rate limit; the zero value if it stated none.
 	Limit passthrough.RateLimit
-	// Confidence in the answer, 0 to 1; -1 where not told.
+	// Confidence in the response, from 0 to 1; -1 if not stated.
 	Confidence float64
 }
--- a/decision/passthrough/seam/settings.go
+++ b/decision/passthrough/seam/settings.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Settings is what a platform tells a process of itself and of its surroundings.
+// Settings is what a platform tells a process about itself and its environment.
 type Settings struct {
-	// Instance names this instance.
+	// Instance is the name of this instance.
 	Instance string
-	// FirstStart says that the whole system starts for the first time.
+	// FirstStart says that the whole system is starting for the first time.
 	FirstStart bool
-	// Zone is its failure domain.
+	// Domain is the instance's failure domain.
 	Domain string
-	// Zones are all failure domains.
+	// Domains are all failure domains.
 	Domains []string
-	// Frontend and Readiness are the addresses to listen on.
+	// FrontendAddr and ReadinessAddr are the addresses to listen on for callers and for
+	// readiness checks.
 	FrontendAddr  string
 	ReadinessAddr string
-	// Peers is the address to listen on for other instances; empty for none.
+	// PeerAddr is the address to listen on for other instances; empty for none.
 	PeerAddr string
-	// Store is the address of the platform's store.
+	// StoreAddr is the address of the platform's store.
 	StoreAddr string
-	// Cores is the part of a core that the process may use, MemoryBytes its memory.
+	// Cores is how many CPU cores the process may use, which may be a fraction; MemoryBytes is
+	// its memory limit.
 	Cores       float64
 	MemoryBytes int64
-	// Files is the number of descriptors that the process may have, 0 where not known.
+	// MaxFiles is the limit of file descriptors; 0 if unknown.
 	MaxFiles int
 	Bounds   Bounds
 }
 
-// Bounds are the figures that the platform holds its services to.
+// Bounds are the limits that the platform holds its services to.
 type Bounds struct {
-	// Revoke bounds how long a key works after a configuration without it.
+	// RevocationDelay bounds how long a key works after a configuration without it.
 	RevocationDelay time.Duration
 	// Drain is how long a leaving backend server may still get requests.
 	Drain time.Duration
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration
-	// RetryRatio, RetrySlack and RetryWindow bound repeats over all instances.
+	// RetryRatio, RetrySlack and RetryWindow bound the retries of all instances.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// CanaryShare is the part of a service's requests that a bad version may get.
+	// CanaryShare is the fraction of a service's requests that a bad version may get.
 	CanaryShare float64
-	// CanaryTolerance is the number of requests that it may get beside that.
+	// CanaryTolerance is the number of requests that it may get in addition.
 	CanaryTolerance float64
-	// WarmUpBurst times a cold server's rate, and WarmUpSlack beside that, is what it may get in
-	// one second from all instances.
+	// All instances together may send a server in slow start at most its rate times
+	// SlowStartBurst, plus SlowStartSlack, in any second.
 	SlowStartBurst float64
 	SlowStartSlack float64
-	// SessionLife is how long after its last request a session goes on.
+	// SessionTTL is how long a session lives after its last request.
 	SessionTTL time.Duration
 }
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// configure takes over a configuration. Services that it drops keep their servers until
-// the list drops them.
+// configure applies a configuration. Services that it no longer has keep their servers
+// until the server list drops them.
 func (w *World) configure(x *Index) {
 	for _, s := range x.Services {
 		row := w.serviceOf(s.Name)
@@ -25,8 +25,8 @@
 	return s
 }
 
-// list takes over the list of backend servers. A server that started again under its id
-// begins anew: what was known of it is of the process before.
+// setServers applies a list of backend servers. A server that restarted under its id gets
+// a new row, as all that was known is about its previous process.
 func (w *World) setServers(list []Server) {
 	seen := make(map[string]bool, len(list))
 	for _, s := range list {
@@ -63,14 +63,14 @@
 	return &server{Server: s, service: w.serviceOf(s.Service), hash: hashString(s.ID), drained: w.drained[s.Domain]}
 }
 
-// cool takes one server for cold, and tells of it.
+// enterSlowStart puts one server in slow start and reports it.
 func (w *World) enterSlowStart(s *server, span time.Duration, cause SlowStartCause) {
 	if s.beginSlowStart(span, w.now) {
 		w.emit(SlowStartBegun{Server: s.ID, Domain: s.Domain, Servers: 1, Duration: span, Cause: cause})
 	}
 }
 
-// regroup fills the services' lists, in the list's order, and the keys.
+// rebuildIndexes rebuilds the services' server lists, in the order of list, and the keys.
 func (w *World) rebuildIndexes(list []Server) {
 	for _, s := range w.services {
 		s.servers = s.servers[:0]
@@ -86,7 +86,7 @@
 	}
 }
 
-// observeLoad takes in the load that a server reports.
+// observeLoad applies a server's load report.
 func (w *World) observeLoad(e LoadReported) {
 	if s := w.servers[e.Server]; s != nil {
 		w.domainResponded(s)
@@ -97,7 +97,7 @@
 	}
 }
 
-// setReportedLoad notes the load that a server reports now.
+// setReportedLoad records the load that a server reports now.
 func (w *World) setReportedLoad(s *server, load Load) {
 	s.reported, s.reportedAt, s.ownAtReport, s.prefillingAtReport = load, w.now, s.ownRequests, len(s.prefilling)
 	s.service.prefill.meanOthersPrefilling.add(s.othersPrefilling())
@@ -110,17 +110,18 @@
 }
 
 const (
-	// loadLife is how long an engine's stated load counts: at 13 requests a second over 15
-	// servers an instance hears from each about once a second.
+	// engineLoadTTL is how long an engine's reported load counts: at 13 requests per
+	// second over 15 servers an instance gets a report of each about once a second.
 	engineLoadTTL = 3 * time.Second
-	// loadAnswers is the same for a plain server, in answers, and at least loadLeast: a
-	// rush of 30 ms calls is over before another instance has heard of it. Believed for
-	// seconds, it had each of 81 instances refuse a tenth of the calls of idle servers.
+	// plainLoadResponses is the same for a plain server, in mean response times, with the
+	// lower bound minPlainLoadTTL. A burst of 30 ms calls is over before another instance
+	// learns of it: with a TTL of seconds each of 81 instances refused a tenth of the
+	// calls while servers were idle.
 	plainLoadResponses = 6
 	minPlainLoadTTL    = 60 * time.Millisecond
 )
 
-// loadLife is how long a stated load of the service's servers counts.
+// loadTTL is how long a reported load of the service's servers counts.
 func (s *service) loadTTL() time.Duration {
 	if s.engine {
 		return engineLoadTTL
@@ -129,17 +130,18 @@
 	return min(max(answers, minPlainLoadTTL), engineLoadTTL)
 }
 
-// reportedOthers is what the server stated, without what this instance had there then.
+// reportedOthers is the load that the server reported, without this instance's requests at
+// that time.
 func (s *server) reportedOthers() float64 {
 	return float64(s.reported.Running + s.reported.Waiting - s.ownAtReport)
 }
 
-// usable says whether the server may get new work, sick or not.
+// usable says whether the server may get new requests, ejected or not.
 func (s *server) usable(now time.Time) bool {
 	return !s.gone && !s.Draining && !s.drained && !now.Before(s.backoffUntil)
 }
 
-// hashText is a hash of a name that is alike at all instances.
+// hashString is a hash that is the same at all instances.
 func hashString(s string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s)) // never fails, by its contract
--- a/decision/passthrough/sessions.go
+++ b/decision/passthrough/sessions.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// sessionMemory is how long a session's version is kept after its last request, beyond
-// the platform's own bound: clocks differ, and an answer may end late.
+// sessionMargin is how long a session's version is kept beyond the platform's own bound
+// after its last request: clocks differ, and a response may end late.
 const sessionMargin = 2 * time.Second
 
-// sessionRow is where a session last ran.
+// sessionRow is the service and version that a session last ran on.
 type sessionRow struct {
 	service         string
 	version         string
@@ -14,13 +14,13 @@
 	until           time.Time
 }
 
-// wantsNew says whether a request goes to the roll-out's target.
+// wantsTarget says whether a request goes to the roll-out's target.
 //
-// Load: sessions whose requests come to any instance, during an order. Harm prevented: a
-// session that changes its version midway. Sessions that are open when the order comes
-// stay at the old version through the first half: the instances tell each other those in
-// the canary's share, a few each, before it gets any. All others in the share belong to
-// the new version, by a hash that is alike everywhere, and stay there.
+// A session's requests come to any instance, and its version must not change midway.
+// Sessions that are open when the roll-out is ordered stay at the old version through
+// the first half: before the canary gets any traffic, the instances tell each other the
+// open sessions in its share, a few each. All other sessions in the share belong to the
+// new version, by a hash that is the same at all instances, and stay there.
 func (w *World) wantsTarget(r *request, ro *Rollout) bool {
 	switch {
 	case ro.Phase == PhaseCompleted:
@@ -31,7 +31,7 @@
 		return true
 	}
 	if r.version != "" {
-		return r.version == ro.Target // it has begun, maybe before the order
+		return r.version == ro.Target // it has begun, maybe before the roll-out was ordered
 	}
 	if r.Session == "" {
 		return r.RolloutPosition < ro.Share
@@ -46,12 +46,12 @@
 	return r.RolloutPosition < ro.Share
 }
 
-// leads says whether the request goes to the new version since it would still run at the
-// old one when the roll-out is completed.
+// switchesEarly says whether the request goes to the new version because it would still
+// run at the old one when the roll-out is completed.
 //
-// Load: streams of many seconds at servers that stop at once. Harm prevented: their
-// answers cut. The longest turn first, and nothing sooner than it must, since the new
-// version may yet turn out bad.
+// The old servers stop at once then, which would cut off streams that take many seconds.
+// The routes with the longest responses switch first, and none sooner than it must,
+// since the new version may still turn out to be bad.
 func (w *World) switchesEarly(r *request, ro *Rollout) bool {
 	if ro.FirstHalf || ro.CompleteAt.IsZero() {
 		return false
@@ -59,7 +59,7 @@
 	return !w.now.Before(ro.CompleteAt.Add(-min(w.expectedDuration(r.Route, durationFactor), ro.MaxLead)))
 }
 
-// noteSession keeps the version that the session runs on.
+// recordSession records the version that the session runs on.
 func (w *World) recordSession(r *request, version string) {
 	if r.Session == "" {
 		return
@@ -68,8 +68,8 @@
 	w.sessions.Add(r.Session, sessionRow{service: r.service.name, version: version, rolloutPosition: r.RolloutPosition, until: until})
 }
 
-// OpenSessions lists the sessions of a service that may be open at another version than
-// the target, in the share.
+// OpenSessions lists a service's sessions that may be open at another version than
+// target and whose rollout position is below share.
 func (w *World) OpenSessions(service, target string, share float64) []string {
 	var out []string
 	for _, id := range w.sessions.Keys() {
@@ -81,10 +81,11 @@
 	return out
 }
 
-// keptLimit bounds the sessions that are kept at the old version in all roll-outs.
+// maxKeptSessions bounds the sessions that are kept at the old version, over all
+// roll-outs.
 const maxKeptSessions = 1 << 16
 
-// keepOld takes in sessions that other instances saw open.
+// keepOnOldVersion adds sessions that other instances reported open.
 func (w *World) keepOnOldVersion(sessions []string) {
 	if len(w.keptOnOldVersion) > maxKeptSessions {
 		clear(w.keptOnOldVersion)
--- a/decision/passthrough/silence.go
+++ b/decision/passthrough/silence.go
@@ -2,44 +2,49 @@
 
 import "time"
 
-// Silence is what was last heard of an attempt that may run again elsewhere.
+// Inactivity is how long an attempt that may run again elsewhere, and its server, have
+// been idle.
 type Inactivity struct {
 	Route *Route
-	// Patience of the dispatch; 0 for no bound of its own.
+	// FirstByteTimeout of the dispatch; 0 for no bound of its own.
 	FirstByteTimeout time.Duration
-	// PromptTokens are to be read before the first byte.
+	// PromptTokens to be processed before the first byte.
 	PromptTokens int
-	// Begun says that the answer began.
+	// Begun says that the response began.
 	Begun bool
-	// Attempt is the time since the attempt's last byte, or since its start; Server that
-	// since the server's last byte on any attempt, at most since this attempt's start.
+	// AttemptIdle is the time since the attempt's last byte, or since its start.
+	// ServerIdle is the time since the server's last byte on any attempt, at most since
+	// this attempt's start.
 	AttemptIdle time.Duration
 	ServerIdle  time.Duration
 }
 
 const (
-	// gapTimes is how many times a stream's longest pause in time an attempt may stay
-	// silent once it began: a preempted request pauses for longer than the target.
+	// gapFactor is how many times a stream's TargetGap an attempt may be idle once its
+	// response began: a preempted request pauses for longer than the target.
 	gapFactor = 2.5
-	// gapLeast bounds that from below.
+	// minGap is the lower bound of that.
 	minGap = 1500 * time.Millisecond
-	// darkPart is the part of the target for which a server may be silent on all of its
-	// attempts before the first byte: a running server sends events all the time.
+	// serverIdleFraction is the fraction of the target latency, up to maxServerIdle, for
+	// which a server may be idle on all of its attempts before the first byte: a running
+	// server sends events all the time.
 	serverIdleFraction = 0.7
 	maxServerIdle      = 3 * time.Second
-	// readingTime is allowed for each prompt token beside that: a large model reads 19 a
-	// millisecond by itself, and less than half of that among others. Without it the
-	// largest prompts, of 50,000 tokens, were given up again and again.
+	// prefillAllowance is allowed in addition for each prompt token: a large model
+	// processes 19 tokens per millisecond by itself, and less than half of that among
+	// other prompts. Without the allowance attempts with the largest prompts, of 50,000
+	// tokens, timed out again and again.
 	prefillAllowance = 120 * time.Microsecond
-	// firstTimes is how many times the target the first byte may take in any case.
+	// firstByteFactor is how many times the target latency the first byte may take in any
+	// case.
 	firstByteFactor = 2
 )
 
-// GiveUp says whether the attempt should be given up.
+// TimedOut says whether to give up on the attempt.
 //
-// Load: servers that go dark or hang, among others that are only busy. Harm prevented: a
-// caller who waits for a dead server; and, by moving those of a busy one, prompts that are
-// read twice just when there is no time for it.
+// Some servers crash or hang, while others are only busy. A caller must not wait for a
+// dead server; and moving requests away from a busy one repeats their prefill just when
+// there is no time for it.
 func (s Inactivity) TimedOut() bool {
 	if s.Route.Kind != KindStream {
 		return s.FirstByteTimeout > 0 && !s.Begun && s.AttemptIdle > s.FirstByteTimeout
--- a/decision/passthrough/slowstart.go
+++ b/decision/passthrough/slowstart.go
@@ -5,60 +5,62 @@
 	"time"
 )
 
-// A server that has just started takes little, and may crash when it gets more. It takes that from
-// all instances together, so a subset of them sends to it, each a fixed part.
+// A server that has just started can take few requests, and may crash if it gets more. That limit
+// holds for all instances together, so a subset of them sends to the server, each a fixed part.
 //
-// Weighed and left: a part of the rate for each instance, which 58 instances exceed by one request
-// each; a lease on each server in the store, whose answer comes too late in an outage.
+// Rejected alternatives: a part of the rate for each instance, which 58 instances exceed by one
+// request each; a lease on each server in the store, which responds too late in an outage.
 
 const (
-	// slowStartSubset is how many instances send to a server in slow start: with one alone it
-	// would get nothing while that one is down.
+	// slowStartSubset is how many instances send to a server in slow start: a single one could be
+	// down, and the server would get nothing.
 	slowStartSubset = 3
-	// subsetViews is how many subsets there may be at once, as instances that start or leave are
-	// not known everywhere at the same moment.
+	// maxSubsetViews is how many different subsets may send at once, as not all instances learn of
+	// started or stopped instances at the same moment.
 	maxSubsetViews = 2
-	// slowStartWindow is the time in which an instance sends its part: a second, and some more
-	// for ways of unlike length.
+	// slowStartWindow is the time in which an instance may send its quota: a second, plus a margin
+	// for the different network delays of the instances.
 	slowStartWindow = 1200 * time.Millisecond
-	// startDelay is how long after the start of a server its entry may come in: it is written
-	// late, read by one instance, and read from that by the others.
+	// restartReportDelay is how long after a server's start its entry may arrive: it is written
+	// late, read by one instance, and passed on from there.
 	restartReportDelay = 2 * time.Second
-	// domainLostAfter is how many servers of a failure domain must be lost, with no answer from
-	// any other there, for all of it to be taken for lost.
+	// domainLostThreshold is how many servers of a failure domain must be lost, without a response
+	// from any other there, for the whole domain to be considered lost.
 	domainLostThreshold = 3
 )
 
-// slowStartQuota is how many instances send to a server in slow start, and how many requests each
-// of them may send a second. The server takes rate a second, and bears most in one.
+// slowStartQuota returns how many instances send to a server in slow start, and how many requests
+// per second each may send. The server takes rate requests per second, and survives at most
+// maxPerSecond in a single second.
 func slowStartQuota(rate, maxPerSecond float64) (subset, quota int) {
 	total := max(int(min(rate, maxPerSecond/maxSubsetViews)), 1)
 	subset = min(total, slowStartSubset)
 	return subset, total / subset
 }
 
-// slowStartLimits are those of a service's servers.
+// slowStartLimits are the slow-start limits for a service's servers.
 type slowStartLimits struct {
-	// span is how long a server is in slow start; 0 where it needs none.
+	// span is how long a server is in slow start; 0 if the service needs none.
 	span   time.Duration
 	subset int
-	// quota is how many requests an instance of the subset may send in a window.
+	// quota is how many requests an instance of the subset may send per slowStartWindow.
 	quota int
 }
 
-// setSlowStart takes over the limits that a configuration gives.
+// configureSlowStart applies the limits of a configuration.
 func (w *World) configureSlowStart(s *service, c Service) {
 	s.slowStart.span = c.SlowStartDuration
 	s.slowStart.subset, s.slowStart.quota = slowStartQuota(c.SlowStartRate, w.cfg.SlowStartBurst*c.SlowStartRate+w.cfg.SlowStartSlack)
 }
 
-// slowStart is what is known of a server's start.
+// slowStart is the slow-start state of a server.
 type slowStart struct {
 	// until is when the server takes its full load, at the latest.
 	until time.Time
-	// recent are the times of this instance's last requests to it.
+	// recentSends are the times of this instance's latest requests to the server.
 	recentSends []time.Time
-	// inSubset says that this instance may send to it, as of the neighbours numbered subsetAsOf.
+	// inSubset says that this instance may send to the server, as of version subsetVersion of the
+	// neighbours.
 	inSubset      bool
 	subsetVersion int
 }
@@ -68,7 +70,8 @@
 	return s.service.slowStart.span > 0 && now.Before(s.slowStart.until)
 }
 
-// beginSlowStart puts the server in slow start, for so long at least. It says whether it was not.
+// beginSlowStart puts the server in slow start for at least span. It returns true if the server
+// was not in slow start before.
 func (s *server) beginSlowStart(span time.Duration, now time.Time) bool {
 	was := s.inSlowStart(now)
 	if until := now.Add(span); until.After(s.slowStart.until) {
@@ -77,17 +80,17 @@
 	return s.inSlowStart(now) && !was
 }
 
-// assumedStart is how long a server is in slow start that may start at any moment from now on:
-// until its entry would have told, and then would be over again.
+// assumedSlowStart is the length of the slow start of a server that may restart at any moment from
+// now on: until the entry of its new process must have arrived, and a full slow start after that.
 func (s *server) assumedSlowStart() time.Duration {
 	return s.service.slowStart.span + restartReportDelay
 }
 
-// allowSlowStart says whether this instance may send to the server as far as its start goes. One
-// that has had its part may get more at a later time, which is noted.
+// allowSlowStart says whether the slow start of the server lets this instance send to it now. If
+// the quota is used up, it schedules a wake-up for when there is quota again.
 //
-// Load: a failure domain whose servers come back together, under a burst, before hundreds of
-// instances to which they all look idle. Harm prevented: cold servers that crash again.
+// When the servers of a failure domain come back together during a burst, they all look idle to
+// hundreds of instances. Without the limit these would crash the cold servers again.
 func (w *World) allowSlowStart(s *server) bool {
 	if !s.inSlowStart(w.now) {
 		return true
@@ -111,7 +114,8 @@
 	}
 }
 
-// inSlowStartSubset says whether this instance is one of those that send to the server.
+// inSlowStartSubset says whether this instance is one of those that send to the server during its
+// slow start.
 func (w *World) inSlowStartSubset(s *server) bool {
 	if s.slowStart.subsetVersion != w.neighbours.version {
 		s.slowStart.subsetVersion = w.neighbours.version
@@ -120,8 +124,8 @@
 	return s.slowStart.inSubset
 }
 
-// slowStartEnds is when the first of the service's servers in slow start takes its full load; the
-// zero time where none is that may get requests then.
+// slowStartEnds is when the first of the service's servers leaves slow start; the zero time if no
+// usable server is in slow start.
 func (w *World) slowStartEnds(s *service) time.Time {
 	var first time.Time
 	for _, srv := range s.servers {
@@ -132,14 +136,14 @@
 	return first
 }
 
-// wakeBy has what waits for the service tried again at the time, if not sooner.
+// wakeBy has the service's queue tried again at the given time, if not sooner.
 func (s *service) wakeBy(at time.Time) {
 	if s.wakeAt.IsZero() || at.Before(s.wakeAt) {
 		s.wakeAt = at
 	}
 }
 
-// wakeWaiting tries again what waits for servers that may get more by now.
+// wakeWaiting frees the services whose wakeAt has come.
 func (w *World) wakeWaiting() {
 	for _, s := range w.services {
 		if at := s.wakeAt; !at.IsZero() && !w.now.Before(at) {
--- a/decision/passthrough/tables.go
+++ b/decision/passthrough/tables.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// versionKey names a version of a service's software.
+// versionKey identifies a version of a service's software.
 type versionKey struct{ service, version string }
 
-// service is the backend servers of one name with the requests that wait for them.
+// service holds the backend servers of a service and the requests that wait for them.
 type service struct {
 	name    string
 	servers []*server
@@ -13,47 +13,49 @@
 	budget  *RetryBudget
 	// throttle bounds what is sent to a plain service.
 	throttle throttle
-	// engine says that it runs models, in batches.
+	// engine is true for servers that run models and batch requests.
 	engine bool
 	slots  int
-	// usualOthers is the mean of what other instances have at a server.
+	// meanOthers is the mean number of other instances' requests at a server.
 	meanOthers movingAverage
 	intervals  intervalStats
 	prefill    prefillStats
 	slowStart  slowStartLimits
-	// wakeAt is when what waits is tried again, as a server may get more then; zero for never.
+	// wakeAt is when queued requests are tried again, as a server may take more by then; zero for
+	// never.
 	wakeAt    time.Time
 	slotFreed bool
 }
 
-// server is a row of the backend servers.
+// server is an entry of the server list with what this instance knows about it.
 type server struct {
 	Server
 	service *service
-	// own is this instance's attempts at the server.
+	// ownRequests counts this instance's requests at the server.
 	ownRequests int
-	// unread are this instance's requests there whose answer has not begun, backlog the seconds
-	// that their prompts take to be read, in full.
+	// prefilling are this instance's requests there whose response has not begun; prefillBacklog is
+	// the sum of their prefill times in seconds, without progress made.
 	prefilling     []*request
 	prefillBacklog float64
-	// reported is the load that it stated at reportedAt, when own was ownThen and unreadThen were unread.
+	// reported is the load that the server stated at reportedAt; ownAtReport and prefillingAtReport
+	// are ownRequests and len(prefilling) at that time.
 	reported           Load
 	reportedAt         time.Time
 	ownAtReport        int
 	prefillingAtReport int
-	// shutUntil keeps it out of the choice for a moment.
+	// backoffUntil keeps the server from being chosen for a short time.
 	backoffUntil time.Time
 	health       health
-	// slow is the server's pace beside its service's mean.
+	// relativeTime is the server's event interval relative to its service's mean.
 	relativeTime movingAverage
-	// hash is the server's part of the affinity hash.
+	// hash of the server's id, for consistent hashing.
 	hash uint64
 	gone bool
-	// drained says that its failure domain gets no new work.
+	// drained is true if the server's failure domain gets no new requests.
 	drained   bool
 	slowStart slowStart
 	limit     serverLimit
-	// peers is what the other instances have there, as of the world's peerLoadsAt.
+	// peers is the load of the other instances there, as of the world's peerLoadsAt.
 	peers peerReport
 }
 
@@ -62,39 +64,41 @@
 	Request
 	service *service
 	server  *server
-	// version is that of the server it was sent to last.
+	// version of the server that the request was last sent to.
 	version string
 	arrived time.Time
 	sent    time.Time
-	// attempts counts dispatches that reached a backend server, tries all.
+	// attempts counts dispatches that reached a backend server; dispatches counts all.
 	attempts   int
 	dispatches int
 	tried      []*server
-	// ran says that it may have run.
+	// mayHaveRun is true if the request may have run at a backend server.
 	mayHaveRun bool
-	// size is the index of the model asked last, -1 for none.
+	// model is the index of the last requested model, noModel for none.
 	model      int
 	queued     bool
 	queueEntry *queueEntry
-	// first is the time to the current answer's first byte.
+	// firstByte is the time to the first byte of the current response.
 	firstByte time.Duration
-	// level is its server's load when the current answer began.
+	// loadLevel is the server's load when the current response began.
 	loadLevel loadLevel
-	// paced says that the current answer's pace was told.
+	// intervalReported is true once the event interval of the current response has been reported.
 	intervalReported bool
-	// reading says that its prompt counts in its server's backlog, with work seconds; alone
-	// that no other of this instance's did then. Its first event is due at the time due.
+	// prefilling is true while the prompt counts in its server's backlog, with prefillTime seconds;
+	// prefillAlone if it was this instance's only such prompt at the server. The first byte is
+	// expected at firstByteDue.
 	prefilling   bool
 	prefillTime  float64
 	prefillAlone bool
 	firstByteDue time.Time
-	// ownForecast is how many seconds its first event was thought to take, unscaled, by what
-	// this instance knows; sharedForecast is the same by the word of all, if byShared.
+	// ownForecast is the forecast time to the first byte in seconds, before scaling, from this
+	// instance's knowledge; peerForecast is the same from the peers' load reports, set if
+	// usedPeerForecast.
 	ownForecast      float64
 	peerForecast     float64
 	usedPeerForecast bool
-	// next is the model to ask since a smaller one's answer was dropped, with the confidence
-	// doubt; 0 where none was.
+	// nextModel is the model to request after a smaller one's response was dropped with the
+	// confidence droppedConfidence; 0 if none was.
 	nextModel         int
 	droppedConfidence float64
 }
--- a/decision/passthrough/throttle.go
+++ b/decision/passthrough/throttle.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// throttle bounds what is sent to a plain service that turns requests away.
+// throttle bounds what is sent to a plain service whose servers reject requests.
 //
-// Load: several times what the service's few servers bear, by hundreds of instances that each see
-// too few answers to know how full these are. Harm prevented: a server that is full resets
-// connections, which leaves open whether the request ran, so that callers of requests that may run
-// once get a failure where a refusal would have told them when to come back; and one team's rush
-// that takes the places of all others. Each instance sends little more than what was taken of its
-// own requests lately, and what it must refuse it refuses to the lower ranks, and to the teams
-// that ask for most.
+// Under several times the load that the service's few servers can bear, hundreds of instances each
+// see too few responses to know how full the servers are. A full server resets connections, which
+// leaves open whether the request ran: callers of requests that may run at most once then get a
+// failure, where a refusal would have told them when to retry. And one team's burst takes the slots
+// of all others. So each instance sends little more than what was recently accepted of its own
+// requests. It refuses low priorities first, and the teams that ask for the most.
 type throttle struct {
 	accepted decayingCount
-	// rejected is the number of requests that were not taken, crowded answers in part.
+	// rejected is the number of requests that were not accepted; responses of crowded servers count
+	// in part.
 	rejected decayingCount
 	demands  []*demand
 }
 
-// demand is what was asked for at a rank, in all and by team. The ranks stand in order.
+// demand is what was asked for at a priority, in total and by team.
 type demand struct {
 	priority int
 	all      decayingCount
@@ -31,26 +31,27 @@
 }
 
 const (
-	// throttleMemory is how far back the counts reach: long enough for a few requests of an
-	// instance that gets two a second, short beside a rush of ten seconds.
+	// throttleMemory is the time constant of the counts: long enough for a few requests of an
+	// instance that gets two per second, short compared to a burst of ten seconds.
 	throttleMemory = 2 * time.Second
-	// throttleExcess is how many times what was taken lately may be sent, and throttleProbes how
-	// many requests more: a service that bears more again must be found out.
+	// throttleExcess is how many times the recently accepted number may be sent, plus
+	// throttleProbes requests: otherwise an instance would not notice that a service takes more
+	// again.
 	throttleExcess = 1.1
 	throttleProbes = 1.0
-	// crowdedPart is the part of a request by which an answer from a crowded server counts as not
-	// taken: from a quarter of such answers on less is sent, so that answers come in time, before
-	// the server is full.
+	// crowdedWeight is the part of a request that counts as not accepted for a response of a
+	// crowded server. Once a quarter of the responses are of that kind, less is sent, so that
+	// responses come in time and before the server is full.
 	crowdedWeight = 0.4
-	// throttleAfter is how many requests must not have been taken lately for any to be refused:
-	// one is no sign of a full service.
+	// throttleThreshold is how many recent requests must not have been accepted for any to be
+	// refused: a single one is no sign of a full service.
 	throttleThreshold = 2.0
-	// lowPart is the part of what may be sent that is left to the lower ranks in any case.
+	// lowPriorityShare is the part of what may be sent that lower priorities get in any case.
 	lowPriorityShare = 1.0 / lowPriorityTurn
-	// cutSign is how much must not have been taken lately for a broken connection to count too:
-	// half of one answer from a crowded server.
+	// connectionLostThreshold is how much must not have been accepted recently for a lost
+	// connection to count too: half of one response of a crowded server.
 	connectionLostThreshold = crowdedWeight / 2
-	// throttleTeams bounds the teams that are counted.
+	// throttleTeams bounds the teams that are counted per priority.
 	throttleTeams = 4096
 )
 
@@ -85,7 +86,7 @@
 	count.add(now, 1)
 }
 
-// rank finds what was asked for at a rank.
+// demandAt returns the demand at a priority; q.demands is sorted by priority.
 func (q *throttle) demandAt(priority int) *demand {
 	at, found := slices.BinarySearchFunc(q.demands, priority, func(a *demand, priority int) int { return cmp.Compare(a.priority, priority) })
 	if !found {
@@ -97,31 +98,31 @@
 // recordDispatch counts a request that went to a server.
 func (q *throttle) recordDispatch(now time.Time) { q.accepted.add(now, 1) }
 
-// observeEnd takes in whether a server took the request. A full one turns it away, or resets the
-// connection, and so does one that a request has crashed: a broken connection counts beside
-// another sign of a full service, of the last second.
+// observeEnd counts a request that a server did not accept. A full server rejects it or resets the
+// connection; but a server that a request has crashed resets it too. So a lost connection counts
+// only if there was another sign of a full service within about the last second.
 func (q *throttle) observeEnd(e AttemptEnded, now time.Time) {
 	if e.Result == Rejected || e.ConnectionLost && q.rejected.valueAt(now) >= connectionLostThreshold {
 		q.reject(now, 1)
 	}
 }
 
-// reject counts a part of a request as not taken.
+// reject counts part of a request as not accepted.
 func (q *throttle) reject(now time.Time, part float64) {
 	q.accepted.add(now, -part)
 	q.rejected.add(now, part)
 }
 
-// observeLoad takes in the load that a server reports with an answer: it is crowded where as many wait
-// as run, so that an answer takes twice its work.
+// observeLoad applies the load that a server reports with a response. The server is crowded if as
+// many requests wait as it has slots, so that a response takes twice the time of its work.
 func (q *throttle) observeLoad(load Load, now time.Time) {
 	if load.Slots > 0 && load.Waiting >= load.Slots {
 		q.reject(now, crowdedWeight)
 	}
 }
 
-// refuses says whether a team's request, which was counted, is refused; draw is a random part
-// of 1.
+// refuses says whether to refuse a team's request, which has been counted; draw is a random number
+// in [0, 1).
 func (q *throttle) refuses(priority int, team string, now time.Time, draw float64) bool {
 	if q.rejected.valueAt(now) < throttleThreshold {
 		return false
@@ -135,7 +136,7 @@
 	return draw*d.teams[team].valueAt(now) > d.fairShare(now, left)
 }
 
-// above is what was asked for at higher ranks.
+// demandAbove is what was asked for at higher priorities.
 func (q *throttle) demandAbove(priority int, now time.Time) float64 {
 	sum := 0.0
 	for _, other := range q.demands {
@@ -146,8 +147,8 @@
 	return sum
 }
 
-// fairShare is what each team may have of so many requests, if those that ask for less get all
-// that they ask for.
+// fairShare is how many of the allowed requests each team may have, if teams that ask for less get
+// all that they ask for (max-min fairness).
 func (d *demand) fairShare(now time.Time, allowed float64) float64 {
 	counts := make([]float64, 0, len(d.teams))
 	for _, count := range d.teams {
--- a/decision/passthrough/types.go
+++ b/decision/passthrough/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Server is one row of the list of backend servers.
+// Server is an entry of the list of backend servers.
 type Server struct {
 	ID      string
 	Address string
@@ -10,35 +10,35 @@
 	Domain  string
 	// Version of the server's software, which roll-outs replace.
 	Version string
-	// Slots is how many requests it runs at once; 0 where unknown.
+	// Slots is how many requests the server runs at once; 0 if unknown.
 	Slots int
-	// Draining servers get nothing new.
+	// Draining servers are leaving and get no new requests.
 	Draining bool
-	// Born is the start of the server's process in Unix milliseconds, 0 where unknown:
-	// a server may start again under its id.
+	// StartTime is when the server's process started, in Unix milliseconds; 0 if unknown. A
+	// server may restart under the same id.
 	StartTime int64
-	// WarmUp is how much longer the server was to take little after its start when its entry
-	// was written; 0 for one that is warm.
+	// SlowStartRemaining is how much of the server's slow start was left when its entry was
+	// written; 0 if it is over.
 	SlowStartRemaining time.Duration
 }
 
-// Load is a backend server's word on itself.
+// Load is the load that a backend server reports of itself, in requests.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// RateLimit is what a backend server states of the requests that it takes from all instances
+// RateLimit is the limit that a backend server states for the requests of all instances
 // together.
 type RateLimit struct {
-	// Limited says that the server states a limit.
+	// Limited is false if the server states no limit.
 	Limited bool
-	// PerSecond is the limit in requests a second.
+	// PerSecond is the limit in requests per second.
 	PerSecond float64
 }
 
-// RequestID numbers a request within this instance.
+// RequestID identifies a request within this instance.
 type RequestID uint64
 
 // Request is what is known of a request on arrival.
@@ -46,54 +46,55 @@
 	ID RequestID
 	// Route of the configuration in force at arrival.
 	Route *Route
-	// Service that the route's weights chose.
+	// Service chosen by the route's weights.
 	Service string
 	Team    string
-	// Rank is the priority, 0 first.
+	// Priority of the request; 0 is the highest.
 	Priority int
-	// Session is empty where the request belongs to none.
+	// Session is empty if the request belongs to none.
 	Session string
-	// Affinity is a hash of the prompt's part that is shared with other requests; 0
+	// PrefixHash is a hash of the part of the prompt that is shared with other requests; 0
 	// for none.
 	PrefixHash uint64
-	// SharedTokens is the part of PromptTokens that Affinity stands for.
+	// PrefixTokens is how many of PromptTokens PrefixHash covers.
 	PrefixTokens int
-	// PromptTokens and MaxTokens size the work; 0 where unknown.
+	// PromptTokens and MaxTokens are the size of the request; 0 if unknown.
 	PromptTokens int
 	MaxTokens    int
-	// Share places the request in a roll-out: a fraction of 1.
+	// RolloutPosition is in [0, 1): the request goes to a roll-out's target if it is below
+	// the target's share.
 	RolloutPosition float64
 	// Fingerprint is a hash of path, caller and body.
 	Fingerprint uint64
-	// Target is when an answer loses a part of its worth, Deadline when it is worth
-	// nothing.
+	// TargetTime is when a response begins to lose value; at Deadline it has none left.
 	TargetTime time.Time
 	Deadline   time.Time
-	// ModelOpen says that the router chooses the model among the route's sizes.
+	// ChooseModel lets the router choose among the route's models.
 	ChooseModel bool
 }
 
-// Result is how one attempt ended.
+// Result is how an attempt ended.
 type Result uint8
 
 const (
-	// Completed: the whole answer came, with success.
+	// Completed: the whole response came, and it is a success.
 	Completed Result = iota + 1
-	// NotSent: no byte was written, so the request has not run there.
+	// NotSent: no byte was written, so the server has not run the request.
 	NotSent
 	// Rejected: the backend server says that it has not run the request.
 	Rejected
-	// Failed: the backend server ran it and answered with a failure.
+	// Failed: the backend server ran the request and responded with a failure.
 	Failed
-	// Broken: it may have run, and no whole answer came.
+	// Broken: the request may have run, but no complete response came.
 	Broken
-	// Abandoned: nobody waited for it any more.
+	// Abandoned: the caller no longer waits for the request.
 	Abandoned
-	// Dropped: the engine doubted its answer, none of which was sent on.
+	// Dropped: the response's confidence was too low; none of it was forwarded to the
+	// caller.
 	Dropped
 )
 
-// String names the result for logs.
+// String is the result's name in logs.
 func (r Result) String() string {
 	names := [...]string{"", "completed", "not_sent", "rejected", "failed", "broken", "abandoned", "dropped"}
 	if int(r) < len(names) {
@@ -102,13 +103,13 @@
 	return ""
 }
 
-// Ran says whether the request may have run at the backend server. It is the one word on
-// that: what it holds true of must never be refused as not run.
+// MayHaveRun says whether the request may have run at the backend server. All code that
+// refuses a request as not run must ask this method.
 func (r Result) MayHaveRun() bool {
 	return r == Completed || r == Failed || r == Broken || r == Dropped
 }
 
-// Reason says why a request was refused; the text is stable, for callers and logs.
+// Reason says why a request was refused. The text is stable, as callers and logs use it.
 type Reason string
 
 // The reasons for a refusal.
--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -6,10 +6,10 @@
 )
 
 // wantedVersion is the version that the request goes to: the roll-out's target, or "" for
-// any other one.
+// any other.
 //
-// Where no server with it is listed, the other one takes the work: an instance that
-// started lately may not know yet that the old servers are gone. A bad version gets
+// If no server with that version is listed, the other one takes the request: an instance
+// that has just started may not know yet that the old servers are gone. A bad version gets
 // nothing even then.
 func (w *World) wantedVersion(r *request, ro *Rollout) string {
 	atTarget, others := w.countVersions(r.service, ro.Target)
@@ -17,14 +17,14 @@
 	case ro.Phase == PhaseReverted, w.wantsTarget(r, ro) && atTarget == 0:
 		return ""
 	case w.wantsTarget(r, ro) && ro.Phase == PhaseCanary && others > 0 && w.limitsBlockVersion(r.service, ro.Target):
-		return "" // the canary waits, not its share of the callers
+		return "" // delays the canary, not the callers in its share
 	case w.wantsTarget(r, ro), others == 0:
 		return ro.Target
 	}
 	return ""
 }
 
-// versions counts the servers that do not leave, at the version and at others.
+// countVersions counts the servers that stay, at the target version and at others.
 func (w *World) countVersions(s *service, target string) (atTarget, others int) {
 	for _, srv := range s.servers {
 		switch {
@@ -38,8 +38,9 @@
 	return atTarget, others
 }
 
-// fitting says of a server whether it has the version that the request goes to. A version
-// that was reverted stays out while another one is rolled out: its servers leave late.
+// versionFilter returns a function that says whether a server has the version that the
+// request goes to. A reverted version stays excluded while another one is rolled out, as
+// its servers leave late.
 func (w *World) versionFilter(r *request) func(*server) bool {
 	ro := w.rollouts[r.service.name]
 	if ro == nil {
@@ -56,16 +57,16 @@
 	}
 }
 
-// canaryLeast is the least number of servers that a canary goes to: by one alone, a slow
-// server cannot be told from a slow version. With one, good versions were taken back on two
-// of twelve calm days, on each play of them.
+// minCanaryServers is the least number of servers that a canary uses: with a single one, a
+// slow server cannot be told from a slow version. With one, good versions were reverted on
+// two of twelve calm days, in each run of them.
 const minCanaryServers = 3
 
-// canaryServers is the least hash of the servers that the canary's share goes to: as many
-// of the new ones as the share is of all requests.
+// canaryMinHash is the lowest hash of the servers that the canary's share goes to: their
+// fraction of the new servers is about the canary's share of all requests.
 //
-// Load: a version that fails only under load, with a small share on as many servers as
-// the whole traffic has. Harm prevented: a canary that shows nothing, as its servers idle.
+// A version may fail only under load. With a small share spread over as many servers as the
+// whole traffic has, its servers would be idle and the canary would show nothing.
 func (w *World) canaryMinHash(s *service, ro *Rollout) uint64 {
 	var hashes []uint64
 	for _, srv := range s.servers {
--- a/decision/passthrough/view.go
+++ b/decision/passthrough/view.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// view is a server as a decision sees it. All that depends on the time is worked out once a
-// decision: with 1,000 servers that is most of its cost.
+// serverView is a server as seen by one decision. All that depends on the time is computed once
+// per decision: with 1,000 servers that is most of a decision's cost.
 type serverView struct {
 	server *server
-	// forecast is what the choice of a server goes by: the word of all instances where that is
-	// fresh, else the same as own, which is what this instance knows by itself.
+	// forecast is what the choice of a server uses: from the peers' load reports if they are
+	// fresh, else equal to own, which is from this instance's knowledge alone.
 	forecast
 	own forecast
-	// weight is the load that a choice goes by: with one more request, with the prompts that
-	// are still to be read, which hold up all others, and by the server's pace.
+	// weight is the load that servers are compared by: with one more request, multiplied by the
+	// server's slowdown, plus its prefill wait, which delays all other requests.
 	weight float64
 }
 
-// forecast is what is thought of a server's load.
+// forecast is the expected load of a server.
 type forecast struct {
-	// load is the number of requests thought to be at the server, known what is known of it.
-	// This instance's own are known; the others' are what they or the server stated. What a
-	// server stated yields with its age to what the other servers have of the others' requests:
-	// a server that says nothing since it is busy must not pass for idle.
+	// load is the expected number of requests at the server; known is the part that is known.
+	// This instance's requests are known; the others' are as they or the server reported. As a
+	// server's report ages, it is replaced by the mean of the other servers: a server that
+	// reports nothing because it is busy must not pass for idle.
 	load  float64
 	known float64
-	// unscaled is how long a prompt waits there, in seconds, before that is scaled by what
-	// earlier forecasts were worth; wait is with that.
+	// unscaledWait is how long a prompt waits at the server, in seconds, before it is scaled by
+	// the accuracy of earlier forecasts; wait is the scaled time.
 	unscaledWait float64
 	wait         float64
 }
 
-// readUnit is how many seconds of prompts that wait to be read weigh as much as one request
-// that runs: running, it takes some 50 us of each step.
+// prefillSecondsPerRequest is how many seconds of waiting prefill weigh as much as one running
+// request, which takes some 50 us of each step of the engine.
 const prefillSecondsPerRequest = 0.06
 
-// look views the service's servers that may get work. The list is valid until the next look.
+// viewServers views the service's usable servers. The list is valid until the next call.
 func (w *World) viewServers(s *service) []serverView {
 	in := w.forecastInput(s)
 	w.views = w.views[:0]
@@ -53,16 +53,16 @@
 	return w.views
 }
 
-// knowledge is what forecasts of a service's servers go by now.
+// forecastInput is what the forecasts of a service's servers are computed from.
 type forecastInput struct {
 	now     time.Time
 	service *service
-	// life is how long a stated load counts, usualUnread what other instances usually have
-	// waiting at a server.
+	// reportTTL is how long a reported load counts; meanOthersPrefilling is the mean number of
+	// other instances' prompts that wait at a server.
 	reportTTL            time.Duration
 	meanOthersPrefilling float64
 	ownScale             float64
-	// shared says that the word of all instances is fresh.
+	// peersFresh says that the peers' load reports are fresh.
 	peersFresh bool
 	peerScale  float64
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-// ownForecast is a server's forecast by what this instance knows by itself.
+// ownForecast is the forecast from this instance's knowledge alone.
 func (in *forecastInput) ownForecast(srv *server, slowdown float64) forecast {
 	aged := elapsedFraction(srv.reportedAt, in.now, in.reportTTL)
 	prefillAged := elapsedFraction(srv.reportedAt, in.now, reportedPrefillTTL)
@@ -90,7 +90,7 @@
 	return f
 }
 
-// sharedForecast is a server's forecast by the word of all instances.
+// peerForecast is the forecast from the peers' load reports.
 func (in *forecastInput) peerForecast(srv *server, slowdown float64) forecast {
 	load := float64(srv.ownRequests) + srv.peers.requests
 	f := forecast{known: load, load: load}
@@ -99,7 +99,8 @@
 	return f
 }
 
-// passed is the part of a span that has passed since then, 1 where it never began.
+// elapsedFraction is the fraction of span that has passed since a time, at most 1; it is 1 for
+// the zero time.
 func elapsedFraction(since, now time.Time, span time.Duration) float64 {
 	if since.IsZero() {
 		return 1
--- a/decision/passthrough/world.go
+++ b/decision/passthrough/world.go
@@ -7,31 +7,31 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Settings are the limits of the decisions; the platform's settings give most of them.
+// Settings are the limits of the decisions. Most come from the platform's settings.
 type Settings struct {
-	// Seed makes every random choice repeatable.
+	// Seed of all random choices; equal seeds give equal choices.
 	Seed uint64
-	// Zone is the instance's own failure domain, Domains all that have instances.
+	// Domain is the instance's own failure domain, Domains all that have instances.
 	Domain  string
 	Domains []string
-	// RetryRatio, RetrySlack and RetryWindow bound repeats at a service: in each window
-	// as many as the ratio times the requests, and this instance's part of the slack,
-	// which all instances share.
+	// RetryRatio, RetrySlack and RetryWindow bound the retries at a service: in each window,
+	// RetryRatio times the requests plus this instance's part of RetrySlack, which all instances
+	// share.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// SessionLife is how long after its last request a session goes on.
+	// SessionTTL is how long a session lives after its last request.
 	SessionTTL time.Duration
-	// WarmUpBurst times a cold server's rate, and WarmUpSlack beside that, is what it may get in
-	// one second from all instances.
+	// All instances together may send a server in slow start at most its rate times SlowStartBurst,
+	// plus SlowStartSlack, in any second.
 	SlowStartBurst float64
 	SlowStartSlack float64
 }
 
-// sessionTable bounds the sessions that are kept.
+// maxSessions bounds the session table.
 const maxSessions = 8192
 
-// World holds the tables. It is not safe for concurrent use: one owner calls Tick.
+// World holds the tables. It is not safe for concurrent use: a single owner calls Tick.
 type World struct {
 	cfg      Settings
 	rng      *rand.Rand
@@ -39,47 +39,48 @@
 	services map[string]*service
 	requests map[RequestID]*request
 	rollouts map[string]*Rollout
-	// barred are the versions that were reverted, by service.
+	// revertedVersions are the versions whose roll-out was reverted.
 	revertedVersions map[versionKey]bool
 	sessions         *simplelru.LRU[string, sessionRow]
-	// keptOld are sessions that stay at the old version in a roll-out's first half.
+	// keptOnOldVersion are the sessions that stay at the old version during a roll-out's first
+	// half.
 	keptOnOldVersion map[string]bool
 	crashes          crashes
 	routes           map[string]*routeStats
-	// drained are the failure domains that get no new work.
+	// drained are the failure domains that get no new requests.
 	drained map[string]bool
-	// lost are the servers of each failure domain that were lost since one there answered.
+	// lostServers are, by failure domain, the servers lost since any server there last responded.
 	lostServers map[string]map[*server]bool
 	neighbours  neighbours
-	// limited are the servers whose rate limit, or its end, other instances may have to be told.
+	// limitedServers are the servers whose rate limit, or its end, peers may have to be told.
 	limitedServers map[*server]bool
-	// peerLoadsAt is when the other instances' word on their loads came in, named the servers that it
-	// named, byKey all servers by what stands for them there.
+	// peerLoadsAt is when the last load report of the peers came in; reportedByPeers are the
+	// servers in it. serversByKey finds servers by their key in load reports.
 	peerLoadsAt     time.Time
 	reportedByPeers []*server
 	serversByKey    map[uint32]*server
 
-	// fleet is the number of instances, 0 where not known.
+	// fleetSize is the number of instances; 0 if unknown.
 	fleetSize int
-	// endsAt is when this instance ends, where it was told.
+	// endsAt is when this instance stops; zero if it is not stopping.
 	endsAt   time.Time
 	now      time.Time
 	commands []Command
-	// freed are the services in which a place may have become free in this tick.
+	// freed are the services that may have got a free slot in this tick.
 	freed []*service
-	// views and drawn are kept between decisions to save allocations.
+	// views and eligible are reused between decisions to save allocations.
 	views    []serverView
 	eligible []serverView
 }
 
-// New returns an empty world: it refuses everything until it has been told a
-// configuration and backend servers.
+// New returns an empty world. It refuses all requests until it has a configuration and a list of
+// backend servers.
 func New(cfg Settings) *World {
 	sessions, err := simplelru.NewLRU[string, sessionRow](maxSessions, nil)
 	if err != nil {
-		panic(err) // the library fails only for a size below 1
+		panic(err) // NewLRU fails only for a size below 1
 	}
-	const stream = 0x70617373 // any constant: one stream per world
+	const stream = 0x70617373 // arbitrary: there is one random stream per world
 	return &World{
 		cfg:              cfg,
 		rng:              rand.New(rand.NewPCG(cfg.Seed, stream)),
@@ -98,8 +99,8 @@
 	}
 }
 
-// Tick applies the events in order, places what waits, and returns what is to be done.
-// The commands are valid until the next Tick.
+// Tick applies the events in order, dispatches queued requests where possible and returns the
+// commands. They are valid until the next Tick.
 func (w *World) Tick(now time.Time, in ...Event) []Command {
 	if now.After(w.now) {
 		w.now = now
@@ -171,7 +172,7 @@
 	w.markFreed(w.serviceOf(r.Service))
 }
 
-// Streams is the number of streams that wait or run.
+// StreamCount is the number of streams that are queued or running.
 func (w *World) StreamCount() int {
 	count := 0
 	for _, r := range w.requests {
@@ -182,8 +183,7 @@
 	return count
 }
 
-// Waiting is the number of requests in the queues, and Running of those at backend
-// servers.
+// RequestCounts returns how many requests are queued and how many are at backend servers.
 func (w *World) RequestCounts() (waiting, running int) {
 	for _, r := range w.requests {
 		if r.queued {
