--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -97,7 +97,7 @@
 	if s.reportedAt.After(w.now) {
 		s.reportedAt = w.now // the server's clock runs ahead
 	}
-	s.others = max(0, e.Running+e.Queued-s.running)
+	s.otherLoad = max(0, e.Running+e.Queued-s.running)
 	w.refresh(s)
 }
 
@@ -112,5 +112,5 @@
 
 // reportFresh says whether the last load report still counts.
 func (w *World) reportFresh(s *server) bool {
-	return w.now.Sub(s.reportedAt) < w.cfg.ReportLife
+	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
 }
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -16,21 +16,21 @@
 		play func(o *operator)
 		want []string
 	}{
-		{"an order", func(o *operator) { o.take(drainOrder("a", "{}", 1)) }, []string{"a"}},
-		{"bytes that cannot be read", func(o *operator) { o.take(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
-		{"a domain that nobody knows", func(o *operator) { o.take(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
+		{"an order", func(o *operator) { o.applyNew(drainOrder("a", "{}", 1)) }, []string{"a"}},
+		{"bytes that cannot be read", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
+		{"a domain that nobody knows", func(o *operator) { o.applyNew(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
 		{"two domains", func(o *operator) {
-			o.take(drainOrder("a", "{}", 1))
-			o.take(drainOrder("b", "{}", 2))
+			o.applyNew(drainOrder("a", "{}", 1))
+			o.applyNew(drainOrder("b", "{}", 2))
 		}, []string{"a", "b"}},
 		{"taken back", func(o *operator) {
-			o.take(drainOrder("a", "{}", 1))
-			o.take(drainOrder("a", "", 2))
+			o.applyNew(drainOrder("a", "{}", 1))
+			o.applyNew(drainOrder("a", "", 2))
 		}, nil},
 		{"taken back while the history was dropped", func(o *operator) {
-			o.take(drainOrder("a", "{}", 1))
-			o.take(drainOrder("b", "{}", 2))
-			o.takeAll([]keyedlog.Record{drainOrder("b", "{}", 2)})
+			o.applyNew(drainOrder("a", "{}", 1))
+			o.applyNew(drainOrder("b", "{}", 2))
+			o.applySnapshot([]keyedlog.Record{drainOrder("b", "{}", 2)})
 		}, []string{"b"}},
 	}
 	for _, c := range cases {
@@ -53,9 +53,9 @@
 	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	var drainedThen bool
 	p.operator.records = spyRecords{seen: func() { drainedThen = p.operator.drained["a"] }}
-	p.operator.takeAll([]keyedlog.Record{{Key: "config", Value: []byte("config 3")}, drainOrder("a", "{}", 1)})
-	if p.known.Index() == nil || !drainedThen {
-		t.Errorf("configuration known: %v; drained before it: %v", p.known.Index() != nil, drainedThen)
+	p.operator.applySnapshot([]keyedlog.Record{{Key: "config", Value: []byte("config 3")}, drainOrder("a", "{}", 1)})
+	if p.config.Index() == nil || !drainedThen {
+		t.Errorf("configuration known: %v; drained before it: %v", p.config.Index() != nil, drainedThen)
 	}
 }
 
@@ -78,35 +78,35 @@
 func TestDrainOrderOutlivesARestore(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{era: 1}
 	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
-	tl := p.operator.reader(log, clock)
+	reader := p.operator.reader(log, clock)
 	drained := func(want ...string) {
 		t.Helper()
-		read(t, tl)
+		read(t, reader)
 		if len(p.operator.drained) != len(want) || len(want) > 0 && !p.operator.drained[want[0]] {
 			t.Errorf("drained %v, want %v", p.operator.drained, want)
 		}
 	}
-	log.put("config", "config 1")
+	log.add("config", "config 1")
 	drained()
-	log.put("drain/a", "{}")
+	log.add("drain/a", "{}")
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.pass(drainKept / 2)
-	log.put("drain/a", "{}")
+	clock.advance(keepDrainedFor / 2)
+	log.add("drain/a", "{}")
 	drained("a")
-	clock.pass(drainKept)
+	clock.advance(keepDrainedFor)
 	drained("a")
-	log.put("drain/a", "")
+	log.add("drain/a", "")
 	drained()
 	log.restore(2)
 	drained("a")
-	log.put("drain/a", "")
+	log.add("drain/a", "")
 	drained()
 	log.restore(2)
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.pass(drainKept) // it was taken back while the store was away
+	clock.advance(keepDrainedFor) // it was taken back while the store was away
 	drained()
 }
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -14,17 +14,17 @@
 )
 
 // Edge is the callers' side.
-type Edge struct {
-	headers Headers
-	known   *Knowledge
-	driver  *Driver
-	dialer  *dialer
-	clock   Clock
-	journal *journal
+type Handler struct {
+	headers   Headers
+	config    *ConfigState
+	driver    *Driver
+	dialer    *dialer
+	clock     Clock
+	telemetry *telemetry
 	// starting holds requests back until the process knows what it needs.
-	starting *starting
+	startGate *startGate
 	// stopping says how far the end of the process is.
-	stopping *stopping
+	shutdown *shutdown
 	// conns counts callers' connections.
 	conns *callerConns
 }
@@ -52,12 +52,12 @@
 	status int
 	reason passthrough.Reason
 	// after tells when to come back; 0 for no word on it.
-	after time.Duration
+	retryAfter time.Duration
 }
 
 // The reasons that the edge gives.
 const (
-	reasonUnknown     passthrough.Reason = "no_configuration"
+	reasonNoConfig    passthrough.Reason = "no_configuration"
 	reasonNoRoute     passthrough.Reason = "no_such_route"
 	reasonKey         passthrough.Reason = "unknown_key"
 	reasonTooLarge    passthrough.Reason = "body_too_large"
@@ -67,95 +67,95 @@
 )
 
 // retrySoon is told where another instance can take the request now.
-const retrySoon = 200 * time.Millisecond
+const retryElsewhereAfter = 200 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
-func (e *Edge) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (e *Handler) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	c := &call{request: req, caller: e.headers.ReadCaller(req.Header), arrived: e.clock.Now()}
 	c.uri = req.RequestURI
 	if !strings.HasPrefix(c.uri, "/") {
 		c.uri = req.URL.RequestURI()
 	}
 	c.path, _, _ = strings.Cut(c.uri, "?")
-	if e.conns.crowded() {
+	if e.conns.overLimit() {
 		w.Header().Set("Connection", "close")
 	}
-	e.starting.wait(req.Context())
-	if no := e.admit(c); no != nil {
-		e.refuse(w, c, *no)
+	e.startGate.wait(req.Context())
+	if denied := e.admit(c); denied != nil {
+		e.refuse(w, c, *denied)
 		return
 	}
-	if no := e.readBody(w, c); no != nil {
-		e.refuse(w, c, *no)
+	if denied := e.readBody(w, c); denied != nil {
+		e.refuse(w, c, *denied)
 		return
 	}
 	e.run(w, c)
 }
 
 // admit finds the route and the team, by the configuration in force.
-func (e *Edge) admit(c *call) *refusal {
-	route, no := e.look(c)
+func (e *Handler) admit(c *call) *refusal {
+	route, denied := e.resolve(c)
 	c.route = route
-	if no != nil {
-		return no
+	if denied != nil {
+		return denied
 	}
-	if e.stopping.refuses(route.Kind) {
-		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonStopping, retrySoon}
+	if e.shutdown.refuses(route.Kind) {
+		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonStopping, retryElsewhereAfter}
 	}
 	wait := route.Timeout
 	if c.caller.Timeout > 0 {
 		wait = min(wait, c.caller.Timeout)
 	}
-	c.deadline = e.stopping.bound(c.arrived.Add(wait))
+	c.deadline = e.shutdown.capDeadline(c.arrived.Add(wait))
 	return nil
 }
 
 // look finds the route and the team by the configuration as it is now, and says why the
 // request must not run, if so. It is asked at arrival and before each dispatch. While the
 // configuration is too old, nothing is refused for good by it.
-func (e *Edge) look(c *call) (*passthrough.Route, *refusal) {
-	index := e.known.Index()
+func (e *Handler) resolve(c *call) (*passthrough.Route, *refusal) {
+	index := e.config.Index()
 	if index == nil {
-		return nil, &refusal{http.StatusServiceUnavailable, reasonUnknown, retrySoon}
+		return nil, &refusal{http.StatusServiceUnavailable, reasonNoConfig, retryElsewhereAfter}
 	}
 	c.maxBody = index.Limits.MaxBodyBytes
 	route := index.Route(c.request.Host, c.path)
 	if route == nil {
-		return nil, e.denied(http.StatusNotFound, reasonNoRoute)
+		return nil, e.deny(http.StatusNotFound, reasonNoRoute)
 	}
 	c.team = index.Team(c.caller.Key)
 	if !index.NeedsKey(route) {
 		return route, nil
 	}
-	if !e.known.Fresh() {
-		return route, &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retrySoon}
+	if !e.config.Fresh() {
+		return route, &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
 	}
 	if c.team == nil {
-		return route, e.denied(http.StatusUnauthorized, reasonKey)
+		return route, e.deny(http.StatusUnauthorized, reasonKey)
 	}
 	return route, nil
 }
 
 // denied refuses for good, unless the configuration may be an old one.
-func (e *Edge) denied(status int, reason passthrough.Reason) *refusal {
-	if !e.known.Fresh() {
-		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retrySoon}
+func (e *Handler) deny(status int, reason passthrough.Reason) *refusal {
+	if !e.config.Fresh() {
+		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
 	}
 	return &refusal{status: status, reason: reason}
 }
 
 // readBody reads the body whole: a request that is to run again must be at hand.
-func (e *Edge) readBody(w http.ResponseWriter, c *call) *refusal {
+func (e *Handler) readBody(w http.ResponseWriter, c *call) *refusal {
 	if c.caller.RequestID == "" {
 		return &refusal{status: http.StatusBadRequest, reason: reasonNoAttemptID}
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, c.request.Body, c.maxBody))
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge}
 	case err != nil:
-		e.journal.callerLost(c, err)
+		e.telemetry.callerLost(c, err)
 		panic(http.ErrAbortHandler) // the caller has broken off; there is nobody to answer
 	}
 	c.body = body
@@ -163,18 +163,18 @@
 }
 
 // refuse answers without having run the request.
-func (e *Edge) refuse(w http.ResponseWriter, c *call, no refusal) {
-	e.journal.refused(c, no)
+func (e *Handler) refuse(w http.ResponseWriter, c *call, refused refusal) {
+	e.telemetry.refused(c, refused)
 	h := w.Header()
-	if no.after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(no.after.Seconds(), 'f', 3, 64))
+	if refused.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	if no.reason == passthrough.ReasonStopping {
+	if refused.reason == passthrough.ReasonStopping {
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	w.WriteHeader(no.status)
-	writeAll(w, []byte(string(no.reason)+"\n"))
+	w.WriteHeader(refused.status)
+	writeAll(w, []byte(string(refused.reason)+"\n"))
 }
 
 // writeAll writes to a caller. A caller that has gone shows by its context too, and no
@@ -182,7 +182,7 @@
 func writeAll(w io.Writer, text []byte) { _, _ = w.Write(text) }
 
 // fraction turns a text into a fraction of 1 that is alike at all instances.
-func fraction(text string) float64 {
+func hashFraction(text string) float64 {
 	const bits = 53
 	return float64(hashOf(text)>>(64-bits)) / (1 << bits)
 }
@@ -200,20 +200,20 @@
 }
 
 // describe makes the decision's request of a call.
-func (c *call) describe() passthrough.Request {
+func (c *call) decisionRequest() passthrough.Request {
 	team := ""
 	if c.team != nil {
 		team = c.team.Name
 	}
-	place := c.caller.Session
-	if place == "" {
-		place = c.caller.RequestID
+	key := c.caller.Session
+	if key == "" {
+		key = c.caller.RequestID
 	}
 	r := passthrough.Request{
-		Route: c.route, Service: c.route.PickService(fraction("service" + c.caller.RequestID)),
+		Route: c.route, Service: c.route.PickService(hashFraction("service" + c.caller.RequestID)),
 		Team: team, Priority: passthrough.EffectivePriority(c.team, c.route), Session: c.caller.Session,
 		PromptTokens: c.caller.PromptTokens, MaxTokens: c.caller.MaxTokens,
-		RolloutPosition: fraction("roll-out" + place),
+		RolloutPosition: hashFraction("roll-out" + key),
 		Fingerprint:     hashOf(c.path, c.caller.Key, string(c.body)),
 		TargetTime:      c.arrived.Add(c.route.TargetLatency), Deadline: c.deadline,
 		ChooseModel: c.caller.ChooseModel && len(c.route.Models) > 0,
