--- a/decision/passthrough/bench_test.go
+++ b/decision/passthrough/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkDispatch is one request placed by its prompt and ended, before so many backend
-// servers that each told its load.
+// BenchmarkDispatch measures one request that is placed by its prefix hash and ended,
+// with the given number of backend servers, each of which has reported its load.
 func BenchmarkDispatch(b *testing.B) {
 	for _, count := range []int{15, 90, 1000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/decision/passthrough/canary_test.go
+++ b/decision/passthrough/canary_test.go
@@ -26,7 +26,7 @@
 		share := float64(i) / 100
 		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = share })
 		if got, want := b.dispatched(id).Server.Version == "v2", share < 0.2; got != want {
-			t.Errorf("share %v: new version %v", share, got)
+			t.Errorf("rollout position %v: sent to the new version: %v", share, got)
 		}
 		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
@@ -35,11 +35,11 @@
 func TestSessionsKeepTheirVersionThroughTheFirstHalf(t *testing.T) {
 	b := newRolloutHarness(t)
 	b.advance(20 * time.Second)
-	in := func(session string) func(*Request) {
+	inSession := func(session string) func(*Request) {
 		return func(r *Request) { r.Session, r.RolloutPosition = session, 0.05 }
 	}
 	run := func(session string) string {
-		id := b.arrive(streamRoute(), in(session))
+		id := b.arrive(streamRoute(), inSession(session))
 		v := b.dispatched(id).Server.Version
 		b.tick(AttemptEnded{Request: id, Result: Completed})
 		return v
@@ -76,13 +76,13 @@
 	}
 }
 
-// TestSessionOpenAtAnotherInstanceStays holds for sessions whose requests come to any
-// instance.
+// TestSessionOpenAtAnotherInstanceStays guards against a session that changes its version
+// midway because an instance that has not seen it gets its next request.
 func TestSessionOpenAtAnotherInstanceStays(t *testing.T) {
 	there, here := newRolloutHarness(t), newRolloutHarness(t)
-	in := func(r *Request) { r.Session, r.RolloutPosition = "s", 0.01 }
+	inSession := func(r *Request) { r.Session, r.RolloutPosition = "s", 0.01 }
 	there.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
-	there.arrive(streamRoute(), in)
+	there.arrive(streamRoute(), inSession)
 	there.arrive(streamRoute(), func(r *Request) { r.Session, r.RolloutPosition = "outside", 0.5 })
 	open := there.world.OpenSessions("llm", "v2", 0.2)
 	if len(open) != 1 || open[0] != "s" {
@@ -90,18 +90,19 @@
 	}
 	here.tick(canaryUpdate(true))
 	here.tick(PeerSessions{Sessions: open})
-	if v := here.dispatched(here.arrive(streamRoute(), in)).Server.Version; v != "v1" {
-		t.Errorf("moved to %s", v)
+	if v := here.dispatched(here.arrive(streamRoute(), inSession)).Server.Version; v != "v1" {
+		t.Errorf("request moved to version %s", v)
 	}
 }
 
-// goToTheOldVersion holds that so many requests of the canary's share go to v1.
+// requireOldVersion sends count requests of the canary's share and fails unless all go to
+// v1.
 func (b *harness) requireOldVersion(count int) {
 	b.t.Helper()
 	for range count {
 		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0 })
 		if v := b.dispatched(id).Server.Version; v != "v1" {
-			b.t.Fatalf("sent to %s", v)
+			b.t.Fatalf("sent to version %s", v)
 		}
 		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
@@ -113,9 +114,11 @@
 	b.requireOldVersion(50)
 }
 
-// TestOldServersGoneWithoutAWord holds for an instance that starts when a roll-out has been
-// completed, before it knows.
-func TestOldServersGoneWithoutAWord(t *testing.T) {
+// TestStartAfterCompletedRolloutUsesTheNewVersion guards against refusals by an instance
+// that starts after a roll-out was completed and does not know its phase yet: the old
+// servers are gone, so the new version takes the requests. A reverted version gets none even
+// then.
+func TestStartAfterCompletedRolloutUsesTheNewVersion(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
 	list := servers("llm", 2, 8)
@@ -136,8 +139,9 @@
 	b.requireOldVersion(20)
 }
 
-// TestRequestKeepsItsVersionWhenTheOrderComes holds for a request that is sent again, here
-// to a larger model, after an order that came while it ran.
+// TestRequestKeepsItsVersionWhenTheOrderComes guards against a request that changes its
+// version when it is sent again, here to a larger model, after a roll-out was ordered while
+// it ran.
 func TestRequestKeepsItsVersionWhenTheOrderComes(t *testing.T) {
 	b := newRolloutHarness(t)
 	b.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
@@ -146,12 +150,12 @@
 	b.tick(canaryUpdate(true))
 	b.tick(AttemptEnded{Request: id, Result: Dropped})
 	if v := b.dispatched(id).Server.Version; v != "v1" {
-		t.Errorf("moved to %s", v)
+		t.Errorf("request moved to version %s", v)
 	}
 }
 
-// TestRevertedVersionStaysOutOfTheNextRollout holds while the servers of a reverted version
-// are still there when the next order comes.
+// TestRevertedVersionStaysOutOfTheNextRollout guards against requests to a reverted version
+// whose servers still run when the next roll-out is ordered.
 func TestRevertedVersionStaysOutOfTheNextRollout(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
@@ -168,8 +172,8 @@
 	}
 }
 
-// TestCanaryGoesToSeveralServers holds that one slow server alone is not all that is seen of
-// a version, however small the canary's share.
+// TestCanaryGoesToSeveralServers guards against a verdict on a version by one slow server,
+// which happens if a small share goes to a single server.
 func TestCanaryGoesToSeveralServers(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
@@ -186,12 +190,12 @@
 		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition, r.PrefixHash = 0.01, uint64(i+1) })
 		d := b.dispatched(id)
 		if d.Server.Version != "v2" {
-			t.Fatalf("sent to %s", d.Server.Version)
+			t.Fatalf("sent to version %s", d.Server.Version)
 		}
 		seen[d.Server.ID] = true
 		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 	if len(seen) != minCanaryServers {
-		t.Errorf("the canary went to %d servers", len(seen))
+		t.Errorf("the canary used %d servers", len(seen))
 	}
 }
--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fillBudget sends requests that fill the retry budget.
+// fillRetryBudget sends requests that fill the retry budget.
 func (b *harness) fillRetryBudget() {
 	b.t.Helper()
 	for range 20 {
@@ -20,13 +20,13 @@
 	b.fillRetryBudget()
 	id := b.arrive(streamRoute(), nil)
 	first := b.dispatched(id)
-	if bar := b.world.ConfidenceThreshold(id); first.Model != "small" || bar <= evenConfidence || bar >= 1 {
-		t.Errorf("first: model %q, bar %v", first.Model, bar)
+	if threshold := b.world.ConfidenceThreshold(id); first.Model != "small" || threshold <= evenConfidence || threshold >= 1 {
+		t.Errorf("first attempt: model %q, confidence threshold %v", first.Model, threshold)
 	}
 	b.tick(AttemptEnded{Request: id, Result: Dropped})
 	second := b.dispatched(id)
-	if bar := b.world.ConfidenceThreshold(id); second.Model != "large" || bar != 0 {
-		t.Errorf("second: model %q, bar %v", second.Model, bar)
+	if threshold := b.world.ConfidenceThreshold(id); second.Model != "large" || threshold != 0 {
+		t.Errorf("second attempt: model %q, confidence threshold %v", second.Model, threshold)
 	}
 }
 
@@ -36,8 +36,8 @@
 	b.tick(ServersListed{servers("llm", 3, 8)})
 	id := b.arrive(streamRoute(), nil)
 	b.dispatched(id)
-	if bar := b.world.ConfidenceThreshold(id); bar != 0 {
-		t.Errorf("bar %v with an empty budget", bar)
+	if threshold := b.world.ConfidenceThreshold(id); threshold != 0 {
+		t.Errorf("confidence threshold %v with an empty retry budget, want 0", threshold)
 	}
 }
 
@@ -48,8 +48,8 @@
 	b.configure(route)
 	b.tick(ServersListed{servers("llm", 3, 8)})
 	id := b.arrive(route, nil)
-	if d, bar := b.dispatched(id), b.world.ConfidenceThreshold(id); d.Model != "large" || bar != 0 {
-		t.Errorf("model %q, bar %v", d.Model, bar)
+	if d, threshold := b.dispatched(id), b.world.ConfidenceThreshold(id); d.Model != "large" || threshold != 0 {
+		t.Errorf("model %q, confidence threshold %v, want the largest model and no threshold", d.Model, threshold)
 	}
 }
 
@@ -60,8 +60,8 @@
 	b.configure(route)
 	b.tick(ServersListed{servers("llm", 3, 8)})
 	id := b.arrive(route, nil)
-	if d, bar := b.dispatched(id), b.world.ConfidenceThreshold(id); d.Model != "large" || bar != 0 {
-		t.Errorf("model %q, bar %v", d.Model, bar)
+	if d, threshold := b.dispatched(id), b.world.ConfidenceThreshold(id); d.Model != "large" || threshold != 0 {
+		t.Errorf("model %q, confidence threshold %v, want the largest model and no threshold", d.Model, threshold)
 	}
 }
 
@@ -76,12 +76,13 @@
 		model = b.dispatched(b.arrive(route, nil)).Model
 	}
 	if model != "small" {
-		t.Errorf("the last place was given to %q", model)
+		t.Errorf("the last slot went to model %q, want the smallest", model)
 	}
 }
 
-// TestOneCrowdedServerIsNoFullService sends one prompt's requests to one server: its last
-// places, too, go by the cascade while the other servers have room.
+// TestOneCrowdedServerIsNoFullService guards against weak responses while most servers are idle,
+// if one crowded server counts as a full service: requests with one prefix go to one server, and
+// its last slots, too, use the cascade while the other servers have room.
 func TestOneCrowdedServerIsNoFullService(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
@@ -95,12 +96,13 @@
 	r := &request{Request: Request{Route: streamRoute(), Deadline: b.now.Add(time.Second)}, service: crowded.service, server: crowded}
 	b.world.requests[0] = r
 	r.model = b.world.chooseModel(r, occupancyOf(r.service, b.world.viewServers(r.service)).headroom(r))
-	if bar := b.world.ConfidenceThreshold(0); r.model != 0 || bar == 0 {
-		t.Errorf("size %d with the bar %v, want the smallest with a bar", r.model, bar)
+	if threshold := b.world.ConfidenceThreshold(0); r.model != 0 || threshold == 0 {
+		t.Errorf("model index %d with confidence threshold %v, want the smallest model with a threshold", r.model, threshold)
 	}
 }
 
-// TestWhatWasDroppedIsNeverAskedOfTheSmallestAgain: it would doubt its answer again.
+// TestWhatWasDroppedIsNeverAskedOfTheSmallestAgain guards against a second request to the
+// smallest model on full servers: its confidence would be low again.
 func TestWhatWasDroppedIsNeverAskedOfTheSmallestAgain(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
@@ -112,12 +114,12 @@
 	}
 	b.tick(AttemptEnded{Request: id, Result: Dropped})
 	if d := b.dispatched(id); d.Model != "large" {
-		t.Errorf("asked of %q on full servers, want the largest", d.Model)
+		t.Errorf("requested model %q on full servers, want the largest", d.Model)
 	}
 }
 
-// TestTheLargestModelIsKeptForTheFirstRank fills the places: the last rank loses the largest
-// model first, and the bar sinks bit by bit.
+// TestTheLargestModelIsKeptForTheFirstRank holds that, as slots fill up, the lowest priority
+// loses the largest model first, and that the headroom shrinks gradually.
 func TestTheLargestModelIsKeptForTheFirstRank(t *testing.T) {
 	for _, c := range []struct {
 		rank        int
@@ -127,17 +129,17 @@
 		{1, 0.5, 1}, {1, 0.88, 0}, {2, 0.5, 1}, {2, 0.76, 0}, {9, 0.76, 0},
 	} {
 		if got := utilizationRamp.headroom(c.rank, c.taken); got < c.want-0.01 || got > c.want+0.01 {
-			t.Errorf("rank %d with %v taken: room %v, want %v", c.rank, c.taken, got, c.want)
+			t.Errorf("priority %d with utilization %v: headroom %v, want %v", c.rank, c.taken, got, c.want)
 		}
 	}
 }
 
-// drop ends an answer that its engine doubted.
+// dropAnswer ends a response for its low confidence.
 func (b *harness) dropAnswer(id RequestID, confidence float64) {
 	b.tick(AttemptEnded{Request: id, Result: Dropped, Confidence: confidence})
 }
 
-// roomyBench has engines and a retry budget that do not bind.
+// newRoomyHarness has engines and a retry budget that impose no limit.
 func newRoomyHarness(t *testing.T) *harness {
 	t.Helper()
 	b := newHarness(t, Settings{Seed: 1, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
@@ -146,45 +148,48 @@
 	return b
 }
 
-// TestTheMiddleModelIsAskedWhereTheSmallestWasNearlySure: a fifth of what the smallest doubts
-// is a little too hard for it alone. Where the middle model doubts its answer too, the largest
-// is asked, and so are all others.
+// TestTheMiddleModelIsAskedWhereTheSmallestWasNearlySure guards against the largest model's
+// price for requests that are only a little too hard for the smallest one, a fifth of those it
+// has low confidence in. If the middle model has low confidence too, the largest is requested,
+// as it is for all others.
 func TestTheMiddleModelIsAskedWhereTheSmallestWasNearlySure(t *testing.T) {
 	b := newRoomyHarness(t)
-	near, far := b.arrive(streamRoute(), nil), b.arrive(streamRoute(), nil)
-	b.dropAnswer(near, 0.5)
-	b.dropAnswer(far, 0.1)
-	if d := b.dispatched(near); d.Model != "middle" || b.world.ConfidenceThreshold(near) == 0 {
-		t.Errorf("nearly sure: asked %q with the bar %v", d.Model, b.world.ConfidenceThreshold(near))
+	nearThreshold, farBelow := b.arrive(streamRoute(), nil), b.arrive(streamRoute(), nil)
+	b.dropAnswer(nearThreshold, 0.5)
+	b.dropAnswer(farBelow, 0.1)
+	if d := b.dispatched(nearThreshold); d.Model != "middle" || b.world.ConfidenceThreshold(nearThreshold) == 0 {
+		t.Errorf("confidence near the threshold: requested model %q with confidence threshold %v", d.Model, b.world.ConfidenceThreshold(nearThreshold))
 	}
-	if d := b.dispatched(far); d.Model != "large" {
-		t.Errorf("far from sure: asked %q", d.Model)
+	if d := b.dispatched(farBelow); d.Model != "large" {
+		t.Errorf("confidence far below the threshold: requested model %q", d.Model)
 	}
-	b.dropAnswer(near, 0.4)
-	if d := b.dispatched(near); d.Model != "large" || b.world.ConfidenceThreshold(near) != 0 {
-		t.Errorf("doubted twice: asked %q with the bar %v", d.Model, b.world.ConfidenceThreshold(near))
+	b.dropAnswer(nearThreshold, 0.4)
+	if d := b.dispatched(nearThreshold); d.Model != "large" || b.world.ConfidenceThreshold(nearThreshold) != 0 {
+		t.Errorf("dropped twice: requested model %q with confidence threshold %v", d.Model, b.world.ConfidenceThreshold(nearThreshold))
 	}
 }
 
-// TestAMiddleModelThatIsNeverSureIsAskedNoMore learns from what the middle model says.
+// TestAMiddleModelThatIsNeverSureIsAskedNoMore guards against a middle model that is requested
+// in vain again and again: its confidence is learned.
 func TestAMiddleModelThatIsNeverSureIsAskedNoMore(t *testing.T) {
 	b := newRoomyHarness(t)
-	asked := 0
+	middle := 0
 	for range 30 {
 		id := b.arrive(streamRoute(), nil)
 		b.dropAnswer(id, 0.5)
 		if b.dispatched(id).Model == "middle" {
-			asked++
+			middle++
 			b.dropAnswer(id, 0.3)
 		}
 		b.tick(AttemptEnded{Request: id, Result: Completed, Confidence: 0.9})
 	}
-	if asked == 0 || asked > 6 {
-		t.Errorf("the middle model was asked %d times in vain", asked)
+	if middle == 0 || middle > 6 {
+		t.Errorf("the middle model was requested %d times in vain", middle)
 	}
 }
 
-// TestNoMiddleModelWithoutAThirdAttempt: its answer could not be replaced.
+// TestNoMiddleModelWithoutAThirdAttempt guards against a middle model whose weak response could
+// not be replaced.
 func TestNoMiddleModelWithoutAThirdAttempt(t *testing.T) {
 	b := newHarness(t, Settings{})
 	route := streamRoute()
@@ -195,12 +200,14 @@
 	id := b.arrive(route, nil)
 	b.dropAnswer(id, 0.5)
 	if d := b.dispatched(id); d.Model != "large" {
-		t.Errorf("asked %q", d.Model)
+		t.Errorf("requested model %q, want the largest", d.Model)
 	}
 }
 
-// TestInstanceThatGetsLittleDropsWeakAnswers plays one of 300 instances with a request each four
-// seconds, all of them weak: half of these may be asked of a larger model.
+// TestInstanceThatGetsLittleDropsWeakAnswers guards against an instance that keeps all weak
+// responses because it never has the retry budget to replace one. It simulates one of 300
+// instances with a request every four seconds, all answered weakly: half of these may be
+// requested again from a larger model.
 func TestInstanceThatGetsLittleDropsWeakAnswers(t *testing.T) {
 	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0.765, RetrySlack: 156, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
 	b.tick(FleetSize{Instances: 300})
@@ -218,6 +225,6 @@
 		b.tick(AttemptEnded{Request: id, Result: Completed, Confidence: 1})
 	}
 	if dropped < requests/2 {
-		t.Errorf("%d of %d weak answers could be dropped", dropped, requests)
+		t.Errorf("%d of %d weak responses could be dropped", dropped, requests)
 	}
 }
--- a/decision/passthrough/config_test.go
+++ b/decision/passthrough/config_test.go
@@ -36,19 +36,19 @@
 		}
 	}
 	if (&Route{}).PickService(0.5) != "" {
-		t.Error("a route without backends picked one")
+		t.Error("PickService chose a service for a route without backends")
 	}
 }
 
 func TestKeysAndRanks(t *testing.T) {
 	x := NewIndex(Config{Teams: []Team{{Name: "t", Keys: []string{"k"}, Priority: 3, HasPriority: true}, {Name: "u"}}})
 	if x.Team("k") == nil || x.Team("") != nil || x.Team("x") != nil {
-		t.Error("keys are not found by their text alone")
+		t.Error("keys are not matched exactly")
 	}
 	if !x.NeedsKey(&Route{}) || x.NeedsKey(&Route{Public: true}) || NewIndex(Config{}).NeedsKey(&Route{}) {
-		t.Error("needs a key where it should not, or the other way round")
+		t.Error("NeedsKey is wrong for a private route, a public route, or a configuration without teams")
 	}
 	if EffectivePriority(x.Team("k"), &Route{Priority: 1}) != 3 || EffectivePriority(&Team{}, &Route{Priority: 1}) != 1 || EffectivePriority(nil, &Route{Priority: 2}) != 2 {
-		t.Error("the team's rank does not go before the route's")
+		t.Error("the team's priority does not override the route's")
 	}
 }
--- a/decision/passthrough/drained_test.go
+++ b/decision/passthrough/drained_test.go
@@ -19,10 +19,10 @@
 	list := inDomains(servers("llm", 6, 8), "a", "b", "c")
 	b.tick(ServersListed{list}, DomainsDrained{[]string{"a"}})
 	late := servers("llm", 7, 8)[6]
-	b.tick(ServersListed{append(list, late)}) // in domain a, and listed after the order
+	b.tick(ServersListed{append(list, late)}) // in domain a, and listed after it was drained
 	for range 20 {
 		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.Domain == "a" {
-			t.Fatalf("%s got a request", d.Server.ID)
+			t.Fatalf("%s in the drained failure domain got a request", d.Server.ID)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	b.configure(plainRoute())
 	b.tick(ServersListed{inDomains(servers("shop", 2, 1), "a", "b")})
 	var running []RequestID
-	for range 4 { // a place and one that waits at each
+	for range 4 { // a slot and one waiting request at each
 		running = append(running, b.arrive(plainRoute(), nil))
 	}
 	waiting := b.arrive(plainRoute(), nil)
@@ -55,7 +55,7 @@
 		}
 	}
 	if b.last(waiting) != nil {
-		t.Fatalf("got %#v though only the drained failure domain has room", b.last(waiting))
+		t.Fatalf("got %#v though only the drained failure domain has a free slot", b.last(waiting))
 	}
 	for _, id := range running {
 		if b.dispatched(id).Server.Domain == "b" {
@@ -63,22 +63,22 @@
 		}
 	}
 	if d := b.dispatched(waiting); d.Server.Domain != "b" {
-		t.Errorf("what waited went to %q", d.Server.Domain)
+		t.Errorf("the queued request went to failure domain %q", d.Server.Domain)
 	}
 }
 
-// TestServiceWithoutServersIsRefusedAtOnce holds that callers learn at once, and when to come
-// back, where the orders leave a service nothing.
+// TestServiceWithoutServersIsRefusedAtOnce guards against callers that wait in vain, or are not
+// told when to retry, if all failure domains of a service are drained.
 func TestServiceWithoutServersIsRefusedAtOnce(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
 	b.tick(ServersListed{inDomains(servers("shop", 3, 6), "a", "b", "c")}, DomainsDrained{[]string{"a", "b", "c"}})
 	if r := b.refused(b.arrive(plainRoute(), nil), ReasonNoServer); r.RetryAfter <= 0 {
-		t.Errorf("come back after %v", r.RetryAfter)
+		t.Errorf("retry after %v, want more than 0", r.RetryAfter)
 	}
 	b.tick(DomainsDrained{[]string{"a", "c"}})
 	if d := b.dispatched(b.arrive(plainRoute(), nil)); d.Server.Domain != "b" {
-		t.Errorf("went to %q", d.Server.Domain)
+		t.Errorf("went to failure domain %q", d.Server.Domain)
 	}
 }
 
@@ -89,8 +89,8 @@
 	b.dispatched(b.arrive(plainRoute(), nil))
 }
 
-// TestDrainedNewVersionIsNoReasonToRefuse plays a roll-out whose new servers all stand in the
-// drained failure domain.
+// TestDrainedNewVersionIsNoReasonToRefuse guards against refusals during a roll-out whose new
+// servers are all in the drained failure domain.
 func TestDrainedNewVersionIsNoReasonToRefuse(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
@@ -104,24 +104,25 @@
 	b.tick(ServersListed{list}, DomainsDrained{[]string{"b"}}, RolloutUpdated{Rollout{Order: order, Phase: PhaseCanary, Share: 1}})
 	for range 10 {
 		if d := b.dispatched(b.arrive(streamRoute(), nil)); d.Server.Domain != "a" {
-			t.Fatalf("went to %q", d.Server.Domain)
+			t.Fatalf("went to failure domain %q", d.Server.Domain)
 		}
 	}
 }
 
-// TestDomainTakenBackIsFedSlowly holds that all of a failure domain's servers count as cold once
-// it is taken back, though no entry says so yet.
+// TestDomainTakenBackIsFedSlowly guards against a burst at cold servers: all servers of a
+// failure domain enter slow start once it is no longer drained, even before an entry says that
+// they have just started.
 func TestDomainTakenBackIsFedSlowly(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	b.tick(ServersListed{inDomains(servers("llm", 2, 8), "a", "b")}, DomainsDrained{[]string{"a"}})
 	b.tick(DomainsDrained{})
-	near := 0
+	count := 0
 	for range 40 {
 		if b.dispatched(b.arrive(streamRoute(), nil)).Server.Domain == "a" {
-			near++
+			count++
 		}
 	}
-	if near == 0 || near > 2 {
-		t.Errorf("%d requests at once to a server that may be cold", near)
+	if count == 0 || count > 2 {
+		t.Errorf("%d requests at once to a server that may be cold, want 1 or 2", count)
 	}
 }
--- a/decision/passthrough/engine_test.go
+++ b/decision/passthrough/engine_test.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// The engines of these tests read one prompt after the other and generate between its chunks
-// of 4,000 tokens: 300 tokens a millisecond with the small model, 30 with the large one. The small model's answer is good for one request in two, and its confidence says so.
+// The engines of these tests process one prompt after the other, and generate between its chunks of
+// 4,000 tokens: 300 tokens per millisecond with the small model, 30 with the large one. The small
+// model's response is good for one request in two, and its confidence says so.
 const (
 	simEngines = 6
 	simSlots   = 128
 	simStep    = 5 * time.Millisecond
 	simEvents  = 8 // of 15 ms each
 	simTokens  = 2000
-	// simCalm is what the engines bear a second with the large model for every second
-	// request: 6.7 ms and half of 67 ms for each.
+	// simCapacity is how many requests per second the engines can bear with the large model for
+	// every second request: each takes 6.7 ms plus half of 67 ms.
 	simCapacity = 150.0
 )
 
-// simCallers is a kind of callers.
+// simCallerKind is a kind of callers.
 type simCallerKind struct {
 	team string
 	rank int
 	rate float64
-	// again is how often a refused caller asks again at once, whatever it is told.
+	// retries is how often a refused caller retries at once, whatever it is told.
 	retries int
 }
 
-// simTally is what became of a kind's requests.
+// simTally counts the outcomes of a kind's requests.
 type simTally struct {
 	sent, inTarget, late, weak, refused, failed int
-	// hints are the times after which refused callers were told to come back.
+	// hints are the retry-after times of refused callers.
 	hints []time.Duration
 }
 
-// credit is 1 for a good answer in time, half for a late one, a twentieth for a weak one.
+// credit is 1 for a good response in time, half for a late one, a twentieth for a weak one.
 func (t simTally) credit() float64 {
 	return float64(t.inTarget) + 0.5*float64(t.late) + 0.05*float64(t.weak)
 }
@@ -52,12 +53,12 @@
 	id        RequestID
 	model     string
 	sent      time.Time
-	prefillMS float64 // milliseconds to read
-	decodeMS  float64 // milliseconds to generate
-	// events that it makes, from began on.
+	prefillMS float64 // remaining prefill
+	decodeMS  float64 // remaining generation
+	// events is the number of events that it generates, from began on.
 	events float64
 	began  time.Time
-	// version of the engine's software; slow says that it works on this one slowly.
+	// version of the engine's software; slow says that it is slow with this job.
 	version string
 	slow    bool
 }
@@ -79,7 +80,7 @@
 	retries       int
 }
 
-// sim plays callers, instances and engines together, on one clock.
+// sim simulates callers, instances and engines on one clock.
 type sim struct {
 	rng      *rand.Rand
 	route    *Route
@@ -94,10 +95,10 @@
 	now    time.Time
 	// tokens is the length of prompts.
 	tokens int
-	// shares says that the instances tell each other their loads each shareEvery.
+	// sharesLoads says that the instances report their loads to each other every shareEvery.
 	sharesLoads bool
 	sharedAt    time.Time
-	// rollout is one that is played beside the load, nil for none.
+	// rollout is a simulated roll-out, nil for none.
 	rollout *simRollout
 }
 
@@ -129,10 +130,10 @@
 	return s
 }
 
-// seed makes it another play of the same.
+// setSeed makes it another run of the same simulation.
 func (s *sim) setSeed(seed uint64) { s.rng = rand.New(rand.NewPCG(7, 7+seed)) }
 
-// play runs so long, with the kinds' rates times the factor.
+// play runs the simulation for a time, at the kinds' rates times factor.
 func (s *sim) play(length time.Duration, factor float64) {
 	owed := make([]float64, len(s.kinds))
 	for until := s.now.Add(length); s.now.Before(until); {
@@ -156,10 +157,11 @@
 	}
 }
 
-// shareEvery is how often the instances tell each other their loads, and how late that is known.
+// shareEvery is how often the instances report their loads to each other, and the delay of the
+// reports.
 const shareEvery = 150 * time.Millisecond
 
-// share tells each instance what all others had at the engines.
+// share gives each instance the load of all others at the engines.
 func (s *sim) share() {
 	if !s.sharesLoads || s.now.Sub(s.sharedAt) < shareEvery {
 		return
@@ -200,7 +202,7 @@
 	s.carryOut(b)
 }
 
-// timers ends waits in queues and passed deadlines.
+// timers ends expired queue waits and requests whose deadline has passed.
 func (s *sim) timers() {
 	for _, b := range s.benches {
 		for s.oldest[b] <= b.next && s.requests[b][s.oldest[b]] == nil {
@@ -241,7 +243,7 @@
 	}
 }
 
-// follow carries out an instance's commands.
+// carryOut carries out an instance's commands.
 func (s *sim) carryOut(b *harness) {
 	for s.handled[b] < len(b.allCommands) {
 		c := b.allCommands[s.handled[b]]
@@ -282,11 +284,11 @@
 	}
 }
 
-// paceWhileReading is the part of its pace at which an engine generates meanwhile: a step of
-// 4 ms takes the time of a chunk more.
+// decodeSpeedDuringPrefill is the relative speed at which an engine generates during prefill: a
+// step of 4 ms takes the time of a chunk longer.
 var decodeSpeedDuringPrefill = map[string]float64{"small": 0.25, "large": 0.03}
 
-// engine plays one step of an engine.
+// stepEngine simulates one step of an engine.
 func (s *sim) stepEngine(e *simEngine) {
 	step := float64(simStep.Milliseconds())
 	decode := step
@@ -314,7 +316,7 @@
 	e.running = kept
 }
 
-// begin is an answer's head.
+// begin sends the head of a response.
 func (s *sim) begin(e *simEngine, j *simJob) {
 	r := s.requests[j.b][j.id]
 	if r == nil {
--- a/decision/passthrough/harness_test.go
+++ b/decision/passthrough/harness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// bench drives a world by hand, on a clock of its own.
+// harness drives a world by hand, with its own clock.
 type harness struct {
 	t     *testing.T
 	world *World
@@ -19,7 +19,7 @@
 	dispatchedAt []time.Time
 }
 
-// testStart is any time.
+// testStart is an arbitrary time.
 var testStart = time.Unix(1_000_000, 0)
 
 func newHarness(t *testing.T, cfg Settings) *harness {
@@ -51,7 +51,8 @@
 
 func (b *harness) advance(d time.Duration) { b.now = b.now.Add(d) }
 
-// servers lists so many servers of a service, with ids "service-0" on.
+// servers returns count servers of a service, with the ids "service-0", "service-1" and
+// so on.
 func servers(service string, count, slots int) []Server {
 	var out []Server
 	for i := range count {
@@ -63,7 +64,7 @@
 	return out
 }
 
-// routes of the tests.
+// The routes of the tests.
 func plainRoute() *Route {
 	return &Route{Name: "plain", Kind: KindIdempotent, MaxAttempts: 2, Timeout: time.Second,
 		TargetLatency: 150 * time.Millisecond, Backends: []Backend{{"shop", 1}}}
@@ -88,7 +89,7 @@
 	b.tick(Configured{NewIndex(c)})
 }
 
-// arrive sends a request on the route; change may set more.
+// arrive sends a request on the route; change, if not nil, modifies it first.
 func (b *harness) arrive(route *Route, change func(*Request)) RequestID {
 	b.next++
 	r := Request{ID: b.next, Route: route, Service: route.Backends[0].Service, Team: "team",
@@ -101,7 +102,7 @@
 	return b.next
 }
 
-// last is the newest command on the request, or nil.
+// last is the latest command on the request, or nil.
 func (b *harness) last(id RequestID) Command {
 	list := b.commands[id]
 	if len(list) == 0 {
--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// caller is one kind of requests of a load.
+// plainCaller is one kind of requests of a load.
 type plainCaller struct {
 	team      string
 	rank      int
 	perSecond func(at time.Duration) float64
 }
 
-// tally is what became of a kind's requests, as its callers see it.
+// plainTally counts the outcomes of a kind's requests, as its callers see them.
 type plainTally struct {
 	sent, inTarget, late, refused int
 	// waits are the times until a refusal.
@@ -24,8 +24,8 @@
 
 func (t plainTally) served() float64 { return float64(t.inTarget+t.late) / float64(max(t.sent, 1)) }
 
-// replay runs a load on plain servers of the given slots and service time, a millisecond at
-// a time, and returns what became of each kind.
+// playPlainLoad runs a load on plain servers with the given slots and service time, in
+// steps of a millisecond, and returns the outcomes of each kind.
 func playPlainLoad(t *testing.T, count, slots int, work, length time.Duration, callers []plainCaller) []plainTally {
 	b := newHarness(t, Settings{})
 	route := plainRoute()
@@ -72,7 +72,7 @@
 			return true
 		})
 		follow()
-		for id, at := range arrived { // the queue's patience, as the edge's timer keeps it
+		for id, at := range arrived { // the bound on queue waits, which is a timer of the edge in operation
 			if r := b.world.requests[id]; r != nil && r.queued && b.now.Sub(at) >= MaxQueueWait(&Request{TargetTime: at.Add(route.TargetLatency), Deadline: at.Add(route.Timeout)}, at) {
 				b.tick(QueueWaitExpired{id})
 			}
@@ -97,7 +97,7 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// Three servers of 6 slots and 30 ms answer 600 requests a second.
+// Three servers of 6 slots and 30 ms respond to 600 requests per second.
 const (
 	testServers = 3
 	testSlots   = 6
@@ -105,23 +105,23 @@
 )
 
 func TestBurst(t *testing.T) {
-	rush := func(at time.Duration) float64 {
+	burst := func(at time.Duration) float64 {
 		if at > 2*time.Second && at < 4*time.Second {
 			return 1500
 		}
 		return 200
 	}
-	got := playPlainLoad(t, testServers, testSlots, testWork, 7*time.Second, []plainCaller{{"a", 0, rush}})[0]
-	// In the rush 3000 come and 1200 can be answered; the 1000 of the rest all can.
+	got := playPlainLoad(t, testServers, testSlots, testWork, 7*time.Second, []plainCaller{{"a", 0, burst}})[0]
+	// In the burst 3000 requests come and 1200 can be served; the other 1000 all can.
 	if got.inTarget < 1900 {
 		t.Errorf("%d of %d in time, %d late, %d refused", got.inTarget, got.sent, got.late, got.refused)
 	}
 	if got.late > 50 {
-		t.Errorf("%d answers came late: the queue is too long", got.late)
+		t.Errorf("%d responses came late: the queue is too long", got.late)
 	}
 	for _, w := range got.waits {
 		if w > 70*time.Millisecond {
-			t.Fatalf("a caller was held for %v and then refused", w)
+			t.Fatalf("a caller waited for %v and was then refused", w)
 		}
 	}
 }
@@ -134,11 +134,11 @@
 	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, callers)
 	for i, tl := range got[1:] {
 		if tl.served() < 0.9 {
-			t.Errorf("small team %d: %.2f served beside a large one with %.2f", i, tl.served(), got[0].served())
+			t.Errorf("small team %d: %.2f served, compared to %.2f of the large team", i, tl.served(), got[0].served())
 		}
 	}
 	if used := got[0].inTarget + got[0].late; used < 1400 {
-		t.Errorf("the large team got %d answers of the %d that were left", used, 4*(600-160))
+		t.Errorf("the large team got %d responses of the %d that were left", used, 4*(600-160))
 	}
 }
 
@@ -147,10 +147,10 @@
 		{"a", 0, constantRate(420)}, {"b", 2, constantRate(600)},
 	})
 	if got[0].served() < 0.93 {
-		t.Errorf("urgent: %.2f served", got[0].served())
+		t.Errorf("high priority: %.2f served", got[0].served())
 	}
 	if got[1].served() < 0.1 {
-		t.Errorf("the rest: %.2f served", got[1].served())
+		t.Errorf("low priority: %.2f served", got[1].served())
 	}
 }
 
@@ -161,8 +161,9 @@
 	}
 }
 
-// TestStreamsThatWouldBeCutAreSentOn stops an instance while streams of six seconds come:
-// those that cannot end in time learn at once to go elsewhere, plain calls are served.
+// TestStreamsThatWouldBeCutAreSentOn guards against streams that are cut off when their
+// instance stops: those that cannot end in time, here streams of six seconds, are refused
+// at once with a time to retry after. Plain calls are still served.
 func TestStreamsThatWouldBeCutAreSentOn(t *testing.T) {
 	b := newHarness(t, Settings{})
 	stream, plain := streamRoute(), plainRoute()
@@ -177,7 +178,7 @@
 	b.dispatched(b.arrive(stream, nil))
 	b.advance(3 * time.Second)
 	if r := b.refused(b.arrive(stream, nil), ReasonStopping); r.RetryAfter <= 0 {
-		t.Error("no word on when to come back")
+		t.Error("refused without a retry-after time")
 	}
 	b.dispatched(b.arrive(plain, nil))
 }
--- a/decision/passthrough/place_test.go
+++ b/decision/passthrough/place_test.go
@@ -20,10 +20,10 @@
 		most = max(most, n)
 	}
 	if len(seen) < 2 || len(seen) > 4 {
-		t.Errorf("20 requests of one prompt went to %d servers: %v", len(seen), seen)
+		t.Errorf("20 requests with one prefix went to %d servers, want 2 to 4: %v", len(seen), seen)
 	}
 	if most > 8 {
-		t.Errorf("one server got %d of 20, more than its places", most)
+		t.Errorf("one server got %d of 20, more than its slots", most)
 	}
 }
 
@@ -38,7 +38,7 @@
 			want = got
 		}
 		if got != want {
-			t.Errorf("seed %d: %s, others %s", seed, got, want)
+			t.Errorf("seed %d: server %s, with other seeds %s", seed, got, want)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	for range 10 {
 		id := b.arrive(plainRoute(), nil)
 		if server := b.dispatched(id).Server.ID; server != "shop-1" {
-			t.Fatalf("sent to %s", server)
+			t.Fatalf("sent to %s, want shop-1", server)
 		}
 		b.tick(AttemptEnded{Request: id, Result: Completed})
 		b.advance(300 * time.Millisecond)
@@ -90,7 +90,7 @@
 	route := plainRoute()
 	b.configure(route)
 	b.tick(ServersListed{servers("shop", 3, 6)})
-	sick, late := 0, 0
+	failing, late := 0, 0
 	for i := range 200 {
 		b.advance(20 * time.Millisecond)
 		id := b.arrive(route, nil)
@@ -103,15 +103,15 @@
 				b.tick(AttemptEnded{Request: id, Result: Completed})
 				break
 			}
-			sick++
+			failing++
 			if i > 100 {
 				late++
 			}
 			b.tick(AttemptEnded{Request: id, Result: Failed})
 		}
 	}
-	if sick > 40 || late > 15 {
-		t.Errorf("the failing server got %d of 200, %d of the last 100", sick, late)
+	if failing > 40 || late > 15 {
+		t.Errorf("the failing server got %d of 200, %d of the last 100", failing, late)
 	}
 }
 
@@ -122,16 +122,16 @@
 		s    Inactivity
 		want bool
 	}{
-		{"stream's server speaks", Inactivity{Route: stream, AttemptIdle: 5 * time.Second, ServerIdle: 100 * time.Millisecond}, false},
-		{"stream's server is dark", Inactivity{Route: stream, AttemptIdle: 3 * time.Second, ServerIdle: 3 * time.Second}, true},
+		{"stream's server sends events", Inactivity{Route: stream, AttemptIdle: 5 * time.Second, ServerIdle: 100 * time.Millisecond}, false},
+		{"stream's server is idle", Inactivity{Route: stream, AttemptIdle: 3 * time.Second, ServerIdle: 3 * time.Second}, true},
 		{"long prompt at a busy server", Inactivity{Route: stream, PromptTokens: 50000, AttemptIdle: 7 * time.Second, ServerIdle: 7 * time.Second}, false},
-		{"long prompt at a dark server", Inactivity{Route: stream, PromptTokens: 50000, AttemptIdle: 9 * time.Second, ServerIdle: 9 * time.Second}, true},
+		{"long prompt at an idle server", Inactivity{Route: stream, PromptTokens: 50000, AttemptIdle: 9 * time.Second, ServerIdle: 9 * time.Second}, true},
 		{"stream waits for twice its target", Inactivity{Route: stream, AttemptIdle: 9 * time.Second}, true},
-		{"pause in time", Inactivity{Route: stream, Begun: true, AttemptIdle: time.Second}, false},
+		{"pause within the bound", Inactivity{Route: stream, Begun: true, AttemptIdle: time.Second}, false},
 		{"pause too long", Inactivity{Route: stream, Begun: true, AttemptIdle: 2100 * time.Millisecond}, true},
-		{"plain with patience", Inactivity{Route: plain, FirstByteTimeout: 400 * time.Millisecond, AttemptIdle: 300 * time.Millisecond}, false},
-		{"plain without patience left", Inactivity{Route: plain, FirstByteTimeout: 400 * time.Millisecond, AttemptIdle: 500 * time.Millisecond}, true},
-		{"plain last attempt", Inactivity{Route: plain, AttemptIdle: 900 * time.Millisecond}, false},
+		{"plain within the timeout", Inactivity{Route: plain, FirstByteTimeout: 400 * time.Millisecond, AttemptIdle: 300 * time.Millisecond}, false},
+		{"plain past the timeout", Inactivity{Route: plain, FirstByteTimeout: 400 * time.Millisecond, AttemptIdle: 500 * time.Millisecond}, true},
+		{"plain last attempt, without a timeout", Inactivity{Route: plain, AttemptIdle: 900 * time.Millisecond}, false},
 	}
 	for _, tt := range tests {
 		if got := tt.s.TimedOut(); got != tt.want {
@@ -153,7 +153,7 @@
 		took   time.Duration
 	}
 	var jobs []job
-	for range 1500 { // 100 requests a second, 30 ms each, one server five times as slow
+	for range 1500 { // 100 requests per second of 30 ms each; one server is five times as slow
 		b.advance(10 * time.Millisecond)
 		keep := jobs[:0]
 		for _, j := range jobs {
@@ -189,8 +189,8 @@
 	}
 }
 
-// TestRushThatIsOverRefusesNobody holds for plain servers whose load was told at the height
-// of a rush: calls of 30 ms are done long before the word on them is old.
+// TestRushThatIsOverRefusesNobody guards against refusals by plain servers whose load was
+// reported at the height of a burst: calls of 30 ms are done long before the report is old.
 func TestRushThatIsOverRefusesNobody(t *testing.T) {
 	b := newHarness(t, Settings{})
 	route := plainRoute()
@@ -209,12 +209,12 @@
 	b.dispatched(b.arrive(route, nil))
 }
 
-// largeEngines configures engines of 128 places.
+// configureLargeEngines configures engines of 128 slots.
 func (b *harness) configureLargeEngines() {
 	b.tick(Configured{NewIndex(Config{Version: 1, Routes: []Route{*streamRoute()}, Services: []Service{{Name: "llm", Slots: 128}}})})
 }
 
-// domains lists engines in three failure domains, so many in each.
+// threeDomains returns engines in three failure domains, each of them in every domain.
 func threeDomains(each int) []Server {
 	list := servers("llm", 3*each, 128)
 	for i := range list {
@@ -223,52 +223,55 @@
 	return list
 }
 
-// nearShare places prompts with so many shared tokens of 9,000 on idle engines that each
-// state how many others wait there, and gives the part that stayed in the failure domain.
-func localShare(t *testing.T, shared, waiting int) float64 {
+// localShare places prompts of 9,000 tokens with the given number of shared ones on idle
+// engines that each report the given number of waiting prompts. It returns the fraction that
+// stayed in the failure domain.
+func localShare(t *testing.T, prefixTokens, waiting int) float64 {
 	t.Helper()
 	b := newHarness(t, Settings{Seed: 1, Domain: "a", RetryRatio: 1, RetryWindow: time.Second})
 	b.configureLargeEngines()
 	b.tick(ServersListed{threeDomains(4)})
-	near := 0
+	stayed := 0
 	const count = 60
 	for i := range count {
 		for _, s := range threeDomains(4) {
 			b.tick(LoadReported{Server: s.ID, Load: Load{Running: 5 + waiting, Waiting: waiting, Slots: 128}})
 		}
 		id := b.arrive(streamRoute(), func(r *Request) {
-			r.PrefixHash, r.PrefixTokens, r.PromptTokens = uint64(i+1), shared, 9000
+			r.PrefixHash, r.PrefixTokens, r.PromptTokens = uint64(i+1), prefixTokens, 9000
 		})
 		if b.dispatched(id).Server.Domain == "a" {
-			near++
+			stayed++
 		}
 		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
-	return float64(near) / count
+	return float64(stayed) / count
 }
 
-// TestPromptsStayInTheFailureDomainWhileThereIsTime: while engines read without delay, no
-// prompt leaves; as they fall behind, those with much to share go first to where all of them
-// are held; when they are far behind, all do.
+// TestPromptsStayInTheFailureDomainWhileThereIsTime guards against needless traffic between
+// failure domains, and against repeated prefill when there is no time for it. While engines
+// have no prefill backlog, no prompt leaves. As they fall behind, first those with long shared
+// prefixes go to the server that has them cached, and finally all do.
 func TestPromptsStayInTheFailureDomainWhileThereIsTime(t *testing.T) {
-	const little, much = 900, 6000
-	if got := localShare(t, much, 0); got < 1 {
-		t.Errorf("idle: %.2f stayed", got)
+	const shortPrefix, longPrefix = 900, 6000
+	if got := localShare(t, longPrefix, 0); got < 1 {
+		t.Errorf("no waiting prompts: %.2f stayed in the failure domain, want all", got)
 	}
-	if got := localShare(t, little, 4); got < 1 {
-		t.Errorf("some wait, little shared: %.2f stayed", got)
+	if got := localShare(t, shortPrefix, 4); got < 1 {
+		t.Errorf("few waiting prompts, short prefix: %.2f stayed in the failure domain, want all", got)
 	}
-	if got := localShare(t, much, 4); got > 0.5 {
-		t.Errorf("some wait, much shared: %.2f stayed", got)
+	if got := localShare(t, longPrefix, 4); got > 0.5 {
+		t.Errorf("few waiting prompts, long prefix: %.2f stayed in the failure domain, want at most half", got)
 	}
-	if got := localShare(t, little, 20); got > 0.5 {
-		t.Errorf("many wait: %.2f stayed", got)
+	if got := localShare(t, shortPrefix, 20); got > 0.5 {
+		t.Errorf("many waiting prompts: %.2f stayed in the failure domain, want at most half", got)
 	}
 }
 
-// TestLongPromptsOfALargerModelAreReadInOneFailureDomain: the smallest model reads a shared
-// prompt at home, but where its answer was dropped the larger one reads it where all instances
-// send it, so that it is held there; a short prompt stays at home for both.
+// TestLongPromptsOfALargerModelAreReadInOneFailureDomain guards against a larger model's
+// prefill of a long prefix in each failure domain. The smallest model's prefill stays local.
+// When its response was dropped, the larger model is requested at the one server that all
+// instances use for the prefix, so that it is cached there. Short prompts stay local for both.
 func TestLongPromptsOfALargerModelAreReadInOneFailureDomain(t *testing.T) {
 	for _, c := range []struct {
 		shared   int
@@ -285,7 +288,7 @@
 					r.PrefixHash, r.PrefixTokens, r.PromptTokens = uint64(i+1), c.shared, 2*c.shared
 				})
 				if d := b.dispatched(id); d.Server.Domain != zone {
-					t.Fatalf("%d shared: the smallest model reads in %s, not at home", c.shared, d.Server.Domain)
+					t.Fatalf("%d shared tokens: the smallest model is requested in failure domain %s, not in the own one", c.shared, d.Server.Domain)
 				}
 				b.dropAnswer(id, 0.1)
 				d := b.dispatched(id)
@@ -304,13 +307,13 @@
 			}
 		}
 		if together := alone == prompts; together != c.together {
-			t.Errorf("%d shared: %d of %d prompts are read by the larger model at one server only", c.shared, alone, prompts)
+			t.Errorf("%d shared tokens: %d of %d prompts have the larger model's prefill at a single server", c.shared, alone, prompts)
 		}
 	}
 }
 
-// TestPromptsLeaveAFailureDomainThatIsFull: one where all engines have twice the load of the
-// others keeps nothing back.
+// TestPromptsLeaveAFailureDomainThatIsFull guards against keeping prompts in a failure domain
+// whose engines have three times the load of the others.
 func TestPromptsLeaveAFailureDomainThatIsFull(t *testing.T) {
 	b := newHarness(t, Settings{Seed: 1, Domain: "a", RetryRatio: 1, RetryWindow: time.Second})
 	b.configureLargeEngines()
@@ -331,8 +334,9 @@
 	}
 }
 
-// TestPromptsGoWhereTheyAreReadSoon: an engine with little running and many prompts waiting
-// gets none more, beside one with more running and none waiting.
+// TestPromptsGoWhereTheyAreReadSoon guards against comparing engines by running requests
+// alone: one with few running requests and many waiting prompts must get no more, next to one
+// with more running and none waiting.
 func TestPromptsGoWhereTheyAreReadSoon(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configureLargeEngines()
@@ -343,7 +347,7 @@
 			LoadReported{Server: "llm-1", Load: Load{Running: 14, Slots: 128}})
 		id := b.arrive(streamRoute(), func(r *Request) { r.PrefixHash, r.PromptTokens = uint64(i+1), 9000 })
 		if d := b.dispatched(id); i > 0 && d.Server.ID == "llm-0" {
-			t.Errorf("request %d went to the engine with ten prompts to read", i)
+			t.Errorf("request %d went to the engine with ten waiting prompts", i)
 		}
 		b.tick(AttemptEnded{Request: id, Result: Completed})
 	}
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// The servers of these tests are plain ones: so many requests run at once for 30 ms each, some
-// more wait, and a full server turns the rest away: in words, or, every second time, by a reset
-// that leaves open whether the request ran.
+// The servers of these tests are plain ones: shopSlots requests run at once for 30 ms each, and
+// shopQueue more wait. A full server rejects the rest with a response or, every second time, by
+// a connection reset that leaves open whether the request ran.
 const (
 	shopServers = 5
 	shopSlots   = 6
 	shopQueue   = 24
 	shopWork    = 30 * time.Millisecond
 	shopStep    = 5 * time.Millisecond
-	// shopBears is what they answer a second.
+	// shopCapacity is how many requests the servers serve per second.
 	shopCapacity = shopServers * shopSlots * float64(time.Second) / float64(shopWork)
 )
 
@@ -26,7 +26,7 @@
 	left time.Duration
 }
 
-// shopSim plays many instances before few plain servers.
+// shopSim simulates many instances and a few plain servers.
 type shopSim struct {
 	rng     *rand.Rand
 	route   *Route
@@ -36,13 +36,13 @@
 	arrived map[*harness]map[RequestID]time.Time
 	now     time.Time
 
-	// hot is the part of the requests that team-0 sends, beside nine others; grey the part that
-	// the first server turns away.
+	// hotShare is the fraction of the requests that team-0 sends; nine other teams send the
+	// rest. rejectShare is the fraction that the first server rejects.
 	hotShare, rejectShare float64
 
 	sent, inTarget, late, refused, failed int
 	turnedAway                            int
-	// small and smallServed count the other teams' requests.
+	// smallSent and smallServed count the other teams' requests.
 	smallSent, smallServed int
 	teams                  map[*harness]map[RequestID]string
 }
@@ -64,13 +64,13 @@
 	return s
 }
 
-// reset begins to count anew.
+// reset sets the counts to zero.
 func (s *shopSim) reset() {
 	s.sent, s.inTarget, s.late, s.refused, s.failed, s.turnedAway = 0, 0, 0, 0, 0, 0
 	s.smallSent, s.smallServed = 0, 0
 }
 
-// play asks for so many times what the servers bear.
+// play sends factor times what the servers can bear.
 func (s *shopSim) play(length time.Duration, factor float64) {
 	owed := 0.0
 	for until := s.now.Add(length); s.now.Before(until); {
@@ -104,7 +104,7 @@
 	return fmt.Sprint("team-", 1+s.rng.IntN(9))
 }
 
-// waits ends the waits in queues.
+// expireQueueWaits ends the queue waits that have expired.
 func (s *shopSim) expireQueueWaits() {
 	for _, b := range s.benches {
 		if b.world.services["shop"].queue.len == 0 {
@@ -171,8 +171,8 @@
 
 func (s *shopSim) dispatch(b *harness, c Dispatch) {
 	id := c.Server.ID
-	isGrey := id == "shop-0" && s.rng.Float64() < s.rejectShare
-	if len(s.servers[id]) < shopSlots+shopQueue && !isGrey {
+	rejects := id == "shop-0" && s.rng.Float64() < s.rejectShare
+	if len(s.servers[id]) < shopSlots+shopQueue && !rejects {
 		work := time.Duration((0.5 + s.rng.Float64()) * float64(shopWork))
 		s.servers[id] = append(s.servers[id], &shopJob{b: b, id: c.Request, left: work})
 		return
@@ -186,9 +186,10 @@
 	b.tick(LoadReported{Server: id, Load: load}, AttemptEnded{Request: c.Request, Result: Rejected})
 }
 
-// TestFullPlainServersAreLeftAlone asks for up to eight times what five servers bear, by 100
-// instances and for requests that may run once. What may have run can only be told as failed, so
-// that a request should be refused here rather than be cut off there; and the servers stay busy.
+// TestFullPlainServersAreLeftAlone guards against overloading full servers. 100 instances send
+// up to eight times what five servers can bear, with requests that may run once. One that may
+// have run can only be reported as failed, so requests should be refused here rather than cut
+// off there; and the servers must stay busy.
 func TestFullPlainServersAreLeftAlone(t *testing.T) {
 	for _, factor := range []float64{0.6, 1.5, 3, 8} {
 		route := onceRoute()
@@ -199,10 +200,10 @@
 		const length = 3 * time.Second
 		s.play(length, factor)
 		served := float64(s.inTarget+s.late) / length.Seconds()
-		t.Logf("x %.1f: %d asked, %d in time, %d late, %d refused, %d failed, %d turned away: %.0f a second of %.0f",
+		t.Logf("x %.1f: %d sent, %d in time, %d late, %d refused, %d failed, %d rejected: %.0f per second of %.0f",
 			factor, s.sent, s.inTarget, s.late, s.refused, s.failed, s.turnedAway, served, shopCapacity)
 		if factor > 1 && served < 0.85*shopCapacity {
-			t.Errorf("at %.1f times the load %.0f a second are served, of %.0f", factor, served, shopCapacity)
+			t.Errorf("at %.1f times the load %.0f requests per second are served, of %.0f", factor, served, shopCapacity)
 		}
 		if s.failed > s.sent/50 {
 			t.Errorf("at %.1f times the load %d of %d failed", factor, s.failed, s.sent)
@@ -210,8 +211,8 @@
 	}
 }
 
-// TestRushOfOneTeamLeavesPlacesToOthers has one team ask for five times what the servers bear,
-// beside nine that ask for a third of it together.
+// TestRushOfOneTeamLeavesPlacesToOthers guards against one team's burst of five times what the
+// servers can bear that displaces nine teams, which ask for a third of the capacity together.
 func TestRushOfOneTeamLeavesPlacesToOthers(t *testing.T) {
 	route := onceRoute()
 	route.MaxAttempts, route.Timeout = 1, 1200*time.Millisecond
@@ -222,12 +223,13 @@
 	s.reset()
 	s.play(3*time.Second, 5.33)
 	if got := float64(s.smallServed) / float64(s.smallSent); got < 0.7 {
-		t.Errorf("%.2f of the small teams' requests served, beside %d of the hot one's", got, s.inTarget+s.late-s.smallServed)
+		t.Errorf("%.2f of the small teams' requests served, and %d of the hot team's", got, s.inTarget+s.late-s.smallServed)
 	}
 }
 
-// TestOneServerThatTurnsAwayIsNoReasonToRefuse has one of five servers turn away half of what it
-// gets, at a usual load, with 300 instances that see a request a second each.
+// TestOneServerThatTurnsAwayIsNoReasonToRefuse guards against refusals while servers are free:
+// one of five servers rejects half of its requests at a usual load, and each of 300 instances
+// sees one request per second.
 func TestOneServerThatTurnsAwayIsNoReasonToRefuse(t *testing.T) {
 	s := newShopSim(t, 300, plainRoute())
 	s.rejectShare = 0.5
--- a/decision/passthrough/property_test.go
+++ b/decision/passthrough/property_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// history drives a world by any events and checks what it commands.
+// randomHistory drives a world by random events and checks its commands.
 type randomHistory struct {
 	*harness
 	rng    *rand.Rand
@@ -26,7 +26,7 @@
 }
 
 // TestInvariants runs seeded histories of arrivals, ends of all kinds, callers that leave,
-// lists that change, servers that come back, roll-outs and pauses.
+// changes of the server list, servers that restart, roll-outs and pauses.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(400) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runInvariants(t, rand.New(rand.NewPCG(seed, 9)), 400) })
@@ -117,7 +117,7 @@
 	}
 }
 
-// one does something to some live request.
+// withLiveRequest does something to some live request.
 func (h *randomHistory) withLiveRequest(do func(RequestID, *liveRequest)) {
 	for id := h.next; id > 0 && id+40 > h.next; id-- {
 		if r := h.live[id]; r != nil && h.rng.IntN(3) == 0 {
@@ -127,7 +127,7 @@
 	}
 }
 
-// do tells an event and checks every command.
+// tickChecked sends an event and checks all commands.
 func (h *randomHistory) tickChecked(e Event) {
 	h.t.Helper()
 	for _, c := range h.tick(e) {
@@ -140,7 +140,7 @@
 				h.t.Fatalf("request %d was refused though it may have run", c.Request)
 			}
 			if c.RetryAfter < 0 || c.RetryAfter > 2*maxRetryAfter {
-				h.t.Fatalf("request %d: come back after %v", c.Request, c.RetryAfter)
+				h.t.Fatalf("request %d: retry after %v", c.Request, c.RetryAfter)
 			}
 		case Finish:
 			if r := h.takeLive(c.Request); !r.ran {
@@ -153,7 +153,7 @@
 func (h *randomHistory) takeLive(id RequestID) *liveRequest {
 	r := h.live[id]
 	if r == nil || r.server != "" {
-		h.t.Fatalf("request %d got a second end, or one while it runs", id)
+		h.t.Fatalf("request %d was refused or finished twice, or while it runs", id)
 	}
 	delete(h.live, id)
 	return r
@@ -162,11 +162,11 @@
 func (h *randomHistory) dispatch(c Dispatch) {
 	r := h.live[c.Request]
 	if r == nil || r.server != "" {
-		h.t.Fatalf("request %d was dispatched after its end, or twice", c.Request)
+		h.t.Fatalf("request %d was dispatched after its end, or while it runs", c.Request)
 	}
 	if r.ran && !r.route.Retryable() {
-		// An engine's doubt is the one reason to ask again for what runs once a time.
-		h.t.Fatalf("request %d of route %s was sent again", c.Request, r.route.Name)
+		// Low confidence is the only reason to repeat a request that may run at most once.
+		h.t.Fatalf("request %d of route %s was sent again though it may have run", c.Request, r.route.Name)
 	}
 	r.server = c.Server.ID
 	r.sent++
@@ -188,7 +188,8 @@
 	h.t.Fatalf("request %d was sent to %s, which is not listed", c.Request, c.Server.ID)
 }
 
-// checkCounts holds the servers' counts against the requests that run.
+// checkCounts compares the servers' counts with the running requests, and the queues' with
+// the waiting ones.
 func (h *randomHistory) checkCounts() {
 	running := map[string]int{}
 	for _, r := range h.world.requests {
@@ -198,7 +199,7 @@
 	}
 	for id, s := range h.world.servers {
 		if s.ownRequests != running[id] || len(s.prefilling) > s.ownRequests || s.prefillBacklog < 0 || len(s.prefilling) == 0 && s.prefillBacklog != 0 {
-			h.t.Fatalf("server %s counts %d, %d run there; %d unread, %v s to read", id, s.ownRequests, running[id], len(s.prefilling), s.prefillBacklog)
+			h.t.Fatalf("server %s counts %d requests, %d run there; %d in prefill, a backlog of %v s", id, s.ownRequests, running[id], len(s.prefilling), s.prefillBacklog)
 		}
 	}
 	for name, s := range h.world.services {
@@ -209,7 +210,7 @@
 			}
 		}
 		if s.queue.len != waiting {
-			h.t.Fatalf("service %s counts %d in its queue, %d wait", name, s.queue.len, waiting)
+			h.t.Fatalf("service %s counts %d requests in its queue, %d wait", name, s.queue.len, waiting)
 		}
 	}
 }
--- a/decision/passthrough/ratelimit_bound_test.go
+++ b/decision/passthrough/ratelimit_bound_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// limitFleets are the tests' fleets, with so many servers each.
+// limitFleets are the tests' numbers of instances and servers.
 var limitFleets = []struct{ instances, servers int }{{8, 18}, {58, 60}, {300, 100}}
 
-// TestServersLimitHoldsOverAllInstances holds that what a server takes from all instances is
-// exceeded by no retry, second model or resumed stream of any of them.
+// TestServersLimitHoldsOverAllInstances guards against exceeding a server's limit through retries,
+// escalations or resumed streams of any instance.
 func TestServersLimitHoldsOverAllInstances(t *testing.T) {
 	for _, size := range limitFleets {
 		f := newLimitFleet(t, size.instances, size.servers, 1, nil)
@@ -26,8 +26,8 @@
 	}
 }
 
-// TestLimitHoldsUnderViewsThatDiffer has instances that do not know all of their neighbours, or
-// still know some that are gone.
+// TestLimitHoldsUnderViewsThatDiffer guards against exceeding a limit when instances disagree on
+// the subset: some do not know all of their neighbours, or still know some that are gone.
 func TestLimitHoldsUnderViewsThatDiffer(t *testing.T) {
 	view := func(f *limitFleet, all []string) []string {
 		switch f.rng.IntN(3) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestLimitedServerGetsItsPart holds that a server gets most of what it takes, and its usual part
-// once it states no limit any more.
+// TestLimitedServerGetsItsPart guards against limited servers that get too little, and against
+// servers that keep getting little after their limit has ended.
 func TestLimitedServerGetsItsPart(t *testing.T) {
 	for _, size := range limitFleets {
 		f := newLimitFleet(t, size.instances, size.servers, 2, nil)
@@ -68,7 +68,7 @@
 			// The instances of its subset have no more for it than for any other server.
 			asked := 3 * usualRate * float64(limitSubset(perSecond)) / float64(size.instances)
 			if got := f.rate(f.servers[i].ID, settled); got < 0.4*min(perSecond, asked) {
-				t.Errorf("%d instances: a server with a limit of %v a second got %.2f", size.instances, perSecond, got)
+				t.Errorf("%d instances: a server with a limit of %v per second got %.2f", size.instances, perSecond, got)
 			}
 		}
 		clear(f.limits)
@@ -77,14 +77,14 @@
 		f.play(4*time.Second, load)
 		for i, perSecond := range limitRates {
 			if got := f.rate(f.servers[i].ID, settled); perSecond > 0.3 && got < usualRate {
-				t.Errorf("%d instances: a server that takes everything again, after a limit of %v, got %.2f a second", size.instances, perSecond, got)
+				t.Errorf("%d instances: a server whose limit of %v has ended got %.2f per second", size.instances, perSecond, got)
 			}
 		}
 	}
 }
 
-// TestLimitEndsThoughItsSubsetIsGone holds that instances which are gone, and are still known, are
-// not the only ones that may find out that a limit has ended.
+// TestLimitEndsThoughItsSubsetIsGone guards against a limit that never ends because only instances
+// that are gone, but still known, may send to the server and find out.
 func TestLimitEndsThoughItsSubsetIsGone(t *testing.T) {
 	f := newLimitFleet(t, 58, 60, 3, nil)
 	load := usualRate * float64(len(f.servers))
@@ -104,6 +104,6 @@
 	settled := f.now()
 	f.play(4*time.Second, load)
 	if got := f.rate(f.servers[0].ID, settled); got < usualRate/2 {
-		t.Errorf("%.2f requests a second, %v is usual", got, usualRate)
+		t.Errorf("the server gets %.2f requests per second, usually %v", got, usualRate)
 	}
 }
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// The bound on a server that states a limit: in limitWindow no more than limitOvershoot times what the
-// limit allows, and limitSlack more, from instances that know of it for limitNotice or longer, and
-// from limitSettled after it was first stated.
+// The bound on a server that states a limit: within limitWindow it may get at most limitOvershoot
+// times what the limit allows, plus limitSlack. It counts requests from instances that have known
+// the limit for at least limitNotice, from limitSettled after the limit was first stated.
 const (
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
@@ -19,7 +19,7 @@
 	limitSettled   = 3 * time.Second
 )
 
-// limitFleet is a number of instances before engines, some of which state a limit.
+// limitFleet simulates instances and engines, some of which state a limit.
 type limitFleet struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -27,18 +27,17 @@
 	servers   []Server
 	// limits are the limits in force, by server.
 	limits map[string]float64
-	// told is when an instance was first given an answer that states a limit, by instance and
-	// server.
+	// toldAt is when an instance first got a response that states a limit.
 	toldAt map[limitKey]time.Time
 	// arrivals are the requests that each server got.
 	arrivals map[string][]limitArrival
 	running  []limitRun
-	// seen counts the commands of each instance that were followed.
+	// handled counts the commands of each instance that were carried out.
 	handled []int
 	refused int
-	// mute are instances that neither get requests nor tell the others anything.
+	// silent are instances that get no requests and send no reports.
 	silent map[int]bool
-	// reports are what the instances said last, which is on its way to the others.
+	// reports are the instances' latest reports, in transit to the others.
 	reports [][]PeerLimit
 }
 
@@ -63,11 +62,11 @@
 
 var limitDomains = []string{"a", "b", "c"}
 
-// domainOf is the failure domain of the instance or server with the number.
+// domainOf is the failure domain of the instance or server with the given number.
 func domainOf(i int) string { return limitDomains[i%len(limitDomains)] }
 
-// newLimitFleet starts instances before so many servers; view gives the neighbours that an instance
-// knows, of those that there are.
+// newLimitFleet starts instances and count servers. If view is not nil, it returns the neighbours
+// that an instance knows, given those that exist.
 func newLimitFleet(t *testing.T, instances, count int, seed uint64, view func(f *limitFleet, all []string) []string) *limitFleet {
 	t.Helper()
 	f := &limitFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), limits: map[string]float64{},
@@ -76,26 +75,26 @@
 	for i := range f.servers {
 		f.servers[i].Domain = domainOf(i)
 	}
-	near := map[string][]string{}
+	names := map[string][]string{}
 	for i := range instances {
-		near[domainOf(i)] = append(near[domainOf(i)], fmt.Sprintf("i%d", i))
+		names[domainOf(i)] = append(names[domainOf(i)], fmt.Sprintf("i%d", i))
 	}
 	for i := range instances {
 		b := newHarness(t, Settings{Seed: seed + uint64(i), Domain: domainOf(i), Domains: limitDomains,
 			RetryRatio: 0.9, RetrySlack: 56, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
-		names := near[domainOf(i)]
+		known := names[domainOf(i)]
 		if view != nil {
-			names = view(f, names)
+			known = view(f, known)
 		}
 		b.tick(Configured{NewIndex(Config{Version: 1, Routes: []Route{*streamRoute()}, Services: []Service{{Name: "llm", Slots: 48}}})},
-			FleetSize{Instances: instances}, Neighbours{Self: fmt.Sprintf("i%d", i), Names: names}, ServersListed{f.servers})
+			FleetSize{Instances: instances}, Neighbours{Self: fmt.Sprintf("i%d", i), Names: known}, ServersListed{f.servers})
 		f.instances = append(f.instances, b)
 	}
 	f.handled = make([]int, instances)
 	return f
 }
 
-// play has requests come at the rate a second, each at any instance.
+// play sends requests at a rate per second, each to a random instance.
 func (f *limitFleet) play(length time.Duration, rate float64) {
 	const (
 		step     = 20 * time.Millisecond
@@ -125,38 +124,38 @@
 	}
 }
 
-// reportSteps is how many steps there are between two reports of an instance to the others.
+// reportSteps is the number of steps between two reports of an instance.
 const reportSteps = 8
 
-// report hands on what the instances said the last time, and collects what they say now.
+// report delivers the previous reports and collects new ones.
 func (f *limitFleet) report() {
 	const step = 20 * time.Millisecond
 	for i, b := range f.instances {
-		var others []PeerLimit
-		for j, said := range f.reports {
+		var reports []PeerLimit
+		for j, own := range f.reports {
 			if j == i || f.silent[i] {
 				continue
 			}
-			for _, l := range said {
+			for _, l := range own {
 				l.Age += reportSteps * step
-				others = append(others, l)
+				reports = append(reports, l)
 			}
 		}
-		b.tick(PeerLimits{others})
+		b.tick(PeerLimits{reports})
 	}
 	f.reports = f.reports[:0]
 	for i, b := range f.instances {
-		said := b.world.OwnLimits()
+		own := b.world.OwnLimits()
 		if f.silent[i] {
-			said = nil
+			own = nil
 		}
-		f.reports = append(f.reports, said)
+		f.reports = append(f.reports, own)
 	}
 }
 
 func (f *limitFleet) now() time.Time { return f.instances[0].now }
 
-// follow sends what the instances dispatched.
+// carryOut carries out the instances' commands.
 func (f *limitFleet) carryOut() {
 	const headAfter, endAfter = 40 * time.Millisecond, 400 * time.Millisecond
 	for i, b := range f.instances {
@@ -172,7 +171,8 @@
 	}
 }
 
-// answer has servers answer: some answers are doubted by their engine, some break off.
+// answer lets servers respond. Some responses are dropped for low confidence, some lose their
+// connection.
 func (f *limitFleet) answer() {
 	now := f.now()
 	f.running = slices.DeleteFunc(f.running, func(run limitRun) bool { return run.begun && !now.Before(run.end) })
@@ -191,12 +191,12 @@
 	f.carryOut()
 }
 
-// begin sends the head of an answer.
+// begin sends the head of a response.
 func (f *limitFleet) begin(run *limitRun) {
 	run.begun = true
 	b := f.instances[run.instance]
 	perSecond, limited := f.limits[run.server]
-	if _, told := f.toldAt[run.limitKey]; limited && !told {
+	if _, known := f.toldAt[run.limitKey]; limited && !known {
 		f.toldAt[run.limitKey] = b.now
 	}
 	b.tick(FirstByte{Request: run.request, After: 40 * time.Millisecond, Limit: RateLimit{limited, perSecond}})
@@ -211,13 +211,13 @@
 	}
 }
 
-// most is the largest number of requests in a window that begins at the time or later, from
-// instances that had been told by then.
+// maxInWindow is the largest number of requests in a window that begins at from or later, from
+// instances that had been told of the limit by then.
 func (f *limitFleet) maxInWindow(server string, from time.Time) int {
 	var at []time.Time
 	for _, a := range f.arrivals[server] {
-		told, ok := f.toldAt[limitKey{a.instance, server}]
-		if ok && !a.at.Before(from) && a.at.Sub(told) >= limitNotice {
+		toldAt, ok := f.toldAt[limitKey{a.instance, server}]
+		if ok && !a.at.Before(from) && a.at.Sub(toldAt) >= limitNotice {
 			at = append(at, a.at)
 		}
 	}
@@ -231,7 +231,7 @@
 	return most
 }
 
-// rate is how many requests a second the server got since then.
+// rate is how many requests per second the server has got since a time.
 func (f *limitFleet) rate(server string, since time.Time) float64 {
 	n := 0
 	for _, a := range f.arrivals[server] {
@@ -246,23 +246,23 @@
 // one that all but stops them, and one above it.
 var limitRates = []float64{1, 1.4, 0.3, 2.5, 0, 12}
 
-// usualRate is how many requests a second a server gets.
+// usualRate is how many requests per second a server gets.
 const usualRate = 4.0
 
-// limitServers has the first servers state the tests' limits from now on.
+// limitServers makes the first servers state the tests' limits from now on.
 func (f *limitFleet) limitServers() {
 	for i, perSecond := range limitRates {
 		f.limits[f.servers[i].ID] = perSecond
 	}
 }
 
-// checkLimits holds the bound for each limited server, from the time at which they were stated.
-func (f *limitFleet) checkLimits(stated time.Time) {
+// checkLimits checks the bound for each limited server, given when the limits were first stated.
+func (f *limitFleet) checkLimits(statedAt time.Time) {
 	f.t.Helper()
 	for i, perSecond := range limitRates {
 		allowed := limitOvershoot*perSecond*limitWindow.Seconds() + limitSlack
-		if got := f.maxInWindow(f.servers[i].ID, stated.Add(limitSettled)); float64(got) > allowed {
-			f.t.Errorf("%d instances: a server with a limit of %v a second got %d requests in %v, allowed %.1f",
+		if got := f.maxInWindow(f.servers[i].ID, statedAt.Add(limitSettled)); float64(got) > allowed {
+			f.t.Errorf("%d instances: a server with a limit of %v per second got %d requests in %v, allowed %.1f",
 				len(f.instances), perSecond, got, limitWindow, allowed)
 		}
 	}
--- a/decision/passthrough/ratelimit_refuse_test.go
+++ b/decision/passthrough/ratelimit_refuse_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// limitedBench is an instance, alone or among others, before so many servers of the shop; all of
-// them state the limit.
+// newLimitedHarness is an instance, alone or with neighbours, and count servers of the shop, all
+// with the given limit.
 func newLimitedHarness(t *testing.T, perSecond float64, count int, neighbours ...string) *harness {
 	t.Helper()
 	b := newHarness(t, Settings{})
@@ -21,8 +21,8 @@
 	return b
 }
 
-// TestAllServersLimited holds that what the servers' limits leave no room for is refused at once,
-// as not run, with a time after which there is room.
+// TestAllServersLimited guards against requests that wait in vain when the servers' limits leave
+// no room: they are refused at once, as not run, with a time after which there is room.
 func TestAllServersLimited(t *testing.T) {
 	b := newLimitedHarness(t, 0.5, 3)
 	const seconds, perSecond = 20, 10
@@ -44,12 +44,12 @@
 		}
 	}
 	if sent < 15 || sent > 30 || refused < 150 {
-		t.Errorf("%d sent and %d refused in %d s; the servers take 1.5 a second", sent, refused, seconds)
+		t.Errorf("%d sent and %d refused in %d s; the servers take 1.5 per second", sent, refused, seconds)
 	}
 }
 
-// TestInstanceOutsideOfTheSubsetRefusesAtOnce holds that a request is not kept waiting for a
-// server to which this instance may not send.
+// TestInstanceOutsideOfTheSubsetRefusesAtOnce guards against requests that wait for a server to
+// which this instance may not send.
 func TestInstanceOutsideOfTheSubsetRefusesAtOnce(t *testing.T) {
 	refused := 0
 	for range 8 {
@@ -62,13 +62,14 @@
 				t.Errorf("refused with %+v", r)
 			}
 		} else if b.last(id) == nil {
-			t.Error("the request waits")
+			t.Error("the request waits, want a refusal or a dispatch")
 		}
 	}
 	t.Logf("%d refused", refused)
 }
 
-// TestNewestStatementOfALimitCounts has instances tell of a limit and of its end in any order.
+// TestNewestStatementOfALimitCounts guards against old reports that override newer ones:
+// instances report a limit and its end in any order.
 func TestNewestStatementOfALimitCounts(t *testing.T) {
 	limit := RateLimit{Limited: true, PerSecond: 1}
 	tests := []struct {
@@ -77,10 +78,10 @@
 		said []RateLimit
 		want bool
 	}{
-		{"the end comes late", []time.Duration{3 * time.Second, time.Second}, []RateLimit{limit, {}}, false},
-		{"the end overtakes", []time.Duration{time.Second, 3 * time.Second}, []RateLimit{{}, limit}, false},
+		{"the end is reported after the limit", []time.Duration{3 * time.Second, time.Second}, []RateLimit{limit, {}}, false},
+		{"the end overtakes the limit", []time.Duration{time.Second, 3 * time.Second}, []RateLimit{{}, limit}, false},
 		{"the limit is stated again", []time.Duration{3 * time.Second, 2 * time.Second, time.Second}, []RateLimit{limit, {}, limit}, true},
-		{"told too late", []time.Duration{limitReportPeriod + time.Second}, []RateLimit{limit}, false},
+		{"reported too late", []time.Duration{limitReportPeriod + time.Second}, []RateLimit{limit}, false},
 	}
 	for _, tt := range tests {
 		b := newHarness(t, Settings{})
@@ -95,25 +96,26 @@
 			t.Errorf("%s: limited %v", tt.name, s.limit.Limited)
 		}
 		if own := b.world.OwnLimits(); len(own) != 0 {
-			t.Errorf("%s: others' word is told as the own: %+v", tt.name, own)
+			t.Errorf("%s: limits that peers reported are among the own ones: %+v", tt.name, own)
 		}
 	}
 }
 
-// TestLimitIsOfOneProcess holds that a server which starts again under its id states its limit
-// anew.
+// TestLimitIsOfOneProcess guards against a limit that outlives its server's process: a server
+// that restarts under its id states its limit anew.
 func TestLimitIsOfOneProcess(t *testing.T) {
 	b := newLimitedHarness(t, 1, 1)
-	again := servers("shop", 1, 8)
-	again[0].StartTime = 2
-	b.tick(ServersListed{again})
+	restarted := servers("shop", 1, 8)
+	restarted[0].StartTime = 2
+	b.tick(ServersListed{restarted})
 	for range 8 {
 		b.dispatched(b.arrive(plainRoute(), nil))
 	}
 }
 
-// TestLimitedCanaryDoesNotHoldUpItsCallers has all servers of a new version limited: what the
-// canary may not take now goes to the old version.
+// TestLimitedCanaryDoesNotHoldUpItsCallers guards against callers in the canary's share that wait
+// because all servers of the new version are limited: what these may not take now goes to the old
+// version.
 func TestLimitedCanaryDoesNotHoldUpItsCallers(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
--- a/decision/passthrough/ratelimit_test.go
+++ b/decision/passthrough/ratelimit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// limitChanges lists what the world told of rate limits.
+// limitChanges lists the reported changes of rate limits.
 func limitChanges(b *harness) []RateLimitChanged {
 	var out []RateLimitChanged
 	for _, c := range b.allCommands {
@@ -16,8 +16,8 @@
 	return out
 }
 
-// TestLimitEndsWithAnAnswerToALaterRequest holds that an answer without a limit, which others with
-// one have overtaken, ends nothing.
+// TestLimitEndsWithAnAnswerToALaterRequest guards against ending a limit by a response without one
+// that was overtaken by a response that states it.
 func TestLimitEndsWithAnAnswerToALaterRequest(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
@@ -32,7 +32,7 @@
 	b.advance(50 * time.Millisecond)
 	later := b.arrive(plainRoute(), nil)
 	if !b.dispatched(later).Limit.Limited {
-		t.Error("a dispatch does not name the limit")
+		t.Error("the dispatch does not state the limit")
 	}
 	b.tick(AttemptEnded{Request: later, Result: Completed, Limit: &RateLimit{}})
 	if got := limitChanges(b); len(got) != 2 || got[1].Limit.Limited {
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestStreamStatesTheLimitWithItsHead holds that a limit is known long before the stream ends.
+// TestStreamStatesTheLimitWithItsHead guards against learning of a limit only when a stream ends.
 func TestStreamStatesTheLimitWithItsHead(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
--- a/decision/passthrough/requests_test.go
+++ b/decision/passthrough/requests_test.go
@@ -27,7 +27,7 @@
 		b.tick(AttemptEnded{Request: id, Result: result})
 		second := b.dispatched(id)
 		if second.Attempt != 2 || second.Server.ID == first.Server.ID {
-			t.Errorf("%v: sent again as attempt %d to %s", result, second.Attempt, second.Server.ID)
+			t.Errorf("%v: sent again as attempt %d to %s, want attempt 2 to another server", result, second.Attempt, second.Server.ID)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	id := b.arrive(plainRoute(), nil)
 	r := b.refused(id, ReasonNoServer)
 	if r.RetryAfter <= 0 || r.RetryAfter > 500*time.Millisecond {
-		t.Errorf("come back after %v, want within half of the time left", r.RetryAfter)
+		t.Errorf("retry after %v, want within half of the remaining time", r.RetryAfter)
 	}
 }
 
@@ -74,17 +74,17 @@
 	b.configure(plainRoute())
 	b.tick(ServersListed{servers("shop", 5, 6)})
 	const mark = 77
-	poison := func(r *Request) { r.Fingerprint = mark }
-	id := b.arrive(plainRoute(), poison)
+	crashing := func(r *Request) { r.Fingerprint = mark }
+	id := b.arrive(plainRoute(), crashing)
 	b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
 	b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
 	b.finished(id)
 	b.tick(PeerCrashes{Fingerprint: mark, Count: 1})
-	again := b.arrive(plainRoute(), poison)
+	again := b.arrive(plainRoute(), crashing)
 	b.refused(again, ReasonQuarantined)
 	b.advance(crashMemory + time.Second)
 	b.tick(ServersListed{servers("shop", 5, 6)})
-	b.dispatched(b.arrive(plainRoute(), poison))
+	b.dispatched(b.arrive(plainRoute(), crashing))
 }
 
 func TestAnswerClearsBrokenConnections(t *testing.T) {
@@ -124,22 +124,22 @@
 	}
 	for i := range marks {
 		if b.now.Sub(marks[i].at) < cfg.RetryWindow {
-			break // the window is not whole
+			break // the window is not complete
 		}
-		firsts, repeats := 0, 0
+		requests, retries := 0, 0
 		for _, m := range marks[i:] {
 			if m.at.Sub(marks[i].at) > cfg.RetryWindow {
 				break
 			}
 			if m.repeat {
-				repeats++
+				retries++
 			} else {
-				firsts++
+				requests++
 			}
 		}
-		// One part of the window is the error that the platform's own slack pays for.
-		if limit := 0.3*float64(firsts)*(1+2.0/budgetBuckets) + 2*cfg.RetrySlack + 1; float64(repeats) > limit {
-			t.Fatalf("%d repeats for %d requests from mark %d on, want at most %.1f", repeats, firsts, i, limit)
+		// The error of one bucket of the window is covered by the platform's slack.
+		if limit := 0.3*float64(requests)*(1+2.0/budgetBuckets) + 2*cfg.RetrySlack + 1; float64(retries) > limit {
+			t.Fatalf("%d retries for %d requests in the window from mark %d, want at most %.1f", retries, requests, i, limit)
 		}
 	}
 }
@@ -156,27 +156,28 @@
 	b := newHarness(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 23, RetryWindow: 10 * time.Second})
 	b.configure(plainRoute())
 	b.tick(ServersListed{servers("shop", 40, 50)}, FleetSize{Instances: 10})
-	repeats := 0
+	retries := 0
 	for range 30 {
 		id := b.arrive(plainRoute(), nil)
 		b.tick(AttemptEnded{Request: id, Result: Failed})
 		if d, ok := b.last(id).(Dispatch); ok && d.Attempt == 2 {
-			repeats++
+			retries++
 		}
 	}
-	if repeats != 2 { // 23 for ten instances, and a part for those not counted yet
-		t.Errorf("%d repeats, want this instance's part of the slack", repeats)
+	if retries != 2 { // 23 for ten instances, less a margin for those not counted yet
+		t.Errorf("%d retries, want this instance's part of the slack, 2", retries)
 	}
 }
 
-// TestWhatMayHaveRun holds that the edge and the world go by one word: an answer that was
-// dropped for its engine's doubt has run, and must not be refused as not run.
+// TestWhatMayHaveRun guards against refusing a request as not run that may have run: edge
+// and world share this definition, and a response that was dropped for its low confidence
+// has run.
 func TestWhatMayHaveRun(t *testing.T) {
 	for result, want := range map[Result]bool{
 		Completed: true, Failed: true, Broken: true, Dropped: true, NotSent: false, Rejected: false,
 	} {
 		if result.MayHaveRun() != want {
-			t.Errorf("%v: %v", result, !want)
+			t.Errorf("%v: may have run: %v", result, !want)
 		}
 	}
 }
--- a/decision/passthrough/rollout_load_test.go
+++ b/decision/passthrough/rollout_load_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// simRollout is a roll-out that the sim plays beside its load. The instances' counts are
-// pooled with the lag that they have in operation.
+// simRollout is a roll-out simulated under load. The instances' observations are pooled with the
+// delay that they have in operation.
 type simRollout struct {
 	sim   *sim
 	order Order
 	start time.Time
-	// share of the new version's answers take by times as long; none where by is 0.
+	// The fraction share of the new version's responses takes factor times as long; none if
+	// factor is 0.
 	share, factor float64
 
 	pending   []simObserved
@@ -22,8 +23,8 @@
 	plannedAt time.Time
 	end       Phase
 	endedAt   time.Time
-	// bad are the ends of slow answers of the new version, late the requests that it got
-	// longer than the bound after the 50th.
+	// bad are the ends of slow responses of the new version. overBound counts the requests that
+	// it got more than simBound after the 50th of them, requests all that it got.
 	bad       []time.Time
 	overBound int
 	requests  int
@@ -36,9 +37,9 @@
 }
 
 const (
-	// simLag is how long after an answer all instances count it: a write and a read.
+	// simLag is how long after a response all instances count it: a write and a read.
 	simLag = 2 * time.Second
-	// simBound is how long after its 50th bad answer a bad version may get requests.
+	// simBound is how long after its 50th bad response a bad version may get requests.
 	simBound    = 5 * time.Second
 	simBadLimit = 50
 )
@@ -47,10 +48,10 @@
 func (s *sim) startRollout(ro *simRollout) {
 	list := servers("llm", simEngines, simSlots)
 	for i := range simEngines {
-		fresh := list[i]
-		fresh.ID, fresh.Version = fmt.Sprint("new-", i), "v2"
-		s.engines[fresh.ID] = &simEngine{}
-		list = append(list, fresh)
+		added := list[i]
+		added.ID, added.Version = fmt.Sprint("new-", i), "v2"
+		s.engines[added.ID] = &simEngine{}
+		list = append(list, added)
 	}
 	for _, b := range s.benches {
 		b.tick(ServersListed{list})
@@ -60,7 +61,7 @@
 	s.rollout = ro
 }
 
-// sent notes a dispatch, and draws whether the engine is slow with it.
+// sent records a dispatch, and draws whether the engine is slow with it.
 func (ro *simRollout) sent(j *simJob) {
 	if j.version != ro.order.Target {
 		return
@@ -86,7 +87,7 @@
 	ro.pending = append(ro.pending, simObserved{ro.sim.now, o})
 }
 
-// step plans anew, as each instance does.
+// step updates the plan, as each instance does.
 func (ro *simRollout) step() {
 	const every = 400 * time.Millisecond
 	now := ro.sim.now
@@ -112,8 +113,8 @@
 	}
 }
 
-// playRollout plays a roll-out of 20 s under so many times the load that the engines bear,
-// which begins a second before the order and lasts for 14 s.
+// playRollout simulates a roll-out of 20 s under load times what the engines can bear; that load
+// begins a second before the order and lasts for 14 s.
 func playRollout(t *testing.T, seed uint64, load, share, factor float64) *simRollout {
 	s := newSim(t, 3, []simCallerKind{{team: "a", rate: simCapacity}})
 	s.setSeed(seed)
@@ -126,11 +127,11 @@
 	return ro
 }
 
-// slowKinds are versions that are slow in a part of their answers.
+// slowVersions are versions that are slow in part of their responses.
 var slowVersions = []struct{ share, by float64 }{{0.4, 8}, {0.6, 6}, {0.9, 4}, {0.5, 5}}
 
-// checkSlowVersions plays slow versions at a load. A bad version must not be completed, nor get
-// requests later than the bound after its 50th bad answer.
+// checkSlowVersions simulates slow versions at a load. A bad version must not be completed, nor
+// get requests later than simBound after its 50th bad response.
 func checkSlowVersions(t *testing.T, load float64) {
 	t.Helper()
 	for _, kind := range slowVersions {
@@ -144,28 +145,28 @@
 			}
 		}
 		if completed > 0 || late > 0 {
-			t.Errorf("load %.1f, %.0f in 100 slow by %.0f: %d of %d completed, %d requests too late",
+			t.Errorf("load %.1f, %.0f in 100 responses %.0f times as slow: %d of %d versions completed, %d requests too late",
 				load, 100*kind.share, kind.by, completed, seeds, late)
 		}
 	}
 }
 
-// TestSlowVersionIsFoundUnderOverload plays slow versions under loads at which the old one
-// is slow itself.
+// TestSlowVersionIsFoundUnderOverload guards against completing a slow version under loads at
+// which the old one is slow itself.
 func TestSlowVersionIsFoundUnderOverload(t *testing.T) {
 	for _, load := range simLoads {
 		checkSlowVersions(t, load)
 	}
 }
 
-// TestSlowVersionIsFoundAtTwelveTimesTheLoad is the same at twice what the engines bear with the
-// small model alone: 50 slow answers take the canary less than two seconds there.
+// TestSlowVersionIsFoundAtTwelveTimesTheLoad is the same at twice what the engines can bear with
+// the small model alone: there the canary gives 50 slow responses in less than two seconds.
 func TestSlowVersionIsFoundAtTwelveTimesTheLoad(t *testing.T) {
 	checkSlowVersions(t, 12)
 }
 
-// TestGoodVersionOutlastsABurst plays good versions under the same loads: none may be taken
-// back, and all are completed once the load is usual again.
+// TestGoodVersionOutlastsABurst guards against reverting good versions under the same loads: all
+// must be completed once the load is usual again.
 func TestGoodVersionOutlastsABurst(t *testing.T) {
 	for _, load := range simLoads {
 		const seeds = 3
@@ -181,12 +182,12 @@
 				late++
 			}
 		}
-		t.Logf("load %.1f: %d of %d taken back, %d open, %d completed late", load, reverted, seeds, open, late)
+		t.Logf("load %.1f: %d of %d reverted, %d open, %d completed late", load, reverted, seeds, open, late)
 		if reverted > 0 || open > 0 {
-			t.Errorf("load %.1f: %d of %d good versions taken back, %d open", load, reverted, seeds, open)
+			t.Errorf("load %.1f: %d of %d good versions reverted, %d open", load, reverted, seeds, open)
 		}
 	}
 }
 
-// simLoads are what is asked for during a roll-out, as multiples of what the engines bear.
+// simLoads are the loads during a roll-out, as multiples of what the engines can bear.
 var simLoads = []float64{0.5, 1.5, 3, 6}
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -29,13 +29,13 @@
 			t.Errorf("%v bad %v: phase %v, first half %v", tt.at, tt.bad, r.Phase, r.FirstHalf)
 		}
 		if r.Phase == PhaseCanary && r.Share > limit.Share {
-			t.Errorf("canary gets %v of %v", r.Share, limit.Share)
+			t.Errorf("the canary gets a share of %v, allowed %v", r.Share, limit.Share)
 		}
 	}
 }
 
-// TestExposureStaysInItsLimit plays roll-outs of versions that never show a bad answer, and
-// holds what they get up to the deadline against the limit.
+// TestExposureStaysInItsLimit guards against giving a version more requests than the limit up to
+// the deadline, for versions that never show a bad response.
 func TestExposureStaysInItsLimit(t *testing.T) {
 	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
 	for _, duration := range []time.Duration{12 * time.Second, 16 * time.Second, 24 * time.Second, 60 * time.Second} {
@@ -52,7 +52,7 @@
 			b.tick(Configured{NewIndex(c)}, ServersListed{list})
 			o := Order{Service: "llm", Target: "v2", Duration: duration}
 			start := b.now
-			var fresh, old Counts
+			var newCounts, oldCounts Counts
 			type job struct {
 				id    RequestID
 				until time.Time
@@ -61,7 +61,7 @@
 			step := time.Second / time.Duration(perSecond)
 			for i := 0; b.now.Sub(start) < duration; i++ {
 				elapsed := b.now.Sub(start)
-				b.tick(RolloutUpdated{PlanRollout(o, b.now, elapsed, limit, fresh, old, false)})
+				b.tick(RolloutUpdated{PlanRollout(o, b.now, elapsed, limit, newCounts, oldCounts, false)})
 				keep := jobs[:0]
 				for _, j := range jobs {
 					if j.until.After(b.now) {
@@ -77,19 +77,19 @@
 				}
 				id := b.arrive(route, func(r *Request) { r.RolloutPosition = float64(i*37%100) / 100 })
 				if b.dispatched(id).Server.Version == "v2" {
-					fresh.Good++
+					newCounts.Good++
 				} else {
-					old.Good++
+					oldCounts.Good++
 				}
 				jobs = append(jobs, job{id, b.now.Add(took)})
 				b.advance(step)
 			}
-			total := float64(fresh.Total() + old.Total())
-			if most := limit.Share*total + limit.Tolerance; float64(fresh.Total()) > most {
-				t.Errorf("%v at %d a second: the new version got %d of %.0f, allowed %.0f", duration, perSecond, fresh.Total(), total, most)
+			total := float64(newCounts.Total() + oldCounts.Total())
+			if allowed := limit.Share*total + limit.Tolerance; float64(newCounts.Total()) > allowed {
+				t.Errorf("%v at %d requests per second: the new version got %d of %.0f, allowed %.0f", duration, perSecond, newCounts.Total(), total, allowed)
 			}
-			if fresh.Total() < int(0.04*total) {
-				t.Errorf("%v at %d a second: the new version got %d of %.0f", duration, perSecond, fresh.Total(), total)
+			if newCounts.Total() < int(0.04*total) {
+				t.Errorf("%v at %d requests per second: the new version got only %d of %.0f", duration, perSecond, newCounts.Total(), total)
 			}
 		}
 	}
@@ -101,9 +101,9 @@
 		fresh, old Counts
 		want       bool
 	}{
-		{"nothing seen", Counts{}, Counts{}, false},
+		{"no responses", Counts{}, Counts{}, false},
 		{"a few failures", Counts{Good: 3, Bad: 4}, Counts{Good: 100}, false},
-		{"all fail and nothing is seen of the old one", Counts{Bad: 8}, Counts{}, true},
+		{"all fail and the old version has no responses", Counts{Bad: 8}, Counts{}, true},
 		{"half fail", Counts{Good: 6, Bad: 6}, Counts{Good: 100, Bad: 2}, true},
 		{"a third fails late", Counts{Good: 30, Bad: 14}, Counts{Good: 400, Bad: 8}, true},
 		{"both fail alike", Counts{Good: 20, Bad: 6}, Counts{Good: 200, Bad: 60}, false},
@@ -116,38 +116,40 @@
 	}
 }
 
-// TestFaultsDoNotHideAFailingVersion holds that a version which fails 45 of 82 answers is bad,
-// though a fault has cut off a quarter of the old version's: counts of both kinds in one.
+// TestFaultsDoNotHideAFailingVersion guards against excusing a version that fails 45 of 82
+// responses because a fault has cut off a quarter of the old version's: failures and cut-off
+// responses are in the same counts.
 func TestFaultsDoNotHideAFailingVersion(t *testing.T) {
 	if !IsBad(Counts{Good: 32, Bad: 50}, Counts{Good: 2400, Bad: 870}) {
-		t.Error("a version that fails half of its answers passes beside an old one that a fault strikes")
+		t.Error("a version that fails half of its responses is not judged bad while a fault affects the old one")
 	}
 }
 
-// TestVerdictOutlastsAFaultOfTheOldVersion holds that a version which was found bad is not let in again
-// since the old one's answers are cut off too: it gets nothing that could clear it.
+// TestVerdictOutlastsAFaultOfTheOldVersion guards against giving a bad version requests again
+// because the old version's responses are cut off too: the bad one gets nothing that could clear
+// it.
 func TestVerdictOutlastsAFaultOfTheOldVersion(t *testing.T) {
 	var e Evidence
 	now := testStart
-	look := func(fresh, old Counts) bool {
+	evaluate := func(newCounts, oldCounts Counts) bool {
 		now = now.Add(400 * time.Millisecond)
-		return e.Evaluate(now, map[string]VersionCounts{"route": {New: fresh, Old: old}})
+		return e.Evaluate(now, map[string]VersionCounts{"route": {New: newCounts, Old: oldCounts}})
 	}
-	if look(Counts{Good: 20, Bad: 2}, Counts{Good: 800, Bad: 10}) {
-		t.Fatal("bad by two of 22 answers")
+	if evaluate(Counts{Good: 20, Bad: 2}, Counts{Good: 800, Bad: 10}) {
+		t.Fatal("judged bad by two bad responses of 22")
 	}
-	if !look(Counts{Good: 30, Bad: 30}, Counts{Good: 1000, Bad: 20}) {
-		t.Fatal("not bad by half of the answers")
+	if !evaluate(Counts{Good: 30, Bad: 30}, Counts{Good: 1000, Bad: 20}) {
+		t.Fatal("not judged bad though half of the responses are bad")
 	}
 	for i := range 40 {
-		if !look(Counts{Good: 30, Bad: 30}, Counts{Good: 1000, Bad: 20 + 100*i}) {
-			t.Fatalf("let in again after %v", now.Sub(testStart))
+		if !evaluate(Counts{Good: 30, Bad: 30}, Counts{Good: 1000, Bad: 20 + 100*i}) {
+			t.Fatalf("no longer judged bad after %v", now.Sub(testStart))
 		}
 	}
 }
 
-// TestSilenceIsNoEvidenceOnAVersion holds that answers given up in an overload, which
-// strike every version, do not hide a bad one.
+// TestSilenceIsNoEvidenceOnAVersion guards against hiding a bad version behind attempts that time
+// out in an overload, which affects every version.
 func TestSilenceIsNoEvidenceOnAVersion(t *testing.T) {
 	b := newHarness(t, Settings{})
 	b.configure(streamRoute())
@@ -157,7 +159,7 @@
 	b.tick(AttemptEnded{Request: id, Result: Broken})
 	for _, c := range b.allCommands {
 		if o, ok := c.(Observation); ok && o.Bad {
-			t.Fatalf("silence was told as bad: %+v", o)
+			t.Fatalf("a timeout was reported as bad: %+v", o)
 		}
 	}
 	b.tick(AttemptEnded{Request: id, Result: Failed})
@@ -168,12 +170,13 @@
 		}
 	}
 	if bad != 1 {
-		t.Errorf("%d bad answers told, want the failure alone", bad)
+		t.Errorf("%d bad responses reported, want only the failure", bad)
 	}
 }
 
-// TestLongPromptsDoNotMakeAVersionSlow holds for times to a first event as good versions had
-// them: eight answers of one route, some with long prompts on a cold cache.
+// TestLongPromptsDoNotMakeAVersionSlow guards against reverting good versions by their times to the
+// first event: eight responses of one route, some with long prompts and a cold cache. The ratios
+// are like those that good versions had.
 func TestLongPromptsDoNotMakeAVersionSlow(t *testing.T) {
 	for _, ratios := range [][]float64{{2, 3, 9, 2.5, 6, 4, 2, 3}, {1, 12, 8, 2, 9, 1.5, 3, 5, 2, 4, 1, 2}} {
 		var c Counts
@@ -189,73 +192,73 @@
 		slow = slow.Add(Observation{EventInterval: singleRatio(ratio)})
 	}
 	if !IsBad(slow, Counts{Good: 100}) {
-		t.Error("five answers at three and a half times the pace were not enough")
+		t.Error("not judged bad by five responses with three and a half times the event interval")
 	}
 }
 
-// TestVersionThatEndsNothingIsFound holds for a version whose streams do not end within the
-// roll-out: the pace of their first events is told.
+// TestVersionThatEndsNothingIsFound guards against completing a version whose streams are so slow
+// that none ends within the roll-out: the intervals of their first events are reported.
 func TestVersionThatEndsNothingIsFound(t *testing.T) {
 	b := newRolloutHarness(t)
 	b.tick(canaryUpdate(true))
-	var told Counts
-	take := func(out []Command) {
+	var reported Counts
+	collect := func(out []Command) {
 		for _, c := range out {
 			if o, ok := c.(Observation); ok && o.Version == "v2" {
-				told = told.Add(o)
+				reported = reported.Add(o)
 			}
 		}
 	}
 	for i := range 24 {
 		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.9 })
-		take(b.tick(EventIntervalMeasured{Request: id, EventInterval: 40 * time.Millisecond}))
-		take(b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: 40 * time.Millisecond}))
-		if i%4 == 3 { // these go on and on
+		collect(b.tick(EventIntervalMeasured{Request: id, EventInterval: 40 * time.Millisecond}))
+		collect(b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: 40 * time.Millisecond}))
+		if i%4 == 3 { // these never end
 			id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.1 })
-			take(b.tick(EventIntervalMeasured{Request: id, EventInterval: 400 * time.Millisecond}))
+			collect(b.tick(EventIntervalMeasured{Request: id, EventInterval: 400 * time.Millisecond}))
 		}
 	}
-	if told.Total() != 0 || told.EventInterval.N != 6 {
-		t.Errorf("told %+v, want paces alone", told)
+	if reported.Total() != 0 || reported.EventInterval.N != 6 {
+		t.Errorf("reported %+v, want only event intervals", reported)
 	}
-	if !IsBad(told, Counts{Good: 24}) {
-		t.Error("six streams at ten times the pace were not enough")
+	if !IsBad(reported, Counts{Good: 24}) {
+		t.Error("not judged bad by six streams with ten times the event interval")
 	}
 }
 
-// one is the shift of a single ratio.
+// singleRatio returns the statistics of a single ratio.
 func singleRatio(ratio float64) LogRatioStats {
 	var s LogRatioStats
 	s.add(math.Log(ratio))
 	return s
 }
 
-// slowBench runs answers of the old and the new version and returns what was told of the
+// playTimes runs responses of the old and the new version, and returns the counts reported for the
 // new one.
-func playTimes(t *testing.T, fresh func(i int) (first, pace time.Duration)) Counts {
+func playTimes(t *testing.T, newTimes func(i int) (first, pace time.Duration)) Counts {
 	b := newRolloutHarness(t)
 	b.tick(canaryUpdate(true))
-	var told Counts
+	var reported Counts
 	run := func(share float64, first, pace time.Duration) {
 		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = share })
 		b.advance(first)
 		b.tick(FirstByte{Request: id, After: first})
 		for _, c := range b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: pace}) {
 			if o, ok := c.(Observation); ok && o.Version == "v2" {
-				told = told.Add(o)
+				reported = reported.Add(o)
 			}
 		}
 	}
 	for i := range 60 {
-		// Times to a first event spread sixfold, by the length of prompts.
+		// Times to a first event vary sixfold, with the length of prompts.
 		spread := time.Duration(1 + i%6)
 		run(0.9, 50*time.Millisecond*spread, 40*time.Millisecond)
 		if i%4 == 0 {
-			first, pace := fresh(i)
+			first, pace := newTimes(i)
 			run(0.1, first*spread, pace)
 		}
 	}
-	return told
+	return reported
 }
 
 func TestSlowVersionIsFoundBySpreadTimes(t *testing.T) {
@@ -264,24 +267,25 @@
 		first, pace time.Duration
 		want        bool
 	}{
-		{"like the old one", 50 * time.Millisecond, 40 * time.Millisecond, false},
+		{"like the old version", 50 * time.Millisecond, 40 * time.Millisecond, false},
 		{"cold cache", 90 * time.Millisecond, 45 * time.Millisecond, false},
 		{"eight times as slow", 400 * time.Millisecond, 320 * time.Millisecond, true},
-		{"three times as slow between events", 50 * time.Millisecond, 120 * time.Millisecond, true},
+		{"three times the event interval", 50 * time.Millisecond, 120 * time.Millisecond, true},
 	}
 	for _, tt := range tests {
-		told := playTimes(t, func(int) (time.Duration, time.Duration) { return tt.first, tt.pace })
-		if got := IsBad(told, Counts{Good: 60}); got != tt.want {
-			t.Errorf("%s: judged bad %v, want %v: %+v", tt.name, got, tt.want, told)
+		reported := playTimes(t, func(int) (time.Duration, time.Duration) { return tt.first, tt.pace })
+		if got := IsBad(reported, Counts{Good: 60}); got != tt.want {
+			t.Errorf("%s: judged bad %v, want %v: %+v", tt.name, got, tt.want, reported)
 		}
 	}
 }
 
-// TestLittleSeenOfABadVersionIsEnoughAtTheEnd holds that two bad answers of seven stop a
-// completion, and that one alone, or a usual share of many, does not.
+// TestLittleSeenOfABadVersionIsEnoughAtTheEnd guards against completing a version of which little
+// is known: two bad responses of seven stop a completion; one alone, or a usual fraction of many,
+// does not.
 func TestLittleSeenOfABadVersionIsEnoughAtTheEnd(t *testing.T) {
 	order, limit := Order{Duration: 8 * time.Second}, ExposureLimit{Share: 0.2, Tolerance: 30}
-	old := Counts{Good: 115}
+	oldCounts := Counts{Good: 115}
 	cases := []struct {
 		fresh Counts
 		want  Phase
@@ -293,22 +297,22 @@
 		{Counts{Good: 60, Bad: 4}, PhaseCompleted},
 	}
 	for _, c := range cases {
-		if got := PlanRollout(order, testStart, order.Duration, limit, c.fresh, old, IsBad(c.fresh, old)); got.Phase != c.want {
+		if got := PlanRollout(order, testStart, order.Duration, limit, c.fresh, oldCounts, IsBad(c.fresh, oldCounts)); got.Phase != c.want {
 			t.Errorf("%+v: phase %v, want %v", c.fresh, got.Phase, c.want)
 		}
-		if got := PlanRollout(order, testStart, order.Duration/2, limit, c.fresh, old, IsBad(c.fresh, old)); got.Phase != PhaseCanary {
+		if got := PlanRollout(order, testStart, order.Duration/2, limit, c.fresh, oldCounts, IsBad(c.fresh, oldCounts)); got.Phase != PhaseCanary {
 			t.Errorf("%+v: phase %v halfway", c.fresh, got.Phase)
 		}
 	}
 }
 
-// TestVersionInDoubtIsHeld holds that a version which looks slow, but not beyond chance, is
-// neither completed nor taken back at the end, and gets nothing more once it may have given all
-// the bad answers that are borne.
+// TestVersionInDoubtIsHeld guards against a wrong verdict on a version that looks slow, but not
+// beyond chance: at the end it is neither completed nor reverted, and it gets no more requests once
+// it may have given all the bad responses that are tolerated.
 func TestVersionInDoubtIsHeld(t *testing.T) {
 	order, limit := Order{Duration: 20 * time.Second}, ExposureLimit{Share: 0.1, Tolerance: 30}
-	old := Counts{Good: 4000}
-	// The paces are e^0.55 = 1.7 times the usual in the mean, and spread.
+	oldCounts := Counts{Good: 4000}
+	// The intervals are e^0.55 = 1.7 times the usual ones in the mean, and spread.
 	doubtful := func(n int) Counts {
 		var c Counts
 		for i := range n {
@@ -332,17 +336,17 @@
 		{"at the end", doubtful(30), order.Duration, true, true, PhaseCanary},
 		{"long after it", doubtful(30), 3 * order.Duration, true, true, PhaseCanary},
 		{"before the end", doubtful(30), order.Duration / 2, false, true, PhaseCanary},
-		{"with all borne", doubtful(90), order.Duration / 2, false, false, PhaseCanary},
-		{"with all borne, at the end", doubtful(90), order.Duration, true, false, PhaseCanary},
-		{"nothing seen of its pace", Counts{Good: 30}, order.Duration, false, true, PhaseCompleted},
+		{"with all tolerated", doubtful(90), order.Duration / 2, false, false, PhaseCanary},
+		{"with all tolerated, at the end", doubtful(90), order.Duration, true, false, PhaseCanary},
+		{"no event intervals", Counts{Good: 30}, order.Duration, false, true, PhaseCompleted},
 	}
 	for _, c := range cases {
-		got := PlanRollout(order, testStart, c.at, limit, c.fresh, old, false)
+		got := PlanRollout(order, testStart, c.at, limit, c.fresh, oldCounts, false)
 		if got.Phase != c.phase || got.Held != c.held || (got.Share > 0) != c.share {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 		if c.phase == PhaseCanary && !got.CompleteAt.IsZero() {
-			t.Errorf("%s: requests lead over to a version in doubt", c.name)
+			t.Errorf("%s: requests switch early to a version in doubt", c.name)
 		}
 	}
 }
--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The limits of the tests' cold servers: 15 requests in a second from all instances.
+// The limits of the tests' servers in slow start: 15 requests in a second from all instances.
 const (
 	testSlowStartDuration = 3 * time.Second
 	testSlowStartRate     = 6.9
@@ -16,28 +16,29 @@
 	testSlowStartLimit    = testSlowStartRate*testSlowStartBurst + testSlowStartSlack
 )
 
-// warmUpConfig has a service whose servers start cold.
+// slowStartConfig has a service whose servers need a slow start.
 func slowStartConfig() Config {
 	return Config{Version: 1, Routes: []Route{*streamRoute()},
 		Services: []Service{{Name: "llm", Slots: 1000, SlowStartDuration: testSlowStartDuration, SlowStartRate: testSlowStartRate}}}
 }
 
-// newWarmUpBench is an instance in failure domain "a" with so many neighbours, itself among them.
-func newSlowStartHarness(t *testing.T, self string, neighbours int) (*harness, []string) {
+// newSlowStartHarness is an instance in failure domain "a" with the given number of neighbours,
+// itself included.
+func newSlowStartHarness(t *testing.T, self string, count int) (*harness, []string) {
 	t.Helper()
 	b := newHarness(t, Settings{
 		Seed: 1, Domain: "a", Domains: []string{"a", "b", "c"}, SlowStartBurst: testSlowStartBurst, SlowStartSlack: testSlowStartSlack,
 		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second,
 	})
 	var names []string
-	for i := range neighbours {
+	for i := range count {
 		names = append(names, fmt.Sprintf("i%d", i))
 	}
 	b.tick(Configured{NewIndex(slowStartConfig())}, Neighbours{Self: self, Names: names})
 	return b, names
 }
 
-// cold says of servers that they have just started.
+// inSlowStart makes servers that have just started.
 func inSlowStart(list []Server) []Server {
 	for i := range list {
 		list[i].SlowStartRemaining = testSlowStartDuration
@@ -45,48 +46,49 @@
 	return list
 }
 
-func TestFeedQuotaKeepsTheBound(t *testing.T) {
+func TestSlowStartQuotaKeepsTheBound(t *testing.T) {
 	for _, rate := range []float64{0, 0.4, 1, 2, 3.3, 6.9, 20, 100} {
 		for _, burst := range []float64{1, 1.5, 3} {
-			most := rate*burst + testSlowStartSlack
-			subset, quota := slowStartQuota(rate, most)
+			maxPerSecond := rate*burst + testSlowStartSlack
+			subset, quota := slowStartQuota(rate, maxPerSecond)
 			if subset < 1 || quota < 1 {
 				t.Errorf("rate %v: a subset of %d, %d each", rate, subset, quota)
 			}
-			if got := float64(maxSubsetViews * subset * quota); got > most {
-				t.Errorf("rate %v, burst %v: %v requests in a second, %v are borne", rate, burst, got, most)
+			if got := float64(maxSubsetViews * subset * quota); got > maxPerSecond {
+				t.Errorf("rate %v, burst %v: %v requests in a second, allowed %v", rate, burst, got, maxPerSecond)
 			}
 		}
 	}
 }
 
-// TestColdServerUnderViewsThatDiffer plays a burst of all instances at one cold server. Some
-// instances know of neighbours that others do not know yet, or no more.
+// TestColdServerUnderViewsThatDiffer guards against overloading a server in slow start when
+// instances disagree on the subset: some know neighbours that others do not know yet, or know no
+// more. All instances send a burst.
 func TestColdServerUnderViewsThatDiffer(t *testing.T) {
 	fleets := []struct{ instances, domains int }{{8, 3}, {58, 3}, {300, 5}, {880, 24}}
 	for _, f := range fleets {
 		for seed := range uint64(4) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			near := f.instances / f.domains
-			var worlds []*harness
-			for i := range near {
-				b, names := newSlowStartHarness(t, fmt.Sprintf("i%d", i), near)
+			neighbours := f.instances / f.domains
+			var harnesses []*harness
+			for i := range neighbours {
+				b, names := newSlowStartHarness(t, fmt.Sprintf("i%d", i), neighbours)
 				switch rng.IntN(3) {
-				case 0: // has not heard of those that started lately
-					names = append(names[:max(near*4/5, 1)], fmt.Sprintf("i%d", i))
+				case 0: // does not know those that started recently
+					names = append(names[:max(neighbours*4/5, 1)], fmt.Sprintf("i%d", i))
 				case 1: // remembers some that are gone
-					for j := range near / 5 {
+					for j := range neighbours / 5 {
 						names = append(names, fmt.Sprintf("gone%d", j))
 					}
 				}
 				b.tick(Neighbours{Self: fmt.Sprintf("i%d", i), Names: names})
 				b.tick(ServersListed{inSlowStart(inDomains(servers("llm", 1, 1000), "a"))})
-				worlds = append(worlds, b)
+				harnesses = append(harnesses, b)
 			}
 			most, feeding := 0, 0
 			for range 25 { // 2.5 s
 				sent := 0
-				for _, b := range worlds {
+				for _, b := range harnesses {
 					b.advance(100 * time.Millisecond)
 					for range 3 {
 						if _, ok := b.last(b.arrive(streamRoute(), nil)).(Dispatch); ok {
@@ -97,20 +99,21 @@
 				feeding += sent
 				most = max(most, sent)
 			}
-			if inSecond := maxInAnySecond(worlds); float64(inSecond) > testSlowStartLimit {
-				t.Errorf("%d instances, seed %d: %d requests in a second, %.1f are borne", f.instances, seed, inSecond, testSlowStartLimit)
+			if inSecond := maxInAnySecond(harnesses); float64(inSecond) > testSlowStartLimit {
+				t.Errorf("%d instances, seed %d: %d requests in a second, allowed %.1f", f.instances, seed, inSecond, testSlowStartLimit)
 			}
 			if feeding == 0 {
-				t.Errorf("%d instances, seed %d: nobody sends to the server", f.instances, seed)
+				t.Errorf("%d instances, seed %d: no instance sends to the server", f.instances, seed)
 			}
 		}
 	}
 }
 
-// inAnySecond is the most dispatches of all instances in any second, in steps of 100 ms.
-func maxInAnySecond(worlds []*harness) int {
+// maxInAnySecond is the largest number of dispatches of all instances in any second, in steps of
+// 100 ms.
+func maxInAnySecond(harnesses []*harness) int {
 	counts := map[int]int{}
-	for _, b := range worlds {
+	for _, b := range harnesses {
 		for _, at := range b.dispatchedAt {
 			counts[int(at.Sub(testStart)/(100*time.Millisecond))]++
 		}
@@ -127,7 +130,8 @@
 	return most
 }
 
-// TestOtherServersTakeWhatAColdOneMayNot holds that a cold server is no reason to refuse.
+// TestOtherServersTakeWhatAColdOneMayNot guards against refusals for the sake of one server in
+// slow start.
 func TestOtherServersTakeWhatAColdOneMayNot(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 3, 100)
@@ -138,8 +142,8 @@
 	}
 }
 
-// TestAllServersCold holds that, where all servers of the service are cold, what waits has its
-// turn as they may get more, and by rank.
+// TestAllServersCold guards against requests that are refused or overtaken when all servers of a
+// service are in slow start: they are dispatched as the quota allows, by priority.
 func TestAllServersCold(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	b.tick(ServersListed{inSlowStart(servers("llm", 1, 100))})
@@ -157,18 +161,19 @@
 	b.dispatched(low)
 }
 
-// TestNobodyFeedsWithoutKnowingItsNeighbours holds that an instance which has just started, and
-// may be one of hundreds, refuses at once and says when to come back.
-func TestNobodyFeedsWithoutKnowingItsNeighbours(t *testing.T) {
+// TestSlowStartNeedsKnownNeighbours guards against an instance that sends to servers in slow start
+// without knowing its neighbours, as it may be one of hundreds: it refuses at once with a time to
+// retry after. One that knows them sends to some of the servers only.
+func TestSlowStartNeedsKnownNeighbours(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "late", 1)
 	b.tick(Neighbours{Self: "late", Names: []string{"i0", "i1", "i2", "i3", "i4", "i5", "i6", "i7", "late"}})
-	fed, refused := 0, 0
+	sent, refused := 0, 0
 	for i := range 40 {
 		s := inSlowStart(servers("llm", i+1, 8))[i:]
 		b.tick(ServersListed{s})
 		switch c := b.last(b.arrive(streamRoute(), nil)).(type) {
 		case Dispatch:
-			fed++
+			sent++
 		case Refuse:
 			refused++
 			if c.Reason != ReasonWarmingUp || c.RetryAfter <= 0 {
@@ -176,17 +181,17 @@
 			}
 		}
 	}
-	if fed == 0 || fed > 25 {
-		t.Errorf("feeds %d of 40 servers, refuses at %d", fed, refused)
+	if sent == 0 || sent > 25 {
+		t.Errorf("sends to %d of 40 servers, refuses at %d", sent, refused)
 	}
-	fresh := newHarness(t, Settings{Seed: 1, Domain: "a", SlowStartBurst: testSlowStartBurst, SlowStartSlack: testSlowStartSlack,
+	unaware := newHarness(t, Settings{Seed: 1, Domain: "a", SlowStartBurst: testSlowStartBurst, SlowStartSlack: testSlowStartSlack,
 		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
-	fresh.tick(Configured{NewIndex(slowStartConfig())}, ServersListed{inSlowStart(servers("llm", 1, 8))})
-	fresh.refused(fresh.arrive(streamRoute(), nil), ReasonWarmingUp)
+	unaware.tick(Configured{NewIndex(slowStartConfig())}, ServersListed{inSlowStart(servers("llm", 1, 8))})
+	unaware.refused(unaware.arrive(streamRoute(), nil), ReasonWarmingUp)
 }
 
-// TestServerIsWarmInTheEnd holds that the limit ends with the time that the entry gave, also
-// where the same entry is read again and again.
+// TestServerIsWarmInTheEnd guards against a slow start that never ends because the same entry is
+// read again and again.
 func TestServerIsWarmInTheEnd(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	list := inSlowStart(servers("llm", 1, 100))
@@ -200,8 +205,8 @@
 	}
 }
 
-// TestRefusedConnectionCountsAsAStart holds that a server which could not be reached is fed slowly
-// from then on, before its entry says anything.
+// TestRefusedConnectionCountsAsAStart guards against a burst at a server that has restarted before
+// its entry says so: one that could not be reached enters slow start.
 func TestRefusedConnectionCountsAsAStart(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	b.tick(ServersListed{servers("llm", 1, 100)})
@@ -218,8 +223,8 @@
 	}
 }
 
-// TestLostDomainIsFedSlowly holds that three lost servers of a failure domain stand for all of it,
-// unless others there still answer.
+// TestLostDomainIsFedSlowly guards against a burst at servers of a failure domain that restarts:
+// three lost servers stand for all of it, unless others there still respond.
 func TestLostDomainIsFedSlowly(t *testing.T) {
 	for _, answers := range []bool{false, true} {
 		b, _ := newSlowStartHarness(t, "i0", 1)
@@ -237,27 +242,28 @@
 			}
 			b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
 		}
-		cooled := 0
+		inSlowStart := 0
 		for _, s := range b.world.servers {
 			if s.inSlowStart(b.now) {
-				cooled++
+				inSlowStart++
 			}
 		}
-		if all := cooled == 6; all == answers {
-			t.Errorf("others answer: %v; %d of 6 servers are taken for cold", answers, cooled)
+		if all := inSlowStart == 6; all == answers {
+			t.Errorf("others respond: %v; %d of 6 servers are in slow start", answers, inSlowStart)
 		}
 	}
 }
 
-// TestRestartUnderTheSameIDIsCold holds that an entry with a later start is one of a cold server.
+// TestRestartUnderTheSameIDIsCold guards against a burst at a server that restarted under its id:
+// an entry with a later start puts it in slow start.
 func TestRestartUnderTheSameIDIsCold(t *testing.T) {
 	b, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 1, 8)
 	b.tick(ServersListed{list})
-	again := servers("llm", 1, 8)
-	again[0].StartTime = 2
-	b.tick(ServersListed{again})
+	restarted := servers("llm", 1, 8)
+	restarted[0].StartTime = 2
+	b.tick(ServersListed{restarted})
 	if s := b.world.servers[list[0].ID]; !s.inSlowStart(b.now) || s.inSlowStart(b.now.Add(testSlowStartDuration)) {
-		t.Errorf("cold until %v", s.slowStart.until)
+		t.Errorf("in slow start until %v", s.slowStart.until)
 	}
 }
