--- a/decision/passthrough/budget.go
+++ b/decision/passthrough/budget.go
@@ -72,22 +72,22 @@
 
 // Remaining is the number of retries that are allowed now.
 func (b *RetryBudget) Remaining(now time.Time) float64 {
-	repeats := 0
+	retries := 0
 	allowed := b.allowed(now)
 	for _, n := range b.retries {
-		repeats += n
+		retries += n
 	}
-	return allowed - float64(repeats)
+	return allowed - float64(retries)
 }
 
 // allowed is the number of retries that the window allows.
 func (b *RetryBudget) allowed(now time.Time) float64 {
 	b.advance(now)
-	firsts := 0
+	requests := 0
 	for _, n := range b.requests {
-		firsts += n
+		requests += n
 	}
-	return b.ratio*float64(firsts) + b.slack
+	return b.ratio*float64(requests) + b.slack
 }
 
 const (
--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -122,14 +122,14 @@
 // loses the largest model first, and that the headroom shrinks gradually.
 func TestTheLargestModelIsKeptForTheFirstRank(t *testing.T) {
 	for _, c := range []struct {
-		rank        int
-		taken, want float64
+		priority          int
+		utilization, want float64
 	}{
 		{0, 0.5, 1}, {0, 0.875, 0.5}, {0, 1, 0},
 		{1, 0.5, 1}, {1, 0.88, 0}, {2, 0.5, 1}, {2, 0.76, 0}, {9, 0.76, 0},
 	} {
-		if got := utilizationRamp.headroom(c.rank, c.taken); got < c.want-0.01 || got > c.want+0.01 {
-			t.Errorf("priority %d with utilization %v: headroom %v, want %v", c.rank, c.taken, got, c.want)
+		if got := utilizationRamp.headroom(c.priority, c.utilization); got < c.want-0.01 || got > c.want+0.01 {
+			t.Errorf("priority %d with utilization %v: headroom %v, want %v", c.priority, c.utilization, got, c.want)
 		}
 	}
 }
--- a/decision/passthrough/engine_test.go
+++ b/decision/passthrough/engine_test.go
@@ -24,9 +24,9 @@
 
 // simCallerKind is a kind of callers.
 type simCallerKind struct {
-	team string
-	rank int
-	rate float64
+	team     string
+	priority int
+	rate     float64
 	// retries is how often a refused caller retries at once, whatever it is told.
 	retries int
 }
@@ -35,7 +35,7 @@
 type simTally struct {
 	sent, inTarget, late, weak, refused, failed int
 	// hints are the retry-after times of refused callers.
-	hints []time.Duration
+	retryAfters []time.Duration
 }
 
 // credit is 1 for a good response in time, half for a late one, a twentieth for a weak one.
@@ -82,14 +82,14 @@
 
 // sim simulates callers, instances and engines on one clock.
 type sim struct {
-	rng      *rand.Rand
-	route    *Route
-	benches  []*harness
-	engines  map[string]*simEngine
-	kinds    []simCallerKind
-	tallies  []simTally
-	requests map[*harness]map[RequestID]*simRequest
-	handled  map[*harness]int
+	rng       *rand.Rand
+	route     *Route
+	instances []*harness
+	engines   map[string]*simEngine
+	kinds     []simCallerKind
+	tallies   []simTally
+	requests  map[*harness]map[RequestID]*simRequest
+	handled   map[*harness]int
 	// oldest is the first request that may still be open.
 	oldest map[*harness]RequestID
 	now    time.Time
@@ -124,7 +124,7 @@
 		c := Config{Version: 1, Services: []Service{{Name: "llm", Slots: simSlots}}, Routes: []Route{*s.route}}
 		b.tick(Configured{NewIndex(c)})
 		b.tick(ServersListed{list})
-		s.benches = append(s.benches, b)
+		s.instances = append(s.instances, b)
 		s.requests[b] = map[RequestID]*simRequest{}
 	}
 	return s
@@ -138,10 +138,10 @@
 	owed := make([]float64, len(s.kinds))
 	for until := s.now.Add(length); s.now.Before(until); {
 		s.now = s.now.Add(simStep)
-		for _, b := range s.benches {
+		for _, b := range s.instances {
 			b.now = s.now
 		}
-		for _, srv := range s.benches[0].world.services["llm"].servers {
+		for _, srv := range s.instances[0].world.services["llm"].servers {
 			s.stepEngine(s.engines[srv.ID])
 		}
 		s.timers()
@@ -167,11 +167,11 @@
 		return
 	}
 	s.sharedAt = s.now
-	own := make([][]PeerLoad, len(s.benches))
-	for i, b := range s.benches {
+	own := make([][]PeerLoad, len(s.instances))
+	for i, b := range s.instances {
 		own[i] = b.world.OwnLoads()
 	}
-	for i, b := range s.benches {
+	for i, b := range s.instances {
 		sums := map[uint32]PeerLoad{}
 		for j, rows := range own {
 			for _, row := range rows {
@@ -181,19 +181,19 @@
 				}
 			}
 		}
-		b.tick(PeerLoads{Loads: slices.Collect(maps.Values(sums)), Instances: len(s.benches) - 1})
+		b.tick(PeerLoads{Loads: slices.Collect(maps.Values(sums)), Instances: len(s.instances) - 1})
 		s.carryOut(b)
 	}
 }
 
-func (s *sim) arrive(kind, again int, hard bool) {
-	b := s.benches[s.rng.IntN(len(s.benches))]
+func (s *sim) arrive(kind, retries int, hard bool) {
+	b := s.instances[s.rng.IntN(len(s.instances))]
 	s.tallies[kind].sent++
-	r := &simRequest{kind: kind, hard: hard, retries: again, target: s.now.Add(s.route.TargetLatency), deadline: s.now.Add(s.route.Timeout), waiting: true}
+	r := &simRequest{kind: kind, hard: hard, retries: retries, target: s.now.Add(s.route.TargetLatency), deadline: s.now.Add(s.route.Timeout), waiting: true}
 	r.queueDeadline = s.now.Add(MaxQueueWait(&Request{TargetTime: r.target, Deadline: r.deadline}, s.now))
 	s.requests[b][b.next+1] = r
 	b.arrive(s.route, func(q *Request) {
-		q.Team, q.Priority, q.PromptTokens, q.MaxTokens = s.kinds[kind].team, s.kinds[kind].rank, s.tokens, 4*simEvents
+		q.Team, q.Priority, q.PromptTokens, q.MaxTokens = s.kinds[kind].team, s.kinds[kind].priority, s.tokens, 4*simEvents
 		q.PrefixHash, q.PrefixTokens = uint64(1+s.rng.IntN(200)), s.tokens/10
 		if s.rollout != nil {
 			q.RolloutPosition = s.rng.Float64()
@@ -204,7 +204,7 @@
 
 // timers ends expired queue waits and requests whose deadline has passed.
 func (s *sim) timers() {
-	for _, b := range s.benches {
+	for _, b := range s.instances {
 		for s.oldest[b] <= b.next && s.requests[b][s.oldest[b]] == nil {
 			s.oldest[b]++
 		}
@@ -272,7 +272,7 @@
 			delete(s.requests[b], c.Request)
 			t := &s.tallies[r.kind]
 			t.refused++
-			t.hints = append(t.hints, c.RetryAfter)
+			t.retryAfters = append(t.retryAfters, c.RetryAfter)
 			if r.retries > 0 {
 				s.arrive(r.kind, r.retries-1, r.hard)
 			}
@@ -358,7 +358,7 @@
 		t.inTarget++
 	}
 	if s.rollout != nil {
-		s.rollout.answered(j)
+		s.rollout.completed(j)
 	}
 	j.b.tick(AttemptEnded{Request: j.id, Result: Completed, EventInterval: seconds(s.now.Sub(j.began).Seconds() / j.events)})
 	s.carryOut(j.b)
--- a/decision/passthrough/evidence.go
+++ b/decision/passthrough/evidence.go
@@ -9,23 +9,23 @@
 }
 
 // Add counts one response, as the new version's if it is of the target version.
-func (p VersionCounts) Add(o Observation, target string) VersionCounts {
+func (c VersionCounts) Add(o Observation, target string) VersionCounts {
 	if o.Version == target {
-		p.New = p.New.Add(o)
+		c.New = c.New.Add(o)
 	} else {
-		p.Old = p.Old.Add(o)
+		c.Old = c.Old.Add(o)
 	}
-	return p
+	return c
 }
 
 // Plus returns the sum of two counts.
-func (p VersionCounts) Plus(o VersionCounts) VersionCounts {
-	return VersionCounts{New: p.New.Plus(o.New), Old: p.Old.Plus(o.Old)}
+func (c VersionCounts) Plus(o VersionCounts) VersionCounts {
+	return VersionCounts{New: c.New.Plus(o.New), Old: c.Old.Plus(o.Old)}
 }
 
 // since returns the counts that were added after an earlier state.
-func (p VersionCounts) since(o VersionCounts) VersionCounts {
-	return VersionCounts{New: p.New.since(o.New), Old: p.Old.since(o.Old)}
+func (c VersionCounts) since(o VersionCounts) VersionCounts {
+	return VersionCounts{New: c.New.since(o.New), Old: c.Old.since(o.Old)}
 }
 
 // SumRoutes returns the sum over all routes.
@@ -83,8 +83,8 @@
 	if len(e.past) == 0 {
 		return out
 	}
-	for route, p := range sums {
-		out[route] = p.since(e.past[0].sums[route])
+	for route, counts := range sums {
+		out[route] = counts.since(e.past[0].sums[route])
 	}
 	return out
 }
--- a/decision/passthrough/fill.go
+++ b/decision/passthrough/fill.go
@@ -64,8 +64,8 @@
 		load += min(v.own.load, float64(s.slots))
 		wait += v.own.wait
 	}
-	places := len(views) * s.slots
-	return occupancy{utilization: load / float64(places), prefillWait: wait / float64(len(views)), slots: places}
+	slots := len(views) * s.slots
+	return occupancy{utilization: load / float64(slots), prefillWait: wait / float64(len(views)), slots: slots}
 }
 
 // headroom is how freely the largest model may be requested for the request: 1 without
--- a/decision/passthrough/filter.go
+++ b/decision/passthrough/filter.go
@@ -11,35 +11,35 @@
 // If all are ejected, the fault is likely with the requests or the network, and an
 // attempt is better than a refusal.
 func (w *World) candidates(r *request, views []serverView) []serverView {
-	fits, mostUnread := w.versionFilter(r), r.maxPrefillWait(w.now)
-	var spare, last []serverView
+	fits, maxWait := w.versionFilter(r), r.maxPrefillWait(w.now)
+	var ejected, tried []serverView
 	w.eligible = w.eligible[:0]
 	for _, v := range views {
-		if !v.hasRoom() || v.wait > mostUnread || !fits(v.server) || !w.allowSlowStart(v.server) || !w.allowLimit(v.server) {
+		if !v.hasFreeSlot() || v.wait > maxWait || !fits(v.server) || !w.allowSlowStart(v.server) || !w.allowLimit(v.server) {
 			continue
 		}
-		switch tried := slices.Contains(r.tried, v.server); {
-		case !tried && !v.server.health.ejected(w.now):
+		switch wasTried := slices.Contains(r.tried, v.server); {
+		case !wasTried && !v.server.health.ejected(w.now):
 			w.eligible = append(w.eligible, v)
-		case !tried:
-			spare = append(spare, v)
+		case !wasTried:
+			ejected = append(ejected, v)
 		default:
-			last = append(last, v)
+			tried = append(tried, v)
 		}
 	}
 	switch {
 	case len(w.eligible) > 0:
 		return w.eligible
-	case len(spare) > 0:
-		return spare
+	case len(ejected) > 0:
+		return ejected
 	}
-	return last
+	return tried
 }
 
-// hasRoom says whether the server has a free slot. It counts only what is known: if a
+// hasFreeSlot says whether the server has a free slot. It counts only what is known: if a
 // likely load kept an instance out, it would send the server nothing, and so never learn
 // its load.
-func (v serverView) hasRoom() bool {
+func (v serverView) hasFreeSlot() bool {
 	s := v.server
 	slots := s.Slots
 	if s.service.engine && s.service.slots > 0 {
--- a/decision/passthrough/level.go
+++ b/decision/passthrough/level.go
@@ -44,7 +44,7 @@
 
 // at is the baseline at a load, or at the next higher load with enough responses: that can only
 // make a version look faster than it is, never slower.
-func (u *baselineTimes) at(l loadLevel) (usual float64, ok bool) {
+func (u *baselineTimes) at(l loadLevel) (baseline float64, ok bool) {
 	for waiting := l.waiting; waiting < len(u); waiting++ {
 		for running := l.running; running < len(u[waiting]); running++ {
 			if m := u[waiting][running]; m.n >= minBaselineCount {
--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -11,7 +11,7 @@
 // plainCaller is one kind of requests of a load.
 type plainCaller struct {
 	team      string
-	rank      int
+	priority  int
 	perSecond func(at time.Duration) float64
 }
 
@@ -85,7 +85,7 @@
 			for owed[i] += c.perSecond(b.now.Sub(start)) / 1000; owed[i] >= 1; owed[i]-- {
 				out[i].sent++
 				kind[b.next+1], arrived[b.next+1] = i, b.now
-				b.arrive(route, func(r *Request) { r.Team, r.Priority = c.team, c.rank })
+				b.arrive(route, func(r *Request) { r.Team, r.Priority = c.team, c.priority })
 			}
 		}
 		follow()
--- a/decision/passthrough/nextsize.go
+++ b/decision/passthrough/nextsize.go
@@ -7,7 +7,7 @@
 // smallest one's was dropped, by the confidence of the dropped response: how many were
 // requested, and how many the middle model was confident of.
 type escalationStats struct {
-	asked, confident [confidenceBuckets + 1]float64
+	requested, confident [confidenceBuckets + 1]float64
 }
 
 const (
@@ -35,16 +35,16 @@
 func (n *escalationStats) chance(confidence float64) float64 {
 	at := confidenceBucket(confidence)
 	prior := min(max(priorAtThreshold-priorSlope*(minConfidence-confidence), 0), 1)
-	return (n.confident[at] + escalationPriorWeight*prior) / (n.asked[at] + escalationPriorWeight)
+	return (n.confident[at] + escalationPriorWeight*prior) / (n.requested[at] + escalationPriorWeight)
 }
 
 func (n *escalationStats) learn(confidence float64, confident bool) {
 	at := confidenceBucket(confidence)
-	if n.asked[at] >= escalationMemory {
-		n.asked[at] *= 1 - 1.0/escalationMemory
+	if n.requested[at] >= escalationMemory {
+		n.requested[at] *= 1 - 1.0/escalationMemory
 		n.confident[at] *= 1 - 1.0/escalationMemory
 	}
-	n.asked[at]++
+	n.requested[at]++
 	if confident {
 		n.confident[at]++
 	}
--- a/decision/passthrough/overload_test.go
+++ b/decision/passthrough/overload_test.go
@@ -51,7 +51,7 @@
 // TestUrgentPromptsGoFirst guards against high-priority requests that wait behind those of
 // the lowest priority on full engines, and against starving the latter.
 func TestUrgentPromptsGoFirst(t *testing.T) {
-	s := newSim(t, 3, []simCallerKind{{team: "a", rank: 0, rate: 2 * simCapacity}, {team: "b", rank: 2, rate: 10 * simCapacity}})
+	s := newSim(t, 3, []simCallerKind{{team: "a", priority: 0, rate: 2 * simCapacity}, {team: "b", priority: 2, rate: 10 * simCapacity}})
 	s.play(6*time.Second, 1)
 	urgent, low := s.tallies[0], s.tallies[1]
 	if urgent.served() < 0.85 || urgent.served() < low.served() {
@@ -73,7 +73,7 @@
 	if served < 0.5*first || served < 0.9*float64(impatient.inTarget+impatient.late+impatient.weak) {
 		t.Errorf("callers that do not retry at once got %.0f responses to %.0f requests, those that do %d", served, first, impatient.inTarget+impatient.late+impatient.weak)
 	}
-	for _, after := range append(patient.hints, impatient.hints...) {
+	for _, after := range append(patient.retryAfters, impatient.retryAfters...) {
 		if after <= 0 {
 			t.Fatal("refused without a retry-after time")
 		}
--- a/decision/passthrough/place_test.go
+++ b/decision/passthrough/place_test.go
@@ -15,15 +15,15 @@
 		id := b.arrive(streamRoute(), func(r *Request) { r.PrefixHash = 99 })
 		seen[b.dispatched(id).Server.ID]++
 	}
-	most := 0
+	largest := 0
 	for _, n := range seen {
-		most = max(most, n)
+		largest = max(largest, n)
 	}
 	if len(seen) < 2 || len(seen) > 4 {
 		t.Errorf("20 requests with one prefix went to %d servers, want 2 to 4: %v", len(seen), seen)
 	}
-	if most > 8 {
-		t.Errorf("one server got %d of 20, more than its slots", most)
+	if largest > 8 {
+		t.Errorf("one server got %d of 20, more than its slots", largest)
 	}
 }
 
@@ -279,35 +279,35 @@
 	}{{6000, true}, {600, false}} {
 		b := newRoomyHarness(t)
 		b.tick(ServersListed{threeDomains(4)})
-		reads := map[string]map[string]bool{}
+		prefillServers := map[string]map[string]bool{}
 		const prompts = 20
-		for _, zone := range []string{"a", "b"} {
-			b.world.cfg.Domain = zone
+		for _, domain := range []string{"a", "b"} {
+			b.world.cfg.Domain = domain
 			for i := range prompts {
 				id := b.arrive(streamRoute(), func(r *Request) {
 					r.PrefixHash, r.PrefixTokens, r.PromptTokens = uint64(i+1), c.shared, 2*c.shared
 				})
-				if d := b.dispatched(id); d.Server.Domain != zone {
+				if d := b.dispatched(id); d.Server.Domain != domain {
 					t.Fatalf("%d shared tokens: the smallest model is requested in failure domain %s, not in the own one", c.shared, d.Server.Domain)
 				}
 				b.dropAnswer(id, 0.1)
 				d := b.dispatched(id)
 				b.tick(AttemptEnded{Request: id, Result: Completed})
 				key := fmt.Sprint(i)
-				if reads[key] == nil {
-					reads[key] = map[string]bool{}
+				if prefillServers[key] == nil {
+					prefillServers[key] = map[string]bool{}
 				}
-				reads[key][d.Server.ID] = true
+				prefillServers[key][d.Server.ID] = true
 			}
 		}
-		alone := 0
-		for _, at := range reads {
+		single := 0
+		for _, at := range prefillServers {
 			if len(at) == 1 {
-				alone++
+				single++
 			}
 		}
-		if together := alone == prompts; together != c.together {
-			t.Errorf("%d shared tokens: %d of %d prompts have the larger model's prefill at a single server", c.shared, alone, prompts)
+		if together := single == prompts; together != c.together {
+			t.Errorf("%d shared tokens: %d of %d prompts have the larger model's prefill at a single server", c.shared, single, prompts)
 		}
 	}
 }
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -28,13 +28,13 @@
 
 // shopSim simulates many instances and a few plain servers.
 type shopSim struct {
-	rng     *rand.Rand
-	route   *Route
-	benches []*harness
-	servers map[string][]*shopJob
-	handled map[*harness]int
-	arrived map[*harness]map[RequestID]time.Time
-	now     time.Time
+	rng       *rand.Rand
+	route     *Route
+	instances []*harness
+	servers   map[string][]*shopJob
+	handled   map[*harness]int
+	arrived   map[*harness]map[RequestID]time.Time
+	now       time.Time
 
 	// hotShare is the fraction of the requests that team-0 sends; nine other teams send the
 	// rest. rejectShare is the fraction that the first server rejects.
@@ -57,7 +57,7 @@
 		c := Config{Version: 1, Services: []Service{{Name: "shop"}}, Routes: []Route{*route}}
 		b.tick(Configured{NewIndex(c)})
 		b.tick(ServersListed{list})
-		s.benches = append(s.benches, b)
+		s.instances = append(s.instances, b)
 		s.arrived[b] = map[RequestID]time.Time{}
 		s.teams[b] = map[RequestID]string{}
 	}
@@ -75,14 +75,14 @@
 	owed := 0.0
 	for until := s.now.Add(length); s.now.Before(until); {
 		s.now = s.now.Add(shopStep)
-		for _, b := range s.benches {
+		for _, b := range s.instances {
 			b.now = s.now
 		}
 		for i := range shopServers {
-			s.serve(s.benches[0].world.services["shop"].servers[i].ID)
+			s.serve(s.instances[0].world.services["shop"].servers[i].ID)
 		}
 		for owed += factor * shopCapacity * shopStep.Seconds(); owed >= 1; owed-- {
-			b := s.benches[s.rng.IntN(len(s.benches))]
+			b := s.instances[s.rng.IntN(len(s.instances))]
 			team := s.team()
 			s.sent++
 			s.arrived[b][b.next+1], s.teams[b][b.next+1] = s.now, team
@@ -106,7 +106,7 @@
 
 // expireQueueWaits ends the queue waits that have expired.
 func (s *shopSim) expireQueueWaits() {
-	for _, b := range s.benches {
+	for _, b := range s.instances {
 		if b.world.services["shop"].queue.len == 0 {
 			continue
 		}
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -82,8 +82,8 @@
 		}
 	}
 	if n := rq.queue.Len(); n > 0 {
-		usual := rq.queue.Cost() / float64(n)
-		count += int(rq.queue.CostAhead(flow)/usual + 0.5)
+		meanCost := rq.queue.Cost() / float64(n)
+		count += int(rq.queue.CostAhead(flow)/meanCost + 0.5)
 	}
 	return count
 }
--- a/decision/passthrough/ratelimit_bound_test.go
+++ b/decision/passthrough/ratelimit_bound_test.go
@@ -66,8 +66,8 @@
 		f.play(20*time.Second, load)
 		for i, perSecond := range limitRates {
 			// The instances of its subset have no more for it than for any other server.
-			asked := 3 * usualRate * float64(limitSubset(perSecond)) / float64(size.instances)
-			if got := f.rate(f.servers[i].ID, settled); got < 0.4*min(perSecond, asked) {
+			offered := 3 * usualRate * float64(limitSubset(perSecond)) / float64(size.instances)
+			if got := f.rate(f.servers[i].ID, settled); got < 0.4*min(perSecond, offered) {
 				t.Errorf("%d instances: a server with a limit of %v per second got %.2f", size.instances, perSecond, got)
 			}
 		}
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -200,12 +200,12 @@
 		f.toldAt[run.limitKey] = b.now
 	}
 	b.tick(FirstByte{Request: run.request, After: 40 * time.Millisecond, Limit: RateLimit{limited, perSecond}})
-	const doubted, broken = 0.25, 0.05
+	const dropped, broken = 0.25, 0.05
 	switch draw := f.rng.Float64(); {
-	case draw < doubted:
+	case draw < dropped:
 		run.end = b.now
 		b.tick(AttemptEnded{Request: run.request, Result: Dropped, Confidence: 0.1})
-	case draw < doubted+broken:
+	case draw < dropped+broken:
 		run.end = b.now
 		b.tick(AttemptEnded{Request: run.request, Result: Broken, Begun: true, ConnectionLost: true})
 	}
@@ -221,14 +221,14 @@
 			at = append(at, a.at)
 		}
 	}
-	most := 0
+	largest := 0
 	for i, first := 0, 0; i < len(at); i++ {
 		for at[i].Sub(at[first]) > limitWindow {
 			first++
 		}
-		most = max(most, i-first+1)
+		largest = max(largest, i-first+1)
 	}
-	return most
+	return largest
 }
 
 // rate is how many requests per second the server has got since a time.
--- a/decision/passthrough/reading.go
+++ b/decision/passthrough/reading.go
@@ -52,28 +52,28 @@
 type ratio struct{ numerator, denominator float64 }
 
 // add adds a term to both sums, and scales them down so that the denominator is at most memory.
-func (q *ratio) add(numerator, denominator, memory float64) {
-	q.numerator += numerator
-	q.denominator += denominator
-	if over := q.denominator / memory; over > 1 {
-		q.numerator /= over
-		q.denominator /= over
+func (r *ratio) add(numerator, denominator, memory float64) {
+	r.numerator += numerator
+	r.denominator += denominator
+	if over := r.denominator / memory; over > 1 {
+		r.numerator /= over
+		r.denominator /= over
 	}
 }
 
 // value is the ratio, with a prior of the given weight.
-func (q ratio) value(prior, weight float64) float64 {
-	return (q.numerator + prior*weight) / (q.denominator + weight)
+func (r ratio) value(prior, weight float64) float64 {
+	return (r.numerator + prior*weight) / (r.denominator + weight)
 }
 
 // perToken is the prefill time of a prompt token in seconds, averaged over cached and uncached
 // tokens.
-func (rs *prefillStats) perToken(model int) float64 {
+func (ps *prefillStats) perToken(model int) float64 {
 	prior := smallestPrefillPerToken
 	if model > 0 {
 		prior = largerPrefillPerToken
 	}
-	speed := rs.perModel[model]
+	speed := ps.perModel[model]
 	if speed == nil {
 		return prior
 	}
@@ -82,14 +82,14 @@
 }
 
 // learn records the time to the first event of a response that had its engine for itself.
-func (rs *prefillStats) learn(model, tokens int, took time.Duration) {
+func (ps *prefillStats) learn(model, tokens int, took time.Duration) {
 	const drift = 1.001 // the minimum rises slowly, to forget an outlier
 	x := took.Seconds()
-	rs.minFirstByte *= drift
-	if rs.minFirstByte == 0 || x < rs.minFirstByte {
-		rs.minFirstByte = x
+	ps.minFirstByte *= drift
+	if ps.minFirstByte == 0 || x < ps.minFirstByte {
+		ps.minFirstByte = x
 	}
-	rowFor(&rs.perModel, model).add(x-rs.minFirstByte, float64(tokens), prefillMemoryTokens)
+	rowFor(&ps.perModel, model).add(x-ps.minFirstByte, float64(tokens), prefillMemoryTokens)
 }
 
 const (
@@ -102,17 +102,17 @@
 
 // observeFirstByte records how accurate the forecast of a response's first event was and, if the
 // engine had no other prompts, how fast its prefill is.
-func (rs *prefillStats) observeFirstByte(r *request, e FirstByte) {
+func (ps *prefillStats) observeFirstByte(r *request, e FirstByte) {
 	if !r.prefilling {
 		return
 	}
-	took := max(e.After.Seconds()-rs.minFirstByte, 0)
-	rs.ownAccuracy.add(took, r.ownForecast, scaleMemory)
+	took := max(e.After.Seconds()-ps.minFirstByte, 0)
+	ps.ownAccuracy.add(took, r.ownForecast, scaleMemory)
 	if r.usedPeerForecast {
-		rs.peerAccuracy.add(took, r.peerForecast, scaleMemory)
+		ps.peerAccuracy.add(took, r.peerForecast, scaleMemory)
 	}
 	if r.prefillAlone && e.HasLoad && e.Load.Waiting == 0 {
-		rs.learn(r.model, r.PromptTokens, e.After)
+		ps.learn(r.model, r.PromptTokens, e.After)
 	}
 }
 
@@ -126,15 +126,15 @@
 // beginPrefill adds a request's prompt to the backlog of the server that it is sent to.
 func (w *World) beginPrefill(r *request, v serverView) {
 	s := v.server
-	rs := &r.service.prefill
-	r.prefillTime = rs.perToken(r.model) * float64(r.PromptTokens)
+	ps := &r.service.prefill
+	r.prefillTime = ps.perToken(r.model) * float64(r.PromptTokens)
 	r.prefillAlone = len(s.prefilling) == 0
 	r.ownForecast = v.own.unscaledWait + r.prefillTime
 	r.peerForecast = v.unscaledWait + r.prefillTime
 	r.prefilling = true
 	r.usedPeerForecast = w.peerLoadsFresh()
-	r.firstByteDue = w.now.Add(seconds(v.wait + r.prefillTime + rs.minFirstByte))
-	rs.meanPrefillTime.add(r.prefillTime)
+	r.firstByteDue = w.now.Add(seconds(v.wait + r.prefillTime + ps.minFirstByte))
+	ps.meanPrefillTime.add(r.prefillTime)
 	s.prefilling = append(s.prefilling, r)
 	s.prefillBacklog += r.prefillTime
 }
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -49,12 +49,12 @@
 // throttled counts the request, and says whether it is refused because its service rejects too
 // many.
 func (w *World) throttled(r *request) bool {
-	q := &r.service.throttle
+	t := &r.service.throttle
 	if r.service.engine {
 		return false // engines are chosen by their load
 	}
-	q.observeDemand(r.Priority, r.Team, w.now)
-	return q.refuses(r.Priority, r.Team, w.now, w.rng.Float64())
+	t.observeDemand(r.Priority, r.Team, w.now)
+	return t.refuses(r.Priority, r.Team, w.now, w.rng.Float64())
 }
 
 // enqueue queues a request, or refuses it at once.
@@ -79,14 +79,14 @@
 // waitRefusal gives the reason for a refusal if the request would wait too long in the queue; ""
 // if it would not.
 func (w *World) waitRefusal(r *request) Reason {
-	longest := MaxQueueWait(&r.Request, w.now)
+	maxWait := MaxQueueWait(&r.Request, w.now)
 	if wait, limited := w.limitWait(r); limited {
-		if wait > longest {
+		if wait > maxWait {
 			return ReasonLimited
 		}
 		return ""
 	}
-	if r.service.intervals.departures.wait(r.service.queue.ahead(r)) > longest {
+	if r.service.intervals.departures.wait(r.service.queue.ahead(r)) > maxWait {
 		return ReasonBusy
 	}
 	return ""
@@ -206,22 +206,22 @@
 
 // refuse ends a request that has not run, and tells the caller when to retry.
 func (w *World) refuse(r *request, reason Reason) {
-	after := r.service.intervals.departures.wait(r.service.queue.ahead(r))
+	retryAfter := r.service.intervals.departures.wait(r.service.queue.ahead(r))
 	switch reason {
 	case ReasonNoServer:
-		after = max(after, unreachableBackoff)
+		retryAfter = max(retryAfter, unreachableBackoff)
 	case ReasonWarmingUp:
-		after = max(after, w.slowStartEnds(r.service).Sub(w.now))
+		retryAfter = max(retryAfter, w.slowStartEnds(r.service).Sub(w.now))
 	case ReasonLimited:
 		wait, _ := w.limitWait(r)
 		if wait == never {
 			wait = unreachableBackoff // another instance may be in a server's subset
 		}
-		after = max(after, wait)
+		retryAfter = max(retryAfter, wait)
 	}
-	after = max(after, minRetryAfter)
-	after = min(after, maxRetryAfter, time.Duration(retryAfterFraction*float64(r.Deadline.Sub(w.now))))
-	after += time.Duration(retryAfterJitter * w.rng.Float64() * float64(after))
-	w.emit(Refuse{Request: r.ID, Reason: reason, RetryAfter: max(after, 0)})
+	retryAfter = max(retryAfter, minRetryAfter)
+	retryAfter = min(retryAfter, maxRetryAfter, time.Duration(retryAfterFraction*float64(r.Deadline.Sub(w.now))))
+	retryAfter += time.Duration(retryAfterJitter * w.rng.Float64() * float64(retryAfter))
+	w.emit(Refuse{Request: r.ID, Reason: reason, RetryAfter: max(retryAfter, 0)})
 	w.remove(r)
 }
--- a/decision/passthrough/requests_test.go
+++ b/decision/passthrough/requests_test.go
@@ -73,15 +73,15 @@
 	b := newHarness(t, Settings{})
 	b.configure(plainRoute())
 	b.tick(ServersListed{servers("shop", 5, 6)})
-	const mark = 77
-	crashing := func(r *Request) { r.Fingerprint = mark }
+	const fingerprint = 77
+	crashing := func(r *Request) { r.Fingerprint = fingerprint }
 	id := b.arrive(plainRoute(), crashing)
 	b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
 	b.tick(AttemptEnded{Request: id, Result: Broken, ConnectionLost: true})
 	b.finished(id)
-	b.tick(PeerCrashes{Fingerprint: mark, Count: 1})
-	again := b.arrive(plainRoute(), crashing)
-	b.refused(again, ReasonQuarantined)
+	b.tick(PeerCrashes{Fingerprint: fingerprint, Count: 1})
+	repeated := b.arrive(plainRoute(), crashing)
+	b.refused(repeated, ReasonQuarantined)
 	b.advance(crashMemory + time.Second)
 	b.tick(ServersListed{servers("shop", 5, 6)})
 	b.dispatched(b.arrive(plainRoute(), crashing))
@@ -107,31 +107,31 @@
 	route.TargetLatency, route.Timeout = 10*time.Second, 20*time.Second
 	b.configure(route)
 	b.tick(ServersListed{servers("shop", 40, 50)})
-	type mark struct {
-		at     time.Time
-		repeat bool
+	type arrival struct {
+		at      time.Time
+		isRetry bool
 	}
-	var marks []mark
+	var arrivals []arrival
 	for range 600 {
 		b.advance(50 * time.Millisecond)
 		id := b.arrive(route, nil)
-		marks = append(marks, mark{b.now, false})
+		arrivals = append(arrivals, arrival{b.now, false})
 		b.tick(AttemptEnded{Request: id, Result: Failed})
 		if d, ok := b.last(id).(Dispatch); ok && d.Attempt == 2 {
-			marks = append(marks, mark{b.now, true})
+			arrivals = append(arrivals, arrival{b.now, true})
 			b.tick(AttemptEnded{Request: id, Result: Failed})
 		}
 	}
-	for i := range marks {
-		if b.now.Sub(marks[i].at) < cfg.RetryWindow {
+	for i := range arrivals {
+		if b.now.Sub(arrivals[i].at) < cfg.RetryWindow {
 			break // the window is not complete
 		}
 		requests, retries := 0, 0
-		for _, m := range marks[i:] {
-			if m.at.Sub(marks[i].at) > cfg.RetryWindow {
+		for _, a := range arrivals[i:] {
+			if a.at.Sub(arrivals[i].at) > cfg.RetryWindow {
 				break
 			}
-			if m.repeat {
+			if a.isRetry {
 				retries++
 			} else {
 				requests++
@@ -139,7 +139,7 @@
 		}
 		// The error of one bucket of the window is covered by the platform's slack.
 		if limit := 0.3*float64(requests)*(1+2.0/budgetBuckets) + 2*cfg.RetrySlack + 1; float64(retries) > limit {
-			t.Fatalf("%d retries for %d requests in the window from mark %d, want at most %.1f", retries, requests, i, limit)
+			t.Fatalf("%d retries for %d requests in the window from arrival %d, want at most %.1f", retries, requests, i, limit)
 		}
 	}
 }
--- a/decision/passthrough/rollout.go
+++ b/decision/passthrough/rollout.go
@@ -190,6 +190,6 @@
 	}
 	rate := float64(total) / elapsed.Seconds()
 	allowed := limit.Share*rate*o.Duration.Seconds() + toleranceFraction*limit.Tolerance - float64(newCounts.Total())
-	spare := time.Duration(allowed/rate*float64(time.Second)) - completionMargin
-	return max(time.Duration(leadFactor*float64(spare)), 0)
+	remaining := time.Duration(allowed/rate*float64(time.Second)) - completionMargin
+	return max(time.Duration(leadFactor*float64(remaining)), 0)
 }
--- a/decision/passthrough/rollout_load_test.go
+++ b/decision/passthrough/rollout_load_test.go
@@ -53,7 +53,7 @@
 		s.engines[added.ID] = &simEngine{}
 		list = append(list, added)
 	}
-	for _, b := range s.benches {
+	for _, b := range s.instances {
 		b.tick(ServersListed{list})
 	}
 	ro.sim, ro.start, ro.sums = s, s.now, map[string]VersionCounts{}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (ro *simRollout) answered(j *simJob) {
+func (ro *simRollout) completed(j *simJob) {
 	if j.slow {
 		ro.bad = append(ro.bad, ro.sim.now)
 	}
@@ -108,7 +108,7 @@
 	if plan.Phase.Ended() {
 		ro.end, ro.endedAt = plan.Phase, now
 	}
-	for _, b := range ro.sim.benches {
+	for _, b := range ro.sim.instances {
 		b.tick(RolloutUpdated{plan})
 	}
 }
@@ -128,7 +128,7 @@
 }
 
 // slowVersions are versions that are slow in part of their responses.
-var slowVersions = []struct{ share, by float64 }{{0.4, 8}, {0.6, 6}, {0.9, 4}, {0.5, 5}}
+var slowVersions = []struct{ share, factor float64 }{{0.4, 8}, {0.6, 6}, {0.9, 4}, {0.5, 5}}
 
 // checkSlowVersions simulates slow versions at a load. A bad version must not be completed, nor
 // get requests later than simBound after its 50th bad response.
@@ -138,7 +138,7 @@
 		completed, late := 0, 0
 		const seeds = 2
 		for seed := range uint64(seeds) {
-			ro := playRollout(t, seed, load, kind.share, kind.by)
+			ro := playRollout(t, seed, load, kind.share, kind.factor)
 			late += ro.overBound
 			if ro.end == PhaseCompleted {
 				completed++
@@ -146,7 +146,7 @@
 		}
 		if completed > 0 || late > 0 {
 			t.Errorf("load %.1f, %.0f in 100 responses %.0f times as slow: %d of %d versions completed, %d requests too late",
-				load, 100*kind.share, kind.by, completed, seeds, late)
+				load, 100*kind.share, kind.factor, completed, seeds, late)
 		}
 	}
 }
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -97,9 +97,9 @@
 
 func TestJudge(t *testing.T) {
 	tests := []struct {
-		name       string
-		fresh, old Counts
-		want       bool
+		name                 string
+		newCounts, oldCounts Counts
+		want                 bool
 	}{
 		{"no responses", Counts{}, Counts{}, false},
 		{"a few failures", Counts{Good: 3, Bad: 4}, Counts{Good: 100}, false},
@@ -110,7 +110,7 @@
 		{"good with noise", Counts{Good: 60, Bad: 5}, Counts{Good: 600, Bad: 30}, false},
 	}
 	for _, tt := range tests {
-		if got := IsBad(tt.fresh, tt.old); got != tt.want {
+		if got := IsBad(tt.newCounts, tt.oldCounts); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
@@ -235,15 +235,15 @@
 
 // playTimes runs responses of the old and the new version, and returns the counts reported for the
 // new one.
-func playTimes(t *testing.T, newTimes func(i int) (first, pace time.Duration)) Counts {
+func playTimes(t *testing.T, newTimes func(i int) (firstByte, interval time.Duration)) Counts {
 	b := newRolloutHarness(t)
 	b.tick(canaryUpdate(true))
 	var reported Counts
-	run := func(share float64, first, pace time.Duration) {
+	run := func(share float64, firstByte, interval time.Duration) {
 		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = share })
-		b.advance(first)
-		b.tick(FirstByte{Request: id, After: first})
-		for _, c := range b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: pace}) {
+		b.advance(firstByte)
+		b.tick(FirstByte{Request: id, After: firstByte})
+		for _, c := range b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: interval}) {
 			if o, ok := c.(Observation); ok && o.Version == "v2" {
 				reported = reported.Add(o)
 			}
@@ -254,8 +254,8 @@
 		spread := time.Duration(1 + i%6)
 		run(0.9, 50*time.Millisecond*spread, 40*time.Millisecond)
 		if i%4 == 0 {
-			first, pace := newTimes(i)
-			run(0.1, first*spread, pace)
+			firstByte, interval := newTimes(i)
+			run(0.1, firstByte*spread, interval)
 		}
 	}
 	return reported
@@ -287,8 +287,8 @@
 	order, limit := Order{Duration: 8 * time.Second}, ExposureLimit{Share: 0.2, Tolerance: 30}
 	oldCounts := Counts{Good: 115}
 	cases := []struct {
-		fresh Counts
-		want  Phase
+		newCounts Counts
+		want      Phase
 	}{
 		{Counts{Good: 7, Bad: 3}, PhaseReverted},
 		{Counts{Good: 5, Bad: 2}, PhaseReverted},
@@ -297,11 +297,11 @@
 		{Counts{Good: 60, Bad: 4}, PhaseCompleted},
 	}
 	for _, c := range cases {
-		if got := PlanRollout(order, testStart, order.Duration, limit, c.fresh, oldCounts, IsBad(c.fresh, oldCounts)); got.Phase != c.want {
-			t.Errorf("%+v: phase %v, want %v", c.fresh, got.Phase, c.want)
+		if got := PlanRollout(order, testStart, order.Duration, limit, c.newCounts, oldCounts, IsBad(c.newCounts, oldCounts)); got.Phase != c.want {
+			t.Errorf("%+v: phase %v, want %v", c.newCounts, got.Phase, c.want)
 		}
-		if got := PlanRollout(order, testStart, order.Duration/2, limit, c.fresh, oldCounts, IsBad(c.fresh, oldCounts)); got.Phase != PhaseCanary {
-			t.Errorf("%+v: phase %v halfway", c.fresh, got.Phase)
+		if got := PlanRollout(order, testStart, order.Duration/2, limit, c.newCounts, oldCounts, IsBad(c.newCounts, oldCounts)); got.Phase != PhaseCanary {
+			t.Errorf("%+v: phase %v halfway", c.newCounts, got.Phase)
 		}
 	}
 }
@@ -326,12 +326,12 @@
 		return c
 	}
 	cases := []struct {
-		name  string
-		fresh Counts
-		at    time.Duration
-		held  bool
-		share bool
-		phase Phase
+		name      string
+		newCounts Counts
+		at        time.Duration
+		held      bool
+		share     bool
+		phase     Phase
 	}{
 		{"at the end", doubtful(30), order.Duration, true, true, PhaseCanary},
 		{"long after it", doubtful(30), 3 * order.Duration, true, true, PhaseCanary},
@@ -341,7 +341,7 @@
 		{"no event intervals", Counts{Good: 30}, order.Duration, false, true, PhaseCompleted},
 	}
 	for _, c := range cases {
-		got := PlanRollout(order, testStart, c.at, limit, c.fresh, oldCounts, false)
+		got := PlanRollout(order, testStart, c.at, limit, c.newCounts, oldCounts, false)
 		if got.Phase != c.phase || got.Held != c.held || (got.Share > 0) != c.share {
 			t.Errorf("%s: %+v", c.name, got)
 		}
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -41,13 +41,13 @@
 			}
 			continue
 		}
-		fresh := w.newServer(s)
-		w.servers[s.ID] = fresh
-		w.enterSlowStart(fresh, s.SlowStartRemaining, CauseListed)
+		added := w.newServer(s)
+		w.servers[s.ID] = added
+		w.enterSlowStart(added, s.SlowStartRemaining, CauseListed)
 		if row != nil {
 			row.gone = true
-			fresh.slowStart.until = row.slowStart.until
-			w.enterSlowStart(fresh, fresh.service.slowStart.span, CauseRestarted)
+			added.slowStart.until = row.slowStart.until
+			w.enterSlowStart(added, added.service.slowStart.span, CauseRestarted)
 		}
 	}
 	for id, row := range w.servers {
--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -85,7 +85,7 @@
 				b.tick(ServersListed{inSlowStart(inDomains(servers("llm", 1, 1000), "a"))})
 				harnesses = append(harnesses, b)
 			}
-			most, feeding := 0, 0
+			largest, total := 0, 0
 			for range 25 { // 2.5 s
 				sent := 0
 				for _, b := range harnesses {
@@ -96,13 +96,13 @@
 						}
 					}
 				}
-				feeding += sent
-				most = max(most, sent)
+				total += sent
+				largest = max(largest, sent)
 			}
 			if inSecond := maxInAnySecond(harnesses); float64(inSecond) > testSlowStartLimit {
 				t.Errorf("%d instances, seed %d: %d requests in a second, allowed %.1f", f.instances, seed, inSecond, testSlowStartLimit)
 			}
-			if feeding == 0 {
+			if total == 0 {
 				t.Errorf("%d instances, seed %d: no instance sends to the server", f.instances, seed)
 			}
 		}
@@ -118,16 +118,16 @@
 			counts[int(at.Sub(testStart)/(100*time.Millisecond))]++
 		}
 	}
-	most := 0
+	largest := 0
 	const steps, horizon = 10, 100
 	for from := range horizon {
 		sum := 0
 		for i := range steps {
 			sum += counts[from+i]
 		}
-		most = max(most, sum)
+		largest = max(largest, sum)
 	}
-	return most
+	return largest
 }
 
 // TestOtherServersTakeWhatAColdOneMayNot guards against refusals for the sake of one server in
--- a/decision/passthrough/throttle.go
+++ b/decision/passthrough/throttle.go
@@ -72,8 +72,8 @@
 func (c *decayingCount) add(now time.Time, x float64) { c.value = max(c.valueAt(now)+x, 0) }
 
 // observeDemand counts a request of a team.
-func (q *throttle) observeDemand(priority int, team string, now time.Time) {
-	d := q.demandAt(priority)
+func (t *throttle) observeDemand(priority int, team string, now time.Time) {
+	d := t.demandAt(priority)
 	d.all.add(now, 1)
 	if len(d.teams) > throttleTeams {
 		clear(d.teams)
@@ -87,49 +87,49 @@
 }
 
 // demandAt returns the demand at a priority; q.demands is sorted by priority.
-func (q *throttle) demandAt(priority int) *demand {
-	at, found := slices.BinarySearchFunc(q.demands, priority, func(a *demand, priority int) int { return cmp.Compare(a.priority, priority) })
+func (t *throttle) demandAt(priority int) *demand {
+	at, found := slices.BinarySearchFunc(t.demands, priority, func(a *demand, priority int) int { return cmp.Compare(a.priority, priority) })
 	if !found {
-		q.demands = slices.Insert(q.demands, at, &demand{priority: priority, teams: map[string]*decayingCount{}})
+		t.demands = slices.Insert(t.demands, at, &demand{priority: priority, teams: map[string]*decayingCount{}})
 	}
-	return q.demands[at]
+	return t.demands[at]
 }
 
 // recordDispatch counts a request that went to a server.
-func (q *throttle) recordDispatch(now time.Time) { q.accepted.add(now, 1) }
+func (t *throttle) recordDispatch(now time.Time) { t.accepted.add(now, 1) }
 
 // observeEnd counts a request that a server did not accept. A full server rejects it or resets the
 // connection; but a server that a request has crashed resets it too. So a lost connection counts
 // only if there was another sign of a full service within about the last second.
-func (q *throttle) observeEnd(e AttemptEnded, now time.Time) {
-	if e.Result == Rejected || e.ConnectionLost && q.rejected.valueAt(now) >= connectionLostThreshold {
-		q.reject(now, 1)
+func (t *throttle) observeEnd(e AttemptEnded, now time.Time) {
+	if e.Result == Rejected || e.ConnectionLost && t.rejected.valueAt(now) >= connectionLostThreshold {
+		t.reject(now, 1)
 	}
 }
 
 // reject counts part of a request as not accepted.
-func (q *throttle) reject(now time.Time, part float64) {
-	q.accepted.add(now, -part)
-	q.rejected.add(now, part)
+func (t *throttle) reject(now time.Time, part float64) {
+	t.accepted.add(now, -part)
+	t.rejected.add(now, part)
 }
 
 // observeLoad applies the load that a server reports with a response. The server is crowded if as
 // many requests wait as it has slots, so that a response takes twice the time of its work.
-func (q *throttle) observeLoad(load Load, now time.Time) {
+func (t *throttle) observeLoad(load Load, now time.Time) {
 	if load.Slots > 0 && load.Waiting >= load.Slots {
-		q.reject(now, crowdedWeight)
+		t.reject(now, crowdedWeight)
 	}
 }
 
 // refuses says whether to refuse a team's request, which has been counted; draw is a random number
 // in [0, 1).
-func (q *throttle) refuses(priority int, team string, now time.Time, draw float64) bool {
-	if q.rejected.valueAt(now) < throttleThreshold {
+func (t *throttle) refuses(priority int, team string, now time.Time, draw float64) bool {
+	if t.rejected.valueAt(now) < throttleThreshold {
 		return false
 	}
-	allowed := throttleExcess*q.accepted.valueAt(now) + throttleProbes
-	d := q.demandAt(priority)
-	left := max(allowed-q.demandAbove(priority, now), lowPriorityShare*allowed)
+	allowed := throttleExcess*t.accepted.valueAt(now) + throttleProbes
+	d := t.demandAt(priority)
+	left := max(allowed-t.demandAbove(priority, now), lowPriorityShare*allowed)
 	if d.all.valueAt(now) <= left {
 		return false
 	}
@@ -137,9 +137,9 @@
 }
 
 // demandAbove is what was asked for at higher priorities.
-func (q *throttle) demandAbove(priority int, now time.Time) float64 {
+func (t *throttle) demandAbove(priority int, now time.Time) float64 {
 	sum := 0.0
-	for _, other := range q.demands {
+	for _, other := range t.demands {
 		if other.priority < priority {
 			sum += other.all.valueAt(now)
 		}
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -149,8 +149,8 @@
 		return out
 	}
 	x := math.Log(took.Seconds())
-	if usual, ok := baseline.at(at); ok {
-		out.add(x - usual)
+	if baselineLog, ok := baseline.at(at); ok {
+		out.add(x - baselineLog)
 	}
 	if !w.runsTarget(s) && !w.revertedVersions[versionKey{s.Service, s.Version}] {
 		baseline.add(at, x)
--- a/decision/passthrough/view.go
+++ b/decision/passthrough/view.go
@@ -68,12 +68,12 @@
 }
 
 func (w *World) forecastInput(s *service) forecastInput {
-	rs := &s.prefill
+	ps := &s.prefill
 	return forecastInput{
 		now: w.now, service: s, reportTTL: s.loadTTL(),
-		meanOthersPrefilling: rs.meanOthersPrefilling.value * (1 - elapsedFraction(rs.lastReportAt, w.now, meanPrefillTTL)),
-		ownScale:             forecastScale(&rs.ownAccuracy),
-		peersFresh:           s.engine && w.peerLoadsFresh(), peerScale: forecastScale(&rs.peerAccuracy),
+		meanOthersPrefilling: ps.meanOthersPrefilling.value * (1 - elapsedFraction(ps.lastReportAt, w.now, meanPrefillTTL)),
+		ownScale:             forecastScale(&ps.ownAccuracy),
+		peersFresh:           s.engine && w.peerLoadsFresh(), peerScale: forecastScale(&ps.peerAccuracy),
 	}
 }
 
