--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -104,13 +104,13 @@
 
 // staysLocal says whether the request is kept in the own failure domain.
 //
-// Two thirds of the prompts, of 18 kB, went to another failure domain, and their traffic cost
-// a thirtieth of the value of their responses. But keeping them repeats the prefill of each
-// shared prefix in every failure domain. If engines are behind with prefill, all requests of a
-// prefix go to the server that the hash selects over all domains, which has the prefix cached
-// already, as it is also the one of its own domain. So do long prompts for a larger model,
-// whose prefill is ten times as slow as the smallest's, however idle the engines are: an
-// engine generates nothing for others meanwhile.
+// Otherwise two thirds of the prompts, of 18 kB, would go to another failure domain, and their
+// traffic cost a thirtieth of the value of their responses. But keeping them repeats the
+// prefill of each shared prefix in every failure domain. If engines are behind with prefill,
+// all requests of a prefix go to the server that the hash selects over all domains, which has
+// the prefix cached already, as it is also the one of its own domain. So do long prompts for a
+// larger model, whose prefill is ten times as slow as the smallest's, however idle the engines
+// are: an engine generates nothing for others meanwhile.
 func staysLocal(r *request, wait float64) bool {
 	repeatedPrefill := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
 	if repeatedPrefill > maxRepeatedPrefill {
--- a/decision/passthrough/seam/seam.go
+++ b/decision/passthrough/seam/seam.go
@@ -35,8 +35,9 @@
 
 // Attempt is what the router tells a backend server about a request.
 type Attempt struct {
-	Server    string
-	Team      string
+	Server string
+	Team   string
+	// Remaining is the time left to the deadline.
 	Remaining time.Duration
 	Model     string
 	Priority  int
