--- a/decision/passthrough/ended.go
+++ b/decision/passthrough/ended.go
@@ -52,7 +52,7 @@
 		return
 	}
 	if e.Leaving || e.Misdirected {
-		s.Draining = true
+		s.Leaving = true
 		w.emit(RefreshServers{Server: s.ID})
 	}
 	if !r.service.engine {
--- a/decision/passthrough/place_test.go
+++ b/decision/passthrough/place_test.go
@@ -48,7 +48,7 @@
 	b.configure(plainRoute())
 	list := servers("shop", 2, 6)
 	b.tick(ServersListed{list})
-	list[0].Draining = true
+	list[0].Leaving = true
 	b.tick(ServersListed{list})
 	for range 10 {
 		id := b.arrive(plainRoute(), nil)
--- a/decision/passthrough/property_test.go
+++ b/decision/passthrough/property_test.go
@@ -57,7 +57,7 @@
 		if h.rng.IntN(5) == 0 {
 			continue
 		}
-		s.Draining = h.rng.IntN(6) == 0
+		s.Leaving = h.rng.IntN(6) == 0
 		s.StartTime = int64(1 + h.rng.IntN(8)/7)
 		if h.rng.IntN(2) == 0 {
 			s.Version = "v2"
@@ -177,7 +177,7 @@
 		if s.ID != c.Server.ID {
 			continue
 		}
-		if s.Draining || s.Service != r.route.Backends[0].Service {
+		if s.Leaving || s.Service != r.route.Backends[0].Service {
 			h.t.Fatalf("request %d was sent to %+v", c.Request, s)
 		}
 		if h.phase == PhaseReverted && s.Service == "llm" && s.Version == "v2" {
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -104,7 +104,7 @@
 		if !srv.inSlowStart(w.now) || w.inSlowStartSubset(srv) {
 			return ""
 		}
-		reason = ReasonWarmingUp
+		reason = ReasonSlowStart
 	}
 	return reason
 }
@@ -210,7 +210,7 @@
 	switch reason {
 	case ReasonNoServer:
 		retryAfter = max(retryAfter, unreachableBackoff)
-	case ReasonWarmingUp:
+	case ReasonSlowStart:
 		retryAfter = max(retryAfter, w.slowStartEnds(r.service).Sub(w.now))
 	case ReasonLimited:
 		wait, _ := w.limitWait(r)
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -33,7 +33,7 @@
 		seen[s.ID] = true
 		row := w.servers[s.ID]
 		if row != nil && row.StartTime == s.StartTime && row.Address == s.Address && row.Service == s.Service {
-			s.Draining = s.Draining || row.Draining
+			s.Leaving = s.Leaving || row.Leaving
 			changed := s.SlowStartRemaining != row.SlowStartRemaining
 			row.Server = s
 			if changed {
@@ -138,7 +138,7 @@
 
 // usable says whether the server may get new requests, ejected or not.
 func (s *server) usable(now time.Time) bool {
-	return !s.gone && !s.Draining && !s.drained && !now.Before(s.backoffUntil)
+	return !s.gone && !s.Leaving && !s.drained && !now.Before(s.backoffUntil)
 }
 
 // hashString is a hash that is the same at all instances.
--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -176,7 +176,7 @@
 			sent++
 		case Refuse:
 			refused++
-			if c.Reason != ReasonWarmingUp || c.RetryAfter <= 0 {
+			if c.Reason != ReasonSlowStart || c.RetryAfter <= 0 {
 				t.Fatalf("refused with %+v", c)
 			}
 		}
@@ -187,7 +187,7 @@
 	unaware := newHarness(t, Settings{Seed: 1, Domain: "a", SlowStartBurst: testSlowStartBurst, SlowStartSlack: testSlowStartSlack,
 		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
 	unaware.tick(Configured{NewIndex(slowStartConfig())}, ServersListed{inSlowStart(servers("llm", 1, 8))})
-	unaware.refused(unaware.arrive(streamRoute(), nil), ReasonWarmingUp)
+	unaware.refused(unaware.arrive(streamRoute(), nil), ReasonSlowStart)
 }
 
 // TestServerIsWarmInTheEnd guards against a slow start that never ends because the same entry is
--- a/decision/passthrough/types.go
+++ b/decision/passthrough/types.go
@@ -12,8 +12,8 @@
 	Version string
 	// Slots is how many requests the server runs at once; 0 if unknown.
 	Slots int
-	// Draining servers are leaving and get no new requests.
-	Draining bool
+	// Leaving servers get no new requests.
+	Leaving bool
 	// StartTime is when the server's process started, in Unix milliseconds; 0 if unknown. A
 	// server may restart under the same id.
 	StartTime int64
@@ -115,7 +115,7 @@
 // The reasons for a refusal.
 const (
 	ReasonNoServer    Reason = "no_backend_server"
-	ReasonWarmingUp   Reason = "backend_servers_warming_up"
+	ReasonSlowStart   Reason = "backend_servers_warming_up"
 	ReasonLimited     Reason = "backend_servers_limited"
 	ReasonBusy        Reason = "busy"
 	ReasonServersFull Reason = "backend_servers_full"
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -166,7 +166,7 @@
 	s := passthrough.Server{ID: r.Key, Address: "127.0.0.1:1", Slots: 4, StartTime: 1}
 	state := ""
 	_, err := fmt.Sscanf(string(r.Value), "server %s %s %s", &s.Service, &s.Version, &state)
-	s.Draining = state == "draining"
+	s.Leaving = state == "draining"
 	return s, err
 }
 
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -203,7 +203,7 @@
 	l.entries[s.ID] = s
 	l.changed = true
 	l.telemetry.emit(logging.EventServerListed, slog.String(keyServer, s.ID), slog.String("service", s.Service),
-		slog.String("software", s.Version), slog.Bool("draining", s.Draining), slog.Uint64("offset", offset))
+		slog.String("software", s.Version), slog.Bool("draining", s.Leaving), slog.Uint64("offset", offset))
 }
 
 // remove drops an entry, at once or, around an outage, after a while.
@@ -261,7 +261,7 @@
 	defer l.mu.Unlock()
 	for _, s := range l.entries {
 		switch {
-		case s.Service != service || s.Draining:
+		case s.Service != service || s.Leaving:
 		case s.Version == version:
 			at++
 		default:
--- a/router/internal/passthrough/list_restore.go
+++ b/router/internal/passthrough/list_restore.go
@@ -54,7 +54,7 @@
 // one that had left must write again, for which ok is false. The lock is held.
 func (l *serverList) reconcile(s passthrough.Server, offset uint64) (out passthrough.Server, ok bool) {
 	if old, known := l.entries[s.ID]; known && old.StartTime == s.StartTime {
-		s.Draining = s.Draining || old.Draining
+		s.Leaving = s.Leaving || old.Leaving
 		return s, true
 	}
 	if t, left := l.tombstones[s.ID]; left && t.born == s.StartTime {
--- a/router/internal/passthrough/list_restore_test.go
+++ b/router/internal/passthrough/list_restore_test.go
@@ -47,7 +47,7 @@
 	if p.servers.has("left") {
 		t.Fatal("a server that had left is back")
 	}
-	if s := p.servers.entries["leaves"]; !s.Draining {
+	if s := p.servers.entries["leaves"]; !s.Leaving {
 		t.Error("a server that is leaving is ready again")
 	}
 	log.add("left", "") // its silence was noticed
