--- a/decision/passthrough/budget.go
+++ b/decision/passthrough/budget.go
@@ -8,9 +8,9 @@
 
 // RetryBudget bounds the attempts at one service beyond the first of each request.
 //
-// A service may fail under load, and each failure brings a retry; these must not keep it down. The
-// bound holds over all instances without coordination, since each enforces it for its own requests
-// and uses an equal part of the slack.
+// Load: a service that fails under load, where each failure brings a retry. Harm prevented:
+// retries that keep it down. The bound holds over all instances without coordination, since each
+// enforces it for its own requests and uses an equal part of the slack.
 type RetryBudget struct {
 	ratio       float64
 	slack       float64
@@ -102,8 +102,8 @@
 // AllowsOptional says whether an optional retry is allowed: one that replaces a response of low
 // confidence, not a failure.
 //
-// With hundreds of instances, each with a request every few seconds, none would ever have a fixed
-// reserve, and all would keep their weak responses.
+// Load: hundreds of instances, each with a request every few seconds. Harm prevented: a fixed
+// reserve that none of them would ever have, so that all would keep their weak responses.
 func (b *RetryBudget) AllowsOptional(now time.Time) bool {
 	need := min(max(optionalReserveFraction*b.allowed(now), 1), optionalReserve)
 	return b.Remaining(now) >= need
--- a/decision/passthrough/cascade.go
+++ b/decision/passthrough/cascade.go
@@ -64,12 +64,12 @@
 
 // chooseModel returns the index of the model to request.
 //
-// The smallest model gives a good response to half of the requests. The largest is ten times
-// as slow and cannot bear a burst: its price and time must not be paid for all requests, nor
-// requests be refused in a burst for its sake, while the harder half must not get weak
-// responses. So the smallest model is requested first, and its response is dropped if its own
-// confidence is low and nothing was forwarded yet. After that a larger model is requested
-// however full the servers are: the smallest would give the same response again.
+// Load: requests of which the smallest model gives a good response to half, and a burst that
+// the largest, ten times as slow, cannot bear. Harm prevented: the largest model's price and
+// time for all requests, weak responses for the harder half, refusals in a burst. The
+// smallest model is requested first, and its response is dropped if its own confidence is low
+// and nothing was forwarded yet. After that a larger model is requested however full the
+// servers are: the smallest would give the same response again.
 func (w *World) chooseModel(r *request, headroom float64) int {
 	last := len(r.Route.Models) - 1
 	switch {
@@ -95,10 +95,10 @@
 // dropped, as long as nothing of it was forwarded, and the attempt to be ended as Dropped; 0
 // to keep any response. As engines fill up, only the weakest responses are dropped.
 //
-// The threshold is computed now, not when the request was sent. Otherwise, when a burst
-// begins while responses of the smallest model are in flight, half of them would be dropped,
-// and all engines would be busy with the largest model's prefill, two seconds for each,
-// before any instance notices.
+// Load: a burst that begins while responses of the smallest model are in flight. Harm
+// prevented: half of them dropped by what was known when their requests were sent, so that
+// all engines are busy with the largest model's prefill, two seconds of it at each, before
+// any instance notices. The threshold is computed now, not when the request was sent.
 func (w *World) ConfidenceThreshold(id RequestID) float64 {
 	r := w.requests[id]
 	if r == nil || r.server == nil || r.model == noModel {
--- a/decision/passthrough/crashes.go
+++ b/decision/passthrough/crashes.go
@@ -21,8 +21,8 @@
 
 // crashes counts, by fingerprint, the consecutive attempts that lost their connection.
 //
-// A request that crashes each backend server it runs on, and is sent again each time,
-// would bring down all backend servers one after the other.
+// Load: a request that crashes each backend server it runs on, and is sent again each
+// time. Harm prevented: all backend servers brought down, one after the other.
 type crashes struct {
 	rows *simplelru.LRU[uint64, crashRow]
 }
--- a/decision/passthrough/drained.go
+++ b/decision/passthrough/drained.go
@@ -5,8 +5,9 @@
 // setDrained sets the failure domains that get no new requests. When a domain is no longer
 // drained, its servers may all be cold, so they enter slow start.
 //
-// A failure domain is drained for maintenance under full traffic. Requests must not be cut off
-// when it goes down, nor may all instances rush to its idle servers once it is back.
+// Load: a failure domain that is drained for maintenance under full traffic. Harm prevented:
+// requests cut off when it goes down, and a rush of all instances to its idle servers once it
+// is back.
 func (w *World) setDrained(domains []string) {
 	before := w.drained
 	w.drained = map[string]bool{}
--- a/decision/passthrough/ended.go
+++ b/decision/passthrough/ended.go
@@ -81,8 +81,9 @@
 
 // retry sends the request to another server than the last one, if that is allowed.
 //
-// Where servers crash, reject requests or time out, another server may still give a
-// response. But the retries must not bring down the servers that are left.
+// Load: servers that crash, reject requests or time out. Harm prevented: a response
+// lost where another server could give it, and retries that bring down the servers
+// that are left.
 func (w *World) retry(r *request, last *server) {
 	if last != nil {
 		r.tried = append(r.tried, last)
--- a/decision/passthrough/evidence.go
+++ b/decision/passthrough/evidence.go
@@ -61,9 +61,9 @@
 // Evaluate takes in the current counts, which the caller must not change later, and says
 // whether the new version is bad, on any route or over all. That is final.
 //
-// A fault may cut off the old version's responses while a bad version is being reverted. The
-// old version then looks no better than the bad one, which must not get requests again for
-// that.
+// Load: a fault that cuts off the old version's responses while a bad version is being
+// reverted. Harm prevented: the bad version gets requests again, as the old one then looks no
+// better.
 func (e *Evidence) Evaluate(now time.Time, sums map[string]VersionCounts) bool {
 	if e.bad {
 		return true
--- a/decision/passthrough/fill.go
+++ b/decision/passthrough/fill.go
@@ -25,11 +25,11 @@
 	// prefillWaitRamp goes by the mean wait of prompts, as a fraction of the route's target
 	// latency.
 	//
-	// Engines may have free slots and yet more prompts than the largest model can process: an
-	// engine of 128 slots is saturated with prompts when 20 are taken. Prefill for the largest
-	// model would then delay everything else, so that nearly all responses come late. The request
-	// of a dropped response waits a second time and takes ten times as long: from half of the
-	// target on it would be late.
+	// Load: more prompts than the largest model can process, at engines with free slots: an engine
+	// of 128 slots is saturated with prompts when 20 are taken. Harm prevented: prefill for the
+	// largest model that delays everything else, so that nearly all responses come late. The
+	// request of a dropped response waits a second time and takes ten times as long: from half of
+	// the target on it would be late.
 	prefillWaitRamp = loadRamp{full: 0.45, step: 0.05, width: 0.25}
 )
 
--- a/decision/passthrough/health.go
+++ b/decision/passthrough/health.go
@@ -26,8 +26,9 @@
 // health tracks the failures of a server's attempts from this instance, for outlier
 // ejection.
 //
-// A server among many may fail part of its requests while its own health check passes.
-// It fails fast, so it looks idle and would attract more requests.
+// Load: one server among many that fails part of its requests while its own health
+// check passes. Harm prevented: it fails fast, so it looks idle and attracts more
+// requests.
 type health struct {
 	failed       float64
 	total        float64
--- a/decision/passthrough/nextsize.go
+++ b/decision/passthrough/nextsize.go
@@ -52,9 +52,9 @@
 
 // chooseEscalation chooses the next model after a response was dropped.
 //
-// A fifth of the requests that the smallest model has low confidence in are only a little
-// too hard for it. For these a middle model does as well as the largest one, which has a
-// higher price and takes ten times as long for prefill.
+// Load: requests that are only a little too hard for the smallest model, a fifth of those
+// that it has low confidence in. Harm prevented: the largest model's price and ten times the
+// smallest's prefill time, where a middle model does as well.
 func (w *World) chooseEscalation(r *request, confidence float64) {
 	last := len(r.Route.Models) - 1
 	r.nextModel = last
--- a/decision/passthrough/peerload.go
+++ b/decision/passthrough/peerload.go
@@ -50,9 +50,9 @@
 // applyPeerLoads applies a load report of all other instances. They have no load at servers that
 // are not in it.
 //
-// With dozens of instances and more engines than each hears from in a second, two instances that
-// consider an engine idle could both send it prompts that occupy it for most of a second, while
-// other engines are idle.
+// Load: dozens of instances with more engines than each of them hears from in a second, and
+// prompts that occupy an engine for most of a second. Harm prevented: two instances that
+// consider an engine idle and both send it such prompts, while other engines are idle.
 func (w *World) applyPeerLoads(e PeerLoads) {
 	if float64(e.Instances) < peerCoverage*float64(w.fleetSize-1) {
 		return
--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -17,11 +17,11 @@
 
 // pickServer chooses a server, if one has a free slot.
 //
-// Many requests share long prefixes, and the servers' load is known late and to all instances
-// alike. Prefill must not be repeated everywhere, nor may all instances send to the server
-// that looked idle. So a request goes to the server that its prefix hash selects, which is the
-// same at all instances without coordination, and to the next one by the hash if that has more
-// than its part of the load (consistent hashing with bounded loads).
+// Load: many requests that share long prefixes, at servers whose load is known late and to all
+// instances alike. Harm prevented: prefill that is repeated everywhere, and all instances
+// sending to the server that looked idle. A request goes to the server that its prefix hash
+// selects, which is the same at all instances without coordination, and to the next one by the
+// hash if that has more than its part of the load (consistent hashing with bounded loads).
 func (w *World) pickServer(r *request, views []serverView, occ occupancy) (v serverView, ok bool) {
 	list := w.candidates(r, views)
 	if len(list) == 0 {
@@ -104,13 +104,13 @@
 
 // staysLocal says whether the request is kept in the own failure domain.
 //
-// Otherwise two thirds of the prompts, of 18 kB, would go to another failure domain, and their
-// traffic cost a thirtieth of the value of their responses. But keeping them repeats the
-// prefill of each shared prefix in every failure domain. If engines are behind with prefill,
-// all requests of a prefix go to the server that the hash selects over all domains, which has
-// the prefix cached already, as it is also the one of its own domain. So do long prompts for a
-// larger model, whose prefill is ten times as slow as the smallest's, however idle the engines
-// are: an engine generates nothing for others meanwhile.
+// Load: prompts of 18 kB, two thirds of which went to another failure domain; that traffic
+// cost a thirtieth of the value of their responses. Harm prevented: that traffic; and, if
+// engines are behind with prefill, the prefill of each shared prefix repeated in every failure
+// domain. In that case all requests of a prefix go to the server that the hash selects over
+// all domains, which has the prefix cached already, as it is also the one of its own domain.
+// So do long prompts for a larger model, whose prefill is ten times as slow as the smallest's,
+// however idle the engines are: an engine generates nothing for others meanwhile.
 func staysLocal(r *request, wait float64) bool {
 	repeatedPrefill := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
 	if repeatedPrefill > maxRepeatedPrefill {
--- a/decision/passthrough/place.go
+++ b/decision/passthrough/place.go
@@ -62,8 +62,8 @@
 // firstByteTimeout is how long an attempt may take to its first byte before another
 // server is tried.
 //
-// A caller must not wait to its deadline for a server that hangs or is down. Only
-// requests that may run again time out this way.
+// Load: a server that hangs or is down. Harm prevented: a caller who waits for it to
+// the deadline. Only requests that may run again time out this way.
 func firstByteTimeout(r *request) time.Duration {
 	if r.Route.Kind != KindIdempotent || r.attempts >= r.Route.MaxAttempts {
 		return 0
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -9,9 +9,9 @@
 // queue holds the requests that wait for a service: by priority, and within a priority by
 // fair shares of the teams.
 //
-// A team may send many times its usual load, and urgent requests may arrive behind ones that
-// can wait. A small team must not wait behind a large one's burst, nor callers of the highest
-// priority behind those of the lowest.
+// Load: a team that sends many times its usual load, and urgent requests that arrive behind
+// ones that can wait. Harm prevented: a small team that waits behind a large one's burst, and
+// callers of the highest priority that wait behind those of the lowest.
 type queue struct {
 	group    fair.Group
 	accounts map[string]*fair.Account
@@ -68,8 +68,8 @@
 
 // ahead estimates how many requests would be served before this one.
 //
-// In a queue filled by one large team, a small team's request is served by its own share. It
-// must not be refused for a wait that it would not have.
+// Load: a queue filled by one large team. Harm prevented: a small team's request refused for
+// a wait that it would not have, as it is served by its team's own share.
 func (q *queue) ahead(r *request) int {
 	if q.len == 0 {
 		return 0
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -165,9 +165,9 @@
 // allowLimit says whether the server's rate limit lets this instance send to it now. If the bucket
 // is empty, it schedules a wake-up for the next token.
 //
-// An overloaded server may take a fifth of its usual requests, from hundreds of instances that each
-// send it few. If each instance kept to the limit by itself, together they would exceed it, and the
-// server would not recover.
+// Load: an overloaded server that takes a fifth of its usual requests, from hundreds of instances
+// that each send it few. Harm prevented: instances that each keep to the limit by themselves and
+// together exceed it, so that the server does not recover.
 func (w *World) allowLimit(s *server) bool {
 	if !s.limit.Limited {
 		return true
@@ -191,8 +191,8 @@
 
 // pickStaleLimited returns a server whose limit no instance has heard of for limitProbeAfter.
 //
-// With many servers the few instances that may send to a limited one hardly ever choose it: a
-// server that takes everything again would get nothing for a minute.
+// Load: many servers, so that the few instances that may send to a limited one hardly ever choose
+// it. Harm prevented: a server that takes everything again and gets nothing for a minute.
 func (w *World) pickStaleLimited(list []serverView) (v serverView, ok bool) {
 	if len(w.limitedServers) == 0 {
 		return serverView{}, false
--- a/decision/passthrough/reading.go
+++ b/decision/passthrough/reading.go
@@ -158,9 +158,9 @@
 // prefillRemaining is how many seconds of this instance's prefill the server still has to do. Each
 // prompt's part shrinks until its response is due, and counts in full again once that is overdue.
 //
-// Prompts may take tenths of a second, and most are partly processed. Counted in full, they would
-// make engines look twice as busy as they are; without the overdue ones, unresponsive engines would
-// look idle.
+// Load: prompts of tenths of a second, most of which are partly processed. Harm prevented: engines
+// that look twice as busy as they are, as prompts would count in full; and unresponsive ones that
+// look idle, as overdue prompts would not count.
 func (s *server) prefillRemaining(now time.Time) float64 {
 	sum := 0.0
 	for _, r := range s.prefilling {
@@ -180,11 +180,11 @@
 
 // maxPrefillWait is how long the request's prompt may be expected to wait at an engine, in seconds.
 //
-// If there are more prompts than the engines can process and all were sent at once, each would wait
-// for all others, including those of high priority and of small teams, and time out at its
-// deadline. Requests in this instance's queue are served by priority and team instead, and can be
-// refused as not run. A request that has run before is not held back: its caller would have waited
-// in vain.
+// Load: more prompts than the engines can process. Harm prevented: all of them sent at once, so
+// that each waits for all others, including those of high priority and of small teams, and times
+// out at its deadline. Requests in this instance's queue are served by priority and team instead,
+// and can be refused as not run. A request that has run before is not held back: its caller would
+// have waited in vain.
 func (r *request) maxPrefillWait(now time.Time) float64 {
 	if !r.service.engine || r.mayHaveRun {
 		return math.Inf(1)
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -36,9 +36,9 @@
 
 // outlivesInstance says whether the response would be cut off as this instance stops.
 //
-// An instance that is told to stop still gets requests until the load balancer notices, among them
-// streams as long as its whole grace period. Refusing those sends the callers to another instance,
-// instead of cutting their streams midway.
+// Load: an instance that is told to stop and still gets requests until the load balancer notices,
+// among them streams as long as its whole grace period. Harm prevented: a stream that is cut
+// midway, where a refusal sends the caller to an instance that stays.
 func (w *World) outlivesInstance(r *request) bool {
 	if w.endsAt.IsZero() || r.Route.Kind != KindStream {
 		return false
@@ -59,8 +59,8 @@
 
 // enqueue queues a request, or refuses it at once.
 //
-// When demand exceeds capacity, callers must not wait for responses that come too late. So the
-// queue is no longer than what drains within the wait that the request can afford; others are
+// Load: demand above capacity. Harm prevented: callers who wait for responses that come too late.
+// The queue is no longer than what drains within the wait that the request can afford; others are
 // refused at once with a time to retry after.
 func (w *World) enqueue(r *request) {
 	s := r.service
--- a/decision/passthrough/rollout.go
+++ b/decision/passthrough/rollout.go
@@ -88,9 +88,9 @@
 
 // IsBad says whether the new version is bad, by the counts of all instances.
 //
-// A version may fail some of its responses or be slow, at once, later, or on one route only.
-// Without a verdict callers would get its responses until a person notices. Evidence also judges
-// recent counts, so that a version that turns bad late is not excused by its start.
+// Load: a version that fails some of its responses or is slow, at once, later, or on one route
+// only. Harm prevented: callers who get its responses until a person notices. Evidence also
+// judges recent counts, so that a version that turns bad late is not excused by its start.
 func IsBad(newCounts, oldCounts Counts) bool {
 	if firstByteTest.exceeds(newCounts.FirstByte) || intervalTest.exceeds(newCounts.EventInterval) || slowTooOften(newCounts.EventInterval, oldCounts.EventInterval) {
 		return true
@@ -101,9 +101,10 @@
 // slowTooOften says whether the new version has more slow responses than it is allowed,
 // relative to the old one.
 //
-// In a burst, a version that is slow in part of its responses can have a mean near the limit,
-// as the other part is fast on servers that have little to do: one that was six times as slow
-// in 60 of 100 responses was completed at 1.7 times the usual event interval.
+// Load: a version that is slow in part of its responses, in a burst. Harm prevented: it is
+// completed because its mean alone is near the limit, as the other part is fast on servers that
+// have little to do: one that was six times as slow in 60 of 100 responses was completed at 1.7
+// times the usual event interval.
 func slowTooOften(newTimes, oldTimes LogRatioStats) bool {
 	return newTimes.slow().exceeds(oldTimes.slow(), minBadForVerdict)
 }
@@ -156,13 +157,13 @@
 	case bad:
 		r.Phase, r.Share = PhaseReverted, 0
 	case elapsed >= complete && failsTooOften(newCounts, oldCounts, minBadAtCompletion):
-		// If instances are killed or disconnected, little is known of a version. One that
-		// failed two of seven responses must not be completed all the same.
+		// Load: a version of which little is known, as instances were killed or disconnected.
+		// Harm prevented: one that failed two of seven responses is completed all the same.
 		r.Phase, r.Share = PhaseReverted, 0
 	case inDoubt:
-		// In a burst a version may look slow without enough responses to be sure. If it turned
-		// out to be slow after completion, the old servers would be gone, so it is completed
-		// late rather than wrongly.
+		// Load: a version that looks slow in a burst, without enough responses to be sure. Harm
+		// prevented: the old servers are gone when it turns out to be slow. It is completed late
+		// rather than wrongly.
 		r.Held = elapsed >= complete
 		if newCounts.suspectCount() >= maxSuspects {
 			r.Share = 0
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -116,9 +116,8 @@
 	}
 }
 
-// TestFaultsDoNotHideAFailingVersion guards against excusing a version that fails 45 of 82
-// responses because a fault has cut off a quarter of the old version's: failures and cut-off
-// responses are in the same counts.
+// TestFaultsDoNotHideAFailingVersion guards against excusing a version of which 50 of 82
+// responses are bad because a fault makes 870 of 3,270 of the old version's bad too.
 func TestFaultsDoNotHideAFailingVersion(t *testing.T) {
 	if !IsBad(Counts{Good: 32, Bad: 50}, Counts{Good: 2400, Bad: 870}) {
 		t.Error("a version that fails half of its responses is not judged bad while a fault affects the old one")
--- a/decision/passthrough/sessions.go
+++ b/decision/passthrough/sessions.go
@@ -16,11 +16,12 @@
 
 // wantsTarget says whether a request goes to the roll-out's target.
 //
-// A session's requests come to any instance, and its version must not change midway.
-// Sessions that are open when the roll-out is ordered stay at the old version through
-// the first half: before the canary gets any traffic, the instances tell each other the
-// open sessions in its share, a few each. All other sessions in the share belong to the
-// new version, by a hash that is the same at all instances, and stay there.
+// Load: sessions whose requests come to any instance, during a roll-out. Harm prevented:
+// a session that changes its version midway. Sessions that are open when the roll-out is
+// ordered stay at the old version through the first half: before the canary gets any
+// traffic, the instances tell each other the open sessions in its share, a few each. All
+// other sessions in the share belong to the new version, by a hash that is the same at
+// all instances, and stay there.
 func (w *World) wantsTarget(r *request, ro *Rollout) bool {
 	switch {
 	case ro.Phase == PhaseCompleted:
@@ -49,9 +50,10 @@
 // switchesEarly says whether the request goes to the new version because it would still
 // run at the old one when the roll-out is completed.
 //
-// The old servers stop at once then, which would cut off streams that take many seconds.
-// The routes with the longest responses switch first, and none sooner than it must,
-// since the new version may still turn out to be bad.
+// Load: streams that take many seconds, at old servers that stop at once when the
+// roll-out is completed. Harm prevented: their responses cut off. The routes with the
+// longest responses switch first, and none sooner than it must, since the new version
+// may still turn out to be bad.
 func (w *World) switchesEarly(r *request, ro *Rollout) bool {
 	if ro.FirstHalf || ro.CompleteAt.IsZero() {
 		return false
--- a/decision/passthrough/silence.go
+++ b/decision/passthrough/silence.go
@@ -42,9 +42,9 @@
 
 // TimedOut says whether to give up on the attempt.
 //
-// Some servers crash or hang, while others are only busy. A caller must not wait for a
-// dead server; and moving requests away from a busy one repeats their prefill just when
-// there is no time for it.
+// Load: servers that go down or hang, among others that are only busy. Harm prevented: a
+// caller who waits for a dead server; and, if requests are moved away from a busy one,
+// prefill that is repeated just when there is no time for it.
 func (s Inactivity) TimedOut() bool {
 	if s.Route.Kind != KindStream {
 		return s.FirstByteTimeout > 0 && !s.Begun && s.AttemptIdle > s.FirstByteTimeout
--- a/decision/passthrough/slowstart.go
+++ b/decision/passthrough/slowstart.go
@@ -89,8 +89,8 @@
 // allowSlowStart says whether the slow start of the server lets this instance send to it now. If
 // the quota is used up, it schedules a wake-up for when there is quota again.
 //
-// When the servers of a failure domain come back together during a burst, they all look idle to
-// hundreds of instances. Without the limit these would crash the cold servers again.
+// Load: a failure domain whose servers come back together during a burst, and look idle to
+// hundreds of instances. Harm prevented: instances that crash the cold servers again.
 func (w *World) allowSlowStart(s *server) bool {
 	if !s.inSlowStart(w.now) {
 		return true
--- a/decision/passthrough/throttle.go
+++ b/decision/passthrough/throttle.go
@@ -9,12 +9,13 @@
 
 // throttle bounds what is sent to a plain service whose servers reject requests.
 //
-// Under several times the load that the service's few servers can bear, hundreds of instances each
-// see too few responses to know how full the servers are. A full server resets connections, which
-// leaves open whether the request ran: callers of requests that may run at most once then get a
-// failure, where a refusal would have told them when to retry. And one team's burst takes the slots
-// of all others. So each instance sends little more than what was recently accepted of its own
-// requests. It refuses low priorities first, and the teams that ask for the most.
+// Load: several times what the service's few servers can bear, from hundreds of instances that each
+// see too few responses to know how full the servers are. Harm prevented: a full server that resets
+// connections, which leaves open whether the request ran, so that callers of requests that may run
+// at most once get a failure where a refusal would have told them when to retry; and one team's
+// burst that takes the slots of all others. Each instance sends little more than what was recently
+// accepted of its own requests. It refuses low priorities first, and the teams that ask for the
+// most.
 type throttle struct {
 	accepted decayingCount
 	// rejected is the number of requests that were not accepted; responses of crowded servers count
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -128,8 +128,8 @@
 // observeEventInterval emits the interval of a stream's first events if a roll-out is in
 // progress.
 //
-// A version may be so slow that its streams do not end within the roll-out. Without their
-// first events little would be known of it, and it would be completed: in one case 3 of 28
+// Load: a version so slow that its streams do not end within the roll-out. Harm prevented: it
+// is completed because little is known of it without their first events: in one case 3 of 28
 // responses had ended by then.
 func (w *World) observeEventInterval(e EventIntervalMeasured) {
 	r := w.requests[e.Request]
--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -65,8 +65,9 @@
 // canaryMinHash is the lowest hash of the servers that the canary's share goes to: their
 // fraction of the new servers is about the canary's share of all requests.
 //
-// A version may fail only under load. With a small share spread over as many servers as the
-// whole traffic has, its servers would be idle and the canary would show nothing.
+// Load: a version that fails only under load, with a small share spread over as many
+// servers as the whole traffic has. Harm prevented: a canary that shows nothing, as its
+// servers are idle.
 func (w *World) canaryMinHash(s *service, ro *Rollout) uint64 {
 	var hashes []uint64
 	for _, srv := range s.servers {
