--- a/decision/passthrough/engine_test.go
+++ b/decision/passthrough/engine_test.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// The engines of these tests read one prompt after the other and generate between its chunks
-// of 4,000 tokens: 300 tokens a millisecond with the small model, 30 with the large one. The small model's answer is good for one request in two, and its confidence says so.
+// The engines of these tests process one prompt after the other, and generate between its chunks of
+// 4,000 tokens: 300 tokens per millisecond with the small model, 30 with the large one. The small
+// model's response is good for one request in two, and its confidence says so.
 const (
 	simEngines = 6
 	simSlots   = 128
 	simStep    = 5 * time.Millisecond
 	simEvents  = 8 // of 15 ms each
 	simTokens  = 2000
-	// simCalm is what the engines bear a second with the large model for every second
-	// request: 6.7 ms and half of 67 ms for each.
+	// simCapacity is how many requests per second the engines can bear with the large model for
+	// every second request: each takes 6.7 ms plus half of 67 ms.
 	simCapacity = 150.0
 )
 
-// simCallers is a kind of callers.
+// simCallerKind is a kind of callers.
 type simCallerKind struct {
-	team string
-	rank int
-	rate float64
-	// again is how often a refused caller asks again at once, whatever it is told.
+	team     string
+	priority int
+	rate     float64
+	// retries is how often a refused caller retries at once, whatever it is told.
 	retries int
 }
 
-// simTally is what became of a kind's requests.
+// simTally counts the outcomes of a kind's requests.
 type simTally struct {
 	sent, inTarget, late, weak, refused, failed int
-	// hints are the times after which refused callers were told to come back.
-	hints []time.Duration
+	// hints are the retry-after times of refused callers.
+	retryAfters []time.Duration
 }
 
-// credit is 1 for a good answer in time, half for a late one, a twentieth for a weak one.
+// credit is 1 for a good response in time, half for a late one, a twentieth for a weak one.
 func (t simTally) credit() float64 {
 	return float64(t.inTarget) + 0.5*float64(t.late) + 0.05*float64(t.weak)
 }
@@ -52,12 +53,12 @@
 	id        RequestID
 	model     string
 	sent      time.Time
-	prefillMS float64 // milliseconds to read
-	decodeMS  float64 // milliseconds to generate
-	// events that it makes, from began on.
+	prefillMS float64 // remaining prefill
+	decodeMS  float64 // remaining generation
+	// events is the number of events that it generates, from began on.
 	events float64
 	began  time.Time
-	// version of the engine's software; slow says that it works on this one slowly.
+	// version of the engine's software; slow says that it is slow with this job.
 	version string
 	slow    bool
 }
@@ -79,25 +80,25 @@
 	retries       int
 }
 
-// sim plays callers, instances and engines together, on one clock.
+// sim simulates callers, instances and engines on one clock.
 type sim struct {
-	rng      *rand.Rand
-	route    *Route
-	benches  []*harness
-	engines  map[string]*simEngine
-	kinds    []simCallerKind
-	tallies  []simTally
-	requests map[*harness]map[RequestID]*simRequest
-	handled  map[*harness]int
+	rng       *rand.Rand
+	route     *Route
+	instances []*harness
+	engines   map[string]*simEngine
+	kinds     []simCallerKind
+	tallies   []simTally
+	requests  map[*harness]map[RequestID]*simRequest
+	handled   map[*harness]int
 	// oldest is the first request that may still be open.
 	oldest map[*harness]RequestID
 	now    time.Time
 	// tokens is the length of prompts.
 	tokens int
-	// shares says that the instances tell each other their loads each shareEvery.
+	// sharesLoads says that the instances report their loads to each other every shareEvery.
 	sharesLoads bool
 	sharedAt    time.Time
-	// rollout is one that is played beside the load, nil for none.
+	// rollout is a simulated roll-out, nil for none.
 	rollout *simRollout
 }
 
@@ -123,24 +124,24 @@
 		c := Config{Version: 1, Services: []Service{{Name: "llm", Slots: simSlots}}, Routes: []Route{*s.route}}
 		b.tick(Configured{NewIndex(c)})
 		b.tick(ServersListed{list})
-		s.benches = append(s.benches, b)
+		s.instances = append(s.instances, b)
 		s.requests[b] = map[RequestID]*simRequest{}
 	}
 	return s
 }
 
-// seed makes it another play of the same.
+// setSeed makes it another run of the same simulation.
 func (s *sim) setSeed(seed uint64) { s.rng = rand.New(rand.NewPCG(7, 7+seed)) }
 
-// play runs so long, with the kinds' rates times the factor.
+// play runs the simulation for a time, at the kinds' rates times factor.
 func (s *sim) play(length time.Duration, factor float64) {
 	owed := make([]float64, len(s.kinds))
 	for until := s.now.Add(length); s.now.Before(until); {
 		s.now = s.now.Add(simStep)
-		for _, b := range s.benches {
+		for _, b := range s.instances {
 			b.now = s.now
 		}
-		for _, srv := range s.benches[0].world.services["llm"].servers {
+		for _, srv := range s.instances[0].world.services["llm"].servers {
 			s.stepEngine(s.engines[srv.ID])
 		}
 		s.timers()
@@ -156,20 +157,21 @@
 	}
 }
 
-// shareEvery is how often the instances tell each other their loads, and how late that is known.
+// shareEvery is how often the instances report their loads to each other, and the delay of the
+// reports.
 const shareEvery = 150 * time.Millisecond
 
-// share tells each instance what all others had at the engines.
+// share gives each instance the load of all others at the engines.
 func (s *sim) share() {
 	if !s.sharesLoads || s.now.Sub(s.sharedAt) < shareEvery {
 		return
 	}
 	s.sharedAt = s.now
-	own := make([][]PeerLoad, len(s.benches))
-	for i, b := range s.benches {
+	own := make([][]PeerLoad, len(s.instances))
+	for i, b := range s.instances {
 		own[i] = b.world.OwnLoads()
 	}
-	for i, b := range s.benches {
+	for i, b := range s.instances {
 		sums := map[uint32]PeerLoad{}
 		for j, rows := range own {
 			for _, row := range rows {
@@ -179,19 +181,19 @@
 				}
 			}
 		}
-		b.tick(PeerLoads{Loads: slices.Collect(maps.Values(sums)), Instances: len(s.benches) - 1})
+		b.tick(PeerLoads{Loads: slices.Collect(maps.Values(sums)), Instances: len(s.instances) - 1})
 		s.carryOut(b)
 	}
 }
 
-func (s *sim) arrive(kind, again int, hard bool) {
-	b := s.benches[s.rng.IntN(len(s.benches))]
+func (s *sim) arrive(kind, retries int, hard bool) {
+	b := s.instances[s.rng.IntN(len(s.instances))]
 	s.tallies[kind].sent++
-	r := &simRequest{kind: kind, hard: hard, retries: again, target: s.now.Add(s.route.TargetLatency), deadline: s.now.Add(s.route.Timeout), waiting: true}
+	r := &simRequest{kind: kind, hard: hard, retries: retries, target: s.now.Add(s.route.TargetLatency), deadline: s.now.Add(s.route.Timeout), waiting: true}
 	r.queueDeadline = s.now.Add(MaxQueueWait(&Request{TargetTime: r.target, Deadline: r.deadline}, s.now))
 	s.requests[b][b.next+1] = r
 	b.arrive(s.route, func(q *Request) {
-		q.Team, q.Priority, q.PromptTokens, q.MaxTokens = s.kinds[kind].team, s.kinds[kind].rank, s.tokens, 4*simEvents
+		q.Team, q.Priority, q.PromptTokens, q.MaxTokens = s.kinds[kind].team, s.kinds[kind].priority, s.tokens, 4*simEvents
 		q.PrefixHash, q.PrefixTokens = uint64(1+s.rng.IntN(200)), s.tokens/10
 		if s.rollout != nil {
 			q.RolloutPosition = s.rng.Float64()
@@ -200,9 +202,9 @@
 	s.carryOut(b)
 }
 
-// timers ends waits in queues and passed deadlines.
+// timers ends expired queue waits and requests whose deadline has passed.
 func (s *sim) timers() {
-	for _, b := range s.benches {
+	for _, b := range s.instances {
 		for s.oldest[b] <= b.next && s.requests[b][s.oldest[b]] == nil {
 			s.oldest[b]++
 		}
@@ -241,7 +243,7 @@
 	}
 }
 
-// follow carries out an instance's commands.
+// carryOut carries out an instance's commands.
 func (s *sim) carryOut(b *harness) {
 	for s.handled[b] < len(b.allCommands) {
 		c := b.allCommands[s.handled[b]]
@@ -270,7 +272,7 @@
 			delete(s.requests[b], c.Request)
 			t := &s.tallies[r.kind]
 			t.refused++
-			t.hints = append(t.hints, c.RetryAfter)
+			t.retryAfters = append(t.retryAfters, c.RetryAfter)
 			if r.retries > 0 {
 				s.arrive(r.kind, r.retries-1, r.hard)
 			}
@@ -282,11 +284,11 @@
 	}
 }
 
-// paceWhileReading is the part of its pace at which an engine generates meanwhile: a step of
-// 4 ms takes the time of a chunk more.
+// decodeSpeedDuringPrefill is the relative speed at which an engine generates during prefill: a
+// step of 4 ms takes the time of a chunk longer.
 var decodeSpeedDuringPrefill = map[string]float64{"small": 0.25, "large": 0.03}
 
-// engine plays one step of an engine.
+// stepEngine simulates one step of an engine.
 func (s *sim) stepEngine(e *simEngine) {
 	step := float64(simStep.Milliseconds())
 	decode := step
@@ -314,7 +316,7 @@
 	e.running = kept
 }
 
-// begin is an answer's head.
+// begin sends the head of a response.
 func (s *sim) begin(e *simEngine, j *simJob) {
 	r := s.requests[j.b][j.id]
 	if r == nil {
@@ -356,7 +358,7 @@
 		t.inTarget++
 	}
 	if s.rollout != nil {
-		s.rollout.answered(j)
+		s.rollout.completed(j)
 	}
 	j.b.tick(AttemptEnded{Request: j.id, Result: Completed, EventInterval: seconds(s.now.Sub(j.began).Seconds() / j.events)})
 	s.carryOut(j.b)
--- a/router/internal/passthrough/list_restore.go
+++ b/router/internal/passthrough/list_restore.go
@@ -56,7 +56,7 @@
 // writes again or unconfirmedDelay has passed. The lock is held.
 func (l *serverList) reconcile(s passthrough.Server, offset uint64) (out passthrough.Server, ok bool) {
 	if old, known := l.entries[s.ID]; known && old.StartTime == s.StartTime {
-		s.Draining = s.Draining || old.Draining
+		s.Leaving = s.Leaving || old.Leaving
 		return s, true
 	}
 	if t, left := l.tombstones[s.ID]; left && t.startTime == s.StartTime {
