--- a/router/internal/api/api.go
+++ b/router/internal/api/api.go
@@ -40,7 +40,7 @@
 type Servers interface {
 	Addr(decision.ServerID) (string, bool)
 	// Answered takes the load that a server told on an answer; empty for none.
-	Answered(id decision.ServerID, load string)
+	ObserveLoad(id decision.ServerID, load string)
 }
 
 // Recorder takes the service-level figures of each ended request. Safe for
@@ -58,31 +58,31 @@
 	// FirstToken is zero where none came; InterToken is the mean gap.
 	FirstToken time.Duration
 	InterToken time.Duration
-	Whole      time.Duration
+	Duration   time.Duration
 	Cost       float64
 }
 
 // Deps is what the API works with.
 type Deps struct {
-	Driver    *driver.Driver
-	Manifests Manifests
-	Gate      Gate
-	Servers   Servers
-	Upstream  *upstream.Client
-	Store     node.Store
-	Biller    *billing.Biller
-	Tokens    *session.Tokens
-	Names     *session.Names
-	Rater     platform.Rater
-	Recorder  Recorder
-	Log       *logging.Logger
-	Limits    Limits
+	Driver        *driver.Driver
+	Manifests     Manifests
+	Gate          Gate
+	Servers       Servers
+	Upstream      *upstream.Client
+	Store         node.Store
+	Biller        *billing.Biller
+	SessionTokens *session.Tokens
+	SessionNames  *session.Names
+	Rater         platform.Rater
+	Recorder      Recorder
+	Log           *logging.Logger
+	Limits        Limits
 }
 
 // Limits towards callers.
 type Limits struct {
 	// MaxBody in bytes.
-	MaxBody int64
+	MaxBodyBytes int64
 	// ReadTimeout bounds the reading of a body, against slow callers.
 	ReadTimeout time.Duration
 	// WriteTimeout bounds each write to a caller: one that does not read must
--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	x.s.Servers.Answered(d.Server, resp.Header.Get(wire.HeaderLoad))
+	x.s.Servers.ObserveLoad(d.Server, resp.Header.Get(wire.HeaderLoad))
 	if x.call != nil {
 		return x.readService(ctx, d, resp)
 	}
--- a/router/internal/api/chat.go
+++ b/router/internal/api/chat.go
@@ -64,11 +64,11 @@
 	// end of the caller while a long answer is under way.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(s.Limits.ReadTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.Limits.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.Limits.MaxBodyBytes))
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		o := routerRefusal("body_too_large", "the body is larger than "+strconv.FormatInt(s.Limits.MaxBody, 10)+" bytes")
+		o := routerRefusal("body_too_large", "the body is larger than "+strconv.FormatInt(s.Limits.MaxBodyBytes, 10)+" bytes")
 		return nil, &o
 	}
 	if err != nil {
--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -274,7 +274,7 @@
 		Outcome:    string(final.Kind),
 		Code:       final.Code,
 		FirstToken: x.firstToken,
-		Whole:      time.Since(x.start),
+		Duration:   time.Since(x.start),
 		Cost:       x.cost,
 	}
 	if x.tokenIntervals > 0 {
--- a/router/internal/api/fixture_test.go
+++ b/router/internal/api/fixture_test.go
@@ -67,7 +67,7 @@
 }
 
 // Answered implements Servers.
-func (f *fixture) Answered(decision.ServerID, string) {}
+func (f *fixture) ObserveLoad(decision.ServerID, string) {}
 
 // switchGate refuses with whatever reason it holds.
 type fakeGate struct {
@@ -119,10 +119,10 @@
 
 type noSink struct{}
 
-func (noSink) ShareVerdict(decision.VersionVerdict) {}
-func (noSink) ShareLeaving(decision.ServerID)       {}
-func (noSink) NoteEjection(decision.ReportEjection) {}
-func (noSink) Quarantine(decision.Quarantine)       {}
+func (noSink) ShareVerdict(decision.VersionVerdict)   {}
+func (noSink) ShareLeaving(decision.ServerID)         {}
+func (noSink) ReportEjection(decision.ReportEjection) {}
+func (noSink) Quarantine(decision.Quarantine)         {}
 
 func testManifest() manifest.Manifest {
 	return manifest.Manifest{
@@ -206,7 +206,7 @@
 	f.driver = driver.New(decision.NewWorld(decision.DefaultConfig()), noSink{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go f.driver.Run(ctx)
-	f.driver.Send(f.index.Load().Tables())
+	f.driver.Send(f.index.Load().DecisionEvent())
 	f.driver.Send(decision.ServersListed{Servers: []decision.Server{
 		{ID: "e1", Versions: []decision.VersionID{"draft@1"}, Slots: 4},
 		{ID: "s1", Service: "shop", Slots: 4},
@@ -218,19 +218,19 @@
 		f.t.Fatal(err)
 	}
 	f.server = httptest.NewServer(New(Deps{
-		Driver:    f.driver,
-		Manifests: f,
-		Gate:      f.gate,
-		Servers:   f,
-		Upstream:  client,
-		Store:     f.node,
-		Biller:    billing.New(ledger.StoreLog{Store: f.node}, f.holder),
-		Tokens:    tokens,
-		Names:     session.NewNames(f.node, time.Hour),
-		Rater:     noRater{},
-		Recorder:  noRecorder{},
-		Log:       logging.New(io.Discard, settings.Default().Log),
-		Limits:    Limits{MaxBody: 1 << 16, ReadTimeout: time.Minute, WriteTimeout: f.writeTimeout, DefaultDeadline: 20 * time.Second, MaxDeadline: time.Minute},
+		Driver:        f.driver,
+		Manifests:     f,
+		Gate:          f.gate,
+		Servers:       f,
+		Upstream:      client,
+		Store:         f.node,
+		Biller:        billing.New(ledger.StoreLog{Store: f.node}, f.holder),
+		SessionTokens: tokens,
+		SessionNames:  session.NewNames(f.node, time.Hour),
+		Rater:         noRater{},
+		Recorder:      noRecorder{},
+		Log:           logging.New(io.Discard, settings.Default().Log),
+		Limits:        Limits{MaxBodyBytes: 1 << 16, ReadTimeout: time.Minute, WriteTimeout: f.writeTimeout, DefaultDeadline: 20 * time.Second, MaxDeadline: time.Minute},
 	}))
 	f.t.Cleanup(func() { f.server.Close(); client.Close(); cancel() })
 }
--- a/router/internal/api/outcome_test.go
+++ b/router/internal/api/outcome_test.go
@@ -268,7 +268,7 @@
 	}
 	cancel()
 	<-ended
-	f.eventually("the ticket closes", func() bool { return f.driver.Open() == 0 })
+	f.eventually("the ticket closes", func() bool { return f.driver.OpenRequests() == 0 })
 	f.eventually("the bill", func() bool { return len(f.bills()) == 1 })
 }
 
@@ -296,5 +296,5 @@
 		t.Fatal(err)
 	}
 	<-cancelled
-	f.eventually("the ticket closes", func() bool { return f.driver.Open() == 0 })
+	f.eventually("the ticket closes", func() bool { return f.driver.OpenRequests() == 0 })
 }
--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -36,7 +36,7 @@
 		ShareHash: session.ShareHash(c.team.ID, id),
 	}
 	opened.Pins = s.pickVersions(r.Context(), opened)
-	token, expires, err := s.Tokens.Issue(opened)
+	token, expires, err := s.SessionTokens.Issue(opened)
 	if err != nil {
 		writeOutcome(w, routerRefusal("session_invalid", err.Error()))
 		return
@@ -85,10 +85,10 @@
 // name not seen before gets its pins now, from the first writer in the log.
 func (s *Server) readSession(ctx context.Context, c caller, header string) (session.Session, *outcome.Outcome) {
 	if session.LooksLikeToken(header) {
-		opened, err := s.Tokens.Verify(header, c.team.ID)
+		opened, err := s.SessionTokens.Verify(header, c.team.ID)
 		return opened, sessionRefusal(err)
 	}
-	known, ok, err := s.Names.Lookup(c.team.ID, header)
+	known, ok, err := s.SessionNames.Lookup(c.team.ID, header)
 	if err != nil || ok {
 		return known, sessionRefusal(err)
 	}
@@ -99,7 +99,7 @@
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	own := session.Session{Team: c.team.ID, ID: header, ShareHash: session.ShareHash(c.team.ID, header)}
-	opened, err := s.Names.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, own))
+	opened, err := s.SessionNames.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, own))
 	return opened, sessionRefusal(err)
 }
 
--- a/router/internal/daemon/decide.go
+++ b/router/internal/daemon/decide.go
@@ -115,7 +115,7 @@
 }
 
 // NoteEjection implements driver.FleetSink.
-func (f *fleet) NoteEjection(c decision.ReportEjection) {
+func (f *fleet) ReportEjection(c decision.ReportEjection) {
 	f.log.Emit(context.Background(), logging.EventServerEjected,
 		slog.String("server", string(c.Server)), slog.Bool("ejected", c.Ejected))
 	f.set(f.ejected, string(c.Server), c.Ejected)
--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -56,7 +56,7 @@
 		Log:       p.Log,
 		Registry:  p.Registry,
 	})
-	p.Gate.SetFull(func() bool { return n.Full(p.Driver.Open()) })
+	p.Gate.SetHeldBillsFull(func() bool { return n.Full(p.Driver.OpenRequests()) })
 	p.Fleet.attach(p.Store, n)
 	return n, nil
 }
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -42,7 +42,7 @@
 	return platform.NewLogClient(cfg.Platform.LogURL)
 }
 
-func newList(cfg settings.Settings) platform.List {
+func newList(cfg settings.Settings) platform.InstanceLister {
 	return platform.NewListClient(cfg.Platform.ListURL)
 }
 
@@ -116,7 +116,7 @@
 // read under it.
 func newHolder(d *driver.Driver, r *report.Recorder, log *logging.Logger) *manifest.Holder {
 	return manifest.NewHolder(func(x *manifest.Index) {
-		d.Send(x.Tables())
+		d.Send(x.DecisionEvent())
 		r.SetObjectives(x.Manifest.Generation, x.Manifest.Objectives)
 		log.Emit(context.Background(), logging.EventManifestApplied,
 			slog.Uint64("generation", x.Manifest.Generation),
@@ -124,7 +124,7 @@
 	})
 }
 
-func newDirectory(cfg settings.Settings, list platform.List, d *driver.Driver) *directory.Directory {
+func newDirectory(cfg settings.Settings, list platform.InstanceLister, d *driver.Driver) *directory.Directory {
 	return directory.New(cfg.Instance, list, d, ms(cfg.Platform.ListIntervalMS), ms(cfg.Platform.LoadIntervalMS))
 }
 
@@ -134,7 +134,7 @@
 // lapse that comes by time alone.
 func startFreshness(lc fx.Lifecycle, g *gate.Gate, d *driver.Driver, dir *directory.Directory, log *logging.Logger) {
 	g.OnChange(func(mode freshness.Mode) {
-		ev := gate.Event(mode)
+		ev := gate.FreshnessEvent(mode)
 		d.Send(ev)
 		log.Emit(context.Background(), logging.EventFreshnessChanged,
 			slog.Bool("fresh", ev.Fresh), slog.Bool("outage", ev.Outage))
@@ -143,7 +143,7 @@
 		ticker := time.NewTicker(freshnessInterval)
 		defer ticker.Stop()
 		for {
-			g.Live(names(dir))
+			g.SetLiveInstances(names(dir))
 			select {
 			case <-ctx.Done():
 				return
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -35,7 +35,7 @@
 // Observe implements api.Recorder.
 func (r *recorder) Observe(o api.Observation) {
 	gometrics.GetOrRegisterCounter("requests."+o.Outcome, r.registry).Inc(1)
-	gometrics.GetOrRegisterTimer("request.whole", r.registry).Update(o.Whole)
+	gometrics.GetOrRegisterTimer("request.whole", r.registry).Update(o.Duration)
 	if o.FirstToken > 0 {
 		gometrics.GetOrRegisterTimer("request.first_token", r.registry).Update(o.FirstToken)
 	}
@@ -83,7 +83,7 @@
 		Domain:       s.parts.Settings.Domain,
 		Generation:   s.parts.Holder.Generation(),
 		Mode:         modeNames[s.parts.Gate.Mode()],
-		Open:         s.parts.Driver.Open(),
+		Open:         s.parts.Driver.OpenRequests(),
 		Offset:       log.Next,
 		Head:         log.Head,
 		Lag:          max(log.Head, log.Next) - log.Next,
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -71,20 +71,20 @@
 
 func newAPI(p apiParams) *api.Server {
 	return api.New(api.Deps{
-		Driver:    p.Driver,
-		Manifests: p.Manifests,
-		Gate:      p.Gate,
-		Servers:   p.Directory,
-		Upstream:  p.Upstream,
-		Store:     p.Store,
-		Biller:    p.Biller,
-		Tokens:    p.Tokens,
-		Names:     p.Names,
-		Rater:     p.Rater,
-		Recorder:  p.Recorder,
-		Log:       p.Log,
+		Driver:        p.Driver,
+		Manifests:     p.Manifests,
+		Gate:          p.Gate,
+		Servers:       p.Directory,
+		Upstream:      p.Upstream,
+		Store:         p.Store,
+		Biller:        p.Biller,
+		SessionTokens: p.Tokens,
+		SessionNames:  p.Names,
+		Rater:         p.Rater,
+		Recorder:      p.Recorder,
+		Log:           p.Log,
 		Limits: api.Limits{
-			MaxBody:         p.Settings.Limits.MaxBodyBytes,
+			MaxBodyBytes:    p.Settings.Limits.MaxBodyBytes,
 			ReadTimeout:     ms(p.Settings.Limits.ReadTimeoutMS),
 			WriteTimeout:    ms(p.Settings.Limits.WriteTimeoutMS),
 			DefaultDeadline: ms(p.Settings.Limits.DefaultDeadlineMS),
@@ -181,7 +181,7 @@
 func startDrain(lc fx.Lifecycle, d *drain, a *api.Server) {
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		d.leaves.Store(true)
-		d.log.Emit(ctx, logging.EventDrainBegin, slog.Int("open", d.driver.Open()))
+		d.log.Emit(ctx, logging.EventDrainBegin, slog.Int("open", d.driver.OpenRequests()))
 		d.server.SetKeepAlivesEnabled(false)
 		wait(ctx, ms(d.cfg.Shutdown.GraceMS))
 		d.finish(ctx, a)
@@ -193,11 +193,11 @@
 	ctx, cancel := context.WithTimeout(ctx, ms(d.cfg.Shutdown.DrainMS))
 	defer cancel()
 	err := d.server.Shutdown(ctx)
-	for err == nil && d.driver.Open() > 0 && ctx.Err() == nil {
+	for err == nil && d.driver.OpenRequests() > 0 && ctx.Err() == nil {
 		wait(ctx, drainPoll)
 	}
 	a.Wait(ctx)
-	open, held := d.driver.Open(), d.peers.Drain(ctx)
+	open, held := d.driver.OpenRequests(), d.peers.Drain(ctx)
 	if open > 0 || held > 0 {
 		d.log.Emit(ctx, logging.EventDrainCut, slog.Int("open", open), slog.Int("held_bills", held))
 		return
--- a/router/internal/directory/directory.go
+++ b/router/internal/directory/directory.go
@@ -32,7 +32,7 @@
 // Directory is safe for concurrent use.
 type Directory struct {
 	instance  string
-	list      platform.List
+	list      platform.InstanceLister
 	out       Sender
 	client    *http.Client
 	listEvery time.Duration
@@ -52,7 +52,7 @@
 }
 
 // New returns the directory of an instance; Run starts it.
-func New(instance string, list platform.List, out Sender, listEvery, loadEvery time.Duration) *Directory {
+func New(instance string, list platform.InstanceLister, out Sender, listEvery, loadEvery time.Duration) *Directory {
 	return &Directory{
 		instance:  instance,
 		list:      list,
--- a/router/internal/directory/load.go
+++ b/router/internal/directory/load.go
@@ -71,7 +71,7 @@
 }
 
 // Answered takes the load that a server told on an answer (wire.HeaderLoad).
-func (d *Directory) Answered(id decision.ServerID, load string) {
+func (d *Directory) ObserveLoad(id decision.ServerID, load string) {
 	running, queued, ok := wire.ParseLoad(load)
 	if !ok {
 		return
--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -81,8 +81,8 @@
 		if got := d.nextPoll("s1"); got != 250*time.Millisecond {
 			t.Errorf("before: %v", got)
 		}
-		d.Answered("s1", "3/1")
-		d.Answered("s1", "nonsense")
+		d.ObserveLoad("s1", "3/1")
+		d.ObserveLoad("s1", "nonsense")
 		want := decision.LoadReported{Server: "s1", Running: 3, Queued: 1, At: time.Now()}
 		if !slices.Equal(sent.list, []decision.Event{want}) {
 			t.Errorf("got %+v", sent.list)
--- a/router/internal/driver/driver.go
+++ b/router/internal/driver/driver.go
@@ -33,7 +33,7 @@
 type FleetSink interface {
 	ShareVerdict(decision.VersionVerdict)
 	ShareLeaving(decision.ServerID)
-	NoteEjection(decision.ReportEjection)
+	ReportEjection(decision.ReportEjection)
 	Quarantine(decision.Quarantine)
 }
 
@@ -137,7 +137,7 @@
 }
 
 // Open is the number of requests that have not ended.
-func (d *Driver) Open() int {
+func (d *Driver) OpenRequests() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.tickets)
@@ -163,7 +163,7 @@
 		case decision.ShareLeaving:
 			d.sink.ShareLeaving(c.Server)
 		case decision.ReportEjection:
-			d.sink.NoteEjection(c)
+			d.sink.ReportEjection(c)
 		case decision.Quarantine:
 			d.sink.Quarantine(c)
 		}
--- a/router/internal/faultmatrix/backend.go
+++ b/router/internal/faultmatrix/backend.go
@@ -24,7 +24,7 @@
 
 func (addresses) Addr(id decision.ServerID) (string, bool) { return string(id) + ":8000", true }
 
-func (addresses) Answered(decision.ServerID, string) {}
+func (addresses) ObserveLoad(decision.ServerID, string) {}
 
 const teamKey = "loom"
 
--- a/router/internal/faultmatrix/faults.go
+++ b/router/internal/faultmatrix/faults.go
@@ -46,7 +46,7 @@
 // drain is a planned stop, in the daemon's order.
 func (b *bed) drain(in *instance) {
 	_ = in.server.Shutdown(context.Background())
-	for in.driver.Open() > 0 {
+	for in.driver.OpenRequests() > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	b.drained <- in.peers.Drain(context.Background())
--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -127,10 +127,10 @@
 
 type noSink struct{}
 
-func (noSink) ShareVerdict(decision.VersionVerdict) {}
-func (noSink) ShareLeaving(decision.ServerID)       {}
-func (noSink) NoteEjection(decision.ReportEjection) {}
-func (noSink) Quarantine(decision.Quarantine)       {}
+func (noSink) ShareVerdict(decision.VersionVerdict)   {}
+func (noSink) ShareLeaving(decision.ServerID)         {}
+func (noSink) ReportEjection(decision.ReportEjection) {}
+func (noSink) Quarantine(decision.Quarantine)         {}
 
 type noRecorder struct{}
 
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -68,13 +68,13 @@
 	in.driver = driver.New(decision.NewWorld(cfg), noSink{})
 	in.holder = manifest.NewHolder(func(x *manifest.Index) {
 		in.generations = append(in.generations, x.Manifest.Generation)
-		in.driver.Send(x.Tables())
+		in.driver.Send(x.DecisionEvent())
 	})
-	in.gate.OnChange(func(m freshness.Mode) { in.driver.Send(gate.Event(m)) })
+	in.gate.OnChange(func(m freshness.Mode) { in.driver.Send(gate.FreshnessEvent(m)) })
 	in.startNode()
 	in.peers = peer.New(peer.Config{Self: self(name), Dial: b.net.dialer(name), Interval: 2 * time.Second, Seed: cfg.Seed},
 		peer.Deps{Store: in.Node, Instances: func() []wire.ListedInstance { return fleet }, Vouches: in, Events: in.driver})
-	in.gate.SetFull(func() bool { return in.peers.Full(in.driver.Open()) })
+	in.gate.SetHeldBillsFull(func() bool { return in.peers.Full(in.driver.OpenRequests()) })
 	in.publisher = publish.New(hookStore{in}, in.holder, in.gate)
 	b.mu.Lock()
 	b.instances[name] = in
@@ -120,7 +120,7 @@
 	defer ticker.Stop()
 	for {
 		if !in.frozen.Load() {
-			in.gate.Live([]string{"a", "b", "c"})
+			in.gate.SetLiveInstances([]string{"a", "b", "c"})
 		}
 		select {
 		case <-ctx.Done():
@@ -138,18 +138,18 @@
 	}
 	store := hookStore{in}
 	in.server = &http.Server{Handler: api.New(api.Deps{
-		Driver:    in.driver,
-		Manifests: in.holder,
-		Gate:      hookGate{in},
-		Servers:   addresses{},
-		Upstream:  client,
-		Store:     store,
-		Biller:    billing.New(ledger.StoreLog{Store: store}, hookHolder{in}),
-		Tokens:    tokens,
-		Names:     session.NewNames(in.Node, time.Hour),
-		Rater:     noRater{},
-		Recorder:  noRecorder{},
-		Limits:    api.Limits{MaxBody: 1 << 16, ReadTimeout: time.Minute, WriteTimeout: time.Minute, DefaultDeadline: 30 * time.Second, MaxDeadline: time.Minute},
+		Driver:        in.driver,
+		Manifests:     in.holder,
+		Gate:          hookGate{in},
+		Servers:       addresses{},
+		Upstream:      client,
+		Store:         store,
+		Biller:        billing.New(ledger.StoreLog{Store: store}, hookHolder{in}),
+		SessionTokens: tokens,
+		SessionNames:  session.NewNames(in.Node, time.Hour),
+		Rater:         noRater{},
+		Recorder:      noRecorder{},
+		Limits:        api.Limits{MaxBodyBytes: 1 << 16, ReadTimeout: time.Minute, WriteTimeout: time.Minute, DefaultDeadline: 30 * time.Second, MaxDeadline: time.Minute},
 	})}
 	callers := in.b.net.listen(in.name + ":80")
 	in.goes(func() { _ = in.server.Serve(callers) })
--- a/router/internal/gate/gate.go
+++ b/router/internal/gate/gate.go
@@ -40,7 +40,7 @@
 
 // SetFull tells the gate how to learn that no more bills can be held. Call it
 // before the gate is used.
-func (g *Gate) SetFull(full func() bool) { g.billBufferFull = full }
+func (g *Gate) SetHeldBillsFull(full func() bool) { g.billBufferFull = full }
 
 // HeadRead implements node.Observer.
 func (g *Gate) HeadRead(at time.Time, head uint64) {
@@ -75,7 +75,7 @@
 }
 
 // Live takes the names of the instances that the platform lists.
-func (g *Gate) Live(peers []string) {
+func (g *Gate) SetLiveInstances(peers []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tracker.SetLiveInstances(peers)
@@ -121,7 +121,7 @@
 }
 
 // Event is a mode as the decision takes it.
-func Event(mode freshness.Mode) decision.FreshnessChanged {
+func FreshnessEvent(mode freshness.Mode) decision.FreshnessChanged {
 	return decision.FreshnessChanged{
 		Fresh:  mode != freshness.ModeStale,
 		Outage: mode == freshness.ModeOutage,
--- a/router/internal/gate/gate_test.go
+++ b/router/internal/gate/gate_test.go
@@ -22,7 +22,7 @@
 	} {
 		clock := time.Now()
 		g := New(freshness.New(freshness.Config{Self: "a", Bound: bound}), func() time.Time { return clock })
-		g.Live([]string{"a", "b", "c"})
+		g.SetLiveInstances([]string{"a", "b", "c"})
 		g.HeadRead(clock, 7)
 		g.Folded(7)
 		if got := g.MayRun(false); got != "" {
--- a/router/internal/manifest/index.go
+++ b/router/internal/manifest/index.go
@@ -138,7 +138,7 @@
 }
 
 // Tables gives the manifest as the decision takes it.
-func (x *Index) Tables() decision.ManifestApplied {
+func (x *Index) DecisionEvent() decision.ManifestApplied {
 	out := decision.ManifestApplied{Generation: x.Manifest.Generation}
 	for _, v := range x.Manifest.Versions {
 		out.Versions = append(out.Versions, decision.Version{
--- a/router/internal/platform/list.go
+++ b/router/internal/platform/list.go
@@ -29,7 +29,7 @@
 	last wire.InstanceList
 }
 
-var _ List = (*ListClient)(nil)
+var _ InstanceLister = (*ListClient)(nil)
 
 // NewListClient returns a client of the list service at base, an http URL.
 func NewListClient(base string) *ListClient {
--- a/router/internal/platform/platform.go
+++ b/router/internal/platform/platform.go
@@ -10,7 +10,7 @@
 
 // List is the platform's list of live and leaving instances and backend
 // servers. It lags.
-type List interface {
+type InstanceLister interface {
 	Fetch(ctx context.Context) (wire.InstanceList, error)
 }
 
