--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -343,7 +343,7 @@
 				if got, _ := export(t, log, 0); len(got) != 500 {
 					t.Errorf("%d bills exported, want 500", len(got))
 				}
-				if n := log.Appends(); n > 20 {
+				if n := log.AppendCount(); n > 20 {
 					t.Errorf("%d appends for flushing 500 bills, want at most 20", n)
 				}
 				_ = a.Stop(t.Context())
--- a/coordination/ledger/writer_test.go
+++ b/coordination/ledger/writer_test.go
@@ -89,7 +89,7 @@
 		putting.Wait()
 		stop()
 		running.Wait()
-		if n := log.Appends(); n > 3 {
+		if n := log.AppendCount(); n > 3 {
 			t.Errorf("%d appends for %d bills put at once, want at most 3", n, bills)
 		}
 		if n := exported(t, log); n != bills {
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -119,7 +119,7 @@
 		known := crashes >= 3
 		if known { // all instances have written and read since
 			for i, p := range fleet {
-				if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
+				if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
 					t.Fatal(err)
 				}
 				_ = i
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -119,7 +119,7 @@
 	for ctx.Err() == nil {
 		records := append(st.pendingRecords(), st.followerRecords()...)
 		if len(records) > 0 {
-			if err := st.log.Append(ctx, keyedlog.Anywhere, records...); err != nil {
+			if err := st.log.Append(ctx, keyedlog.AnyPosition, records...); err != nil {
 				st.telemetry.emit(logging.EventStoreLost, slog.String("topic", topicObservations), slog.String(logging.KeyError, err.Error()))
 				st.markDirty()
 				st.markIncomplete()
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -20,7 +20,7 @@
 	for range 3 {
 		a.observations.recordCrash(passthrough.CrashSuspected{Fingerprint: 9})
 	}
-	if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.pendingRecords()...); err != nil {
+	if err := observations.Append(t.Context(), keyedlog.AnyPosition, a.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
 	}
 	if err := reader.readOnce(t.Context()); err != nil {
@@ -71,7 +71,7 @@
 	}
 	write := func() {
 		t.Helper()
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, a.observations.pendingRecords()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.AnyPosition, a.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -97,7 +97,7 @@
 func TestWhatAProcessSawOutlivesIt(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	write := func(p *parts) {
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -81,7 +81,7 @@
 		wait = t.wait() // after a failure the first result matters, not the next record
 	}
 	batch, err := t.log.Read(ctx, t.next, wait)
-	if errors.Is(err, keyedlog.ErrGone) {
+	if errors.Is(err, keyedlog.ErrTrimmed) {
 		t.positioned = false
 		return t.readSnapshot(ctx, began)
 	}
@@ -104,7 +104,7 @@
 		return err
 	}
 	t.noteRecovery()
-	if !t.next.IsOf(snap.Next.Era) {
+	if !t.next.MatchesEra(snap.Next.Era) {
 		t.noteRestore(snap.Next.Era)
 	}
 	t.onSnapshot(snap.Records)
