--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -19,12 +19,12 @@
 	now    func() time.Time
 	caches map[string]*Cache
 	// append takes records of followers.
-	append func(topic string, records []keyedlog.Record) error
+	appendRecords func(topic string, records []keyedlog.Record) error
 	// fleet is the number of instances.
-	fleet func() int
+	fleetSize func() int
 	// Loads takes reports of loads; nil for none.
-	Loads *Loads
-	asked atomic.Int64
+	Loads       *Loads
+	lastRequest atomic.Int64
 
 	mu    sync.Mutex
 	conns map[*jsonrpc2.Conn]bool
@@ -32,17 +32,17 @@
 
 // NewServer returns a server of the caches, by topic, that hands followers' records to take and
 // tells them the number of instances.
-func NewServer(now func() time.Time, caches map[string]*Cache, take func(topic string, records []keyedlog.Record) error, fleet func() int) *Server {
-	return &Server{now: now, caches: caches, append: take, fleet: fleet, conns: map[*jsonrpc2.Conn]bool{}}
+func NewServer(now func() time.Time, caches map[string]*Cache, appendRecords func(topic string, records []keyedlog.Record) error, fleetSize func() int) *Server {
+	return &Server{now: now, caches: caches, appendRecords: appendRecords, fleetSize: fleetSize, conns: map[*jsonrpc2.Conn]bool{}}
 }
 
 // askedLately is how long after a question an instance counts as a collector.
-const askedLately = 5 * time.Second
+const collectorWindow = 5 * time.Second
 
 // Collects says whether others rely on this instance.
 func (s *Server) Collects() bool {
-	at := s.asked.Load()
-	return at != 0 && s.now().Sub(time.Unix(0, at)) < askedLately
+	at := s.lastRequest.Load()
+	return at != 0 && s.now().Sub(time.Unix(0, at)) < collectorWindow
 }
 
 // Serve answers on a listener until ctx ends.
@@ -63,7 +63,7 @@
 
 func (s *Server) add(ctx context.Context, c net.Conn) {
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle).SuppressErrClosed())
-	conn := jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(c, jsonrpc2.VarintObjectCodec{}), handler, jsonrpc2.SetLogger(quiet{}))
+	conn := jsonrpc2.NewConn(ctx, jsonrpc2.NewBufferedStream(c, jsonrpc2.VarintObjectCodec{}), handler, jsonrpc2.SetLogger(discardLogger{}))
 	s.mu.Lock()
 	s.conns[conn] = true
 	s.mu.Unlock()
@@ -84,36 +84,36 @@
 }
 
 // quiet drops the library's own log: what fails shows at the caller.
-type quiet struct{}
+type discardLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
-	began := s.now()
-	s.asked.Store(began.UnixNano())
+	start := s.now()
+	s.lastRequest.Store(start.UnixNano())
 	out, err := s.answer(ctx, req)
 	if err != nil {
-		return nil, coded(err)
+		return nil, toRPCError(err)
 	}
-	out.Fleet = s.fleet()
-	out.TookUS = s.now().Sub(began).Microseconds()
+	out.Fleet = s.fleetSize()
+	out.TookUS = s.now().Sub(start).Microseconds()
 	return out, nil
 }
 
 // longestWait bounds how long a question is kept.
-const longestWait = 10 * time.Second
+const maxWait = 10 * time.Second
 
 func (s *Server) answer(ctx context.Context, req *jsonrpc2.Request) (answer, error) {
 	switch req.Method {
 	case methodRead:
 		var p readParams
-		cache, err := s.decode(req, &p, func() string { return p.Topic })
+		cache, err := s.decodeForTopic(req, &p, func() string { return p.Topic })
 		if err != nil {
 			return answer{}, err
 		}
-		wait := min(time.Duration(p.WaitMS)*time.Millisecond, longestWait)
-		if cache.Age() > time.Duration(p.OldestMS)*time.Millisecond {
+		wait := min(time.Duration(p.WaitMS)*time.Millisecond, maxWait)
+		if cache.Age() > time.Duration(p.MaxAgeMS)*time.Millisecond {
 			wait = 0
 		}
 		b, err := cache.Read(ctx, keyedlog.Position{Era: p.Era, Offset: p.From}, max(wait, 0))
@@ -121,36 +121,36 @@
 			return answer{}, err
 		}
 		out := answer{Next: b.Next.Offset, Era: b.Next.Era, AgeUS: b.Age.Microseconds()}
-		return out, out.fill(b.Records)
+		return out, out.setRecords(b.Records)
 	case methodNewest:
 		var p newestParams
-		cache, err := s.decode(req, &p, func() string { return p.Topic })
+		cache, err := s.decodeForTopic(req, &p, func() string { return p.Topic })
 		if err != nil {
 			return answer{}, err
 		}
 		return cache.newestAnswer(ctx)
 	case methodLoads:
 		var p loadsParams
-		if err := params(req, &p); err != nil {
+		if err := decodeParams(req, &p); err != nil {
 			return answer{}, err
 		}
 		if s.Loads == nil {
 			return answer{}, keyedlog.ErrNotDone
 		}
-		return s.Loads.told(p)
+		return s.Loads.handleReport(p)
 	case methodAppend:
 		var p appendParams
-		if _, err := s.decode(req, &p, func() string { return p.Topic }); err != nil {
+		if _, err := s.decodeForTopic(req, &p, func() string { return p.Topic }); err != nil {
 			return answer{}, err
 		}
-		return answer{}, s.append(p.Topic, p.Records)
+		return answer{}, s.appendRecords(p.Topic, p.Records)
 	}
 	return answer{}, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "unknown method"}
 }
 
 // decode decodes the parameters and finds the topic's cache.
-func (s *Server) decode(req *jsonrpc2.Request, into any, topic func() string) (*Cache, error) {
-	if err := params(req, into); err != nil {
+func (s *Server) decodeForTopic(req *jsonrpc2.Request, into any, topic func() string) (*Cache, error) {
+	if err := decodeParams(req, into); err != nil {
 		return nil, err
 	}
 	cache := s.caches[topic()]
@@ -161,7 +161,7 @@
 }
 
 // params decodes a question's parameters.
-func params(req *jsonrpc2.Request, into any) error {
+func decodeParams(req *jsonrpc2.Request, into any) error {
 	if req.Params == nil {
 		return &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: "no parameters"}
 	}
@@ -172,7 +172,7 @@
 }
 
 // coded turns the log's errors into codes.
-func coded(err error) error {
+func toRPCError(err error) error {
 	var known *jsonrpc2.Error
 	switch {
 	case errors.As(err, &known):
--- a/router/internal/session/errors.go
+++ b/router/internal/session/errors.go
@@ -10,24 +10,24 @@
 	// ReasonNoKeys: the settings have no session key, so nothing can be signed.
 	ReasonNoKeys Reason = "no_session_keys"
 	// ReasonInvalid: the session to issue breaks a bound.
-	ReasonInvalid Reason = "session_out_of_bounds"
+	ReasonOutOfBounds Reason = "session_out_of_bounds"
 	// ReasonMalformed: not a token, or one with what no instance signs.
 	ReasonMalformed Reason = "token_malformed"
 	// ReasonUnknownKey: signed by a key that is not in the ring (any more).
 	ReasonUnknownKey Reason = "token_key_unknown"
 	// ReasonSignature: the signature does not fit.
-	ReasonSignature Reason = "token_signature"
+	ReasonBadSignature Reason = "token_signature"
 	// ReasonExpired: the session's life is over.
 	ReasonExpired Reason = "token_expired"
 	// ReasonTeam: it belongs to another team.
-	ReasonTeam Reason = "token_of_another_team"
+	ReasonOtherTeam Reason = "token_of_another_team"
 	// ReasonName: the caller's session name is not allowed.
-	ReasonName Reason = "session_name_malformed"
+	ReasonBadName Reason = "session_name_malformed"
 	// ReasonUndecided: the log did not settle in time who set the pins. The
 	// proposal is void; the same request may be sent again.
 	ReasonUndecided Reason = "session_undecided"
 	// ReasonRegister: the register holds what no instance writes.
-	ReasonRegister Reason = "session_register_malformed"
+	ReasonBadRegister Reason = "session_register_malformed"
 )
 
 // Error is a session that was not accepted. Compare with errors.Is to an Error
@@ -52,6 +52,6 @@
 	return ok && other.Reason == e.Reason
 }
 
-func refuse(reason Reason, detail string) error {
+func newError(reason Reason, detail string) error {
 	return &Error{Reason: reason, Detail: detail}
 }
--- a/router/internal/session/names.go
+++ b/router/internal/session/names.go
@@ -27,20 +27,20 @@
 }
 
 // Key is the register of a named session.
-func Key(team, name string) record.Key {
+func RegisterKey(team, name string) record.Key {
 	return record.Key(string(record.ClassSession) + "/" + team + "/" + name)
 }
 
 // Lookup reads the pins that are folded here already; false for none.
 func (n *Names) Lookup(team, name string) (Session, bool, error) {
 	if !ValidName(name) {
-		return Session{}, false, refuse(ReasonName, "")
+		return Session{}, false, newError(ReasonBadName, "")
 	}
-	register, ok := n.store.Lookup(Key(team, name))
+	register, ok := n.store.Lookup(RegisterKey(team, name))
 	if !ok {
 		return Session{}, false, nil
 	}
-	s, err := decode(register.Value, team, name)
+	s, err := decodeRegister(register.Value, team, name)
 	return s, err == nil, err
 }
 
@@ -52,21 +52,21 @@
 	if err != nil || ok {
 		return s, err
 	}
-	own := Session{Team: team, ID: name, Pins: pins, ShareHash: ShareHash(team, name)}
-	if wrong := own.check(); wrong != "" {
-		return Session{}, refuse(ReasonInvalid, wrong)
+	proposal := Session{Team: team, ID: name, Pins: pins, ShareHash: ShareHash(team, name)}
+	if violation := proposal.violation(); violation != "" {
+		return Session{}, newError(ReasonOutOfBounds, violation)
 	}
-	return n.propose(ctx, own)
+	return n.propose(ctx, proposal)
 }
 
-func (n *Names) propose(ctx context.Context, own Session) (Session, error) {
-	value, err := json.Marshal(own)
+func (n *Names) propose(ctx context.Context, proposal Session) (Session, error) {
+	value, err := json.Marshal(proposal)
 	if err != nil {
 		return Session{}, trace.Wrap(err)
 	}
 	put := record.Record{
 		Kind:     record.KindPut,
-		Key:      Key(own.Team, own.ID),
+		Key:      RegisterKey(proposal.Team, proposal.ID),
 		Nonce:    record.Nonce(uuid.New()),
 		Value:    value,
 		Lifetime: n.ttl,
@@ -74,30 +74,30 @@
 	result := n.store.Put(ctx, put)
 	switch result.Outcome {
 	case node.OutcomeWon:
-		return own, nil
+		return proposal, nil
 	case node.OutcomeLost:
-		return decode(result.Register.Value, own.Team, own.ID)
+		return decodeRegister(result.Register.Value, proposal.Team, proposal.ID)
 	case node.OutcomeUnknown:
 		// Released, it can never win later and so never surprise the caller's
 		// next try with pins that were chosen under an older manifest.
 		n.store.Release(put.Key, put.Nonce)
 	}
-	return Session{}, refuse(ReasonUndecided, "")
+	return Session{}, newError(ReasonUndecided, "")
 }
 
 // decode reads a register's value, which any writer to the log may have made.
-func decode(value []byte, team, name string) (Session, error) {
+func decodeRegister(value []byte, team, name string) (Session, error) {
 	var s Session
 	dec := json.NewDecoder(bytes.NewReader(value))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&s); err != nil {
-		return Session{}, refuse(ReasonRegister, "not JSON of a session")
+		return Session{}, newError(ReasonBadRegister, "not JSON of a session")
 	}
-	if wrong := s.check(); wrong != "" {
-		return Session{}, refuse(ReasonRegister, wrong)
+	if violation := s.violation(); violation != "" {
+		return Session{}, newError(ReasonBadRegister, violation)
 	}
 	if s.Team != team || s.ID != name {
-		return Session{}, refuse(ReasonRegister, "of another session")
+		return Session{}, newError(ReasonBadRegister, "of another session")
 	}
 	return s, nil
 }
--- a/router/internal/session/names_test.go
+++ b/router/internal/session/names_test.go
@@ -78,12 +78,12 @@
 
 func TestNamesRefuse(t *testing.T) {
 	store := &fakeStore{registers: map[record.Key]fold.Register{
-		Key("t", "odd"):   {Value: []byte(`{"x":1}`)},
-		Key("t", "alien"): {Value: []byte(`{"team":"u","sid":"alien","pins":{},"share":0}`)},
+		RegisterKey("t", "odd"):   {Value: []byte(`{"x":1}`)},
+		RegisterKey("t", "alien"): {Value: []byte(`{"team":"u","sid":"alien","pins":{},"share":0}`)},
 	}}
 	for name, want := range map[string]Reason{
-		"": ReasonName, "a/b": ReasonName, "a b": ReasonName, "é": ReasonName,
-		"odd": ReasonRegister, "alien": ReasonRegister,
+		"": ReasonBadName, "a/b": ReasonBadName, "a b": ReasonBadName, "é": ReasonBadName,
+		"odd": ReasonBadRegister, "alien": ReasonBadRegister,
 	} {
 		_, err := NewNames(store, time.Hour).Pin(context.Background(), "t", name, nil)
 		if !errors.Is(err, &Error{Reason: want}) {
--- a/router/internal/session/session.go
+++ b/router/internal/session/session.go
@@ -32,7 +32,7 @@
 	// MaxPins bounds the pins: four times the models of the largest target.
 	MaxPins = 64
 	// maxNameBytes bounds a model's or version's name.
-	maxNameBytes = 128
+	maxModelNameBytes = 128
 )
 
 // ShareHash spreads sessions evenly over 0 to 1. The same session gets the
@@ -50,9 +50,9 @@
 }
 
 // check says what is wrong with s; empty means nothing.
-func (s Session) check() string {
+func (s Session) violation() string {
 	switch {
-	case s.Team == "" || len(s.Team) > maxNameBytes:
+	case s.Team == "" || len(s.Team) > maxModelNameBytes:
 		return "team missing or too long"
 	case !ValidName(s.ID):
 		return "id missing, too long or with characters that are not allowed"
@@ -62,15 +62,15 @@
 		return "share out of range"
 	}
 	for model, version := range s.Pins {
-		if !pinFits(model, version) {
+		if !isVersionOf(model, version) {
 			return "pin of a model to what is no version of it"
 		}
 	}
 	return ""
 }
 
-func pinFits(model, version string) bool {
-	short := len(model) <= maxNameBytes && len(version) <= maxNameBytes
+func isVersionOf(model, version string) bool {
+	short := len(model) <= maxModelNameBytes && len(version) <= maxModelNameBytes
 	return short && model != "" && strings.HasPrefix(version, model+"@")
 }
 
@@ -81,14 +81,14 @@
 		return false
 	}
 	for _, c := range []byte(name) {
-		if !nameByte(c) {
+		if !isNameByte(c) {
 			return false
 		}
 	}
 	return true
 }
 
-func nameByte(c byte) bool {
+func isNameByte(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return true
--- a/router/internal/session/token.go
+++ b/router/internal/session/token.go
@@ -25,11 +25,11 @@
 
 // Tokens issues and verifies session tokens. Safe for concurrent use.
 type Tokens struct {
-	keys   map[string][]byte
-	signer string
-	ttl    time.Duration
-	now    func() time.Time
-	parser *jwt.Parser
+	keys         map[string][]byte
+	signingKeyID string
+	ttl          time.Duration
+	now          func() time.Time
+	parser       *jwt.Parser
 }
 
 // NewTokens takes the key ring of the settings: the first key signs, all
@@ -58,7 +58,7 @@
 		}
 		t.keys[k.ID] = secret
 		if i == 0 {
-			t.signer = k.ID
+			t.signingKeyID = k.ID
 		}
 	}
 	return t, nil
@@ -73,10 +73,10 @@
 // Issue signs s and returns the token with the time at which it ends.
 func (t *Tokens) Issue(s Session) (token string, expires time.Time, err error) {
 	if len(t.keys) == 0 {
-		return "", time.Time{}, refuse(ReasonNoKeys, "set session.keys")
+		return "", time.Time{}, newError(ReasonNoKeys, "set session.keys")
 	}
-	if wrong := s.check(); wrong != "" {
-		return "", time.Time{}, refuse(ReasonInvalid, wrong)
+	if violation := s.violation(); violation != "" {
+		return "", time.Time{}, newError(ReasonOutOfBounds, violation)
 	}
 	now := t.now()
 	expires = now.Add(t.ttl).Truncate(time.Second)
@@ -88,13 +88,13 @@
 			ExpiresAt: jwt.NewNumericDate(expires),
 		},
 	})
-	unsigned.Header[headerKeyID] = t.signer
-	token, err = unsigned.SignedString(t.keys[t.signer])
+	unsigned.Header[headerKeyID] = t.signingKeyID
+	token, err = unsigned.SignedString(t.keys[t.signingKeyID])
 	if err != nil {
 		return "", time.Time{}, trace.Wrap(err)
 	}
 	if len(token) > MaxTokenBytes {
-		return "", time.Time{}, refuse(ReasonInvalid, "the token would be too long")
+		return "", time.Time{}, newError(ReasonOutOfBounds, "the token would be too long")
 	}
 	return token, expires, nil
 }
@@ -102,17 +102,17 @@
 // Verify reads a token that a caller of team sent. The error is an *Error.
 func (t *Tokens) Verify(token, team string) (Session, error) {
 	if len(token) > MaxTokenBytes {
-		return Session{}, refuse(ReasonMalformed, "too long")
+		return Session{}, newError(ReasonMalformed, "too long")
 	}
 	var c claims
 	if _, err := t.parser.ParseWithClaims(token, &c, t.key); err != nil {
-		return Session{}, refuse(reasonOf(err), "")
+		return Session{}, newError(reasonFor(err), "")
 	}
-	if wrong := c.check(); wrong != "" {
-		return Session{}, refuse(ReasonMalformed, wrong)
+	if violation := c.violation(); violation != "" {
+		return Session{}, newError(ReasonMalformed, violation)
 	}
 	if c.Team != team {
-		return Session{}, refuse(ReasonTeam, "")
+		return Session{}, newError(ReasonOtherTeam, "")
 	}
 	return c.Session, nil
 }
@@ -133,12 +133,12 @@
 
 // reasonOf sorts the parser's errors. The signature is checked before the
 // times, so an expired token was genuine.
-func reasonOf(err error) Reason {
+func reasonFor(err error) Reason {
 	switch {
 	case errors.Is(err, errUnknownKey):
 		return ReasonUnknownKey
 	case errors.Is(err, jwt.ErrTokenSignatureInvalid):
-		return ReasonSignature
+		return ReasonBadSignature
 	case errors.Is(err, jwt.ErrTokenExpired):
 		return ReasonExpired
 	default:
@@ -150,10 +150,10 @@
 // may hold dots, but a JWT begins with the base64 of `{"`.
 func LooksLikeToken(header string) bool {
 	const begin = "eyJ"
-	return len(header) > len(begin) && header[:len(begin)] == begin && dots(header) == 2
+	return len(header) > len(begin) && header[:len(begin)] == begin && countDots(header) == 2
 }
 
-func dots(s string) int {
+func countDots(s string) int {
 	n := 0
 	for _, c := range []byte(s) {
 		if c == '.' {
--- a/router/internal/session/token_test.go
+++ b/router/internal/session/token_test.go
@@ -13,27 +13,27 @@
 	"masticplank.example/router/internal/settings"
 )
 
-var start = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
-func key(id string) settings.SessionKey {
+func testKey(id string) settings.SessionKey {
 	secret := strings.Repeat(id+"-", settings.MinSecretBytes)
 	return settings.SessionKey{ID: id, Secret: base64.StdEncoding.EncodeToString([]byte(secret))}
 }
 
-func tokens(t testing.TB, now *time.Time, ids ...string) *Tokens {
+func newTestTokens(t testing.TB, clock *time.Time, ids ...string) *Tokens {
 	t.Helper()
 	cfg := settings.Session{TTLSeconds: 3600}
 	for _, id := range ids {
-		cfg.Keys = append(cfg.Keys, key(id))
+		cfg.Keys = append(cfg.Keys, testKey(id))
 	}
-	out, err := NewTokens(cfg, func() time.Time { return *now })
+	out, err := NewTokens(cfg, func() time.Time { return *clock })
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-func draft() Session {
+func testSession() Session {
 	return Session{
 		Team: "patrons", ID: "draft-1", ShareHash: ShareHash("patrons", "draft-1"),
 		Pins: map[string]string{"laine": "laine@3"},
@@ -41,13 +41,13 @@
 }
 
 func TestIssuedTokenVerifiesAtEveryInstance(t *testing.T) {
-	now := start
-	token, expires, err := tokens(t, &now, "k1", "k0").Issue(draft())
-	if err != nil || !expires.Equal(start.Add(time.Hour)) {
+	now := testStart
+	token, expires, err := newTestTokens(t, &now, "k1", "k0").Issue(testSession())
+	if err != nil || !expires.Equal(testStart.Add(time.Hour)) {
 		t.Fatalf("got %v, %v", expires, err)
 	}
-	got, err := tokens(t, &now, "k2", "k1").Verify(token, "patrons")
-	if err != nil || !reflect.DeepEqual(got, draft()) {
+	got, err := newTestTokens(t, &now, "k2", "k1").Verify(token, "patrons")
+	if err != nil || !reflect.DeepEqual(got, testSession()) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if !LooksLikeToken(token) || LooksLikeToken("eyJ.a") || LooksLikeToken("draft.1.2") {
@@ -56,10 +56,10 @@
 }
 
 // forge signs claims as no instance would.
-func forge(t *testing.T, method jwt.SigningMethod, kid any, secret any, change func(*claims)) string {
+func forgeToken(t *testing.T, method jwt.SigningMethod, kid any, secret any, change func(*claims)) string {
 	t.Helper()
-	c := claims{Session: draft(), RegisteredClaims: jwt.RegisteredClaims{
-		Issuer: issuer, ExpiresAt: jwt.NewNumericDate(start.Add(time.Hour)),
+	c := claims{Session: testSession(), RegisteredClaims: jwt.RegisteredClaims{
+		Issuer: issuer, ExpiresAt: jwt.NewNumericDate(testStart.Add(time.Hour)),
 	}}
 	if change != nil {
 		change(&c)
@@ -76,38 +76,38 @@
 }
 
 func TestVerifyRefuses(t *testing.T) {
-	now := start
-	ring := tokens(t, &now, "k1")
-	good, _, err := ring.Issue(draft())
+	now := testStart
+	ring := newTestTokens(t, &now, "k1")
+	good, _, err := ring.Issue(testSession())
 	if err != nil {
 		t.Fatal(err)
 	}
 	secret := ring.keys["k1"]
 	hs := jwt.SigningMethodHS256
 	tampered := strings.Split(good, ".")
-	tampered[1] = strings.Split(forge(t, hs, "k1", []byte("x"), func(c *claims) { c.Team = "ventes" }), ".")[1]
+	tampered[1] = strings.Split(forgeToken(t, hs, "k1", []byte("x"), func(c *claims) { c.Team = "ventes" }), ".")[1]
 	for _, c := range []struct {
 		name, token, team string
 		now               time.Time
 		want              Reason
 	}{
-		{"other team", good, "ventes", start, ReasonTeam},
-		{"expired", good, "patrons", start.Add(time.Hour), ReasonExpired},
-		{"tampered", strings.Join(tampered, "."), "patrons", start, ReasonSignature},
-		{"key gone", forge(t, hs, "k0", secret, nil), "patrons", start, ReasonUnknownKey},
-		{"no key id", forge(t, hs, nil, secret, nil), "patrons", start, ReasonUnknownKey},
-		{"key id no string", forge(t, hs, 7, secret, nil), "patrons", start, ReasonUnknownKey},
-		{"wrong secret", forge(t, hs, "k1", []byte("guess"), nil), "patrons", start, ReasonSignature},
-		{"algorithm none", forge(t, jwt.SigningMethodNone, "k1", jwt.UnsafeAllowNoneSignatureType, nil), "patrons", start, ReasonSignature},
-		{"algorithm HS512", forge(t, jwt.SigningMethodHS512, "k1", secret, nil), "patrons", start, ReasonSignature},
-		{"no expiry", forge(t, hs, "k1", secret, func(c *claims) { c.ExpiresAt = nil }), "patrons", start, ReasonMalformed},
-		{"other issuer", forge(t, hs, "k1", secret, func(c *claims) { c.Issuer = "x" }), "patrons", start, ReasonMalformed},
-		{"pin of another model", forge(t, hs, "k1", secret, func(c *claims) { c.Pins = map[string]string{"laine": "lin@1"} }), "patrons", start, ReasonMalformed},
-		{"share of 1", forge(t, hs, "k1", secret, func(c *claims) { c.ShareHash = 1 }), "patrons", start, ReasonMalformed},
-		{"empty", "", "patrons", start, ReasonMalformed},
-		{"without signature", good[:strings.LastIndexByte(good, '.')+1], "patrons", start, ReasonSignature},
-		{"two parts", good[:strings.LastIndexByte(good, '.')], "patrons", start, ReasonMalformed},
-		{"too long", strings.Repeat("e", MaxTokenBytes+1), "patrons", start, ReasonMalformed},
+		{"other team", good, "ventes", testStart, ReasonOtherTeam},
+		{"expired", good, "patrons", testStart.Add(time.Hour), ReasonExpired},
+		{"tampered", strings.Join(tampered, "."), "patrons", testStart, ReasonBadSignature},
+		{"key gone", forgeToken(t, hs, "k0", secret, nil), "patrons", testStart, ReasonUnknownKey},
+		{"no key id", forgeToken(t, hs, nil, secret, nil), "patrons", testStart, ReasonUnknownKey},
+		{"key id no string", forgeToken(t, hs, 7, secret, nil), "patrons", testStart, ReasonUnknownKey},
+		{"wrong secret", forgeToken(t, hs, "k1", []byte("guess"), nil), "patrons", testStart, ReasonBadSignature},
+		{"algorithm none", forgeToken(t, jwt.SigningMethodNone, "k1", jwt.UnsafeAllowNoneSignatureType, nil), "patrons", testStart, ReasonBadSignature},
+		{"algorithm HS512", forgeToken(t, jwt.SigningMethodHS512, "k1", secret, nil), "patrons", testStart, ReasonBadSignature},
+		{"no expiry", forgeToken(t, hs, "k1", secret, func(c *claims) { c.ExpiresAt = nil }), "patrons", testStart, ReasonMalformed},
+		{"other issuer", forgeToken(t, hs, "k1", secret, func(c *claims) { c.Issuer = "x" }), "patrons", testStart, ReasonMalformed},
+		{"pin of another model", forgeToken(t, hs, "k1", secret, func(c *claims) { c.Pins = map[string]string{"laine": "lin@1"} }), "patrons", testStart, ReasonMalformed},
+		{"share of 1", forgeToken(t, hs, "k1", secret, func(c *claims) { c.ShareHash = 1 }), "patrons", testStart, ReasonMalformed},
+		{"empty", "", "patrons", testStart, ReasonMalformed},
+		{"without signature", good[:strings.LastIndexByte(good, '.')+1], "patrons", testStart, ReasonBadSignature},
+		{"two parts", good[:strings.LastIndexByte(good, '.')], "patrons", testStart, ReasonMalformed},
+		{"too long", strings.Repeat("e", MaxTokenBytes+1), "patrons", testStart, ReasonMalformed},
 	} {
 		now = c.now
 		got, err := ring.Verify(c.token, c.team)
@@ -118,30 +118,30 @@
 }
 
 func TestIssueRefuses(t *testing.T) {
-	now := start
-	if _, _, err := tokens(t, &now).Issue(draft()); !errors.Is(err, &Error{Reason: ReasonNoKeys}) {
+	now := testStart
+	if _, _, err := newTestTokens(t, &now).Issue(testSession()); !errors.Is(err, &Error{Reason: ReasonNoKeys}) {
 		t.Errorf("no keys: got %v", err)
 	}
-	wide := draft()
+	wide := testSession()
 	for i := range MaxPins + 1 {
 		model := strings.Repeat("m", i+1)
 		wide.Pins[model] = model + "@1"
 	}
-	if _, _, err := tokens(t, &now, "k").Issue(wide); !errors.Is(err, &Error{Reason: ReasonInvalid}) {
+	if _, _, err := newTestTokens(t, &now, "k").Issue(wide); !errors.Is(err, &Error{Reason: ReasonOutOfBounds}) {
 		t.Errorf("too many pins: got %v", err)
 	}
 	if _, err := NewTokens(settings.Session{Keys: []settings.SessionKey{{ID: "k", Secret: "c2hvcnQ="}}}, time.Now); err == nil {
 		t.Error("short key accepted")
 	}
-	if _, err := NewTokens(settings.Session{Keys: []settings.SessionKey{key("k"), key("k")}}, time.Now); err == nil {
+	if _, err := NewTokens(settings.Session{Keys: []settings.SessionKey{testKey("k"), testKey("k")}}, time.Now); err == nil {
 		t.Error("doubled key id accepted")
 	}
 }
 
 func FuzzVerify(f *testing.F) {
-	now := start
-	ring := tokens(f, &now, "k1")
-	good, _, err := ring.Issue(draft())
+	now := testStart
+	ring := newTestTokens(f, &now, "k1")
+	good, _, err := ring.Issue(testSession())
 	if err != nil {
 		f.Fatal(err)
 	}
