--- a/router/internal/api/api.go
+++ b/router/internal/api/api.go
@@ -72,7 +72,7 @@
 	Store     node.Store
 	Biller    *billing.Biller
 	Tokens    *session.Tokens
-	Names     *session.Names
+	Names     *session.NamedSessions
 	Rater     platform.Rater
 	Recorder  Recorder
 	Log       *logging.Logger
--- a/router/internal/api/chat.go
+++ b/router/internal/api/chat.go
@@ -126,7 +126,7 @@
 		Class:       decision.TaskClass(r.Header.Get(wire.HeaderTask)),
 		Fingerprint: decision.Fingerprint(print.Sum64()),
 		// By the request's identity, so that a resend falls on the same version.
-		RolloutPosition: session.ShareHash(c.team.ID, key.id),
+		RolloutPosition: session.RolloutPosition(c.team.ID, key.id),
 		Resend:          isResend(r),
 	}
 	if text := r.Header.Get(wire.HeaderPriority); text != "" {
--- a/router/internal/api/fixture_test.go
+++ b/router/internal/api/fixture_test.go
@@ -113,7 +113,7 @@
 
 type noRater struct{}
 
-func (noRater) Rate(context.Context, wire.RateRequest) (float64, error) {
+func (noRater) Rate(context.Context, wire.RatingRequest) (float64, error) {
 	return 0, context.DeadlineExceeded
 }
 
@@ -226,7 +226,7 @@
 		Store:     f.node,
 		Biller:    billing.New(ledger.StoreLog{Store: f.node}, f.held),
 		Tokens:    tokens,
-		Names:     session.NewNames(f.node, time.Hour),
+		Names:     session.NewNamedSessions(f.node, time.Hour),
 		Rater:     noRater{},
 		Recorder:  noRecorder{},
 		Log:       logging.New(io.Discard, settings.Default().Log),
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -47,7 +47,7 @@
 	if d.Hold && d.RatingTimeout > 0 {
 		budget = d.RatingTimeout
 	}
-	ask := wire.RateRequest{
+	ask := wire.RatingRequest{
 		Team:    x.caller.team.ID,
 		Task:    string(x.req.Class),
 		Version: string(d.Version),
@@ -64,7 +64,7 @@
 	return chat.Messages[len(chat.Messages)-1].Content
 }
 
-func (q *raters) start(event decision.AnswerRated, ask wire.RateRequest, budget time.Duration) {
+func (q *raters) start(event decision.AnswerRated, ask wire.RatingRequest, budget time.Duration) {
 	select {
 	case q.slots <- struct{}{}:
 	default:
@@ -80,7 +80,7 @@
 	}()
 }
 
-func (q *raters) ask(event decision.AnswerRated, ask wire.RateRequest, budget time.Duration) decision.AnswerRated {
+func (q *raters) ask(event decision.AnswerRated, ask wire.RatingRequest, budget time.Duration) decision.AnswerRated {
 	ctx, cancel := context.WithTimeout(context.Background(), budget)
 	defer cancel()
 	score, err := q.rater.Rate(ctx, ask)
--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -31,9 +31,9 @@
 	}
 	id := uuid.NewString()
 	opened := session.Session{
-		Team:      c.team.ID,
-		ID:        id,
-		ShareHash: session.ShareHash(c.team.ID, id),
+		Team:            c.team.ID,
+		ID:              id,
+		RolloutPosition: session.RolloutPosition(c.team.ID, id),
 	}
 	opened.Pins = s.pickVersions(r.Context(), opened)
 	token, expires, err := s.Tokens.Issue(opened)
@@ -52,7 +52,7 @@
 
 func (s *Server) pickVersions(ctx context.Context, opened session.Session) map[string]string {
 	pins := map[string]string{}
-	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(opened.Team), opened.ShareHash) {
+	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(opened.Team), opened.RolloutPosition) {
 		model, _, _ := strings.Cut(string(v), "@")
 		pins[model] = string(v)
 	}
@@ -69,7 +69,7 @@
 	if bad != nil {
 		return bad
 	}
-	req.RolloutPosition = opened.ShareHash
+	req.RolloutPosition = opened.RolloutPosition
 	if req.Model == "" {
 		for _, v := range opened.Pins {
 			req.Pins = append(req.Pins, decision.VersionID(v))
@@ -98,7 +98,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	own := session.Session{Team: c.team.ID, ID: header, ShareHash: session.ShareHash(c.team.ID, header)}
+	own := session.Session{Team: c.team.ID, ID: header, RolloutPosition: session.RolloutPosition(c.team.ID, header)}
 	opened, err := s.Names.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, own))
 	return opened, sessionFault(err)
 }
--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -56,7 +56,7 @@
 		Log:       p.Log,
 		Registry:  p.Registry,
 	})
-	p.Gate.SetFull(func() bool { return n.Full(p.Driver.Open()) })
+	p.Gate.SetFull(func() bool { return n.HeldBillsFull(p.Driver.Open()) })
 	p.Fleet.attach(p.Store, n)
 	return n, nil
 }
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -88,7 +88,7 @@
 		Head:         log.Head,
 		Lag:          max(log.Head, log.Next) - log.Next,
 		LogReachable: log.LogReachable,
-		HeldBills:    s.parts.Peers.Held(),
+		HeldBills:    s.parts.Peers.HeldBills(),
 		ShutOff:      shutOff,
 		Ejected:      ejected,
 	}
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -42,8 +42,8 @@
 	return session.NewTokens(cfg.Session, time.Now)
 }
 
-func newNames(cfg settings.Settings, store node.Store) *session.Names {
-	return session.NewNames(store, time.Duration(cfg.Session.TTLSeconds)*time.Second)
+func newNames(cfg settings.Settings, store node.Store) *session.NamedSessions {
+	return session.NewNamedSessions(store, time.Duration(cfg.Session.TTLSeconds)*time.Second)
 }
 
 func newPublisher(store node.Store, h *manifest.Holder, g *gate.Gate) *publish.Publisher {
@@ -63,7 +63,7 @@
 	Store     node.Store
 	Biller    *billing.Biller
 	Tokens    *session.Tokens
-	Names     *session.Names
+	Names     *session.NamedSessions
 	Rater     platform.Rater
 	Recorder  api.Recorder
 	Log       *logging.Logger
@@ -169,7 +169,7 @@
 		return "draining"
 	case d.holder.Current() == nil:
 		return "no manifest yet"
-	case !d.list.Known():
+	case !d.list.HasList():
 		return "no list of backend servers yet"
 	default:
 		return string(d.gate.MayRun(true))
--- a/router/internal/directory/directory.go
+++ b/router/internal/directory/directory.go
@@ -83,7 +83,7 @@
 }
 
 // Known says whether the list was had at least once.
-func (d *Directory) Known() bool {
+func (d *Directory) HasList() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.hasList
--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -138,4 +138,4 @@
 
 type noRater struct{}
 
-func (noRater) Rate(context.Context, wire.RateRequest) (float64, error) { return 0, io.EOF }
+func (noRater) Rate(context.Context, wire.RatingRequest) (float64, error) { return 0, io.EOF }
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -74,7 +74,7 @@
 	in.startNode()
 	in.peers = peer.New(peer.Config{Self: self(name), Dial: b.net.dialer(name), Interval: 2 * time.Second, Seed: cfg.Seed},
 		peer.Deps{Store: in.Node, Instances: func() []wire.ListedInstance { return fleet }, Vouches: in, Events: in.driver})
-	in.gate.SetFull(func() bool { return in.peers.Full(in.driver.Open()) })
+	in.gate.SetFull(func() bool { return in.peers.HeldBillsFull(in.driver.Open()) })
 	in.publisher = publish.New(hookStore{in}, in.holder, in.gate)
 	b.mu.Lock()
 	b.instances[name] = in
@@ -146,7 +146,7 @@
 		Store:     store,
 		Biller:    billing.New(ledger.StoreLog{Store: store}, hookHolder{in}),
 		Tokens:    tokens,
-		Names:     session.NewNames(in.Node, time.Hour),
+		Names:     session.NewNamedSessions(in.Node, time.Hour),
 		Rater:     noRater{},
 		Recorder:  noRecorder{},
 		Limits:    api.Limits{MaxBody: 1 << 16, ReadTimeout: time.Minute, WriteTimeout: time.Minute, DefaultDeadline: 30 * time.Second, MaxDeadline: time.Minute},
--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -110,21 +110,21 @@
 func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, k *ConfigState, trust *restoreGuard, j *telemetry, c Clock) *observationStore {
 	b := newObservationStore(cfg.Instance, sh.observations, d, j, c)
 	b.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
-	b.fleetSize = sh.members.Count
+	b.fleetSize = sh.members.FleetSize
 	sh.onHeld = b.wakeUp
 	sh.onFleetCount = func(n int) { d.Handle(passthrough.FleetSize{Instances: n}) }
 	sh.onPeers = func(names []string) { d.Handle(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
-		out.LostConfig = trust.lostVersion()
+		out.LostConfigVersion = trust.lostVersion()
 		return out
 	}
 	take := func(others relay.Report) {
 		d.applyPeerReport(others)
-		k.ReportLostVersion(others.LostConfig)
+		k.ReportLostVersion(others.LostConfigVersion)
 	}
-	sh.server.Loads = relay.NewLoads(sh.client, own, take)
-	sh.server.Loads.Unreadable = j.logUnreadableLoads
+	sh.server.LoadExchange = relay.NewLoadExchange(sh.client, own, take)
+	sh.server.LoadExchange.OnUnreadable = j.logUnreadableLoads
 	d.onObserved, d.onCrash, d.onSlowStart, d.onLimitChanged = b.recordAnswer, b.recordCrash, j.slowStart, j.rateLimitChanged
 	return b
 }
@@ -132,14 +132,14 @@
 func provideServerList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, j *telemetry, c Clock, st *startGate) *serverList {
 	l := newServerList(p.Records, d, dial, j, c, cfg.Bounds.Drain, st)
 	d.requestServerRead = l.requestRead
-	l.readsFromPeer = func() bool { return !sh.servers.Direct() }
-	l.readsAlone = func() bool { return sh.servers.Direct() && !sh.server.Collects() }
+	l.readsFromPeer = func() bool { return !sh.servers.ReadsStore() }
+	l.readsAlone = func() bool { return sh.servers.ReadsStore() && !sh.server.IsCollector() }
 	return l
 }
 
 func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, b *observationStore, j *telemetry, c Clock) *rollouts {
 	m := newRollouts(p.Records, p.Store.Status(), d, l, b, j, c, passthrough.ExposureLimit{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
-	m.writesRegister = sh.status.Direct
+	m.writesRegister = sh.status.ReadsStore
 	return m
 }
 
@@ -175,14 +175,14 @@
 		records: p.Records, config: k, driver: d, rollouts: m, telemetry: j, startGate: st,
 		clock: c, restoreGuard: trust,
 		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Domains,
-		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
+		isCollector: sh.server.IsCollector, readsStore: sh.operator.ReadsStore,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			runs := []func(context.Context){
 				op.reader(sh.operator, c).run, l.reader(sh.servers, c).run,
-				b.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, b.run, m.run, sh.server.Loads.Run,
+				b.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, b.run, m.run, sh.server.LoadExchange.Run,
 			}
 			go joinAndRun(ctx, sh, cfg.FirstStart, runs)
 			return sh.listen(ctx)
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if firstStart {
-		sleep(ctx, time.Duration(s.self.Turn()*float64(firstStartSpread)), nil)
+		sleep(ctx, time.Duration(s.self.AnnounceOrder()*float64(firstStartSpread)), nil)
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -106,10 +106,10 @@
 
 // count tells of a changed number of instances, and of neighbours that joined.
 func (s *sharing) reportCounts() {
-	if near := int64(s.members.Near()); s.reportedPeers.Swap(near) != near {
-		s.onPeers(s.members.Names())
+	if near := int64(s.members.DomainSize()); s.reportedPeers.Swap(near) != near {
+		s.onPeers(s.members.DomainNames())
 	}
-	n := s.members.Count()
+	n := s.members.FleetSize()
 	if s.reportedCount.Swap(int64(n)) != int64(n) {
 		s.onFleetCount(n)
 	}
@@ -162,7 +162,7 @@
 // countsAll says whether this instance counts the fleet: it reads the store itself, for others
 // or as the first in rank. In an outage of the store all read it themselves, and must not.
 func (s *sharing) countsFleet() bool {
-	return s.instances.Direct() && (s.members.First() || s.server.Collects())
+	return s.instances.ReadsStore() && (s.members.RanksFirst() || s.server.IsCollector())
 }
 
 // instancesWait is how long a read of the members waits for a new one.
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -96,12 +96,12 @@
 	}
 	s.operator = topic(topicOperator, store.Operator(), fractionOf(maxOperatorAgeFraction, cfg.Bounds.RevocationDelay))
 	s.servers = topic(topicServers, store.Servers(), fractionOf(maxServersAgeFraction, cfg.Bounds.Drain))
-	s.servers.Far = true
+	s.servers.CrossDomain = true
 	s.operator.Urgent = true
 	s.status = topic(topicStatus, store.Status(), maxOtherAge)
 	s.observations = topic(topicObservations, store.Observations(), maxOtherAge)
 	s.instances = topic(topicInstances, store.Instances(cfg.Domain), maxOtherAge)
-	s.server = relay.NewServer(clock.Now, caches, s.holdRecords, s.members.Count)
+	s.server = relay.NewServer(clock.Now, caches, s.holdRecords, s.members.FleetSize)
 	return s
 }
 
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -139,8 +139,8 @@
 			t.Errorf("%d kept: told %d times, %d records", keep, told, len(own.records))
 		}
 	}
-	if sh.members.Count() == 0 || len(sh.members.Names()) != 1 {
-		t.Errorf("members %v", sh.members.Names())
+	if sh.members.FleetSize() == 0 || len(sh.members.DomainNames()) != 1 {
+		t.Errorf("members %v", sh.members.DomainNames())
 	}
 }
 
--- a/router/internal/peer/fixture_test.go
+++ b/router/internal/peer/fixture_test.go
@@ -199,7 +199,7 @@
 func (i *testInstance) fillBills(t *testing.T) (empty func()) {
 	t.Helper()
 	var taken []*ledger.Reservation
-	for !i.Full(0) {
+	for !i.HeldBillsFull(0) {
 		room, err := i.bills.Reserve()
 		if err != nil {
 			t.Fatal(err)
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -59,7 +59,7 @@
 // untouched fails the test where a message changed anything.
 func assertUnchanged(t *testing.T, i *testInstance, name string) {
 	t.Helper()
-	if i.Held() != 0 || i.healthItems.hash(testTime) != 0 || i.store.restored != nil ||
+	if i.HeldBills() != 0 || i.healthItems.hash(testTime) != 0 || i.store.restored != nil ||
 		len(i.store.puts) != 0 || len(i.events) != 0 || len(i.vouches) != 0 {
 		t.Errorf("%s: state changed", name)
 	}
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -258,10 +258,10 @@
 }
 
 // Held is how many bills wait here for the log, own and other instances'.
-func (n *Node) Held() int { return n.bills.Len() }
+func (n *Node) HeldBills() int { return n.bills.Len() }
 
 // Full says that no more bills can be held, so that new work must be refused.
 // open requests are under way here, and each may yet have to hold its bill.
-func (n *Node) Full(open int) bool { return n.bills.FullWithOpen(open) }
+func (n *Node) HeldBillsFull(open int) bool { return n.bills.FullWithOpen(open) }
 
 func peerAttr(id string) slog.Attr { return slog.String("peer", id) }
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -337,13 +337,13 @@
 			t.Fatal(err)
 		}
 	}
-	if got := f[0].Held(); got != 20 {
+	if got := f[0].HeldBills(); got != 20 {
 		t.Errorf("%d held, want 20", got)
 	}
 	copies := 0
 	for _, i := range f[1:] {
-		copies += i.Held()
-		if i.self.Domain == f[0].self.Domain && i.Held() > 0 {
+		copies += i.HeldBills()
+		if i.self.Domain == f[0].self.Domain && i.HeldBills() > 0 {
 			t.Errorf("%s in the same failure domain holds a copy", i.self.ID)
 		}
 	}
@@ -352,14 +352,14 @@
 	}
 	f[0].store.set(func(s *fakeStore) { s.outcome = node.OutcomeUnknown })
 	f[0].runRound()
-	if f[0].Held() != 20 {
+	if f[0].HeldBills() != 20 {
 		t.Error("bills with an unknown outcome were dropped")
 	}
 	total := 0
 	for _, i := range f {
 		i.store.set(func(s *fakeStore) { s.outcome = node.OutcomeLost })
 		i.runRound()
-		total += i.Held()
+		total += i.HeldBills()
 	}
 	if total != 0 {
 		t.Errorf("%d bills left after the flush", total)
@@ -398,28 +398,28 @@
 		"peer not there": {f[0].self, {ID: "dead", Peer: "127.0.0.1:1", Domain: "gasabo"}},
 	} {
 		f[0].Instances = func() []wire.ListedInstance { return list }
-		if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[0].Held() != 0 {
-			t.Errorf("%s: got %v with %d held", name, err, f[0].Held())
+		if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[0].HeldBills() != 0 {
+			t.Errorf("%s: got %v with %d held", name, err, f[0].HeldBills())
 		}
 	}
 	f[0].Instances = func() []wire.ListedInstance { return []wire.ListedInstance{f[0].self, f[1].self} }
 	empty := f[1].fillBills(t)
-	if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[0].Held() != 0 {
-		t.Errorf("full peer: got %v with %d held", err, f[0].Held())
+	if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[0].HeldBills() != 0 {
+		t.Errorf("full peer: got %v with %d held", err, f[0].HeldBills())
 	}
 	empty()
-	if f[0].Full(0) {
+	if f[0].HeldBillsFull(0) {
 		t.Error("full with no bill held")
 	}
-	if !f[0].Full(maxHeldBills) {
+	if !f[0].HeldBillsFull(maxHeldBills) {
 		t.Error("room for fewer bills than requests are open, and not full")
 	}
 	f[0].fillBills(t)
-	if !f[0].Full(0) {
+	if !f[0].HeldBillsFull(0) {
 		t.Error("not full without room")
 	}
-	if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[1].Held() != 0 {
-		t.Errorf("full here: got %v with %d copies", err, f[1].Held())
+	if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[1].HeldBills() != 0 {
+		t.Errorf("full here: got %v with %d copies", err, f[1].HeldBills())
 	}
 }
 
@@ -432,8 +432,8 @@
 		t.Fatal(err)
 	}
 	f[1].Instances = func() []wire.ListedInstance { return nil }
-	if err := f[1].Hold(context.Background(), testBill(1)); err == nil || f[1].Held() != 1 {
-		t.Errorf("got %v with %d held, want an error and the copy kept", err, f[1].Held())
+	if err := f[1].Hold(context.Background(), testBill(1)); err == nil || f[1].HeldBills() != 1 {
+		t.Errorf("got %v with %d held, want an error and the copy kept", err, f[1].HeldBills())
 	}
 }
 
@@ -447,7 +447,7 @@
 		if left := f[0].Drain(context.Background()); left != 0 {
 			t.Errorf("%s: %d left", name, left)
 		}
-		if got := len(f[0].store.puts) + f[1].Held(); got != 1 {
+		if got := len(f[0].store.puts) + f[1].HeldBills(); got != 1 {
 			t.Errorf("%s: %d copies went out, want 1", name, got)
 		}
 	}
--- a/router/internal/peer/real_test.go
+++ b/router/internal/peer/real_test.go
@@ -99,7 +99,7 @@
 
 // untilFlushed runs rounds, each after the log was read, until no bill is held.
 func (i *testInstance) runUntilFlushed(seen *nodeObserver) {
-	for i.Held() > 0 {
+	for i.HeldBills() > 0 {
 		<-seen.reads
 		i.runRound()
 	}
--- a/router/internal/platform/platform.go
+++ b/router/internal/platform/platform.go
@@ -16,5 +16,5 @@
 
 // Rater is the service that rates answers. It may be slow, wrong or down.
 type Rater interface {
-	Rate(ctx context.Context, r wire.RateRequest) (float64, error)
+	Rate(ctx context.Context, r wire.RatingRequest) (float64, error)
 }
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -84,7 +84,7 @@
 			c.closeConn(m.Address)
 		case age <= maxAge:
 			c.members.Answered(m.Name)
-			c.members.Told(out.Fleet)
+			c.members.RaiseFleetSize(out.Fleet)
 			return collectorAnswer{out, age, m.Name}, nil
 		}
 		wait = 0
@@ -103,7 +103,7 @@
 // storeFailed notes that the store gave this instance no answer either: the collector may
 // be as good as any.
 func (c *Client) storeFailed() {
-	c.members.Forgive()
+	c.members.ClearFailures()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.storeUnreachable {
@@ -135,7 +135,7 @@
 // Load: instances that start in an outage of the store, know nobody, and try five topics each.
 // Harm prevented: five questions in the place of one, at a store that comes back.
 func (c *Client) mayReadStore() bool {
-	first := c.members.First()
+	first := c.members.RanksFirst()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.storeUnreachable {
--- a/router/internal/relay/client_test.go
+++ b/router/internal/relay/client_test.go
@@ -37,13 +37,13 @@
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Minute)
-	if all[0].log.Direct() || all[1].log.Direct() {
+	if all[0].log.ReadsStore() || all[1].log.ReadsStore() {
 		t.Error("direct before the first read")
 	}
 	all[0].newest(t)
 	all[1].newest(t)
-	if !all[0].log.Direct() || all[1].log.Direct() {
-		t.Errorf("direct: %v and %v, want the first alone", all[0].log.Direct(), all[1].log.Direct())
+	if !all[0].log.ReadsStore() || all[1].log.ReadsStore() {
+		t.Errorf("direct: %v and %v, want the first alone", all[0].log.ReadsStore(), all[1].log.ReadsStore())
 	}
 }
 
--- a/router/internal/relay/loads.go
+++ b/router/internal/relay/loads.go
@@ -16,7 +16,7 @@
 	Limits []passthrough.PeerLimit
 	// LostConfig is the highest version of the configuration that they know and that the store
 	// lacks since it came back from a copy; 0 for none.
-	LostConfig uint64
+	LostConfigVersion uint64
 	// Instances is how many they are.
 	Instances int
 }
@@ -24,7 +24,7 @@
 // Loads lets the instances tell each other what they have at the engines, and which rate limits
 // these state. Each one tells its collector, and gets the sum of all. A collector does the same
 // with the first collector of the failure domains, so that each sum covers all instances.
-type Loads struct {
+type LoadExchange struct {
 	client *Client
 	now    func() time.Time
 	// own gives what this instance has; take is given what all others have.
@@ -32,7 +32,7 @@
 	apply     func(others Report)
 	// Unreadable is told of a report, or an answer to one, that cannot be read and changes
 	// nothing; nil for nobody.
-	Unreadable func(from string, err error)
+	OnUnreadable func(from string, err error)
 
 	mu sync.Mutex
 	// below are the reports of those that ask this instance, by name; above is what the collector
@@ -63,20 +63,20 @@
 
 // NewLoads returns the exchange; own gives what this instance tells, and take is given what all
 // others tell.
-func NewLoads(client *Client, ownReport func() Report, apply func(others Report)) *Loads {
-	return &Loads{client: client, now: client.now, ownReport: ownReport, apply: apply, followerReports: map[string]timedReport{}}
+func NewLoadExchange(client *Client, ownReport func() Report, apply func(others Report)) *LoadExchange {
+	return &LoadExchange{client: client, now: client.now, ownReport: ownReport, apply: apply, followerReports: map[string]timedReport{}}
 }
 
 // every is the time between two reports, by the instances of the failure domain.
-func (l *Loads) interval() time.Duration {
-	return max(minReportInterval, time.Duration(l.client.members.Near())*reportIntervalPerInstance)
+func (l *LoadExchange) interval() time.Duration {
+	return max(minReportInterval, time.Duration(l.client.members.DomainSize())*reportIntervalPerInstance)
 }
 
 // life is how long a report counts.
-func (l *Loads) reportTTL() time.Duration { return reportTTLIntervals * l.interval() }
+func (l *LoadExchange) reportTTL() time.Duration { return reportTTLIntervals * l.interval() }
 
 // Run exchanges reports until ctx ends.
-func (l *Loads) Run(ctx context.Context) {
+func (l *LoadExchange) Run(ctx context.Context) {
 	timer := time.NewTimer(minReportInterval)
 	defer timer.Stop()
 	for {
@@ -91,10 +91,10 @@
 }
 
 // once tells the collector what is known here, and takes in what it knows beyond that.
-func (l *Loads) exchange(ctx context.Context) {
+func (l *LoadExchange) exchange(ctx context.Context) {
 	to := l.client.members.Collectors()
 	if len(to) == 0 {
-		to = l.client.members.FarCollectors()
+		to = l.client.members.RemoteCollectors()
 	}
 	if len(to) > 0 {
 		l.sendReport(ctx, to[0])
@@ -104,7 +104,7 @@
 
 // report tells a collector, and keeps what it answers. One that does not answer is found out by
 // the reads of the topics.
-func (l *Loads) sendReport(ctx context.Context, to Member) {
+func (l *LoadExchange) sendReport(ctx context.Context, to Member) {
 	askedAt := l.now()
 	packed := packReport(l.sum(append(l.liveReports("", false), l.currentReport())))
 	params := loadsParams{
@@ -133,25 +133,25 @@
 }
 
 func packReport(r Report) packedReport {
-	return packedReport{packLoads(r.Loads), packLimits(r.Limits), r.LostConfig, r.Instances}
+	return packedReport{packLoads(r.Loads), packLimits(r.Limits), r.LostConfigVersion, r.Instances}
 }
 
 // unpack reads what another instance sent; the ages in it are as of the time.
-func (l *Loads) unpack(from string, p packedReport, at time.Time) (timedReport, error) {
+func (l *LoadExchange) unpack(from string, p packedReport, at time.Time) (timedReport, error) {
 	out := timedReport{asOf: at, receivedAt: l.now()}
-	out.LostConfig, out.Instances = p.lostConfigVersion, p.instances
+	out.LostConfigVersion, out.Instances = p.lostConfigVersion, p.instances
 	var err error
 	if out.Loads, err = unpackLoads(p.loads); err == nil {
 		out.Limits, err = unpackLimits(p.limits)
 	}
-	if err != nil && l.Unreadable != nil {
-		l.Unreadable(from, err)
+	if err != nil && l.OnUnreadable != nil {
+		l.OnUnreadable(from, err)
 	}
 	return out, err
 }
 
 // told takes in a report and answers with what all others have.
-func (l *Loads) handleReport(p loadsParams) (answer, error) {
+func (l *LoadExchange) handleReport(p loadsParams) (answer, error) {
 	in, err := l.unpack(p.Name, packedReport{p.Rows, p.Limits, p.LostConfigVersion, p.Instances}, l.now())
 	if err != nil {
 		return answer{}, err
@@ -164,10 +164,12 @@
 }
 
 // self is what this instance has.
-func (l *Loads) currentReport() timedReport { return timedReport{Report: l.ownReport(), asOf: l.now()} }
+func (l *LoadExchange) currentReport() timedReport {
+	return timedReport{Report: l.ownReport(), asOf: l.now()}
+}
 
 // known are the reports that still count: of those below but for one, and from above if asked for.
-func (l *Loads) liveReports(except string, withCollector bool) []timedReport {
+func (l *LoadExchange) liveReports(except string, withCollector bool) []timedReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now, ttl := l.now(), l.reportTTL()
@@ -187,7 +189,7 @@
 }
 
 // total adds reports up: their loads, and of each limit the newest word.
-func (l *Loads) sum(reports []timedReport) Report {
+func (l *LoadExchange) sum(reports []timedReport) Report {
 	now := l.now()
 	var loads [][]passthrough.PeerLoad
 	var limits [][]passthrough.PeerLimit
@@ -196,7 +198,7 @@
 		loads = append(loads, r.Loads)
 		limits = append(limits, addAge(r.Limits, now.Sub(r.asOf)))
 		out.Instances += r.Instances
-		out.LostConfig = max(out.LostConfig, r.LostConfig)
+		out.LostConfigVersion = max(out.LostConfigVersion, r.LostConfigVersion)
 	}
 	out.Loads = sumLoads(loads...)
 	out.Limits = newestLimits(limits...)
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -48,7 +48,7 @@
 
 // loadNode is an instance that exchanges loads.
 type exchangeInstance struct {
-	loads *Loads
+	loads *LoadExchange
 	own   []passthrough.PeerLoad
 	got   []passthrough.PeerLoad
 	// instances is how many those are that got is of.
@@ -81,11 +81,11 @@
 		}
 		client := NewClient(known, time.Now)
 		n := &exchangeInstance{}
-		n.loads = NewLoads(client, func() Report { return Report{Loads: n.own, Limits: n.limits, LostConfig: n.lost, Instances: 1} }, func(others Report) {
-			n.got, n.instances, n.othersLimits, n.othersLost = others.Loads, others.Instances, others.Limits, others.LostConfig
+		n.loads = NewLoadExchange(client, func() Report { return Report{Loads: n.own, Limits: n.limits, LostConfigVersion: n.lost, Instances: 1} }, func(others Report) {
+			n.got, n.instances, n.othersLimits, n.othersLost = others.Loads, others.Instances, others.Limits, others.LostConfigVersion
 		})
 		srv := NewServer(time.Now, nil, nil, func() int { return len(names) })
-		srv.Loads = n.loads
+		srv.LoadExchange = n.loads
 		ctx, stop := context.WithCancel(t.Context())
 		go srv.Serve(ctx, listeners[self.Name])
 		t.Cleanup(func() { stop(); client.Close() })
@@ -123,7 +123,7 @@
 func TestLoadsOfThoseThatAreGoneAreForgotten(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "a1", Domain: "a", Address: "x:1"}, 1, func() time.Time { return now })
-	l := NewLoads(NewClient(members, func() time.Time { return now }), func() Report { return Report{Instances: 1} }, func(Report) {})
+	l := NewLoadExchange(NewClient(members, func() time.Time { return now }), func() Report { return Report{Instances: 1} }, func(Report) {})
 	if _, err := l.handleReport(loadsParams{Name: "a2", Rows: packLoads([]passthrough.PeerLoad{loadRow(1, 2, time.Second)})}); err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		t.Errorf("sum %+v of an instance that is gone", sum)
 	}
 	from := ""
-	l.Unreadable = func(name string, _ error) { from = name }
+	l.OnUnreadable = func(name string, _ error) { from = name }
 	if _, err := l.handleReport(loadsParams{Name: "a2", Rows: []byte{1}}); err == nil || from != "a2" {
 		t.Errorf("a report that cannot be read was taken, or not told of: %v, of %q", err, from)
 	}
--- a/router/internal/relay/log.go
+++ b/router/internal/relay/log.go
@@ -23,7 +23,7 @@
 	onCollectorChange func(topic, name string)
 	// Far says that a collector reads from one of another failure domain, where it can, and not
 	// from the store: for a topic that most of the store's bytes go to.
-	Far bool
+	CrossDomain bool
 	// Urgent says that the topic's records must be in force soon after an outage of the store.
 	Urgent bool
 
@@ -115,10 +115,10 @@
 // backend servers alone.
 func (l *Log) askCollectors(ctx context.Context, method string, params func(wait time.Duration) any, wait time.Duration) (collectorAnswer, error) {
 	out, err := l.client.call(ctx, method, params, wait, l.maxAge)
-	if !l.Far || !errors.Is(err, errNoCollector) {
+	if !l.CrossDomain || !errors.Is(err, errNoCollector) {
 		return out, err
 	}
-	return l.client.callMembers(ctx, l.client.members.FarCollectors(), method, params, wait, l.maxAge)
+	return l.client.callMembers(ctx, l.client.members.RemoteCollectors(), method, params, wait, l.maxAge)
 }
 
 // mayAskStore says whether the topic may be read from the store now.
@@ -161,7 +161,7 @@
 // Load: all instances start again while the store resets their calls, so that none finds the
 // others. Harm prevented: each takes itself for the one that writes, and asks the store several
 // times a second.
-func (l *Log) Direct() bool {
+func (l *Log) ReadsStore() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastReadFromStore
--- a/router/internal/relay/members.go
+++ b/router/internal/relay/members.go
@@ -22,7 +22,7 @@
 
 // Turn is when the member should make itself known among others that start at the same time,
 // from 0 to 1: the strong ones early, since they collect, and others in the order of their rank.
-func (m Member) Turn() float64 {
+func (m Member) AnnounceOrder() float64 {
 	const strongWeight = 3 // of four parts: a strong instance goes before any small one
 	weak := 1 - min(max(m.Cores, 0), 1)
 	hash := float64(xxhash.Sum64String(m.Name)) / math.MaxUint64
@@ -118,7 +118,7 @@
 // FarCollectors are the instances of other failure domains to ask, in order, by one that reads
 // the store for its own: those that rank before it and are not passed over. There is none where
 // this one ranks before all, or does not know the others yet.
-func (m *Members) FarCollectors() []Member {
+func (m *Members) RemoteCollectors() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
@@ -179,7 +179,7 @@
 }
 
 // Forgive forgets all failures.
-func (m *Members) Forgive() {
+func (m *Members) ClearFailures() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clear(m.backoffs)
@@ -187,7 +187,7 @@
 
 // First says whether this instance ranks first, whoever answers. One without an address
 // knows nobody, and reads by itself.
-func (m *Members) First() bool {
+func (m *Members) RanksFirst() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.ranked) == 0 || m.ranked[0].Name == m.self.Name
@@ -196,14 +196,14 @@
 // Count is the number of instances of all failure domains that ever were known, here or to a
 // collector: an upper bound, up to those that have started a moment ago. Until they are counted,
 // the other failure domains are thought to be as large as this one.
-func (m *Members) Count() int {
+func (m *Members) FleetSize() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return max(len(m.allNames), m.reportedFleetSize, m.domainCount*len(m.local))
 }
 
 // Told takes in a collector's count of the instances.
-func (m *Members) Told(fleet int) {
+func (m *Members) RaiseFleetSize(fleet int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reportedFleetSize = max(m.reportedFleetSize, fleet)
@@ -211,14 +211,14 @@
 
 // Names are the names of the instances of this failure domain that ever were known, this one
 // among them.
-func (m *Members) Names() []string {
+func (m *Members) DomainNames() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.local))
 }
 
 // Near is the number of instances of this failure domain that ever were known.
-func (m *Members) Near() int {
+func (m *Members) DomainSize() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.local)
--- a/router/internal/relay/members_test.go
+++ b/router/internal/relay/members_test.go
@@ -15,7 +15,7 @@
 	all[0].fleet = 295
 	all[0].newest(t)
 	all[1].newest(t)
-	if n := all[1].members.Count(); n != 295 {
+	if n := all[1].members.FleetSize(); n != 295 {
 		t.Errorf("the follower counts %d instances", n)
 	}
 }
@@ -27,13 +27,13 @@
 	for i := range 9 {
 		m.Add(Member{Name: fmt.Sprint("i", i), Domain: "d", Address: "a:2"})
 	}
-	if n := m.Count(); n != 50 {
+	if n := m.FleetSize(); n != 50 {
 		t.Errorf("%d instances, want five times ten", n)
 	}
 	for i := range 60 {
 		m.Add(Member{Name: fmt.Sprint("far", i), Domain: "e", Address: "a:3"})
 	}
-	if n := m.Count(); n != 70 {
+	if n := m.FleetSize(); n != 70 {
 		t.Errorf("%d instances, want the 70 that are known", n)
 	}
 }
@@ -43,8 +43,8 @@
 func TestStrongInstancesTakeTheFirstTurns(t *testing.T) {
 	lastStrong, firstSmall := 0.0, 1.0
 	for i := range 60 {
-		strong := Member{Name: fmt.Sprint("strong", i), Cores: 0.8}.Turn()
-		small := Member{Name: fmt.Sprint("small", i), Cores: 0.2}.Turn()
+		strong := Member{Name: fmt.Sprint("strong", i), Cores: 0.8}.AnnounceOrder()
+		small := Member{Name: fmt.Sprint("small", i), Cores: 0.2}.AnnounceOrder()
 		lastStrong, firstSmall = max(lastStrong, strong), min(firstSmall, small)
 		if strong < 0 || small > 1 {
 			t.Fatalf("turns %v and %v", strong, small)
@@ -75,7 +75,7 @@
 			m.Add(other)
 			m.Add(other) // told again
 		}
-		if far := m.FarCollectors(); len(far) > 0 {
+		if far := m.RemoteCollectors(); len(far) > 0 {
 			asks = far[0].Name
 		}
 		if asks != want[name] {
@@ -87,8 +87,8 @@
 		m.Add(other)
 	}
 	for _, next := range []string{"a1", "b2"} {
-		m.Failed(m.FarCollectors()[0].Name)
-		if far := m.FarCollectors(); len(far) == 0 || far[0].Name != next {
+		m.Failed(m.RemoteCollectors()[0].Name)
+		if far := m.RemoteCollectors(); len(far) == 0 || far[0].Name != next {
 			t.Errorf("asks %+v, want %s", far, next)
 		}
 	}
--- a/router/internal/relay/outage_test.go
+++ b/router/internal/relay/outage_test.go
@@ -84,8 +84,8 @@
 			t.Errorf("got %v", err)
 		}
 	}
-	if st.readCount() != 3 || !members.First() {
-		t.Errorf("%d reads, first %v", st.readCount(), members.First())
+	if st.readCount() != 3 || !members.RanksFirst() {
+		t.Errorf("%d reads, first %v", st.readCount(), members.RanksFirst())
 	}
 }
 
@@ -116,13 +116,13 @@
 func TestNobodyReadsDirectlyFromASilentStore(t *testing.T) {
 	st := &fakeStore{err: keyedlog.ErrUnknown}
 	all := startInstances(t, st, 1, time.Minute)
-	if _, err := all[0].log.Newest(t.Context()); err == nil || all[0].log.Direct() {
-		t.Errorf("direct %v after %v", all[0].log.Direct(), err)
+	if _, err := all[0].log.Newest(t.Context()); err == nil || all[0].log.ReadsStore() {
+		t.Errorf("direct %v after %v", all[0].log.ReadsStore(), err)
 	}
 	st.mu.Lock()
 	st.err = nil
 	st.mu.Unlock()
-	if all[0].newest(t); !all[0].log.Direct() {
+	if all[0].newest(t); !all[0].log.ReadsStore() {
 		t.Error("not direct, though the store answered")
 	}
 }
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -153,13 +153,13 @@
 	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 {
 		t.Errorf("a topic that is not far: %d reads of the store", st.readCount()-before)
 	}
-	other.log.Far = true
+	other.log.CrossDomain = true
 	before = st.readCount()
-	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before || other.log.Direct() {
-		t.Errorf("%d records, %d reads of the store, direct %v", len(s.Records), st.readCount()-before, other.log.Direct())
+	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before || other.log.ReadsStore() {
+		t.Errorf("%d records, %d reads of the store, direct %v", len(s.Records), st.readCount()-before, other.log.ReadsStore())
 	}
 	all[0].stop()
-	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 || !other.log.Direct() {
+	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 || !other.log.ReadsStore() {
 		t.Errorf("the first is gone: %d records, %d reads of the store", len(s.Records), st.readCount()-before)
 	}
 }
--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -23,8 +23,8 @@
 	// fleet is the number of instances.
 	fleetSize func() int
 	// Loads takes reports of loads; nil for none.
-	Loads       *Loads
-	lastRequest atomic.Int64
+	LoadExchange *LoadExchange
+	lastRequest  atomic.Int64
 
 	mu    sync.Mutex
 	conns map[*jsonrpc2.Conn]bool
@@ -40,7 +40,7 @@
 const collectorWindow = 5 * time.Second
 
 // Collects says whether others rely on this instance.
-func (s *Server) Collects() bool {
+func (s *Server) IsCollector() bool {
 	at := s.lastRequest.Load()
 	return at != 0 && s.now().Sub(time.Unix(0, at)) < collectorWindow
 }
@@ -134,10 +134,10 @@
 		if err := decodeParams(req, &p); err != nil {
 			return answer{}, err
 		}
-		if s.Loads == nil {
+		if s.LoadExchange == nil {
 			return answer{}, keyedlog.ErrNotDone
 		}
-		return s.Loads.handleReport(p)
+		return s.LoadExchange.handleReport(p)
 	case methodAppend:
 		var p appendParams
 		if _, err := s.decodeForTopic(req, &p, func() string { return p.Topic }); err != nil {
--- a/router/internal/session/names.go
+++ b/router/internal/session/names.go
@@ -16,14 +16,14 @@
 // Names pins sessions that callers know only by name, by the register
 // "session/<team>/<name>": whoever is first in the log's order sets the pins,
 // at whichever instance. Safe for concurrent use.
-type Names struct {
+type NamedSessions struct {
 	store node.Store
 	ttl   time.Duration
 }
 
 // NewNames returns Names whose pins live for ttl from the first use.
-func NewNames(store node.Store, ttl time.Duration) *Names {
-	return &Names{store: store, ttl: ttl}
+func NewNamedSessions(store node.Store, ttl time.Duration) *NamedSessions {
+	return &NamedSessions{store: store, ttl: ttl}
 }
 
 // Key is the register of a named session.
@@ -32,7 +32,7 @@
 }
 
 // Lookup reads the pins that are folded here already; false for none.
-func (n *Names) Lookup(team, name string) (Session, bool, error) {
+func (n *NamedSessions) Lookup(team, name string) (Session, bool, error) {
 	if !ValidName(name) {
 		return Session{}, false, newError(ReasonBadName, "")
 	}
@@ -47,19 +47,19 @@
 // Pin returns the session's pins: those in the log, or pins where none are set
 // yet. It waits for the log. ReasonUndecided means that nobody's pins were
 // settled in time and the own proposal is void, so the request has not begun.
-func (n *Names) Pin(ctx context.Context, team, name string, pins map[string]string) (Session, error) {
+func (n *NamedSessions) Pin(ctx context.Context, team, name string, pins map[string]string) (Session, error) {
 	s, ok, err := n.Lookup(team, name)
 	if err != nil || ok {
 		return s, err
 	}
-	proposal := Session{Team: team, ID: name, Pins: pins, ShareHash: ShareHash(team, name)}
+	proposal := Session{Team: team, ID: name, Pins: pins, RolloutPosition: RolloutPosition(team, name)}
 	if violation := proposal.violation(); violation != "" {
 		return Session{}, newError(ReasonOutOfBounds, violation)
 	}
 	return n.propose(ctx, proposal)
 }
 
-func (n *Names) propose(ctx context.Context, proposal Session) (Session, error) {
+func (n *NamedSessions) propose(ctx context.Context, proposal Session) (Session, error) {
 	value, err := json.Marshal(proposal)
 	if err != nil {
 		return Session{}, trace.Wrap(err)
--- a/router/internal/session/names_test.go
+++ b/router/internal/session/names_test.go
@@ -49,18 +49,18 @@
 func TestFirstPinStays(t *testing.T) {
 	store := &fakeStore{registers: map[record.Key]fold.Register{}}
 	ctx := context.Background()
-	first, err := NewNames(store, time.Hour).Pin(ctx, "patrons", "tapis:12", map[string]string{"laine": "laine@2"})
+	first, err := NewNamedSessions(store, time.Hour).Pin(ctx, "patrons", "tapis:12", map[string]string{"laine": "laine@2"})
 	if err != nil || first.Pins["laine"] != "laine@2" {
 		t.Fatalf("got %+v, %v", first, err)
 	}
 	later := map[string]string{"laine": "laine@3"}
 	for name, s := range map[string]node.Store{"folded": store, "racing": racingStore{store}} {
-		got, err := NewNames(s, time.Hour).Pin(ctx, "patrons", "tapis:12", later)
-		if err != nil || got.Pins["laine"] != "laine@2" || got.ShareHash != first.ShareHash {
+		got, err := NewNamedSessions(s, time.Hour).Pin(ctx, "patrons", "tapis:12", later)
+		if err != nil || got.Pins["laine"] != "laine@2" || got.RolloutPosition != first.RolloutPosition {
 			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
 	}
-	other, err := NewNames(store, time.Hour).Pin(ctx, "ventes", "tapis:12", later)
+	other, err := NewNamedSessions(store, time.Hour).Pin(ctx, "ventes", "tapis:12", later)
 	if err != nil || other.Pins["laine"] != "laine@3" {
 		t.Errorf("other team's session of that name: got %+v, %v", other, err)
 	}
@@ -69,7 +69,7 @@
 func TestUndecidedPinIsReleased(t *testing.T) {
 	for outcome, releases := range map[node.Outcome]int{node.OutcomeUnknown: 1, node.OutcomeVoid: 0} {
 		store := &fakeStore{outcome: outcome}
-		_, err := NewNames(store, time.Hour).Pin(context.Background(), "t", "s", nil)
+		_, err := NewNamedSessions(store, time.Hour).Pin(context.Background(), "t", "s", nil)
 		if !errors.Is(err, &Error{Reason: ReasonUndecided}) || len(store.released) != releases {
 			t.Errorf("outcome %d: got %v and %d releases", outcome, err, len(store.released))
 		}
@@ -85,7 +85,7 @@
 		"": ReasonBadName, "a/b": ReasonBadName, "a b": ReasonBadName, "é": ReasonBadName,
 		"odd": ReasonBadRegister, "alien": ReasonBadRegister,
 	} {
-		_, err := NewNames(store, time.Hour).Pin(context.Background(), "t", name, nil)
+		_, err := NewNamedSessions(store, time.Hour).Pin(context.Background(), "t", name, nil)
 		if !errors.Is(err, &Error{Reason: want}) {
 			t.Errorf("%q: got %v, want %s", name, err, want)
 		}
--- a/router/internal/session/session.go
+++ b/router/internal/session/session.go
@@ -21,7 +21,7 @@
 	// Pins maps models to the version ("model@version") that answers them.
 	Pins map[string]string `json:"pins"`
 	// ShareHash places the session in a roll-out, 0 up to but not 1.
-	ShareHash float64 `json:"share"`
+	RolloutPosition float64 `json:"share"`
 }
 
 // Bounds on a session, so that neither a token nor a register grows past what
@@ -37,7 +37,7 @@
 
 // ShareHash spreads sessions evenly over 0 to 1. The same session gets the
 // same value at every instance, so raising a version's share only adds.
-func ShareHash(team, id string) float64 {
+func RolloutPosition(team, id string) float64 {
 	const bits = 53 // of a float64's mantissa
 	sum := xxhash.Sum64String(team + "\x00" + id)
 	return float64(sum>>(64-bits)) / (1 << bits)
@@ -58,7 +58,7 @@
 		return "id missing, too long or with characters that are not allowed"
 	case len(s.Pins) > MaxPins:
 		return "too many pins"
-	case !(s.ShareHash >= 0 && s.ShareHash < 1):
+	case !(s.RolloutPosition >= 0 && s.RolloutPosition < 1):
 		return "share out of range"
 	}
 	for model, version := range s.Pins {
--- a/router/internal/session/token_test.go
+++ b/router/internal/session/token_test.go
@@ -35,7 +35,7 @@
 
 func testSession() Session {
 	return Session{
-		Team: "patrons", ID: "draft-1", ShareHash: ShareHash("patrons", "draft-1"),
+		Team: "patrons", ID: "draft-1", RolloutPosition: RolloutPosition("patrons", "draft-1"),
 		Pins: map[string]string{"laine": "laine@3"},
 	}
 }
@@ -103,7 +103,7 @@
 		{"no expiry", forgeToken(t, hs, "k1", secret, func(c *claims) { c.ExpiresAt = nil }), "patrons", testStart, ReasonMalformed},
 		{"other issuer", forgeToken(t, hs, "k1", secret, func(c *claims) { c.Issuer = "x" }), "patrons", testStart, ReasonMalformed},
 		{"pin of another model", forgeToken(t, hs, "k1", secret, func(c *claims) { c.Pins = map[string]string{"laine": "lin@1"} }), "patrons", testStart, ReasonMalformed},
-		{"share of 1", forgeToken(t, hs, "k1", secret, func(c *claims) { c.ShareHash = 1 }), "patrons", testStart, ReasonMalformed},
+		{"share of 1", forgeToken(t, hs, "k1", secret, func(c *claims) { c.RolloutPosition = 1 }), "patrons", testStart, ReasonMalformed},
 		{"empty", "", "patrons", testStart, ReasonMalformed},
 		{"without signature", good[:strings.LastIndexByte(good, '.')+1], "patrons", testStart, ReasonBadSignature},
 		{"two parts", good[:strings.LastIndexByte(good, '.')], "patrons", testStart, ReasonMalformed},
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -69,7 +69,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
 func (s *Server) rate(w http.ResponseWriter, r *http.Request) {
-	var request wire.RateRequest
+	var request wire.RatingRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&request); err != nil {
 		faults.WriteError(w, http.StatusBadRequest, "malformed_request", err.Error())
 		return
@@ -82,11 +82,11 @@
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.OutOfRange }) {
 		score += 2
 	}
-	faults.WriteJSON(w, http.StatusOK, wire.RateResponse{Score: score})
+	faults.WriteJSON(w, http.StatusOK, wire.RatingResponse{Score: score})
 }
 
 // score rates an answer.
-func (s *Server) score(r wire.RateRequest) float64 {
+func (s *Server) score(r wire.RatingRequest) float64 {
 	set := s.Faults.Get()
 	if score, ok := set.Scores[r.Version]; ok {
 		return score
@@ -103,7 +103,7 @@
 }
 
 // noise is a number from -1 to 1 that is the same for the same request.
-func noise(r wire.RateRequest) float64 {
+func noise(r wire.RatingRequest) float64 {
 	sum := xxhash.Sum64String(fmt.Sprintf("%q%q%q%q", r.Team, r.Task, r.Prompt, r.Answer))
 	return float64(sum>>11)/(1<<52) - 1
 }
--- a/router/internal/wire/wire.go
+++ b/router/internal/wire/wire.go
@@ -143,7 +143,7 @@
 }
 
 // RateRequest and RateResponse are the rating service's POST /rate.
-type RateRequest struct {
+type RatingRequest struct {
 	Team    string `json:"team"`
 	Task    string `json:"task"`
 	Version string `json:"version"`
@@ -152,7 +152,7 @@
 }
 
 // RateResponse holds the score, 0 to 1.
-type RateResponse struct {
+type RatingResponse struct {
 	Score float64 `json:"score"`
 }
 
