--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -47,7 +47,7 @@
 	if d.Hold && d.RatingTimeout > 0 {
 		timeout = d.RatingTimeout
 	}
-	req := wire.RateRequest{
+	req := wire.RatingRequest{
 		Team:    x.caller.team.ID,
 		Task:    string(x.req.Class),
 		Version: string(d.Version),
@@ -64,7 +64,7 @@
 	return chat.Messages[len(chat.Messages)-1].Content
 }
 
-func (q *ratingPool) start(event decision.AnswerRated, req wire.RateRequest, timeout time.Duration) {
+func (q *ratingPool) start(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) {
 	select {
 	case q.slots <- struct{}{}:
 	default:
@@ -80,7 +80,7 @@
 	}()
 }
 
-func (q *ratingPool) request(event decision.AnswerRated, req wire.RateRequest, timeout time.Duration) decision.AnswerRated {
+func (q *ratingPool) request(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) decision.AnswerRated {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	score, err := q.rater.Rate(ctx, req)
--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -114,21 +114,21 @@
 func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, config *ConfigState, guard *restoreGuard, tel *telemetry, c Clock) *observationStore {
 	observations := newObservationStore(cfg.Instance, sh.observations, d, tel, c)
 	observations.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
-	observations.fleetSize = sh.members.Count
+	observations.fleetSize = sh.members.FleetSize
 	sh.onHeld = observations.wakeUp
 	sh.onFleetCount = func(n int) { d.Handle(passthrough.FleetSize{Instances: n}) }
 	sh.onPeers = func(names []string) { d.Handle(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
-		out.LostConfig = guard.lostVersion()
+		out.LostConfigVersion = guard.lostVersion()
 		return out
 	}
 	take := func(others relay.Report) {
 		d.applyPeerReport(others)
-		config.ReportLostVersion(others.LostConfig)
+		config.ReportLostVersion(others.LostConfigVersion)
 	}
-	sh.server.Loads = relay.NewLoads(sh.client, own, take)
-	sh.server.Loads.Unreadable = tel.logUnreadableLoads
+	sh.server.LoadExchange = relay.NewLoadExchange(sh.client, own, take)
+	sh.server.LoadExchange.OnUnreadable = tel.logUnreadableLoads
 	d.onObservation, d.onCrash, d.onSlowStart, d.onLimitChanged = observations.recordResponse, observations.recordCrash, tel.slowStart, tel.rateLimitChanged
 	return observations
 }
@@ -136,14 +136,14 @@
 func provideServerList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, tel *telemetry, c Clock, gate *startGate) *serverList {
 	l := newServerList(p.Records, d, dial, tel, c, cfg.Bounds.Drain, gate)
 	d.requestServerRead = l.requestRead
-	l.readsFromPeer = func() bool { return !sh.servers.Direct() }
-	l.readsAlone = func() bool { return sh.servers.Direct() && !sh.server.Collects() }
+	l.readsFromPeer = func() bool { return !sh.servers.ReadsStore() }
+	l.readsAlone = func() bool { return sh.servers.ReadsStore() && !sh.server.IsCollector() }
 	return l
 }
 
 func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, observations *observationStore, tel *telemetry, c Clock) *rollouts {
 	m := newRollouts(p.Records, p.Store.Status(), d, l, observations, tel, c, passthrough.ExposureLimit{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
-	m.writesRegister = sh.status.Direct
+	m.writesRegister = sh.status.ReadsStore
 	return m
 }
 
@@ -179,14 +179,14 @@
 		records: p.Records, config: config, driver: d, rollouts: m, telemetry: tel, startGate: gate,
 		clock: c, restoreGuard: guard,
 		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Domains,
-		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
+		isCollector: sh.server.IsCollector, readsStore: sh.operator.ReadsStore,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			runs := []func(context.Context){
 				op.reader(sh.operator, c).run, l.reader(sh.servers, c).run,
-				observations.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, observations.run, m.run, sh.server.Loads.Run,
+				observations.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, observations.run, m.run, sh.server.LoadExchange.Run,
 			}
 			go joinAndRun(ctx, sh, cfg.FirstStart, runs)
 			return sh.listen(ctx)
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -28,7 +28,7 @@
 		return
 	}
 	if firstStart {
-		sleep(ctx, time.Duration(s.self.Turn()*float64(firstStartSpread)), nil)
+		sleep(ctx, time.Duration(s.self.AnnounceOrder()*float64(firstStartSpread)), nil)
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -108,10 +108,10 @@
 
 // reportCounts reports a changed number of instances, and changed peers in this failure domain.
 func (s *sharing) reportCounts() {
-	if near := int64(s.members.Near()); s.reportedPeers.Swap(near) != near {
-		s.onPeers(s.members.Names())
+	if near := int64(s.members.DomainSize()); s.reportedPeers.Swap(near) != near {
+		s.onPeers(s.members.DomainNames())
 	}
-	n := s.members.Count()
+	n := s.members.FleetSize()
 	if s.reportedCount.Swap(int64(n)) != int64(n) {
 		s.onFleetCount(n)
 	}
@@ -165,7 +165,7 @@
 // and either collects for others or is the first in rank. In an outage of the store all instances
 // read it themselves, but must not all count.
 func (s *sharing) countsFleet() bool {
-	return s.instances.Direct() && (s.members.First() || s.server.Collects())
+	return s.instances.ReadsStore() && (s.members.RanksFirst() || s.server.IsCollector())
 }
 
 // membersReadWait is how long a read of the list of instances waits for a new entry.
