--- a/router/cmd/masticplankd/main.go
+++ b/router/cmd/masticplankd/main.go
@@ -73,7 +73,7 @@
 		return cli.Exit(cli.StatusInvalid, err)
 	}
 	return passthrough.Run(passthrough.Platform{
-		Headers: platform.Wire{}, Records: platform.Records{}, Store: platform.NewStore(cfg.StoreAddr),
+		Headers: platform.HeaderCodec{}, Records: platform.Records{}, Store: platform.NewStore(cfg.StoreAddr),
 		ReadyPath: platform.ReadyPath,
 		Settings:  func() (seam.Settings, error) { return platform.LoadSettings(path) },
 	}, metrics, os.Stdout)
--- a/router/internal/cli/soakcmd/soakcmd.go
+++ b/router/internal/cli/soakcmd/soakcmd.go
@@ -29,8 +29,8 @@
 of range.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			o.Length = time.Duration(minutes * float64(time.Minute))
-			if err := o.Check(); err != nil {
+			o.Duration = time.Duration(minutes * float64(time.Minute))
+			if err := o.Validate(); err != nil {
 				return cli.Exit(cli.StatusInvalid, err)
 			}
 			if o.Program == "" {
@@ -52,7 +52,7 @@
 	flags := cmd.Flags()
 	flags.Uint64Var(&o.Seed, "seed", 1, "what is drawn: faults, their times, and what callers send")
 	flags.Float64Var(&minutes, "minutes", 1, "minutes with faults; a calm of 12 s follows")
-	flags.IntVar(&o.Processes, "processes", 9, fmt.Sprintf("instances, %d at most", soak.MostProcesses))
+	flags.IntVar(&o.Processes, "processes", 9, fmt.Sprintf("instances, %d at most", soak.MaxProcesses))
 	flags.StringVar(&o.Program, "program", "", "path of masticplankd; empty for the one beside this program")
 	flags.StringVar(&o.Dir, "dir", "", "directory for settings and logs; empty for a temporary one, kept after a breach")
 	return cmd
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -148,7 +148,7 @@
 
 // judge takes the answer for what it is.
 func (a *attempt) readOutcome(resp *http.Response) outcome {
-	meta := a.exchange.edge.headers.ReadAnswer(resp.StatusCode, resp.Header)
+	meta := a.exchange.edge.headers.ReadResponse(resp.StatusCode, resp.Header)
 	out := a.classify(resp, meta)
 	out.firstByte = a.firstByte
 	out.confidence = meta.Confidence
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -17,8 +17,8 @@
 
 func (noHeaders) ReadCaller(http.Header) seam.Caller                     { return seam.Caller{} }
 func (noHeaders) WriteAttempt(h http.Header, _ seam.Attempt) http.Header { return h }
-func (noHeaders) ReadAnswer(int, http.Header) seam.Response              { return seam.Response{} }
-func (noHeaders) AnswerHeaders(h http.Header) http.Header                { return h }
+func (noHeaders) ReadResponse(int, http.Header) seam.Response            { return seam.Response{} }
+func (noHeaders) ResponseHeaders(h http.Header) http.Header              { return h }
 
 // TestConnectionsAreNotKeptWhereDescriptorsRunOut opens one connection after the other, as
 // callers do who come back after a refusal. Past the limit each is closed with its answer.
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -130,7 +130,7 @@
 // leaves out what is set to nil.
 func (x *exchange) copyHeaders(from http.Header) {
 	h := x.w.Header()
-	for name, values := range x.edge.headers.AnswerHeaders(from) {
+	for name, values := range x.edge.headers.ResponseHeaders(from) {
 		h[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
--- a/router/internal/passthrough/ports.go
+++ b/router/internal/passthrough/ports.go
@@ -13,8 +13,8 @@
 type Headers interface {
 	ReadCaller(h http.Header) seam.Caller
 	WriteAttempt(caller http.Header, a seam.Attempt) http.Header
-	ReadAnswer(status int, h http.Header) seam.Response
-	AnswerHeaders(h http.Header) http.Header
+	ReadResponse(status int, h http.Header) seam.Response
+	ResponseHeaders(h http.Header) http.Header
 }
 
 // Records decodes and encodes the records of the platform's topics.
