--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -150,7 +150,7 @@
 
 // readOutcome reads the response and returns the attempt's outcome.
 func (a *attempt) readOutcome(resp *http.Response) outcome {
-	meta := a.exchange.handler.headers.ReadAnswer(resp.StatusCode, resp.Header)
+	meta := a.exchange.handler.headers.ReadResponse(resp.StatusCode, resp.Header)
 	out := a.classify(resp, meta)
 	out.firstByte = a.firstByte
 	out.confidence = meta.Confidence
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -133,7 +133,7 @@
 // server sent none, since net/http would add its own.
 func (x *exchange) copyHeaders(from http.Header) {
 	h := x.w.Header()
-	for name, values := range x.handler.headers.AnswerHeaders(from) {
+	for name, values := range x.handler.headers.ResponseHeaders(from) {
 		h[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
--- a/router/internal/passthrough/ports.go
+++ b/router/internal/passthrough/ports.go
@@ -15,10 +15,10 @@
 	ReadCaller(h http.Header) seam.Caller
 	// WriteAttempt returns the headers of an attempt, made from the caller's.
 	WriteAttempt(caller http.Header, a seam.Attempt) http.Header
-	// ReadAnswer decodes the status and headers of a backend server's response.
-	ReadAnswer(status int, h http.Header) seam.Response
-	// AnswerHeaders returns those of a backend server's response headers that go to the caller.
-	AnswerHeaders(h http.Header) http.Header
+	// ReadResponse decodes the status and headers of a backend server's response.
+	ReadResponse(status int, h http.Header) seam.Response
+	// ResponseHeaders returns those of a backend server's response headers that go to the caller.
+	ResponseHeaders(h http.Header) http.Header
 }
 
 // Records decodes and encodes the records of the platform's topics. Decoding a malformed record
