--- a/router/internal/demo/caller.go
+++ b/router/internal/demo/caller.go
@@ -20,18 +20,18 @@
 
 const (
 	// outcomeCut is what a caller sees whose connection broke.
-	outcomeCut = "cut"
+	outcomeConnectionLost = "cut"
 	// callTimeout bounds one request of the load.
 	callTimeout = 60 * time.Second
 	// maxAnswer bounds an answer.
-	maxAnswer = 16 << 20
+	maxAnswerBytes = 16 << 20
 )
 
 // result is what came of one request, as its caller saw it.
 type result struct {
-	request *request
-	began   time.Time
-	took    time.Duration
+	request  *request
+	start    time.Time
+	duration time.Duration
 	// firstToken is set for streams.
 	firstToken time.Duration
 	status     int
@@ -50,7 +50,7 @@
 
 // caller sends the load to the entry instances in turn, as a balancer would.
 type caller struct {
-	http *http.Client
+	client *http.Client
 	// addrs are the instances' API addresses.
 	addrs []string
 	// tokens are the session tokens by team and session, pins their versions.
@@ -60,14 +60,14 @@
 
 func newCaller(addrs []string) *caller {
 	return &caller{
-		http:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: callTimeout},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: callTimeout},
 		addrs:  addrs,
 		tokens: map[string][]string{},
 		pins:   map[string][]map[string]string{},
 	}
 }
 
-func (c *caller) close() { c.http.CloseIdleConnections() }
+func (c *caller) close() { c.client.CloseIdleConnections() }
 
 // openSessions opens the sessions that the load goes on with.
 func (c *caller) openSessions(ctx context.Context) error {
@@ -81,11 +81,11 @@
 			if err != nil {
 				return err
 			}
-			resp, err := c.http.Do(req)
+			resp, err := c.client.Do(req)
 			if err != nil {
 				return trace.Wrap(err)
 			}
-			body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+			body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 			resp.Body.Close()
 			if err != nil {
 				return trace.Wrap(err)
@@ -115,36 +115,36 @@
 
 // send sends r to an instance and reads its whole answer.
 func (c *caller) send(ctx context.Context, r *request, instance int) result {
-	out := result{request: r, began: time.Now(), outcome: outcomeCut}
-	req, err := c.build(ctx, r, instance)
+	out := result{request: r, start: time.Now(), outcome: outcomeConnectionLost}
+	req, err := c.buildRequest(ctx, r, instance)
 	if err != nil {
 		out.err = err
 		return out
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		out.err = err
-		out.took = time.Since(out.began)
+		out.duration = time.Since(out.start)
 		return out
 	}
 	defer resp.Body.Close()
 	out.status = resp.StatusCode
 	out.version = resp.Header.Get(wire.HeaderVersion)
-	if err := out.read(resp); err != nil {
+	if err := out.readBody(resp); err != nil {
 		out.err = err
 	} else {
 		out.outcome = resp.Header.Get(wire.HeaderOutcome)
 	}
-	out.took = time.Since(out.began)
+	out.duration = time.Since(out.start)
 	return out
 }
 
-func (c *caller) build(ctx context.Context, r *request, instance int) (*http.Request, error) {
+func (c *caller) buildRequest(ctx context.Context, r *request, instance int) (*http.Request, error) {
 	method, path, body := http.MethodPost, "/v1/chat/completions", []byte(r.body)
 	switch r.kind {
 	case kindRead:
 		method, path = http.MethodGet, "/services/"+serviceShop+r.path
-	case kindReserve, kindTwice:
+	case kindReserve, kindDuplicate:
 		path = "/services/" + serviceShop + r.path
 	default:
 		encoded, err := json.Marshal(r.chat)
@@ -168,10 +168,10 @@
 }
 
 // read reads the answer. An error means that it was not whole.
-func (out *result) read(resp *http.Response) error {
+func (out *result) readBody(resp *http.Response) error {
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		var e wire.Error
-		if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&e); err != nil {
+		if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&e); err != nil {
 			return err
 		}
 		out.code = e.Error.Code
@@ -180,7 +180,7 @@
 	if out.request.chat.Stream {
 		return out.readStream(resp.Body)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 func (out *result) readStream(body io.Reader) error {
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxAnswer)
+	lines.Buffer(nil, maxAnswerBytes)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
@@ -218,7 +218,7 @@
 			return fmt.Errorf("chunk: %w", err)
 		}
 		if out.firstToken == 0 {
-			out.firstToken = time.Since(out.began)
+			out.firstToken = time.Since(out.start)
 		}
 		for _, choice := range chunk.Choices {
 			if choice.Delta != nil {
--- a/router/internal/demo/check.go
+++ b/router/internal/demo/check.go
@@ -17,22 +17,22 @@
 
 // The promises that the demo checks.
 const (
-	promiseAnswered  = "every request has an answer that fits it"
-	promiseWhole     = "a completed answer is whole and the caller's own"
-	promiseAllowed   = "a request runs only on a version that its team may use"
-	promiseWithdrawn = "a withdrawn version gets no new work"
-	promiseSession   = "a session keeps its version"
-	promiseBilled    = "a completed request is billed exactly once"
-	promiseNotRun    = "a refused request was not run and is not billed"
-	promiseOnce      = "a reservation runs at most once"
-	promiseHonest    = "a caller is not told that a reservation failed which took effect"
-	promiseManifest  = "an accepted manifest is in force everywhere in seconds"
+	promiseAnswered       = "every request has an answer that fits it"
+	promiseWhole          = "a completed answer is whole and the caller's own"
+	promiseAllowed        = "a request runs only on a version that its team may use"
+	promiseWithdrawn      = "a withdrawn version gets no new work"
+	promiseSession        = "a session keeps its version"
+	promiseBilled         = "a completed request is billed exactly once"
+	promiseNotRun         = "a refused request was not run and is not billed"
+	promiseAtMostOnce     = "a reservation runs at most once"
+	promiseNoFalseFailure = "a caller is not told that a reservation failed which took effect"
+	promiseManifest       = "an accepted manifest is in force everywhere in seconds"
 )
 
 // promises in the order of the report.
 var promises = []string{
 	promiseAnswered, promiseWhole, promiseAllowed, promiseWithdrawn, promiseSession,
-	promiseBilled, promiseNotRun, promiseOnce, promiseHonest, promiseManifest,
+	promiseBilled, promiseNotRun, promiseAtMostOnce, promiseNoFalseFailure, promiseManifest,
 }
 
 // checker holds the results to the promises.
@@ -43,14 +43,14 @@
 	// withdrawnAt is when the withdrawal was in force everywhere.
 	withdrawnAt time.Time
 	caller      *caller
-	ledger      ledger
+	bills       billExport
 	// runs are the shop's counts by Idempotency-Key.
-	runs   map[string]int
-	broken map[string][]string
+	runs       map[string]int
+	violations map[string][]string
 }
 
-func (c *checker) breaks(promise, format string, args ...any) {
-	c.broken[promise] = append(c.broken[promise], fmt.Sprintf(format, args...))
+func (c *checker) addViolation(promise, format string, args ...any) {
+	c.violations[promise] = append(c.violations[promise], fmt.Sprintf(format, args...))
 }
 
 // check holds every result to every promise.
@@ -66,9 +66,9 @@
 	for key, same := range byKey {
 		c.checkKey(key, same)
 	}
-	for id := range c.ledger.bills {
+	for id := range c.bills.byRequest {
 		if _, known := byKey[id]; !known {
-			c.breaks(promiseBilled, "a bill for request %s, which nobody sent", id)
+			c.addViolation(promiseBilled, "a bill for request %s, which nobody sent", id)
 		}
 	}
 }
@@ -78,13 +78,13 @@
 	switch {
 	case r.request.kind == kindForbidden:
 		if r.outcome != string(outcome.Refused) || r.code != "model_not_allowed" {
-			c.breaks(promiseAnswered, "%s: asked for a model that is not allowed, got %s", r, r.code)
+			c.addViolation(promiseAnswered, "%s: asked for a model that is not allowed, got %s", r, r.code)
 		}
 	case r.completed(), r.outcome == string(outcome.Refused):
-	case r.outcome == string(outcome.AlreadyRun) && r.request.kind == kindTwice:
+	case r.outcome == string(outcome.AlreadyRun) && r.request.kind == kindDuplicate:
 	case c.faults:
 	default:
-		c.breaks(promiseAnswered, "%s: %s %s: %v", r, r.outcome, r.code, r.err)
+		c.addViolation(promiseAnswered, "%s: %s %s: %v", r, r.outcome, r.code, r.err)
 	}
 }
 
@@ -94,33 +94,33 @@
 		return
 	}
 	chat := r.request.chat
-	if r.status != http.StatusOK || !engine.Check(r.text, r.version, chat.Messages, chat.MaxTokens) {
-		c.breaks(promiseWhole, "%s: status %d, text %.60q", r, r.status, r.text)
+	if r.status != http.StatusOK || !engine.IsExpectedAnswer(r.text, r.version, chat.Messages, chat.MaxTokens) {
+		c.addViolation(promiseWhole, "%s: status %d, text %.60q", r, r.status, r.text)
 	}
-	if model, _ := splitVersion(r.version); !r.request.team.mayUse(model) || chat.Model != "" && chat.Model != model {
-		c.breaks(promiseAllowed, "%s: asked for %q, ran on %s", r, chat.Model, r.version)
+	if model, _ := splitVersion(r.version); !r.request.team.allows(model) || chat.Model != "" && chat.Model != model {
+		c.addViolation(promiseAllowed, "%s: asked for %q, ran on %s", r, chat.Model, r.version)
 	}
-	if r.version == versionOld && !c.withdrawnAt.IsZero() && r.began.After(c.withdrawnAt) {
-		c.breaks(promiseWithdrawn, "%s: began %s after the withdrawal was in force", r, r.began.Sub(c.withdrawnAt))
+	if r.version == versionOld && !c.withdrawnAt.IsZero() && r.start.After(c.withdrawnAt) {
+		c.addViolation(promiseWithdrawn, "%s: began %s after the withdrawal was in force", r, r.start.Sub(c.withdrawnAt))
 	}
 	if r.request.kind == kindSession {
 		model, _ := splitVersion(r.version)
 		pinned := c.caller.pins[r.request.team.id][r.request.session][model]
 		if pinned != r.version {
-			c.breaks(promiseSession, "%s: pinned to %q, ran on %s", r, pinned, r.version)
+			c.addViolation(promiseSession, "%s: pinned to %q, ran on %s", r, pinned, r.version)
 		}
 	}
 }
 
 func (c *checker) checkService(r result) {
-	var answer service.Answer
+	var answer service.Response
 	if err := json.Unmarshal(r.body, &answer); err != nil {
-		c.breaks(promiseWhole, "%s: %v", r, err)
+		c.addViolation(promiseWhole, "%s: %v", r, err)
 		return
 	}
 	own := answer.Path == r.request.path && answer.Key == r.request.key && answer.Body == r.request.body
 	if !own {
-		c.breaks(promiseWhole, "%s: got the answer to %s %s %s", r, answer.Method, answer.Path, answer.Key)
+		c.addViolation(promiseWhole, "%s: got the answer to %s %s %s", r, answer.Method, answer.Path, answer.Key)
 	}
 }
 
@@ -135,18 +135,18 @@
 			refused++
 		}
 	}
-	billed := c.ledger.bills[key]
+	billed := c.bills.byRequest[key]
 	first := same[0]
 	if len(billed) > 1 || completed > 0 && len(billed) == 0 {
-		c.breaks(promiseBilled, "%s: %d bills", first, len(billed))
+		c.addViolation(promiseBilled, "%s: %d bills", first, len(billed))
 	}
 	if refused == len(same) && (len(billed) > 0 || c.runs[key] > 0) {
-		c.breaks(promiseNotRun, "%s: refused, but %d runs and %d bills", first, c.runs[key], len(billed))
+		c.addViolation(promiseNotRun, "%s: refused, but %d runs and %d bills", first, c.runs[key], len(billed))
 	}
 	if c.runs[key] > 1 || completed > 1 {
-		c.breaks(promiseOnce, "%s: %d runs, completed %d times", first, c.runs[key], completed)
+		c.addViolation(promiseAtMostOnce, "%s: %d runs, completed %d times", first, c.runs[key], completed)
 	}
-	c.checkFailed(key, same)
+	c.checkFalseFailure(key, same)
 	if completed > 0 && len(billed) == 1 {
 		c.checkBill(same, billed[0])
 	}
@@ -155,10 +155,10 @@
 // checkFailed looks for a failure that was none. Only the service's own 500 says
 // that a call ran and failed; a connection that broke says nothing of it, and a
 // caller who is told of a failure reserves again under another key.
-func (c *checker) checkFailed(key string, same []result) {
+func (c *checker) checkFalseFailure(key string, same []result) {
 	for _, r := range same {
 		if r.outcome == string(outcome.Failed) && r.code != "backend_server_failed" && c.runs[key] > 0 {
-			c.breaks(promiseHonest, "%s: %s, but it took effect", r, r.code)
+			c.addViolation(promiseNoFalseFailure, "%s: %s, but it took effect", r, r.code)
 		}
 	}
 }
@@ -170,10 +170,10 @@
 			continue
 		}
 		if b.Team != r.request.team.id || b.Version != r.version || b.Canceled {
-			c.breaks(promiseBilled, "%s: ran on %q, billed %+v", r, r.version, b)
+			c.addViolation(promiseBilled, "%s: ran on %q, billed %+v", r, r.version, b)
 		}
 		if r.request.chat.Messages != nil && int(b.OutputTokens) < r.request.chat.MaxTokens {
-			c.breaks(promiseBilled, "%s: %d tokens given, %d billed", r, r.request.chat.MaxTokens, b.OutputTokens)
+			c.addViolation(promiseBilled, "%s: %d tokens given, %d billed", r, r.request.chat.MaxTokens, b.OutputTokens)
 		}
 	}
 }
--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -16,7 +16,7 @@
 
 // soundRun is a session request, a reservation sent twice, and a request for a
 // model that is not allowed, all answered as promised.
-func soundRun() (*checker, []result) {
+func validRun() (*checker, []result) {
 	teams := demoTeams()
 	session := &request{
 		kind: kindSession,
@@ -24,30 +24,30 @@
 		key:  "s",
 		chat: wire.ChatRequest{Messages: []wire.Message{{Role: "user", Content: "x"}}, MaxTokens: 5},
 	}
-	twice := &request{index: 1, kind: kindTwice, team: teams[2], key: "t", path: "/reservations", body: "b"}
+	twice := &request{index: 1, kind: kindDuplicate, team: teams[2], key: "t", path: "/reservations", body: "b"}
 	forbidden := &request{index: 2, kind: kindForbidden, team: teams[1], key: "f", chat: session.chat}
-	reserved, _ := json.Marshal(service.Answer{Path: twice.path, Key: twice.key, Body: twice.body, Run: 1})
+	reserved, _ := json.Marshal(service.Response{Path: twice.path, Key: twice.key, Body: twice.body, Run: 1})
 	began := time.Unix(100, 0)
 	results := []result{
 		{
-			request: session, began: began, outcome: "completed", status: http.StatusOK, version: versionOld,
-			text: "q=0.880" + engine.Expected(versionOld, session.chat.Messages, 5),
+			request: session, start: began, outcome: "completed", status: http.StatusOK, version: versionOld,
+			text: "q=0.880" + engine.ExpectedText(versionOld, session.chat.Messages, 5),
 		},
-		{request: twice, began: began, outcome: "completed", status: http.StatusCreated, body: reserved},
-		{request: twice, began: began, outcome: "already_run", status: http.StatusConflict, code: "already_run"},
-		{request: forbidden, began: began, outcome: "refused", status: http.StatusForbidden, code: "model_not_allowed"},
+		{request: twice, start: began, outcome: "completed", status: http.StatusCreated, body: reserved},
+		{request: twice, start: began, outcome: "already_run", status: http.StatusConflict, code: "already_run"},
+		{request: forbidden, start: began, outcome: "refused", status: http.StatusForbidden, code: "model_not_allowed"},
 	}
 	c := &checker{
 		withdrawnAt: began.Add(time.Second),
 		caller: &caller{pins: map[string][]map[string]string{
 			"weavers": {{modelLarge: versionOld, modelSmall: versionSmall}},
 		}},
-		ledger: ledger{bills: map[string][]bills.Bill{
+		bills: billExport{byRequest: map[string][]bills.Bill{
 			"s": {{Team: "weavers", RequestID: "s", Version: versionOld, OutputTokens: 5}},
 			"t": {{Team: "clerks", RequestID: "t", Service: serviceShop}},
 		}},
-		runs:   map[string]int{"t": 1},
-		broken: map[string][]string{},
+		runs:       map[string]int{"t": 1},
+		violations: map[string][]string{},
 	}
 	return c, results
 }
@@ -63,40 +63,40 @@
 		{"sound", func(*checker, []result) {}, nil},
 		{"shortened answer", func(_ *checker, r []result) { r[0].text = r[0].text[:20] }, []string{promiseWhole}},
 		{"another's reservation", func(_ *checker, r []result) { r[1].body = []byte(`{"key":"z"}`) }, []string{promiseWhole}},
-		{"cut without faults", func(_ *checker, r []result) { r[2].outcome = outcomeCut }, []string{promiseAnswered}},
+		{"cut without faults", func(_ *checker, r []result) { r[2].outcome = outcomeConnectionLost }, []string{promiseAnswered}},
 		{"forbidden model was run", func(_ *checker, r []result) {
 			r[3].outcome, r[3].code, r[3].version, r[3].status = "completed", "", versionOld, http.StatusOK
 			r[3].text = r[0].text
 		}, []string{promiseAnswered, promiseAllowed, promiseBilled}},
-		{"ran after the withdrawal", func(_ *checker, r []result) { r[0].began = r[0].began.Add(time.Minute) }, []string{promiseWithdrawn}},
+		{"ran after the withdrawal", func(_ *checker, r []result) { r[0].start = r[0].start.Add(time.Minute) }, []string{promiseWithdrawn}},
 		{"session moved", func(c *checker, _ []result) { c.caller.pins["weavers"][0][modelLarge] = versionNew }, []string{promiseSession}},
-		{"bill lost", func(c *checker, _ []result) { delete(c.ledger.bills, "s") }, []string{promiseBilled}},
+		{"bill lost", func(c *checker, _ []result) { delete(c.bills.byRequest, "s") }, []string{promiseBilled}},
 		{"billed twice", func(c *checker, _ []result) {
-			c.ledger.bills["s"] = append(c.ledger.bills["s"], c.ledger.bills["s"]...)
+			c.bills.byRequest["s"] = append(c.bills.byRequest["s"], c.bills.byRequest["s"]...)
 		}, []string{promiseBilled}},
-		{"wrong version billed", func(c *checker, _ []result) { c.ledger.bills["s"][0].Version = versionSmall }, []string{promiseBilled}},
-		{"billed for nothing", func(c *checker, _ []result) { c.ledger.bills["?"] = []bills.Bill{{RequestID: "?"}} }, []string{promiseBilled}},
-		{"refused but billed", func(c *checker, _ []result) { c.ledger.bills["f"] = []bills.Bill{{RequestID: "f"}} }, []string{promiseNotRun}},
+		{"wrong version billed", func(c *checker, _ []result) { c.bills.byRequest["s"][0].Version = versionSmall }, []string{promiseBilled}},
+		{"billed for nothing", func(c *checker, _ []result) { c.bills.byRequest["?"] = []bills.Bill{{RequestID: "?"}} }, []string{promiseBilled}},
+		{"refused but billed", func(c *checker, _ []result) { c.bills.byRequest["f"] = []bills.Bill{{RequestID: "f"}} }, []string{promiseNotRun}},
 		{"refused but run", func(c *checker, r []result) {
 			r[1].outcome, r[2].outcome = "refused", "refused"
-			delete(c.ledger.bills, "t")
+			delete(c.bills.byRequest, "t")
 		}, []string{promiseNotRun}},
 		{"told failed but run", func(c *checker, r []result) {
 			c.faults = true
 			r[1].outcome, r[1].code = "failed", "backend_server_crashed"
-		}, []string{promiseHonest}},
-		{"ran twice", func(c *checker, _ []result) { c.runs["t"] = 2 }, []string{promiseOnce}},
+		}, []string{promiseNoFalseFailure}},
+		{"ran twice", func(c *checker, _ []result) { c.runs["t"] = 2 }, []string{promiseAtMostOnce}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			c, results := soundRun()
+			c, results := validRun()
 			tt.spoil(c, results)
 			c.check(results)
-			got := slices.Sorted(maps.Keys(c.broken))
+			got := slices.Sorted(maps.Keys(c.violations))
 			if want := slices.Sorted(slices.Values(tt.want)); !slices.Equal(got, want) {
-				t.Errorf("broken %v, want %v", c.broken, want)
+				t.Errorf("broken %v, want %v", c.violations, want)
 			}
-			report := newReport(results, c.ledger, c.broken)
+			report := newReport(results, c.bills, c.violations)
 			if report.Held() != (len(tt.want) == 0) {
 				t.Errorf("held %v", report.Held())
 			}
@@ -105,7 +105,7 @@
 }
 
 func TestPlanIsTheSameForTheSameSeed(t *testing.T) {
-	a, b := plan(300, 7), plan(300, 7)
+	a, b := generateLoad(300, 7), generateLoad(300, 7)
 	kinds := map[kind]int{}
 	for i := range a {
 		kinds[a[i].kind]++
@@ -116,7 +116,7 @@
 			t.Fatalf("request %d has the same key", i)
 		}
 	}
-	if len(kinds) != len(kindParts) {
+	if len(kinds) != len(loadMix) {
 		t.Errorf("kinds %v", kinds)
 	}
 }
--- a/router/internal/demo/demo.go
+++ b/router/internal/demo/demo.go
@@ -27,7 +27,7 @@
 	// rolloutTimeout bounds the wait for a manifest; past it a promise is broken.
 	rolloutTimeout = 5 * time.Second
 	// pollEvery is how often states are asked for.
-	pollEvery = 10 * time.Millisecond
+	pollInterval = 10 * time.Millisecond
 )
 
 // Config of a run.
@@ -57,17 +57,17 @@
 		cfg.Progress = func() {}
 	}
 	began := time.Now()
-	s, err := newStage(ctx, cfg.Log)
+	s, err := newEnvironment(ctx, cfg.Log)
 	if err != nil {
 		return Report{}, trace.Wrap(err)
 	}
 	defer s.stop()
-	r := &run{cfg: cfg, stage: s, broken: map[string][]string{}}
+	r := &run{cfg: cfg, env: s, violations: map[string][]string{}}
 	if err := r.prepare(ctx); err != nil {
 		return Report{}, trace.Wrap(err)
 	}
 	defer r.caller.close()
-	results := r.load(ctx)
+	results := r.runLoad(ctx)
 	report, err := r.report(ctx, results)
 	report.Seconds = time.Since(began).Seconds()
 	return report, trace.Wrap(err)
@@ -76,13 +76,13 @@
 // run is one run of the demo.
 type run struct {
 	cfg    Config
-	stage  *stage
+	env    *environment
 	caller *caller
 
 	// withdrawnAt is when the second manifest was in force everywhere.
 	withdrawnAt time.Time
-	rollout     time.Duration
-	broken      map[string][]string
+	rolloutTime time.Duration
+	violations  map[string][]string
 }
 
 // prepare publishes the first manifest and opens the sessions.
@@ -91,7 +91,7 @@
 		return trace.Wrap(err)
 	}
 	var addrs []string
-	for _, i := range r.stage.instances {
+	for _, i := range r.env.instances {
 		if err := waitReady(ctx, i.Admin); err != nil {
 			return err
 		}
@@ -102,14 +102,14 @@
 		return trace.Wrap(err)
 	}
 	if r.cfg.Faults {
-		r.stage.breakThings()
+		r.env.injectFaults()
 	}
 	return nil
 }
 
 // breakThings switches on faults that callers must not suffer from beyond an
 // honest failure.
-func (s *stage) breakThings() {
+func (s *environment) injectFaults() {
 	s.log.Faults.Set(logsvc.Faults{LostReply: 3, LostBefore: 2})
 	s.shop.Faults.Set(service.Faults{LostReply: 2, Busy: 2, FailAfter: 1})
 	s.engines[0].Faults.Set(engine.Faults{WrongNonce: 2, Truncate: 2, DuplicateChunk: 2})
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	began := time.Now()
-	first := adminclient.New(r.stage.instances[0].Admin, operatorKey)
+	first := adminclient.New(r.env.instances[0].Admin, operatorKey)
 	for {
 		answer, err := first.Publish(ctx, m, true)
 		if err == nil && answer.Accepted() {
@@ -134,7 +134,7 @@
 			return 0, trace.Wrap(answer.Faults)
 		}
 		// Not accepted yet, as when the instance has only just started.
-		if waitErr := sleep(ctx, pollEvery); waitErr != nil {
+		if waitErr := sleep(ctx, pollInterval); waitErr != nil {
 			return 0, trace.Wrap(waitErr, "publishing %s: %s %s %v", m.Publication, answer.Code, answer.Message, err)
 		}
 	}
@@ -142,7 +142,7 @@
 
 // waitInForce waits until every instance has the generation in force.
 func (r *run) waitInForce(ctx context.Context, generation uint64) error {
-	for _, i := range r.stage.instances {
+	for _, i := range r.env.instances {
 		client := adminclient.New(i.Admin, "")
 		for {
 			var status struct {
@@ -151,7 +151,7 @@
 			if err := client.Get(ctx, "/status", &status); err == nil && status.Generation >= generation {
 				break
 			}
-			if err := sleep(ctx, pollEvery); err != nil {
+			if err := sleep(ctx, pollInterval); err != nil {
 				return trace.Wrap(err, "generation %d is not in force at %s", generation, i.Admin)
 			}
 		}
@@ -160,9 +160,9 @@
 }
 
 // load sends the whole load, with the roll-out once half of it has begun.
-func (r *run) load(ctx context.Context) []result {
-	requests := plan(r.cfg.Requests, r.cfg.Seed)
-	var results collector
+func (r *run) runLoad(ctx context.Context) []result {
+	requests := generateLoad(r.cfg.Requests, r.cfg.Seed)
+	var results resultCollector
 	var next atomic.Int64
 	var wg sync.WaitGroup
 	half := make(chan struct{})
@@ -183,26 +183,26 @@
 	}
 	wg.Go(func() {
 		<-half
-		r.rollOut(ctx)
+		r.publishRollout(ctx)
 	})
 	wg.Wait()
 	return results.all
 }
 
 // rollOut publishes the second manifest under traffic.
-func (r *run) rollOut(ctx context.Context) {
+func (r *run) publishRollout(ctx context.Context) {
 	took, err := r.publish(ctx, secondManifest(), rolloutTimeout)
 	if err != nil {
-		r.broken[promiseManifest] = append(r.broken[promiseManifest], err.Error())
+		r.violations[promiseManifest] = append(r.violations[promiseManifest], err.Error())
 		return
 	}
-	r.rollout = took
+	r.rolloutTime = took
 	r.withdrawnAt = time.Now()
 }
 
 // send sends one request of the load; kindTwice goes to two instances at once.
 func (r *run) send(ctx context.Context, req *request) []result {
-	if req.kind != kindTwice {
+	if req.kind != kindDuplicate {
 		return []result{r.caller.send(ctx, req, req.index)}
 	}
 	out := make([]result, 2)
@@ -221,7 +221,7 @@
 			want = append(want, one.request.key)
 		}
 	}
-	l, err := readLedger(ctx, r.stage.logURL, want)
+	l, err := awaitBills(ctx, r.env.logURL, want)
 	if err != nil {
 		return Report{}, err
 	}
@@ -229,25 +229,25 @@
 		faults:      r.cfg.Faults,
 		withdrawnAt: r.withdrawnAt,
 		caller:      r.caller,
-		ledger:      l,
-		runs:        r.stage.shop.Stats().Runs,
-		broken:      r.broken,
+		bills:       l,
+		runs:        r.env.shop.Stats().Runs,
+		violations:  r.violations,
 	}
 	c.check(results)
-	report := newReport(results, l, c.broken)
+	report := newReport(results, l, c.violations)
 	report.Requests = r.cfg.Requests
 	report.Faults = r.cfg.Faults
-	report.RolloutMS = float64(r.rollout.Microseconds()) / 1000
+	report.RolloutMS = float64(r.rolloutTime.Microseconds()) / 1000
 	return report, nil
 }
 
 // collector gathers results from several goroutines.
-type collector struct {
+type resultCollector struct {
 	mu  sync.Mutex
 	all []result
 }
 
-func (c *collector) add(results ...result) {
+func (c *resultCollector) add(results ...result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.all = append(c.all, results...)
--- a/router/internal/demo/ledger.go
+++ b/router/internal/demo/ledger.go
@@ -13,49 +13,49 @@
 
 const (
 	// ledgerPoll is the time between two exports while bills are awaited.
-	ledgerPoll = 100 * time.Millisecond
+	billPollInterval = 100 * time.Millisecond
 	// ledgerPatience bounds the wait for bills that are held.
-	ledgerPatience = 5 * time.Second
+	billTimeout = 5 * time.Second
 )
 
 // ledger is the bills as any reader of the log finds them.
-type ledger struct {
+type billExport struct {
 	// bills by request id; more than one is a broken promise.
-	bills map[string][]bills.Bill
+	byRequest map[string][]bills.Bill
 	// void counts proposals of a bill that another one had won.
-	void int
+	duplicates int
 }
 
 // readLedger exports the bills, and waits for late ones until all of want are
 // there or the patience has ended.
-func readLedger(ctx context.Context, logURL string, want []string) (ledger, error) {
-	limit := time.Now().Add(ledgerPatience)
+func awaitBills(ctx context.Context, logURL string, want []string) (billExport, error) {
+	deadline := time.Now().Add(billTimeout)
 	for {
-		l, err := export(ctx, logURL)
-		if err != nil || l.has(want) || time.Now().After(limit) {
+		l, err := exportBills(ctx, logURL)
+		if err != nil || l.hasAll(want) || time.Now().After(deadline) {
 			return l, trace.Wrap(err)
 		}
-		time.Sleep(ledgerPoll)
+		time.Sleep(billPollInterval)
 	}
 }
 
-func export(ctx context.Context, logURL string) (ledger, error) {
-	l := ledger{bills: map[string][]bills.Bill{}}
+func exportBills(ctx context.Context, logURL string) (billExport, error) {
+	l := billExport{byRequest: map[string][]bills.Bill{}}
 	client := platform.NewLogClient(logURL)
 	sum, err := bills.Export(ctx, client, fold.DefaultConfig(), 0, func(line bills.ExportedBill) error {
-		l.bills[line.RequestID] = append(l.bills[line.RequestID], line.Bill)
+		l.byRequest[line.RequestID] = append(l.byRequest[line.RequestID], line.Bill)
 		return nil
 	})
 	if err == nil && sum.Malformed > 0 {
 		err = trace.Errorf("%d bills in the log cannot be read", sum.Malformed)
 	}
-	l.void = sum.Duplicates
+	l.duplicates = sum.Duplicates
 	return l, err
 }
 
-func (l *ledger) has(want []string) bool {
+func (l *billExport) hasAll(want []string) bool {
 	for _, id := range want {
-		if len(l.bills[id]) == 0 {
+		if len(l.byRequest[id]) == 0 {
 			return false
 		}
 	}
--- a/router/internal/demo/load.go
+++ b/router/internal/demo/load.go
@@ -21,13 +21,13 @@
 	kindRead    kind = "read"
 	kindReserve kind = "reserve"
 	// kindTwice is one reservation sent to two instances at once.
-	kindTwice kind = "reserve twice"
+	kindDuplicate kind = "reserve twice"
 	// kindForbidden asks for a model that the team may not use.
 	kindForbidden kind = "forbidden"
 )
 
 // kindParts are the parts of the load, in hundredths.
-var kindParts = []struct {
+var loadMix = []struct {
 	kind kind
 	part int
 }{
@@ -36,7 +36,7 @@
 	{kindSession, 12},
 	{kindRead, 12},
 	{kindReserve, 8},
-	{kindTwice, 5},
+	{kindDuplicate, 5},
 	{kindForbidden, 3},
 }
 
@@ -62,7 +62,7 @@
 
 // plan makes the load: the same for the same seed, but for the keys, whose time
 // must be the present.
-func plan(n int, seed uint64) []request {
+func generateLoad(n int, seed uint64) []request {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	teams := demoTeams()
 	out := make([]request, n)
@@ -76,7 +76,7 @@
 		switch r.kind {
 		case kindRead:
 			r.path = fmt.Sprintf("/stock/wool-%d", rng.IntN(50))
-		case kindReserve, kindTwice:
+		case kindReserve, kindDuplicate:
 			r.path = "/reservations"
 			r.body = fmt.Sprintf(`{"article":"wool-%d","metres":%d}`, rng.IntN(50), 1+rng.IntN(9))
 		case kindForbidden:
@@ -93,7 +93,7 @@
 
 func pickKind(rng *rand.Rand) kind {
 	draw := rng.IntN(100)
-	for _, p := range kindParts {
+	for _, p := range loadMix {
 		if draw < p.part {
 			return p.kind
 		}
@@ -117,10 +117,10 @@
 // chatBody mixes short and long prompts behind shared openings, so that the
 // engines' prefix caches have something to keep.
 func chatBody(rng *rand.Rand, index int) wire.ChatRequest {
-	opening := strings.Repeat(fmt.Sprintf("House rules of pattern book %d. ", rng.IntN(5)), 1+rng.IntN(20))
+	prefix := strings.Repeat(fmt.Sprintf("House rules of pattern book %d. ", rng.IntN(5)), 1+rng.IntN(20))
 	return wire.ChatRequest{
 		Messages: []wire.Message{
-			{Role: "system", Content: opening},
+			{Role: "system", Content: prefix},
 			{Role: "user", Content: fmt.Sprintf("Request %d: draft a border.", index)},
 		},
 		MaxTokens: 4 + rng.IntN(60),
--- a/router/internal/demo/ready.go
+++ b/router/internal/demo/ready.go
@@ -23,7 +23,7 @@
 				return nil
 			}
 		}
-		if err := sleep(ctx, pollEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return trace.Wrap(err, "%s is not ready", admin)
 		}
 	}
--- a/router/internal/demo/report.go
+++ b/router/internal/demo/report.go
@@ -39,7 +39,7 @@
 	P95   float64 `json:"p95_ms"`
 	P99   float64 `json:"p99_ms"`
 	// First is the 95th percentile of the time to the first token of streams.
-	First float64 `json:"first_token_p95_ms,omitempty"`
+	FirstTokenP95 float64 `json:"first_token_p95_ms,omitempty"`
 }
 
 // VersionRow is what one version did.
@@ -89,7 +89,7 @@
 	return true
 }
 
-func newReport(results []result, l ledger, broken map[string][]string) Report {
+func newReport(results []result, l billExport, violations map[string][]string) Report {
 	r := Report{Sent: len(results), Outcomes: map[string]int{}}
 	for _, one := range results {
 		r.Outcomes[outcomeName(one)]++
@@ -98,7 +98,7 @@
 	r.countBills(results, l)
 	r.countVersions(l)
 	for _, name := range promises {
-		examples := broken[name]
+		examples := violations[name]
 		r.Promises = append(r.Promises, Promise{
 			Name:     name,
 			Held:     len(examples) == 0,
@@ -117,31 +117,31 @@
 }
 
 func latencyRows(results []result) []LatencyRow {
-	took := map[kind][]time.Duration{}
-	first := map[kind][]time.Duration{}
+	durations := map[kind][]time.Duration{}
+	firstTokens := map[kind][]time.Duration{}
 	for _, r := range results {
 		if !r.completed() {
 			continue
 		}
 		k := r.request.kind
-		took[k] = append(took[k], r.took)
+		durations[k] = append(durations[k], r.duration)
 		if r.firstToken > 0 {
-			first[k] = append(first[k], r.firstToken)
+			firstTokens[k] = append(firstTokens[k], r.firstToken)
 		}
 	}
 	var rows []LatencyRow
-	for _, p := range kindParts {
-		all := took[p.kind]
+	for _, p := range loadMix {
+		all := durations[p.kind]
 		if len(all) == 0 {
 			continue
 		}
 		rows = append(rows, LatencyRow{
-			Kind:  string(p.kind),
-			Count: len(all),
-			P50:   percentile(all, 0.50),
-			P95:   percentile(all, 0.95),
-			P99:   percentile(all, 0.99),
-			First: percentile(first[p.kind], 0.95),
+			Kind:          string(p.kind),
+			Count:         len(all),
+			P50:           percentile(all, 0.50),
+			P95:           percentile(all, 0.95),
+			P99:           percentile(all, 0.99),
+			FirstTokenP95: percentile(firstTokens[p.kind], 0.95),
 		})
 	}
 	return rows
@@ -157,7 +157,7 @@
 	return float64(sorted[max(rank, 0)].Microseconds()) / 1000
 }
 
-func (r *Report) countBills(results []result, l ledger) {
+func (r *Report) countBills(results []result, l billExport) {
 	completed := map[string]bool{}
 	for _, one := range results {
 		if one.completed() {
@@ -165,9 +165,9 @@
 		}
 	}
 	r.Bills.Completed = len(completed)
-	r.Bills.Void = l.void
+	r.Bills.Void = l.duplicates
 	for id := range completed {
-		switch n := len(l.bills[id]); {
+		switch n := len(l.byRequest[id]); {
 		case n == 0:
 			r.Bills.Missing++
 		case n > 1:
@@ -176,14 +176,14 @@
 			r.Bills.Billed++
 		}
 	}
-	for id := range l.bills {
+	for id := range l.byRequest {
 		if !completed[id] {
 			r.Bills.Other++
 		}
 	}
 }
 
-func (r *Report) countVersions(l ledger) {
+func (r *Report) countVersions(l billExport) {
 	prices := map[string]float64{}
 	dearest := 0.0
 	for _, v := range secondManifest().Versions {
@@ -191,7 +191,7 @@
 		dearest = max(dearest, v.Cost)
 	}
 	rows := map[string]*VersionRow{}
-	for _, same := range l.bills {
+	for _, same := range l.byRequest {
 		for _, b := range same {
 			r.addBill(rows, b, dearest)
 		}
@@ -236,7 +236,7 @@
 	}
 	fmt.Fprintln(t, "\nCOMPLETED\tCOUNT\tP50 ms\tP95 ms\tP99 ms\tFIRST TOKEN P95 ms")
 	for _, l := range r.Latency {
-		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.1f\t%.1f\t%s\n", l.Kind, l.Count, l.P50, l.P95, l.P99, orDash(l.First))
+		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.1f\t%.1f\t%s\n", l.Kind, l.Count, l.P50, l.P95, l.P99, orDash(l.FirstTokenP95))
 	}
 	fmt.Fprintln(t, "\nVERSION\tBILLED\tTOKENS\tCOST")
 	for _, v := range r.Versions {
--- a/router/internal/demo/scenario.go
+++ b/router/internal/demo/scenario.go
@@ -57,10 +57,10 @@
 		PerBlock:   300 * time.Microsecond,
 		InterToken: time.Millisecond,
 	}
-	renewed := old
-	renewed.ID = versionNew
-	renewed.Quality = 0.92
-	return []engine.Version{small, old, renewed}
+	next := old
+	next.ID = versionNew
+	next.Quality = 0.92
+	return []engine.Version{small, old, next}
 }
 
 // firstManifest has the old version serving and the new one not yet there.
@@ -93,12 +93,12 @@
 		}},
 	}
 	for _, t := range demoTeams() {
-		m.Teams = append(m.Teams, teamRow(t, m.Versions))
+		m.Teams = append(m.Teams, manifestTeam(t, m.Versions))
 	}
 	return m
 }
 
-func teamRow(t team, versions []manifest.Version) manifest.Team {
+func manifestTeam(t team, versions []manifest.Version) manifest.Team {
 	row := manifest.Team{
 		ID:            t.id,
 		KeyHashes:     []string{manifest.HashKey(t.key)},
@@ -107,14 +107,14 @@
 		Services:      []string{serviceShop},
 	}
 	for _, v := range versions {
-		if t.mayUse(v.Model) {
+		if t.allows(v.Model) {
 			row.Allowed = append(row.Allowed, v.ID)
 		}
 	}
 	return row
 }
 
-func (t team) mayUse(model string) bool {
+func (t team) allows(model string) bool {
 	for _, m := range t.models {
 		if m == model {
 			return true
--- a/router/internal/demo/stage.go
+++ b/router/internal/demo/stage.go
@@ -37,7 +37,7 @@
 )
 
 // stage is everything that the demo runs, in this process and on loopback.
-type stage struct {
+type environment struct {
 	log     *logsvc.Server
 	list    *listsvc.Server
 	rating  *rating.Server
@@ -53,8 +53,8 @@
 
 // newStage starts the stand-ins, then the entry instances. On an error nothing
 // is left running.
-func newStage(ctx context.Context, out io.Writer) (*stage, error) {
-	s := &stage{
+func newEnvironment(ctx context.Context, out io.Writer) (*environment, error) {
+	s := &environment{
 		log:    logsvc.New(logsvc.Config{AppendRate: 500}),
 		rating: rating.New(rating.Config{Noise: ratingNoise}),
 		shop:   service.New(service.Config{Name: serviceShop, Work: time.Millisecond}),
@@ -66,7 +66,7 @@
 	return s, nil
 }
 
-func (s *stage) start(ctx context.Context, out io.Writer) error {
+func (s *environment) start(ctx context.Context, out io.Writer) error {
 	servers, err := s.startBackends()
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 }
 
 // startBackends starts the engines and the shop, and returns their list rows.
-func (s *stage) startBackends() ([]wire.ListedServer, error) {
+func (s *environment) startBackends() ([]wire.ListedServer, error) {
 	var rows []wire.ListedServer
 	for i := range engineCount {
 		e := engine.New(engine.Config{
@@ -123,7 +123,7 @@
 }
 
 // serve runs a handler on a free port of loopback and returns its address.
-func (s *stage) serve(h http.Handler) (string, error) {
+func (s *environment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", trace.Wrap(err)
@@ -134,7 +134,7 @@
 	return l.Addr().String(), nil
 }
 
-func (s *stage) startInstance(ctx context.Context, i int, urls settings.Platform, out io.Writer) error {
+func (s *environment) startInstance(ctx context.Context, i int, urls settings.Platform, out io.Writer) error {
 	app, self := daemon.New(instanceSettings(i, urls), out)
 	if err := app.Err(); err != nil {
 		return trace.Wrap(err)
@@ -175,7 +175,7 @@
 }
 
 // stop ends the instances first, gracefully, then the stand-ins.
-func (s *stage) stop() {
+func (s *environment) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, app := range s.apps {
--- a/router/internal/e2e/bench_test.go
+++ b/router/internal/e2e/bench_test.go
@@ -40,8 +40,8 @@
 		// Memory first, in a fresh process: what the load leaves folded would
 		// count besides.
 		p.measureStreams(b)
-		p.measure(b)
-		fmt.Printf("resident: %.1f MB after the load\n", p.resident(b))
+		p.measureThroughputAndLatency(b)
+		fmt.Printf("resident: %.1f MB after the load\n", p.residentMB(b))
 	}
 }
 
@@ -52,10 +52,10 @@
 }
 
 func startBenchPath(b *testing.B) *benchPath {
-	logAddr := standin(b, "log")
-	listAddr := standin(b, "instances")
-	ratingAddr := standin(b, "rating")
-	engine := standin(b, "engine", "--slots", strconv.Itoa(benchSlots), "--queue", strconv.Itoa(benchSlots),
+	logAddr := startStandin(b, "log")
+	listAddr := startStandin(b, "instances")
+	ratingAddr := startStandin(b, "rating")
+	engine := startStandin(b, "engine", "--slots", strconv.Itoa(benchSlots), "--queue", strconv.Itoa(benchSlots),
 		"--version", "quick@1,quality=0.9", "--version", "slow@1,quality=0.9,inter=500ms")
 	list, err := json.Marshal(wire.InstanceList{Servers: []wire.ListedServer{{
 		ID: "engine-1", Addr: engine, Domain: "salle-rimouski",
@@ -131,9 +131,9 @@
 }
 
 // saturate sends as fast as callers get answers; pace sends at a steady rate.
-func saturate(t loadgen.Target, callers int) loadgen.Phase { return pace(t, 0, callers) }
+func saturate(t loadgen.Target, callers int) loadgen.Phase { return sendAtRate(t, 0, callers) }
 
-func pace(t loadgen.Target, rate float64, callers int) loadgen.Phase {
+func sendAtRate(t loadgen.Target, rate float64, callers int) loadgen.Phase {
 	return loadgen.Run(context.Background(), t, loadgen.Plan{
 		Callers: callers,
 		Rate:    rate,
@@ -143,7 +143,7 @@
 }
 
 // show prints one line and returns the quantiles of what pick reads.
-func show(b *testing.B, ph loadgen.Phase, name string, pick func(loadgen.Sample) time.Duration) (p50, p99 time.Duration) {
+func printResult(b *testing.B, ph loadgen.Phase, name string, pick func(loadgen.Sample) time.Duration) (p50, p99 time.Duration) {
 	b.Helper()
 	if len(ph.Samples) == 0 {
 		b.Fatalf("%s: no answers, %d failed: %s", name, ph.Failed, ph.Example)
@@ -157,17 +157,17 @@
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // measure compares throughput, then latency at half of the routed throughput.
-func (p *benchPath) measure(b *testing.B) {
+func (p *benchPath) measureThroughputAndLatency(b *testing.B) {
 	direct := saturate(p.direct(b, false), benchCallers)
-	show(b, direct, "plain, direct, saturated", loadgen.Whole)
+	printResult(b, direct, "plain, direct, saturated", loadgen.Whole)
 	routed := saturate(p.routed(b, false), benchCallers)
-	show(b, routed, "plain, routed, saturated", loadgen.Whole)
+	printResult(b, routed, "plain, routed, saturated", loadgen.Whole)
 	// Answers wait for their bill's group commit, so few callers cannot
 	// saturate: throughput needs many of them under way.
 	many := saturate(p.routed(b, false), 16*benchCallers)
-	show(b, many, "plain, routed, saturated, 16 x callers", loadgen.Whole)
+	printResult(b, many, "plain, routed, saturated, 16 x callers", loadgen.Whole)
 	manyDirect := saturate(p.direct(b, false), 16*benchCallers)
-	show(b, manyDirect, "plain, direct, saturated, 16 x callers", loadgen.Whole)
+	printResult(b, manyDirect, "plain, direct, saturated, 16 x callers", loadgen.Whole)
 	best := max(routed.Rate, many.Rate)
 	ratio := best / max(direct.Rate, manyDirect.Rate)
 	fmt.Printf("throughput routed / direct: %.3f\n", ratio)
@@ -176,22 +176,22 @@
 
 	half := best / 2
 	callers := 16 * benchCallers
-	d50, d99 := show(b, pace(p.direct(b, false), half, callers), "plain, direct, half load", loadgen.Whole)
-	r50, r99 := show(b, pace(p.routed(b, false), half, callers), "plain, routed, half load", loadgen.Whole)
-	added(b, "plain, whole", d50, d99, r50, r99)
+	d50, d99 := printResult(b, sendAtRate(p.direct(b, false), half, callers), "plain, direct, half load", loadgen.Whole)
+	r50, r99 := printResult(b, sendAtRate(p.routed(b, false), half, callers), "plain, routed, half load", loadgen.Whole)
+	printAdded(b, "plain, whole", d50, d99, r50, r99)
 
 	streams := half / 4
-	directStream := pace(p.direct(b, true), streams, callers)
-	routedStream := pace(p.routed(b, true), streams, callers)
-	d50, d99 = show(b, directStream, "stream, direct, first token", loadgen.First)
-	r50, r99 = show(b, routedStream, "stream, routed, first token", loadgen.First)
-	added(b, "stream, first token", d50, d99, r50, r99)
-	d50, d99 = show(b, directStream, "stream, direct, whole", loadgen.Whole)
-	r50, r99 = show(b, routedStream, "stream, routed, whole", loadgen.Whole)
-	added(b, "stream, whole", d50, d99, r50, r99)
+	directStream := sendAtRate(p.direct(b, true), streams, callers)
+	routedStream := sendAtRate(p.routed(b, true), streams, callers)
+	d50, d99 = printResult(b, directStream, "stream, direct, first token", loadgen.First)
+	r50, r99 = printResult(b, routedStream, "stream, routed, first token", loadgen.First)
+	printAdded(b, "stream, first token", d50, d99, r50, r99)
+	d50, d99 = printResult(b, directStream, "stream, direct, whole", loadgen.Whole)
+	r50, r99 = printResult(b, routedStream, "stream, routed, whole", loadgen.Whole)
+	printAdded(b, "stream, whole", d50, d99, r50, r99)
 }
 
-func added(b *testing.B, name string, d50, d99, r50, r99 time.Duration) {
+func printAdded(b *testing.B, name string, d50, d99, r50, r99 time.Duration) {
 	fmt.Printf("added, %s: p50 %.3f ms (ratio %.2f), p99 %.3f ms (ratio %.2f)\n", name,
 		millis(r50-d50), float64(r50)/float64(d50), millis(r99-d99), float64(r99)/float64(d99))
 	b.ReportMetric(millis(r99-d99), strings.NewReplacer(", ", "-", " ", "-").Replace(name)+"-added-p99-ms")
@@ -199,7 +199,7 @@
 
 // measureStreams reads the instance's memory with many streams open.
 func (p *benchPath) measureStreams(b *testing.B) {
-	before := p.resident(b)
+	before := p.residentMB(b)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	slow := p.target(b, p.entry.api, "slow", 4096, true)
@@ -223,14 +223,14 @@
 		})
 	}
 	eventually(b, "streams open", func() bool { return opened.Load() == benchStreams })
-	with := p.resident(b)
+	with := p.residentMB(b)
 	fmt.Printf("resident: %.1f MB before, %.1f MB with %d streams open\n", before, with, benchStreams)
 	b.ReportMetric(with, "MB-with-1000-streams")
 	cancel()
 	wg.Wait()
 }
 
-func (p *benchPath) resident(b *testing.B) float64 {
+func (p *benchPath) residentMB(b *testing.B) float64 {
 	mb, err := procstat.ResidentMB(p.entry.cmd.Process.Pid)
 	if err != nil {
 		b.Fatal(err)
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -38,12 +38,12 @@
 	return f
 }
 
-func (f *fleet) chat(i *instance) reply {
+func (f *fleet) chat(i *instance) response {
 	f.t.Helper()
 	return call(f.t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, helloBody, nil)
 }
 
-func (f *fleet) reserve(i *instance, key string) reply {
+func (f *fleet) reserve(i *instance, key string) response {
 	f.t.Helper()
 	header := map[string]string{wire.HeaderIdempotencyKey: key}
 	return call(f.t, http.MethodPost, i.api+"/services/shop/reservations", weaversKey, `{"wool":3}`, header)
@@ -51,7 +51,7 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-func outcomeOf(r reply) string { return r.header.Get(wire.HeaderOutcome) }
+func outcomeOf(r response) string { return r.header.Get(wire.HeaderOutcome) }
 
 // withdraw publishes a manifest without large@1, through instance i.
 func (f *fleet) withdraw(i *instance) {
@@ -67,7 +67,7 @@
 }
 
 // startedOn counts the requests that engines began on a version.
-func (f *fleet) startedOn(version string) int {
+func (f *fleet) requestsStarted(version string) int {
 	f.t.Helper()
 	total := 0
 	for _, addr := range f.engines {
@@ -88,7 +88,7 @@
 func TestKilledWhileAReservationRuns(t *testing.T) {
 	f := readyFleetWith(t, options{shopArgs: []string{"--work", "500ms"}})
 	key := newKey()
-	first := make(chan reply, 1)
+	first := make(chan response, 1)
 	go func() { first <- f.reserve(f.instances[0], key) }()
 	eventually(t, "the reservation at the shop", func() bool {
 		return strings.Contains(call(t, http.MethodGet, "http://"+f.shop+"/load", "", "", nil).body, `"running":1`)
@@ -151,14 +151,14 @@
 func TestFrozenInstanceMissesAWithdrawal(t *testing.T) {
 	f := readyFleet(t)
 	frozen, publisher, witness := f.instances[0], f.instances[1], f.instances[2]
-	before := f.startedOn("large@1")
+	before := f.requestsStarted("large@1")
 	f.freeze(frozen)
-	waiting := make(chan reply, 1)
+	waiting := make(chan response, 1)
 	go func() { waiting <- f.chat(frozen) }()
 	f.withdraw(publisher)
 	// The witness is cut off after the freeze; once it is stale, the frozen
 	// instance's last read is older than the bound as well.
-	f.lines[2].SetCut(true)
+	f.logRelays[2].SetDisconnected(true)
 	f.freeze(publisher)
 	f.awaitMode(witness, "stale")
 	f.signal(publisher, syscall.SIGCONT)
@@ -166,7 +166,7 @@
 	if r := <-waiting; outcomeOf(r) == "completed" {
 		t.Errorf("ran on a withdrawn version: %+v", r)
 	}
-	if n := f.startedOn("large@1") - before; n != 0 {
+	if n := f.requestsStarted("large@1") - before; n != 0 {
 		t.Errorf("%d requests began on the withdrawn version", n)
 	}
 }
@@ -227,18 +227,18 @@
 		f.awaitMode(i, "outage")
 	}
 	f.instances[0].kill()
-	fresh := f.add()
-	f.awaitMode(fresh, "outage")
-	if s := f.status(fresh); s.Generation != 1 {
+	replacement := f.add()
+	f.awaitMode(replacement, "outage")
+	if s := f.status(replacement); s.Generation != 1 {
 		t.Errorf("generation %d", s.Generation)
 	}
-	eventually(t, "a chat at the new instance", func() bool { return outcomeOf(f.chat(fresh)) == "completed" })
-	if r := f.reserve(fresh, newKey()); outcomeOf(r) != "refused" {
+	eventually(t, "a chat at the new instance", func() bool { return outcomeOf(f.chat(replacement)) == "completed" })
+	if r := f.reserve(replacement, newKey()); outcomeOf(r) != "refused" {
 		t.Errorf("reservation in the outage: %+v", r)
 	}
 	f.faults(f.log, map[string]any{})
-	f.awaitMode(fresh, "fresh")
-	if r := f.reserve(fresh, key); outcomeOf(r) != "already_run" {
+	f.awaitMode(replacement, "fresh")
+	if r := f.reserve(replacement, key); outcomeOf(r) != "already_run" {
 		t.Errorf("the reservation of before: %+v", r)
 	}
 	if n := f.runs(key); n != 1 {
@@ -279,7 +279,7 @@
 // manifest from its peers.
 func TestCutFromTheLogOnly(t *testing.T) {
 	f := readyFleet(t)
-	f.lines[0].SetCut(true)
+	f.logRelays[0].SetDisconnected(true)
 	f.withdraw(f.instances[1])
 	eventually(t, "generation 2 at the cut instance", func() bool {
 		return f.status(f.instances[0]).Generation == 2
@@ -295,16 +295,16 @@
 func TestCutFromAll(t *testing.T) {
 	f := readyFleet(t)
 	alone := f.instances[0]
-	f.lines[0].SetCut(true)
+	f.logRelays[0].SetDisconnected(true)
 	for _, i := range f.instances[1:] {
 		f.freeze(i)
 	}
 	f.awaitMode(alone, "stale")
-	before := f.startedOn("large@1")
+	before := f.requestsStarted("large@1")
 	if r := f.chat(alone); outcomeOf(r) != "refused" || r.header.Get("Retry-After") == "" {
 		t.Errorf("new work: %+v", r)
 	}
-	if n := f.startedOn("large@1") - before; n != 0 {
+	if n := f.requestsStarted("large@1") - before; n != 0 {
 		t.Errorf("%d requests began", n)
 	}
 	if r := call(t, http.MethodGet, alone.admin+"/readyz", "", "", nil); r.status != http.StatusServiceUnavailable {
@@ -315,7 +315,7 @@
 			t.Fatal(err)
 		}
 	}
-	f.lines[0].SetCut(false)
+	f.logRelays[0].SetDisconnected(false)
 	f.awaitMode(alone, "fresh")
 	if r := f.chat(alone); outcomeOf(r) != "completed" {
 		t.Errorf("after the cut: %+v", r)
--- a/router/internal/e2e/fleet_test.go
+++ b/router/internal/e2e/fleet_test.go
@@ -28,7 +28,7 @@
 	// platform are the settings that all instances share.
 	platform map[string]any
 	// lines are the instances' ways to the log, which a test can cut.
-	lines []*relay.Relay
+	logRelays []*relay.Relay
 }
 
 // options of a fleet.
@@ -43,22 +43,22 @@
 	t.Helper()
 	f := &fleet{
 		t:    t,
-		log:  standin(t, "log"),
-		list: standin(t, "instances"),
-		shop: standin(t, "service", append([]string{"--name", "shop"}, o.shopArgs...)...),
+		log:  startStandin(t, "log"),
+		list: startStandin(t, "instances"),
+		shop: startStandin(t, "service", append([]string{"--name", "shop"}, o.shopArgs...)...),
 	}
 	f.bills = f.log
 	billURL := ""
 	if o.billLog {
-		f.bills = standin(t, "log")
+		f.bills = startStandin(t, "log")
 		billURL = "http://" + f.bills
 	}
-	rating := standin(t, "rating")
+	rating := startStandin(t, "rating")
 	list := wire.InstanceList{Servers: []wire.ListedServer{
 		{ID: "shop-1", Addr: f.shop, Domain: domains[0], Service: "shop", Slots: 8},
 	}}
 	for n := range 3 {
-		addr := standin(t, "engine")
+		addr := startStandin(t, "engine")
 		f.engines = append(f.engines, addr)
 		list.Servers = append(list.Servers, wire.ListedServer{
 			ID:       fmt.Sprintf("engine-%d", n+1),
@@ -84,14 +84,14 @@
 func (f *fleet) add() *instance {
 	f.t.Helper()
 	n := len(f.instances)
-	line, err := relay.New(f.log)
+	logRelay, err := relay.New(f.log)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(line.Close)
-	f.lines = append(f.lines, line)
+	f.t.Cleanup(logRelay.Close)
+	f.logRelays = append(f.logRelays, logRelay)
 	platform := maps.Clone(f.platform)
-	platform["log_url"] = "http://" + line.Addr()
+	platform["log_url"] = "http://" + logRelay.Addr()
 	name, domain := fmt.Sprintf("entry-%d", n+1), domains[n%len(domains)]
 	i := startInstance(f.t, name, domain, platform)
 	f.instances = append(f.instances, i)
@@ -153,7 +153,7 @@
 // ledger is read from the log by the operators' tool.
 func (f *fleet) ledger() string {
 	f.t.Helper()
-	out, err := tool("ledger", "export", "--log", "http://"+f.bills)
+	out, err := runTool("ledger", "export", "--log", "http://"+f.bills)
 	if err != nil {
 		f.t.Fatalf("ledger export: %v: %s", err, out)
 	}
--- a/router/internal/e2e/orders_test.go
+++ b/router/internal/e2e/orders_test.go
@@ -11,7 +11,7 @@
 // alone.
 func TestOrders(t *testing.T) {
 	f := readyFleet(t)
-	place := func(publication string, versions ...string) {
+	publishPlacements := func(publication string, versions ...string) {
 		m := testManifest(publication)
 		m.Orders = &manifest.Orders{FencedDomains: domains}
 		for _, v := range versions {
@@ -21,11 +21,11 @@
 			t.Fatalf("%s: %v: %s", publication, err, out)
 		}
 	}
-	place("small-only", "small@1")
+	publishPlacements("small-only", "small@1")
 	eventually(t, "large@1 unloaded everywhere", func() bool {
 		return strings.Contains(f.chat(f.instances[0]).body, "no_backend_server")
 	})
-	place("both", "small@1", "large@1")
+	publishPlacements("both", "small@1", "large@1")
 	for _, i := range f.instances {
 		eventually(t, "large@1 loaded again", func() bool { return outcomeOf(f.chat(i)) == "completed" })
 	}
--- a/router/internal/e2e/process_test.go
+++ b/router/internal/e2e/process_test.go
@@ -21,10 +21,10 @@
 
 // patience bounds every wait for something that a healthy process does in
 // milliseconds. No test asserts how long anything took.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 // binaries holds the folder of the two binaries, built once.
-var binaries string
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(runTests(m))
@@ -42,7 +42,7 @@
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
 	}
-	binaries = dir
+	binDir = dir
 	return m.Run()
 }
 
@@ -52,21 +52,21 @@
 	name string
 	cmd  *exec.Cmd
 
-	mu    sync.Mutex
-	lines []string
-	found chan string
-	done  chan error
+	mu     sync.Mutex
+	lines  []string
+	output chan string
+	done   chan error
 }
 
 // start runs a binary and reads its lines from stdout and stderr.
-func start(t testing.TB, name, binary string, args ...string) *process {
+func startProcess(t testing.TB, name, binary string, args ...string) *process {
 	t.Helper()
 	p := &process{
-		t:     t,
-		name:  name,
-		cmd:   exec.Command(filepath.Join(binaries, binary), args...),
-		found: make(chan string, 4096),
-		done:  make(chan error, 1),
+		t:      t,
+		name:   name,
+		cmd:    exec.Command(filepath.Join(binDir, binary), args...),
+		output: make(chan string, 4096),
+		done:   make(chan error, 1),
 	}
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -90,12 +90,12 @@
 		p.lines = append(p.lines, scanner.Text())
 		p.mu.Unlock()
 		select {
-		case p.found <- scanner.Text():
+		case p.output <- scanner.Text():
 		default:
 		}
 	}
 	p.done <- p.cmd.Wait()
-	close(p.found)
+	close(p.output)
 }
 
 func (p *process) kill() {
@@ -110,10 +110,10 @@
 // await returns the first line that match accepts.
 func (p *process) await(what string, match func(line string) (string, bool)) string {
 	p.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(waitTimeout)
 	for {
 		select {
-		case line, open := <-p.found:
+		case line, open := <-p.output:
 			if !open {
 				p.t.Fatalf("%s ended before %s", p.name, what)
 			}
@@ -135,16 +135,16 @@
 	select {
 	case err := <-p.done:
 		return err
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s did not stop", p.name)
 		return nil
 	}
 }
 
 // standin starts "masticplank standin ..." and returns its address.
-func standin(t testing.TB, kind string, args ...string) string {
+func startStandin(t testing.TB, kind string, args ...string) string {
 	t.Helper()
-	p := start(t, kind, "masticplank", append([]string{"standin", kind, "--listen", "127.0.0.1:0"}, args...)...)
+	p := startProcess(t, kind, "masticplank", append([]string{"standin", kind, "--listen", "127.0.0.1:0"}, args...)...)
 	return p.await("address", func(line string) (string, bool) {
 		return strings.CutPrefix(line, "listening on ")
 	})
@@ -159,7 +159,7 @@
 // tuning shortens the times that a test would else wait for. A freshness bound
 // of seconds is what the product runs with; here it only must be well above the
 // time in which a busy machine schedules a process.
-var tuning = map[string]map[string]any{
+var shortTimings = map[string]map[string]any{
 	"freshness": {"bound_ms": 2000},
 	"peer":      {"interval_ms": 100},
 	"shutdown":  {"grace_ms": 50},
@@ -172,9 +172,9 @@
 		"instance":            name,
 		"domain":              domain,
 		"platform":            platform,
-		"freshness":           tuning["freshness"],
-		"peer":                tuning["peer"],
-		"shutdown":            tuning["shutdown"],
+		"freshness":           shortTimings["freshness"],
+		"peer":                shortTimings["peer"],
+		"shutdown":            shortTimings["shutdown"],
 		"session":             map[string]any{"keys": []any{map[string]any{"id": "k1", "secret": "dGhpcnR5LXR3by1ieXRlcy1vZi1zZWNyZXQtaGVyZSE="}}},
 		"operator_key_hashes": []string{operatorKeyHash},
 	}
@@ -186,15 +186,15 @@
 	if err := os.WriteFile(file, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	i := &instance{process: start(t, name, "masticplankd", "--config", file)}
+	i := &instance{process: startProcess(t, name, "masticplankd", "--config", file)}
 	for i.api == "" || i.admin == "" || i.peer == "" {
-		i.await("listeners", i.listener)
+		i.await("listeners", i.readListener)
 	}
 	return i
 }
 
 // listener reads the log's "listening" events.
-func (i *instance) listener(line string) (string, bool) {
+func (i *instance) readListener(line string) (string, bool) {
 	var ev struct {
 		Name, Listener, Addr string
 	}
@@ -213,7 +213,7 @@
 }
 
 // reply is an answer read whole.
-type reply struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -221,9 +221,9 @@
 }
 
 // call sends one request.
-func call(t testing.TB, method, url, key, body string, header map[string]string) reply {
+func call(t testing.TB, method, url, key, body string, header map[string]string) response {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -235,26 +235,26 @@
 	for name, value := range header {
 		req.Header.Set(name, value)
 	}
-	return read(http.DefaultClient.Do(req))
+	return readResponse(http.DefaultClient.Do(req))
 }
 
 // read takes an answer whole.
-func read(resp *http.Response, err error) reply {
+func readResponse(resp *http.Response, err error) response {
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
 // eventually polls until ok holds; it fails only past patience.
-func eventually(t testing.TB, what string, ok func() bool) {
+func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	for !ok() {
+	for !cond() {
 		if time.Now().After(deadline) {
 			t.Fatalf("never: %s", what)
 		}
--- a/router/internal/e2e/publish_bench_test.go
+++ b/router/internal/e2e/publish_bench_test.go
@@ -24,10 +24,10 @@
 	})
 	f.awaitReady()
 	for b.Loop() {
-		report(b, "healthy", f.publishTimes("healthy"))
-		f.lines[0].SetCut(true)
-		report(b, "one-cut", f.publishTimes("cut"))
-		f.lines[0].SetCut(false)
+		reportTimes(b, "healthy", f.publishTimes("healthy"))
+		f.logRelays[0].SetDisconnected(true)
+		reportTimes(b, "one-cut", f.publishTimes("cut"))
+		f.logRelays[0].SetDisconnected(false)
 	}
 }
 
@@ -56,7 +56,7 @@
 	return out
 }
 
-func report(b *testing.B, name string, times []time.Duration) {
+func reportTimes(b *testing.B, name string, times []time.Duration) {
 	p50, worst := times[len(times)/2], times[len(times)-1]
 	fmt.Printf("publish to in force at the slowest of %d, %s: p50 %v, worst %v of %d\n",
 		publishInstances, name, p50.Round(time.Millisecond), worst.Round(time.Millisecond), len(times))
--- a/router/internal/e2e/rolling_test.go
+++ b/router/internal/e2e/rolling_test.go
@@ -14,25 +14,25 @@
 )
 
 // callers send requests through the balancer.
-type callers struct {
-	t  *testing.T
-	to balancer.Balancer
+type balancedClients struct {
+	t        *testing.T
+	balancer balancer.Balancer
 	// cut counts answers that broke off after a connection was had: a planned
 	// stop must cause none.
-	cut  atomic.Int64
-	done atomic.Int64
+	connectionsLost atomic.Int64
+	completed       atomic.Int64
 }
 
 // send tries until an instance has taken the request.
-func (b *callers) send(client *http.Client, key string) {
+func (b *balancedClients) send(client *http.Client, key string) {
 	for {
 		r := b.try(client, key)
 		switch {
-		case r.err != nil && !isDial(r.err):
-			b.cut.Add(1)
+		case r.err != nil && !isDialError(r.err):
+			b.connectionsLost.Add(1)
 			return
 		case r.err == nil && outcomeOf(r) == "completed":
-			b.done.Add(1)
+			b.completed.Add(1)
 			return
 		case r.err == nil && outcomeOf(r) != "refused":
 			b.t.Errorf("%s: %+v", key, r)
@@ -41,23 +41,23 @@
 	}
 }
 
-func (b *callers) try(client *http.Client, key string) reply {
-	req, err := http.NewRequest(http.MethodPost, b.to.Pick()+"/v1/chat/completions", strings.NewReader(helloBody))
+func (b *balancedClients) try(client *http.Client, key string) response {
+	req, err := http.NewRequest(http.MethodPost, b.balancer.Pick()+"/v1/chat/completions", strings.NewReader(helloBody))
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+weaversKey)
 	req.Header.Set(wire.HeaderIdempotencyKey, key)
-	return read(client.Do(req))
+	return readResponse(client.Do(req))
 }
 
 // isDial says that no connection was had, so that nothing was cut.
-func isDial(err error) bool {
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func edges(live []*instance) []string {
+func apiAddrs(live []*instance) []string {
 	var out []string
 	for _, i := range live {
 		out = append(out, i.api)
@@ -69,8 +69,8 @@
 // No answer breaks off and each request is billed once.
 func TestRollingReplacement(t *testing.T) {
 	f := readyFleet(t)
-	b := &callers{t: t}
-	b.to.Set(edges(f.instances))
+	b := &balancedClients{t: t}
+	b.balancer.Set(apiAddrs(f.instances))
 	stop := make(chan struct{})
 	keys := make(chan string, 1<<16)
 	var wg sync.WaitGroup
@@ -95,17 +95,17 @@
 			return call(t, http.MethodGet, added.admin+"/readyz", "", "", nil).status == http.StatusOK
 		})
 		live := f.instances[len(f.instances)-3:]
-		before := b.done.Load()
-		b.to.Set(edges(live))
+		before := b.completed.Load()
+		b.balancer.Set(apiAddrs(live))
 		if err := old.terminate(); err != nil {
 			t.Errorf("%s: %v", old.name, err)
 		}
-		eventually(t, "answers after the stop", func() bool { return b.done.Load() > before+20 })
+		eventually(t, "answers after the stop", func() bool { return b.completed.Load() > before+20 })
 	}
 	close(stop)
 	wg.Wait()
 	close(keys)
-	if n := b.cut.Load(); n > 0 {
+	if n := b.connectionsLost.Load(); n > 0 {
 		t.Errorf("%d answers broke off", n)
 	}
 	ledger := f.ledger()
--- a/router/internal/e2e/thinpath_test.go
+++ b/router/internal/e2e/thinpath_test.go
@@ -62,12 +62,12 @@
 		addrs = append(addrs, i.admin)
 	}
 	args = append([]string{"manifest", "publish", file, "--instances", strings.Join(addrs, ","), "--wait", "30s"}, args...)
-	return tool(args...)
+	return runTool(args...)
 }
 
 // tool runs the operators' tool.
-func tool(args ...string) (string, error) {
-	cmd := exec.Command(filepath.Join(binaries, "masticplank"), args...)
+func runTool(args ...string) (string, error) {
+	cmd := exec.Command(filepath.Join(binDir, "masticplank"), args...)
 	cmd.Env = append(os.Environ(), "MASTICPLANK_OPERATOR_KEY="+operatorKey)
 	out, err := cmd.CombinedOutput()
 	return string(out), err
@@ -102,7 +102,7 @@
 
 const helloBody = `{"model":"large","messages":[{"role":"user","content":"draft a twill pattern"}],"max_tokens":12}`
 
-var hello = []wire.Message{{Role: "user", Content: "draft a twill pattern"}}
+var helloMessages = []wire.Message{{Role: "user", Content: "draft a twill pattern"}}
 
 func (f *fleet) testChat(t *testing.T) {
 	for _, i := range f.instances {
@@ -134,8 +134,8 @@
 // checkAnswer compares with the text that a sound engine gives for hello.
 func checkAnswer(t *testing.T, text string, maxTokens int) {
 	t.Helper()
-	_, rest, ok := engine.Split(text)
-	if want := engine.Expected("large@1", hello, maxTokens); !ok || rest != want {
+	_, rest, ok := engine.ParseAnswer(text)
+	if want := engine.ExpectedText("large@1", helloMessages, maxTokens); !ok || rest != want {
 		t.Errorf("got %q, want %q", text, want)
 	}
 }
@@ -275,7 +275,7 @@
 		{[]string{"report", "burn", "--instances", addrs, "-o", "html"}, "weavers"},
 		{[]string{"ledger", "export", "--log", "http://" + f.bills, "-o", "text"}, "large@1"},
 	} {
-		if out, err := tool(c.args...); err != nil || !strings.Contains(out, c.want) {
+		if out, err := runTool(c.args...); err != nil || !strings.Contains(out, c.want) {
 			t.Errorf("%v: %v: %s", c.args, err, out)
 		}
 	}
@@ -286,7 +286,7 @@
 func (f *fleet) testShutdown(t *testing.T) {
 	body := `{"model":"large","stream":true,"max_tokens":200,"messages":[{"role":"user","content":"draft a twill pattern"}]}`
 	i := f.instances[0]
-	got := make(chan reply, 1)
+	got := make(chan response, 1)
 	go func() {
 		got <- call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, body, nil)
 	}()
--- a/router/internal/e2e/tokens_bench_test.go
+++ b/router/internal/e2e/tokens_bench_test.go
@@ -22,12 +22,12 @@
 func BenchmarkTokens(b *testing.B) {
 	p := startBenchPath(b)
 	for b.Loop() {
-		tokens := p.processorTime(b, func() {
+		tokens := p.measureCPUTime(b, func() {
 			p.stream(b, p.target(b, p.entry.api, "quick", tokensEach, true))
 		})
 		perToken := float64(tokens.Microseconds()) / (tokenStreams * tokensEach)
 		var load loadgen.Phase
-		plain := p.processorTime(b, func() { load = pace(p.routed(b, false), 1000, benchCallers) })
+		plain := p.measureCPUTime(b, func() { load = sendAtRate(p.routed(b, false), 1000, benchCallers) })
 		perRequest := float64(plain.Microseconds()) / (load.Rate * (benchPhase + benchWarmup).Seconds())
 		fmt.Printf("processor time: %.2f us a token, %.0f us a plain request of %d tokens\n", perToken, perRequest, benchTokens)
 		b.ReportMetric(perToken, "us/token")
@@ -51,13 +51,13 @@
 }
 
 // processorTime is what the instance used while f ran.
-func (p *benchPath) processorTime(b *testing.B, f func()) time.Duration {
-	before := p.used(b)
+func (p *benchPath) measureCPUTime(b *testing.B, f func()) time.Duration {
+	before := p.cpuTime(b)
 	f()
-	return p.used(b) - before
+	return p.cpuTime(b) - before
 }
 
-func (p *benchPath) used(b *testing.B) time.Duration {
+func (p *benchPath) cpuTime(b *testing.B) time.Duration {
 	d, err := procstat.ProcessorTime(p.entry.cmd.Process.Pid)
 	if err != nil {
 		b.Fatal(err)
--- a/router/internal/faultmatrix/backend.go
+++ b/router/internal/faultmatrix/backend.go
@@ -29,7 +29,7 @@
 const teamKey = "loom"
 
 // first is the manifest at the beginning of a cell.
-func first() manifest.Manifest {
+func initialManifest() manifest.Manifest {
 	return manifest.Manifest{
 		Publication: "first",
 		Teams: []manifest.Team{{ID: "weavers", KeyHashes: []string{manifest.HashKey(teamKey)}, Weight: 1,
@@ -43,8 +43,8 @@
 }
 
 // withdrawal replaces draft@1 by draft@2.
-func withdrawal(publication string) manifest.Manifest {
-	m := first()
+func withdrawalManifest(publication string) manifest.Manifest {
+	m := initialManifest()
 	m.Publication = publication
 	m.Versions[0].State = manifest.StateWithdrawn
 	m.Versions[0].Share = 0
@@ -54,17 +54,17 @@
 
 // What the next run at a backend server does.
 const (
-	crossed    = "crossed"
-	truncated  = "truncated"
-	unended    = "unended"
-	duplicated = "duplicated"
-	slowly     = "slow"
-	lateTail   = "late tail"
+	behaviourCrossed    = "crossed"
+	behaviourTruncated  = "truncated"
+	behaviourUnended    = "unended"
+	behaviourDuplicated = "duplicated"
+	behaviourSlow       = "slow"
+	behaviourLateTail   = "late tail"
 )
 
 // serve starts a backend server: an engine or a plain service.
-func (b *bed) serve(name string) {
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.backend(name, w, r) })}
+func (b *testbed) serveBackend(name string) {
+	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.handleBackend(name, w, r) })}
 	l := b.net.listen(name + ":8000")
 	done := make(chan struct{})
 	go func() {
@@ -77,7 +77,7 @@
 	})
 }
 
-func (b *bed) backend(name string, w http.ResponseWriter, r *http.Request) {
+func (b *testbed) handleBackend(name string, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -98,68 +98,68 @@
 	b.chat(name, w, chat)
 }
 
-func (b *bed) isLeaving(name string) bool {
+func (b *testbed) isLeaving(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.nextLeaves {
-		b.nextLeaves = false
+	if b.nextLeaving {
+		b.nextLeaving = false
 		b.leaving[name] = time.Now()
 	}
 	_, leaves := b.leaving[name]
-	return leaves || b.nobodyRuns
+	return leaves || b.allServersLeaving
 }
 
 // ran notes a run, which was asked to behave in a way.
-func (b *bed) ran(r run) {
+func (b *testbed) recordRun(r run) {
 	r.at = time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs = append(b.runs, r)
-	b.serving = r.server
+	b.servingServer = r.server
 }
 
 // midway is the step at which a run is under way; it returns what to do next.
-func (b *bed) midway() (behaviour string) {
-	b.at(nil, "stream")
+func (b *testbed) reachMidstream() (behaviour string) {
+	b.reachStep(nil, "stream")
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	behaviour, b.behaviour = b.behaviour, ""
 	return behaviour
 }
 
-func (b *bed) reserve(name string, w http.ResponseWriter, r *http.Request) {
-	b.ran(run{request: r.Header.Get(wire.HeaderIdempotencyKey), server: name})
-	if spoil(w, b.midway()) {
-		w.Header().Set("Content-Length", strconv.Itoa(len(reserved)+1))
+func (b *testbed) reserve(name string, w http.ResponseWriter, r *http.Request) {
+	b.recordRun(run{request: r.Header.Get(wire.HeaderIdempotencyKey), server: name})
+	if applyBehaviour(w, b.reachMidstream()) {
+		w.Header().Set("Content-Length", strconv.Itoa(len(reservationAnswer)+1))
 	}
-	_, _ = io.WriteString(w, reserved)
+	_, _ = io.WriteString(w, reservationAnswer)
 }
 
 // spoil sets the header of a wrong answer; true means cut it short.
-func spoil(w http.ResponseWriter, behaviour string) (short bool) {
+func applyBehaviour(w http.ResponseWriter, behaviour string) (short bool) {
 	switch behaviour {
-	case crossed:
+	case behaviourCrossed:
 		w.Header().Set(wire.HeaderAttempt, "another's")
-	case slowly:
+	case behaviourSlow:
 		time.Sleep(8 * time.Second)
 	}
-	return behaviour == truncated
+	return behaviour == behaviourTruncated
 }
 
 const (
-	reserved = `{"reserved":true}`
+	reservationAnswer = `{"reserved":true}`
 )
 
 // events of a streamed answer.
-var events = []string{
+var streamEvents = []string{
 	`{"choices":[{"delta":{"content":"over "}}]}`,
 	`{"choices":[{"delta":{"content":"under"}}]}`,
 	`{"choices":[{"delta":{},"finish_reason":"stop"}],"usage":{"completion_tokens":2}}`,
 	wire.StreamEnd,
 }
 
-func (b *bed) chat(name string, w http.ResponseWriter, chat wire.ChatRequest) {
-	b.ran(run{request: chat.Messages[0].Content, version: chat.Model, server: name})
+func (b *testbed) chat(name string, w http.ResponseWriter, chat wire.ChatRequest) {
+	b.recordRun(run{request: chat.Messages[0].Content, version: chat.Model, server: name})
 	if chat.Stream {
 		b.stream(w)
 		return
@@ -168,34 +168,34 @@
 }
 
 // stream sends the first token, has the fault of the step happen, and goes on.
-func (b *bed) stream(w http.ResponseWriter) {
+func (b *testbed) stream(w http.ResponseWriter) {
 	b.mu.Lock()
-	if b.behaviour == crossed {
-		spoil(w, crossed)
+	if b.behaviour == behaviourCrossed {
+		applyBehaviour(w, behaviourCrossed)
 		b.behaviour = ""
 	}
 	b.mu.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
 	send := func(i int) {
-		_, _ = io.WriteString(w, "id: "+strconv.Itoa(i)+"\ndata: "+events[i]+"\n\n")
+		_, _ = io.WriteString(w, "id: "+strconv.Itoa(i)+"\ndata: "+streamEvents[i]+"\n\n")
 		_ = http.NewResponseController(w).Flush()
 	}
 	send(0)
 	time.Sleep(time.Millisecond) // the token reaches the caller
-	behaviour := b.midway()
-	spoil(w, behaviour)
-	for i := 1; i < len(events); i++ {
+	behaviour := b.reachMidstream()
+	applyBehaviour(w, behaviour)
+	for i := 1; i < len(streamEvents); i++ {
 		switch {
-		case behaviour == truncated && i == len(events)-1:
+		case behaviour == behaviourTruncated && i == len(streamEvents)-1:
 			panic(http.ErrAbortHandler)
-		case behaviour == unended && i == len(events)-1:
+		case behaviour == behaviourUnended && i == len(streamEvents)-1:
 			return
-		case behaviour == duplicated:
+		case behaviour == behaviourDuplicated:
 			send(i - 1)
 		}
 		send(i)
 	}
-	if behaviour == lateTail {
+	if behaviour == behaviourLateTail {
 		send(1)
 	}
 }
--- a/router/internal/faultmatrix/bed.go
+++ b/router/internal/faultmatrix/bed.go
@@ -11,10 +11,10 @@
 )
 
 // bound is the freshness bound of all instances.
-const bound = 5 * time.Second
+const freshnessBound = 5 * time.Second
 
 // bed is a fleet on one in-memory log, with its backend servers.
-type bed struct {
+type testbed struct {
 	t   *testing.T
 	log *logtest.Log
 	net *network
@@ -22,33 +22,33 @@
 	mu        sync.Mutex
 	instances map[string]*instance
 	// all has also those that a later instance of the same name replaced.
-	all []*instance
+	allInstances []*instance
 	// faults holds what happens at a step of the first request or publication
 	// at instance a, once.
 	faults map[string]func()
 	// asked counts the questions to a's gate since the request began.
-	asked int
+	gateChecks int
 	// leaving are backend servers that leave; nextLeaves marks whichever is
 	// called next; behaviour is what the next run does.
-	leaving    map[string]time.Time
-	nextLeaves bool
-	nobodyRuns bool
-	behaviour  string
-	serving    string
+	leaving           map[string]time.Time
+	nextLeaving       bool
+	allServersLeaving bool
+	behaviour         string
+	servingServer     string
 	// kind and key are those of the cell's request.
 	kind, key string
 	// hangUp makes its caller leave.
-	hangUp  context.CancelFunc
-	runs    []run
-	answers []answer
+	cancelCaller context.CancelFunc
+	runs         []run
+	answers      []answer
 	// withdrawn has when a version's withdrawal was in force everywhere.
 	withdrawn map[string]time.Time
 	// slack is the bound in cells in which an instance may not have heard.
-	slack time.Duration
+	withdrawalSlack time.Duration
 	// startsCut: the next instance starts cut off from the log.
-	startsCut bool
+	startDisconnected bool
 	// drained is told how many bills a planned stop left at the instance.
-	drained chan int
+	heldAfterDrain chan int
 }
 
 // run is one run at a backend server.
@@ -64,46 +64,46 @@
 	{ID: "c", Peer: "c:81", Domain: "salle-riviere"},
 }
 
-func newBed(t *testing.T) *bed {
-	b := &bed{
-		t:         t,
-		log:       logtest.New(),
-		net:       newNetwork(),
-		instances: map[string]*instance{},
-		faults:    map[string]func(){},
-		leaving:   map[string]time.Time{},
-		withdrawn: map[string]time.Time{},
-		drained:   make(chan int, 1),
+func newTestbed(t *testing.T) *testbed {
+	b := &testbed{
+		t:              t,
+		log:            logtest.New(),
+		net:            newNetwork(),
+		instances:      map[string]*instance{},
+		faults:         map[string]func(){},
+		leaving:        map[string]time.Time{},
+		withdrawn:      map[string]time.Time{},
+		heldAfterDrain: make(chan int, 1),
 	}
 	for _, name := range []string{"e1", "e2", "s1", "s2"} {
-		b.serve(name)
+		b.serveBackend(name)
 	}
 	t.Cleanup(b.stop)
 	return b
 }
 
 // begun is a bed with three instances and the first manifest in force.
-func begun(t *testing.T) *bed {
-	b := newBed(t)
+func readyTestbed(t *testing.T) *testbed {
+	b := newTestbed(t)
 	for _, l := range fleet {
 		b.start(l.ID)
 	}
-	if r := b.instances["b"].publisher.Publish(t.Context(), first(), true); r.Outcome.Code != "accepted" {
+	if r := b.instances["b"].publisher.Publish(t.Context(), initialManifest(), true); r.Outcome.Code != "accepted" {
 		t.Fatalf("the first manifest: %+v", r)
 	}
 	time.Sleep(time.Second)
 	return b
 }
 
-func (b *bed) stop() {
-	for _, in := range b.all {
+func (b *testbed) stop() {
+	for _, in := range b.allInstances {
 		b.kill(in)
 	}
-	for _, in := range b.all {
-		in.ended.Wait()
+	for _, in := range b.allInstances {
+		in.goroutines.Wait()
 	}
 	for _, name := range []string{"e1", "e2", "s1", "s2"} {
-		b.net.lose(name)
+		b.net.takeDown(name)
 	}
 	b.net.close()
 }
--- a/router/internal/faultmatrix/caller.go
+++ b/router/internal/faultmatrix/caller.go
@@ -26,9 +26,9 @@
 // What a caller can get, beside the outcomes that masticplank names.
 const (
 	// cut: the answer broke off, and the caller's client says so.
-	cut = "cut"
+	outcomeTruncated = "cut"
 	// gone: the connection ended without an answer.
-	gone = "gone"
+	outcomeNoAnswer = "gone"
 )
 
 // answer is what a caller got for one try of a request.
@@ -56,10 +56,10 @@
 }
 
 // call sends a request to an instance and notes what came back.
-func (b *bed) call(kind, via, key string) answer {
+func (b *testbed) call(kind, via, key string) answer {
 	b.t.Helper()
 	b.mu.Lock()
-	b.asked = 0
+	b.gateChecks = 0
 	b.mu.Unlock()
 	got := answer{request: key, kind: kind}
 	got.outcome, got.body = b.send(kind, via, key)
@@ -70,7 +70,7 @@
 	return got
 }
 
-func (b *bed) send(kind, via, key string) (outcome, body string) {
+func (b *testbed) send(kind, via, key string) (outcome, body string) {
 	transport := &http.Transport{DialContext: b.net.dialer("caller"), DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
 	path, text := "/v1/chat/completions", chatBody(kind, key)
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if via == "a" {
-		b.hangUp = cancel
+		b.cancelCaller = cancel
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+via+":80"+path, bytes.NewBufferString(text))
 	if err != nil {
@@ -90,12 +90,12 @@
 	req.Header.Set(wire.HeaderIdempotencyKey, key)
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return gone, ""
+		return outcomeNoAnswer, ""
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return cut, string(data)
+		return outcomeTruncated, string(data)
 	}
 	return resp.Header.Get(wire.HeaderOutcome), string(data)
 }
@@ -110,7 +110,7 @@
 	return string(body)
 }
 
-func (b *bed) runsOf(key string) []run {
+func (b *testbed) runsOf(key string) []run {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []run
@@ -123,27 +123,27 @@
 }
 
 // wholePlain is the streamed answer, put together.
-const wholePlain = `{"id":"","object":"chat.completion","created":0,"model":"","choices":[{"index":0,` +
+const expectedPlainAnswer = `{"id":"","object":"chat.completion","created":0,"model":"","choices":[{"index":0,` +
 	`"message":{"role":"assistant","content":"over under"},"finish_reason":"stop"}],` +
 	`"usage":{"prompt_tokens":0,"completion_tokens":2,"total_tokens":0}}`
 
 // whole is the whole answer of a kind, as the caller is to see it.
-func whole(kind string) string {
+func expectedAnswer(kind string) string {
 	switch kind {
 	case kindReserve:
-		return reserved
+		return reservationAnswer
 	case kindPlain:
-		return wholePlain
+		return expectedPlainAnswer
 	}
 	var out strings.Builder
-	for _, ev := range events {
+	for _, ev := range streamEvents {
 		out.WriteString("data: " + ev + "\n\n")
 	}
 	return out.String()
 }
 
 // judge holds everything that happened in a cell to the promises.
-func (b *bed) judge() {
+func (b *testbed) checkInvariants() {
 	b.t.Helper()
 	bills := b.bills()
 	for _, a := range b.answers {
@@ -153,13 +153,13 @@
 			b.t.Errorf("told refused, but it ran %d times", a.runsAfter)
 		case a.kind == kindReserve && runs > 1:
 			b.t.Errorf("a reservation ran %d times", runs)
-		case a.outcome == "completed" && a.body != whole(a.kind):
+		case a.outcome == "completed" && a.body != expectedAnswer(a.kind):
 			b.t.Errorf("completed with %q", a.body)
 		case a.outcome == "completed" && bills[a.request] != 1:
 			b.t.Errorf("completed and billed %d times", bills[a.request])
 		case a.outcome == "completed" && runs == 0:
 			b.t.Error("completed, and never ran")
-		case a.outcome == cut && strings.Contains(a.body, wire.StreamEnd):
+		case a.outcome == outcomeTruncated && strings.Contains(a.body, wire.StreamEnd):
 			b.t.Errorf("a cut answer looks whole: %q", a.body)
 		}
 	}
@@ -168,16 +168,16 @@
 			b.t.Errorf("%d bills of a request that ran %d times", n, len(b.runsOf(key)))
 		}
 	}
-	b.judgeRuns()
-	b.judgeGenerations()
+	b.checkRuns()
+	b.checkGenerations()
 }
 
 // judgeRuns: nothing starts on a version withdrawn everywhere, nor at a
 // backend server that has said that it leaves.
-func (b *bed) judgeRuns() {
+func (b *testbed) checkRuns() {
 	b.t.Helper()
 	for _, r := range b.runs {
-		if at, is := b.withdrawn[r.version]; is && r.at.After(at.Add(b.slack)) {
+		if at, is := b.withdrawn[r.version]; is && r.at.After(at.Add(b.withdrawalSlack)) {
 			b.t.Errorf("ran on %s, withdrawn %v before", r.version, r.at.Sub(at))
 		}
 		if at, is := b.leaving[r.server]; is && r.at.After(at) {
@@ -187,7 +187,7 @@
 }
 
 // judgeGenerations: no instance reverts, and all that live agree.
-func (b *bed) judgeGenerations() {
+func (b *testbed) checkGenerations() {
 	b.t.Helper()
 	var digest string
 	for _, in := range b.instances {
@@ -209,7 +209,7 @@
 }
 
 // bills counts the bills that the ledger has of each request.
-func (b *bed) bills() map[string]int {
+func (b *testbed) bills() map[string]int {
 	b.t.Helper()
 	out := map[string]int{}
 	_, err := ledger.Export(context.Background(), b.log.Client("export"), fold.DefaultConfig(), 0, func(l ledger.ExportedBill) error {
--- a/router/internal/faultmatrix/faults.go
+++ b/router/internal/faultmatrix/faults.go
@@ -8,12 +8,12 @@
 
 // kill ends an instance as the death of its process does: nothing it does from
 // now on reaches anybody. Its goroutines are ended later, without a flush.
-func (b *bed) kill(in *instance) {
+func (b *testbed) kill(in *instance) {
 	in.killed.Do(func() {
 		b.log.Cut(in.name, true)
-		b.net.lose(in.name)
-		in.end()
-		in.goes(func() {
+		b.net.takeDown(in.name)
+		in.cancel()
+		in.spawn(func() {
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			_ = in.server.Close()
@@ -23,43 +23,43 @@
 }
 
 // isolate cuts an instance from its peers.
-func (b *bed) isolate(name string) {
+func (b *testbed) isolate(name string) {
 	for _, l := range fleet {
 		if l.ID != name {
-			b.net.sever(name, l.ID)
+			b.net.disconnect(name, l.ID)
 		}
 	}
 }
 
 // freeze holds an instance still while f runs: it looks at no clock and hears
 // nothing, and is as it was when f has ended.
-func (b *bed) freeze(in *instance, f func()) {
+func (b *testbed) freeze(in *instance, f func()) {
 	in.frozen.Store(true)
 	b.log.Cut(in.name, true)
 	b.isolate(in.name)
 	f()
-	b.net.mend()
+	b.net.reconnectAll()
 	b.log.Cut(in.name, false)
 	in.frozen.Store(false)
 }
 
 // drain is a planned stop, in the daemon's order.
-func (b *bed) drain(in *instance) {
+func (b *testbed) drain(in *instance) {
 	_ = in.server.Shutdown(context.Background())
 	for in.driver.Open() > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	b.drained <- in.peers.Drain(context.Background())
+	b.heldAfterDrain <- in.peers.Drain(context.Background())
 	b.kill(in)
 }
 
 // heal ends all faults and lets the fleet settle.
-func (b *bed) heal() {
+func (b *testbed) heal() {
 	b.log.SetDown(false)
 	b.log.SetSlow(0)
-	b.net.mend()
+	b.net.reconnectAll()
 	b.mu.Lock()
-	b.nobodyRuns = false
+	b.allServersLeaving = false
 	b.mu.Unlock()
 	for _, in := range b.instances {
 		if !b.net.isDown(in.name) {
@@ -72,28 +72,28 @@
 
 // plan sets the fault of a step. met fails the cell where the step did not come,
 // and returns once the fault is over.
-func (b *bed) plan(step string, fault func()) (met func()) {
-	over := make(chan struct{})
+func (b *testbed) planFault(step string, fault func()) (await func()) {
+	done := make(chan struct{})
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults[step] = func() {
-		defer close(over)
+		defer close(done)
 		fault()
 	}
 	return func() {
 		b.t.Helper()
 		b.mu.Lock()
-		_, left := b.faults[step]
+		_, pending := b.faults[step]
 		b.mu.Unlock()
-		if left {
+		if pending {
 			b.t.Fatalf("the step %q was not met", step)
 		}
-		<-over
+		<-done
 	}
 }
 
 // at is a step of instance in: the fault planned for it happens now.
-func (b *bed) at(in *instance, step string) {
+func (b *testbed) reachStep(in *instance, step string) {
 	if in != nil && in.name != "a" {
 		return
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-func (b *bed) planned(in *instance, step string) bool {
+func (b *testbed) isPlanned(in *instance, step string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return in.name == "a" && b.faults[step] != nil
--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -21,16 +21,16 @@
 
 // Status is what billing asks first.
 func (s hookStore) Status() node.Status {
-	s.b.at(s.instance, "bill")
+	s.b.reachStep(s.instance, "bill")
 	return s.Node.Status()
 }
 
 func (s hookStore) Put(ctx context.Context, r record.Record) node.Result {
 	switch r.Key.Class() {
 	case record.ClassClaim:
-		s.b.at(s.instance, "claim")
+		s.b.reachStep(s.instance, "claim")
 	case record.ClassManifest:
-		s.b.at(s.instance, "publish")
+		s.b.reachStep(s.instance, "publish")
 	}
 	res := s.Node.Put(ctx, r)
 	if res.Outcome != node.OutcomeWon {
@@ -38,11 +38,11 @@
 	}
 	switch r.Key.Class() {
 	case record.ClassClaim:
-		s.b.at(s.instance, "claimed")
+		s.b.reachStep(s.instance, "claimed")
 	case record.ClassBill:
-		s.b.at(s.instance, "final frame")
+		s.b.reachStep(s.instance, "final frame")
 	case record.ClassManifest:
-		s.b.at(s.instance, "push")
+		s.b.reachStep(s.instance, "push")
 	}
 	return res
 }
@@ -52,7 +52,7 @@
 func (h hookHolder) Hold(ctx context.Context, r record.Record) error {
 	err := h.peers.Hold(ctx, r)
 	if err == nil {
-		h.b.at(h.instance, "final frame")
+		h.b.reachStep(h.instance, "final frame")
 	}
 	return err
 }
@@ -61,14 +61,14 @@
 
 func (g hookGate) MayRun(idempotent bool) decision.RefusalReason {
 	g.b.mu.Lock()
-	g.b.asked++
-	asked := g.b.asked
+	g.b.gateChecks++
+	gateChecks := g.b.gateChecks
 	g.b.mu.Unlock()
-	switch asked {
+	switch gateChecks {
 	case 1:
-		g.b.at(g.instance, "admit")
+		g.b.reachStep(g.instance, "admit")
 	case 2:
-		g.b.at(g.instance, "dispatch")
+		g.b.reachStep(g.instance, "dispatch")
 	}
 	return g.gate.MayRun(idempotent)
 }
@@ -81,19 +81,19 @@
 // Append is the step "read back": the record is in the log, and its writer does
 // not hear of it before the fault has happened.
 func (l hookLog) Append(ctx context.Context, data []byte) (uint64, error) {
-	if !l.in.b.planned(l.in, "read back") {
+	if !l.in.b.isPlanned(l.in, "read back") {
 		return l.Client.Append(ctx, data)
 	}
-	l.in.deaf.Store(true)
+	l.in.readsFail.Store(true)
 	offset, err := l.Client.Append(ctx, data)
-	l.in.b.at(l.in, "read back")
-	l.in.deaf.Store(false)
+	l.in.b.reachStep(l.in, "read back")
+	l.in.readsFail.Store(false)
 	return offset, err
 }
 
 func (l hookLog) Read(ctx context.Context, from uint64, limit int, wait time.Duration) (platformlog.Page, error) {
 	page, err := l.Client.Read(ctx, from, limit, wait)
-	if l.in.deaf.Load() {
+	if l.in.readsFail.Load() {
 		return platformlog.Page{}, platformlog.ErrUnavailable
 	}
 	return page, err
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -29,7 +29,7 @@
 // instance is one entry instance, put together as the daemon does.
 type instance struct {
 	*node.Node
-	b      *bed
+	b      *testbed
 	name   string
 	gate   *gate.Gate
 	holder *manifest.Holder
@@ -40,29 +40,29 @@
 	publisher *publish.Publisher
 	frozen    atomic.Bool
 	// deaf instances append, but do not hear the log.
-	deaf   atomic.Bool
-	end    context.CancelFunc
-	killed sync.Once
-	ended  sync.WaitGroup
+	readsFail  atomic.Bool
+	cancel     context.CancelFunc
+	killed     sync.Once
+	goroutines sync.WaitGroup
 	// generations are those that came in force here, in order.
 	generations []uint64
 }
 
 // start starts an instance and waits until it is ready.
-func (b *bed) start(name string) *instance {
-	in := b.begin(name)
+func (b *testbed) start(name string) *instance {
+	in := b.launch(name)
 	<-in.Ready()
 	return in
 }
 
 // begin starts an instance without waiting for it.
-func (b *bed) begin(name string) *instance {
+func (b *testbed) launch(name string) *instance {
 	b.t.Helper()
-	b.net.revive(name)
-	b.log.Cut(name, b.startsCut)
+	b.net.bringUp(name)
+	b.log.Cut(name, b.startDisconnected)
 	ctx, cancel := context.WithCancel(context.Background())
-	in := &instance{b: b, name: name, end: cancel}
-	in.gate = gate.New(freshness.New(freshness.Config{Self: name, Bound: bound}), time.Now)
+	in := &instance{b: b, name: name, cancel: cancel}
+	in.gate = gate.New(freshness.New(freshness.Config{Self: name, Bound: freshnessBound}), time.Now)
 	cfg := decision.DefaultConfig()
 	cfg.Seed = uint64(name[0])
 	in.driver = driver.New(decision.NewWorld(cfg), noSink{})
@@ -72,24 +72,24 @@
 	})
 	in.gate.OnChange(func(m freshness.Mode) { in.driver.Send(gate.Event(m)) })
 	in.startNode()
-	in.peers = peer.New(peer.Config{Self: self(name), Dial: b.net.dialer(name), Interval: 2 * time.Second, Seed: cfg.Seed},
+	in.peers = peer.New(peer.Config{Self: listedInstance(name), Dial: b.net.dialer(name), Interval: 2 * time.Second, Seed: cfg.Seed},
 		peer.Deps{Store: in.Node, Instances: func() []wire.ListedInstance { return fleet }, Vouches: in, Events: in.driver})
 	in.gate.SetFull(func() bool { return in.peers.Full(in.driver.Open()) })
 	in.publisher = publish.New(hookStore{in}, in.holder, in.gate)
 	b.mu.Lock()
 	b.instances[name] = in
-	b.all = append(b.all, in)
+	b.allInstances = append(b.allInstances, in)
 	b.mu.Unlock()
-	in.goes(func() { in.driver.Run(ctx) })
-	in.goes(func() { in.look(ctx) })
-	others := b.net.listen(self(name).Peer)
-	in.goes(func() { _ = in.peers.Run(ctx, others) })
+	in.spawn(func() { in.driver.Run(ctx) })
+	in.spawn(func() { in.pollGate(ctx) })
+	peerListener := b.net.listen(listedInstance(name).Peer)
+	in.spawn(func() { _ = in.peers.Run(ctx, peerListener) })
 	in.driver.Send(decision.ServersListed{Servers: servers})
 	in.serveCallers()
 	return in
 }
 
-func self(name string) wire.ListedInstance {
+func listedInstance(name string) wire.ListedInstance {
 	for _, l := range fleet {
 		if l.ID == name {
 			return l
@@ -98,7 +98,7 @@
 	panic("no instance " + name)
 }
 
-func (in *instance) goes(f func()) { in.ended.Go(f) }
+func (in *instance) spawn(f func()) { in.goroutines.Go(f) }
 
 func (in *instance) startNode() {
 	check := func(r record.Record, _ *fold.State) error { return manifest.CheckRecord(r) }
@@ -115,7 +115,7 @@
 }
 
 // look looks for the lapse that comes by time alone, as the daemon does.
-func (in *instance) look(ctx context.Context) {
+func (in *instance) pollGate(ctx context.Context) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -151,7 +151,7 @@
 		Recorder:  noRecorder{},
 		Limits:    api.Limits{MaxBody: 1 << 16, ReadTimeout: time.Minute, WriteTimeout: time.Minute, DefaultDeadline: 30 * time.Second, MaxDeadline: time.Minute},
 	})}
-	callers := in.b.net.listen(in.name + ":80")
-	in.goes(func() { _ = in.server.Serve(callers) })
+	apiListener := in.b.net.listen(in.name + ":80")
+	in.spawn(func() { _ = in.server.Serve(apiListener) })
 	in.b.t.Cleanup(client.Close)
 }
--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -10,13 +10,13 @@
 
 // cell is one fault at one step of an instance's life, beside the planned stop,
 // which stands with the requests that it must not cut off.
-type cell struct {
+type lifeCell struct {
 	path, step, fault string
-	run               func(b *bed)
+	run               func(b *testbed)
 }
 
 // expect sends a request and wants one of the outcomes, "a or b".
-func (b *bed) expect(kind, via, want string) {
+func (b *testbed) expect(kind, via, want string) {
 	b.t.Helper()
 	got := b.call(kind, via, newKey())
 	for _, one := range strings.Split(want, " or ") {
@@ -27,181 +27,181 @@
 	b.t.Errorf("%s at %s: got %s, want %s (%q)", kind, via, got.outcome, want, got.body)
 }
 
-func (b *bed) completes(kind, via string) {
+func (b *testbed) expectCompleted(kind, via string) {
 	b.t.Helper()
 	b.expect(kind, via, "completed")
 }
 
 // serves expects whole service at an instance.
-func (b *bed) serves(via string) {
+func (b *testbed) expectService(via string) {
 	b.t.Helper()
 	for _, kind := range []string{kindPlain, kindStream, kindReserve} {
-		b.completes(kind, via)
+		b.expectCompleted(kind, via)
 	}
 }
 
 // replaced takes c away and starts another in its place, without waiting.
-func (b *bed) replaced(fault func()) *instance {
+func (b *testbed) replaceC(fault func()) *instance {
 	b.kill(b.instances["c"])
 	time.Sleep(time.Second)
 	fault()
-	return b.begin("c")
+	return b.launch("c")
 }
 
-func (b *bed) cutOff(name string) { b.log.Cut(name, true) }
+func (b *testbed) disconnectFromLog(name string) { b.log.Cut(name, true) }
 
 // lifeCells: an instance gives service only on a state that it may trust.
-var lifeCells = []cell{
-	{"life", "start", "none", func(b *bed) {
-		<-b.replaced(func() {}).Ready()
+var lifeCells = []lifeCell{
+	{"life", "start", "none", func(b *testbed) {
+		<-b.replaceC(func() {}).Ready()
 		time.Sleep(time.Second)
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "start", "kill", func(b *bed) {
-		b.kill(b.replaced(func() { b.log.SetSlow(time.Second) }))
+	{"life", "start", "kill", func(b *testbed) {
+		b.kill(b.replaceC(func() { b.log.SetSlow(time.Second) }))
 		time.Sleep(time.Second)
 		b.log.SetSlow(0)
-		<-b.begin("c").Ready()
+		<-b.launch("c").Ready()
 		time.Sleep(time.Second)
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "start", "cut from log", func(b *bed) {
+	{"life", "start", "cut from log", func(b *testbed) {
 		// Its peers give it the state and vouch for the head. What needs the
 		// log itself is refused as not run.
-		b.startsCut = true
-		b.replaced(func() {})
-		time.Sleep(bound)
-		b.completes(kindPlain, "c")
-		b.completes(kindStream, "c")
+		b.startDisconnected = true
+		b.replaceC(func() {})
+		time.Sleep(freshnessBound)
+		b.expectCompleted(kindPlain, "c")
+		b.expectCompleted(kindStream, "c")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "start", "cut from all", func(b *bed) {
-		b.startsCut = true
-		b.replaced(func() { b.isolate("c") })
-		time.Sleep(2 * bound)
+	{"life", "start", "cut from all", func(b *testbed) {
+		b.startDisconnected = true
+		b.replaceC(func() { b.isolate("c") })
+		time.Sleep(2 * freshnessBound)
 		b.expect(kindPlain, "c", "refused")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "start", "log down", func(b *bed) {
+	{"life", "start", "log down", func(b *testbed) {
 		// All are in outage mode; the new one takes their state over.
-		b.replaced(func() { b.log.SetDown(true); time.Sleep(2 * bound) })
-		time.Sleep(bound)
-		b.completes(kindPlain, "c")
-		b.completes(kindStream, "c")
+		b.replaceC(func() { b.log.SetDown(true); time.Sleep(2 * freshnessBound) })
+		time.Sleep(freshnessBound)
+		b.expectCompleted(kindPlain, "c")
+		b.expectCompleted(kindStream, "c")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "start", "slow", func(b *bed) {
-		in := b.replaced(func() { b.log.SetSlow(1500 * time.Millisecond) })
+	{"life", "start", "slow", func(b *testbed) {
+		in := b.replaceC(func() { b.log.SetSlow(1500 * time.Millisecond) })
 		b.expect(kindPlain, "c", "refused")
 		<-in.Ready()
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "start", "freeze", func(b *bed) {
-		in := b.replaced(func() { b.log.SetSlow(time.Second) })
-		b.freeze(in, func() { b.log.SetSlow(0); b.withdraw("b"); time.Sleep(bound) })
+	{"life", "start", "freeze", func(b *testbed) {
+		in := b.replaceC(func() { b.log.SetSlow(time.Second) })
+		b.freeze(in, func() { b.log.SetSlow(0); b.withdraw("b"); time.Sleep(freshnessBound) })
 		b.expect(kindPlain, "c", "refused")
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "start", "operator race", func(b *bed) {
-		in := b.replaced(func() { b.log.SetSlow(500 * time.Millisecond) })
-		b.race("a", "b")
+	{"life", "start", "operator race", func(b *testbed) {
+		in := b.replaceC(func() { b.log.SetSlow(500 * time.Millisecond) })
+		b.racePublications("a", "b")
 		<-in.Ready()
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "start", "lost reply", func(b *bed) {
+	{"life", "start", "lost reply", func(b *testbed) {
 		// The reply to its first own append is lost.
-		<-b.replaced(func() {}).Ready()
+		<-b.replaceC(func() {}).Ready()
 		time.Sleep(time.Second)
 		b.log.LoseReplies(1)
-		b.completes(kindReserve, "c")
+		b.expectCompleted(kindReserve, "c")
 	}},
 
-	{"life", "catch up", "kill", func(b *bed) {
+	{"life", "catch up", "kill", func(b *testbed) {
 		// The publisher dies with the word out to nobody.
-		b.cutOff("c")
-		met := b.plan("push", func() { b.kill(b.instances["a"]) })
-		b.instances["a"].publisher.Publish(context.Background(), withdrawal("p-a"), true)
+		b.disconnectFromLog("c")
+		met := b.planFault("push", func() { b.kill(b.instances["a"]) })
+		b.instances["a"].publisher.Publish(context.Background(), withdrawalManifest("p-a"), true)
 		met()
 		time.Sleep(time.Second)
 		b.withdrawn["draft@1"] = time.Now()
-		b.completes(kindPlain, "b")
-		b.completes(kindPlain, "c")
+		b.expectCompleted(kindPlain, "b")
+		b.expectCompleted(kindPlain, "c")
 	}},
-	{"life", "catch up", "cut from log", func(b *bed) {
+	{"life", "catch up", "cut from log", func(b *testbed) {
 		// The push makes it ask its peers at once.
-		b.cutOff("c")
-		time.Sleep(bound)
+		b.disconnectFromLog("c")
+		time.Sleep(freshnessBound)
 		b.withdraw("b")
-		b.completes(kindPlain, "c")
+		b.expectCompleted(kindPlain, "c")
 		b.expect(kindReserve, "c", "refused")
 	}},
-	{"life", "catch up", "cut from all", func(b *bed) {
+	{"life", "catch up", "cut from all", func(b *testbed) {
 		// Within the bound it may not have heard; past it, it refuses.
-		b.slack = bound
-		b.cutOff("c")
+		b.withdrawalSlack = freshnessBound
+		b.disconnectFromLog("c")
 		b.isolate("c")
 		b.withdraw("b")
 		b.expect(kindPlain, "c", "unknown")
-		time.Sleep(bound)
+		time.Sleep(freshnessBound)
 		b.expect(kindPlain, "c", "refused")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "catch up", "freeze", func(b *bed) {
-		b.freeze(b.instances["c"], func() { b.withdraw("b"); time.Sleep(shortOfBound) })
+	{"life", "catch up", "freeze", func(b *testbed) {
+		b.freeze(b.instances["c"], func() { b.withdraw("b"); time.Sleep(pauseWithinBound) })
 		b.expect(kindPlain, "c", "refused")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "catch up", "long freeze", func(b *bed) {
+	{"life", "catch up", "long freeze", func(b *testbed) {
 		b.freeze(b.instances["c"], func() { b.withdraw("b"); time.Sleep(time.Minute) })
 		b.expect(kindPlain, "c", "refused")
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "catch up", "log down", func(b *bed) {
+	{"life", "catch up", "log down", func(b *testbed) {
 		// The log goes down right behind a manifest that c has not read.
-		b.cutOff("c")
-		time.Sleep(bound)
+		b.disconnectFromLog("c")
+		time.Sleep(freshnessBound)
 		b.withdraw("b")
 		b.log.SetDown(true)
-		time.Sleep(2 * bound)
+		time.Sleep(2 * freshnessBound)
 		for _, via := range []string{"a", "b", "c"} {
-			b.completes(kindPlain, via)
+			b.expectCompleted(kindPlain, via)
 			b.expect(kindReserve, via, "refused")
 		}
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "catch up", "slow", func(b *bed) {
+	{"life", "catch up", "slow", func(b *testbed) {
 		b.log.SetSlow(time.Second)
-		time.Sleep(bound)
+		time.Sleep(freshnessBound)
 		b.withdraw("b")
 		time.Sleep(3 * time.Second)
-		b.serves("c")
+		b.expectService("c")
 	}},
-	{"life", "catch up", "operator race", func(b *bed) {
-		b.freeze(b.instances["c"], func() { b.race("a", "b"); b.race("a", "b"); time.Sleep(bound) })
+	{"life", "catch up", "operator race", func(b *testbed) {
+		b.freeze(b.instances["c"], func() { b.racePublications("a", "b"); b.racePublications("a", "b"); time.Sleep(freshnessBound) })
 		b.heal()
-		b.serves("c")
+		b.expectService("c")
 		if g := b.instances["c"].holder.Generation(); g != 3 {
 			b.t.Errorf("generation %d", g)
 		}
 	}},
-	{"life", "catch up", "lapsed lease", func(b *bed) {
+	{"life", "catch up", "lapsed lease", func(b *testbed) {
 		// The holder of the orders' lease is paused past it, and does not send.
-		a, c := b.manager("a"), b.manager("c")
+		a, c := b.leaseManager("a"), b.leaseManager("c")
 		if !a.Acquire(b.t.Context()) {
 			b.t.Fatal("no lease")
 		}
@@ -221,15 +221,15 @@
 			b.t.Errorf("the old holder thinks that it holds: %d", r)
 		}
 	}},
-	{"life", "catch up", "leaving", func(b *bed) {
-		b.leaves()
-		b.completes(kindPlain, "a")
-		b.completes(kindPlain, "b")
-		b.serves("c")
+	{"life", "catch up", "leaving", func(b *testbed) {
+		b.makeServerLeave()
+		b.expectCompleted(kindPlain, "a")
+		b.expectCompleted(kindPlain, "b")
+		b.expectService("c")
 	}},
 }
 
-func (b *bed) manager(name string) *lease.Manager {
+func (b *testbed) leaseManager(name string) *lease.Manager {
 	b.t.Helper()
 	m, err := lease.New(b.instances[name].Node, lease.Config{Name: "orders", Holder: name}, nil)
 	if err != nil {
--- a/router/internal/faultmatrix/matrix_test.go
+++ b/router/internal/faultmatrix/matrix_test.go
@@ -25,7 +25,7 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { c.run(begun(t), kind, want) })
+				synctest.Test(t, func(t *testing.T) { c.run(readyTestbed(t), kind, want) })
 			})
 		}
 	}
@@ -35,7 +35,7 @@
 	for _, c := range publishCells {
 		t.Run("publish/"+c.step+"/"+c.fault, func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { c.run(begun(t)) })
+			synctest.Test(t, func(t *testing.T) { c.run(readyTestbed(t)) })
 		})
 	}
 }
@@ -45,10 +45,10 @@
 		t.Run(c.path+"/"+c.step+"/"+c.fault, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				b := begun(t)
+				b := readyTestbed(t)
 				c.run(b)
 				b.heal()
-				b.judge()
+				b.checkInvariants()
 			})
 		})
 	}
--- a/router/internal/faultmatrix/network.go
+++ b/router/internal/faultmatrix/network.go
@@ -11,22 +11,22 @@
 // network connects the parts of a cell through pipes, so that a cell runs on the
 // bubble's clock. An address is "owner:port"; the owner can be cut off.
 type network struct {
-	mu        sync.Mutex
-	listeners map[string]*pipeListener
-	lines     map[*line]bool
+	mu          sync.Mutex
+	listeners   map[string]*pipeListener
+	connections map[*connection]bool
 	// down has the owners that nobody reaches; severed the pairs that are cut.
-	down map[string]bool
-	cut  map[string]bool
+	down         map[string]bool
+	disconnected map[string]bool
 }
 
 // line is one connection between two owners.
-type line struct {
+type connection struct {
 	from, to string
 	ends     [2]net.Conn
 }
 
 func newNetwork() *network {
-	return &network{listeners: map[string]*pipeListener{}, lines: map[*line]bool{}, down: map[string]bool{}, cut: map[string]bool{}}
+	return &network{listeners: map[string]*pipeListener{}, connections: map[*connection]bool{}, down: map[string]bool{}, disconnected: map[string]bool{}}
 }
 
 func owner(addr string) string {
@@ -55,59 +55,59 @@
 		if l == nil || blocked {
 			return nil, errNoRoute
 		}
-		here, there := net.Pipe()
+		local, remote := net.Pipe()
 		select {
-		case l.conns <- there:
+		case l.conns <- remote:
 		case <-l.closed:
 			return nil, errNoRoute
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		if !n.keep(&line{from, to, [2]net.Conn{here, there}}) {
+		if !n.track(&connection{from, to, [2]net.Conn{local, remote}}) {
 			return nil, errNoRoute
 		}
-		return here, nil
+		return local, nil
 	}
 }
 
 func (n *network) blocked(a, b string) bool {
-	return n.down[a] || n.down[b] || n.cut[pair(a, b)]
+	return n.down[a] || n.down[b] || n.disconnected[pair(a, b)]
 }
 
 // keep notes a new line, unless it was cut while it was being made.
-func (n *network) keep(l *line) bool {
+func (n *network) track(l *connection) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.blocked(l.from, l.to) {
 		_, _ = l.ends[0].Close(), l.ends[1].Close()
 		return false
 	}
-	n.lines[l] = true
+	n.connections[l] = true
 	return true
 }
 
 func pair(a, b string) string { return min(a, b) + "|" + max(a, b) }
 
 // sever ends the lines between two owners until mend.
-func (n *network) sever(a, b string) {
+func (n *network) disconnect(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[pair(a, b)] = true
-	for l := range n.lines {
+	n.disconnected[pair(a, b)] = true
+	for l := range n.connections {
 		if pair(l.from, l.to) == pair(a, b) {
 			_, _ = l.ends[0].Close(), l.ends[1].Close()
-			delete(n.lines, l)
+			delete(n.connections, l)
 		}
 	}
 }
 
 // lose takes an owner off the network for good, as the death of its process
 // does: the other sides read the end of their connections.
-func (n *network) lose(name string) {
+func (n *network) takeDown(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.down[name] = true
-	for l := range n.lines {
+	for l := range n.connections {
 		if l.from == name {
 			_ = l.ends[0].Close()
 		}
@@ -118,16 +118,16 @@
 }
 
 // revive lets a new process take a lost owner's addresses.
-func (n *network) revive(name string) {
+func (n *network) bringUp(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.down, name)
 }
 
-func (n *network) mend() {
+func (n *network) reconnectAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cut)
+	clear(n.disconnected)
 }
 
 // pipeListener is a net.Listener whose connections are pipes.
@@ -169,7 +169,7 @@
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for l := range n.lines {
+	for l := range n.connections {
 		_, _ = l.ends[0].Close(), l.ends[1].Close()
 	}
 	for _, l := range n.listeners {
--- a/router/internal/faultmatrix/publish_test.go
+++ b/router/internal/faultmatrix/publish_test.go
@@ -10,39 +10,39 @@
 
 // withdraw publishes the withdrawal of draft@1 at an instance and waits until it
 // is in force at the instances that can hear of it.
-func (b *bed) withdraw(via string) publish.Result {
+func (b *testbed) withdraw(via string) publish.Result {
 	b.t.Helper()
-	time.Sleep(settled)
-	r := b.instances[via].publisher.Publish(context.Background(), withdrawal("p-"+via), true)
+	time.Sleep(propagationTime)
+	r := b.instances[via].publisher.Publish(context.Background(), withdrawalManifest("p-"+via), true)
 	if r.Outcome.Code != "accepted" {
 		b.t.Errorf("withdrawal at %s: %+v", via, r)
 	}
-	b.isWithdrawn()
+	b.recordWithdrawal()
 	return r
 }
 
 // isWithdrawn notes that draft@1 is withdrawn everywhere, and lets time pass, so
 // that a run which starts now is one too late.
-func (b *bed) isWithdrawn() {
-	time.Sleep(settled)
+func (b *testbed) recordWithdrawal() {
+	time.Sleep(propagationTime)
 	b.mu.Lock()
 	b.withdrawn["draft@1"] = time.Now()
 	b.mu.Unlock()
-	time.Sleep(time.Second - settled)
+	time.Sleep(time.Second - propagationTime)
 }
 
 // settled is how long the others take to read what one appended.
-const settled = 100 * time.Millisecond
+const propagationTime = 100 * time.Millisecond
 
 // race has pipelines at two instances withdraw draft@1 at once, from the same
 // parent.
-func (b *bed) race(instances ...string) {
+func (b *testbed) racePublications(instances ...string) {
 	b.t.Helper()
-	time.Sleep(settled)
+	time.Sleep(propagationTime)
 	results := make(chan publish.Result, 2)
 	for _, via := range instances {
 		current := b.instances[via].holder.Current()
-		m := withdrawal(fmt.Sprint("race-", via, current.Manifest.Generation))
+		m := withdrawalManifest(fmt.Sprint("race-", via, current.Manifest.Generation))
 		m.Generation, m.Parent = current.Manifest.Generation+1, current.Digest
 		go func() { results <- b.instances[via].publisher.Publish(context.Background(), m, false) }()
 	}
@@ -51,7 +51,7 @@
 	if codes != "accepted,conflict" && codes != "conflict,accepted" {
 		b.t.Errorf("two racing publications: %s", codes)
 	}
-	b.isWithdrawn()
+	b.recordWithdrawal()
 }
 
 // publishCell is one fault at one step of a publication at instance a: what its
@@ -96,15 +96,15 @@
 	{"push", "operator race", "accepted>conflict", 3},
 }
 
-func (c publishCell) run(b *bed) {
+func (c publishCell) run(b *testbed) {
 	b.t.Helper()
-	m := withdrawal("p-a")
-	b.othersDeaf(c.fault == faultUnread)
-	met := b.plan(c.step, func() { requestFaults[c.fault](b) })
+	m := withdrawalManifest("p-a")
+	b.setOthersReadsFail(c.fault == faultUnread)
+	awaitFault := b.planFault(c.step, func() { requestFaults[c.fault](b) })
 	first := b.instances["a"].publisher.Publish(context.Background(), m, true).Outcome.Code
-	met()
+	awaitFault()
 	if b.net.isDown("a") {
-		first = gone
+		first = outcomeNoAnswer
 	}
 	b.heal()
 	again := b.instances["b"].publisher.Publish(context.Background(), m, true).Outcome.Code
@@ -118,6 +118,6 @@
 		}
 	}
 	b.withdrawn["draft@1"] = time.Now()
-	b.completes(kindStream, "b")
-	b.judge()
+	b.expectCompleted(kindStream, "b")
+	b.checkInvariants()
 }
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -18,40 +18,40 @@
 
 // shortOfBound, after a withdrawal, makes a pause longer than half the bound and
 // short enough that the confirmation from before it is still young.
-const shortOfBound = bound/2 - 600*time.Millisecond
+const pauseWithinBound = freshnessBound/2 - 600*time.Millisecond
 
 // faults of a request, as they happen at its step.
-var requestFaults = map[string]func(b *bed){
-	"none":         func(*bed) {},
-	"kill":         func(b *bed) { b.kill(b.instances["a"]) },
-	"cut from log": func(b *bed) { b.log.Cut("a", true); time.Sleep(2 * bound) },
-	"cut from all": func(b *bed) { b.log.Cut("a", true); b.isolate("a"); time.Sleep(2 * bound) },
-	"freeze": func(b *bed) {
-		b.freeze(b.instances["a"], func() { b.withdraw("b"); time.Sleep(shortOfBound) })
+var requestFaults = map[string]func(b *testbed){
+	"none":         func(*testbed) {},
+	"kill":         func(b *testbed) { b.kill(b.instances["a"]) },
+	"cut from log": func(b *testbed) { b.log.Cut("a", true); time.Sleep(2 * freshnessBound) },
+	"cut from all": func(b *testbed) { b.log.Cut("a", true); b.isolate("a"); time.Sleep(2 * freshnessBound) },
+	"freeze": func(b *testbed) {
+		b.freeze(b.instances["a"], func() { b.withdraw("b"); time.Sleep(pauseWithinBound) })
 	},
-	"long freeze": func(b *bed) {
-		b.freeze(b.instances["a"], func() { b.withdraw("b"); time.Sleep(2 * bound) })
+	"long freeze": func(b *testbed) {
+		b.freeze(b.instances["a"], func() { b.withdraw("b"); time.Sleep(2 * freshnessBound) })
 	},
-	"log down":        func(b *bed) { b.log.SetDown(true); time.Sleep(2 * bound) },
-	"log goes down":   func(b *bed) { time.Sleep(settled); b.log.SetDown(true) },
-	"slow":            func(b *bed) { b.log.SetSlow(time.Second) },
-	"lost reply":      func(b *bed) { b.log.LoseReplies(1) },
-	"lost append":     func(b *bed) { b.log.LoseAppends(1) },
-	"operator race":   func(b *bed) { b.race("b", "c") },
-	faultCallerLeaves: func(b *bed) { b.hangUp(); time.Sleep(time.Second) },
+	"log down":        func(b *testbed) { b.log.SetDown(true); time.Sleep(2 * freshnessBound) },
+	"log goes down":   func(b *testbed) { time.Sleep(propagationTime); b.log.SetDown(true) },
+	"slow":            func(b *testbed) { b.log.SetSlow(time.Second) },
+	"lost reply":      func(b *testbed) { b.log.LoseReplies(1) },
+	"lost append":     func(b *testbed) { b.log.LoseAppends(1) },
+	"operator race":   func(b *testbed) { b.racePublications("b", "c") },
+	faultCallerLeaves: func(b *testbed) { b.cancelCaller(); time.Sleep(time.Second) },
 	// Nobody reads what was appended before the log goes down.
-	faultUnread: func(b *bed) { b.log.SetDown(true); b.othersDeaf(false) },
+	faultUnread: func(b *testbed) { b.log.SetDown(true); b.setOthersReadsFail(false) },
 	// The caller loses patience and sends the request again, elsewhere.
-	"crossed resend": func(b *bed) { b.call(b.kind, "b", b.key) },
-	"leaving":        func(b *bed) { b.leaves() },
-	"server dies":    func(b *bed) { b.dies() },
-	"slow server":    func(b *bed) { b.behaves(slowly) },
-	"crossed":        func(b *bed) { b.behaves(crossed) },
-	"truncated":      func(b *bed) { b.behaves(truncated) },
-	"unended":        func(b *bed) { b.behaves(unended) },
-	"all leave":      func(b *bed) { b.allLeave() },
-	"duplicated":     func(b *bed) { b.behaves(duplicated) },
-	"late tail":      func(b *bed) { b.behaves(lateTail) },
+	"crossed resend": func(b *testbed) { b.call(b.kind, "b", b.key) },
+	"leaving":        func(b *testbed) { b.makeServerLeave() },
+	"server dies":    func(b *testbed) { b.takeServerDown() },
+	"slow server":    func(b *testbed) { b.setBehaviour(behaviourSlow) },
+	"crossed":        func(b *testbed) { b.setBehaviour(behaviourCrossed) },
+	"truncated":      func(b *testbed) { b.setBehaviour(behaviourTruncated) },
+	"unended":        func(b *testbed) { b.setBehaviour(behaviourUnended) },
+	"all leave":      func(b *testbed) { b.makeAllServersLeave() },
+	"duplicated":     func(b *testbed) { b.setBehaviour(behaviourDuplicated) },
+	"late tail":      func(b *testbed) { b.setBehaviour(behaviourLateTail) },
 }
 
 const faultCallerLeaves = "caller leaves"
@@ -59,50 +59,50 @@
 const faultUnread = "log goes down unread"
 
 // othersDeaf keeps b and c from reading the log.
-func (b *bed) othersDeaf(deaf bool) {
-	b.instances["b"].deaf.Store(deaf)
-	b.instances["c"].deaf.Store(deaf)
+func (b *testbed) setOthersReadsFail(fail bool) {
+	b.instances["b"].readsFail.Store(fail)
+	b.instances["c"].readsFail.Store(fail)
 }
 
-func (b *bed) behaves(how string) {
+func (b *testbed) setBehaviour(behaviour string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.behaviour = how
+	b.behaviour = behaviour
 }
 
 // leaves makes the serving backend server leave, or the one called next.
-func (b *bed) leaves() {
+func (b *testbed) makeServerLeave() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.serving != "" {
-		b.leaving[b.serving] = time.Now()
+	if b.servingServer != "" {
+		b.leaving[b.servingServer] = time.Now()
 		return
 	}
-	b.nextLeaves = true
+	b.nextLeaving = true
 }
 
 // allLeave makes every backend server leave until the fleet is healed.
-func (b *bed) allLeave() {
+func (b *testbed) makeAllServersLeave() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.nobodyRuns = true
+	b.allServersLeaving = true
 }
 
 // dies takes the serving backend server away, or one of each kind.
-func (b *bed) dies() {
+func (b *testbed) takeServerDown() {
 	b.mu.Lock()
-	serving := b.serving
+	servingServer := b.servingServer
 	b.mu.Unlock()
-	if serving != "" {
-		b.net.lose(serving)
+	if servingServer != "" {
+		b.net.takeDown(servingServer)
 		return
 	}
-	b.net.lose("e1")
-	b.net.lose("s1")
+	b.net.takeDown("e1")
+	b.net.takeDown("s1")
 }
 
 // run runs the cell with one kind of work.
-func (c requestCell) run(b *bed, kind, want string) {
+func (c requestCell) run(b *testbed, kind, want string) {
 	b.t.Helper()
 	step, fault := c.step, func() { requestFaults[c.fault](b) }
 	if c.step == stepDrain {
@@ -112,17 +112,17 @@
 			requestFaults[c.fault](b)
 		}
 	}
-	b.othersDeaf(c.fault == faultUnread)
-	met := b.plan(step, fault)
+	b.setOthersReadsFail(c.fault == faultUnread)
+	awaitFault := b.planFault(step, fault)
 	key := newKey()
 	b.kind, b.key = kind, key
 	got := b.call(kind, "a", key)
-	met()
+	awaitFault()
 	if c.step == stepDrain {
-		if held := <-b.drained; held > 0 && c.fault != "kill" {
+		if held := <-b.heldAfterDrain; held > 0 && c.fault != "kill" {
 			b.t.Errorf("a planned stop left %d bills at the instance", held)
 		}
-		if late := b.call(kind, "a", newKey()); late.outcome != gone {
+		if late := b.call(kind, "a", newKey()); late.outcome != outcomeNoAnswer {
 			b.t.Errorf("a stopped instance answered %s", late.outcome)
 		}
 	}
@@ -135,5 +135,5 @@
 		b.t.Errorf("got %s, want %s (%q, %q)", outcomes, want, got.body, again.body)
 	}
 	b.heal()
-	b.judge()
+	b.checkInvariants()
 }
--- a/router/internal/loadgen/loadgen.go
+++ b/router/internal/loadgen/loadgen.go
@@ -59,13 +59,13 @@
 }
 
 // Sample is what one request took, in all and to its first byte of body.
-type Sample struct{ Whole, First time.Duration }
+type Sample struct{ Total, FirstByte time.Duration }
 
 // Whole and First pick a figure of a sample.
-func Whole(s Sample) time.Duration { return s.Whole }
+func Whole(s Sample) time.Duration { return s.Total }
 
 // First is the time to the first byte of body.
-func First(s Sample) time.Duration { return s.First }
+func First(s Sample) time.Duration { return s.FirstByte }
 
 // Caller sends one request at a time on a connection of its own, so that callers
 // do not wait for each other in a shared pool. For one goroutine.
@@ -95,7 +95,7 @@
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return Sample{}, trace.Wrap(err)
 	}
-	return Sample{Whole: time.Since(began), First: first}, nil
+	return Sample{Total: time.Since(began), FirstByte: first}, nil
 }
 
 // maxErrorBytes bounds what of a refusal is kept as an example.
--- a/router/internal/loadgen/phase.go
+++ b/router/internal/loadgen/phase.go
@@ -33,7 +33,7 @@
 	r := &run{target: t, plan: p, start: time.Now()}
 	var wg sync.WaitGroup
 	for i := range p.Callers {
-		wg.Go(func() { r.caller(ctx, i) })
+		wg.Go(func() { r.runCaller(ctx, i) })
 	}
 	wg.Wait()
 	r.phase.Rate = float64(len(r.phase.Samples)) / p.Length.Seconds()
@@ -50,34 +50,34 @@
 }
 
 // caller sends until the load's end.
-func (r *run) caller(ctx context.Context, index int) {
+func (r *run) runCaller(ctx context.Context, index int) {
 	c := NewCaller()
 	defer c.Close()
-	counted := r.start.Add(r.plan.Warmup)
-	end := counted.Add(r.plan.Length)
-	var own []Sample
-	next := r.first(index)
+	measureFrom := r.start.Add(r.plan.Warmup)
+	end := measureFrom.Add(r.plan.Length)
+	var samples []Sample
+	next := r.firstSend(index)
 	for {
-		next = r.wait(next)
+		next = r.waitTurn(next)
 		now := time.Now()
 		if now.After(end) || ctx.Err() != nil {
 			break
 		}
 		s, err := c.Send(ctx, r.target)
 		if err != nil {
-			r.failed(err)
+			r.recordFailure(err)
 			continue
 		}
-		if now.After(counted) {
-			own = append(own, s)
+		if now.After(measureFrom) {
+			samples = append(samples, s)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.phase.Samples = append(r.phase.Samples, own...)
+	r.phase.Samples = append(r.phase.Samples, samples...)
 }
 
-func (r *run) failed(err error) {
+func (r *run) recordFailure(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.phase.Failed++
@@ -85,7 +85,7 @@
 }
 
 // gap is the time between two requests of one caller.
-func (r *run) gap() time.Duration {
+func (r *run) interval() time.Duration {
 	if r.plan.Rate <= 0 {
 		return 0
 	}
@@ -93,15 +93,15 @@
 }
 
 // first spreads the callers' starts over one gap.
-func (r *run) first(index int) time.Time {
-	return r.start.Add(r.gap() * time.Duration(index) / time.Duration(r.plan.Callers))
+func (r *run) firstSend(index int) time.Time {
+	return r.start.Add(r.interval() * time.Duration(index) / time.Duration(r.plan.Callers))
 }
 
 // wait holds a caller to its rate. A late one catches up, so that a slow answer
 // does not hide the load that was to come.
-func (r *run) wait(next time.Time) time.Time {
+func (r *run) waitTurn(next time.Time) time.Time {
 	time.Sleep(time.Until(next))
-	return next.Add(r.gap())
+	return next.Add(r.interval())
 }
 
 // Quantile of a figure by nearest rank; 0 without samples.
--- a/router/internal/standin/balancer/balancer.go
+++ b/router/internal/standin/balancer/balancer.go
@@ -10,25 +10,25 @@
 // Balancer goes round the live addresses. The zero value has none. It is safe for
 // concurrent use.
 type Balancer struct {
-	mu   sync.Mutex
-	live []string
-	next int
+	mu    sync.Mutex
+	addrs []string
+	next  int
 }
 
 // Set replaces the live addresses.
-func (b *Balancer) Set(live []string) {
+func (b *Balancer) Set(addrs []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.live = slices.Clone(live)
+	b.addrs = slices.Clone(addrs)
 }
 
 // Pick names the next address; empty where there is none.
 func (b *Balancer) Pick() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.live) == 0 {
+	if len(b.addrs) == 0 {
 		return ""
 	}
 	b.next++
-	return b.live[b.next%len(b.live)]
+	return b.addrs[b.next%len(b.addrs)]
 }
--- a/router/internal/standin/engine/answer.go
+++ b/router/internal/standin/engine/answer.go
@@ -16,8 +16,8 @@
 	MaxTokens = 1 << 16
 	// minOwnLength and ownLengthSpread shape the length of an answer whose
 	// request names none: from minOwnLength up, by the prompt's hash.
-	minOwnLength    = 16
-	ownLengthSpread = 48
+	minDefaultLength   = 16
+	defaultLengthRange = 48
 )
 
 // qualityMark starts the first token of each answer.
@@ -26,10 +26,10 @@
 // answer generates the tokens of one answer. They depend on version and prompt
 // only, so that a caller can tell its own whole answer from any other.
 type answer struct {
-	seed    uint64
-	length  int
-	quality float64
-	stop    bool
+	seed       uint64
+	length     int
+	quality    float64
+	naturalEnd bool
 }
 
 func newAnswer(version string, messages []wire.Message, maxTokens int, quality float64) answer {
@@ -43,8 +43,8 @@
 		a.length = min(maxTokens, MaxTokens)
 		return a
 	}
-	a.length = minOwnLength + int(a.seed%ownLengthSpread)
-	a.stop = true
+	a.length = minDefaultLength + int(a.seed%defaultLengthRange)
+	a.naturalEnd = true
 	return a
 }
 
@@ -69,7 +69,7 @@
 }
 
 func (a answer) finishReason() string {
-	if a.stop {
+	if a.naturalEnd {
 		return "stop"
 	}
 	return "length"
@@ -77,7 +77,7 @@
 
 // Expected returns the text that every sound engine answers with, without the
 // first token, which names the quality and may change while a version runs.
-func Expected(version string, messages []wire.Message, maxTokens int) string {
+func ExpectedText(version string, messages []wire.Message, maxTokens int) string {
 	a := newAnswer(version, messages, maxTokens, 0)
 	var text strings.Builder
 	for i := 1; i < a.length; i++ {
@@ -88,7 +88,7 @@
 
 // Split parts an answer's text into the quality that its first token names and
 // the rest, which Expected gives. It reports false for a text of another form.
-func Split(text string) (quality float64, rest string, ok bool) {
+func ParseAnswer(text string) (quality float64, rest string, ok bool) {
 	marked, found := strings.CutPrefix(text, qualityMark)
 	if !found {
 		return 0, "", false
@@ -102,7 +102,7 @@
 }
 
 // Check reports whether text is the whole answer of version to messages.
-func Check(text, version string, messages []wire.Message, maxTokens int) bool {
-	_, rest, ok := Split(text)
-	return ok && rest == Expected(version, messages, maxTokens)
+func IsExpectedAnswer(text, version string, messages []wire.Message, maxTokens int) bool {
+	_, rest, ok := ParseAnswer(text)
+	return ok && rest == ExpectedText(version, messages, maxTokens)
 }
--- a/router/internal/standin/engine/cache.go
+++ b/router/internal/standin/engine/cache.go
@@ -33,24 +33,24 @@
 
 // use looks the prompt up, adds what was missing, and returns how many blocks
 // from the start were there. drop loses the event, as a gap.
-func (c *prefixCache) use(prompt []uint64, drop func() bool) (hit int) {
+func (c *prefixCache) lookupAndAdd(prompt []uint64, dropEvent func() bool) (cached int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for hit < len(prompt) {
-		if _, ok := c.blocks.Get(prompt[hit]); !ok {
+	for cached < len(prompt) {
+		if _, ok := c.blocks.Get(prompt[cached]); !ok {
 			break
 		}
-		hit++
+		cached++
 	}
 	var added []uint64
-	for _, hash := range prompt[hit:] {
+	for _, hash := range prompt[cached:] {
 		if !c.blocks.Contains(hash) {
 			added = append(added, hash)
 		}
 		c.blocks.Add(hash, struct{}{})
 	}
-	c.publish(added, drop)
-	return hit
+	c.recordEvent(added, dropEvent)
+	return cached
 }
 
 // clear empties the cache, as after a crash. No event tells of it.
@@ -61,14 +61,14 @@
 	c.evicted = nil
 }
 
-func (c *prefixCache) publish(added []uint64, drop func() bool) {
+func (c *prefixCache) recordEvent(added []uint64, dropEvent func() bool) {
 	removed := c.evicted
 	c.evicted = nil
 	if len(added) == 0 && len(removed) == 0 {
 		return
 	}
 	c.seq++
-	if drop() {
+	if dropEvent() {
 		return
 	}
 	c.events = append(c.events, wire.CacheEvent{Seq: c.seq, Added: added, Removed: removed})
@@ -78,14 +78,14 @@
 }
 
 // last returns the number of the last event.
-func (c *prefixCache) last() uint64 {
+func (c *prefixCache) lastSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.seq
 }
 
 // between returns the kept events numbered above since and up to upTo.
-func (c *prefixCache) between(since, upTo uint64) []wire.CacheEvent {
+func (c *prefixCache) eventsBetween(since, upTo uint64) []wire.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []wire.CacheEvent
--- a/router/internal/standin/engine/chat.go
+++ b/router/internal/standin/engine/chat.go
@@ -14,10 +14,10 @@
 )
 
 // maxChat bounds the body of a chat request.
-const maxChat = 16 << 20
+const maxChatBytes = 16 << 20
 
 // otherNonce is echoed under the faults WrongNonce and Crossed.
-const otherNonce = "00000000-0000-7000-8000-000000000000"
+const foreignNonce = "00000000-0000-7000-8000-000000000000"
 
 // job is one chat request that the engine has accepted.
 type job struct {
@@ -27,12 +27,12 @@
 	faults  Faults
 	usage   wire.Usage
 	// blocks and hit are the prompt's blocks and how many were cached.
-	blocks []uint64
-	hit    int
+	blocks       []uint64
+	cachedBlocks int
 	// nonce is what the answer echoes.
 	nonce string
 	// from is the first chunk to send, above 0 for a resumed stream.
-	from int
+	firstChunk int
 }
 
 func (s *Server) serveChat(w http.ResponseWriter, r *http.Request) {
@@ -40,18 +40,18 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := s.bind(r.Context())
+	ctx, cancel := s.bindToRun(r.Context())
 	defer cancel()
 	switch err := s.slots.acquire(ctx, j.request.Priority); {
 	case errors.Is(err, errBusy):
 		s.refuse(w, r, http.StatusTooManyRequests, "busy", err.Error())
 		return
 	case err != nil:
-		cutIfCrashed(ctx)
+		abortIfCrashed(ctx)
 		return
 	}
 	defer s.slots.release()
-	s.count(func(st *Stats) {
+	s.updateStats(func(st *Stats) {
 		st.Started++
 		st.ByVersion[j.version.ID]++
 	})
@@ -61,13 +61,13 @@
 // accept decodes and checks a request. It answers refusals itself: all of them
 // say that the request was not run.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request) (*job, bool) {
-	set := s.Faults.Get()
-	j := &job{faults: set, nonce: r.Header.Get(wire.HeaderAttempt)}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChat)).Decode(&j.request); err != nil {
+	active := s.Faults.Get()
+	j := &job{faults: active, nonce: r.Header.Get(wire.HeaderAttempt)}
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChatBytes)).Decode(&j.request); err != nil {
 		s.refuse(w, r, http.StatusBadRequest, "malformed_request", err.Error())
 		return nil, false
 	}
-	if set.Leaving {
+	if active.Leaving {
 		w.Header().Set(wire.HeaderLeaving, "true")
 		s.refuse(w, r, http.StatusServiceUnavailable, "leaving", "this engine is leaving")
 		return nil, false
@@ -87,7 +87,7 @@
 			s.refuse(w, r, http.StatusBadRequest, "malformed_request", "Last-Event-ID is not a number")
 			return nil, false
 		}
-		j.from = last + 1
+		j.firstChunk = last + 1
 	}
 	j.version = version
 	s.prepare(j)
@@ -103,10 +103,10 @@
 	messages := j.request.Messages
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.Crossed }) {
 		messages = []wire.Message{{Role: "user", Content: "another request"}}
-		j.nonce = otherNonce
+		j.nonce = foreignNonce
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.WrongNonce }) {
-		j.nonce = otherNonce
+		j.nonce = foreignNonce
 	}
 	j.answer = newAnswer(j.version.ID, messages, j.request.MaxTokens, quality)
 	j.blocks = wire.PromptBlocks(j.request.Messages)
@@ -115,16 +115,16 @@
 
 // run generates and sends the answer while holding a slot.
 func (s *Server) run(ctx context.Context, w http.ResponseWriter, j *job) {
-	if j.faults.CrashOnMark && marked(j.request.Messages) {
+	if j.faults.CrashOnMark && hasCrashMark(j.request.Messages) {
 		s.Crash()
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	if !s.prefill(ctx, j) {
-		s.stopped(ctx)
+		s.endInterrupted(ctx)
 		return
 	}
-	if s.strikes(j.faults.ErrorRate[j.version.ID]) {
-		s.count(func(st *Stats) { st.Failed++ })
+	if s.drawFault(j.faults.ErrorRate[j.version.ID]) {
+		s.updateStats(func(st *Stats) { st.Failed++ })
 		w.Header().Set(wire.HeaderAttempt, j.nonce)
 		faults.WriteError(w, http.StatusInternalServerError, "engine_error", "generation failed")
 		return
@@ -138,46 +138,46 @@
 		sent = s.sendPlain(ctx, w, j)
 	}
 	if !sent {
-		s.stopped(ctx)
+		s.endInterrupted(ctx)
 		return
 	}
-	s.count(func(st *Stats) { st.Completed++ })
+	s.updateStats(func(st *Stats) { st.Completed++ })
 }
 
 // prefill waits out the time to the first token, which cached blocks shorten.
 func (s *Server) prefill(ctx context.Context, j *job) bool {
-	lost := func() bool {
+	loseEvent := func() bool {
 		return s.Faults.Take(func(f *Faults) *faults.Count { return &f.CacheGaps })
 	}
-	j.hit = s.cache.use(j.blocks, lost)
-	j.usage.CachedTokens = j.hit * wire.BlockTokens()
-	wait := j.faults.scaled(j.firstToken()) + j.faults.late()
-	return pause(ctx, wait)
+	j.cachedBlocks = s.cache.lookupAndAdd(j.blocks, loseEvent)
+	j.usage.CachedTokens = j.cachedBlocks * wire.BlockTokens()
+	wait := j.faults.scaled(j.timeToFirstToken()) + j.faults.firstTokenDelay()
+	return sleep(ctx, wait)
 }
 
 // stopped ends a request that was not answered in full: a crash cuts the
 // connection; else the caller has gone, which cancels the work.
-func (s *Server) stopped(ctx context.Context) {
-	cutIfCrashed(ctx)
-	s.count(func(st *Stats) { st.Cancelled++ })
+func (s *Server) endInterrupted(ctx context.Context) {
+	abortIfCrashed(ctx)
+	s.updateStats(func(st *Stats) { st.Cancelled++ })
 }
 
 // refuse answers a request that was not run, under its own nonce: a refusal of
 // another attempt would prove nothing about this one.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, code, message string) {
-	s.count(func(st *Stats) { st.Refused++ })
+	s.updateStats(func(st *Stats) { st.Refused++ })
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 	w.Header().Set(wire.HeaderNotRun, "true")
 	faults.WriteError(w, status, code, message)
 }
 
-func cutIfCrashed(ctx context.Context) {
+func abortIfCrashed(ctx context.Context) {
 	if errors.Is(context.Cause(ctx), errCrashed) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
 }
 
-func marked(messages []wire.Message) bool {
+func hasCrashMark(messages []wire.Message) bool {
 	for _, m := range messages {
 		if strings.Contains(m.Content, CrashMark) {
 			return true
--- a/router/internal/standin/engine/engine.go
+++ b/router/internal/standin/engine/engine.go
@@ -79,20 +79,20 @@
 
 // Server is the engine. It is safe for concurrent use.
 type Server struct {
-	Faults  faults.Board[Faults]
+	Faults  faults.Injector[Faults]
 	cfg     Config
 	now     func() time.Time
 	slots   *slots
 	cache   *prefixCache
 	orders  *orders
-	report  reporter
+	report  reportCache
 	handler http.Handler
 
 	mu sync.Mutex
 	// life ends when the engine crashes; the next one starts at once, but the
 	// engine serves nothing before downUntil.
-	life      context.Context
-	crash     context.CancelCauseFunc
+	runCtx    context.Context
+	cancelRun context.CancelCauseFunc
 	downUntil time.Time
 	rng       *rand.Rand
 	stats     Stats
@@ -124,7 +124,7 @@
 		rng:    rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		stats:  Stats{ByVersion: map[string]int{}},
 	}
-	s.life, s.crash = context.WithCancelCause(context.Background())
+	s.runCtx, s.cancelRun = context.WithCancelCause(context.Background())
 	s.handler = s.routes()
 	return s
 }
@@ -138,14 +138,14 @@
 	r.HandleFunc("/orders", s.putOrder).Methods(http.MethodPut)
 	r.HandleFunc("/orders", s.getOrder).Methods(http.MethodGet)
 	r.HandleFunc("/stats", s.serveStats).Methods(http.MethodGet)
-	return faults.Guard(s.common, r)
+	return faults.Middleware(s.commonFaults, r)
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
 // common adds the time after a crash to the fault Down.
-func (s *Server) common() faults.Common {
+func (s *Server) commonFaults() faults.Common {
 	common := s.Faults.Get().Common
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,23 +158,23 @@
 // Crash cuts all connections in use, empties the cache and stops serving for
 // the time that the faults name.
 func (s *Server) Crash() {
-	away := s.Faults.Get().crashFor()
+	downtime := s.Faults.Get().downtime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Crashes++
-	s.downUntil = s.now().Add(away)
-	s.crash(errCrashed)
-	s.life, s.crash = context.WithCancelCause(context.Background())
+	s.downUntil = s.now().Add(downtime)
+	s.cancelRun(errCrashed)
+	s.runCtx, s.cancelRun = context.WithCancelCause(context.Background())
 	s.cache.clear()
 }
 
 // bind returns a context that ends with the request or the engine's life.
-func (s *Server) bind(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *Server) bindToRun(ctx context.Context) (context.Context, context.CancelFunc) {
 	s.mu.Lock()
-	life := s.life
+	runCtx := s.runCtx
 	s.mu.Unlock()
 	bound, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(life, func() { cancel(errCrashed) })
+	stop := context.AfterFunc(runCtx, func() { cancel(errCrashed) })
 	return bound, func() {
 		stop()
 		cancel(nil)
@@ -194,14 +194,14 @@
 }
 
 // count changes the counts.
-func (s *Server) count(change func(*Stats)) {
+func (s *Server) updateStats(update func(*Stats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(&s.stats)
+	update(&s.stats)
 }
 
 // strikes draws whether a fault of the given rate hits.
-func (s *Server) strikes(rate float64) bool {
+func (s *Server) drawFault(rate float64) bool {
 	if rate <= 0 {
 		return false
 	}
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -32,7 +32,7 @@
 
 func user(text string) []wire.Message { return []wire.Message{{Role: "user", Content: text}} }
 
-func chat(ctx context.Context, s *Server, r wire.ChatRequest) standintest.Reply {
+func chat(ctx context.Context, s *Server, r wire.ChatRequest) standintest.Response {
 	body, err := json.Marshal(r)
 	if err != nil {
 		panic(err)
@@ -91,7 +91,7 @@
 				r := wire.ChatRequest{Model: version, Messages: user("rug"), MaxTokens: maxTokens}
 				reply := chat(t.Context(), s, r)
 				plain := readPlain(t, reply.Body)
-				if !Check(plain.Choices[0].Message.Content, version, r.Messages, maxTokens) {
+				if !IsExpectedAnswer(plain.Choices[0].Message.Content, version, r.Messages, maxTokens) {
 					t.Errorf("plain answer %q", plain.Choices[0].Message.Content)
 				}
 				if reply.Header.Get(wire.HeaderAttempt) != "n1" || plain.Usage.CompletionTokens == 0 {
@@ -109,8 +109,8 @@
 				}
 			}
 		}
-		other := Expected("m@1", user("rag"), 40)
-		if other == Expected("m@1", user("rug"), 40) || other == Expected("m@2", user("rag"), 40) {
+		other := ExpectedText("m@1", user("rag"), 40)
+		if other == ExpectedText("m@1", user("rug"), 40) || other == ExpectedText("m@2", user("rag"), 40) {
 			t.Error("answers of another prompt or version are alike")
 		}
 	})
@@ -163,8 +163,8 @@
 		{faults: `{"end_early":1}`, stream: true, nonce: "n1"},
 		{faults: `{"lost_reply":1}`, cut: true},
 		{faults: `{"lost_reply":1}`, stream: true, cut: true, nonce: "n1", own: true},
-		{faults: `{"wrong_nonce":1}`, nonce: otherNonce, own: true, whole: true},
-		{faults: `{"crossed":1}`, nonce: otherNonce, whole: true},
+		{faults: `{"wrong_nonce":1}`, nonce: foreignNonce, own: true, whole: true},
+		{faults: `{"crossed":1}`, nonce: foreignNonce, whole: true},
 		{faults: `{"duplicate_chunk":1}`, stream: true, nonce: "n1", whole: true, double: true},
 	}
 	for _, tt := range tests {
@@ -173,8 +173,8 @@
 			standintest.SetFaults(s, tt.faults)
 			r := wire.ChatRequest{Model: "m@1", Messages: user("x"), Stream: tt.stream}
 			reply := chat(t.Context(), s, r)
-			if reply.Cut != tt.cut || reply.Header.Get(wire.HeaderAttempt) != tt.nonce {
-				t.Errorf("cut %v, nonce %q", reply.Cut, reply.Header.Get(wire.HeaderAttempt))
+			if reply.Aborted != tt.cut || reply.Header.Get(wire.HeaderAttempt) != tt.nonce {
+				t.Errorf("cut %v, nonce %q", reply.Aborted, reply.Header.Get(wire.HeaderAttempt))
 			}
 			var text string
 			var ids []int
@@ -184,7 +184,7 @@
 			} else if !tt.cut {
 				text, whole = readPlain(t, reply.Body).Choices[0].Message.Content, true
 			}
-			if whole != tt.whole || Check(text, "m@1", r.Messages, 0) != tt.own {
+			if whole != tt.whole || IsExpectedAnswer(text, "m@1", r.Messages, 0) != tt.own {
 				t.Errorf("whole %v, own %v", whole, !tt.own)
 			}
 			if doubled := len(ids) > 0 && ids[len(ids)-1] == len(ids)-2; doubled != tt.double {
@@ -192,7 +192,7 @@
 			}
 			// The fault struck once; the next answer is sound.
 			next := readPlain(t, chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}).Body)
-			if !Check(next.Choices[0].Message.Content, "m@1", r.Messages, 0) {
+			if !IsExpectedAnswer(next.Choices[0].Message.Content, "m@1", r.Messages, 0) {
 				t.Error("the next answer is not sound")
 			}
 		})
@@ -223,13 +223,13 @@
 func TestCacheIsBoundedAndTellsWhatItDropped(t *testing.T) {
 	c := newPrefixCache(2)
 	kept := func() bool { return false }
-	c.use([]uint64{1, 2}, kept)
-	c.use([]uint64{3}, kept)
-	if hit := c.use([]uint64{1}, func() bool { return true }); hit != 0 {
+	c.lookupAndAdd([]uint64{1, 2}, kept)
+	c.lookupAndAdd([]uint64{3}, kept)
+	if hit := c.lookupAndAdd([]uint64{1}, func() bool { return true }); hit != 0 {
 		t.Error("the oldest block is still there")
 	}
-	c.use([]uint64{4}, kept)
-	events := c.between(0, c.last())
+	c.lookupAndAdd([]uint64{4}, kept)
+	events := c.eventsBetween(0, c.lastSeq())
 	if len(events) != 3 || events[1].Removed[0] != 1 || events[2].Seq != 4 {
 		t.Errorf("events %+v", events)
 	}
@@ -290,7 +290,7 @@
 		cut := make(chan bool, 2)
 		for _, name := range []string{"running", "running too", "queued"} {
 			go func() {
-				cut <- chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user(name), MaxTokens: 10_000}).Cut
+				cut <- chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user(name), MaxTokens: 10_000}).Aborted
 			}()
 			synctest.Wait()
 		}
@@ -301,12 +301,12 @@
 				t.Error("a request outlived the crash")
 			}
 		}
-		if reply := chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}); !reply.Cut {
+		if reply := chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}); !reply.Aborted {
 			t.Errorf("served while down: %+v", reply)
 		}
 		time.Sleep(3 * time.Second)
 		marked := wire.ChatRequest{Model: "m@1", Messages: user("a " + CrashMark)}
-		if reply := chat(t.Context(), s, marked); !reply.Cut {
+		if reply := chat(t.Context(), s, marked); !reply.Aborted {
 			t.Errorf("the marked prompt: %+v", reply)
 		}
 		time.Sleep(3 * time.Second)
@@ -391,7 +391,7 @@
 	}
 	answer := readPlain(t, chat(t.Context(), s, wire.ChatRequest{Model: "good@1", Messages: user("x")}).Body)
 	text := answer.Choices[0].Message.Content
-	if quality, _, ok := Split(text); !ok || quality != 0.125 || !Check(text, "good@1", user("x"), 0) {
+	if quality, _, ok := ParseAnswer(text); !ok || quality != 0.125 || !IsExpectedAnswer(text, "good@1", user("x"), 0) {
 		t.Errorf("answer %q", text)
 	}
 }
--- a/router/internal/standin/engine/faults.go
+++ b/router/internal/standin/engine/faults.go
@@ -11,7 +11,7 @@
 const CrashMark = "<crash>"
 
 // defaultCrash is how long a crashed engine stays away.
-const defaultCrash = 2 * time.Second
+const defaultDowntime = 2 * time.Second
 
 // Faults of the engine.
 type Faults struct {
@@ -52,9 +52,9 @@
 }
 
 // crashFor is how long a crash keeps the engine away.
-func (f Faults) crashFor() time.Duration {
+func (f Faults) downtime() time.Duration {
 	if f.CrashMS == 0 {
-		return defaultCrash
+		return defaultDowntime
 	}
 	return time.Duration(f.CrashMS) * time.Millisecond
 }
--- a/router/internal/standin/engine/generate.go
+++ b/router/internal/standin/engine/generate.go
@@ -14,29 +14,29 @@
 
 // firstToken is the time to the first token: the version's own, and more for
 // each block of the prompt that was not cached.
-func (j *job) firstToken() time.Duration {
-	missed := len(j.blocks) - j.hit
-	return j.version.FirstToken + time.Duration(missed)*j.version.PerBlock
+func (j *job) timeToFirstToken() time.Duration {
+	uncached := len(j.blocks) - j.cachedBlocks
+	return j.version.FirstToken + time.Duration(uncached)*j.version.PerBlock
 }
 
 // late is the fault LateMS as a duration.
-func (f Faults) late() time.Duration { return time.Duration(f.LateMS) * time.Millisecond }
+func (f Faults) firstTokenDelay() time.Duration { return time.Duration(f.LateMS) * time.Millisecond }
 
 // step waits for one token. A full batch doubles the time between tokens, as
 // in an engine that is bound by memory bandwidth.
-func (s *Server) step(ctx context.Context, j *job) bool {
-	per := j.version.InterToken
-	if per == 0 {
+func (s *Server) waitToken(ctx context.Context, j *job) bool {
+	interval := j.version.InterToken
+	if interval == 0 {
 		return ctx.Err() == nil
 	}
 	running, _ := s.slots.load()
 	others := time.Duration(running - 1)
-	per += per * others / time.Duration(s.cfg.Slots)
-	return pause(ctx, j.faults.scaled(per))
+	interval += interval * others / time.Duration(s.cfg.Slots)
+	return sleep(ctx, j.faults.scaled(interval))
 }
 
 // pause waits for d and reports whether ctx still lives.
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -53,13 +53,13 @@
 // generate calls emit with each token from the job's first on, in its time. It
 // reports false where ctx ended or emit failed.
 func (s *Server) generate(ctx context.Context, j *job, emit func(i int, token string) bool) bool {
-	made := 0
-	defer func() { s.count(func(st *Stats) { st.Tokens += made }) }()
-	for i := j.from; i < j.answer.length; i++ {
-		if i > j.from && !s.step(ctx, j) {
+	generated := 0
+	defer func() { s.updateStats(func(st *Stats) { st.Tokens += generated }) }()
+	for i := j.firstChunk; i < j.answer.length; i++ {
+		if i > j.firstChunk && !s.waitToken(ctx, j) {
 			return false
 		}
-		made++
+		generated++
 		if !emit(i, j.answer.token(i)) {
 			return false
 		}
@@ -72,15 +72,15 @@
 // sendPlain answers with one JSON object.
 func (s *Server) sendPlain(ctx context.Context, w http.ResponseWriter, j *job) bool {
 	var text strings.Builder
-	whole := s.generate(ctx, j, func(_ int, token string) bool {
+	complete := s.generate(ctx, j, func(_ int, token string) bool {
 		text.WriteString(token)
 		return true
 	})
-	if !whole {
+	if !complete {
 		return false
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	message := &wire.Message{Role: "assistant", Content: text.String()}
 	reason := j.answer.finishReason()
@@ -96,7 +96,7 @@
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.Truncate }) {
 		_, _ = w.Write(data[:len(data)/2])
 		_ = http.NewResponseController(w).Flush()
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	_, err = w.Write(data)
 	return err == nil
--- a/router/internal/standin/engine/orders.go
+++ b/router/internal/standin/engine/orders.go
@@ -13,12 +13,12 @@
 )
 
 // maxOrder bounds the body of an order.
-const maxOrder = 1 << 20
+const maxOrderBytes = 1 << 20
 
 // orders holds what the engine has been told to load. It is safe for
 // concurrent use.
 type orders struct {
-	known        []Version
+	available    []Version
 	checkFencing bool
 
 	mu      sync.Mutex
@@ -33,9 +33,9 @@
 	Fencing uint64 `json:"fencing"`
 }
 
-func newOrders(known []Version, checkFencing bool) *orders {
-	o := &orders{known: known, checkFencing: checkFencing}
-	for _, v := range known {
+func newOrders(available []Version, checkFencing bool) *orders {
+	o := &orders{available: available, checkFencing: checkFencing}
+	for _, v := range available {
 		o.state.Versions = append(o.state.Versions, v.ID)
 	}
 	return o
@@ -52,7 +52,7 @@
 }
 
 func (o *orders) find(id string) (Version, bool) {
-	for _, v := range o.known {
+	for _, v := range o.available {
 		if v.ID == id {
 			return v, true
 		}
@@ -88,7 +88,7 @@
 // without a number counts as number 0.
 func (s *Server) putOrder(w http.ResponseWriter, r *http.Request) {
 	var order wire.Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrder)).Decode(&order); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes)).Decode(&order); err != nil {
 		faults.WriteError(w, http.StatusBadRequest, "malformed_request", err.Error())
 		return
 	}
--- a/router/internal/standin/engine/report.go
+++ b/router/internal/standin/engine/report.go
@@ -10,7 +10,7 @@
 )
 
 // reporter keeps the last load report until it is as old as the lag.
-type reporter struct {
+type reportCache struct {
 	mu   sync.Mutex
 	last wire.LoadReport
 }
@@ -24,15 +24,15 @@
 		return s.report.last
 	}
 	running, queued := s.slots.load()
-	set := s.Faults.Get()
+	active := s.Faults.Get()
 	s.report.last = wire.LoadReport{
 		Running:  running,
 		Queued:   queued,
 		Slots:    s.cfg.Slots,
 		Versions: s.orders.versions(),
-		Leaving:  set.Leaving && !set.SilentLeaving,
+		Leaving:  active.Leaving && !active.SilentLeaving,
 		At:       now,
-		CacheSeq: s.cache.last(),
+		CacheSeq: s.cache.lastSeq(),
 	}
 	return s.report.last
 }
@@ -48,7 +48,7 @@
 		since = number
 	}
 	report := s.loadReport()
-	report.Cache = s.cache.between(since, report.CacheSeq)
+	report.Cache = s.cache.eventsBetween(since, report.CacheSeq)
 	faults.WriteJSON(w, http.StatusOK, report)
 }
 
--- a/router/internal/standin/engine/stream.go
+++ b/router/internal/standin/engine/stream.go
@@ -36,12 +36,12 @@
 	w.WriteHeader(http.StatusOK)
 	out := stream{w: w, flush: http.NewResponseController(w)}
 
-	halfway := j.from + (j.answer.length-j.from)/2
+	halfway := j.firstChunk + (j.answer.length-j.firstChunk)/2
 	endedEarly := false
-	whole := s.generate(ctx, j, func(i int, token string) bool {
+	complete := s.generate(ctx, j, func(i int, token string) bool {
 		if i == halfway {
 			if s.Faults.Take(func(f *Faults) *faults.Count { return &f.Truncate }) {
-				faults.Cut()
+				faults.AbortConnection()
 			}
 			if s.Faults.Take(func(f *Faults) *faults.Count { return &f.EndEarly }) {
 				endedEarly = true
@@ -53,11 +53,11 @@
 	if endedEarly {
 		return true
 	}
-	if !whole {
+	if !complete {
 		return false
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	return s.sendEnd(out, j)
 }
@@ -72,8 +72,8 @@
 		return false
 	}
 	// Not before the second chunk: the first may still be held back by a reader.
-	twice := i > 0 && s.Faults.Take(func(f *Faults) *faults.Count { return &f.DuplicateChunk })
-	return !twice || out.send(i, data)
+	duplicate := i > 0 && s.Faults.Take(func(f *Faults) *faults.Count { return &f.DuplicateChunk })
+	return !duplicate || out.send(i, data)
 }
 
 // sendEnd sends the last chunk and the end.
--- a/router/internal/standin/engine/version.go
+++ b/router/internal/standin/engine/version.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func setDuration(to *time.Duration, text string) error {
+func setDuration(dst *time.Duration, text string) error {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		return err
@@ -95,6 +95,6 @@
 	if d < 0 {
 		return fmt.Errorf("negative duration %s", text)
 	}
-	*to = d
+	*dst = d
 	return nil
 }
--- a/router/internal/standin/faults/faults.go
+++ b/router/internal/standin/faults/faults.go
@@ -15,7 +15,7 @@
 const Path = "/faults"
 
 // maxBody bounds the body of a PUT.
-const maxBody = 1 << 20
+const maxBodyBytes = 1 << 20
 
 // Always as a Count means every time, until the switch is set again.
 const Always Count = -1
@@ -38,67 +38,67 @@
 
 // Board holds the faults T of one stand-in. The zero value has no fault
 // switched on. It is safe for concurrent use.
-type Board[T any] struct {
-	mu  sync.Mutex
-	set T
+type Injector[T any] struct {
+	mu     sync.Mutex
+	active T
 }
 
 // Get returns the faults as they are now.
-func (b *Board[T]) Get() T {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.set
+func (i *Injector[T]) Get() T {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.active
 }
 
 // Set replaces the faults.
-func (b *Board[T]) Set(set T) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.set = set
+func (i *Injector[T]) Set(set T) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.active = set
 }
 
 // Take uses up one strike of the count that pick points at, and says whether
 // the fault strikes now.
-func (b *Board[T]) Take(pick func(*T) *Count) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	left := pick(&b.set)
-	if *left == 0 {
+func (i *Injector[T]) Take(pick func(*T) *Count) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	remaining := pick(&i.active)
+	if *remaining == 0 {
 		return false
 	}
-	if *left > 0 {
-		*left--
+	if *remaining > 0 {
+		*remaining--
 	}
 	return true
 }
 
 // ServeHTTP reads and replaces the faults as JSON. A malformed body or an
 // unknown fault is refused with status 400 and changes nothing.
-func (b *Board[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (i *Injector[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
-		WriteJSON(w, http.StatusOK, b.Get())
+		WriteJSON(w, http.StatusOK, i.Get())
 	case http.MethodPut:
-		b.put(w, r)
+		i.put(w, r)
 	default:
 		WriteError(w, http.StatusMethodNotAllowed, "method_not_allowed", "use GET or PUT")
 	}
 }
 
-func (b *Board[T]) put(w http.ResponseWriter, r *http.Request) {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+func (i *Injector[T]) put(w http.ResponseWriter, r *http.Request) {
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	var set T
 	if err := dec.Decode(&set); err != nil {
 		WriteError(w, http.StatusBadRequest, "malformed_faults", err.Error())
 		return
 	}
-	b.Set(set)
+	i.Set(set)
 	WriteJSON(w, http.StatusOK, set)
 }
 
 // Cut ends the connection without an answer, as a process that dies would.
-func Cut() { panic(http.ErrAbortHandler) }
+func AbortConnection() { panic(http.ErrAbortHandler) }
 
 // Sleep waits for d, and reports false where the request ended first.
 func Sleep(r *http.Request, d time.Duration) bool {
@@ -130,21 +130,21 @@
 
 // Guard puts the common faults before next: Down cuts, DelayMS waits. The
 // switches themselves stay reachable, so that a fault can be ended again.
-func Guard(common func() Common, next http.Handler) http.Handler {
+func Middleware(common func() Common, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == Path {
 			next.ServeHTTP(w, r)
 			return
 		}
 		if common().Down {
-			Cut()
+			AbortConnection()
 		}
 		if !Sleep(r, common().Delay()) {
 			return
 		}
 		// It may have gone down during the wait.
 		if common().Down {
-			Cut()
+			AbortConnection()
 		}
 		next.ServeHTTP(w, r)
 	})
--- a/router/internal/standin/listsvc/listsvc.go
+++ b/router/internal/standin/listsvc/listsvc.go
@@ -26,9 +26,9 @@
 
 const (
 	// maxBody bounds a body.
-	maxBody = 32 << 20
+	maxBodyBytes = 32 << 20
 	// maxPast bounds how many former lists are kept for the lag.
-	maxPast = 1024
+	maxHistory = 1024
 )
 
 // Config of the service.
@@ -47,20 +47,20 @@
 }
 
 // state is one list and since when it has been in force.
-type state struct {
+type snapshot struct {
 	since time.Time
 	list  wire.InstanceList
 }
 
 // Server is the service. It is safe for concurrent use.
 type Server struct {
-	Faults  faults.Board[Faults]
+	Faults  faults.Injector[Faults]
 	now     func() time.Time
 	handler http.Handler
 
 	mu sync.Mutex
 	// past holds the lists in order; the last one is in force.
-	past []state
+	history []snapshot
 }
 
 // New returns a service with cfg.List in force.
@@ -69,16 +69,16 @@
 		cfg.Now = time.Now
 	}
 	s := &Server{now: cfg.Now}
-	s.past = []state{{since: s.now(), list: cfg.List}}
+	s.history = []snapshot{{since: s.now(), list: cfg.List}}
 	r := mux.NewRouter()
 	r.Handle(faults.Path, &s.Faults)
-	r.HandleFunc("/instances", s.get).Methods(http.MethodGet)
-	r.HandleFunc("/instances", s.put).Methods(http.MethodPut)
+	r.HandleFunc("/instances", s.getList).Methods(http.MethodGet)
+	r.HandleFunc("/instances", s.putList).Methods(http.MethodPut)
 	r.HandleFunc("/servers/{id}", s.putServer).Methods(http.MethodPut)
 	r.HandleFunc("/servers/{id}", s.deleteServer).Methods(http.MethodDelete)
 	r.HandleFunc("/instances/{id}", s.putInstance).Methods(http.MethodPut)
 	r.HandleFunc("/instances/{id}", s.deleteInstance).Methods(http.MethodDelete)
-	s.handler = faults.Guard(func() faults.Common { return s.Faults.Get().Common }, r)
+	s.handler = faults.Middleware(func() faults.Common { return s.Faults.Get().Common }, r)
 	return s
 }
 
@@ -89,44 +89,44 @@
 func (s *Server) Update(edit func(*wire.InstanceList)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := s.past[len(s.past)-1].list
+	last := s.history[len(s.history)-1].list
 	next := wire.InstanceList{
 		Servers:   slices.Clone(last.Servers),
 		Instances: slices.Clone(last.Instances),
 	}
 	edit(&next)
-	s.past = append(s.past, state{since: s.now(), list: next})
-	if len(s.past) > maxPast {
-		s.past = slices.Delete(s.past, 0, len(s.past)-maxPast)
+	s.history = append(s.history, snapshot{since: s.now(), list: next})
+	if len(s.history) > maxHistory {
+		s.history = slices.Delete(s.history, 0, len(s.history)-maxHistory)
 	}
 }
 
 // asOf returns the list that was in force at t, or the oldest known.
-func (s *Server) asOf(t time.Time) state {
+func (s *Server) asOf(t time.Time) snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := len(s.past) - 1; i > 0; i-- {
-		if !s.past[i].since.After(t) {
-			return s.past[i]
+	for i := len(s.history) - 1; i > 0; i-- {
+		if !s.history[i].since.After(t) {
+			return s.history[i]
 		}
 	}
-	return s.past[0]
+	return s.history[0]
 }
 
 // get answers 304 to a reader that names the list which it would get.
-func (s *Server) get(w http.ResponseWriter, r *http.Request) {
+func (s *Server) getList(w http.ResponseWriter, r *http.Request) {
 	lag := time.Duration(s.Faults.Get().LagMS) * time.Millisecond
-	now := s.asOf(s.now().Add(-lag))
-	tag := fmt.Sprintf(`"%d"`, now.since.UnixNano())
+	current := s.asOf(s.now().Add(-lag))
+	tag := fmt.Sprintf(`"%d"`, current.since.UnixNano())
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	faults.WriteJSON(w, http.StatusOK, now.list)
+	faults.WriteJSON(w, http.StatusOK, current.list)
 }
 
-func (s *Server) put(w http.ResponseWriter, r *http.Request) {
+func (s *Server) putList(w http.ResponseWriter, r *http.Request) {
 	var list wire.InstanceList
 	if !decode(w, r, &list) {
 		return
@@ -185,7 +185,7 @@
 
 // decode reads a JSON body strictly; on a fault it answers 400 itself.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
 		faults.WriteError(w, http.StatusBadRequest, "malformed_request", err.Error())
--- a/router/internal/standin/logsvc/logsvc.go
+++ b/router/internal/standin/logsvc/logsvc.go
@@ -24,9 +24,9 @@
 	// MaxBlob is the largest append in bytes.
 	MaxBlob = 8 << 20
 	// MaxLimit is the most entries in one answer.
-	MaxLimit = 1000
+	MaxReadEntries = 1000
 	// MaxWait is the longest long poll.
-	MaxWait = 30 * time.Second
+	MaxLongPoll = 30 * time.Second
 )
 
 // Config of the service. The zero value keeps everything and takes any rate.
@@ -59,7 +59,7 @@
 
 // Server is the service. It is safe for concurrent use.
 type Server struct {
-	Faults  faults.Board[Faults]
+	Faults  faults.Injector[Faults]
 	store   *store
 	limiter *rate.Limiter
 	handler http.Handler
@@ -83,7 +83,7 @@
 	r.HandleFunc("/append", s.serveAppend).Methods(http.MethodPost)
 	r.HandleFunc("/read", s.serveRead).Methods(http.MethodGet)
 	r.HandleFunc("/trim", s.serveTrim).Methods(http.MethodPost)
-	s.handler = faults.Guard(func() faults.Common { return s.Faults.Get().Common }, r)
+	s.handler = faults.Middleware(func() faults.Common { return s.Faults.Get().Common }, r)
 	return s
 }
 
@@ -91,7 +91,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
 // Trim drops all entries before offset.
-func (s *Server) Trim(offset uint64) { s.store.dropBefore(offset) }
+func (s *Server) Trim(offset uint64) { s.store.trimBefore(offset) }
 
 func (s *Server) serveAppend(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBlob))
@@ -109,13 +109,13 @@
 		return
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostBefore }) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	// Not bound to the request: what was sent takes effect in the end.
 	time.Sleep(time.Duration(s.Faults.Get().LateEffectMS) * time.Millisecond)
 	offset := s.store.append(data)
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.FailAppends }) {
 		faults.WriteError(w, http.StatusInternalServerError, "internal", "failed after the append")
@@ -133,7 +133,7 @@
 	timer := time.NewTimer(query.wait)
 	defer timer.Stop()
 	for {
-		page, kept, grown := s.store.read(query.from, query.limit)
+		page, kept, appended := s.store.read(query.from, query.limit)
 		if !kept {
 			faults.WriteJSON(w, http.StatusGone, page)
 			return
@@ -143,14 +143,14 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timer.C:
 			query.wait = 0
 		case <-r.Context().Done():
 			return
 		}
 		if s.Faults.Get().Down {
-			faults.Cut()
+			faults.AbortConnection()
 		}
 	}
 }
@@ -178,20 +178,20 @@
 	if err != nil {
 		return readQuery{}, err
 	}
-	query := readQuery{from: from, limit: MaxLimit}
+	query := readQuery{from: from, limit: MaxReadEntries}
 	if text := values.Get("limit"); text != "" {
 		limit, err := strconv.ParseUint(text, 10, 31)
 		if err != nil {
 			return readQuery{}, err
 		}
-		query.limit = min(int(limit), MaxLimit)
+		query.limit = min(int(limit), MaxReadEntries)
 	}
 	if text := values.Get("wait_ms"); text != "" {
 		wait, err := strconv.ParseUint(text, 10, 31)
 		if err != nil {
 			return readQuery{}, err
 		}
-		query.wait = min(time.Duration(wait)*time.Millisecond, MaxWait)
+		query.wait = min(time.Duration(wait)*time.Millisecond, MaxLongPoll)
 	}
 	return query, nil
 }
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -12,7 +12,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-func appendBlob(t *testing.T, s *Server, ctx context.Context) standintest.Reply {
+func appendBlob(t *testing.T, s *Server, ctx context.Context) standintest.Response {
 	t.Helper()
 	return standintest.Do(s, standintest.Call{Method: http.MethodPost, Path: "/append", Body: "x", Context: ctx})
 }
@@ -108,7 +108,7 @@
 	if !s.Faults.Get().Down {
 		t.Error("a refused body changed the faults")
 	}
-	if reply := appendBlob(t, s, nil); !reply.Cut {
+	if reply := appendBlob(t, s, nil); !reply.Aborted {
 		t.Errorf("down: %+v", reply)
 	}
 }
--- a/router/internal/standin/logsvc/store.go
+++ b/router/internal/standin/logsvc/store.go
@@ -9,25 +9,25 @@
 
 // store keeps the entries in memory. It is safe for concurrent use.
 type store struct {
-	now       func() time.Time
-	retention time.Duration
-	maxCount  int
+	now        func() time.Time
+	retention  time.Duration
+	maxEntries int
 
 	mu      sync.Mutex
 	entries []wire.LogEntry
 	// first is the offset of entries[0], or of the next append with none kept.
-	first uint64
-	last  time.Time
+	first    uint64
+	lastTime time.Time
 	// grown is closed at the next append.
-	grown chan struct{}
+	appended chan struct{}
 }
 
-func newStore(now func() time.Time, retention time.Duration, maxCount int) *store {
+func newStore(now func() time.Time, retention time.Duration, maxEntries int) *store {
 	return &store{
-		now:       now,
-		retention: retention,
-		maxCount:  maxCount,
-		grown:     make(chan struct{}),
+		now:        now,
+		retention:  retention,
+		maxEntries: maxEntries,
+		appended:   make(chan struct{}),
 	}
 }
 
@@ -36,15 +36,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := s.now()
-	if at.Before(s.last) {
-		at = s.last
+	if at.Before(s.lastTime) {
+		at = s.lastTime
 	}
-	s.last = at
+	s.lastTime = at
 	offset := s.head()
 	s.entries = append(s.entries, wire.LogEntry{Offset: offset, Time: at, Data: data})
-	s.trim(at)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	s.applyRetention(at)
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return offset
 }
 
@@ -53,47 +53,47 @@
 func (s *store) read(from uint64, limit int) (wire.LogPage, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trim(s.now())
+	s.applyRetention(s.now())
 	page := wire.LogPage{Entries: []wire.LogEntry{}, Head: s.head(), First: s.first}
 	if from < s.first {
-		return page, false, s.grown
+		return page, false, s.appended
 	}
 	if from >= page.Head {
-		return page, true, s.grown
+		return page, true, s.appended
 	}
 	kept := s.entries[from-s.first:]
 	if len(kept) > limit {
 		kept = kept[:limit]
 	}
 	page.Entries = append(page.Entries, kept...)
-	return page, true, s.grown
+	return page, true, s.appended
 }
 
 // dropBefore trims all entries before offset, as far as there are any.
-func (s *store) dropBefore(offset uint64) {
+func (s *store) trimBefore(offset uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(min(offset, s.head()))
+	s.removeBefore(min(offset, s.head()))
 }
 
 func (s *store) head() uint64 { return s.first + uint64(len(s.entries)) }
 
 // trim drops what is older than the retention or beyond the count.
-func (s *store) trim(now time.Time) {
-	keep := 0
+func (s *store) applyRetention(now time.Time) {
+	firstKept := 0
 	if s.retention > 0 {
 		oldest := now.Add(-s.retention)
-		for keep < len(s.entries) && s.entries[keep].Time.Before(oldest) {
-			keep++
+		for firstKept < len(s.entries) && s.entries[firstKept].Time.Before(oldest) {
+			firstKept++
 		}
 	}
-	if s.maxCount > 0 {
-		keep = max(keep, len(s.entries)-s.maxCount)
+	if s.maxEntries > 0 {
+		firstKept = max(firstKept, len(s.entries)-s.maxEntries)
 	}
-	s.drop(s.first + uint64(keep))
+	s.removeBefore(s.first + uint64(firstKept))
 }
 
-func (s *store) drop(before uint64) {
+func (s *store) removeBefore(before uint64) {
 	if before <= s.first {
 		return
 	}
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -22,7 +22,7 @@
 
 const (
 	// maxBody bounds a body.
-	maxBody = 16 << 20
+	maxBodyBytes = 16 << 20
 	// unknownQuality is for a text that the engine stand-in did not write.
 	unknownQuality = 0
 )
@@ -32,7 +32,7 @@
 	// Noise is the widest deviation of a score, to either side.
 	Noise float64
 	// Harder is what each task class takes off the score, 0 to 1.
-	Harder map[string]float64
+	TaskPenalty map[string]float64
 }
 
 // Faults of the rating service.
@@ -50,7 +50,7 @@
 
 // Server is the service. It is safe for concurrent use.
 type Server struct {
-	Faults  faults.Board[Faults]
+	Faults  faults.Injector[Faults]
 	cfg     Config
 	handler http.Handler
 }
@@ -61,7 +61,7 @@
 	r := mux.NewRouter()
 	r.Handle(faults.Path, &s.Faults)
 	r.HandleFunc("/rate", s.rate).Methods(http.MethodPost)
-	s.handler = faults.Guard(func() faults.Common { return s.Faults.Get().Common }, r)
+	s.handler = faults.Middleware(func() faults.Common { return s.Faults.Get().Common }, r)
 	return s
 }
 
@@ -70,7 +70,7 @@
 
 func (s *Server) rate(w http.ResponseWriter, r *http.Request) {
 	var request wire.RateRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&request); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&request); err != nil {
 		faults.WriteError(w, http.StatusBadRequest, "malformed_request", err.Error())
 		return
 	}
@@ -87,16 +87,16 @@
 
 // score rates an answer.
 func (s *Server) score(r wire.RateRequest) float64 {
-	set := s.Faults.Get()
-	if score, ok := set.Scores[r.Version]; ok {
+	active := s.Faults.Get()
+	if score, ok := active.Scores[r.Version]; ok {
 		return score
 	}
-	quality, _, ok := engine.Split(r.Answer)
+	quality, _, ok := engine.ParseAnswer(r.Answer)
 	if !ok {
 		quality = unknownQuality
 	}
-	score := quality - s.cfg.Harder[r.Task] + s.cfg.Noise*noise(r)
-	if set.Wrong {
+	score := quality - s.cfg.TaskPenalty[r.Task] + s.cfg.Noise*noise(r)
+	if active.Wrong {
 		score = 1 - score
 	}
 	return min(max(score, 0), 1)
--- a/router/internal/standin/rating/rating_test.go
+++ b/router/internal/standin/rating/rating_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestScoreFollowsQualityTaskAndBoundedNoise(t *testing.T) {
-	s := New(Config{Noise: 0.1, Harder: map[string]float64{"draft": 0.2}})
+	s := New(Config{Noise: 0.1, TaskPenalty: map[string]float64{"draft": 0.2}})
 	var sum float64
 	const n = 2000
 	for i := range n {
--- a/router/internal/standin/relay/relay.go
+++ b/router/internal/standin/relay/relay.go
@@ -15,9 +15,9 @@
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[net.Conn]bool
+	mu           sync.Mutex
+	disconnected bool
+	conns        map[net.Conn]bool
 }
 
 // New returns a relay to target, which is asked for at each connection only.
@@ -37,15 +37,15 @@
 // Close ends the relay and its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
-	r.SetCut(true)
+	r.SetDisconnected(true)
 }
 
 // SetCut closes what is open and refuses what comes, or ends that.
-func (r *Relay) SetCut(cut bool) {
+func (r *Relay) SetDisconnected(disconnected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = cut
-	if !cut {
+	r.disconnected = disconnected
+	if !disconnected {
 		return
 	}
 	for c := range r.conns {
@@ -60,15 +60,15 @@
 		if err != nil {
 			return
 		}
-		go r.pass(in)
+		go r.forward(in)
 	}
 }
 
 // keep notes a connection; false where the line is cut.
-func (r *Relay) keep(c net.Conn) bool {
+func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut {
+	if r.disconnected {
 		c.Close()
 		return false
 	}
@@ -76,23 +76,23 @@
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c.Close()
 	delete(r.conns, c)
 }
 
-func (r *Relay) pass(in net.Conn) {
-	if !r.keep(in) {
+func (r *Relay) forward(in net.Conn) {
+	if !r.track(in) {
 		return
 	}
-	defer r.drop(in)
+	defer r.untrack(in)
 	out, err := net.Dial("tcp", r.target)
-	if err != nil || !r.keep(out) {
+	if err != nil || !r.track(out) {
 		return
 	}
-	defer r.drop(out)
+	defer r.untrack(out)
 	go func() {
 		_, _ = io.Copy(out, in)
 		out.Close()
--- a/router/internal/standin/service/service.go
+++ b/router/internal/standin/service/service.go
@@ -23,7 +23,7 @@
 
 const (
 	// maxBody bounds a body.
-	maxBody = 16 << 20
+	maxBodyBytes = 16 << 20
 	// DefaultSlots is what the load report names where Config has none.
 	DefaultSlots = 64
 )
@@ -69,7 +69,7 @@
 }
 
 // Answer is the body of an answer.
-type Answer struct {
+type Response struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
@@ -85,7 +85,7 @@
 
 // Server is the service. It is safe for concurrent use.
 type Server struct {
-	Faults  faults.Board[Faults]
+	Faults  faults.Injector[Faults]
 	cfg     Config
 	handler http.Handler
 
@@ -108,7 +108,7 @@
 	r.HandleFunc("/load", s.serveLoad).Methods(http.MethodGet)
 	r.HandleFunc("/stats", s.serveStats).Methods(http.MethodGet)
 	r.PathPrefix("/").HandlerFunc(s.serveCall)
-	s.handler = faults.Guard(func() faults.Common { return s.Faults.Get().Common }, r)
+	s.handler = faults.Middleware(func() faults.Common { return s.Faults.Get().Common }, r)
 	return s
 }
 
@@ -128,7 +128,7 @@
 }
 
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		s.refuse(w, r, http.StatusRequestEntityTooLarge, "body_too_large", err.Error())
 		return
@@ -139,21 +139,21 @@
 		return
 	}
 	busy := s.Faults.Take(func(f *Faults) *faults.Count { return &f.Busy })
-	if busy || !s.enter() {
+	if busy || !s.acquireSlot() {
 		s.refuse(w, r, http.StatusTooManyRequests, "busy", "too many calls")
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	if !faults.Sleep(r, s.cfg.Work) {
 		return
 	}
-	answer := s.effect(r, body)
+	answer := s.recordCall(r, body)
 	s.reply(w, r, answer)
 }
 
 // effect counts the call, which is what a reservation changes.
-func (s *Server) effect(r *http.Request, body []byte) Answer {
-	answer := Answer{
+func (s *Server) recordCall(r *http.Request, body []byte) Response {
+	answer := Response{
 		Service: s.cfg.Name,
 		Method:  r.Method,
 		Path:    r.URL.Path,
@@ -173,9 +173,9 @@
 }
 
 // reply sends the answer, under the faults that strike after the effect.
-func (s *Server) reply(w http.ResponseWriter, r *http.Request, answer Answer) {
+func (s *Server) reply(w http.ResponseWriter, r *http.Request, answer Response) {
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	nonce := r.Header.Get(wire.HeaderAttempt)
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.WrongNonce }) {
@@ -190,7 +190,7 @@
 		w.Header().Set("Content-Length", "1000")
 		_, _ = io.WriteString(w, `{"service":`)
 		_ = http.NewResponseController(w).Flush()
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	status := http.StatusOK
 	if answer.Run > 0 {
@@ -209,7 +209,7 @@
 	faults.WriteError(w, status, code, message)
 }
 
-func (s *Server) enter() bool {
+func (s *Server) acquireSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running >= s.cfg.Slots {
@@ -219,7 +219,7 @@
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -10,7 +10,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-func reserve(s *Server, key string) standintest.Reply {
+func reserve(s *Server, key string) standintest.Response {
 	header := http.Header{}
 	header.Set(wire.HeaderIdempotencyKey, key)
 	header.Set(wire.HeaderAttempt, "n1")
@@ -39,7 +39,7 @@
 			s := New(Config{})
 			standintest.SetFaults(s, tt.faults)
 			reply := reserve(s, "k")
-			if reply.Cut != tt.cut || (!tt.cut && reply.Status != tt.status) {
+			if reply.Aborted != tt.cut || (!tt.cut && reply.Status != tt.status) {
 				t.Errorf("reply %+v", reply)
 			}
 			if got := reply.Header.Get(wire.HeaderNotRun) == "true"; got != tt.notRun {
@@ -59,7 +59,7 @@
 	s := New(Config{Name: "shop"})
 	reserve(s, "k")
 	reply := reserve(s, "k")
-	var answer Answer
+	var answer Response
 	if err := json.Unmarshal([]byte(reply.Body), &answer); err != nil {
 		t.Fatal(err)
 	}
--- a/router/internal/standin/standintest/standintest.go
+++ b/router/internal/standin/standintest/standintest.go
@@ -21,17 +21,17 @@
 }
 
 // Reply is what came of a Call.
-type Reply struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   string
 	// Cut says that the handler ended the connection without a whole answer;
 	// Body then holds what was flushed before.
-	Cut bool
+	Aborted bool
 }
 
 // Do runs the call on h.
-func Do(h http.Handler, c Call) (reply Reply) {
+func Do(h http.Handler, c Call) (reply Response) {
 	if c.Context == nil {
 		c.Context = context.Background()
 	}
@@ -45,7 +45,7 @@
 			if err, ok := p.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 				panic(p)
 			}
-			reply.Cut = true
+			reply.Aborted = true
 		}
 		reply.Status = w.Code
 		reply.Header = w.Header()
@@ -56,6 +56,6 @@
 }
 
 // SetFaults switches faults by their JSON, as an operator would.
-func SetFaults(h http.Handler, json string) Reply {
+func SetFaults(h http.Handler, json string) Response {
 	return Do(h, Call{Method: http.MethodPut, Path: "/faults", Body: json})
 }
