--- a/router/internal/cli/loadcmd/loadcmd.go
+++ b/router/internal/cli/loadcmd/loadcmd.go
@@ -21,7 +21,7 @@
 
 // result is what the command prints.
 type result struct {
-	loadgen.Phase
+	loadgen.Result
 	WholeP50 float64 `json:"whole_p50_ms"`
 	WholeP95 float64 `json:"whole_p95_ms"`
 	WholeP99 float64 `json:"whole_p99_ms"`
@@ -33,7 +33,7 @@
 // New returns the command.
 func New() *cobra.Command {
 	var base, key, output string
-	var ask loadgen.Ask
+	var ask loadgen.RequestSpec
 	var plan loadgen.Plan
 	cmd := &cobra.Command{
 		Use:   "load --url http://127.0.0.1:PORT --key KEY",
@@ -64,7 +64,7 @@
 	flags.IntVar(&plan.Callers, "callers", 16, "callers side by side")
 	flags.Float64Var(&plan.Rate, "rate", 0, "requests a second in all; 0 is as fast as answers come")
 	flags.DurationVar(&plan.Warmup, "warmup", time.Second, "time that is sent but not counted")
-	flags.DurationVar(&plan.Length, "length", 5*time.Second, "time that is counted")
+	flags.DurationVar(&plan.Duration, "length", 5*time.Second, "time that is counted")
 	flags.StringVarP(&output, "output", "o", cli.OutputText, "text or json")
 	_ = cmd.MarkFlagRequired("url")
 	return cmd
@@ -77,15 +77,15 @@
 	switch {
 	case p.Callers < 1 || p.Callers > maxCallers:
 		return cli.Exitf(cli.StatusInvalid, "--callers %d: want 1 to %d", p.Callers, maxCallers)
-	case p.Length <= 0 || p.Length+p.Warmup > maxLength:
-		return cli.Exitf(cli.StatusInvalid, "--length %v: want more than 0 and, with --warmup, at most %v", p.Length, maxLength)
+	case p.Duration <= 0 || p.Duration+p.Warmup > maxLength:
+		return cli.Exitf(cli.StatusInvalid, "--length %v: want more than 0 and, with --warmup, at most %v", p.Duration, maxLength)
 	case p.Rate < 0 || p.Rate > maxRate:
 		return cli.Exitf(cli.StatusInvalid, "--rate %v: want 0 to %d", p.Rate, maxRate)
 	}
 	return nil
 }
 
-func show(cmd *cobra.Command, p loadgen.Phase, output string) error {
+func show(cmd *cobra.Command, p loadgen.Result, output string) error {
 	r := summarise(p)
 	if output == cli.OutputJSON {
 		if err := cli.WriteJSON(cmd.OutOrStdout(), r); err != nil {
@@ -93,25 +93,25 @@
 		}
 	} else {
 		fmt.Fprintf(cmd.OutOrStdout(), "%.0f answers/s, %d failed %s\nwhole        p50 %.2f ms  p95 %.2f ms  p99 %.2f ms\nfirst byte   p50 %.2f ms  p95 %.2f ms  p99 %.2f ms\n",
-			r.Rate, r.Failed, r.Example, r.WholeP50, r.WholeP95, r.WholeP99, r.FirstP50, r.FirstP95, r.FirstP99)
+			r.Rate, r.Failed, r.LastError, r.WholeP50, r.WholeP95, r.WholeP99, r.FirstP50, r.FirstP95, r.FirstP99)
 	}
 	if len(p.Samples) == 0 {
-		return cli.Exitf(cli.StatusFailed, "no answer came: %s", p.Example)
+		return cli.Exitf(cli.StatusFailed, "no answer came: %s", p.LastError)
 	}
 	return nil
 }
 
-func summarise(p loadgen.Phase) result {
+func summarise(p loadgen.Result) result {
 	ms := func(pick func(loadgen.Sample) time.Duration, q float64) float64 {
 		return float64(p.Quantile(pick, q).Microseconds()) / 1000
 	}
 	return result{
-		Phase:    p,
-		WholeP50: ms(loadgen.Whole, 0.5),
-		WholeP95: ms(loadgen.Whole, 0.95),
-		WholeP99: ms(loadgen.Whole, 0.99),
-		FirstP50: ms(loadgen.First, 0.5),
-		FirstP95: ms(loadgen.First, 0.95),
-		FirstP99: ms(loadgen.First, 0.99),
+		Result:   p,
+		WholeP50: ms(loadgen.TotalTime, 0.5),
+		WholeP95: ms(loadgen.TotalTime, 0.95),
+		WholeP99: ms(loadgen.TotalTime, 0.99),
+		FirstP50: ms(loadgen.TimeToFirstByte, 0.5),
+		FirstP95: ms(loadgen.TimeToFirstByte, 0.95),
+		FirstP99: ms(loadgen.TimeToFirstByte, 0.99),
 	}
 }
--- a/router/internal/e2e/bench_test.go
+++ b/router/internal/e2e/bench_test.go
@@ -110,7 +110,7 @@
 
 func (p *benchPath) target(b *testing.B, base, model string, tokens int, stream bool) loadgen.Target {
 	b.Helper()
-	t, err := loadgen.NewTarget(base, weaversKey, loadgen.Ask{
+	t, err := loadgen.NewTarget(base, weaversKey, loadgen.RequestSpec{
 		Model:     model,
 		Prompt:    "draft a twill pattern of eight shafts",
 		MaxTokens: tokens,
@@ -131,26 +131,26 @@
 }
 
 // saturate sends as fast as callers get answers; pace sends at a steady rate.
-func saturate(t loadgen.Target, callers int) loadgen.Phase { return sendAtRate(t, 0, callers) }
+func saturate(t loadgen.Target, callers int) loadgen.Result { return sendAtRate(t, 0, callers) }
 
-func sendAtRate(t loadgen.Target, rate float64, callers int) loadgen.Phase {
+func sendAtRate(t loadgen.Target, rate float64, callers int) loadgen.Result {
 	return loadgen.Run(context.Background(), t, loadgen.Plan{
-		Callers: callers,
-		Rate:    rate,
-		Warmup:  benchWarmup,
-		Length:  benchPhase,
+		Callers:  callers,
+		Rate:     rate,
+		Warmup:   benchWarmup,
+		Duration: benchPhase,
 	})
 }
 
 // show prints one line and returns the quantiles of what pick reads.
-func printResult(b *testing.B, ph loadgen.Phase, name string, pick func(loadgen.Sample) time.Duration) (p50, p99 time.Duration) {
+func printResult(b *testing.B, ph loadgen.Result, name string, pick func(loadgen.Sample) time.Duration) (p50, p99 time.Duration) {
 	b.Helper()
 	if len(ph.Samples) == 0 {
-		b.Fatalf("%s: no answers, %d failed: %s", name, ph.Failed, ph.Example)
+		b.Fatalf("%s: no answers, %d failed: %s", name, ph.Failed, ph.LastError)
 	}
 	p50, p99 = ph.Quantile(pick, 0.5), ph.Quantile(pick, 0.99)
 	fmt.Printf("%-42s %8.0f/s  p50 %8.3f ms  p99 %8.3f ms  failed %d %s\n",
-		name, ph.Rate, millis(p50), millis(p99), ph.Failed, ph.Example)
+		name, ph.Rate, millis(p50), millis(p99), ph.Failed, ph.LastError)
 	return p50, p99
 }
 
@@ -159,15 +159,15 @@
 // measure compares throughput, then latency at half of the routed throughput.
 func (p *benchPath) measureThroughputAndLatency(b *testing.B) {
 	direct := saturate(p.direct(b, false), benchCallers)
-	printResult(b, direct, "plain, direct, saturated", loadgen.Whole)
+	printResult(b, direct, "plain, direct, saturated", loadgen.TotalTime)
 	routed := saturate(p.routed(b, false), benchCallers)
-	printResult(b, routed, "plain, routed, saturated", loadgen.Whole)
+	printResult(b, routed, "plain, routed, saturated", loadgen.TotalTime)
 	// Answers wait for their bill's group commit, so few callers cannot
 	// saturate: throughput needs many of them under way.
 	many := saturate(p.routed(b, false), 16*benchCallers)
-	printResult(b, many, "plain, routed, saturated, 16 x callers", loadgen.Whole)
+	printResult(b, many, "plain, routed, saturated, 16 x callers", loadgen.TotalTime)
 	manyDirect := saturate(p.direct(b, false), 16*benchCallers)
-	printResult(b, manyDirect, "plain, direct, saturated, 16 x callers", loadgen.Whole)
+	printResult(b, manyDirect, "plain, direct, saturated, 16 x callers", loadgen.TotalTime)
 	best := max(routed.Rate, many.Rate)
 	ratio := best / max(direct.Rate, manyDirect.Rate)
 	fmt.Printf("throughput routed / direct: %.3f\n", ratio)
@@ -176,18 +176,18 @@
 
 	half := best / 2
 	callers := 16 * benchCallers
-	d50, d99 := printResult(b, sendAtRate(p.direct(b, false), half, callers), "plain, direct, half load", loadgen.Whole)
-	r50, r99 := printResult(b, sendAtRate(p.routed(b, false), half, callers), "plain, routed, half load", loadgen.Whole)
+	d50, d99 := printResult(b, sendAtRate(p.direct(b, false), half, callers), "plain, direct, half load", loadgen.TotalTime)
+	r50, r99 := printResult(b, sendAtRate(p.routed(b, false), half, callers), "plain, routed, half load", loadgen.TotalTime)
 	printAdded(b, "plain, whole", d50, d99, r50, r99)
 
 	streams := half / 4
 	directStream := sendAtRate(p.direct(b, true), streams, callers)
 	routedStream := sendAtRate(p.routed(b, true), streams, callers)
-	d50, d99 = printResult(b, directStream, "stream, direct, first token", loadgen.First)
-	r50, r99 = printResult(b, routedStream, "stream, routed, first token", loadgen.First)
+	d50, d99 = printResult(b, directStream, "stream, direct, first token", loadgen.TimeToFirstByte)
+	r50, r99 = printResult(b, routedStream, "stream, routed, first token", loadgen.TimeToFirstByte)
 	printAdded(b, "stream, first token", d50, d99, r50, r99)
-	d50, d99 = printResult(b, directStream, "stream, direct, whole", loadgen.Whole)
-	r50, r99 = printResult(b, routedStream, "stream, routed, whole", loadgen.Whole)
+	d50, d99 = printResult(b, directStream, "stream, direct, whole", loadgen.TotalTime)
+	r50, r99 = printResult(b, routedStream, "stream, routed, whole", loadgen.TotalTime)
 	printAdded(b, "stream, whole", d50, d99, r50, r99)
 }
 
--- a/router/internal/e2e/tokens_bench_test.go
+++ b/router/internal/e2e/tokens_bench_test.go
@@ -26,7 +26,7 @@
 			p.stream(b, p.target(b, p.entry.api, "quick", tokensEach, true))
 		})
 		perToken := float64(tokens.Microseconds()) / (tokenStreams * tokensEach)
-		var load loadgen.Phase
+		var load loadgen.Result
 		plain := p.measureCPUTime(b, func() { load = sendAtRate(p.routed(b, false), 1000, benchCallers) })
 		perRequest := float64(plain.Microseconds()) / (load.Rate * (benchPhase + benchWarmup).Seconds())
 		fmt.Printf("processor time: %.2f us a token, %.0f us a plain request of %d tokens\n", perToken, perRequest, benchTokens)
--- a/router/internal/loadgen/loadgen.go
+++ b/router/internal/loadgen/loadgen.go
@@ -27,7 +27,7 @@
 }
 
 // Ask is what a request asks for.
-type Ask struct {
+type RequestSpec struct {
 	// Model or version; empty leaves the choice to the cascade.
 	Model     string
 	Prompt    string
@@ -37,7 +37,7 @@
 
 // NewTarget returns the chat endpoint of base, such as "http://127.0.0.1:8080".
 // A base that is not on loopback is an error: load is for stand-ins only.
-func NewTarget(base, key string, ask Ask) (Target, error) {
+func NewTarget(base, key string, ask RequestSpec) (Target, error) {
 	u, err := url.Parse(base)
 	if err != nil {
 		return Target{}, trace.BadParameter("address %q: %v", base, err)
@@ -62,10 +62,10 @@
 type Sample struct{ Total, FirstByte time.Duration }
 
 // Whole and First pick a figure of a sample.
-func Whole(s Sample) time.Duration { return s.Total }
+func TotalTime(s Sample) time.Duration { return s.Total }
 
 // First is the time to the first byte of body.
-func First(s Sample) time.Duration { return s.FirstByte }
+func TimeToFirstByte(s Sample) time.Duration { return s.FirstByte }
 
 // Caller sends one request at a time on a connection of its own, so that callers
 // do not wait for each other in a shared pool. For one goroutine.
--- a/router/internal/loadgen/loadgen_test.go
+++ b/router/internal/loadgen/loadgen_test.go
@@ -13,7 +13,7 @@
 		"http://127.0.0.1:8080": true, "http://[::1]:8080": true,
 		"http://10.0.0.7:8080": false, "http://example.org": false, "http://localhost:1": false, "::": false,
 	} {
-		if _, err := NewTarget(base, "", Ask{}); (err == nil) != allowed {
+		if _, err := NewTarget(base, "", RequestSpec{}); (err == nil) != allowed {
 			t.Errorf("%s: %v", base, err)
 		}
 	}
@@ -31,15 +31,15 @@
 		_, _ = w.Write([]byte("ok"))
 	}))
 	defer s.Close()
-	target, err := NewTarget(s.URL, "k", Ask{Model: "m", MaxTokens: 1})
+	target, err := NewTarget(s.URL, "k", RequestSpec{Model: "m", MaxTokens: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := Run(context.Background(), target, Plan{Callers: 1, Length: 50 * time.Millisecond})
-	if len(p.Samples) == 0 || p.Failed == 0 || p.Example == "" || p.Rate == 0 {
-		t.Errorf("got %d answers, %d failed, %q", len(p.Samples), p.Failed, p.Example)
+	p := Run(context.Background(), target, Plan{Callers: 1, Duration: 50 * time.Millisecond})
+	if len(p.Samples) == 0 || p.Failed == 0 || p.LastError == "" || p.Rate == 0 {
+		t.Errorf("got %d answers, %d failed, %q", len(p.Samples), p.Failed, p.LastError)
 	}
-	if p.Quantile(Whole, 0.99) < p.Quantile(First, 0.5) {
+	if p.Quantile(TotalTime, 0.99) < p.Quantile(TimeToFirstByte, 0.5) {
 		t.Error("quantiles")
 	}
 }
--- a/router/internal/loadgen/phase.go
+++ b/router/internal/loadgen/phase.go
@@ -15,28 +15,28 @@
 	// answers.
 	Rate float64
 	// Warmup is sent but not counted; Length is.
-	Warmup, Length time.Duration
+	Warmup, Duration time.Duration
 }
 
 // Phase is what one stretch of load gave.
-type Phase struct {
+type Result struct {
 	// Rate is whole answers a second.
 	Rate   float64 `json:"rate"`
 	Failed int64   `json:"failed"`
 	// Example is the text of one failure.
-	Example string   `json:"example,omitempty"`
-	Samples []Sample `json:"-"`
+	LastError string   `json:"example,omitempty"`
+	Samples   []Sample `json:"-"`
 }
 
 // Run sends the load and returns once it has ended.
-func Run(ctx context.Context, t Target, p Plan) Phase {
+func Run(ctx context.Context, t Target, p Plan) Result {
 	r := &run{target: t, plan: p, start: time.Now()}
 	var wg sync.WaitGroup
 	for i := range p.Callers {
 		wg.Go(func() { r.runCaller(ctx, i) })
 	}
 	wg.Wait()
-	r.phase.Rate = float64(len(r.phase.Samples)) / p.Length.Seconds()
+	r.phase.Rate = float64(len(r.phase.Samples)) / p.Duration.Seconds()
 	return r.phase
 }
 
@@ -46,7 +46,7 @@
 	start  time.Time
 
 	mu    sync.Mutex
-	phase Phase
+	phase Result
 }
 
 // caller sends until the load's end.
@@ -54,7 +54,7 @@
 	c := NewCaller()
 	defer c.Close()
 	measureFrom := r.start.Add(r.plan.Warmup)
-	end := measureFrom.Add(r.plan.Length)
+	end := measureFrom.Add(r.plan.Duration)
 	var samples []Sample
 	next := r.firstSend(index)
 	for {
@@ -81,7 +81,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.phase.Failed++
-	r.phase.Example = err.Error()
+	r.phase.LastError = err.Error()
 }
 
 // gap is the time between two requests of one caller.
@@ -105,7 +105,7 @@
 }
 
 // Quantile of a figure by nearest rank; 0 without samples.
-func (p Phase) Quantile(pick func(Sample) time.Duration, q float64) time.Duration {
+func (p Result) Quantile(pick func(Sample) time.Duration, q float64) time.Duration {
 	if len(p.Samples) == 0 {
 		return 0
 	}
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -42,7 +42,7 @@
 	}{
 		{name: "sound", held: 1},
 		{name: "refused", faults: logsvc.Faults{RefuseAppends: true}, want: platformlog.ErrNotAppended},
-		{name: "too large", size: logsvc.MaxBlob + 1, want: platformlog.ErrNotAppended},
+		{name: "too large", size: logsvc.MaxAppendBytes + 1, want: platformlog.ErrNotAppended},
 		{name: "lost before the effect", faults: logsvc.Faults{LostBefore: 1}, want: platformlog.ErrUnknown},
 		{name: "lost reply", faults: logsvc.Faults{LostReply: 1}, want: platformlog.ErrUnknown, held: 1},
 		{name: "failed after the effect", faults: logsvc.Faults{FailAppends: 1}, want: platformlog.ErrUnknown, held: 1},
--- a/router/internal/standin/logsvc/logsvc.go
+++ b/router/internal/standin/logsvc/logsvc.go
@@ -22,7 +22,7 @@
 // Limits of one request.
 const (
 	// MaxBlob is the largest append in bytes.
-	MaxBlob = 8 << 20
+	MaxAppendBytes = 8 << 20
 	// MaxLimit is the most entries in one answer.
 	MaxReadEntries = 1000
 	// MaxWait is the longest long poll.
@@ -94,7 +94,7 @@
 func (s *Server) Trim(offset uint64) { s.store.trimBefore(offset) }
 
 func (s *Server) serveAppend(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBlob))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxAppendBytes))
 	if err != nil {
 		faults.WriteError(w, http.StatusRequestEntityTooLarge, wire.CodeNotAppended, err.Error())
 		return
