--- a/router/cmd/masticplank/main.go
+++ b/router/cmd/masticplank/main.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "masticplank:", err)
 	}
-	os.Exit(cli.Status(err))
+	os.Exit(cli.ExitStatus(err))
 }
 
 func command() *cobra.Command {
--- a/router/cmd/masticplankd/main.go
+++ b/router/cmd/masticplankd/main.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "masticplankd:", err)
 	}
-	os.Exit(cli.Status(err))
+	os.Exit(cli.ExitStatus(err))
 }
 
 func command() *cobra.Command {
@@ -50,12 +50,12 @@
 		return runOnPlatform(path, metrics)
 	}
 	if config == "" {
-		return cli.Exit(cli.StatusInvalid, errors.New("--config is required"))
+		return cli.WithStatus(cli.StatusInvalid, errors.New("--config is required"))
 	}
 	cfg, err := settings.Load(config)
 	var faults settings.Faults
 	if errors.As(err, &faults) {
-		return cli.Exit(cli.StatusInvalid, err)
+		return cli.WithStatus(cli.StatusInvalid, err)
 	}
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 	signal.Ignore(syscall.SIGHUP)
 	cfg, err := platform.LoadSettings(path)
 	if err != nil {
-		return cli.Exit(cli.StatusInvalid, err)
+		return cli.WithStatus(cli.StatusInvalid, err)
 	}
 	return passthrough.Run(passthrough.Platform{
 		Headers: platform.Wire{}, Records: platform.Records{}, Store: platform.NewStore(cfg.StoreAddr),
--- a/router/internal/admin/admin.go
+++ b/router/internal/admin/admin.go
@@ -26,7 +26,7 @@
 const maxManifestBytes = 4 << 20
 
 // Readiness says why the instance is not ready; empty when it is.
-type Readiness interface{ NotReady() string }
+type Readiness interface{ NotReadyReason() string }
 
 // Deps is what the admin edge shows.
 type Deps struct {
@@ -53,7 +53,7 @@
 	r.HandleFunc("/status", s.status).Methods(http.MethodGet)
 	r.HandleFunc("/burn", s.burn).Methods(http.MethodGet)
 	r.HandleFunc("/manifest", s.getManifest).Methods(http.MethodGet)
-	r.HandleFunc("/manifest", s.putManifest).Methods(http.MethodPost)
+	r.HandleFunc("/manifest", s.postManifest).Methods(http.MethodPost)
 	r.HandleFunc("/debug/pprof/cmdline", pprof.Cmdline)
 	r.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	r.HandleFunc("/debug/pprof/symbol", pprof.Symbol)
@@ -69,8 +69,8 @@
 
 // ready tells the balancer whether to send requests here.
 func (s *server) ready(w http.ResponseWriter, _ *http.Request) {
-	if why := s.Readiness.NotReady(); why != "" {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if reason := s.Readiness.NotReadyReason(); reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = io.WriteString(w, "ready\n")
@@ -88,7 +88,7 @@
 func (s *server) burn(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Burn()) }
 
 // manifestAnswer is the body of GET /manifest.
-type manifestAnswer struct {
+type manifestResponse struct {
 	Digest   string            `json:"digest"`
 	Manifest manifest.Manifest `json:"manifest"`
 }
@@ -96,31 +96,31 @@
 func (s *server) getManifest(w http.ResponseWriter, _ *http.Request) {
 	x := s.Manifests.Current()
 	if x == nil {
-		fail(w, http.StatusNotFound, "no_manifest", "no manifest is in force yet")
+		writeError(w, http.StatusNotFound, "no_manifest", "no manifest is in force yet")
 		return
 	}
-	writeJSON(w, http.StatusOK, manifestAnswer{Digest: x.Digest, Manifest: x.Manifest})
+	writeJSON(w, http.StatusOK, manifestResponse{Digest: x.Digest, Manifest: x.Manifest})
 }
 
 // putManifest publishes; "?rebase=true" takes the manifest in force as parent.
-func (s *server) putManifest(w http.ResponseWriter, r *http.Request) {
-	if !s.operator(r) {
-		fail(w, http.StatusUnauthorized, "invalid_operator_key", "the operator key is missing or not known")
+func (s *server) postManifest(w http.ResponseWriter, r *http.Request) {
+	if !s.isOperator(r) {
+		writeError(w, http.StatusUnauthorized, "invalid_operator_key", "the operator key is missing or not known")
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxManifestBytes))
 	if err != nil {
-		fail(w, http.StatusRequestEntityTooLarge, "body_too_large", "the manifest is too large")
+		writeError(w, http.StatusRequestEntityTooLarge, "body_too_large", "the manifest is too large")
 		return
 	}
 	m, err := manifest.Parse(body)
 	if err != nil {
-		fail(w, http.StatusBadRequest, "malformed_request", err.Error())
+		writeError(w, http.StatusBadRequest, "malformed_request", err.Error())
 		return
 	}
 	result := s.Publisher.Publish(r.Context(), m, r.URL.Query().Get("rebase") == "true")
 	w.Header().Set(wire.HeaderOutcome, string(result.Outcome.Kind))
-	writeJSON(w, result.Outcome.Status(), PublishAnswer{
+	writeJSON(w, result.Outcome.Status(), PublishResponse{
 		Outcome: string(result.Outcome.Kind),
 		Code:    result.Outcome.Code,
 		Message: result.Outcome.Message,
@@ -129,7 +129,7 @@
 }
 
 // PublishAnswer is the body of POST /manifest.
-type PublishAnswer struct {
+type PublishResponse struct {
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
 	Message string `json:"message,omitempty"`
@@ -137,21 +137,21 @@
 }
 
 // Accepted says whether the manifest is in the log.
-func (a PublishAnswer) Accepted() bool { return a.Outcome == string(outcome.Completed) }
+func (r PublishResponse) Accepted() bool { return r.Outcome == string(outcome.Completed) }
 
 // operator compares the key's hash with every known one in constant time.
-func (s *server) operator(r *http.Request) bool {
+func (s *server) isOperator(r *http.Request) bool {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(key))
 	got := []byte(hex.EncodeToString(sum[:]))
-	known := 0
+	matches := 0
 	for _, h := range s.OperatorKeyHashes {
-		known |= subtle.ConstantTimeCompare(got, []byte(h))
+		matches |= subtle.ConstantTimeCompare(got, []byte(h))
 	}
-	return known == 1
+	return matches == 1
 }
 
-func fail(w http.ResponseWriter, status int, code, message string) {
+func writeError(w http.ResponseWriter, status int, code, message string) {
 	writeJSON(w, status, wire.Error{Error: wire.ErrorBody{Code: code, Message: message}})
 }
 
--- a/router/internal/adminclient/client.go
+++ b/router/internal/adminclient/client.go
@@ -19,9 +19,9 @@
 
 const (
 	// timeout bounds one call; publishing waits for the log.
-	timeout = 15 * time.Second
+	requestTimeout = 15 * time.Second
 	// maxBytes bounds an answer.
-	maxBytes = 32 << 20
+	maxResponseBytes = 32 << 20
 )
 
 // Client talks to one instance. It is safe for concurrent use.
@@ -37,7 +37,7 @@
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
 	}
-	return &Client{base: strings.TrimRight(base, "/"), key: key, http: &http.Client{Timeout: timeout}}
+	return &Client{base: strings.TrimRight(base, "/"), key: key, http: &http.Client{Timeout: requestTimeout}}
 }
 
 // Base is the instance's address.
@@ -51,21 +51,21 @@
 
 // Publish sends a manifest. An answer of any status is returned as it is; an
 // error means that none came.
-func (c *Client) Publish(ctx context.Context, m manifest.Manifest, rebase bool) (admin.PublishAnswer, error) {
+func (c *Client) Publish(ctx context.Context, m manifest.Manifest, rebase bool) (admin.PublishResponse, error) {
 	body, err := manifest.Encode(m)
 	if err != nil {
-		return admin.PublishAnswer{}, trace.Wrap(err)
+		return admin.PublishResponse{}, trace.Wrap(err)
 	}
 	path := "/manifest"
 	if rebase {
 		path += "?rebase=true"
 	}
-	var answer admin.PublishAnswer
-	status, err := c.do(ctx, http.MethodPost, path, body, &answer)
-	if err != nil && answer.Outcome == "" {
-		return answer, trace.Wrap(err, "status %d", status)
+	var response admin.PublishResponse
+	status, err := c.do(ctx, http.MethodPost, path, body, &response)
+	if err != nil && response.Outcome == "" {
+		return response, trace.Wrap(err, "status %d", status)
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (c *Client) do(ctx context.Context, method, path string, body []byte, out any) (int, error) {
@@ -81,7 +81,7 @@
 		return 0, trace.ConnectionProblem(err, "no answer from %s", c.base)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return resp.StatusCode, trace.ConnectionProblem(err, "the answer of %s broke off", c.base)
 	}
--- a/router/internal/cli/clitest/clitest.go
+++ b/router/internal/cli/clitest/clitest.go
@@ -47,6 +47,6 @@
 	cmd.SetIn(strings.NewReader(c.Stdin))
 	cmd.SetArgs(c.Args)
 	cmd.SilenceUsage, cmd.SilenceErrors = true, true
-	status = cli.Status(cmd.ExecuteContext(t.Context()))
+	status = cli.ExitStatus(cmd.ExecuteContext(t.Context()))
 	return stdout.String(), status
 }
--- a/router/internal/cli/democmd/democmd.go
+++ b/router/internal/cli/democmd/democmd.go
@@ -41,16 +41,16 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if cfg.Requests < 1 || cfg.Requests > maxRequests {
-				return cli.Exitf(cli.StatusInvalid, "--requests %d: want 1 to %d", cfg.Requests, maxRequests)
+				return cli.StatusErrorf(cli.StatusInvalid, "--requests %d: want 1 to %d", cfg.Requests, maxRequests)
 			}
 			if cfg.Workers < 1 || cfg.Workers > maxWorkers {
-				return cli.Exitf(cli.StatusInvalid, "--workers %d: want 1 to %d", cfg.Workers, maxWorkers)
+				return cli.StatusErrorf(cli.StatusInvalid, "--workers %d: want 1 to %d", cfg.Workers, maxWorkers)
 			}
 			if logs {
 				cfg.Log = cmd.ErrOrStderr()
 			}
-			cfg.Progress = progress(cfg.Requests, cmd.ErrOrStderr())
-			return show(cmd, cfg, asJSON)
+			cfg.Progress = newProgress(cfg.Requests, cmd.ErrOrStderr())
+			return runDemo(cmd, cfg, asJSON)
 		},
 	}
 	flags := cmd.Flags()
@@ -65,7 +65,7 @@
 
 // progress returns what is called for each request that has ended: a bar on a
 // terminal, nothing elsewhere.
-func progress(total int, w io.Writer) func() {
+func newProgress(total int, w io.Writer) func() {
 	f, ok := w.(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) {
 		return nil
@@ -80,10 +80,10 @@
 	return func() { _ = bar.Add(1) }
 }
 
-func show(cmd *cobra.Command, cfg demo.Config, asJSON bool) error {
+func runDemo(cmd *cobra.Command, cfg demo.Config, asJSON bool) error {
 	report, err := demo.Run(cmd.Context(), cfg)
 	if err != nil {
-		return cli.Exit(cli.StatusFailed, err)
+		return cli.WithStatus(cli.StatusFailed, err)
 	}
 	if asJSON {
 		err = cli.WriteJSON(cmd.OutOrStdout(), report)
@@ -91,10 +91,10 @@
 		err = report.Write(cmd.OutOrStdout())
 	}
 	if err != nil {
-		return cli.Exit(cli.StatusFailed, err)
+		return cli.WithStatus(cli.StatusFailed, err)
 	}
 	if !report.Held() {
-		return cli.Exitf(cli.StatusFailed, "a promise was broken; see the report")
+		return cli.StatusErrorf(cli.StatusFailed, "a promise was broken; see the report")
 	}
 	return nil
 }
--- a/router/internal/cli/exit.go
+++ b/router/internal/cli/exit.go
@@ -32,23 +32,23 @@
 func (e *StatusError) Unwrap() error { return e.Err }
 
 // Exit makes err end the process with status.
-func Exit(status int, err error) error {
+func WithStatus(status int, err error) error {
 	return &StatusError{Status: status, Err: err}
 }
 
 // Exitf is Exit with a formatted error.
-func Exitf(status int, format string, args ...any) error {
-	return Exit(status, fmt.Errorf(format, args...))
+func StatusErrorf(status int, format string, args ...any) error {
+	return WithStatus(status, fmt.Errorf(format, args...))
 }
 
 // Status is the exit status for what a command returned.
-func Status(err error) int {
-	var with *StatusError
+func ExitStatus(err error) int {
+	var statusErr *StatusError
 	switch {
 	case err == nil:
 		return StatusOK
-	case errors.As(err, &with):
-		return with.Status
+	case errors.As(err, &statusErr):
+		return statusErr.Status
 	default:
 		return StatusFailed
 	}
--- a/router/internal/cli/gather.go
+++ b/router/internal/cli/gather.go
@@ -8,7 +8,7 @@
 )
 
 // Answer is what one instance's admin listener gave.
-type Answer[T any] struct {
+type Response[T any] struct {
 	Address string
 	Value   T
 	Err     error
@@ -16,28 +16,28 @@
 
 // Gather reads path from all instances at the same time. The answers stand in
 // the order of the addresses, those that failed too.
-func Gather[T any](ctx context.Context, addresses []string, path string) []Answer[T] {
-	out := make([]Answer[T], len(addresses))
+func GetAll[T any](ctx context.Context, addresses []string, path string) []Response[T] {
+	responses := make([]Response[T], len(addresses))
 	var wg sync.WaitGroup
 	for i, addr := range addresses {
 		wg.Go(func() {
-			out[i].Address = addr
-			out[i].Err = adminclient.New(addr, "").Get(ctx, path, &out[i].Value)
+			responses[i].Address = addr
+			responses[i].Err = adminclient.New(addr, "").Get(ctx, path, &responses[i].Value)
 		})
 	}
 	wg.Wait()
-	return out
+	return responses
 }
 
 // Silent is the error that a command ends with where n of all instances did not
 // answer; nil for none.
-func Silent(n, all int) error {
+func UnansweredError(unanswered, total int) error {
 	switch {
-	case n == 0:
+	case unanswered == 0:
 		return nil
-	case n == all:
-		return Exitf(StatusFailed, "none of %d instances answered: check the addresses of their admin listeners", all)
+	case unanswered == total:
+		return StatusErrorf(StatusFailed, "none of %d instances answered: check the addresses of their admin listeners", total)
 	default:
-		return Exitf(StatusPartial, "%d of %d instances did not answer", n, all)
+		return StatusErrorf(StatusPartial, "%d of %d instances did not answer", unanswered, total)
 	}
 }
--- a/router/internal/cli/ledgercmd/ledgercmd.go
+++ b/router/internal/cli/ledgercmd/ledgercmd.go
@@ -49,13 +49,13 @@
 }
 
 func export(cmd *cobra.Command, logURL string, from uint64, output string) error {
-	emit := jsonLines(cmd)
+	emit := jsonEmitter(cmd)
 	if output == cli.OutputText {
-		emit = textLines(cmd)
+		emit = textEmitter(cmd)
 	}
 	sum, err := ledger.Export(cmd.Context(), platform.NewLogClient(logURL), fold.DefaultConfig(), from, emit)
 	if err != nil {
-		return cli.Exit(cli.StatusFailed, err)
+		return cli.WithStatus(cli.StatusFailed, err)
 	}
 	fmt.Fprintf(cmd.ErrOrStderr(), "%d bills, %d void copies, %d malformed; next: --from %d\n",
 		sum.Bills, sum.Duplicates, sum.Malformed, sum.NextOffset)
@@ -63,24 +63,24 @@
 		fmt.Fprintf(cmd.ErrOrStderr(), "warning: the log keeps nothing before offset %d; bills from %d on may be missing\n", sum.FirstOffset, from)
 	}
 	if sum.Malformed > 0 {
-		return cli.Exitf(cli.StatusPartial, "%d malformed bills", sum.Malformed)
+		return cli.StatusErrorf(cli.StatusPartial, "%d malformed bills", sum.Malformed)
 	}
 	return nil
 }
 
-func jsonLines(cmd *cobra.Command) func(ledger.ExportedBill) error {
+func jsonEmitter(cmd *cobra.Command) func(ledger.ExportedBill) error {
 	enc := json.NewEncoder(cmd.OutOrStdout())
-	return func(l ledger.ExportedBill) error { return enc.Encode(l) }
+	return func(bill ledger.ExportedBill) error { return enc.Encode(bill) }
 }
 
-func textLines(cmd *cobra.Command) func(ledger.ExportedBill) error {
-	return func(l ledger.ExportedBill) error {
-		what := l.Version
-		if what == "" {
-			what = l.Service
+func textEmitter(cmd *cobra.Command) func(ledger.ExportedBill) error {
+	return func(bill ledger.ExportedBill) error {
+		name := bill.Version
+		if name == "" {
+			name = bill.Service
 		}
-		_, err := fmt.Fprintf(cmd.OutOrStdout(), "%d %s %s %s %s tokens %d cost %.6f\n", l.Offset, l.At.UTC().Format("2006-01-02T15:04:05Z"),
-			l.Team, l.RequestID, what, l.OutputTokens, float64(l.CostMicros)/ledger.MicrosPerUnit)
+		_, err := fmt.Fprintf(cmd.OutOrStdout(), "%d %s %s %s %s tokens %d cost %.6f\n", bill.Offset, bill.At.UTC().Format("2006-01-02T15:04:05Z"),
+			bill.Team, bill.RequestID, name, bill.OutputTokens, float64(bill.CostMicros)/ledger.MicrosPerUnit)
 		return err
 	}
 }
--- a/router/internal/cli/loadcmd/loadcmd.go
+++ b/router/internal/cli/loadcmd/loadcmd.go
@@ -14,9 +14,9 @@
 
 // Bounds of the flags: a load ends by itself and cannot take a machine down.
 const (
-	maxCallers = 4096
-	maxLength  = 10 * time.Minute
-	maxRate    = 100_000
+	maxCallers  = 4096
+	maxDuration = 10 * time.Minute
+	maxRate     = 100_000
 )
 
 // result is what the command prints.
@@ -44,14 +44,14 @@
 Exit status: 0 done, 1 no answer came, 2 a flag is out of range.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := check(plan, output); err != nil {
+			if err := validate(plan, output); err != nil {
 				return err
 			}
 			target, err := loadgen.NewTarget(base, key, ask)
 			if err != nil {
-				return cli.Exit(cli.StatusInvalid, err)
+				return cli.WithStatus(cli.StatusInvalid, err)
 			}
-			return show(cmd, loadgen.Run(cmd.Context(), target, plan), output)
+			return printResult(cmd, loadgen.Run(cmd.Context(), target, plan), output)
 		},
 	}
 	flags := cmd.Flags()
@@ -70,22 +70,22 @@
 	return cmd
 }
 
-func check(p loadgen.Plan, output string) error {
+func validate(p loadgen.Plan, output string) error {
 	if err := cli.CheckOutput(output, cli.OutputText, cli.OutputJSON); err != nil {
 		return err
 	}
 	switch {
 	case p.Callers < 1 || p.Callers > maxCallers:
-		return cli.Exitf(cli.StatusInvalid, "--callers %d: want 1 to %d", p.Callers, maxCallers)
-	case p.Length <= 0 || p.Length+p.Warmup > maxLength:
-		return cli.Exitf(cli.StatusInvalid, "--length %v: want more than 0 and, with --warmup, at most %v", p.Length, maxLength)
+		return cli.StatusErrorf(cli.StatusInvalid, "--callers %d: want 1 to %d", p.Callers, maxCallers)
+	case p.Length <= 0 || p.Length+p.Warmup > maxDuration:
+		return cli.StatusErrorf(cli.StatusInvalid, "--length %v: want more than 0 and, with --warmup, at most %v", p.Length, maxDuration)
 	case p.Rate < 0 || p.Rate > maxRate:
-		return cli.Exitf(cli.StatusInvalid, "--rate %v: want 0 to %d", p.Rate, maxRate)
+		return cli.StatusErrorf(cli.StatusInvalid, "--rate %v: want 0 to %d", p.Rate, maxRate)
 	}
 	return nil
 }
 
-func show(cmd *cobra.Command, p loadgen.Phase, output string) error {
+func printResult(cmd *cobra.Command, p loadgen.Phase, output string) error {
 	r := summarise(p)
 	if output == cli.OutputJSON {
 		if err := cli.WriteJSON(cmd.OutOrStdout(), r); err != nil {
@@ -96,7 +96,7 @@
 			r.Rate, r.Failed, r.Example, r.WholeP50, r.WholeP95, r.WholeP99, r.FirstP50, r.FirstP95, r.FirstP99)
 	}
 	if len(p.Samples) == 0 {
-		return cli.Exitf(cli.StatusFailed, "no answer came: %s", p.Example)
+		return cli.StatusErrorf(cli.StatusFailed, "no answer came: %s", p.Example)
 	}
 	return nil
 }
--- a/router/internal/cli/manifestcmd/get.go
+++ b/router/internal/cli/manifestcmd/get.go
@@ -13,7 +13,7 @@
 )
 
 // inForceAnswer is the body of GET /manifest.
-type inForceAnswer struct {
+type manifestResponse struct {
 	Digest   string            `json:"digest"`
 	Manifest manifest.Manifest `json:"manifest"`
 }
@@ -32,14 +32,14 @@
 publishes it.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			answer, err := firstAnswer(cmd, instances)
+			response, err := firstManifest(cmd, instances)
 			if err != nil {
 				return err
 			}
 			if next {
-				return cli.WriteJSON(cmd.OutOrStdout(), following(answer))
+				return cli.WriteJSON(cmd.OutOrStdout(), draftNext(response))
 			}
-			return cli.WriteJSON(cmd.OutOrStdout(), answer.Manifest)
+			return cli.WriteJSON(cmd.OutOrStdout(), response.Manifest)
 		},
 	}
 	cmd.Flags().StringSliceVar(&instances, "instances", nil, "admin addresses of the instances")
@@ -48,22 +48,22 @@
 	return cmd
 }
 
-func firstAnswer(cmd *cobra.Command, instances []string) (inForceAnswer, error) {
-	var last error
+func firstManifest(cmd *cobra.Command, instances []string) (manifestResponse, error) {
+	var lastErr error
 	for _, addr := range instances {
-		var answer inForceAnswer
-		if last = adminclient.New(addr, "").Get(cmd.Context(), "/manifest", &answer); last == nil {
-			return answer, nil
+		var response manifestResponse
+		if lastErr = adminclient.New(addr, "").Get(cmd.Context(), "/manifest", &response); lastErr == nil {
+			return response, nil
 		}
 	}
-	return inForceAnswer{}, cli.Exitf(cli.StatusFailed, "no instance gave its manifest: %w", last)
+	return manifestResponse{}, cli.StatusErrorf(cli.StatusFailed, "no instance gave its manifest: %w", lastErr)
 }
 
 // following turns the manifest in force into a draft of the next one.
-func following(a inForceAnswer) manifest.Manifest {
-	m := a.Manifest
+func draftNext(current manifestResponse) manifest.Manifest {
+	m := current.Manifest
 	m.Generation++
-	m.Parent = a.Digest
+	m.Parent = current.Digest
 	m.Publication = ""
 	return m
 }
@@ -79,7 +79,7 @@
 			line, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
 			key := strings.TrimRight(line, "\r\n")
 			if key == "" {
-				return cli.Exitf(cli.StatusInvalid, "no key on standard input")
+				return cli.StatusErrorf(cli.StatusInvalid, "no key on standard input")
 			}
 			_, err := fmt.Fprintln(cmd.OutOrStdout(), manifest.HashKey(key))
 			return err
--- a/router/internal/cli/manifestcmd/manifestcmd.go
+++ b/router/internal/cli/manifestcmd/manifestcmd.go
@@ -33,30 +33,30 @@
 			if err := cli.CheckOutput(output, cli.OutputText, cli.OutputJSON); err != nil {
 				return err
 			}
-			m, err := read(args[0])
+			m, err := readManifest(args[0])
 			if err != nil {
 				return err
 			}
 			return reportFaults(cmd, manifest.Validate(m), output)
 		},
 	}
-	outputFlag(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
-func outputFlag(cmd *cobra.Command, output *string) {
+func addOutputFlag(cmd *cobra.Command, output *string) {
 	cmd.Flags().StringVarP(output, "output", "o", cli.OutputText, "text or json")
 }
 
 // read loads a manifest file.
-func read(path string) (manifest.Manifest, error) {
+func readManifest(path string) (manifest.Manifest, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return manifest.Manifest{}, cli.Exit(cli.StatusFailed, err)
+		return manifest.Manifest{}, cli.WithStatus(cli.StatusFailed, err)
 	}
 	m, err := manifest.Parse(data)
 	if err != nil {
-		return manifest.Manifest{}, cli.Exitf(cli.StatusInvalid, "%s: %w", path, err)
+		return manifest.Manifest{}, cli.StatusErrorf(cli.StatusInvalid, "%s: %w", path, err)
 	}
 	return m, nil
 }
@@ -76,7 +76,7 @@
 		}
 	}
 	if len(faults) > 0 {
-		return cli.Exitf(cli.StatusInvalid, "%d faults", len(faults))
+		return cli.StatusErrorf(cli.StatusInvalid, "%d faults", len(faults))
 	}
 	return nil
 }
@@ -91,18 +91,18 @@
 			if err := cli.CheckOutput(output, cli.OutputText, cli.OutputJSON); err != nil {
 				return err
 			}
-			from, err := read(args[0])
+			from, err := readManifest(args[0])
 			if err != nil {
 				return err
 			}
-			to, err := read(args[1])
+			to, err := readManifest(args[1])
 			if err != nil {
 				return err
 			}
 			return printChanges(cmd, manifest.Diff(from, to), output)
 		},
 	}
-	outputFlag(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
--- a/router/internal/cli/manifestcmd/manifestcmd_test.go
+++ b/router/internal/cli/manifestcmd/manifestcmd_test.go
@@ -41,7 +41,7 @@
 
 func TestGetNextFollowsTheOneInForce(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(inForceAnswer{Digest: "d7", Manifest: manifest.Manifest{Generation: 7, Parent: "d6", Publication: "p"}})
+		_ = json.NewEncoder(w).Encode(manifestResponse{Digest: "d7", Manifest: manifest.Manifest{Generation: 7, Parent: "d6", Publication: "p"}})
 	}))
 	defer s.Close()
 	out, status := clitest.Execute(t, New(), clitest.Case{Args: []string{"get", "--next", "--instances", s.URL}})
--- a/router/internal/cli/manifestcmd/publish.go
+++ b/router/internal/cli/manifestcmd/publish.go
@@ -47,7 +47,7 @@
 			if err := cli.CheckOutput(f.output, cli.OutputText, cli.OutputJSON); err != nil {
 				return err
 			}
-			m, err := read(args[0])
+			m, err := readManifest(args[0])
 			if err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 	cmd.Flags().StringSliceVar(&f.instances, "instances", nil, "admin addresses of the instances")
 	cmd.Flags().BoolVar(&f.rebase, "rebase", false, "follow the manifest in force, whatever it is")
 	cmd.Flags().DurationVar(&f.wait, "wait", 0, "how long to wait for all instances; 0 does not wait")
-	outputFlag(cmd, &f.output)
+	addOutputFlag(cmd, &f.output)
 	_ = cmd.MarkFlagRequired("instances")
 	return cmd
 }
@@ -66,79 +66,79 @@
 const statusConflict = 4
 
 func (f publishFlags) publish(cmd *cobra.Command, m manifest.Manifest) error {
-	answer, err := f.send(cmd.Context(), m)
+	response, err := f.send(cmd.Context(), m)
 	if err != nil {
 		return err
 	}
 	if f.output == cli.OutputJSON {
-		if err := cli.WriteJSON(cmd.OutOrStdout(), answer); err != nil {
+		if err := cli.WriteJSON(cmd.OutOrStdout(), response); err != nil {
 			return err
 		}
 	} else {
-		fmt.Fprintf(cmd.OutOrStdout(), "%s: generation %d %s\n", answer.Outcome, answer.Generation, answer.Message)
+		fmt.Fprintf(cmd.OutOrStdout(), "%s: generation %d %s\n", response.Outcome, response.Generation, response.Message)
 	}
-	if err := answerError(answer); err != nil {
+	if err := outcomeError(response); err != nil {
 		return err
 	}
-	return f.follow(cmd, answer.Generation)
+	return f.waitInForce(cmd, response.Generation)
 }
 
 // send tries the instances in turn. Trying the next one after a lost answer is
 // harmless, since the publication id makes it the same proposal.
-func (f publishFlags) send(ctx context.Context, m manifest.Manifest) (admin.PublishAnswer, error) {
-	var last error
+func (f publishFlags) send(ctx context.Context, m manifest.Manifest) (admin.PublishResponse, error) {
+	var lastErr error
 	for _, addr := range f.instances {
-		answer, err := adminclient.New(addr, os.Getenv(keyVariable)).Publish(ctx, m, f.rebase)
+		response, err := adminclient.New(addr, os.Getenv(keyVariable)).Publish(ctx, m, f.rebase)
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return admin.PublishAnswer{}, cli.Exitf(cli.StatusFailed, "no instance took the manifest: %w", last)
+	return admin.PublishResponse{}, cli.StatusErrorf(cli.StatusFailed, "no instance took the manifest: %w", lastErr)
 }
 
-func answerError(a admin.PublishAnswer) error {
+func outcomeError(r admin.PublishResponse) error {
 	switch {
-	case a.Accepted():
+	case r.Accepted():
 		return nil
-	case a.Outcome == "conflict":
-		return cli.Exitf(statusConflict, "conflict: generation %d is in force; generate the manifest again over it", a.Generation)
-	case len(a.Faults) > 0:
-		return cli.Exitf(cli.StatusInvalid, "%w", a.Faults)
+	case r.Outcome == "conflict":
+		return cli.StatusErrorf(statusConflict, "conflict: generation %d is in force; generate the manifest again over it", r.Generation)
+	case len(r.Faults) > 0:
+		return cli.StatusErrorf(cli.StatusInvalid, "%w", r.Faults)
 	default:
-		return cli.Exitf(cli.StatusFailed, "%s: %s", a.Code, a.Message)
+		return cli.StatusErrorf(cli.StatusFailed, "%s: %s", r.Code, r.Message)
 	}
 }
 
 // follow waits until every instance has the generation in force.
-func (f publishFlags) follow(cmd *cobra.Command, generation uint64) error {
+func (f publishFlags) waitInForce(cmd *cobra.Command, generation uint64) error {
 	if f.wait == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(cmd.Context(), f.wait)
 	defer cancel()
-	missing := f.instances
+	pending := f.instances
 	for {
-		missing = behind(ctx, missing, generation)
-		if len(missing) == 0 {
+		pending = instancesBehind(ctx, pending, generation)
+		if len(pending) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return cli.Exitf(cli.StatusPartial, "generation %d is accepted, but not in force in time at: %v", generation, missing)
+			return cli.StatusErrorf(cli.StatusPartial, "generation %d is accepted, but not in force in time at: %v", generation, pending)
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
 // inForce is the part of /status that matters here.
-type inForce struct {
+type generationStatus struct {
 	Generation uint64 `json:"generation"`
 }
 
-func behind(ctx context.Context, instances []string, generation uint64) []string {
+func instancesBehind(ctx context.Context, instances []string, generation uint64) []string {
 	var out []string
-	for _, a := range cli.Gather[inForce](ctx, instances, "/status") {
+	for _, a := range cli.GetAll[generationStatus](ctx, instances, "/status") {
 		if a.Err != nil || a.Value.Generation < generation {
 			out = append(out, a.Address)
 		}
@@ -161,7 +161,7 @@
 		},
 	}
 	cmd.Flags().StringSliceVar(&instances, "instances", nil, "admin addresses of the instances")
-	outputFlag(cmd, &output)
+	addOutputFlag(cmd, &output)
 	_ = cmd.MarkFlagRequired("instances")
 	return cmd
 }
@@ -175,20 +175,20 @@
 
 func showStatus(cmd *cobra.Command, instances []string, output string) error {
 	rows := make([]generationRow, 0, len(instances))
-	silent := 0
-	for _, a := range cli.Gather[inForce](cmd.Context(), instances, "/status") {
+	unanswered := 0
+	for _, a := range cli.GetAll[generationStatus](cmd.Context(), instances, "/status") {
 		row := generationRow{Instance: a.Address, Generation: a.Value.Generation}
 		if a.Err != nil {
 			row.Error = a.Err.Error()
-			silent++
+			unanswered++
 		}
 		rows = append(rows, row)
 	}
 	if err := printRows(cmd, rows, output); err != nil {
 		return err
 	}
-	if silent > 0 {
-		return cli.Exitf(cli.StatusPartial, "%d of %d instances did not answer", silent, len(instances))
+	if unanswered > 0 {
+		return cli.StatusErrorf(cli.StatusPartial, "%d of %d instances did not answer", unanswered, len(instances))
 	}
 	return nil
 }
--- a/router/internal/cli/output.go
+++ b/router/internal/cli/output.go
@@ -19,7 +19,7 @@
 	if slices.Contains(allowed, format) {
 		return nil
 	}
-	return Exitf(StatusInvalid, "--output %q: want one of %s", format, strings.Join(allowed, ", "))
+	return StatusErrorf(StatusInvalid, "--output %q: want one of %s", format, strings.Join(allowed, ", "))
 }
 
 // WriteJSON writes v as indented JSON with a final line feed.
--- a/router/internal/cli/reportcmd/reportcmd.go
+++ b/router/internal/cli/reportcmd/reportcmd.go
@@ -49,14 +49,14 @@
 
 func burn(cmd *cobra.Command, addresses []string, output string, now func() time.Time) error {
 	var sources []report.Source
-	for _, a := range cli.Gather[report.Snapshot](cmd.Context(), addresses, "/burn") {
+	for _, a := range cli.GetAll[report.Snapshot](cmd.Context(), addresses, "/burn") {
 		sources = append(sources, report.Source{Address: a.Address, Snapshot: a.Value, Err: a.Err})
 	}
 	r := report.Build(now(), sources)
 	if err := write(cmd, r, output); err != nil {
 		return err
 	}
-	return cli.Silent(r.Silent(), len(addresses))
+	return cli.UnansweredError(r.UnansweredCount(), len(addresses))
 }
 
 func write(cmd *cobra.Command, r report.Report, output string) error {
--- a/router/internal/cli/reportcmd/reportcmd_test.go
+++ b/router/internal/cli/reportcmd/reportcmd_test.go
@@ -40,14 +40,14 @@
 }
 
 // dead is an address where nobody answers.
-func dead() string {
+func unreachableURL() string {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
 	return srv.URL
 }
 
 func TestBurn(t *testing.T) {
-	a, b, gone := instance(t, "entry-1"), instance(t, "entry-2"), dead()
+	a, b, gone := instance(t, "entry-1"), instance(t, "entry-2"), unreachableURL()
 	clitest.Run(t, func() *cobra.Command { return newBurn(func() time.Time { return at }) }, []clitest.Case{
 		{Name: "text", Args: []string{"--instances", a + "," + b}, Status: cli.StatusOK, Want: []string{"2 of 2 instances", "entry-1", "ecoles", "100.0%"}},
 		{Name: "one silent", Args: []string{"--instances", a + "," + gone}, Status: cli.StatusPartial, Want: []string{"1 of 2 instances", "NO ANSWER  " + gone, "entry-1"}},
--- a/router/internal/cli/settingscmd/settingscmd.go
+++ b/router/internal/cli/settingscmd/settingscmd.go
@@ -53,7 +53,7 @@
 		case errors.As(err, &faults):
 			all = append(all, faults...)
 		case err != nil:
-			return cli.Exitf(cli.StatusFailed, "%s: %w", file, err)
+			return cli.StatusErrorf(cli.StatusFailed, "%s: %w", file, err)
 		}
 	}
 	if output == cli.OutputJSON {
@@ -62,7 +62,7 @@
 		}
 	}
 	if len(all) > 0 {
-		return cli.Exit(cli.StatusInvalid, all)
+		return cli.WithStatus(cli.StatusInvalid, all)
 	}
 	if output == cli.OutputText {
 		fmt.Fprintf(cmd.OutOrStdout(), "%d of %d valid\n", len(files), len(files))
@@ -79,7 +79,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			data, err := settings.Example(args[0])
 			if err != nil {
-				return cli.Exit(cli.StatusInvalid, err)
+				return cli.WithStatus(cli.StatusInvalid, err)
 			}
 			_, err = cmd.OutOrStdout().Write(data)
 			return err
--- a/router/internal/cli/settingscmd/settingscmd_test.go
+++ b/router/internal/cli/settingscmd/settingscmd_test.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			out += err.Error()
 		}
-		if got := cli.Status(err); got != c.status || !strings.Contains(out, c.want) {
+		if got := cli.ExitStatus(err); got != c.status || !strings.Contains(out, c.want) {
 			t.Errorf("%s: status %d, output %q; want %d and %q", c.name, got, out, c.status, c.want)
 		}
 	}
--- a/router/internal/cli/soakcmd/soakcmd.go
+++ b/router/internal/cli/soakcmd/soakcmd.go
@@ -16,7 +16,7 @@
 
 // New returns the command.
 func New() *cobra.Command {
-	var o soak.Options
+	var opts soak.Options
 	var minutes float64
 	cmd := &cobra.Command{
 		Use:   "soak --seed N --minutes M --processes P",
@@ -29,14 +29,14 @@
 of range.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			o.Length = time.Duration(minutes * float64(time.Minute))
-			if err := o.Check(); err != nil {
-				return cli.Exit(cli.StatusInvalid, err)
+			opts.Length = time.Duration(minutes * float64(time.Minute))
+			if err := opts.Check(); err != nil {
+				return cli.WithStatus(cli.StatusInvalid, err)
 			}
-			if o.Program == "" {
-				o.Program = beside()
+			if opts.Program == "" {
+				opts.Program = siblingProgram()
 			}
-			report, err := soak.Run(cmd.Context(), o)
+			report, err := soak.Run(cmd.Context(), opts)
 			if err != nil {
 				return err
 			}
@@ -44,22 +44,22 @@
 				return err
 			}
 			if n := len(report.Violations); n > 0 {
-				return cli.Exitf(cli.StatusFailed, "seed %d: %d promises broken; logs in %s", o.Seed, n, report.Logs)
+				return cli.StatusErrorf(cli.StatusFailed, "seed %d: %d promises broken; logs in %s", opts.Seed, n, report.Logs)
 			}
 			return nil
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&o.Seed, "seed", 1, "what is drawn: faults, their times, and what callers send")
+	flags.Uint64Var(&opts.Seed, "seed", 1, "what is drawn: faults, their times, and what callers send")
 	flags.Float64Var(&minutes, "minutes", 1, "minutes with faults; a calm of 12 s follows")
-	flags.IntVar(&o.Processes, "processes", 9, fmt.Sprintf("instances, %d at most", soak.MostProcesses))
-	flags.StringVar(&o.Program, "program", "", "path of masticplankd; empty for the one beside this program")
-	flags.StringVar(&o.Dir, "dir", "", "directory for settings and logs; empty for a temporary one, kept after a breach")
+	flags.IntVar(&opts.Processes, "processes", 9, fmt.Sprintf("instances, %d at most", soak.MostProcesses))
+	flags.StringVar(&opts.Program, "program", "", "path of masticplankd; empty for the one beside this program")
+	flags.StringVar(&opts.Dir, "dir", "", "directory for settings and logs; empty for a temporary one, kept after a breach")
 	return cmd
 }
 
 // beside is the path of masticplankd in this program's directory.
-func beside() string {
+func siblingProgram() string {
 	self, err := os.Executable()
 	if err != nil {
 		return "masticplankd" // found by the path
--- a/router/internal/cli/standincmd/standincmd.go
+++ b/router/internal/cli/standincmd/standincmd.go
@@ -65,7 +65,7 @@
 			return run(cmd, listen, logsvc.New(cfg))
 		},
 	}
-	listenFlag(cmd, &listen)
+	addListenFlag(cmd, &listen)
 	cmd.Flags().DurationVar(&cfg.Retention, "retention", time.Hour, "how long an entry is kept; 0 is for ever")
 	cmd.Flags().IntVar(&cfg.MaxEntries, "max-entries", 0, "how many entries are kept; 0 is all")
 	cmd.Flags().IntVar(&cfg.AppendRate, "append-rate", 500, "most appends a second; 0 is no limit")
@@ -87,7 +87,7 @@
 			return run(cmd, listen, listsvc.New(listsvc.Config{}))
 		},
 	}
-	listenFlag(cmd, &listen)
+	addListenFlag(cmd, &listen)
 	return cmd
 }
 
@@ -122,7 +122,7 @@
 			return run(cmd, listen, engine.New(cfg))
 		},
 	}
-	listenFlag(cmd, &listen)
+	addListenFlag(cmd, &listen)
 	flags := cmd.Flags()
 	flags.StringArrayVar(&versions, "version", nil, "a version and its settings; may be repeated (default small@1 and large@1)")
 	flags.IntVar(&cfg.Slots, "slots", engine.DefaultSlots, "requests that run at once")
@@ -151,7 +151,7 @@
 			return run(cmd, listen, service.New(cfg))
 		},
 	}
-	listenFlag(cmd, &listen)
+	addListenFlag(cmd, &listen)
 	cmd.Flags().StringVar(&cfg.Name, "name", "shop", "the service's name in its answers")
 	cmd.Flags().IntVar(&cfg.Slots, "slots", service.DefaultSlots, "calls that run at once")
 	cmd.Flags().DurationVar(&cfg.Work, "work", 2*time.Millisecond, "how long a call takes")
@@ -173,12 +173,12 @@
 			return run(cmd, listen, rating.New(cfg))
 		},
 	}
-	listenFlag(cmd, &listen)
+	addListenFlag(cmd, &listen)
 	cmd.Flags().Float64Var(&cfg.Noise, "noise", 0.1, "widest deviation of a score, to either side")
 	return cmd
 }
 
-func listenFlag(cmd *cobra.Command, listen *string) {
+func addListenFlag(cmd *cobra.Command, listen *string) {
 	cmd.Flags().StringVar(listen, "listen", "127.0.0.1:0", "address to listen on, IP:port; port 0 picks one")
 }
 
@@ -205,9 +205,9 @@
 		return trace.Wrap(err)
 	case <-ctx.Done():
 	}
-	bound, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	if err := server.Shutdown(bound); err != nil {
+	if err := server.Shutdown(shutdownCtx); err != nil {
 		return trace.Wrap(err, "requests still in progress after %s", stopTimeout)
 	}
 	if err := <-served; !errors.Is(err, http.ErrServerClosed) {
--- a/router/internal/cli/statuscmd/statuscmd.go
+++ b/router/internal/cli/statuscmd/statuscmd.go
@@ -32,13 +32,13 @@
 }
 
 func show(cmd *cobra.Command, addresses []string, output string) error {
-	lines := make([]report.StatusLine, 0, len(addresses))
-	silent := 0
-	for _, a := range cli.Gather[report.StatusReport](cmd.Context(), addresses, "/status") {
-		line := report.StatusLine{Address: a.Address}
+	lines := make([]report.InstanceStatus, 0, len(addresses))
+	unanswered := 0
+	for _, a := range cli.GetAll[report.StatusReport](cmd.Context(), addresses, "/status") {
+		line := report.InstanceStatus{Address: a.Address}
 		if a.Err != nil {
 			line.Error = a.Err.Error()
-			silent++
+			unanswered++
 		} else {
 			line.Status = &a.Value
 		}
@@ -47,10 +47,10 @@
 	if err := write(cmd, lines, output); err != nil {
 		return err
 	}
-	return cli.Silent(silent, len(addresses))
+	return cli.UnansweredError(unanswered, len(addresses))
 }
 
-func write(cmd *cobra.Command, lines []report.StatusLine, output string) error {
+func write(cmd *cobra.Command, lines []report.InstanceStatus, output string) error {
 	if output == cli.OutputJSON {
 		return cli.WriteJSON(cmd.OutOrStdout(), lines)
 	}
--- a/router/internal/daemon/daemon.go
+++ b/router/internal/daemon/daemon.go
@@ -45,30 +45,30 @@
 // New returns the application of one instance; its Instance is filled in while
 // it starts.
 func New(cfg settings.Settings, log io.Writer) (*fx.App, *Instance) {
-	self := &Instance{}
-	app := fx.New(options(cfg, self, log))
-	return app, self
+	addrs := &Instance{}
+	app := fx.New(options(cfg, addrs, log))
+	return app, addrs
 }
 
 // options is the whole graph. The invokes stand in the order of starting; the
 // stop runs through them in reverse, so the drain comes first.
-func options(cfg settings.Settings, self *Instance, log io.Writer) fx.Option {
+func options(cfg settings.Settings, addrs *Instance, log io.Writer) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
 		fx.StopTimeout(stopTimeout(cfg)),
-		fx.Supply(cfg, self),
+		fx.Supply(cfg, addrs),
 		fx.Provide(
 			func() *logging.Logger { return newLogger(log, cfg) },
 			func() gometrics.Registry { return gometrics.NewRegistry() },
-			newLogClient, newList, newRater, newUpstream,
+			newLogClient, newInstanceLister, newRater, newUpstream,
 			newHolder, newGate, newNode, newStore,
-			newFleet, newDriver, newDirectory,
-			newBills, newPeers, newBiller, newTokens, newNames, newReport, newRecorder,
-			newPublisher, newOrders, newDrain, newAPI, newStatus, newAdmin,
+			newFleetLink, newDriver, newDirectory,
+			newBillLog, newPeers, newBiller, newSessionTokens, newNamedSessions, newBurnRecorder, newRequestRecorder,
+			newPublisher, newOrderSender, newDrain, newAPI, newStatus, newAdmin,
 		),
 		fx.Invoke(
 			startDriver, startFreshness, startNode, startDirectory,
-			startPeers, startOrders, startAdmin, startAPI, startDrain,
+			startPeers, startOrderSender, startAdmin, startAPI, startDrain,
 		),
 	)
 }
@@ -83,7 +83,7 @@
 
 // background runs f from the start to the stop of the app. The context given
 // to a start hook ends with the start, so f gets one of its own.
-func background(lc fx.Lifecycle, f func(ctx context.Context)) {
+func runInBackground(lc fx.Lifecycle, f func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	lc.Append(fx.Hook{
--- a/router/internal/daemon/decide.go
+++ b/router/internal/daemon/decide.go
@@ -31,7 +31,7 @@
 
 // newDriver seeds each instance's decision apart from the others', so that all
 // instances do not send the same picks to the same backend servers.
-func newDriver(cfg settings.Settings, f *fleet) *driver.Driver {
+func newDriver(cfg settings.Settings, f *fleetLink) *driver.Driver {
 	c := decision.DefaultConfig()
 	c.Seed = randomSeed()
 	c.Domain = decision.DomainID(cfg.Domain)
@@ -51,11 +51,11 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-func startDriver(lc fx.Lifecycle, d *driver.Driver) { background(lc, d.Run) }
+func startDriver(lc fx.Lifecycle, d *driver.Driver) { runInBackground(lc, d.Run) }
 
 // fleet carries the decision's words to the other instances, and theirs to the
 // decision; it remembers both for operators.
-type fleet struct {
+type fleetLink struct {
 	log    *logging.Logger
 	report *report.Recorder
 
@@ -63,83 +63,83 @@
 	store node.Store
 	peers *peer.Node
 	// shutOff are the versions judged bad here or at a peer.
-	shutOff map[string]bool
-	ejected map[string]bool
+	badVersions    map[string]bool
+	ejectedServers map[string]bool
 }
 
-func newFleet(log *logging.Logger, r *report.Recorder) *fleet {
-	return &fleet{log: log, report: r, shutOff: map[string]bool{}, ejected: map[string]bool{}}
+func newFleetLink(log *logging.Logger, r *report.Recorder) *fleetLink {
+	return &fleetLink{log: log, report: r, badVersions: map[string]bool{}, ejectedServers: map[string]bool{}}
 }
 
 // attach gives the fleet what it sends through; the decision is made before
 // the peers, which need the decision themselves.
-func (f *fleet) attach(store node.Store, peers *peer.Node) {
+func (f *fleetLink) setLinks(store node.Store, peers *peer.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.store, f.peers = store, peers
 }
 
-func (f *fleet) links() (node.Store, *peer.Node) {
+func (f *fleetLink) links() (node.Store, *peer.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.store, f.peers
 }
 
 // fromPeers hands what peers pass on to the decision.
-type fromPeers struct {
-	fleet  *fleet
+type peerEvents struct {
+	fleet  *fleetLink
 	driver *driver.Driver
 }
 
 // Send implements peer.Events.
-func (p fromPeers) Send(ev decision.Event) {
+func (p peerEvents) Send(ev decision.Event) {
 	if v, ok := ev.(decision.VersionVerdict); ok {
-		p.fleet.note(v)
+		p.fleet.recordVerdict(v)
 	}
 	p.driver.Send(ev)
 }
 
 // ShareVerdict implements driver.FleetSink.
-func (f *fleet) ShareVerdict(v decision.VersionVerdict) {
-	f.note(v)
+func (f *fleetLink) ShareVerdict(v decision.VersionVerdict) {
+	f.recordVerdict(v)
 	if _, peers := f.links(); peers != nil {
 		peers.ShareVerdict(v)
 	}
 }
 
-func (f *fleet) note(v decision.VersionVerdict) {
+func (f *fleetLink) recordVerdict(v decision.VersionVerdict) {
 	f.log.Emit(context.Background(), logging.EventVersionVerdict,
 		slog.String("version", string(v.Version)), slog.Bool("bad", v.Bad))
 	f.report.SetVerdict(string(v.Version), v.Bad)
-	f.set(f.shutOff, string(v.Version), v.Bad)
+	f.setMember(f.badVersions, string(v.Version), v.Bad)
 }
 
 // NoteEjection implements driver.FleetSink.
-func (f *fleet) NoteEjection(c decision.ReportEjection) {
+func (f *fleetLink) NoteEjection(c decision.ReportEjection) {
 	f.log.Emit(context.Background(), logging.EventServerEjected,
 		slog.String("server", string(c.Server)), slog.Bool("ejected", c.Ejected))
-	f.set(f.ejected, string(c.Server), c.Ejected)
+	f.setMember(f.ejectedServers, string(c.Server), c.Ejected)
 }
 
-func (f *fleet) set(in map[string]bool, name string, is bool) {
+func (f *fleetLink) setMember(set map[string]bool, name string, member bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if is {
-		in[name] = true
+	if member {
+		set[name] = true
 	} else {
-		delete(in, name)
+		delete(set, name)
 	}
 }
 
 // status lists the versions shut off and the backend servers ejected.
-func (f *fleet) status() (shutOff, ejected []string) {
+func (f *fleetLink) badAndEjected() (badVersions, ejectedServers []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Sorted(maps.Keys(f.shutOff)), slices.Sorted(maps.Keys(f.ejected))
+	return slices.Sorted(maps.Keys(f.badVersions)), slices.Sorted(maps.Keys(f.ejectedServers))
 }
 
 // ShareLeaving implements driver.FleetSink.
-func (f *fleet) ShareLeaving(id decision.ServerID) {
+func (f *fleetLink) ShareLeaving(id decision.ServerID) {
 	if _, peers := f.links(); peers != nil {
 		peers.ShareLeaving(id)
 	}
@@ -148,7 +148,7 @@
 // Quarantine implements driver.FleetSink: the register makes the fingerprint
 // known everywhere, also to instances that start later; the peers' word makes it
 // known while the log is down.
-func (f *fleet) Quarantine(q decision.Quarantine) {
+func (f *fleetLink) Quarantine(q decision.Quarantine) {
 	f.log.Emit(context.Background(), logging.EventQuarantine,
 		slog.String("fingerprint", fmt.Sprintf("%016x", uint64(q.Fingerprint))),
 		slog.Time("until", q.Until))
@@ -174,9 +174,9 @@
 }
 
 // quarantined reads a quarantine from the log; false for a key of another form.
-func quarantined(c fold.Change) (decision.RequestQuarantined, bool) {
-	_, text, _ := strings.Cut(string(c.Register.Key), "/")
-	n, err := strconv.ParseUint(text, 16, 64)
+func parseQuarantine(c fold.Change) (decision.RequestQuarantined, bool) {
+	_, digits, _ := strings.Cut(string(c.Register.Key), "/")
+	n, err := strconv.ParseUint(digits, 16, 64)
 	ok := err == nil && c.Verdict == fold.VerdictWon
 	return decision.RequestQuarantined{Fingerprint: decision.Fingerprint(n), Until: c.Register.Expires}, ok
 }
--- a/router/internal/daemon/orders.go
+++ b/router/internal/daemon/orders.go
@@ -17,7 +17,7 @@
 
 // newOrders makes the sender of orders for the own failure domain. Every
 // instance has one; the lease says whose sends.
-func newOrders(lc fx.Lifecycle, cfg settings.Settings, n *node.Node, dir *directory.Directory, h *manifest.Holder, log *logging.Logger) (*orders.Sender, error) {
+func newOrderSender(lc fx.Lifecycle, cfg settings.Settings, n *node.Node, dir *directory.Directory, h *manifest.Holder, log *logging.Logger) (*orders.Sender, error) {
 	l, err := lease.New(n, lease.Config{Name: "orders-" + cfg.Domain, Holder: cfg.Instance}, time.Now)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -26,4 +26,4 @@
 	return orders.NewSender(cfg.Domain, l, dir, h, log), nil
 }
 
-func startOrders(lc fx.Lifecycle, s *orders.Sender) { background(lc, s.Run) }
+func startOrderSender(lc fx.Lifecycle, s *orders.Sender) { runInBackground(lc, s.Run) }
--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -32,7 +32,7 @@
 	Directory *directory.Directory
 	Gate      *gate.Gate
 	Driver    *driver.Driver
-	Fleet     *fleet
+	Fleet     *fleetLink
 	Registry  gometrics.Registry
 	Log       *logging.Logger
 }
@@ -52,20 +52,20 @@
 		Bills:     p.Bills,
 		Instances: p.Directory.Instances,
 		Vouches:   p.Gate,
-		Events:    fromPeers{p.Fleet, p.Driver},
+		Events:    peerEvents{p.Fleet, p.Driver},
 		Log:       p.Log,
 		Registry:  p.Registry,
 	})
 	p.Gate.SetFull(func() bool { return n.Full(p.Driver.Open()) })
-	p.Fleet.attach(p.Store, n)
+	p.Fleet.setLinks(p.Store, n)
 	return n, nil
 }
 
 // startPeers serves the other instances and follows what they pass on by the
 // log.
-func startPeers(lc fx.Lifecycle, p peerParams, n *peer.Node, self *Instance) {
+func startPeers(lc fx.Lifecycle, p peerParams, n *peer.Node, addrs *Instance) {
 	p.Store.Watch(record.ClassQuarantine, func(c fold.Change) {
-		if ev, ok := quarantined(c); ok {
+		if ev, ok := parseQuarantine(c); ok {
 			p.Driver.Send(ev)
 		}
 	})
@@ -76,11 +76,11 @@
 		if err != nil {
 			return trace.Wrap(err, "peer listener")
 		}
-		self.Peer = ln.Addr().String()
-		p.Log.Emit(ctx, logging.EventListening, slog.String("listener", "peer"), slog.String("addr", self.Peer))
+		addrs.Peer = ln.Addr().String()
+		p.Log.Emit(ctx, logging.EventListening, slog.String("listener", "peer"), slog.String("addr", addrs.Peer))
 		return nil
 	}))
-	background(lc, func(ctx context.Context) {
+	runInBackground(lc, func(ctx context.Context) {
 		if err := n.Run(ctx, ln); err != nil {
 			p.Log.Emit(ctx, logging.EventPeerRejected, logging.Err(err))
 		}
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -28,7 +28,7 @@
 
 // freshnessInterval is how often the mode is looked at between reads, so that
 // the decision hears of a lapse soon after it happened.
-const freshnessInterval = 100 * time.Millisecond
+const freshnessCheckInterval = 100 * time.Millisecond
 
 // pollsPerBound is how many long polls fit into the freshness bound: a poll
 // confirms the state as of its start, and one or two may fail without harm.
@@ -42,7 +42,7 @@
 	return platform.NewLogClient(cfg.Platform.LogURL)
 }
 
-func newList(cfg settings.Settings) platform.List {
+func newInstanceLister(cfg settings.Settings) platform.List {
 	return platform.NewListClient(cfg.Platform.ListURL)
 }
 
@@ -85,7 +85,7 @@
 
 // newBills is where bills go: a log of their own where the settings name one,
 // which keeps them out of what every instance reads.
-func newBills(lc fx.Lifecycle, cfg settings.Settings, store node.Store, dir *directory.Directory) ledger.BillLog {
+func newBillLog(lc fx.Lifecycle, cfg settings.Settings, store node.Store, dir *directory.Directory) ledger.BillLog {
 	if cfg.Platform.BillLogURL == "" {
 		return ledger.StoreLog{Store: store}
 	}
@@ -93,7 +93,7 @@
 		Name:   cfg.Instance,
 		Linger: func() time.Duration { return billLinger(cfg, len(dir.Instances())) },
 	})
-	background(lc, w.Run)
+	runInBackground(lc, w.Run)
 	return w
 }
 
@@ -128,7 +128,7 @@
 	return directory.New(cfg.Instance, list, d, ms(cfg.Platform.ListIntervalMS), ms(cfg.Platform.LoadIntervalMS))
 }
 
-func startDirectory(lc fx.Lifecycle, dir *directory.Directory) { background(lc, dir.Run) }
+func startDirectory(lc fx.Lifecycle, dir *directory.Directory) { runInBackground(lc, dir.Run) }
 
 // startFreshness tells the decision of each change of mode, and looks for the
 // lapse that comes by time alone.
@@ -139,11 +139,11 @@
 		log.Emit(context.Background(), logging.EventFreshnessChanged,
 			slog.Bool("fresh", ev.Fresh), slog.Bool("outage", ev.Outage))
 	})
-	background(lc, func(ctx context.Context) {
-		ticker := time.NewTicker(freshnessInterval)
+	runInBackground(lc, func(ctx context.Context) {
+		ticker := time.NewTicker(freshnessCheckInterval)
 		defer ticker.Stop()
 		for {
-			g.Live(names(dir))
+			g.Live(instanceIDs(dir))
 			select {
 			case <-ctx.Done():
 				return
@@ -153,7 +153,7 @@
 	})
 }
 
-func names(dir *directory.Directory) []string {
+func instanceIDs(dir *directory.Directory) []string {
 	var out []string
 	for _, i := range dir.Instances() {
 		out = append(out, i.ID)
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -20,20 +20,20 @@
 	"masticplank.example/router/internal/settings"
 )
 
-func newReport() *report.Recorder { return report.NewRecorder(time.Now) }
+func newBurnRecorder() *report.Recorder { return report.NewRecorder(time.Now) }
 
 // recorder hands each ended request to the metrics and the burn report.
-type recorder struct {
+type requestRecorder struct {
 	registry gometrics.Registry
 	report   *report.Recorder
 }
 
-func newRecorder(r gometrics.Registry, rep *report.Recorder) api.Recorder {
-	return &recorder{registry: r, report: rep}
+func newRequestRecorder(r gometrics.Registry, rep *report.Recorder) api.Recorder {
+	return &requestRecorder{registry: r, report: rep}
 }
 
 // Observe implements api.Recorder.
-func (r *recorder) Observe(o api.Observation) {
+func (r *requestRecorder) Observe(o api.Observation) {
 	gometrics.GetOrRegisterCounter("requests."+o.Outcome, r.registry).Inc(1)
 	gometrics.GetOrRegisterTimer("request.whole", r.registry).Update(o.Whole)
 	if o.FirstToken > 0 {
@@ -51,7 +51,7 @@
 }
 
 // status answers /status and /burn.
-type status struct{ parts statusParams }
+type status struct{ params statusParams }
 
 type statusParams struct {
 	fx.In
@@ -62,11 +62,11 @@
 	Holder   *manifest.Holder
 	Driver   *driver.Driver
 	Peers    *peer.Node
-	Fleet    *fleet
+	Fleet    *fleetLink
 	Report   *report.Recorder
 }
 
-func newStatus(p statusParams) *status { return &status{parts: p} }
+func newStatus(p statusParams) *status { return &status{params: p} }
 
 var modeNames = map[freshness.Mode]string{
 	freshness.ModeStale:  "stale",
@@ -76,30 +76,30 @@
 
 // report is the body of /status.
 func (s *status) report() report.StatusReport {
-	log := s.parts.Node.Status()
-	shutOff, ejected := s.parts.Fleet.status()
+	log := s.params.Node.Status()
+	badVersions, ejectedServers := s.params.Fleet.badAndEjected()
 	return report.StatusReport{
-		Instance:     s.parts.Settings.Instance,
-		Domain:       s.parts.Settings.Domain,
-		Generation:   s.parts.Holder.Generation(),
-		Mode:         modeNames[s.parts.Gate.Mode()],
-		Open:         s.parts.Driver.Open(),
-		Offset:       log.Next,
-		Head:         log.Head,
-		Lag:          max(log.Head, log.Next) - log.Next,
-		LogReachable: log.LogReachable,
-		HeldBills:    s.parts.Peers.Held(),
-		ShutOff:      shutOff,
-		Ejected:      ejected,
+		Instance:       s.params.Settings.Instance,
+		Domain:         s.params.Settings.Domain,
+		Generation:     s.params.Holder.Generation(),
+		Mode:           modeNames[s.params.Gate.Mode()],
+		OpenRequests:   s.params.Driver.Open(),
+		Offset:         log.Next,
+		Head:           log.Head,
+		Lag:            max(log.Head, log.Next) - log.Next,
+		LogReachable:   log.LogReachable,
+		HeldBills:      s.params.Peers.Held(),
+		BadVersions:    badVersions,
+		EjectedServers: ejectedServers,
 	}
 }
 
 // burn is the body of /burn. A snapshot that cannot be encoded is a broken
 // invariant of the histograms; the report then names this instance as empty.
 func (s *status) burn() report.Snapshot {
-	snapshot, err := s.parts.Report.Snapshot(s.parts.Settings.Instance)
+	snapshot, err := s.params.Report.Snapshot(s.params.Settings.Instance)
 	if err != nil {
-		return report.Snapshot{Instance: s.parts.Settings.Instance}
+		return report.Snapshot{Instance: s.params.Settings.Instance}
 	}
 	return snapshot
 }
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -35,14 +35,14 @@
 	// would outlive any drain.
 	maxDeadline = 10 * time.Minute
 	// drainPoll is how often a drain looks whether all requests have ended.
-	drainPoll = 10 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond
 )
 
-func newTokens(cfg settings.Settings) (*session.Tokens, error) {
+func newSessionTokens(cfg settings.Settings) (*session.Tokens, error) {
 	return session.NewTokens(cfg.Session, time.Now)
 }
 
-func newNames(cfg settings.Settings, store node.Store) *session.Names {
+func newNamedSessions(cfg settings.Settings, store node.Store) *session.Names {
 	return session.NewNames(store, time.Duration(cfg.Session.TTLSeconds)*time.Second)
 }
 
@@ -106,31 +106,31 @@
 	})
 }
 
-func startAdmin(lc fx.Lifecycle, cfg settings.Settings, h http.Handler, self *Instance, log *logging.Logger) {
+func startAdmin(lc fx.Lifecycle, cfg settings.Settings, h http.Handler, addrs *Instance, log *logging.Logger) {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: ms(cfg.Limits.ReadTimeoutMS), IdleTimeout: ms(cfg.Limits.IdleTimeoutMS)}
-	listen(lc, srv, cfg.Listen.Admin, "admin", &self.Admin, log)
+	addListener(lc, srv, cfg.Listen.Admin, "admin", &addrs.Admin, log)
 }
 
-func startAPI(lc fx.Lifecycle, cfg settings.Settings, a *api.Server, d *drain, self *Instance, log *logging.Logger) {
+func startAPI(lc fx.Lifecycle, cfg settings.Settings, a *api.Server, d *drain, addrs *Instance, log *logging.Logger) {
 	d.server = &http.Server{
 		Handler:           a,
 		ReadHeaderTimeout: ms(cfg.Limits.ReadTimeoutMS),
 		IdleTimeout:       ms(cfg.Limits.IdleTimeoutMS),
 		MaxHeaderBytes:    cfg.Limits.MaxHeaderBytes,
 	}
-	listen(lc, d.server, cfg.Listen.API, "api", &self.API, log)
+	addListener(lc, d.server, cfg.Listen.API, "api", &addrs.API, log)
 }
 
 // listen opens a listener at the start and serves until the stop.
-func listen(lc fx.Lifecycle, srv *http.Server, addr, name string, actual *string, log *logging.Logger) {
+func addListener(lc fx.Lifecycle, srv *http.Server, addr, name string, boundAddr *string, log *logging.Logger) {
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
 			l, err := net.Listen("tcp", addr)
 			if err != nil {
 				return trace.Wrap(err, "%s listener", name)
 			}
-			*actual = l.Addr().String()
-			log.Emit(ctx, logging.EventListening, slog.String("listener", name), slog.String("addr", *actual))
+			*boundAddr = l.Addr().String()
+			log.Emit(ctx, logging.EventListening, slog.String("listener", name), slog.String("addr", *boundAddr))
 			go serve(srv, l, name, log)
 			return nil
 		},
@@ -147,29 +147,29 @@
 // drain is the planned stop: readiness fails first, the balancer gets a grace
 // to move on, then the requests in progress finish, streams too.
 type drain struct {
-	cfg    settings.Settings
-	gate   *gate.Gate
-	holder *manifest.Holder
-	list   *directory.Directory
-	driver *driver.Driver
-	peers  *peer.Node
-	log    *logging.Logger
-	server *http.Server
-	leaves atomic.Bool
+	cfg       settings.Settings
+	gate      *gate.Gate
+	holder    *manifest.Holder
+	directory *directory.Directory
+	driver    *driver.Driver
+	peers     *peer.Node
+	log       *logging.Logger
+	server    *http.Server
+	draining  atomic.Bool
 }
 
 func newDrain(cfg settings.Settings, g *gate.Gate, h *manifest.Holder, dir *directory.Directory, d *driver.Driver, p *peer.Node, log *logging.Logger) *drain {
-	return &drain{cfg: cfg, gate: g, holder: h, list: dir, driver: d, peers: p, log: log}
+	return &drain{cfg: cfg, gate: g, holder: h, directory: dir, driver: d, peers: p, log: log}
 }
 
 // NotReady implements admin.Readiness.
-func (d *drain) NotReady() string {
+func (d *drain) NotReadyReason() string {
 	switch {
-	case d.leaves.Load():
+	case d.draining.Load():
 		return "draining"
 	case d.holder.Current() == nil:
 		return "no manifest yet"
-	case !d.list.Known():
+	case !d.directory.Known():
 		return "no list of backend servers yet"
 	default:
 		return string(d.gate.MayRun(true))
@@ -180,21 +180,21 @@
 // before anything that it needs has stopped.
 func startDrain(lc fx.Lifecycle, d *drain, a *api.Server) {
 	lc.Append(fx.StopHook(func(ctx context.Context) {
-		d.leaves.Store(true)
+		d.draining.Store(true)
 		d.log.Emit(ctx, logging.EventDrainBegin, slog.Int("open", d.driver.Open()))
 		d.server.SetKeepAlivesEnabled(false)
-		wait(ctx, ms(d.cfg.Shutdown.GraceMS))
-		d.finish(ctx, a)
+		sleep(ctx, ms(d.cfg.Shutdown.GraceMS))
+		d.finishRequests(ctx, a)
 	}))
 }
 
 // finish lets the requests in progress end, within the drain time.
-func (d *drain) finish(ctx context.Context, a *api.Server) {
+func (d *drain) finishRequests(ctx context.Context, a *api.Server) {
 	ctx, cancel := context.WithTimeout(ctx, ms(d.cfg.Shutdown.DrainMS))
 	defer cancel()
 	err := d.server.Shutdown(ctx)
 	for err == nil && d.driver.Open() > 0 && ctx.Err() == nil {
-		wait(ctx, drainPoll)
+		sleep(ctx, drainPollInterval)
 	}
 	a.Wait(ctx)
 	open, held := d.driver.Open(), d.peers.Drain(ctx)
@@ -205,8 +205,8 @@
 	d.log.Emit(ctx, logging.EventDrainEnd)
 }
 
-func wait(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/router/internal/logging/async.go
+++ b/router/internal/logging/async.go
@@ -10,10 +10,10 @@
 const (
 	// asyncRoom is how many bytes of lines may wait to be written: two seconds of the
 	// busiest instance.
-	asyncRoom = 1 << 20
+	asyncBufferBytes = 1 << 20
 	// asyncEvery is the time between two writes: one system call takes what came in
 	// between, where one for each line cost more than the lines.
-	asyncEvery = 250 * time.Millisecond
+	asyncFlushInterval = 250 * time.Millisecond
 )
 
 // Async writes lines in the background. It never blocks its callers: lines that find no
@@ -21,11 +21,11 @@
 type Async struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	held    bytes.Buffer
-	dropped int
-	pending bool
-	writing sync.Mutex
+	mu             sync.Mutex
+	buffer         bytes.Buffer
+	dropped        int
+	flushScheduled bool
+	writeMu        sync.Mutex
 }
 
 // NewAsync returns a writer in front of out.
@@ -35,26 +35,26 @@
 func (a *Async) Write(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.held.Len()+len(p) > asyncRoom {
+	if a.buffer.Len()+len(p) > asyncBufferBytes {
 		a.dropped++
 		return len(p), nil
 	}
-	a.held.Write(p)
-	if !a.pending {
-		a.pending = true
-		time.AfterFunc(asyncEvery, a.Flush)
+	a.buffer.Write(p)
+	if !a.flushScheduled {
+		a.flushScheduled = true
+		time.AfterFunc(asyncFlushInterval, a.Flush)
 	}
 	return len(p), nil
 }
 
 // Flush writes what waits.
 func (a *Async) Flush() {
-	a.writing.Lock()
-	defer a.writing.Unlock()
+	a.writeMu.Lock()
+	defer a.writeMu.Unlock()
 	a.mu.Lock()
-	text := bytes.Clone(a.held.Bytes())
-	a.held.Reset()
-	a.pending = false
+	text := bytes.Clone(a.buffer.Bytes())
+	a.buffer.Reset()
+	a.flushScheduled = false
 	a.mu.Unlock()
 	if len(text) > 0 {
 		_, _ = a.out.Write(text) // a log that cannot be written has nowhere to say so
--- a/router/internal/logging/logger.go
+++ b/router/internal/logging/logger.go
@@ -61,8 +61,8 @@
 }
 
 // level maps the settings' word; settings are validated before.
-func level(word string) slog.Level {
-	switch word {
+func level(name string) slog.Level {
+	switch name {
 	case settings.LevelDebug:
 		return slog.LevelDebug
 	case settings.LevelWarn:
--- a/router/internal/metrics/metrics.go
+++ b/router/internal/metrics/metrics.go
@@ -13,7 +13,7 @@
 )
 
 // prefix of every metric's name.
-const prefix = "masticplank_"
+const namePrefix = "masticplank_"
 
 // quantiles given for histograms and timers.
 var quantiles = []float64{0.5, 0.95, 0.99}
@@ -22,7 +22,7 @@
 func Write(w io.Writer, r gometrics.Registry) error {
 	var families []*dto.MetricFamily
 	r.Each(func(name string, m any) {
-		if f := family(name, m); f != nil {
+		if f := metricFamily(name, m); f != nil {
 			families = append(families, f)
 		}
 	})
@@ -35,35 +35,35 @@
 	return nil
 }
 
-func family(name string, m any) *dto.MetricFamily {
-	full := prefix + strings.NewReplacer(".", "_", "-", "_", "@", "_", "/", "_").Replace(name)
+func metricFamily(name string, m any) *dto.MetricFamily {
+	fullName := namePrefix + strings.NewReplacer(".", "_", "-", "_", "@", "_", "/", "_").Replace(name)
 	switch v := m.(type) {
 	case gometrics.Counter:
-		return one(full, dto.MetricType_COUNTER, &dto.Metric{Counter: &dto.Counter{Value: ptr(float64(v.Count()))}})
+		return singleFamily(fullName, dto.MetricType_COUNTER, &dto.Metric{Counter: &dto.Counter{Value: ptr(float64(v.Count()))}})
 	case gometrics.Gauge:
-		return one(full, dto.MetricType_GAUGE, &dto.Metric{Gauge: &dto.Gauge{Value: ptr(float64(v.Value()))}})
+		return singleFamily(fullName, dto.MetricType_GAUGE, &dto.Metric{Gauge: &dto.Gauge{Value: ptr(float64(v.Value()))}})
 	case gometrics.GaugeFloat64:
-		return one(full, dto.MetricType_GAUGE, &dto.Metric{Gauge: &dto.Gauge{Value: ptr(v.Value())}})
+		return singleFamily(fullName, dto.MetricType_GAUGE, &dto.Metric{Gauge: &dto.Gauge{Value: ptr(v.Value())}})
 	case gometrics.Timer:
 		s := v.Snapshot()
-		return summary(full, s.Count(), s.Sum(), s.Percentiles(quantiles))
+		return summaryFamily(fullName, s.Count(), s.Sum(), s.Percentiles(quantiles))
 	case gometrics.Histogram:
 		s := v.Snapshot()
-		return summary(full, s.Count(), s.Sum(), s.Percentiles(quantiles))
+		return summaryFamily(fullName, s.Count(), s.Sum(), s.Percentiles(quantiles))
 	default:
 		return nil
 	}
 }
 
-func summary(name string, count, sum int64, values []float64) *dto.MetricFamily {
+func summaryFamily(name string, count, sum int64, values []float64) *dto.MetricFamily {
 	s := &dto.Summary{SampleCount: ptr(uint64(count)), SampleSum: ptr(float64(sum))}
 	for i, q := range quantiles {
 		s.Quantile = append(s.Quantile, &dto.Quantile{Quantile: ptr(q), Value: ptr(values[i])})
 	}
-	return one(name, dto.MetricType_SUMMARY, &dto.Metric{Summary: s})
+	return singleFamily(name, dto.MetricType_SUMMARY, &dto.Metric{Summary: s})
 }
 
-func one(name string, kind dto.MetricType, m *dto.Metric) *dto.MetricFamily {
+func singleFamily(name string, kind dto.MetricType, m *dto.Metric) *dto.MetricFamily {
 	return &dto.MetricFamily{Name: &name, Type: &kind, Metric: []*dto.Metric{m}}
 }
 
--- a/router/internal/report/burn.go
+++ b/router/internal/report/burn.go
@@ -47,16 +47,16 @@
 	ticketBurn = 6.0
 	// pagePart and ticketPart of all requests raise the state whatever the
 	// budget: under a wide budget the rates above can never be reached.
-	pagePart   = 0.5
-	ticketPart = 0.25
+	pageFraction   = 0.5
+	ticketFraction = 0.25
 	// maxBurn bounds a rate, for the scale of a plot.
 	maxBurn = 1e4
 	// costBurn is for cost, whose budget is a mean and not a small part of the
 	// requests: any lasting excess is one.
-	costBurn = 1.0
+	costTicketBurn = 1.0
 	// latencyPart of the answers may be over a latency objective, which is to
 	// be met for 95 in 100.
-	latencyPart = 0.05
+	latencyBudget = 0.05
 )
 
 // Level is one service level of a team.
@@ -88,7 +88,7 @@
 }
 
 // InstanceLine says what came of asking one instance.
-type InstanceLine struct {
+type InstanceResult struct {
 	Address    string    `json:"address"`
 	Instance   string    `json:"instance,omitempty"`
 	Answered   bool      `json:"answered"`
@@ -99,17 +99,17 @@
 
 // Report is the burn report of a fleet.
 type Report struct {
-	At        time.Time      `json:"at"`
-	Instances []InstanceLine `json:"instances"`
-	Bad       []string       `json:"bad_versions"`
-	Teams     []TeamReport   `json:"teams"`
+	At        time.Time        `json:"at"`
+	Instances []InstanceResult `json:"instances"`
+	Bad       []string         `json:"bad_versions"`
+	Teams     []TeamReport     `json:"teams"`
 	// objectives are for the plots.
-	objectives map[string]manifest.Objective
-	bad        map[string]bool
+	objectives  map[string]manifest.Objective
+	badVersions map[string]bool
 }
 
 // Silent is how many instances did not answer.
-func (r Report) Silent() int {
+func (r Report) UnansweredCount() int {
 	n := 0
 	for _, i := range r.Instances {
 		if !i.Answered {
@@ -122,36 +122,36 @@
 // Build merges the snapshots and judges each team's levels. at is the time of
 // the report.
 func Build(at time.Time, sources []Source) Report {
-	f := merge(sources)
+	f := mergeSnapshots(sources)
 	out := Report{
-		At:         at.UTC().Truncate(time.Second),
-		Instances:  instances(sources),
-		Bad:        []string{},
-		Teams:      []TeamReport{},
-		objectives: f.objectives,
-		bad:        f.bad,
+		At:          at.UTC().Truncate(time.Second),
+		Instances:   instanceResults(sources),
+		Bad:         []string{},
+		Teams:       []TeamReport{},
+		objectives:  f.objectives,
+		badVersions: f.badVersions,
 	}
-	for v := range f.bad {
+	for v := range f.badVersions {
 		out.Bad = append(out.Bad, v)
 	}
 	slices.Sort(out.Bad)
-	for _, name := range f.names() {
+	for _, name := range f.teamNames() {
 		out.Teams = append(out.Teams, f.report(name))
 	}
 	return out
 }
 
-func (f *fleet) report(name string) TeamReport {
+func (f *fleetTotals) report(name string) TeamReport {
 	m := f.team(name)
 	o := f.objectives[name]
 	out := TeamReport{Team: name, points: m.sortedPoints()}
 	for _, kind := range []LevelKind{LevelAvailability, LevelFirstToken, LevelInterToken, LevelCost, LevelExposure} {
-		out.Levels = append(out.Levels, m.level(kind, o, f.bad))
+		out.Levels = append(out.Levels, m.level(kind, o, f.badVersions))
 	}
 	return out
 }
 
-func (m *merged) sortedPoints() []Point {
+func (m *teamTotals) sortedPoints() []Point {
 	var out []Point
 	for begin, c := range m.points {
 		out = append(out, Point{Begin: begin, Counts: c})
@@ -162,14 +162,14 @@
 
 // use is how much of a level's budget a span took: used of allowed, over
 // events. With allowed 0 there is no budget.
-type use struct {
+type budgetUse struct {
 	used    float64
 	allowed float64
 	events  uint64
 }
 
 // burn is the rate at which the budget goes; 0 without events.
-func (u use) burn() float64 {
+func (u budgetUse) burnRate() float64 {
 	if u.allowed == 0 {
 		return 0
 	}
@@ -177,7 +177,7 @@
 }
 
 // budget is the part of the events that may be used; 0 without events.
-func (u use) budget() float64 {
+func (u budgetUse) budgetFraction() float64 {
 	if u.events == 0 {
 		return 0
 	}
@@ -185,80 +185,80 @@
 }
 
 // useOf takes a level's events out of counts.
-func useOf(kind LevelKind, c Counts, o manifest.Objective, bad map[string]bool) use {
-	part := func(used, events uint64, budget float64) use {
-		return use{used: float64(used), allowed: budget * float64(events), events: events}
+func budgetUseOf(kind LevelKind, c Counts, o manifest.Objective, bad map[string]bool) budgetUse {
+	fraction := func(used, events uint64, budget float64) budgetUse {
+		return budgetUse{used: float64(used), allowed: budget * float64(events), events: events}
 	}
 	switch kind {
 	case LevelAvailability:
-		return part(c.Unavailable, c.Served+c.Unavailable, 1-o.Availability)
+		return fraction(c.Unavailable, c.Served+c.Unavailable, 1-o.Availability)
 	case LevelFirstToken:
-		return part(c.FirstSlow, c.First, latencyPart)
+		return fraction(c.SlowFirstTokens, c.FirstTokens, latencyBudget)
 	case LevelInterToken:
-		return part(c.InterSlow, c.Inter, latencyPart)
+		return fraction(c.SlowInterTokens, c.InterTokens, latencyBudget)
 	case LevelCost:
-		return use{used: c.Cost, allowed: o.CostPerRequest * float64(c.Billed), events: c.Billed}
+		return budgetUse{used: c.Cost, allowed: o.CostPerRequest * float64(c.Billed), events: c.Billed}
 	default:
 		exposed, all := c.Exposed(bad)
-		return part(exposed, all, o.BadExposure)
+		return fraction(exposed, all, o.BadExposure)
 	}
 }
 
-func (m *merged) level(kind LevelKind, o manifest.Objective, bad map[string]bool) Level {
-	whole := useOf(kind, m.windows[Window6h.Name], o, bad)
-	l := Level{Kind: kind, Events: whole.events, Burn: map[string]float64{}}
-	l.Objective, l.Unit, l.Measured = m.measure(kind, whole, o)
+func (m *teamTotals) level(kind LevelKind, o manifest.Objective, bad map[string]bool) Level {
+	sixHours := budgetUseOf(kind, m.windows[Window6h.Name], o, bad)
+	l := Level{Kind: kind, Events: sixHours.events, Burn: map[string]float64{}}
+	l.Objective, l.Unit, l.Measured = m.measure(kind, sixHours, o)
 	if l.Objective == 0 {
 		l.State = StateNoObjective
 		return l
 	}
 	for _, w := range Windows() {
-		l.Burn[w.Name] = round(useOf(kind, m.windows[w.Name], o, bad).burn())
+		l.Burn[w.Name] = round(budgetUseOf(kind, m.windows[w.Name], o, bad).burnRate())
 	}
-	l.BudgetLeft = round(1 - whole.burn())
-	l.State = judge(l, whole.budget())
+	l.BudgetLeft = round(1 - sixHours.burnRate())
+	l.State = alertState(l, sixHours.budgetFraction())
 	return l
 }
 
 // measure gives a level's objective, its unit and what was measured.
-func (m *merged) measure(kind LevelKind, whole use, o manifest.Objective) (objective float64, unit string, measured float64) {
-	part := 0.0
-	if whole.events > 0 {
-		part = whole.used / float64(whole.events)
+func (m *teamTotals) measure(kind LevelKind, sixHours budgetUse, o manifest.Objective) (objective float64, unit string, measured float64) {
+	fraction := 0.0
+	if sixHours.events > 0 {
+		fraction = sixHours.used / float64(sixHours.events)
 	}
 	switch kind {
 	case LevelAvailability:
-		if whole.events > 0 {
-			part = 1 - part
+		if sixHours.events > 0 {
+			fraction = 1 - fraction
 		}
-		return o.Availability, "part of 1", round(part)
+		return o.Availability, "part of 1", round(fraction)
 	case LevelFirstToken:
-		return float64(o.FirstTokenMS), "ms", percentile95(m.first)
+		return float64(o.FirstTokenMS), "ms", percentile95(m.firstToken)
 	case LevelInterToken:
-		return float64(o.InterTokenMS), "ms", percentile95(m.inter)
+		return float64(o.InterTokenMS), "ms", percentile95(m.interToken)
 	case LevelCost:
-		return o.CostPerRequest, "cost/request", round(part)
+		return o.CostPerRequest, "cost/request", round(fraction)
 	default:
-		return o.BadExposure, "part of 1", round(part)
+		return o.BadExposure, "part of 1", round(fraction)
 	}
 }
 
 // judge raises a state where both the long and the short window of a pair are
 // over its rate: the long one so that a few bad seconds wake nobody, the short
 // one so that what is over does not keep on alarming.
-func judge(l Level, budget float64) State {
+func alertState(l Level, budget float64) State {
 	fast := min(l.Burn[Window5m.Name], l.Burn[Window1h.Name])
 	slow := min(l.Burn[Window30m.Name], l.Burn[Window6h.Name])
 	switch {
 	case l.Events == 0:
 		return StateNoData
-	case l.Kind == LevelCost && slow > costBurn:
+	case l.Kind == LevelCost && slow > costTicketBurn:
 		return StateTicket
 	case l.Kind == LevelCost:
 		return StateOK
-	case fast >= min(pageBurn, pagePart/budget):
+	case fast >= min(pageBurn, pageFraction/budget):
 		return StatePage
-	case slow >= min(ticketBurn, ticketPart/budget):
+	case slow >= min(ticketBurn, ticketFraction/budget):
 		return StateTicket
 	default:
 		return StateOK
--- a/router/internal/report/counts.go
+++ b/router/internal/report/counts.go
@@ -17,11 +17,11 @@
 	Unavailable uint64 `json:"unavailable"`
 	// First counts answers with a first token; FirstSlow those over the
 	// objective in force when they came.
-	First     uint64 `json:"first"`
-	FirstSlow uint64 `json:"first_slow"`
+	FirstTokens     uint64 `json:"first"`
+	SlowFirstTokens uint64 `json:"first_slow"`
 	// Inter and InterSlow count answers by their mean gap between tokens.
-	Inter     uint64 `json:"inter"`
-	InterSlow uint64 `json:"inter_slow"`
+	InterTokens     uint64 `json:"inter"`
+	SlowInterTokens uint64 `json:"inter_slow"`
 	// Cost of all billed requests, and their number.
 	Cost   float64 `json:"cost"`
 	Billed uint64  `json:"billed"`
@@ -41,19 +41,19 @@
 func (c *Counts) Add(o Counts) {
 	c.Served += o.Served
 	c.Unavailable += o.Unavailable
-	c.First += o.First
-	c.FirstSlow += o.FirstSlow
-	c.Inter += o.Inter
-	c.InterSlow += o.InterSlow
+	c.FirstTokens += o.FirstTokens
+	c.SlowFirstTokens += o.SlowFirstTokens
+	c.InterTokens += o.InterTokens
+	c.SlowInterTokens += o.SlowInterTokens
 	c.Cost += o.Cost
 	c.Billed += o.Billed
 	for v, n := range o.Versions {
-		c.ran(v, n)
+		c.addRuns(v, n)
 	}
 }
 
 // ran counts n requests on a version.
-func (c *Counts) ran(version string, n uint64) {
+func (c *Counts) addRuns(version string, n uint64) {
 	if c.Versions == nil {
 		c.Versions = map[string]uint64{}
 	}
@@ -77,5 +77,5 @@
 
 // Empty says that nothing was counted.
 func (c Counts) Empty() bool {
-	return c.Served+c.Unavailable+c.First+c.Inter+c.Billed == 0 && len(c.Versions) == 0
+	return c.Served+c.Unavailable+c.FirstTokens+c.InterTokens+c.Billed == 0 && len(c.Versions) == 0
 }
--- a/router/internal/report/export_test.go
+++ b/router/internal/report/export_test.go
@@ -2,6 +2,6 @@
 
 // What the tests of the page, which stand outside this package, need of its own.
 var (
-	Afternoon = afternoon
-	Begin     = begin
+	DegradedFleet = degradedFleet
+	Begin         = begin
 )
--- a/router/internal/report/fleet.go
+++ b/router/internal/report/fleet.go
@@ -21,32 +21,32 @@
 }
 
 // fleet is what the instances counted together.
-type fleet struct {
-	generation uint64
-	objectives map[string]manifest.Objective
-	bad        map[string]bool
-	teams      map[string]*merged
+type fleetTotals struct {
+	generation  uint64
+	objectives  map[string]manifest.Objective
+	badVersions map[string]bool
+	teams       map[string]*teamTotals
 }
 
 // merged is one team over all instances.
-type merged struct {
-	windows map[string]Counts
-	points  map[int64]Counts
-	first   *hdrhistogram.Histogram
-	inter   *hdrhistogram.Histogram
+type teamTotals struct {
+	windows    map[string]Counts
+	points     map[int64]Counts
+	firstToken *hdrhistogram.Histogram
+	interToken *hdrhistogram.Histogram
 }
 
 // merge adds up the snapshots. Objectives are those of the newest manifest; a
 // version counts as bad where any instance judged it so.
-func merge(sources []Source) *fleet {
-	f := &fleet{bad: map[string]bool{}, teams: map[string]*merged{}}
+func mergeSnapshots(sources []Source) *fleetTotals {
+	f := &fleetTotals{badVersions: map[string]bool{}, teams: map[string]*teamTotals{}}
 	for _, s := range sources {
 		if s.Err != nil {
 			continue
 		}
 		f.addObjectives(s.Snapshot)
-		for _, v := range s.Snapshot.Bad {
-			f.bad[v] = true
+		for _, v := range s.Snapshot.BadVersions {
+			f.badVersions[v] = true
 		}
 		for _, t := range s.Snapshot.Teams {
 			f.team(t.Team).add(t)
@@ -55,7 +55,7 @@
 	return f
 }
 
-func (f *fleet) addObjectives(s Snapshot) {
+func (f *fleetTotals) addObjectives(s Snapshot) {
 	if f.objectives != nil && s.Generation <= f.generation {
 		return
 	}
@@ -66,33 +66,33 @@
 	}
 }
 
-func (f *fleet) team(name string) *merged {
+func (f *fleetTotals) team(name string) *teamTotals {
 	m, ok := f.teams[name]
 	if !ok {
-		m = &merged{
-			windows: map[string]Counts{},
-			points:  map[int64]Counts{},
-			first:   newHistogram(),
-			inter:   newHistogram(),
+		m = &teamTotals{
+			windows:    map[string]Counts{},
+			points:     map[int64]Counts{},
+			firstToken: newHistogram(),
+			interToken: newHistogram(),
 		}
 		f.teams[name] = m
 	}
 	return m
 }
 
-func (m *merged) add(t TeamSnapshot) {
+func (m *teamTotals) add(t TeamSnapshot) {
 	for name, c := range t.Windows {
-		m.windows[name] = sum(m.windows[name], c)
+		m.windows[name] = sumCounts(m.windows[name], c)
 	}
 	for _, p := range t.Points {
-		m.points[p.Begin] = sum(m.points[p.Begin], p.Counts)
+		m.points[p.Begin] = sumCounts(m.points[p.Begin], p.Counts)
 	}
-	addHistogram(m.first, t.FirstToken)
-	addHistogram(m.inter, t.InterToken)
+	addHistogram(m.firstToken, t.FirstToken)
+	addHistogram(m.interToken, t.InterToken)
 }
 
 // sum does not touch a: its map of versions may be a snapshot's.
-func sum(a, b Counts) Counts {
+func sumCounts(a, b Counts) Counts {
 	var total Counts
 	total.Add(a)
 	total.Add(b)
@@ -111,7 +111,7 @@
 }
 
 // names lists the teams that have counts or an objective.
-func (f *fleet) names() []string {
+func (f *fleetTotals) teamNames() []string {
 	all := map[string]bool{}
 	for name := range f.teams {
 		all[name] = true
@@ -123,10 +123,10 @@
 }
 
 // instances is the report's line on each source, those without an answer first.
-func instances(sources []Source) []InstanceLine {
-	out := make([]InstanceLine, 0, len(sources))
+func instanceResults(sources []Source) []InstanceResult {
+	out := make([]InstanceResult, 0, len(sources))
 	for _, s := range sources {
-		line := InstanceLine{Address: s.Address}
+		line := InstanceResult{Address: s.Address}
 		if s.Err != nil {
 			line.Error = s.Err.Error()
 		} else {
@@ -137,7 +137,7 @@
 		}
 		out = append(out, line)
 	}
-	slices.SortStableFunc(out, func(a, b InstanceLine) int {
+	slices.SortStableFunc(out, func(a, b InstanceResult) int {
 		if a.Answered != b.Answered {
 			if a.Answered {
 				return 1
--- a/router/internal/report/latency.go
+++ b/router/internal/report/latency.go
@@ -11,7 +11,7 @@
 	// latencySpan is what each part of a latency's history covers; the parts
 	// together make an hour.
 	latencySpan  = 5 * time.Minute
-	latencyParts = 12
+	latencySpans = 12
 	// maxLatencyMS is the longest time told apart; longer ones count as it.
 	maxLatencyMS = 600_000
 	// latencyDigits are the significant digits kept: 1% is finer than any
@@ -25,17 +25,17 @@
 
 // latency keeps the last hour of a duration: one live histogram, and the ones
 // before it in their encoded form, which is small.
-type latency struct {
-	live   *hdrhistogram.Histogram
-	number int64
-	closed [latencyParts][]byte
-	closes [latencyParts]int64
+type rollingHistogram struct {
+	live          *hdrhistogram.Histogram
+	liveNumber    int64
+	closed        [latencySpans][]byte
+	closedNumbers [latencySpans]int64
 }
 
-func partNumber(t time.Time) int64 { return t.UnixNano() / int64(latencySpan) }
+func spanNumber(t time.Time) int64 { return t.UnixNano() / int64(latencySpan) }
 
 // record counts one duration.
-func (l *latency) record(now time.Time, d time.Duration) {
+func (l *rollingHistogram) record(now time.Time, d time.Duration) {
 	l.roll(now)
 	ms := min(max((d+time.Millisecond-1).Milliseconds(), 1), maxLatencyMS)
 	// The value is within the histogram's range, which is the only error.
@@ -43,31 +43,31 @@
 }
 
 // roll closes the live histogram when its span is over.
-func (l *latency) roll(now time.Time) {
-	n := partNumber(now)
-	if l.live != nil && l.number == n {
+func (l *rollingHistogram) roll(now time.Time) {
+	n := spanNumber(now)
+	if l.live != nil && l.liveNumber == n {
 		return
 	}
 	if l.live == nil {
 		l.live = newHistogram()
 	} else if l.live.TotalCount() > 0 {
-		i := int(l.number % latencyParts)
+		i := int(l.liveNumber % latencySpans)
 		l.closed[i], _ = l.live.EncodeV2()
-		l.closes[i] = l.number
+		l.closedNumbers[i] = l.liveNumber
 		l.live.Reset()
 	}
-	l.number = n
+	l.liveNumber = n
 }
 
 // encode merges the last hour; nil where nothing was counted.
-func (l *latency) encode(now time.Time) ([]byte, error) {
+func (l *rollingHistogram) encode(now time.Time) ([]byte, error) {
 	if l.live == nil {
 		return nil, nil
 	}
 	l.roll(now)
 	total := l.live.Clone()
 	for i, data := range l.closed {
-		if data == nil || l.closes[i] <= l.number-latencyParts {
+		if data == nil || l.closedNumbers[i] <= l.liveNumber-latencySpans {
 			continue
 		}
 		part, err := hdrhistogram.Decode(data)
--- a/router/internal/report/page/html.go
+++ b/router/internal/report/page/html.go
@@ -14,12 +14,12 @@
 )
 
 //go:embed page.html.tmpl
-var pageSource string
+var pageHTML string
 
-var source = template.Must(template.New("page").Funcs(template.FuncMap{
-	"number":  report.Number,
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
+	"number":  report.FormatNumber,
 	"rfc3339": func(t time.Time) string { return t.Format(time.RFC3339) },
-}).Parse(pageSource))
+}).Parse(pageHTML))
 
 // pageData is what the template shows.
 type pageData struct {
@@ -37,7 +37,7 @@
 
 // WriteHTML writes the report as one page that needs nothing else.
 func WriteHTML(w io.Writer, r report.Report) error {
-	data := pageData{Report: r, Answered: len(r.Instances) - r.Silent(), Windows: report.AlertWindows()}
+	data := pageData{Report: r, Answered: len(r.Instances) - r.UnansweredCount(), Windows: report.AlertWindows()}
 	for _, team := range r.Teams {
 		svg, err := plotBurn(r, team)
 		if err != nil {
@@ -45,5 +45,5 @@
 		}
 		data.Sections = append(data.Sections, section{TeamReport: team, Plot: svg})
 	}
-	return trace.Wrap(source.Execute(w, data))
+	return trace.Wrap(pageTemplate.Execute(w, data))
 }
--- a/router/internal/report/page/plot.go
+++ b/router/internal/report/page/plot.go
@@ -46,7 +46,7 @@
 		if l.State == report.StateNoObjective || l.State == report.StateNoData {
 			continue
 		}
-		if err := addLine(p, l.Kind, xys(r.Burn(team, l.Kind))); err != nil {
+		if err := addLine(p, l.Kind, toXYs(r.BurnSeries(team, l.Kind))); err != nil {
 			return "", trace.Wrap(err)
 		}
 	}
@@ -65,7 +65,7 @@
 	return template.HTML(svg[strings.Index(svg, "<svg"):]), nil
 }
 
-func xys(points []report.BurnPoint) plotter.XYs {
+func toXYs(points []report.BurnPoint) plotter.XYs {
 	var out plotter.XYs
 	for _, p := range points {
 		out = append(out, plotter.XY{X: p.HoursBefore, Y: p.Rate})
--- a/router/internal/report/page_test.go
+++ b/router/internal/report/page_test.go
@@ -15,7 +15,7 @@
 
 func TestPageGolden(t *testing.T) {
 	var out bytes.Buffer
-	if err := page.WriteHTML(&out, report.Afternoon(t)); err != nil {
+	if err := page.WriteHTML(&out, report.DegradedFleet(t)); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "burn.html", out.Bytes())
@@ -32,7 +32,7 @@
 func TestPageEscapesNames(t *testing.T) {
 	r := report.Build(report.Begin, []report.Source{
 		{Address: "<script>a", Err: errors.New("<script>b")},
-		{Snapshot: report.Snapshot{Instance: "<script>c", Bad: []string{"<script>d"}, Teams: []report.TeamSnapshot{{Team: "<script>e"}}}},
+		{Snapshot: report.Snapshot{Instance: "<script>c", BadVersions: []string{"<script>d"}, Teams: []report.TeamSnapshot{{Team: "<script>e"}}}},
 	})
 	var out bytes.Buffer
 	if err := page.WriteHTML(&out, r); err != nil {
--- a/router/internal/report/recorder.go
+++ b/router/internal/report/recorder.go
@@ -34,30 +34,30 @@
 	since time.Time
 
 	mu         sync.Mutex
-	teams      map[string]*teamRow
+	teams      map[string]*teamMetrics
 	generation uint64
 	objectives map[string]manifest.Objective
 	// bad are the versions that are judged bad, or were and are not cleared.
-	bad map[string]bool
+	badVersions map[string]bool
 }
 
 // teamRow has a lock of its own: making a snapshot of one team takes some
 // milliseconds, and must not hold up the requests of the others.
-type teamRow struct {
-	mu    sync.Mutex
-	ring  ring
-	first latency
-	inter latency
+type teamMetrics struct {
+	mu         sync.Mutex
+	ring       slotRing
+	firstToken rollingHistogram
+	interToken rollingHistogram
 }
 
 // NewRecorder returns an empty Recorder; now is the clock.
 func NewRecorder(now func() time.Time) *Recorder {
 	return &Recorder{
-		now:        now,
-		since:      now(),
-		teams:      map[string]*teamRow{},
-		objectives: map[string]manifest.Objective{},
-		bad:        map[string]bool{},
+		now:         now,
+		since:       now(),
+		teams:       map[string]*teamMetrics{},
+		objectives:  map[string]manifest.Objective{},
+		badVersions: map[string]bool{},
 	}
 }
 
@@ -81,55 +81,55 @@
 	defer r.mu.Unlock()
 	switch {
 	case !bad:
-		delete(r.bad, version)
-	case len(r.bad) < maxVersions:
-		r.bad[version] = true
+		delete(r.badVersions, version)
+	case len(r.badVersions) < maxVersions:
+		r.badVersions[version] = true
 	}
 }
 
 // Record counts one ended request.
 func (r *Recorder) Record(s Sample) {
-	row, objective := r.row(s.Team)
+	m, objective := r.metricsOf(s.Team)
 	now := r.now()
-	row.mu.Lock()
-	defer row.mu.Unlock()
-	slot := row.ring.at(now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	slot := m.ring.slotAt(now)
 	countAvailability(slot, s)
 	if s.Version != "" {
-		slot.ran(s.Version, 1)
+		slot.addRuns(s.Version, 1)
 	}
 	if s.Cost > 0 {
 		slot.Cost += s.Cost
 		slot.Billed++
 	}
 	if s.FirstToken > 0 {
-		row.first.record(now, s.FirstToken)
-		slot.First++
-		slot.FirstSlow += over(s.FirstToken, objective.FirstTokenMS)
+		m.firstToken.record(now, s.FirstToken)
+		slot.FirstTokens++
+		slot.SlowFirstTokens += exceedsObjective(s.FirstToken, objective.FirstTokenMS)
 	}
 	if s.InterToken > 0 {
-		row.inter.record(now, s.InterToken)
-		slot.Inter++
-		slot.InterSlow += over(s.InterToken, objective.InterTokenMS)
+		m.interToken.record(now, s.InterToken)
+		slot.InterTokens++
+		slot.SlowInterTokens += exceedsObjective(s.InterToken, objective.InterTokenMS)
 	}
 }
 
 // row finds a team's row and its objective. API keys are checked before, so teams are those of
 // the manifest; the bound is for a manifest with very many.
-func (r *Recorder) row(team string) (*teamRow, manifest.Objective) {
+func (r *Recorder) metricsOf(team string) (*teamMetrics, manifest.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	objective := r.objectives[team]
-	row, ok := r.teams[team]
+	m, ok := r.teams[team]
 	if !ok && len(r.teams) >= maxTeams {
 		team = otherTeams
-		row, ok = r.teams[team]
+		m, ok = r.teams[team]
 	}
 	if !ok {
-		row = &teamRow{}
-		r.teams[team] = row
+		m = &teamMetrics{}
+		r.teams[team] = m
 	}
-	return row, objective
+	return m, objective
 }
 
 // codeCancelled is the code of a request that its caller gave up.
@@ -151,7 +151,7 @@
 }
 
 // over is 1 where d is over the objective in ms; 0 is no objective.
-func over(d time.Duration, objectiveMS int) uint64 {
+func exceedsObjective(d time.Duration, objectiveMS int) uint64 {
 	if objectiveMS > 0 && d > time.Duration(objectiveMS)*time.Millisecond {
 		return 1
 	}
@@ -161,10 +161,10 @@
 // Snapshot is what this instance counted, in a form that merges with others'.
 func (r *Recorder) Snapshot(instance string) (Snapshot, error) {
 	now := r.now()
-	out, rows := r.head()
+	out, teams := r.snapshotHeader()
 	out.Instance, out.At = instance, now
-	for name, row := range rows {
-		team, err := row.snapshot(name, now)
+	for name, m := range teams {
+		team, err := m.snapshot(name, now)
 		if err != nil {
 			return Snapshot{}, trace.Wrap(err)
 		}
@@ -175,45 +175,45 @@
 }
 
 // head is the part of a snapshot that is not a team's, and the teams' rows.
-func (r *Recorder) head() (Snapshot, map[string]*teamRow) {
+func (r *Recorder) snapshotHeader() (Snapshot, map[string]*teamMetrics) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := Snapshot{Since: r.since, Generation: r.generation}
 	for _, o := range r.objectives {
 		out.Objectives = append(out.Objectives, o)
 	}
-	for v := range r.bad {
-		out.Bad = append(out.Bad, v)
+	for v := range r.badVersions {
+		out.BadVersions = append(out.BadVersions, v)
 	}
 	return out, maps.Clone(r.teams)
 }
 
-func (row *teamRow) snapshot(name string, now time.Time) (TeamSnapshot, error) {
-	row.mu.Lock()
-	defer row.mu.Unlock()
+func (m *teamMetrics) snapshot(name string, now time.Time) (TeamSnapshot, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	out := TeamSnapshot{Team: name, Windows: map[string]Counts{}}
 	for _, w := range Windows() {
-		out.Windows[w.Name] = row.ring.sum(now, w.Span)
+		out.Windows[w.Name] = m.ring.sum(now, w.Span)
 	}
-	out.Points = row.points(now)
+	out.Points = m.points(now)
 	var err error
-	if out.FirstToken, err = row.first.encode(now); err != nil {
+	if out.FirstToken, err = m.firstToken.encode(now); err != nil {
 		return out, trace.Wrap(err)
 	}
-	out.InterToken, err = row.inter.encode(now)
+	out.InterToken, err = m.interToken.encode(now)
 	return out, trace.Wrap(err)
 }
 
 // points are the last 6 h in spans that begin at the same times everywhere, so
 // that those of several instances add up. Empty ones are left out.
-func (row *teamRow) points(now time.Time) []Point {
+func (m *teamMetrics) points(now time.Time) []Point {
 	const slots = int64(pointSpan / slotSpan)
 	last := now.Truncate(pointSpan)
 	var out []Point
 	for i := pointCount - 1; i >= 0; i-- {
 		begin := last.Add(-time.Duration(i) * pointSpan)
 		first := slotNumber(begin)
-		counts := row.ring.between(first, first+slots-1)
+		counts := m.ring.between(first, first+slots-1)
 		if !counts.Empty() {
 			out = append(out, Point{Begin: begin.Unix(), Counts: counts})
 		}
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -99,7 +99,7 @@
 		}
 	}
 	r.Record(Sample{Team: "t", Outcome: outcome.Refused, Code: "queue_full"})
-	if got := snapshot(t, r, "i").Teams[0].Windows["5m"]; got.Unavailable != 1 || got.First != 0 || got.Billed != 0 {
+	if got := snapshot(t, r, "i").Teams[0].Windows["5m"]; got.Unavailable != 1 || got.FirstTokens != 0 || got.Billed != 0 {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -113,7 +113,7 @@
 	r.SetObjectives(2, []manifest.Objective{{Team: "ecoles", FirstTokenMS: 100}})
 	r.Record(served("ecoles", "", 101*time.Millisecond))
 	got := snapshot(t, r, "i").Teams[0].Windows["1h"]
-	if got.First != 4 || got.FirstSlow != 2 || got.InterSlow != 0 {
+	if got.FirstTokens != 4 || got.SlowFirstTokens != 2 || got.SlowInterTokens != 0 {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -175,8 +175,8 @@
 		r.SetVerdict(fmt.Sprintf("m@%d", i), true)
 	}
 	s := snapshot(t, r, "i")
-	if len(s.Teams) != maxTeams+1 || len(s.Bad) != maxVersions {
-		t.Errorf("%d teams, %d bad versions", len(s.Teams), len(s.Bad))
+	if len(s.Teams) != maxTeams+1 || len(s.BadVersions) != maxVersions {
+		t.Errorf("%d teams, %d bad versions", len(s.Teams), len(s.BadVersions))
 	}
 	for _, team := range s.Teams {
 		if got := len(team.Windows["6h"].Versions); got > maxVersions+1 {
--- a/router/internal/report/report_test.go
+++ b/router/internal/report/report_test.go
@@ -15,7 +15,7 @@
 
 // afternoon is a fleet of two instances, and one that does not answer, over
 // three hours: a version turns bad in the last half hour.
-func afternoon(t *testing.T) Report {
+func degradedFleet(t *testing.T) Report {
 	t.Helper()
 	c := &clock{begin}
 	a, b := NewRecorder(c.now), NewRecorder(c.now)
@@ -44,7 +44,7 @@
 }
 
 func TestGolden(t *testing.T) {
-	r := afternoon(t)
+	r := degradedFleet(t)
 	g := goldie.New(t, goldie.WithFixtureDir("testdata"))
 	var text bytes.Buffer
 	if err := r.WriteText(&text); err != nil {
@@ -82,7 +82,7 @@
 		{"cost over it", LevelCost, rates(1.2, 1.2, 1.2, 1.1), 9, 1, StateTicket},
 		{"cost far over it", LevelCost, rates(50, 50, 50, 50), 9, 1, StateTicket},
 	} {
-		got := judge(Level{Kind: c.kind, Burn: c.burn, Events: c.events}, c.budget)
+		got := alertState(Level{Kind: c.kind, Burn: c.burn, Events: c.events}, c.budget)
 		if got != c.want {
 			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
 		}
@@ -122,10 +122,10 @@
 }
 
 func TestStatusGolden(t *testing.T) {
-	lines := []StatusLine{
+	lines := []InstanceStatus{
 		{Address: "10.41.1.11:8081", Status: &StatusReport{
-			Instance: "entry-rimouski-1", Domain: "salle-rimouski", Generation: 41, Mode: "fresh", Open: 12,
-			Offset: 900, Head: 900, LogReachable: true, ShutOff: []string{"patron@4"}, Ejected: []string{"moteur-3", "moteur-7"},
+			Instance: "entry-rimouski-1", Domain: "salle-rimouski", Generation: 41, Mode: "fresh", OpenRequests: 12,
+			Offset: 900, Head: 900, LogReachable: true, BadVersions: []string{"patron@4"}, EjectedServers: []string{"moteur-3", "moteur-7"},
 		}},
 		{Address: "10.41.2.11:8081", Status: &StatusReport{
 			Instance: "entry-matane-1", Domain: "salle-matane", Generation: 40, Mode: "outage",
--- a/router/internal/report/series.go
+++ b/router/internal/report/series.go
@@ -12,10 +12,10 @@
 
 // Burn is the team's burn rates of one level over the last 6 hours. Spans without events
 // have no point.
-func (r Report) Burn(team TeamReport, kind LevelKind) []BurnPoint {
+func (r Report) BurnSeries(team TeamReport, kind LevelKind) []BurnPoint {
 	var out []BurnPoint
 	for _, pt := range team.points {
-		u := useOf(kind, pt.Counts, r.objectives[team.Team], r.bad)
+		u := budgetUseOf(kind, pt.Counts, r.objectives[team.Team], r.badVersions)
 		if u.events == 0 {
 			continue
 		}
@@ -23,7 +23,7 @@
 		if age < -pointSpan || age > Window6h.Span+pointSpan {
 			continue // by a clock that is far off
 		}
-		out = append(out, BurnPoint{HoursBefore: -age.Hours(), Rate: round(u.burn())})
+		out = append(out, BurnPoint{HoursBefore: -age.Hours(), Rate: round(u.burnRate())})
 	}
 	return out
 }
--- a/router/internal/report/snapshot.go
+++ b/router/internal/report/snapshot.go
@@ -18,8 +18,8 @@
 	Generation uint64               `json:"generation"`
 	Objectives []manifest.Objective `json:"objectives,omitempty"`
 	// Bad lists the versions judged bad.
-	Bad   []string       `json:"bad,omitempty"`
-	Teams []TeamSnapshot `json:"teams,omitempty"`
+	BadVersions []string       `json:"bad,omitempty"`
+	Teams       []TeamSnapshot `json:"teams,omitempty"`
 }
 
 // TeamSnapshot is one team's part.
@@ -44,7 +44,7 @@
 
 // sort makes equal snapshots equal in their encoding.
 func (s *Snapshot) sort() {
-	slices.Sort(s.Bad)
+	slices.Sort(s.BadVersions)
 	slices.SortFunc(s.Objectives, func(a, b manifest.Objective) int { return cmp.Compare(a.Team, b.Team) })
 	slices.SortFunc(s.Teams, func(a, b TeamSnapshot) int { return cmp.Compare(a.Team, b.Team) })
 }
--- a/router/internal/report/status.go
+++ b/router/internal/report/status.go
@@ -16,7 +16,7 @@
 	// Mode is "fresh", "stale" or "outage".
 	Mode string `json:"mode"`
 	// Open requests.
-	Open int `json:"open"`
+	OpenRequests int `json:"open"`
 	// Offset is the next entry of the log to fold, Head the log's end as last
 	// read, Lag the entries between.
 	Offset uint64 `json:"offset"`
@@ -28,12 +28,12 @@
 	HeldBills int `json:"held_bills"`
 	// ShutOff are versions judged bad, Ejected backend servers taken out as
 	// outliers.
-	ShutOff []string `json:"shut_off_versions"`
-	Ejected []string `json:"ejected_servers"`
+	BadVersions    []string `json:"shut_off_versions"`
+	EjectedServers []string `json:"ejected_servers"`
 }
 
 // StatusLine is one instance's answer, or that there was none.
-type StatusLine struct {
+type InstanceStatus struct {
 	Address string        `json:"address"`
 	Status  *StatusReport `json:"status,omitempty"`
 	Error   string        `json:"error,omitempty"`
@@ -41,7 +41,7 @@
 
 // WriteStatusText writes the lines for a terminal, and what is odd between
 // instances.
-func WriteStatusText(w io.Writer, lines []StatusLine) error {
+func WriteStatusText(w io.Writer, lines []InstanceStatus) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "INSTANCE\tADDRESS\tDOMAIN\tGENERATION\tMODE\tOPEN\tOFFSET\tLAG\tLOG\tHELD BILLS\tSHUT OFF\tEJECTED")
 	for _, l := range lines {
@@ -51,13 +51,13 @@
 		}
 		s := l.Status
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\n",
-			s.Instance, l.Address, s.Domain, s.Generation, s.Mode, s.Open, s.Offset, s.Lag,
-			reachable(s.LogReachable), s.HeldBills, list(s.ShutOff), list(s.Ejected))
+			s.Instance, l.Address, s.Domain, s.Generation, s.Mode, s.OpenRequests, s.Offset, s.Lag,
+			reachability(s.LogReachable), s.HeldBills, joinOrDash(s.BadVersions), joinOrDash(s.EjectedServers))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, note := range statusNotes(lines) {
+	for _, note := range statusWarnings(lines) {
 		if _, err := fmt.Fprintln(w, note); err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 }
 
 // statusNotes says what to look at.
-func statusNotes(lines []StatusLine) []string {
+func statusWarnings(lines []InstanceStatus) []string {
 	var out []string
 	var newest uint64
 	for _, l := range lines {
@@ -89,14 +89,14 @@
 	return out
 }
 
-func reachable(ok bool) string {
+func reachability(ok bool) string {
 	if ok {
 		return "reachable"
 	}
 	return "UNREACHABLE"
 }
 
-func list(names []string) string {
+func joinOrDash(names []string) string {
 	if len(names) == 0 {
 		return "-"
 	}
--- a/router/internal/report/text.go
+++ b/router/internal/report/text.go
@@ -24,7 +24,7 @@
 }
 
 func (r Report) writeInstances(b *strings.Builder) {
-	fmt.Fprintf(b, "%d of %d instances answered\n", len(r.Instances)-r.Silent(), len(r.Instances))
+	fmt.Fprintf(b, "%d of %d instances answered\n", len(r.Instances)-r.UnansweredCount(), len(r.Instances))
 	for _, i := range r.Instances {
 		if !i.Answered {
 			fmt.Fprintf(b, "  NO ANSWER  %s: %s\n", i.Address, i.Error)
@@ -41,7 +41,7 @@
 	for _, team := range r.Teams {
 		for _, l := range team.Levels {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n",
-				team.Team, l.Kind, l.State, l.ObjectiveText(), Number(l.Measured), l.Unit, l.Events, l.burnText("\t"))
+				team.Team, l.Kind, l.State, l.ObjectiveText(), FormatNumber(l.Measured), l.Unit, l.Events, l.budgetAndBurnText("\t"))
 		}
 	}
 	// A strings.Builder takes every write.
@@ -53,7 +53,7 @@
 	if l.State == StateNoObjective {
 		return "-"
 	}
-	return Number(l.Objective)
+	return FormatNumber(l.Objective)
 }
 
 // BudgetText is the budget left, in per cent.
@@ -74,7 +74,7 @@
 
 // burnText is the budget and the rates in the order of the heading, in which
 // the windows stand in pairs.
-func (l Level) burnText(sep string) string {
+func (l Level) budgetAndBurnText(sep string) string {
 	parts := []string{l.BudgetText()}
 	for _, w := range AlertWindows() {
 		parts = append(parts, l.BurnText(w.Name))
@@ -87,4 +87,4 @@
 func AlertWindows() []Window { return []Window{Window5m, Window1h, Window30m, Window6h} }
 
 // Number formats a figure for people.
-func Number(f float64) string { return strconv.FormatFloat(f, 'g', 6, 64) }
+func FormatNumber(f float64) string { return strconv.FormatFloat(f, 'g', 6, 64) }
--- a/router/internal/report/windows.go
+++ b/router/internal/report/windows.go
@@ -41,35 +41,35 @@
 
 // ring holds a team's slots. Slot i of the ring is for the span that begins at
 // any time of which i is the slot number modulo slotCount.
-type ring struct {
-	slots  [slotCount]Counts
-	number [slotCount]int64
+type slotRing struct {
+	slots   [slotCount]Counts
+	numbers [slotCount]int64
 }
 
 func slotNumber(t time.Time) int64 { return t.UnixNano() / int64(slotSpan) }
 
 // at is the slot for now, emptied where it held an older span.
-func (r *ring) at(now time.Time) *Counts {
+func (r *slotRing) slotAt(now time.Time) *Counts {
 	n := slotNumber(now)
 	i := int(n % int64(slotCount))
-	if r.number[i] != n {
-		r.number[i] = n
+	if r.numbers[i] != n {
+		r.numbers[i] = n
 		r.slots[i] = Counts{}
 	}
 	return &r.slots[i]
 }
 
 // sum adds up the slots of the last span, the present one included.
-func (r *ring) sum(now time.Time, span time.Duration) Counts {
+func (r *slotRing) sum(now time.Time, span time.Duration) Counts {
 	return r.between(slotNumber(now)-int64(span/slotSpan)+1, slotNumber(now))
 }
 
 // between adds up the slots with the numbers first to last.
-func (r *ring) between(first, last int64) Counts {
+func (r *slotRing) between(first, last int64) Counts {
 	var total Counts
 	for n := max(first, 0); n <= last; n++ {
 		i := int(n % int64(slotCount))
-		if r.number[i] == n {
+		if r.numbers[i] == n {
 			total.Add(r.slots[i])
 		}
 	}
--- a/router/internal/settings/decode.go
+++ b/router/internal/settings/decode.go
@@ -12,7 +12,7 @@
 // decoder copies a syntax tree into Settings. It goes on after a fault, so
 // that one run reports them all, and remembers where each setting stands.
 type decoder struct {
-	list    *faultList
+	faults  *faultList
 	offsets map[string]int
 }
 
@@ -32,20 +32,20 @@
 func (d *decoder) object(v hujson.Value, dst reflect.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.list.add(v.StartOffset, path, "want an object, got %s", kindName(v))
+		d.faults.add(v.StartOffset, path, "want an object, got %s", describeValue(v))
 		return
 	}
 	known := fieldsByKey(dst.Type())
 	seen := map[string]bool{}
 	for _, m := range obj.Members {
 		key := m.Name.Value.(hujson.Literal).String()
-		child := join(path, key)
+		child := joinPath(path, key)
 		index, ok := known[key]
 		switch {
 		case !ok:
-			d.list.add(m.Name.StartOffset, child, "unknown key; known here: %s", keyList(dst.Type()))
+			d.faults.add(m.Name.StartOffset, child, "unknown key; known here: %s", keyList(dst.Type()))
 		case seen[key]:
-			d.list.add(m.Name.StartOffset, child, "given twice")
+			d.faults.add(m.Name.StartOffset, child, "given twice")
 		default:
 			d.value(m.Value, dst.Field(index), child)
 		}
@@ -56,7 +56,7 @@
 func (d *decoder) array(v hujson.Value, dst reflect.Value, path string) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.list.add(v.StartOffset, path, "want an array, got %s", kindName(v))
+		d.faults.add(v.StartOffset, path, "want an array, got %s", describeValue(v))
 		return
 	}
 	dst.Set(reflect.MakeSlice(dst.Type(), len(arr.Elements), len(arr.Elements)))
@@ -68,7 +68,7 @@
 func (d *decoder) scalar(v hujson.Value, dst reflect.Value, path string) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok || lit.Kind() == 'n' || json.Unmarshal(lit, dst.Addr().Interface()) != nil {
-		d.list.add(v.StartOffset, path, "want %s, got %s", typeName(dst.Kind()), kindName(v))
+		d.faults.add(v.StartOffset, path, "want %s, got %s", expectedType(dst.Kind()), describeValue(v))
 	}
 }
 
@@ -89,7 +89,7 @@
 	return strings.Join(keys, ", ")
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
@@ -97,7 +97,7 @@
 }
 
 // typeName names what a Go kind takes, in the words of JSON.
-func typeName(k reflect.Kind) string {
+func expectedType(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "a string"
@@ -109,7 +109,7 @@
 }
 
 // kindName names what stands in the file.
-func kindName(v hujson.Value) string {
+func describeValue(v hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
 		return "an object"
--- a/router/internal/settings/doc_table.go
+++ b/router/internal/settings/doc_table.go
@@ -11,11 +11,11 @@
 // there is none.
 func (f Field) DefaultText() string {
 	s := Default()
-	found := places(reflect.ValueOf(&s).Elem(), f.Path)
-	if len(found) == 0 {
+	values := valuesAt(reflect.ValueOf(&s).Elem(), f.Path)
+	if len(values) == 0 {
 		return "none"
 	}
-	v := found[0].value
+	v := values[0].value
 	switch {
 	case v.Kind() == reflect.Slice:
 		return "[]"
@@ -30,12 +30,12 @@
 }
 
 // Note is the comment of f in a settings file.
-func (f Field) Note() string {
-	note := fmt.Sprintf("%s Default %s; range %s", f.Text, f.DefaultText(), f.Rule.Range())
+func (f Field) Comment() string {
+	comment := fmt.Sprintf("%s Default %s; range %s", f.Text, f.DefaultText(), f.Rule.Range())
 	if f.Unit != "" {
-		note += "; unit " + f.Unit
+		comment += "; unit " + f.Unit
 	}
-	return note + "."
+	return comment + "."
 }
 
 // Table renders the fields as a table in Markdown, for docs/SETTINGS.md.
--- a/router/internal/settings/doc_test.go
+++ b/router/internal/settings/doc_test.go
@@ -8,16 +8,16 @@
 )
 
 // leaves lists the paths of all settings of a type.
-func leaves(t reflect.Type, path string) []string {
+func leafPaths(t reflect.Type, path string) []string {
 	switch t.Kind() {
 	case reflect.Struct:
 		var out []string
 		for i := range t.NumField() {
-			out = append(out, leaves(t.Field(i).Type, join(path, t.Field(i).Tag.Get("json")))...)
+			out = append(out, leafPaths(t.Field(i).Type, joinPath(path, t.Field(i).Tag.Get("json")))...)
 		}
 		return out
 	case reflect.Slice:
-		return append([]string{path}, leaves(t.Elem(), path+"[]")...)
+		return append([]string{path}, leafPaths(t.Elem(), path+"[]")...)
 	default:
 		return []string{path}
 	}
@@ -28,7 +28,7 @@
 	for _, f := range Fields() {
 		got = append(got, f.Path)
 	}
-	if want := leaves(reflect.TypeOf(Settings{}), ""); !reflect.DeepEqual(got, want) {
+	if want := leafPaths(reflect.TypeOf(Settings{}), ""); !reflect.DeepEqual(got, want) {
 		t.Errorf("Fields has\n%v\nwant\n%v", got, want)
 	}
 }
@@ -62,8 +62,8 @@
 			}
 		}
 		for _, f := range Fields() {
-			if !strings.Contains(text, f.Note()) {
-				t.Errorf("%s: %s lacks its comment: %s", name, f.Path, f.Note())
+			if !strings.Contains(text, f.Comment()) {
+				t.Errorf("%s: %s lacks its comment: %s", name, f.Path, f.Comment())
 			}
 		}
 	}
--- a/router/internal/settings/fault.go
+++ b/router/internal/settings/fault.go
@@ -22,11 +22,11 @@
 
 // String is "file:line:column: path: message".
 func (f Fault) String() string {
-	where := fmt.Sprintf("%s:%d:%d: ", f.File, f.Line, f.Column)
+	prefix := fmt.Sprintf("%s:%d:%d: ", f.File, f.Line, f.Column)
 	if f.Path == "" {
-		return where + f.Message
+		return prefix + f.Message
 	}
-	return where + f.Path + ": " + f.Message
+	return prefix + f.Path + ": " + f.Message
 }
 
 // Faults are all that is wrong in a settings file, in the order of the file.
@@ -46,7 +46,7 @@
 	file   string
 	data   []byte
 	found  []offsetFault
-	broken map[string]bool
+	faulty map[string]bool
 }
 
 type offsetFault struct {
@@ -57,23 +57,23 @@
 // add notes a fault of the setting at path, and that its value is not to be
 // judged any further.
 func (l *faultList) add(offset int, path, format string, args ...any) {
-	l.broken[path] = true
+	l.faulty[path] = true
 	l.found = append(l.found, offsetFault{offset, path, fmt.Sprintf(format, args...)})
 }
 
 // faults returns what was found in the order of the file.
-func (l *faultList) faults() Faults {
+func (l *faultList) sorted() Faults {
 	slices.SortStableFunc(l.found, func(a, b offsetFault) int { return a.offset - b.offset })
 	var out Faults
 	for _, f := range l.found {
-		line, column := position(l.data, f.offset)
+		line, column := lineColumn(l.data, f.offset)
 		out = append(out, Fault{File: l.file, Line: line, Column: column, Path: f.path, Message: f.message})
 	}
 	return out
 }
 
 // position turns a byte offset into a line and column, both from 1.
-func position(data []byte, offset int) (line, column int) {
+func lineColumn(data []byte, offset int) (line, column int) {
 	before := string(data[:min(offset, len(data))])
 	line = 1 + strings.Count(before, "\n")
 	column = len(before) - strings.LastIndexByte(before, '\n')
--- a/router/internal/settings/fields.go
+++ b/router/internal/settings/fields.go
@@ -56,8 +56,8 @@
 		{"limits.idle_timeout_ms", "ms", intRule{1000, hourMS}, "How long an idle connection of a caller stays open."},
 		{"limits.default_deadline_ms", "ms", intRule{100, hourMS}, "The deadline of a request that names none."},
 
-		{"log.format", "", wordRule{FormatJSON, FormatText}, "The format of the log."},
-		{"log.level", "", wordRule{LevelDebug, LevelInfo, LevelWarn, LevelError}, "The lowest level that is logged."},
+		{"log.format", "", enumRule{FormatJSON, FormatText}, "The format of the log."},
+		{"log.level", "", enumRule{LevelDebug, LevelInfo, LevelWarn, LevelError}, "The lowest level that is logged."},
 
 		{"freshness.bound_ms", "ms", intRule{500, 10 * minuteMS}, "How old the last confirmation of the manifest may be; past it an instance refuses new work. The same at every instance."},
 
@@ -69,9 +69,9 @@
 		{"session.keys[].secret", "base64", secretRule{}, "The key itself, the same at every instance."},
 		{"session.ttl_seconds", "s", intRule{60, 30 * daySec}, "A session token's life."},
 
-		{"peer.cert_file", "", textRule{}, "This instance's certificate (PEM); its IP must be in it. Empty with plaintext, on loopback only."},
-		{"peer.key_file", "", textRule{}, "The certificate's private key (PEM)."},
-		{"peer.ca_file", "", textRule{}, "Certificates (PEM) of the authority that signs every instance's certificate."},
+		{"peer.cert_file", "", pathRule{}, "This instance's certificate (PEM); its IP must be in it. Empty with plaintext, on loopback only."},
+		{"peer.key_file", "", pathRule{}, "The certificate's private key (PEM)."},
+		{"peer.ca_file", "", pathRule{}, "Certificates (PEM) of the authority that signs every instance's certificate."},
 		{"peer.interval_ms", "ms", intRule{100, minuteMS}, "How often digests are exchanged with three peers."},
 
 		{"decision.queue_limit", "requests", intRule{1, 1_000_000}, "The longest queue of a team whose manifest entry names none."},
--- a/router/internal/settings/load.go
+++ b/router/internal/settings/load.go
@@ -35,19 +35,19 @@
 // the defaults. name stands for the file in faults. Every fault is reported at
 // once, as Faults; then the Settings are zero.
 func Parse(name string, data []byte) (Settings, error) {
-	list := &faultList{file: name, data: data, broken: map[string]bool{}}
+	faults := &faultList{file: name, data: data, faulty: map[string]bool{}}
 	root, err := hujson.Parse(data)
 	if err != nil {
 		return Settings{}, Faults{syntaxFault(name, err)}
 	}
-	d := &decoder{list: list, offsets: map[string]int{}}
+	d := &decoder{faults: faults, offsets: map[string]int{}}
 	s := Default()
 	d.value(root, reflect.ValueOf(&s).Elem(), "")
-	if !list.broken[""] {
+	if !faults.faulty[""] {
 		d.checkRanges(&s)
-		d.checkTogether(&s)
+		d.checkConsistency(&s)
 	}
-	if faults := list.faults(); len(faults) > 0 {
+	if faults := faults.sorted(); len(faults) > 0 {
 		return Settings{}, faults
 	}
 	return s, nil
--- a/router/internal/settings/rules.go
+++ b/router/internal/settings/rules.go
@@ -63,11 +63,11 @@
 }
 
 // wordRule allows the words listed.
-type wordRule []string
+type enumRule []string
 
-func (r wordRule) Range() string { return strings.Join(r, ", ") }
+func (r enumRule) Range() string { return strings.Join(r, ", ") }
 
-func (r wordRule) check(v reflect.Value) string {
+func (r enumRule) check(v reflect.Value) string {
 	if !slices.Contains(r, v.String()) {
 		return fmt.Sprintf("%q is not allowed: want one of %s", v.String(), r.Range())
 	}
@@ -133,11 +133,11 @@
 }
 
 // textRule allows any text.
-type textRule struct{}
+type pathRule struct{}
 
-func (textRule) Range() string { return "a path, or empty" }
+func (pathRule) Range() string { return "a path, or empty" }
 
-func (textRule) check(reflect.Value) string { return "" }
+func (pathRule) check(reflect.Value) string { return "" }
 
 // secretRule allows base64 of a long enough key. Its messages never show the
 // value.
