--- a/router/internal/daemon/daemon.go
+++ b/router/internal/daemon/daemon.go
@@ -19,7 +19,7 @@
 const stopMargin = 10 * time.Second
 
 // Instance is a running instance's addresses, once it has started.
-type Instance struct {
+type Addresses struct {
 	API   string
 	Admin string
 	Peer  string
@@ -44,15 +44,15 @@
 
 // New returns the application of one instance; its Instance is filled in while
 // it starts.
-func New(cfg settings.Settings, log io.Writer) (*fx.App, *Instance) {
-	addrs := &Instance{}
+func New(cfg settings.Settings, log io.Writer) (*fx.App, *Addresses) {
+	addrs := &Addresses{}
 	app := fx.New(options(cfg, addrs, log))
 	return app, addrs
 }
 
 // options is the whole graph. The invokes stand in the order of starting; the
 // stop runs through them in reverse, so the drain comes first.
-func options(cfg settings.Settings, addrs *Instance, log io.Writer) fx.Option {
+func options(cfg settings.Settings, addrs *Addresses, log io.Writer) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
 		fx.StopTimeout(stopTimeout(cfg)),
--- a/router/internal/daemon/daemon_test.go
+++ b/router/internal/daemon/daemon_test.go
@@ -11,7 +11,7 @@
 
 // TestGraphIsComplete finds a part that nobody provides, without starting any.
 func TestGraphIsComplete(t *testing.T) {
-	if err := fx.ValidateApp(options(settings.Default(), &Instance{}, io.Discard)); err != nil {
+	if err := fx.ValidateApp(options(settings.Default(), &Addresses{}, io.Discard)); err != nil {
 		t.Error(err)
 	}
 }
--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -63,7 +63,7 @@
 
 // startPeers serves the other instances and follows what they pass on by the
 // log.
-func startPeers(lc fx.Lifecycle, p peerParams, n *peer.Node, addrs *Instance) {
+func startPeers(lc fx.Lifecycle, p peerParams, n *peer.Node, addrs *Addresses) {
 	p.Store.Watch(record.ClassQuarantine, func(c fold.Change) {
 		if ev, ok := parseQuarantine(c); ok {
 			p.Driver.Send(ev)
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -106,12 +106,12 @@
 	})
 }
 
-func startAdmin(lc fx.Lifecycle, cfg settings.Settings, h http.Handler, addrs *Instance, log *logging.Logger) {
+func startAdmin(lc fx.Lifecycle, cfg settings.Settings, h http.Handler, addrs *Addresses, log *logging.Logger) {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: ms(cfg.Limits.ReadTimeoutMS), IdleTimeout: ms(cfg.Limits.IdleTimeoutMS)}
 	addListener(lc, srv, cfg.Listen.Admin, "admin", &addrs.Admin, log)
 }
 
-func startAPI(lc fx.Lifecycle, cfg settings.Settings, a *api.Server, d *drain, addrs *Instance, log *logging.Logger) {
+func startAPI(lc fx.Lifecycle, cfg settings.Settings, a *api.Server, d *drain, addrs *Addresses, log *logging.Logger) {
 	d.server = &http.Server{
 		Handler:           a,
 		ReadHeaderTimeout: ms(cfg.Limits.ReadTimeoutMS),
--- a/router/internal/demo/stage.go
+++ b/router/internal/demo/stage.go
@@ -48,7 +48,7 @@
 	servers []*http.Server
 	apps    []*fx.App
 	// instances are the addresses of the entry instances.
-	instances []daemon.Instance
+	instances []daemon.Addresses
 }
 
 // newStage starts the stand-ins, then the entry instances. On an error nothing
--- a/router/internal/e2e/tokens_bench_test.go
+++ b/router/internal/e2e/tokens_bench_test.go
@@ -58,7 +58,7 @@
 }
 
 func (p *benchPath) used(b *testing.B) time.Duration {
-	d, err := procstat.ProcessorTime(p.entry.cmd.Process.Pid)
+	d, err := procstat.CPUTime(p.entry.cmd.Process.Pid)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/router/internal/logging/async.go
+++ b/router/internal/logging/async.go
@@ -18,7 +18,7 @@
 
 // Async writes lines in the background. It never blocks its callers: lines that find no
 // room are dropped and counted.
-type Async struct {
+type AsyncWriter struct {
 	out io.Writer
 
 	mu             sync.Mutex
@@ -29,10 +29,10 @@
 }
 
 // NewAsync returns a writer in front of out.
-func NewAsync(out io.Writer) *Async { return &Async{out: out} }
+func NewAsyncWriter(out io.Writer) *AsyncWriter { return &AsyncWriter{out: out} }
 
 // Write implements io.Writer; p is one line.
-func (a *Async) Write(p []byte) (int, error) {
+func (a *AsyncWriter) Write(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.buffer.Len()+len(p) > asyncBufferBytes {
@@ -48,7 +48,7 @@
 }
 
 // Flush writes what waits.
-func (a *Async) Flush() {
+func (a *AsyncWriter) Flush() {
 	a.writeMu.Lock()
 	defer a.writeMu.Unlock()
 	a.mu.Lock()
@@ -62,7 +62,7 @@
 }
 
 // Dropped is the number of lines dropped so far.
-func (a *Async) Dropped() int {
+func (a *AsyncWriter) Dropped() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.dropped
--- a/router/internal/logging/catalogue.go
+++ b/router/internal/logging/catalogue.go
@@ -62,10 +62,10 @@
 	EventStoreRestored   = Event{223, "store_restored", slog.LevelWarn, "A topic of the platform's store came back from a copy of an earlier state; its newest records are read again."}
 	EventStateKept       = Event{224, "state_kept", slog.LevelInfo, "What is known here is kept though a store that came back from a copy says otherwise; subject and key say what, reason why."}
 
-	EventPassRefused = Event{310, "passthrough_refused", slog.LevelInfo, "A request on a pass-through route was refused and was not run; reason says why."}
-	EventPassAttempt = Event{311, "passthrough_attempt", slog.LevelInfo, "An attempt at a backend server ended; load is what decided for the server."}
-	EventPassFailed  = Event{312, "passthrough_failed", slog.LevelWarn, "A request ended without a success, and ran or may have run; reason says why."}
-	EventCallerLost  = Event{313, "caller_lost", slog.LevelInfo, "A caller has gone before the end of its answer."}
+	EventPassthroughRefused = Event{310, "passthrough_refused", slog.LevelInfo, "A request on a pass-through route was refused and was not run; reason says why."}
+	EventPassthroughAttempt = Event{311, "passthrough_attempt", slog.LevelInfo, "An attempt at a backend server ended; load is what decided for the server."}
+	EventPassthroughFailed  = Event{312, "passthrough_failed", slog.LevelWarn, "A request ended without a success, and ran or may have run; reason says why."}
+	EventCallerLost         = Event{313, "caller_lost", slog.LevelInfo, "A caller has gone before the end of its answer."}
 
 	EventRolloutOrdered   = Event{610, "rollout_ordered", slog.LevelInfo, "The operator ordered a roll-out."}
 	EventRolloutStep      = Event{611, "rollout_step", slog.LevelInfo, "The share of a roll-out's new version changed here."}
@@ -88,7 +88,7 @@
 		EventStoreLost, EventStoreRegained, EventCollector,
 		EventDomainDrained, EventDomainBack, EventServerCold, EventServerLimited, EventServerUnlimited, EventStoreRestored, EventStateKept,
 		EventRequestRefused, EventAttemptFailed, EventWrongNonce,
-		EventPassRefused, EventPassAttempt, EventPassFailed, EventCallerLost,
+		EventPassthroughRefused, EventPassthroughAttempt, EventPassthroughFailed, EventCallerLost,
 		EventBillHeld, EventBillFlushed, EventBillRefused,
 		EventPeerConnected, EventPeerLost, EventPeerRejected,
 		EventVersionVerdict, EventServerEjected, EventQuarantine,
--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -72,7 +72,7 @@
 		fx.StopTimeout(cfg.Bounds.Grace),
 		fx.Supply(p, cfg),
 		fx.Provide(
-			func() *logging.Async { return logging.NewAsync(out) },
+			func() *logging.AsyncWriter { return logging.NewAsyncWriter(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
 			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.RevocationDelay) },
 			func(l *logging.Logger, c Clock, k *ConfigState, reg gometrics.Registry) *telemetry {
@@ -88,7 +88,7 @@
 	)
 }
 
-func provideLogger(out *logging.Async, cfg seam.Settings) *logging.Logger {
+func provideLogger(out *logging.AsyncWriter, cfg seam.Settings) *logging.Logger {
 	l := logging.New(out, settings.Log{Level: "info", Format: settings.FormatJSON})
 	return l.With(slog.String(logging.KeyInstance, cfg.Instance))
 }
@@ -147,7 +147,7 @@
 	return &Handler{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.MaxFiles)}
 }
 
-func provideServer(cfg seam.Settings, e *Handler, k *ConfigState, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
+func provideServer(cfg seam.Settings, e *Handler, k *ConfigState, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.AsyncWriter) *server {
 	s := &server{settings: cfg, edge: e, config: k, driver: d, telemetry: j, registry: reg, log: out, onServeError: func(error) {}}
 	return s
 }
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -106,7 +106,7 @@
 
 func (j *telemetry) refused(c *call, ref refusal) {
 	j.count("refused." + string(ref.reason))
-	j.emit(logging.EventPassRefused, j.requestAttrs(c,
+	j.emit(logging.EventPassthroughRefused, j.requestAttrs(c,
 		slog.Int("status", ref.status), slog.String(keyReason, string(ref.reason)),
 		slog.Int64("retry_after_ms", ref.retryAfter.Milliseconds()))...)
 }
@@ -143,7 +143,7 @@
 	if out.err != nil {
 		attrs = append(attrs, slog.String(logging.KeyError, out.err.Error()))
 	}
-	j.emit(logging.EventPassAttempt, attrs...)
+	j.emit(logging.EventPassthroughAttempt, attrs...)
 }
 
 func (j *telemetry) finished(c *call, status int, reason passthrough.Reason) {
@@ -153,7 +153,7 @@
 		return // the attempt's line says it all
 	}
 	j.count("failed." + string(reason))
-	j.emit(logging.EventPassFailed, j.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
+	j.emit(logging.EventPassthroughFailed, j.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
 }
 
 func (j *telemetry) callerLost(c *call, err error) {
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -43,7 +43,7 @@
 	driver    *Driver
 	telemetry *telemetry
 	registry  gometrics.Registry
-	log       *logging.Async
+	log       *logging.AsyncWriter
 
 	ready        atomic.Bool
 	callers      *http.Server
--- a/router/internal/procstat/procstat.go
+++ b/router/internal/procstat/procstat.go
@@ -37,7 +37,7 @@
 }
 
 // ProcessorTime is the user and system time that a process has used.
-func ProcessorTime(pid int) (time.Duration, error) {
+func CPUTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, trace.ConvertSystemError(err)
