--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -76,7 +76,7 @@
 		fx.StopTimeout(cfg.Bounds.Grace),
 		fx.Supply(p, cfg),
 		fx.Provide(
-			func() *logging.Async { return logging.NewAsync(out) },
+			func() *logging.AsyncWriter { return logging.NewAsyncWriter(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
 			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.RevocationDelay) },
 			func(l *logging.Logger, c Clock, config *ConfigState, reg gometrics.Registry) *telemetry {
@@ -92,7 +92,7 @@
 	)
 }
 
-func provideLogger(out *logging.Async, cfg seam.Settings) *logging.Logger {
+func provideLogger(out *logging.AsyncWriter, cfg seam.Settings) *logging.Logger {
 	l := logging.New(out, settings.Log{Level: "info", Format: settings.FormatJSON})
 	return l.With(slog.String(logging.KeyInstance, cfg.Instance))
 }
@@ -151,7 +151,7 @@
 	return &Handler{headers: p.Headers, config: config, driver: d, dialer: dial, clock: c, telemetry: tel, startGate: gate, shutdown: &shutdown{}, conns: newCallerConns(cfg.MaxFiles)}
 }
 
-func provideServer(cfg seam.Settings, handler *Handler, config *ConfigState, d *Driver, tel *telemetry, reg gometrics.Registry, out *logging.Async) *server {
+func provideServer(cfg seam.Settings, handler *Handler, config *ConfigState, d *Driver, tel *telemetry, reg gometrics.Registry, out *logging.AsyncWriter) *server {
 	s := &server{settings: cfg, handler: handler, config: config, driver: d, telemetry: tel, registry: reg, log: out, onServeError: func(error) {}}
 	return s
 }
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -106,7 +106,7 @@
 
 func (t *telemetry) refused(c *call, ref refusal) {
 	t.count("refused." + string(ref.reason))
-	t.emit(logging.EventPassRefused, t.requestAttrs(c,
+	t.emit(logging.EventPassthroughRefused, t.requestAttrs(c,
 		slog.Int("status", ref.status), slog.String(keyReason, string(ref.reason)),
 		slog.Int64("retry_after_ms", ref.retryAfter.Milliseconds()))...)
 }
@@ -143,7 +143,7 @@
 	if out.err != nil {
 		attrs = append(attrs, slog.String(logging.KeyError, out.err.Error()))
 	}
-	t.emit(logging.EventPassAttempt, attrs...)
+	t.emit(logging.EventPassthroughAttempt, attrs...)
 }
 
 func (t *telemetry) finished(c *call, status int, reason passthrough.Reason) {
@@ -153,7 +153,7 @@
 		return // the attempt's event has all details
 	}
 	t.count("failed." + string(reason))
-	t.emit(logging.EventPassFailed, t.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
+	t.emit(logging.EventPassthroughFailed, t.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
 }
 
 func (t *telemetry) callerLost(c *call, err error) {
