--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -247,7 +247,7 @@
 	defer n.mu.RUnlock()
 	d := n.state.Digest()
 	return Status{
-		NextOffset:         d.NextOffset,
+		NextOffset:   d.NextOffset,
 		Head:         max(n.status.head, d.NextOffset),
 		Generation:   d.Generation,
 		Hash:         d.Hash,
