--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -55,11 +55,11 @@
 // until then, and against the ejection of healthy servers beside it.
 func TestSickServerIsEjected(t *testing.T) {
 	cases := []struct {
-		name        string
-		servers     int
-		errorRate   float64
-		factor      float64
-		maxAttempts int
+		name         string
+		servers      int
+		errorRate    float64
+		factor       float64
+		attemptLimit int
 	}{
 		{"slow among 12", 12, 0, 4, 80},
 		{"very slow among 3", 3, 0, 10, 60},
@@ -80,7 +80,7 @@
 					}
 					return rng.Float64() < c.errorRate, c.factor
 				})
-				if got["s01"] > c.maxAttempts || got["s00"] < 1100 {
+				if got["s01"] > c.attemptLimit || got["s00"] < 1100 {
 					t.Errorf("seed %d: faulty server got %d attempts, a healthy one %d", seed, got["s01"], got["s00"])
 				}
 			}
