--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -29,7 +29,7 @@
 
 func TestSubsetIsBoundedStableAndEven(t *testing.T) {
 	if got := Subset("entry-1", servers(15)); len(got) != 15 {
-		t.Errorf("a small fleet is cut to %d", len(got))
+		t.Errorf("a small fleet is reduced to %d", len(got))
 	}
 	const fleet, instances = 1000, 200
 	all := servers(fleet)
@@ -57,7 +57,7 @@
 		}
 	}
 	if kept != subsetSize-1 {
-		t.Errorf("one server left and %d of the subset stayed", kept)
+		t.Errorf("one server left, and %d of the subset stayed", kept)
 	}
 }
 
@@ -92,7 +92,7 @@
 		}
 		time.Sleep(time.Second)
 		if got := d.nextPollDelay("s1"); got != 250*time.Millisecond {
-			t.Errorf("once the word is old: %v", got)
+			t.Errorf("after the report has become old: %v", got)
 		}
 	})
 }
--- a/router/internal/peer/bench_test.go
+++ b/router/internal/peer/bench_test.go
@@ -13,10 +13,10 @@
 	"masticplank.example/coordination/fold"
 )
 
-// BenchmarkIdle runs the rounds of an idle fleet in one process; one round is
-// one interval. It reports, for each instance and round, the bytes sent and
-// received (with TLS, under it) and the processor time of the whole process.
-// At the default interval of 1 s, bytes/round is bytes/s.
+// BenchmarkIdle runs the rounds of an idle fleet in one process; one round
+// corresponds to one interval. It reports, per instance and round, the bytes
+// sent and received (with TLS, below it) and the CPU time of the whole process.
+// At the default interval of 1 s, bytes/round equals bytes/s.
 func BenchmarkIdle(b *testing.B) {
 	ca := newAuthority(b)
 	secure := func(int) *tls.Config { return ca.config(b, "127.0.0.1") }
@@ -30,7 +30,7 @@
 func benchIdle(b *testing.B, n int, tlsOf func(int) *tls.Config) {
 	instances := newFleet(b, n, tlsOf)
 	for _, i := range instances {
-		// Numbers as long as a year's log makes them.
+		// Offsets as long as after a year of operation.
 		i.store.set(func(s *fakeStore) {
 			s.digest = fold.Digest{NextOffset: 6_000_000_000, Generation: 24_000_000, Hash: math.MaxUint64}
 			s.status.Head = 6_000_000_000
--- a/router/internal/peer/chooser_test.go
+++ b/router/internal/peer/chooser_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("seed %d: %d changes in %d rounds", seed, changes, rounds)
 		}
 		if len(met) < 2*fanout {
-			t.Errorf("seed %d: only met %v", seed, met)
+			t.Errorf("seed %d: only chose %v", seed, met)
 		}
 	}
 }
--- a/router/internal/peer/fixture_test.go
+++ b/router/internal/peer/fixture_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fixed is the clock of all instances of a test.
+// testTime is the initial time of all instances of a test.
 var testTime = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
 // fakeStore is a node.Store whose state is set by the test.
@@ -85,7 +85,7 @@
 func (f *fakeStore) Release(record.Key, record.Nonce)        {}
 func (f *fakeStore) Lookup(record.Key) (fold.Register, bool) { return fold.Register{}, false }
 
-// inst is one instance of a test's fleet.
+// testInstance is one instance of a test's fleet.
 type testInstance struct {
 	*Node
 	store   *fakeStore
@@ -98,7 +98,7 @@
 
 func (i *testInstance) now() time.Time { i.mu.Lock(); defer i.mu.Unlock(); return i.clock }
 
-// pass moves the instance's clock on.
+// advance moves the instance's clock forward.
 func (i *testInstance) advance(d time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -108,7 +108,7 @@
 func (i *testInstance) Vouched(v freshness.Vouch) {
 	select {
 	case i.vouches <- v:
-	default: // a test that counts them reads them
+	default: // a test that counts them drains the channel
 	}
 }
 
@@ -116,14 +116,15 @@
 
 var domains = []string{"nyarugenge", "gasabo", "kicukiro"}
 
-// fleet starts n instances on loopback that list each other. Their rounds are
-// run by the test.
+// newFleet starts n instances on loopback that list each other. The test runs
+// their rounds.
 func newFleet(t testing.TB, n int, tlsOf func(int) *tls.Config) []*testInstance {
 	t.Helper()
 	return newFleetWithStores(t, n, tlsOf, nil)
 }
 
-// fleetOn is a fleet whose stores come from storeOf, by the instance's name.
+// newFleetWithStores is newFleet with stores from storeOf, by the instance's
+// name.
 func newFleetWithStores(t testing.TB, n int, tlsOf func(int) *tls.Config, storeOf func(string) node.Store) []*testInstance {
 	t.Helper()
 	list := make([]wire.ListedInstance, n)
@@ -150,7 +151,7 @@
 		events:  make(chan decision.Event, 100),
 		vouches: make(chan freshness.Vouch, 1000),
 	}
-	// A busy machine must not turn a slow answer into none.
+	// A slow answer on a busy machine must not count as a missing one.
 	timeouts := Timeouts{Dial: time.Minute, Call: time.Minute, Hold: time.Minute}
 	cfg := Config{Self: list[i], Timeouts: timeouts, Interval: time.Hour, Seed: uint64(i)}
 	if tlsOf != nil {
@@ -180,7 +181,7 @@
 	return inst
 }
 
-// round runs one round with all that it started.
+// runRound runs one round and waits for the background work that it starts.
 func (i *testInstance) runRound() {
 	i.Round(context.Background())
 	i.background.Wait()
@@ -195,7 +196,7 @@
 	return r
 }
 
-// fill takes all room for bills, and returns what gives it back.
+// fillBills reserves all space for bills; the function returned frees it.
 func (i *testInstance) fillBills(t *testing.T) (empty func()) {
 	t.Helper()
 	var taken []*ledger.Reservation
@@ -213,7 +214,7 @@
 	}
 }
 
-// discard drops events.
+// discardEvents drops events.
 type discardEvents struct{}
 
 func (discardEvents) Send(decision.Event) {}
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -16,7 +16,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// send writes raw bytes to an instance and returns its next message.
+// sendRaw writes raw bytes to an instance and returns its next message.
 func sendRaw(t *testing.T, addr string, raw []byte) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -42,7 +42,7 @@
 	return frame(fmt.Sprintf(`{"jsonrpc":"2.0","id":1,"method":%q,"params":%s}`, method, params))
 }
 
-// holdParams encodes one record for bill.hold.
+// holdParams encodes records as parameters of bill.hold.
 func holdParams(t testing.TB, records ...record.Record) string {
 	t.Helper()
 	data, err := record.Encode(record.Batch{Writer: "w", WriterTime: testTime, Records: records})
@@ -56,7 +56,7 @@
 	return string(params)
 }
 
-// untouched fails the test where a message changed anything.
+// assertUnchanged fails the test if a message changed the instance's state.
 func assertUnchanged(t *testing.T, i *testInstance, name string) {
 	t.Helper()
 	if i.HeldBills() != 0 || i.healthItems.hash(testTime) != 0 || i.store.restored != nil ||
@@ -113,8 +113,8 @@
 	}
 }
 
-// A peer may not ask back over a connection that was opened to it, nor answer
-// with more than a message may hold.
+// A peer must neither send requests over a connection that was opened to it,
+// nor answer with more than a message may contain.
 func TestHostileAnswersEndTheConnection(t *testing.T) {
 	for name, reply := range map[string][]byte{
 		"garbage":   frame("garbage"),
@@ -138,13 +138,13 @@
 			var m json.RawMessage
 			_ = jsonrpc2.VarintObjectCodec{}.ReadObject(r, &m)
 			_, _ = conn.Write(reply)
-			_ = jsonrpc2.VarintObjectCodec{}.ReadObject(r, &m) // until it closes or refuses
+			_ = jsonrpc2.VarintObjectCodec{}.ReadObject(r, &m) // until the instance closes the connection or rejects the request
 		}()
 		i := newFleet(t, 2, nil)[0]
 		peer := i.self
 		peer.ID, peer.Peer = "evil", ln.Addr().String()
 		if a := i.query(context.Background(), peer, MethodDigest); a.ok {
-			t.Errorf("%s: taken as an answer", name)
+			t.Errorf("%s: accepted as an answer", name)
 		}
 		assertUnchanged(t, i, name)
 		_ = ln.Close()
@@ -152,8 +152,8 @@
 	}
 }
 
-// FuzzMessage sends any message to every method. The first message of a fresh
-// instance may only change it where it is one that an instance sends.
+// FuzzMessage sends arbitrary parameters to every method. A message that is
+// answered with an error must change nothing, and only bills may be held.
 func FuzzMessage(f *testing.F) {
 	f.Add(MethodVouch, []byte(`{"from":"x"}`))
 	f.Add(MethodDigest, []byte(`{"from":"x","next":1,"gen":1,"hash":1,"board":0}`))
@@ -179,7 +179,7 @@
 	})
 }
 
-// FuzzStream reads any bytes as messages.
+// FuzzStream reads arbitrary bytes as messages.
 func FuzzStream(f *testing.F) {
 	f.Add(frame(`{"jsonrpc":"2.0","id":1,"method":"m"}`))
 	f.Add(binary.AppendUvarint(nil, 1<<63))
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -24,7 +24,7 @@
 	f[2].store.set(func(s *fakeStore) { s.status.LogReachable, s.status.LastHeadRead = false, time.Time{} })
 	f[0].runRound()
 	if len(f[0].vouches) != 2 {
-		t.Fatalf("%d words, want 2", len(f[0].vouches))
+		t.Fatalf("%d reports, want 2", len(f[0].vouches))
 	}
 	for range 2 {
 		v := <-f[0].vouches
@@ -40,7 +40,7 @@
 		}
 	}
 	if len(f[1].vouches)+len(f[2].vouches) != 0 {
-		t.Error("a question was taken for a word on the head")
+		t.Error("a request was taken for a report of the head")
 	}
 }
 
@@ -63,7 +63,7 @@
 	f[0].Instances = func() []wire.ListedInstance { return stale }
 	f[0].runRound()
 	if len(f[0].vouches) != 0 || f[0].answered["gone"] {
-		t.Error("a word was taken from an instance that the list does not have there")
+		t.Error("accepted a report from an instance that is not listed at that address")
 	}
 }
 
@@ -90,12 +90,13 @@
 			t.Errorf("%s: restored %d bytes, want %d", c.name, len(f[0].store.restored), len(c.want))
 		}
 		if f[1].store.restored != nil || f[2].store.restored != nil {
-			t.Errorf("%s: a peer took the state of one behind it", c.name)
+			t.Errorf("%s: a peer took over an older state", c.name)
 		}
 	}
 }
 
-// An instance that is cut off alone would fetch the whole state in each round.
+// An instance that alone cannot reach the log must not fetch the whole state of
+// a peer in each round.
 func TestTransfersOfALargeStateAreApart(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	f[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
@@ -124,7 +125,7 @@
 		heard[(<-f[0].vouches).Peer] = true
 	}
 	if len(heard) != 7 {
-		t.Errorf("heard %v, want all 7", heard)
+		t.Errorf("got reports of %v, want all 7", heard)
 	}
 }
 
@@ -152,7 +153,7 @@
 		f[0].Instances = func() []wire.ListedInstance { return nil }
 		f[0].runRound()
 		if len(f[0].answered) != 0 {
-			t.Errorf("%s: remembers peers that the list dropped", c.name)
+			t.Errorf("%s: keeps peers that are no longer listed", c.name)
 		}
 	}
 }
@@ -181,7 +182,7 @@
 	}
 	s.expire(testTime.Add(snapshotTTL))
 	if s.data != nil {
-		t.Error("snapshot kept after its time")
+		t.Error("snapshot kept after its TTL")
 	}
 	for name, got := range map[string]FetchResult{
 		"endless":     {Total: 1 << 60, Data: []byte("x")},
@@ -195,9 +196,9 @@
 	}
 }
 
-// The interval of these instances is an hour: what happens here was pushed. One
-// whose line to the log is cut takes the state over; one that reads the log
-// waits for the log's word.
+// The interval of these instances is an hour, so all messages here are pushed.
+// An instance that cannot reach the log takes the state over from a peer; one
+// that reads the log waits for the log.
 func TestManifestWonIsPushed(t *testing.T) {
 	f := newFleet(t, 3, nil)
 	f[0].runRound() // chooses the peers
@@ -212,12 +213,13 @@
 	f[0].Push(context.Background()) // returns once both have answered
 	reader.set(func(s *fakeStore) {
 		if s.restored != nil || len(f[2].roundRequested) != 0 {
-			t.Error("a push moved an instance that reads the log")
+			t.Error("a push affected an instance that reads the log")
 		}
 	})
 }
 
-// Whoever says without end that a manifest is new causes one round a second.
+// A peer that keeps announcing new manifests may cause at most one round a
+// second.
 func TestPushesCauseFewRounds(t *testing.T) {
 	store := &fakeStore{}
 	n := New(Config{}, Deps{Store: store, Events: discardEvents{}})
@@ -226,7 +228,7 @@
 			t.Fatal(err)
 		}
 		if want := 1 - min(i, 1); len(n.roundRequested) != want {
-			t.Errorf("push %d: %d rounds asked for, want %d", i, len(n.roundRequested), want)
+			t.Errorf("push %d: %d rounds requested, want %d", i, len(n.roundRequested), want)
 		}
 		if i == 0 {
 			<-n.roundRequested
@@ -250,7 +252,7 @@
 	for _, i := range f {
 		i.runRound()
 		if len(i.events) != 0 {
-			t.Errorf("%s was told again, or told itself", i.self.ID)
+			t.Errorf("%s got the verdict again, or its own", i.self.ID)
 		}
 	}
 }
@@ -269,7 +271,7 @@
 		t.Errorf("got %+v", got)
 	}
 	if f[0].healthItems.hash(testTime) != f[1].healthItems.hash(testTime) {
-		t.Error("boards still differ")
+		t.Error("health items still differ")
 	}
 }
 
@@ -299,11 +301,11 @@
 	} {
 		good := item(0, time.Minute, true)
 		if _, err := b.merge([]HealthItem{good, bad}, testTime); err == nil || b.hash(testTime) != before {
-			t.Errorf("%s: got %v, or a part was taken", name, err)
+			t.Errorf("%s: got %v, or some items were taken", name, err)
 		}
 	}
 	if len(b.all(testTime.Add(2*time.Minute))) != 0 || b.hash(testTime) != 0 {
-		t.Error("items outlive their time")
+		t.Error("items are kept after they have expired")
 	}
 }
 
@@ -323,7 +325,7 @@
 		}
 	}
 	if len(x.entries) != maxHealthItems || x.hash(testTime) != y.hash(testTime) {
-		t.Errorf("%d rows; equal: %v", len(x.entries), x.hash(testTime) == y.hash(testTime))
+		t.Errorf("%d items; equal hashes: %v", len(x.entries), x.hash(testTime) == y.hash(testTime))
 	}
 }
 
@@ -364,15 +366,15 @@
 	if total != 0 {
 		t.Errorf("%d bills left after the flush", total)
 	}
-	// The first flush met an unknown outcome and went no further; the second
-	// put all of them, that one under the same nonce again.
+	// The first flush stopped at an unknown outcome. The second put all bills,
+	// the first one again under the same nonce.
 	puts := f[0].store.puts
 	if len(puts) != 21 || !sameBills(puts[1:], all) || !sameBills(puts[:1], []record.Record{secondPut(puts)}) {
-		t.Errorf("%d puts; a second try was not the same record", len(puts))
+		t.Errorf("%d puts; a retry did not put the same record", len(puts))
 	}
 }
 
-// again is the second Put of the key that was put first.
+// secondPut is the second Put of the key that was put first.
 func secondPut(puts []record.Record) record.Record {
 	i := slices.IndexFunc(puts[1:], func(r record.Record) bool { return r.Key == puts[0].Key })
 	return puts[1+i]
@@ -412,20 +414,20 @@
 		t.Error("full with no bill held")
 	}
 	if !f[0].HeldBillsFull(maxHeldBills) {
-		t.Error("room for fewer bills than requests are open, and not full")
+		t.Error("not full, with space for fewer bills than there are open requests")
 	}
 	f[0].fillBills(t)
 	if !f[0].HeldBillsFull(0) {
-		t.Error("not full without room")
+		t.Error("not full with all space reserved")
 	}
 	if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[1].HeldBills() != 0 {
 		t.Errorf("full here: got %v with %d copies", err, f[1].HeldBills())
 	}
 }
 
-// A resend reaches the instance that keeps the second copy of the first try's
-// bill. Found while both holders of bills were made one: a failed Hold dropped
-// that copy, and the first instance's death then left the request unbilled.
+// The caller's second try reaches the instance that keeps the copy of the first
+// try's bill. If its failed Hold dropped that copy, the request would stay
+// unbilled when the first instance dies.
 func TestFailedHoldKeepsThePeersCopy(t *testing.T) {
 	f := newFleet(t, 2, nil)
 	if err := f[0].Hold(context.Background(), testBill(1)); err != nil {
--- a/router/internal/peer/real_test.go
+++ b/router/internal/peer/real_test.go
@@ -11,7 +11,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// watcher tells a test what a real node sees.
+// nodeObserver passes on to a test what a real node reads.
 type nodeObserver struct {
 	reads chan struct{}
 	bills chan fold.Change
@@ -26,7 +26,7 @@
 func (w *nodeObserver) Folded(uint64)        {}
 func (w *nodeObserver) ReadFailed(time.Time) {}
 
-// realNode follows log by a node of its own until the test ends.
+// realNode starts a node that follows log until the test ends.
 func realNode(t *testing.T, log *logtest.Log, name string) (*node.Node, *nodeObserver) {
 	t.Helper()
 	w := &nodeObserver{reads: make(chan struct{}, 1), bills: make(chan fold.Change, 100)}
@@ -48,7 +48,8 @@
 	return n, w
 }
 
-// realFleet is a fleet whose instances follow log; seen is by instance.
+// realFleet is a fleet whose instances follow log; nodes and seen are by
+// instance.
 func realFleet(t *testing.T, log *logtest.Log, n int) (f []*testInstance, nodes []*node.Node, seen []*nodeObserver) {
 	t.Helper()
 	f = newFleetWithStores(t, n, nil, func(name string) node.Store {
@@ -59,8 +60,9 @@
 	return f, nodes, seen
 }
 
-// TestBillOutlivesItsInstance holds a bill while the log is down, and hears
-// nothing more of the instance that made it.
+// TestBillOutlivesItsInstance checks that a bill held while the log is
+// unreachable is written by the peer that has the copy, if the instance that
+// made it does nothing more.
 func TestBillOutlivesItsInstance(t *testing.T) {
 	log := logtest.New()
 	f, _, seen := realFleet(t, log, 2)
@@ -75,7 +77,8 @@
 	}
 }
 
-// TestBothCopiesMakeOneBill flushes both copies, and one of them twice.
+// TestBothCopiesMakeOneBill flushes both copies of a bill, one of them twice.
+// Only one bill may result.
 func TestBothCopiesMakeOneBill(t *testing.T) {
 	f, nodes, seen := realFleet(t, logtest.New(), 2)
 	if err := f[0].Hold(context.Background(), testBill(1)); err != nil {
@@ -97,7 +100,8 @@
 	}
 }
 
-// untilFlushed runs rounds, each after the log was read, until no bill is held.
+// runUntilFlushed runs rounds, each after a read of the log, until no bill is
+// held.
 func (i *testInstance) runUntilFlushed(seen *nodeObserver) {
 	for i.HeldBills() > 0 {
 		<-seen.reads
--- a/router/internal/peer/tls_test.go
+++ b/router/internal/peer/tls_test.go
@@ -49,7 +49,8 @@
 	return authority{cert, key}
 }
 
-// settings writes an instance's files and returns the settings that name them.
+// settings writes an instance's certificate files and returns the settings that
+// name them.
 func (a authority) settings(t testing.TB, ip string) settings.Peer {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -99,7 +100,7 @@
 	f := newFleet(t, 3, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })
 	f[0].runRound()
 	if len(f[0].vouches) != 2 {
-		t.Errorf("%d words over TLS, want 2", len(f[0].vouches))
+		t.Errorf("%d reports over TLS, want 2", len(f[0].vouches))
 	}
 }
 
--- a/router/internal/relay/client_test.go
+++ b/router/internal/relay/client_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSilentStoreIsAskedLessAndLess plays an outage of half a minute at a follower whose
-// collectors do not know either: five topics fail at a time.
+// TestSilentStoreIsAskedLessAndLess checks the backoff towards an unreachable store: for half a
+// minute, five topics at a time fail at a follower whose collector does not have the records either.
 func TestSilentStoreIsAskedLessAndLess(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
@@ -23,32 +23,32 @@
 		}
 	}
 	if asked > topics+30/3 {
-		t.Errorf("asked %d times in 30 s", asked)
+		t.Errorf("read the store %d times in 30 s", asked)
 	}
 	c.storeAnswered()
 	if !c.mayReadStore() {
-		t.Error("the store is left alone though it answered")
+		t.Error("the store is not read although it answered")
 	}
 }
 
-// TestNobodyReadsDirectlyBeforeItsFirstRead holds that an instance which has just started does
-// not take itself for the one of its failure domain that writes.
+// TestNobodyReadsDirectlyBeforeItsFirstRead checks that an instance which has just started does not
+// assume that it is the one of its failure domain that writes.
 func TestNobodyReadsDirectlyBeforeItsFirstRead(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Minute)
 	if all[0].log.ReadsStore() || all[1].log.ReadsStore() {
-		t.Error("direct before the first read")
+		t.Error("ReadsStore before the first read")
 	}
 	all[0].newest(t)
 	all[1].newest(t)
 	if !all[0].log.ReadsStore() || all[1].log.ReadsStore() {
-		t.Errorf("direct: %v and %v, want the first alone", all[0].log.ReadsStore(), all[1].log.ReadsStore())
+		t.Errorf("ReadsStore: %v and %v, want only the first", all[0].log.ReadsStore(), all[1].log.ReadsStore())
 	}
 }
 
-// TestUrgentTopicIsNotKeptWaiting plays half a minute in which the store gives no answer, and holds
-// that a topic with a bound may ask it every two seconds, whatever the others have asked.
+// TestUrgentTopicIsNotKeptWaiting checks that during half a minute without an answer from the store
+// an urgent topic may be read every two seconds, whatever reads other topics have tried.
 func TestUrgentTopicIsNotKeptWaiting(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
@@ -58,7 +58,7 @@
 	last, longest := now, time.Duration(0)
 	for end := now.Add(30 * time.Second); now.Before(end); now = now.Add(100 * time.Millisecond) {
 		if c.mayReadStore() {
-			c.storeFailed() // another topic's question
+			c.storeFailed() // a read of another topic
 		}
 		if c.mayReadStoreUrgently() {
 			longest = max(longest, now.Sub(last))
@@ -66,13 +66,13 @@
 		}
 	}
 	if longest > minStoreBackoff+200*time.Millisecond {
-		t.Errorf("kept waiting for %v", longest)
+		t.Errorf("an urgent topic waited for %v", longest)
 	}
 }
 
-// TestInstanceThatKnowsNobodyAsksOneQuestionAtATime plays the start in an outage of ten seconds:
-// five topics are tried by an instance that ranks first, since it has not learnt of any other.
-// The first answer frees all topics at once.
+// TestInstanceThatKnowsNobodyAsksOneQuestionAtATime starts an instance in an outage of ten seconds.
+// It ranks first, since it knows no others, and five topics try the store. The first answer must
+// release all topics at once.
 func TestInstanceThatKnowsNobodyAsksOneQuestionAtATime(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
@@ -92,15 +92,15 @@
 		}
 	}
 	if most := topics + int(10*time.Second/probeInterval); asked > most {
-		t.Errorf("asked %d times in 10 s", asked)
+		t.Errorf("read the store %d times in 10 s", asked)
 	}
 	if longest > probeInterval+tick {
-		t.Errorf("the store's return would be seen after %v only", longest)
+		t.Errorf("the store's recovery would be noticed only after %v", longest)
 	}
 	c.storeAnswered()
 	for range topics {
 		if !c.mayReadStore() {
-			t.Error("a topic is held back though the store answers")
+			t.Error("a topic may not read the store although it answers")
 		}
 	}
 }
--- a/router/internal/relay/fixture_test.go
+++ b/router/internal/relay/fixture_test.go
@@ -12,7 +12,7 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-// store is a topic in memory that counts its reads.
+// fakeStore is an in-memory topic that counts its reads.
 type fakeStore struct {
 	mu          sync.Mutex
 	records     []keyedlog.Record
@@ -22,19 +22,19 @@
 	era         uint64
 }
 
-// newestReads is how often the newest records were read.
+// newestReads is the number of reads of the newest records.
 func (s *fakeStore) newestReads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newestCount
 }
 
-// end is where the topic ends. The lock is held.
+// end is the position at the end of the topic. The lock must be held.
 func (s *fakeStore) end() keyedlog.Position {
 	return keyedlog.Position{Era: s.era, Offset: uint64(len(s.records))}
 }
 
-// restore has the topic come back with its first records only.
+// restore truncates the topic to its first records and starts a new era.
 func (s *fakeStore) restore(records int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 }
 
 func (s *fakeStore) put(key, value string) {
-	_ = s.Append(context.Background(), keyedlog.Anywhere, keyedlog.Record{Key: key, Value: []byte(value)}) // in memory
+	_ = s.Append(context.Background(), keyedlog.Anywhere, keyedlog.Record{Key: key, Value: []byte(value)}) // cannot fail in memory
 }
 
 func (s *fakeStore) readCount() int {
@@ -88,7 +88,7 @@
 
 const testTopic = "t"
 
-// instance is one with a collector's server and a follower's log.
+// testInstance has a collector's server and a follower's log.
 type testInstance struct {
 	members *Members
 	client  *Client
@@ -99,8 +99,8 @@
 	fleet   int
 }
 
-// startInstances starts instances of one failure domain on a shared store. They rank in
-// order, by their cores.
+// startInstances starts instances of one failure domain on a shared store. They rank in order, by
+// their cores.
 func startInstances(t *testing.T, st *fakeStore, count int, oldest time.Duration) []*testInstance {
 	t.Helper()
 	var all []*testInstance
@@ -144,8 +144,7 @@
 	return s
 }
 
-// slowLink hands one connection after the other on to a target, byte by byte slowly enough
-// that an answer takes longer than a usual call.
+// startSlowLink starts a proxy that forwards connections to a target and delays the answers.
 func startSlowLink(t *testing.T, target string, delay time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -174,7 +173,7 @@
 	return l.Addr().String()
 }
 
-// waitingStore is a store that keeps a question waiting for as long as it may wait.
+// waitingStore records how long each read may wait for a record.
 type waitingStore struct {
 	*fakeStore
 	waits []time.Duration
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		if _, err := unpackLoads(packLoads(rows[1:2])[:cut]); err == nil {
-			t.Errorf("%d bytes of a row were taken", cut)
+			t.Errorf("%d bytes of a row were accepted", cut)
 		}
 	}
 }
@@ -46,21 +46,24 @@
 	})
 }
 
-// loadNode is an instance that exchanges loads.
+// exchangeInstance is an instance that exchanges load reports.
 type exchangeInstance struct {
 	loads *LoadExchange
 	own   []passthrough.PeerLoad
 	got   []passthrough.PeerLoad
-	// instances is how many those are that got is of.
+	// instances is the number of instances that got covers.
 	instances int
-	// limits are what backend servers told this instance, othersLimits what they told others.
+	// limits are what backend servers stated to this instance, othersLimits what they stated to
+	// others.
 	limits []passthrough.PeerLimit
-	// lost is the version of the configuration that the store lacks, as known here and elsewhere.
+	// lost is the version of the configuration that the store lacks, as known to this instance;
+	// othersLost, as known to others.
 	lost, othersLost uint64
 	othersLimits     []passthrough.PeerLimit
 }
 
-// startLoads starts instances of two failure domains; the first of all ranks first.
+// startExchanges starts instances of several failure domains, given by the first letter of their
+// names. The first of all ranks first.
 func startExchanges(t *testing.T, names ...string) map[string]*exchangeInstance {
 	t.Helper()
 	members := make([]Member, 0, len(names))
@@ -94,15 +97,15 @@
 	return out
 }
 
-// TestAllLearnWhatAllHave plays two failure domains of two: each instance learns the sum of the
-// others, of its own failure domain and beyond, and never its own.
+// TestAllLearnWhatAllHave checks with two failure domains of two instances that each instance
+// learns the sum of the others, in its own failure domain and beyond, and never counts itself.
 func TestAllLearnWhatAllHave(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
 	nodes := startExchanges(t, names...)
 	for i, name := range names {
 		nodes[name].own = []passthrough.PeerLoad{loadRow(1, 1<<i, time.Duration(1<<i)*time.Second)}
 	}
-	for range 3 { // up and down again
+	for range 3 { // up to the first collector and down again
 		for _, name := range names {
 			nodes[name].loads.exchange(t.Context())
 		}
@@ -111,7 +114,7 @@
 		want := 1 + 2 + 4 + 8 - 1<<i
 		got := nodes[name].got
 		if nodes[name].instances != len(names)-1 {
-			t.Errorf("%s heard of %d instances", name, nodes[name].instances)
+			t.Errorf("%s got the reports of %d instances", name, nodes[name].instances)
 		}
 		if len(got) != 1 || got[0].Requests != want || got[0].PrefillTime != time.Duration(want)*time.Second {
 			t.Errorf("%s learnt %+v, want %d", name, got, want)
@@ -119,7 +122,8 @@
 	}
 }
 
-// TestLoadsOfThoseThatAreGoneAreForgotten holds that an instance that reports no more has nothing.
+// TestLoadsOfThoseThatAreGoneAreForgotten checks that the load of an instance that stopped
+// reporting expires, and that an unreadable report is rejected.
 func TestLoadsOfThoseThatAreGoneAreForgotten(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "a1", Domain: "a", Address: "x:1"}, 1, func() time.Time { return now })
@@ -132,23 +136,23 @@
 	}
 	now = now.Add(l.reportTTL() + time.Millisecond)
 	if sum := l.sum(l.liveReports("", true)).Loads; len(sum) != 0 {
-		t.Errorf("sum %+v of an instance that is gone", sum)
+		t.Errorf("sum %+v with an expired report", sum)
 	}
 	from := ""
 	l.OnUnreadable = func(name string, _ error) { from = name }
 	if _, err := l.handleReport(loadsParams{Name: "a2", Rows: []byte{1}}); err == nil || from != "a2" {
-		t.Errorf("a report that cannot be read was taken, or not told of: %v, of %q", err, from)
+		t.Errorf("an unreadable report was accepted, or not passed to OnUnreadable: %v, from %q", err, from)
 	}
 }
 
-// TestNewestLimitReachesAll has instances of two failure domains be told of one server's limit and
-// of its end: all learn what was told last, with its age.
+// TestNewestLimitReachesAll has servers state a limit, and its end, to instances of two failure
+// domains: all must learn the newest statement, with its age.
 func TestNewestLimitReachesAll(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
 	nodes := startExchanges(t, names...)
 	nodes["a2"].limits = []passthrough.PeerLimit{{Key: 1, Limit: passthrough.RateLimit{Limited: true, PerSecond: 1.4}, Age: 5 * time.Second}}
 	nodes["b2"].limits = []passthrough.PeerLimit{{Key: 1, Age: time.Second}, {Key: 2, Limit: passthrough.RateLimit{Limited: true}, Age: time.Second}}
-	for range 3 { // up and down again
+	for range 3 { // up to the first collector and down again
 		for _, name := range names {
 			nodes[name].loads.exchange(t.Context())
 		}
@@ -164,12 +168,13 @@
 	}
 }
 
-// TestLostConfigurationReachesAll holds that all learn of the highest version that the store lacks.
+// TestLostConfigurationReachesAll checks that all instances learn the highest version that the
+// store lacks.
 func TestLostConfigurationReachesAll(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
 	nodes := startExchanges(t, names...)
 	nodes["a2"].lost, nodes["b2"].lost = 7, 9
-	for range 3 { // up and down again
+	for range 3 { // up to the first collector and down again
 		for _, name := range names {
 			nodes[name].loads.exchange(t.Context())
 		}
@@ -192,7 +197,7 @@
 	}
 	for cut := 1; cut < len(packLimits(rows[2:])); cut++ {
 		if _, err := unpackLimits(packLimits(rows[2:])[:cut]); err == nil {
-			t.Errorf("%d bytes of a row were taken", cut)
+			t.Errorf("%d bytes of a row were accepted", cut)
 		}
 	}
 }
--- a/router/internal/relay/members_test.go
+++ b/router/internal/relay/members_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFollowersLearnTheFleet holds that a follower, which reads the list of its own failure
-// domain only, counts the instances of all as its collector does.
+// TestFollowersLearnTheFleet checks that a follower, which reads the list of its own failure domain
+// only, counts the instances of all failure domains as its collector does.
 func TestFollowersLearnTheFleet(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestUncountedDomainsAreThoughtAlike holds that the count is no lower bound before the other
-// failure domains were counted: the retry budget's slack is shared by it.
+// TestUncountedDomainsAreThoughtAlike checks that the count is not too low before the other failure
+// domains are counted, since the retry budget's slack is divided by it.
 func TestUncountedDomainsAreThoughtAlike(t *testing.T) {
 	m := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 5, time.Now)
 	for i := range 9 {
@@ -34,12 +34,12 @@
 		m.Add(Member{Name: fmt.Sprint("far", i), Domain: "e", Address: "a:3"})
 	}
 	if n := m.FleetSize(); n != 70 {
-		t.Errorf("%d instances, want the 70 that are known", n)
+		t.Errorf("%d instances, want the 70 known ones", n)
 	}
 }
 
-// TestStrongInstancesTakeTheFirstTurns holds that those which will collect are known before the
-// small ones ask who does.
+// TestStrongInstancesTakeTheFirstTurns checks that the instances which become collectors are known
+// before the weak ones look for them.
 func TestStrongInstancesTakeTheFirstTurns(t *testing.T) {
 	lastStrong, firstSmall := 0.0, 1.0
 	for i := range 60 {
@@ -47,16 +47,16 @@
 		small := Member{Name: fmt.Sprint("small", i), Cores: 0.2}.AnnounceOrder()
 		lastStrong, firstSmall = max(lastStrong, strong), min(firstSmall, small)
 		if strong < 0 || small > 1 {
-			t.Fatalf("turns %v and %v", strong, small)
+			t.Fatalf("announce orders %v and %v", strong, small)
 		}
 	}
 	if lastStrong > firstSmall {
-		t.Errorf("a strong instance goes at %.2f, a small one at %.2f", lastStrong, firstSmall)
+		t.Errorf("a strong instance announces itself at %.2f, a weak one at %.2f", lastStrong, firstSmall)
 	}
 }
 
-// TestTheFirstOfAllReadsForAll holds whom the first of each failure domain asks: the first of those
-// that rank before it, and nobody where none does.
+// TestTheFirstOfAllReadsForAll checks whom the first of each failure domain asks: the first of
+// those that rank before it, or nobody if there is none.
 func TestTheFirstOfAllReadsForAll(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := []Member{
@@ -73,7 +73,7 @@
 		m := NewMembers(self, 3, func() time.Time { return now })
 		for _, other := range all {
 			m.Add(other)
-			m.Add(other) // told again
+			m.Add(other) // repeated announcement
 		}
 		if far := m.RemoteCollectors(); len(far) > 0 {
 			asks = far[0].Name
--- a/router/internal/relay/outage_test.go
+++ b/router/internal/relay/outage_test.go
@@ -14,12 +14,12 @@
 	all := startInstances(t, st, 4, time.Minute)
 	all[0].newest(t)
 	all[0].stop()
-	all[1].newest(t) // finds it out and reads the store, being the next
+	all[1].newest(t) // detects the failure and reads the store, being the next in rank
 	began := st.readCount()
 	if s := all[2].newest(t); len(s.Records) != 1 {
 		t.Errorf("snapshot %+v", s)
 	}
-	all[2].newest(t) // now by the second
+	all[2].newest(t) // now from the second
 	all[3].newest(t)
 	all[3].newest(t)
 	if n := st.readCount() - began; n > 2 {
@@ -41,11 +41,11 @@
 		t.Errorf("age %v", s.Age)
 	}
 	if st.readCount() == before {
-		t.Error("the follower took an answer that is too old")
+		t.Error("the follower accepted an answer that is too old")
 	}
 }
 
-// TestOutageOfTheStoreIsNotMadeWorse holds that followers leave a store alone that gives no
+// TestOutageOfTheStoreIsNotMadeWorse checks that followers back off from a store that does not
 // answer, and learn from their collector when it is back.
 func TestOutageOfTheStoreIsNotMadeWorse(t *testing.T) {
 	st := &fakeStore{}
@@ -59,18 +59,18 @@
 	before := st.readCount()
 	for range 20 {
 		if _, err := all[1].log.Read(t.Context(), keyedlog.At(1), 0); err == nil {
-			t.Fatal("an old answer was taken")
+			t.Fatal("an old answer was accepted")
 		}
 	}
 	if n := st.readCount() - before; n > 1 {
-		t.Errorf("a follower asked the store %d times in an outage", n)
+		t.Errorf("a follower read the store %d times in an outage", n)
 	}
 	st.mu.Lock()
 	st.err = nil
 	st.mu.Unlock()
 	all[0].newest(t)
 	if _, err := all[1].log.Read(t.Context(), keyedlog.At(1), 0); err != nil {
-		t.Errorf("not by the collector, though it is back: %v", err)
+		t.Errorf("not from the collector, although the store is back: %v", err)
 	}
 }
 
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestTheNextInRankIsAskedBeforeTheStore holds that a read whose collector gives no answer,
-// or an old one, is answered by the next instance that knows.
+// TestTheNextInRankIsAskedBeforeTheStore checks that a read whose collector gives no answer, or one
+// that is too old, is answered by the next instance that knows.
 func TestTheNextInRankIsAskedBeforeTheStore(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -107,28 +107,28 @@
 		t.Errorf("snapshot %+v", s)
 	}
 	if n := st.readCount() - before; n != 0 {
-		t.Errorf("the store was read %d times, though the second instance knows", n)
+		t.Errorf("the store was read %d times, although the second instance has the records", n)
 	}
 }
 
-// TestNobodyReadsDirectlyFromASilentStore holds that an instance which finds neither the others nor
-// the store does not take itself for the one that writes.
+// TestNobodyReadsDirectlyFromASilentStore checks that an instance which reaches neither the others
+// nor the store does not assume that it is the one that writes.
 func TestNobodyReadsDirectlyFromASilentStore(t *testing.T) {
 	st := &fakeStore{err: keyedlog.ErrUnknown}
 	all := startInstances(t, st, 1, time.Minute)
 	if _, err := all[0].log.Newest(t.Context()); err == nil || all[0].log.ReadsStore() {
-		t.Errorf("direct %v after %v", all[0].log.ReadsStore(), err)
+		t.Errorf("ReadsStore %v after %v", all[0].log.ReadsStore(), err)
 	}
 	st.mu.Lock()
 	st.err = nil
 	st.mu.Unlock()
 	if all[0].newest(t); !all[0].log.ReadsStore() {
-		t.Error("not direct, though the store answered")
+		t.Error("ReadsStore is false although the store answered")
 	}
 }
 
-// TestOneOutageCountsOnce holds that a member that all topics find dead at once is passed
-// over for as long as for one failure.
+// TestOneOutageCountsOnce checks that a member which all topics find dead at once is in backoff
+// only as long as for one failure.
 func TestOneOutageCountsOnce(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
@@ -138,17 +138,17 @@
 	}
 	now = now.Add(minMemberBackoff)
 	if list := m.Collectors(); len(list) != 1 {
-		t.Errorf("collectors %+v after the time of one failure", list)
+		t.Errorf("collectors %+v after the backoff of one failure", list)
 	}
 	m.Failed("first")
 	now = now.Add(minMemberBackoff)
 	if list := m.Collectors(); len(list) != 0 {
-		t.Errorf("collectors %+v, though a second failure doubles the time", list)
+		t.Errorf("collectors %+v, although a second failure doubles the backoff", list)
 	}
 }
 
-// TestTurnedAwayInstancesReadByThoseThatAreServed holds that an instance that the store
-// turns away learns from one that it serves, though the first in rank is turned away too.
+// TestTurnedAwayInstancesReadByThoseThatAreServed checks that an instance which the store rejects
+// learns from one that the store serves, even if the first in rank is rejected too.
 func TestTurnedAwayInstancesReadByThoseThatAreServed(t *testing.T) {
 	st, away := &fakeStore{}, &fakeStore{err: keyedlog.ErrUnknown}
 	st.put("a", "1")
@@ -161,13 +161,13 @@
 		all[2].newest(t)
 	}
 	if n := away.readCount(); n != 0 {
-		t.Errorf("%d reads of a store that turns the instance away", n)
+		t.Errorf("%d reads of a store that rejects the instance", n)
 	}
 }
 
-// TestQuestionThatFindsTheStoreDoesNotWait holds that the one question which is asked while the
-// store is away does not wait for a record: all topics wait for its answer. One that waited for
-// eight seconds kept the configuration from an instance for five.
+// TestQuestionThatFindsTheStoreDoesNotWait checks that the one read that is tried while the store
+// is unreachable does not wait for a record, since all topics wait for its answer. A read that
+// waited for eight seconds kept the configuration from an instance for five.
 func TestQuestionThatFindsTheStoreDoesNotWait(t *testing.T) {
 	st := &waitingStore{fakeStore: &fakeStore{}}
 	st.put("a", "1")
@@ -186,7 +186,7 @@
 			want = 0
 		}
 		if got := st.waits[len(st.waits)-1]; got != want {
-			t.Errorf("away %v: waits %v, want %v", away, got, want)
+			t.Errorf("unreachable %v: waits %v, want %v", away, got, want)
 		}
 	}
 }
--- a/router/internal/relay/pack.go
+++ b/router/internal/relay/pack.go
@@ -18,7 +18,8 @@
 	// maxUnpackedBytes bounds the size of an unpacked answer.
 	maxUnpackedBytes = 64 << 20
 	// packedSnapshotTTL is how long a packed snapshot is reused although there are newer records:
-	// the asker reads these from the snapshot's end on.
+	// the asker reads these from the end of the snapshot on. It is renewed earlier if they are no
+	// longer cached.
 	packedSnapshotTTL = 250 * time.Millisecond
 )
 
--- a/router/internal/relay/pack_test.go
+++ b/router/internal/relay/pack_test.go
@@ -8,8 +8,8 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-// entryOf is an entry of a backend server as a platform writes it: much alike, with an id, an
-// address and a count of its own.
+// serverEntry is a backend server's entry as a platform writes it: similar to the others, with an
+// id, an address and a sequence number of its own.
 func serverEntry(i int) keyedlog.Record {
 	value := fmt.Sprintf(`{"service":"huvo11a","address":"10.128.%d.%d:8080","zone":"salle-rimouski","version":"v1","slots":12,"state":"ready",`+
 		`"phase":"combined","modelList":[{"name":"daka510000","version":1,"loras":[]}],"sequence":%d}`, i/200, i%200, i)
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestSnapshotFitsASmallLink holds that the entries of 3,000 backend servers reach each of 100
-// followers within half a second by a collector's link of 200 Mbit/s, 125 KB each.
+// TestSnapshotFitsASmallLink checks that the entries of 3,000 backend servers reach each of 100
+// followers within half a second over a collector's link of 200 Mbit/s, at 125 KB each.
 func TestSnapshotFitsASmallLink(t *testing.T) {
 	const most = 200_000_000 / 8 / 100 / 2
 	packed, err := pack(serverEntries(3000))
@@ -68,13 +68,13 @@
 	for _, spoilt := range [][]byte{packed[:len(packed)/2], packed[4:], []byte("x")} {
 		a := answer{Packed: spoilt}
 		if err := a.unpackRecords(); err == nil {
-			t.Errorf("%d bytes were taken for records", len(spoilt))
+			t.Errorf("%d damaged bytes were unpacked", len(spoilt))
 		}
 	}
 }
 
-// TestManyAskersShareOneSnapshot holds that a snapshot is packed once for those that start
-// together, says its true age, and is made anew once records that follow it are not kept.
+// TestManyAskersShareOneSnapshot checks that a snapshot is packed once for instances that start
+// together, states its true age, and is renewed after its TTL.
 func TestManyAskersShareOneSnapshot(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := NewCache(func() time.Time { return now }, nil)
@@ -87,7 +87,7 @@
 	c.Add(keyedlog.Batch{Records: []keyedlog.Record{serverEntry(100)}, Next: keyedlog.At(101)}, now)
 	second, err := c.newestAnswer(t.Context())
 	if err != nil || second.Next != 100 || &second.Packed[0] != &first.Packed[0] {
-		t.Errorf("packed anew: %v", err)
+		t.Errorf("packed again: %v", err)
 	}
 	if want := (packedSnapshotTTL / 2).Microseconds(); second.AgeUS != want {
 		t.Errorf("age %d us, want %d", second.AgeUS, want)
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -30,7 +30,7 @@
 		}
 		done <- b
 	}()
-	time.Sleep(20 * time.Millisecond) // the follower's question waits at the collector
+	time.Sleep(20 * time.Millisecond) // the follower's request waits at the collector
 	if _, err := all[0].log.Read(t.Context(), keyedlog.At(1), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -39,15 +39,15 @@
 	}
 }
 
-// TestAgeIsNeverTooYoung holds that an answer's age covers the time since the collector's
-// own read began, however long the question waited on its way.
+// TestAgeIsNeverTooYoung checks that an answer's age covers the time since the collector's own read
+// began, however long the request was in transit.
 func TestAgeIsNeverTooYoung(t *testing.T) {
 	a := answer{AgeUS: 500_000, TookUS: 200_000}
 	if got := a.age(900 * time.Millisecond); got != 1200*time.Millisecond {
-		t.Errorf("age %v, want the age at the answer and all of the way", got)
+		t.Errorf("age %v, want the age at the answer plus all of the time in transit", got)
 	}
 	if got := a.age(100 * time.Millisecond); got != 500*time.Millisecond {
-		t.Errorf("age %v, by clocks that run unevenly", got)
+		t.Errorf("age %v with a call shorter than the processing at the collector", got)
 	}
 }
 
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestQuestionsWaitForACollectorThatIsAboutToKnow holds that instances that start together
-// read the store once.
+// TestQuestionsWaitForACollectorThatIsAboutToKnow checks that instances that start together read
+// the store once.
 func TestQuestionsWaitForACollectorThatIsAboutToKnow(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -113,7 +113,7 @@
 			got <- len(s.Records)
 		}()
 	}
-	time.Sleep(20 * time.Millisecond) // both questions are at the collector
+	time.Sleep(20 * time.Millisecond) // both requests are at the collector
 	all[0].newest(t)
 	if a, b := <-got, <-got; a != 1 || b != 1 {
 		t.Errorf("the followers read %d and %d records", a, b)
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestNewestRecordsMayTakeLong holds that a snapshot which takes longer on its way than a
-// usual call still comes from the collector.
+// TestNewestRecordsMayTakeLong checks that a snapshot which takes longer in transit than a usual
+// call still comes from the collector.
 func TestNewestRecordsMayTakeLong(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestOneReadsHeartbeatsForAllDomains holds that collectors of other failure domains read a far
-// topic by the first of all, and the store where that gives no answer.
+// TestOneReadsHeartbeatsForAllDomains checks that collectors of other failure domains read a
+// CrossDomain topic from the first of all, and from the store if that one gives no answer.
 func TestOneReadsHeartbeatsForAllDomains(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -151,15 +151,15 @@
 	other.members.Add(first)
 	before := st.readCount()
 	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 {
-		t.Errorf("a topic that is not far: %d reads of the store", st.readCount()-before)
+		t.Errorf("a topic that is not CrossDomain: %d reads of the store", st.readCount()-before)
 	}
 	other.log.CrossDomain = true
 	before = st.readCount()
 	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before || other.log.ReadsStore() {
-		t.Errorf("%d records, %d reads of the store, direct %v", len(s.Records), st.readCount()-before, other.log.ReadsStore())
+		t.Errorf("%d records, %d reads of the store, ReadsStore %v", len(s.Records), st.readCount()-before, other.log.ReadsStore())
 	}
 	all[0].stop()
 	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 || !other.log.ReadsStore() {
-		t.Errorf("the first is gone: %d records, %d reads of the store", len(s.Records), st.readCount()-before)
+		t.Errorf("the first is stopped: %d records, %d reads of the store", len(s.Records), st.readCount()-before)
 	}
 }
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -10,7 +10,7 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-// eraSnapshot is a snapshot of one record, of an era.
+// eraSnapshot is a snapshot of one record in an era.
 func eraSnapshot(era, end uint64, value string) keyedlog.Snapshot {
 	return keyedlog.Snapshot{
 		Records: []keyedlog.Record{{Key: "a", Value: []byte(value), Offset: end - 1}},
@@ -18,7 +18,8 @@
 	}
 }
 
-// TestLaterEraStands holds which of two answers a cache keeps, in whichever order they come.
+// TestLaterEraStands checks that a cache keeps the state of the later era, in whichever order the
+// answers arrive.
 func TestLaterEraStands(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := NewCache(func() time.Time { return now }, nil)
@@ -46,7 +47,8 @@
 	}
 }
 
-// TestFollowersLearnOfARestoreByTheirCollector holds that they do not turn to the store for it.
+// TestFollowersLearnOfARestoreByTheirCollector checks that followers do not read the store to learn
+// of a restore.
 func TestFollowersLearnOfARestoreByTheirCollector(t *testing.T) {
 	st := &fakeStore{era: 1}
 	st.put("a", "1")
@@ -76,8 +78,8 @@
 	}
 }
 
-// TestCollectorThatHasNotNoticedIsPassedOver holds that an instance which knows of a restore does
-// not go back to the log of before.
+// TestCollectorThatHasNotNoticedIsPassedOver checks that an instance which knows of a restore does
+// not return to the state before it.
 func TestCollectorThatHasNotNoticedIsPassedOver(t *testing.T) {
 	st := &fakeStore{era: 1}
 	st.put("a", "1")
@@ -93,9 +95,9 @@
 	}
 }
 
-// TestRestoreReachesAllByTheirCollectors holds that all instances of a failure domain have the restored
-// state within two seconds, and that the store is read by those that did so before. It prints the
-// time and the reads.
+// TestRestoreReachesAllByTheirCollectors checks that all instances of a failure domain have the
+// restored state within two seconds, and that only the instances that read the store before read
+// it. It logs the time and the number of reads.
 func TestRestoreReachesAllByTheirCollectors(t *testing.T) {
 	const (
 		entries   = 150
@@ -128,7 +130,7 @@
 					}
 					time.Sleep(pause)
 				}
-				t.Errorf("%d instances: one does not learn of the restore", count)
+				t.Errorf("%d instances: an instance does not learn of the restore", count)
 			})
 		}
 		done.Wait()
--- a/router/internal/wire/load_test.go
+++ b/router/internal/wire/load_test.go
@@ -8,7 +8,7 @@
 	}
 	for _, text := range []string{"", "3", "3/", "/1", "a/b", "-1/0", "1/2/3", "99999999999999999999/0"} {
 		if _, _, ok := ParseLoad(text); ok {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
--- a/router/internal/wire/prefix_test.go
+++ b/router/internal/wire/prefix_test.go
@@ -25,7 +25,7 @@
 	}
 	twoMessages := []Message{{Role: "user", Content: base[:200]}, {Role: "user", Content: base[200:]}}
 	if slices.Equal(PromptBlocks(twoMessages), full) {
-		t.Error("the border between messages does not count")
+		t.Error("the boundary between messages does not affect the hashes")
 	}
 	if got := PromptBlocks(prompt("short")); len(got) != 0 {
 		t.Errorf("a partial block has a hash: %v", got)
