--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -48,8 +48,8 @@
 		t.Errorf("%d of %d servers are picked by nobody", fleet-len(times), fleet)
 	}
 	before := ids(Subset("entry-1", all))
-	gone := before[0]
-	rest := slices.DeleteFunc(servers(fleet), func(s wire.ListedServer) bool { return s.ID == gone })
+	removed := before[0]
+	rest := slices.DeleteFunc(servers(fleet), func(s wire.ListedServer) bool { return s.ID == removed })
 	kept := 0
 	for _, id := range ids(Subset("entry-1", rest)) {
 		if slices.Contains(before, id) {
--- a/router/internal/peer/chooser_test.go
+++ b/router/internal/peer/chooser_test.go
@@ -19,12 +19,12 @@
 	for seed := range uint64(50) {
 		c := NewChooser(domains[0], seed)
 		changes, last := 0, map[string]bool{}
-		met := map[string]bool{}
+		chosen := map[string]bool{}
 		const rounds = 10 * replaceEvery
 		for range rounds {
 			now, outside := map[string]bool{}, false
 			for _, l := range c.Choose(testInstances(24)) {
-				now[l.ID], met[l.ID] = true, true
+				now[l.ID], chosen[l.ID] = true, true
 				outside = outside || l.Domain != domains[0]
 				if !last[l.ID] {
 					changes++
@@ -38,8 +38,8 @@
 		if changes > fanout+2*rounds/replaceEvery {
 			t.Errorf("seed %d: %d changes in %d rounds", seed, changes, rounds)
 		}
-		if len(met) < 2*fanout {
-			t.Errorf("seed %d: only chose %v", seed, met)
+		if len(chosen) < 2*fanout {
+			t.Errorf("seed %d: only chose %v", seed, chosen)
 		}
 	}
 }
--- a/router/internal/peer/fixture_test.go
+++ b/router/internal/peer/fixture_test.go
@@ -199,17 +199,17 @@
 // fillBills reserves all space for bills; the function returned frees it.
 func (i *testInstance) fillBills(t *testing.T) (empty func()) {
 	t.Helper()
-	var taken []*ledger.Reservation
+	var reservations []*ledger.Reservation
 	for !i.HeldBillsFull(0) {
-		room, err := i.bills.Reserve()
+		reservation, err := i.bills.Reserve()
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken = append(taken, room)
+		reservations = append(reservations, reservation)
 	}
 	return func() {
-		for _, room := range taken {
-			room.Cancel()
+		for _, reservation := range reservations {
+			reservation.Cancel()
 		}
 	}
 }
--- a/router/internal/peer/handler.go
+++ b/router/internal/peer/handler.go
@@ -134,6 +134,6 @@
 
 // truncate keeps log lines short.
 func truncate(s string) string {
-	const most = 32
-	return s[:min(len(s), most)]
+	const maxBytes = 32
+	return s[:min(len(s), maxBytes)]
 }
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -120,12 +120,12 @@
 	f := newFleet(t, 8, nil)
 	f[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
 	f[0].runRound()
-	heard := map[string]bool{}
+	reporting := map[string]bool{}
 	for range len(f[0].vouches) {
-		heard[(<-f[0].vouches).Peer] = true
+		reporting[(<-f[0].vouches).Peer] = true
 	}
-	if len(heard) != 7 {
-		t.Errorf("got reports of %v, want all 7", heard)
+	if len(reporting) != 7 {
+		t.Errorf("got reports of %v, want all 7", reporting)
 	}
 }
 
@@ -202,14 +202,14 @@
 func TestManifestWonIsPushed(t *testing.T) {
 	f := newFleet(t, 3, nil)
 	f[0].runRound() // chooses the peers
-	cut, reader := f[1].store, f[2].store
-	cut.set(func(s *fakeStore) { s.status.LogReachable, s.onRestore = false, make(chan struct{}, 1) })
+	disconnected, reader := f[1].store, f[2].store
+	disconnected.set(func(s *fakeStore) { s.status.LogReachable, s.onRestore = false, make(chan struct{}, 1) })
 	f[0].store.set(func(s *fakeStore) {
 		s.digest, s.snapshot = fold.Digest{NextOffset: 9, Generation: 3}, []byte("good")
 	})
 	f[0].store.watch(fold.Change{Verdict: fold.VerdictLost})
 	f[0].store.watch(fold.Change{Verdict: fold.VerdictWon})
-	<-cut.onRestore
+	<-disconnected.onRestore
 	f[0].Push(context.Background()) // returns once both have answered
 	reader.set(func(s *fakeStore) {
 		if s.restored != nil || len(f[2].roundRequested) != 0 {
@@ -280,17 +280,17 @@
 		at := testTime.Add(stamp)
 		return HealthItem{Kind: HealthVerdict, ID: "m@2", Bad: bad, Timestamp: at.UnixMilli(), Until: at.Add(life).UnixMilli(), Origin: "i9"}
 	}
-	b := newHealthSet()
+	set := newHealthSet()
 	old, newer := item(-2*time.Second, time.Minute, true), item(-time.Second, time.Minute, false)
 	for _, items := range [][]HealthItem{{old}, {newer}, {old}} {
-		if _, err := b.merge(items, testTime); err != nil {
+		if _, err := set.merge(items, testTime); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := b.all(testTime); !reflect.DeepEqual(got, []HealthItem{newer}) {
+	if got := set.all(testTime); !reflect.DeepEqual(got, []HealthItem{newer}) {
 		t.Errorf("got %+v", got)
 	}
-	before := b.hash(testTime)
+	before := set.hash(testTime)
 	for name, bad := range map[string]HealthItem{
 		"from the future": item(time.Hour, time.Minute, true),
 		"for ever":        item(0, maxItemLifetime+time.Second, true),
@@ -300,11 +300,11 @@
 		"no fingerprint":  {Kind: HealthQuarantine, ID: "x", Timestamp: 1, Until: 2, Origin: "i"},
 	} {
 		good := item(0, time.Minute, true)
-		if _, err := b.merge([]HealthItem{good, bad}, testTime); err == nil || b.hash(testTime) != before {
+		if _, err := set.merge([]HealthItem{good, bad}, testTime); err == nil || set.hash(testTime) != before {
 			t.Errorf("%s: got %v, or some items were taken", name, err)
 		}
 	}
-	if len(b.all(testTime.Add(2*time.Minute))) != 0 || b.hash(testTime) != 0 {
+	if len(set.all(testTime.Add(2*time.Minute))) != 0 || set.hash(testTime) != 0 {
 		t.Error("items are kept after they have expired")
 	}
 }
--- a/router/internal/relay/client_test.go
+++ b/router/internal/relay/client_test.go
@@ -13,17 +13,17 @@
 	members.Add(Member{Name: "first", Domain: "d", Address: "a:2", Cores: 1})
 	c := NewClient(members, func() time.Time { return now })
 	const topics = 5
-	asked := 0
+	reads := 0
 	for end := now.Add(30 * time.Second); now.Before(end); now = now.Add(200 * time.Millisecond) {
 		for range topics {
 			if c.mayReadStore() {
-				asked++
+				reads++
 				c.storeFailed()
 			}
 		}
 	}
-	if asked > topics+30/3 {
-		t.Errorf("read the store %d times in 30 s", asked)
+	if reads > topics+30/3 {
+		t.Errorf("read the store %d times in 30 s", reads)
 	}
 	c.storeAnswered()
 	if !c.mayReadStore() {
@@ -78,21 +78,21 @@
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
 	c := NewClient(members, func() time.Time { return now })
 	const topics, tick = 5, 50 * time.Millisecond
-	asked := 0
+	reads := 0
 	last, longest := now, time.Duration(0)
 	for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(tick) {
 		for range topics {
 			if !c.mayReadStore() {
 				continue
 			}
-			asked++
+			reads++
 			longest = max(longest, now.Sub(last))
 			last = now
 			c.storeFailed()
 		}
 	}
-	if most := topics + int(10*time.Second/probeInterval); asked > most {
-		t.Errorf("read the store %d times in 10 s", asked)
+	if maxReads := topics + int(10*time.Second/probeInterval); reads > maxReads {
+		t.Errorf("read the store %d times in 10 s", reads)
 	}
 	if longest > probeInterval+tick {
 		t.Errorf("the store's recovery would be noticed only after %v", longest)
--- a/router/internal/relay/fixture_test.go
+++ b/router/internal/relay/fixture_test.go
@@ -101,7 +101,7 @@
 
 // startInstances starts instances of one failure domain on a shared store. They rank in order, by
 // their cores.
-func startInstances(t *testing.T, st *fakeStore, count int, oldest time.Duration) []*testInstance {
+func startInstances(t *testing.T, st *fakeStore, count int, maxAge time.Duration) []*testInstance {
 	t.Helper()
 	var all []*testInstance
 	var list []Member
@@ -121,7 +121,7 @@
 		}
 		in.client = NewClient(in.members, time.Now)
 		in.cache = NewCache(time.Now, nil)
-		in.log = NewLog(testTopic, st, in.client, in.cache, oldest, func(string, string) {})
+		in.log = NewLog(testTopic, st, in.client, in.cache, maxAge, func(string, string) {})
 		srv := NewServer(time.Now, map[string]*Cache{testTopic: in.cache}, func(_ string, r []keyedlog.Record) error {
 			in.taken = append(in.taken, r...)
 			return nil
--- a/router/internal/relay/members_test.go
+++ b/router/internal/relay/members_test.go
@@ -41,17 +41,17 @@
 // TestStrongInstancesTakeTheFirstTurns checks that the instances which become collectors are known
 // before the weak ones look for them.
 func TestStrongInstancesTakeTheFirstTurns(t *testing.T) {
-	lastStrong, firstSmall := 0.0, 1.0
+	lastStrong, firstWeak := 0.0, 1.0
 	for i := range 60 {
 		strong := Member{Name: fmt.Sprint("strong", i), Cores: 0.8}.AnnounceOrder()
-		small := Member{Name: fmt.Sprint("small", i), Cores: 0.2}.AnnounceOrder()
-		lastStrong, firstSmall = max(lastStrong, strong), min(firstSmall, small)
-		if strong < 0 || small > 1 {
-			t.Fatalf("announce orders %v and %v", strong, small)
+		weak := Member{Name: fmt.Sprint("small", i), Cores: 0.2}.AnnounceOrder()
+		lastStrong, firstWeak = max(lastStrong, strong), min(firstWeak, weak)
+		if strong < 0 || weak > 1 {
+			t.Fatalf("announce orders %v and %v", strong, weak)
 		}
 	}
-	if lastStrong > firstSmall {
-		t.Errorf("a strong instance announces itself at %.2f, a weak one at %.2f", lastStrong, firstSmall)
+	if lastStrong > firstWeak {
+		t.Errorf("a strong instance announces itself at %.2f, a weak one at %.2f", lastStrong, firstWeak)
 	}
 }
 
@@ -75,8 +75,8 @@
 			m.Add(other)
 			m.Add(other) // repeated announcement
 		}
-		if far := m.RemoteCollectors(); len(far) > 0 {
-			asks = far[0].Name
+		if remote := m.RemoteCollectors(); len(remote) > 0 {
+			asks = remote[0].Name
 		}
 		if asks != want[name] {
 			t.Errorf("%s asks %q, want %q", name, asks, want[name])
@@ -88,8 +88,8 @@
 	}
 	for _, next := range []string{"a1", "b2"} {
 		m.Failed(m.RemoteCollectors()[0].Name)
-		if far := m.RemoteCollectors(); len(far) == 0 || far[0].Name != next {
-			t.Errorf("asks %+v, want %s", far, next)
+		if remote := m.RemoteCollectors(); len(remote) == 0 || remote[0].Name != next {
+			t.Errorf("asks %+v, want %s", remote, next)
 		}
 	}
 }
--- a/router/internal/relay/outage_test.go
+++ b/router/internal/relay/outage_test.go
@@ -15,14 +15,14 @@
 	all[0].newest(t)
 	all[0].stop()
 	all[1].newest(t) // detects the failure and reads the store, being the next in rank
-	began := st.readCount()
+	before := st.readCount()
 	if s := all[2].newest(t); len(s.Records) != 1 {
 		t.Errorf("snapshot %+v", s)
 	}
 	all[2].newest(t) // now from the second
 	all[3].newest(t)
 	all[3].newest(t)
-	if n := st.readCount() - began; n > 2 {
+	if n := st.readCount() - before; n > 2 {
 		t.Errorf("two followers read the store %d times after the collector's death", n)
 	}
 	if list := all[2].members.Collectors(); len(list) == 0 || list[0].Name != "i1" {
@@ -150,17 +150,17 @@
 // TestTurnedAwayInstancesReadByThoseThatAreServed checks that an instance which the store rejects
 // learns from one that the store serves, even if the first in rank is rejected too.
 func TestTurnedAwayInstancesReadByThoseThatAreServed(t *testing.T) {
-	st, away := &fakeStore{}, &fakeStore{err: keyedlog.ErrUnknown}
+	st, rejecting := &fakeStore{}, &fakeStore{err: keyedlog.ErrUnknown}
 	st.put("a", "1")
 	all := startInstances(t, st, 4, 50*time.Millisecond)
 	all[0].newest(t)
-	all[0].log.store, all[2].log.store = away, away
+	all[0].log.store, all[2].log.store = rejecting, rejecting
 	time.Sleep(70 * time.Millisecond)
 	for range 3 {
 		all[1].newest(t)
 		all[2].newest(t)
 	}
-	if n := away.readCount(); n != 0 {
+	if n := rejecting.readCount(); n != 0 {
 		t.Errorf("%d reads of a store that rejects the instance", n)
 	}
 }
@@ -174,19 +174,19 @@
 	in := startInstances(t, st.fakeStore, 1, time.Minute)[0]
 	in.log.store = st
 	const wait = 8 * time.Second
-	for _, away := range []bool{true, false} {
-		if away {
+	for _, unreachable := range []bool{true, false} {
+		if unreachable {
 			in.log.client.storeFailed()
 		}
 		if _, err := in.log.Read(t.Context(), keyedlog.At(0), wait); err != nil {
 			t.Fatal(err)
 		}
 		want := wait
-		if away {
+		if unreachable {
 			want = 0
 		}
 		if got := st.waits[len(st.waits)-1]; got != want {
-			t.Errorf("unreachable %v: waits %v, want %v", away, got, want)
+			t.Errorf("unreachable %v: waits %v, want %v", unreachable, got, want)
 		}
 	}
 }
--- a/router/internal/relay/pack_test.go
+++ b/router/internal/relay/pack_test.go
@@ -50,13 +50,13 @@
 // TestSnapshotFitsASmallLink checks that the entries of 3,000 backend servers reach each of 100
 // followers within half a second over a collector's link of 200 Mbit/s, at 125 KB each.
 func TestSnapshotFitsASmallLink(t *testing.T) {
-	const most = 200_000_000 / 8 / 100 / 2
+	const maxBytes = 200_000_000 / 8 / 100 / 2
 	packed, err := pack(serverEntries(3000))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(packed) > most {
-		t.Errorf("%d bytes, want %d at most", len(packed), most)
+	if len(packed) > maxBytes {
+		t.Errorf("%d bytes, want %d at most", len(packed), maxBytes)
 	}
 }
 
@@ -65,10 +65,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, spoilt := range [][]byte{packed[:len(packed)/2], packed[4:], []byte("x")} {
-		a := answer{Packed: spoilt}
+	for _, damaged := range [][]byte{packed[:len(packed)/2], packed[4:], []byte("x")} {
+		a := answer{Packed: damaged}
 		if err := a.unpackRecords(); err == nil {
-			t.Errorf("%d damaged bytes were unpacked", len(spoilt))
+			t.Errorf("%d damaged bytes were unpacked", len(damaged))
 		}
 	}
 }
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -100,11 +100,11 @@
 // it. It logs the time and the number of reads.
 func TestRestoreReachesAllByTheirCollectors(t *testing.T) {
 	const (
-		entries   = 150
-		pause     = 100 * time.Millisecond
-		wait      = 350 * time.Millisecond
-		longest   = 2 * time.Second
-		mostReads = 4 // of the newest records
+		entries  = 150
+		pause    = 100 * time.Millisecond
+		wait     = 350 * time.Millisecond
+		maxTime  = 2 * time.Second
+		maxReads = 4 // of the newest records
 	)
 	for _, count := range []int{8, 58, 300} {
 		st := &fakeStore{era: 1}
@@ -112,18 +112,18 @@
 			st.put(fmt.Sprint("server-", i), "an entry of a backend server")
 		}
 		all := startInstances(t, st, count, time.Hour)
-		places := make([]keyedlog.Position, count)
+		positions := make([]keyedlog.Position, count)
 		for i, in := range all {
-			places[i] = in.newest(t).Next
+			positions[i] = in.newest(t).Next
 		}
 		before := st.newestReads()
 		st.restore(entries / 2)
-		began := time.Now()
+		start := time.Now()
 		var done sync.WaitGroup
 		for i, in := range all {
 			done.Go(func() {
-				for time.Since(began) < 10*longest {
-					if _, err := in.log.Read(t.Context(), places[i], wait); errors.Is(err, keyedlog.ErrGone) {
+				for time.Since(start) < 10*maxTime {
+					if _, err := in.log.Read(t.Context(), positions[i], wait); errors.Is(err, keyedlog.ErrGone) {
 						if s, err := in.log.Newest(t.Context()); err == nil && s.Next.Era == 2 {
 							return
 						}
@@ -134,9 +134,9 @@
 			})
 		}
 		done.Wait()
-		took, reads := time.Since(began), st.newestReads()-before
+		took, reads := time.Since(start), st.newestReads()-before
 		t.Logf("%d instances: %v, %d reads of the store's newest records", count, took.Round(time.Millisecond), reads)
-		if took > longest || reads > mostReads {
+		if took > maxTime || reads > maxReads {
 			t.Errorf("%d instances have the restored state after %v, by %d reads of the store", count, took, reads)
 		}
 		for _, in := range all {
