--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -3,26 +3,26 @@
 import "math"
 
 const (
-	// boundFactor and boundSlack are how far over the mean load a server may be and
-	// still be preferred for what its cache holds. A batch that is a third larger costs
-	// a few per cent of each token; a prompt read again costs hundreds of milliseconds.
+	// boundFactor and boundSlack bound how far a server may be above the mean load and still
+	// be preferred for its cache. A batch that is a third larger costs a few per cent of each
+	// token; repeating the prefill of a prompt costs hundreds of milliseconds.
 	boundFactor = 1.35
 	boundSlack  = 3
 )
 
-// waitSlack is how many seconds longer than the mean a prompt may wait at a server that is
-// preferred for what its cache holds: a shared prompt of 6,000 tokens takes the smallest model
-// 20 ms to read again, and the largest 200.
+// prefillWaitSlack is how many seconds longer than the mean a prompt may wait at a server that
+// is preferred for its cache: repeating the prefill of a shared prefix of 6,000 tokens takes
+// the smallest model 20 ms, and the largest 200.
 const prefillWaitSlack = 0.15
 
-// pick chooses a server, if one has a free place.
+// pickServer chooses a server, if one has a free slot.
 //
-// Load: many requests that share long prompts, on servers whose load is known late and by
-// all instances alike. Harm prevented: prompts read again everywhere, and all instances
-// sending to the one that looked idle. A request goes to the server that a hash of its
-// shared prompt names, so that all instances agree without a word, and on to the next by
-// the hash once that one has more than its part.
-func (w *World) pickServer(r *request, views []serverView, f occupancy) (v serverView, ok bool) {
+// Load: many requests that share long prefixes, at servers whose load is known late and to all
+// instances alike. Harm prevented: prefill that is repeated everywhere, and all instances
+// sending to the server that looked idle. A request goes to the server that its prefix hash
+// selects, which is the same at all instances without coordination, and to the next one by the
+// hash if that has more than its part of the load (consistent hashing with bounded loads).
+func (w *World) pickServer(r *request, views []serverView, occ occupancy) (v serverView, ok bool) {
 	list := w.candidates(r, views)
 	if len(list) == 0 {
 		return serverView{}, false
@@ -31,46 +31,47 @@
 		return v, true
 	}
 	if r.PrefixHash != 0 {
-		return w.pickByPrefix(r, list, f), true
+		return w.pickByPrefix(r, list, occ), true
 	}
 	return w.pickByLoad(list), true
 }
 
-// pickByPrompt prefers the server that the hash names, in the own failure domain where
-// there is time for that, among those within the bound; else it takes the least loaded.
-func (w *World) pickByPrefix(r *request, list []serverView, f occupancy) serverView {
-	bound, wait := loadBound(list), meanPrefillWait(list)
-	keepNear := staysLocal(r, f.prefillWait)
-	best, near, least := noIndex, noIndex, 0
-	var bestScore, nearScore uint64
+// pickByPrefix prefers the server with the highest hash score among those within the load
+// bound, in the own failure domain if there is time for that. If none is within the bound, it
+// takes the least loaded.
+func (w *World) pickByPrefix(r *request, list []serverView, occ occupancy) serverView {
+	maxWeight, meanWait := loadBound(list), meanPrefillWait(list)
+	keepLocal := staysLocal(r, occ.prefillWait)
+	best, local, lightest := noIndex, noIndex, 0
+	var bestScore, localScore uint64
 	for i, v := range list {
-		if v.weight < list[least].weight {
-			least = i
+		if v.weight < list[lightest].weight {
+			lightest = i
 		}
-		if v.weight > bound || v.wait > wait+prefillWaitSlack {
+		if v.weight > maxWeight || v.wait > meanWait+prefillWaitSlack {
 			continue
 		}
 		score := mix(v.server.hash ^ r.PrefixHash)
 		if best == noIndex || score > bestScore {
 			best, bestScore = i, score
 		}
-		if keepNear && v.server.Domain == w.cfg.Domain && (near == noIndex || score > nearScore) {
-			near, nearScore = i, score
+		if keepLocal && v.server.Domain == w.cfg.Domain && (local == noIndex || score > localScore) {
+			local, localScore = i, score
 		}
 	}
 	switch {
-	case near != noIndex:
-		return list[near]
+	case local != noIndex:
+		return list[local]
 	case best != noIndex:
 		return list[best]
 	}
-	return list[least]
+	return list[lightest]
 }
 
-// none is the index of no server.
+// noIndex stands for no server.
 const noIndex = -1
 
-// meanWait is the mean wait of prompts at the servers of the list, in seconds.
+// meanPrefillWait is the mean wait of prompts at the servers of the list, in seconds.
 func meanPrefillWait(list []serverView) float64 {
 	sum := 0.0
 	for _, v := range list {
@@ -79,7 +80,7 @@
 	return sum / float64(len(list))
 }
 
-// bound is the weight up to which a server of the list may be preferred for its cache.
+// loadBound is the weight up to which a server of the list may be preferred for its cache.
 func loadBound(list []serverView) float64 {
 	sum := 0.0
 	for _, v := range list {
@@ -89,44 +90,44 @@
 }
 
 const (
-	// nearWait is the mean wait of prompts, in seconds, up to which a prompt that is all
-	// shared stays in its failure domain; one of which a tenth is shared may at ten times
-	// that, but for nearMost: a failure domain with more than its part of the load must not
-	// keep it then.
+	// localPrefillWait is the mean wait of prompts, in seconds, up to which a prompt that is
+	// entirely shared stays in its failure domain. One of which a tenth is shared stays up to
+	// ten times that, but at most maxLocalPrefillWait: a failure domain with more than its
+	// part of the load must not keep it then.
 	localPrefillWait    = 0.06
 	maxLocalPrefillWait = 0.25
 )
 
-// readAgainMost is how many seconds a server may spend on reading a request's shared prompt
-// once more in each failure domain, for the prompt's bytes to stay in one.
+// maxRepeatedPrefill is how many seconds of prefill of a request's shared prefix may be
+// repeated in each failure domain to save the traffic of the prompt between domains.
 const maxRepeatedPrefill = 0.1
 
-// staysNear says whether the request is kept in the own failure domain.
+// staysLocal says whether the request is kept in the own failure domain.
 //
-// Load: prompts of 18 kB, two thirds of which went to another failure domain and cost a
-// thirtieth of what their answers are worth. Harm prevented: those bytes; and, where engines
-// are behind with reading, each shared prompt read once in every failure domain: then all go
-// to the server that the hash names among all, which holds them already, as it is the one of
-// its own failure domain too. So do long prompts that a larger model is to read, ten times as
-// slowly as the smallest, however idle the engines are: what an engine generates for others
-// stands still meanwhile.
+// Load: prompts of 18 kB, two thirds of which went to another failure domain; that traffic
+// cost a thirtieth of the value of their responses. Harm prevented: that traffic; and, if
+// engines are behind with prefill, the prefill of each shared prefix repeated in every failure
+// domain. In that case all requests of a prefix go to the server that the hash selects over
+// all domains, which has the prefix cached already, as it is also the one of its own domain.
+// So do long prompts for a larger model, whose prefill is ten times as slow as the smallest's,
+// however idle the engines are: an engine generates nothing for others meanwhile.
 func staysLocal(r *request, wait float64) bool {
-	readAgain := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
-	if readAgain > maxRepeatedPrefill {
+	repeatedPrefill := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
+	if repeatedPrefill > maxRepeatedPrefill {
 		return false
 	}
-	shared := 1.0
+	sharedFraction := 1.0
 	if r.PromptTokens > 0 {
-		shared = min(float64(r.PrefixTokens)/float64(r.PromptTokens), 1)
+		sharedFraction = min(float64(r.PrefixTokens)/float64(r.PromptTokens), 1)
 	}
-	return shared*wait < localPrefillWait && wait < maxLocalPrefillWait
+	return sharedFraction*wait < localPrefillWait && wait < maxLocalPrefillWait
 }
 
-// nearWeight is the part of a request by which a server in the own failure domain is
-// preferred: it saves 3 ms and bytes between failure domains.
+// localPreference is the part of a request by which a server in the own failure domain is
+// preferred: that saves 3 ms, and traffic between failure domains.
 const localPreference = 0.4
 
-// pickByLoad takes the better of two drawn servers; of few it looks at all.
+// pickByLoad takes the better of two random servers; if there are few it compares all.
 func (w *World) pickByLoad(list []serverView) serverView {
 	const fewServers = 8 // a scan costs no more than two draws
 	draws := 2
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// rollOut has weave@2 take half of weave@1's new requests.
+// rolloutHarness has weave@2 take half of weave@1's new requests.
 func rolloutHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
-	h.manifest(1, []Team{teamOf("weavers", 1)}, []Version{
+	h.manifest(1, []Team{testTeam("weavers", 1)}, []Version{
 		{ID: weave1, Model: "weave", State: VersionServing, Share: 0.5, Quality: 0.8},
 		{ID: weave2, Model: "weave", State: VersionServing, Share: 0.5, Quality: 0.8, Predecessor: weave1},
 	})
-	h.servers(serversOf(6, 8, weave1, weave2)...)
+	h.servers(testServers(6, 8, weave1, weave2)...)
 	h.tick()
 	return h
 }
 
-// A version that turns bad gets at most 1% of the requests after its first 50
-// bad answers; sessions that are pinned to it stay.
+// A version that turns bad must get at most 1% of the requests after its first 50
+// bad answers and no new sessions; sessions that are pinned to it stay.
 func TestBadVersionIsShutOff(t *testing.T) {
 	tests := map[string]struct {
 		rating func(Dispatch, Request) (float64, bool)
@@ -62,7 +62,7 @@
 			}
 			offer(h, rng, 20*time.Second, load)
 			if first < 1900 || bad > 50+first/100 {
-				t.Errorf("%d of %d requests on the bad version", bad, first)
+				t.Errorf("the bad version got %d of %d requests, want at most 50 and 1%% of at least 1900", bad, first)
 			}
 			if shared == 0 {
 				t.Error("the verdict was not shared")
@@ -82,30 +82,30 @@
 	}
 }
 
-// A peer's verdict counts until it lapses.
+// A peer's verdict must count until it expires.
 func TestPeerVerdict(t *testing.T) {
 	h := rolloutHarness(t, DefaultConfig())
 	h.send(VersionVerdict{Version: weave2, Bad: true, Until: h.now.Add(time.Second)})
 	h.tick()
 	at := func() VersionID { return h.w.sessionVersions(SessionOpening{Team: "weavers", RolloutPosition: 0.1})[0] }
 	if got := at(); got != weave1 {
-		t.Errorf("with the verdict: %s", got)
+		t.Errorf("version %s with the verdict in force, want weave@1", got)
 	}
 	h.run(2 * time.Second)
 	if got := at(); got != weave2 {
-		t.Errorf("after it has lapsed: %s", got)
+		t.Errorf("version %s after the verdict has expired, want weave@2", got)
 	}
 }
 
-// One slow backend server among six is found and left out; callers' waits stay
-// near those without it.
+// One slow backend server among six must be detected and ejected, so that callers
+// wait little longer than without it.
 func TestSlowServer(t *testing.T) {
 	p99 := func(policy Policy) time.Duration {
 		cfg := DefaultConfig()
 		cfg.Policy = policy
 		h := newHarness(t, cfg)
-		h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-		h.servers(serversOf(6, 8, weave1, draft1)...)
+		h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+		h.servers(testServers(6, 8, weave1, draft1)...)
 		h.duration = func(d Dispatch, r Request) time.Duration {
 			if d.Server == "s0" {
 				return 10 * tenMsPerToken(d, r)
@@ -126,16 +126,16 @@
 	}
 	with, without := p99(Policy{}), p99(Policy{NoVerdicts: true})
 	if with > 300*time.Millisecond || without < time.Second {
-		t.Errorf("p99 %v, without ejection %v", with, without)
+		t.Errorf("p99 %v, want at most 300 ms; without ejection %v, want at least 1 s", with, without)
 	}
 }
 
-// Requests with the same long prefix gather on few servers, but not once these
-// are loaded.
+// Requests with the same long prefix must go to few servers, but not once these are
+// loaded.
 func TestPrefixAffinity(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	h.servers(serversOf(6, 8, weave1, draft1)...)
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.servers(testServers(6, 8, weave1, draft1)...)
 	used := map[ServerID]int{}
 	h.onCommand = func(c Command) {
 		if d, ok := c.(Dispatch); ok {
@@ -149,7 +149,7 @@
 		h.run(12 * step)
 	}
 	if len(used) > 2 {
-		t.Errorf("one at a time: used %v", used)
+		t.Errorf("one request at a time: requests per server %v, want at most 2 servers", used)
 	}
 	clear(used)
 	for range 40 {
@@ -157,6 +157,6 @@
 	}
 	h.tick()
 	if len(used) < 5 {
-		t.Errorf("40 at once: used %v", used)
+		t.Errorf("40 requests at once: requests per server %v, want at least 5 servers", used)
 	}
 }
--- a/router/internal/directory/directory.go
+++ b/router/internal/directory/directory.go
@@ -34,7 +34,7 @@
 // is safe for concurrent use.
 type Directory struct {
 	instance     string
-	list         platform.List
+	list         platform.InstanceLister
 	sender       Sender
 	client       *http.Client
 	listInterval time.Duration
@@ -55,7 +55,7 @@
 }
 
 // New returns the directory of an instance; Run starts it.
-func New(instance string, list platform.List, sender Sender, listInterval, loadInterval time.Duration) *Directory {
+func New(instance string, list platform.InstanceLister, sender Sender, listInterval, loadInterval time.Duration) *Directory {
 	return &Directory{
 		instance:         instance,
 		list:             list,
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -9,7 +9,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// busyRow is a row of a route that was asked for often.
+// busyRow returns the row of a busy route.
 func busyRow() observationRow {
 	return observationRow{
 		New: passthrough.Counts{Good: 120, Bad: 7,
@@ -19,6 +19,8 @@
 	}
 }
 
+// TestObservationRowKeepsWhatVerdictsUse checks that encoding keeps counts exactly and sums to the
+// precision of a row, and that malformed rows are rejected.
 func TestObservationRowKeepsWhatVerdictsUse(t *testing.T) {
 	in := busyRow()
 	text, err := json.Marshal(in)
@@ -30,23 +32,23 @@
 		t.Fatal(err)
 	}
 	if math.Abs(out.New.FirstByte.Sum-in.New.FirstByte.Sum) > 1.0/rowScale || math.Abs(out.New.EventInterval.Squares-in.New.EventInterval.Squares) > 1.0/rowScale {
-		t.Errorf("sums of %+v became %+v", in.New, out.New)
+		t.Errorf("sums of %+v were decoded as %+v", in.New, out.New)
 	}
 	out.New.FirstByte, in.New.FirstByte, out.New.EventInterval, in.New.EventInterval = passthrough.LogRatioStats{}, passthrough.LogRatioStats{}, passthrough.LogRatioStats{N: out.New.EventInterval.N, Slow: out.New.EventInterval.Slow}, passthrough.LogRatioStats{N: in.New.EventInterval.N, Slow: in.New.EventInterval.Slow}
 	if out != in {
-		t.Errorf("%+v became %+v", in, out)
+		t.Errorf("%+v was decoded as %+v", in, out)
 	}
-	for _, bad := range []string{`{}`, `[1,2]`, `"x"`, `[1,2,3,4,5,6,7,8,9,10,11,12,13,14]`} {
-		if err := json.Unmarshal([]byte(bad), &out); err == nil {
-			t.Errorf("%s was taken for a row", bad)
+	for _, malformed := range []string{`{}`, `[1,2]`, `"x"`, `[1,2,3,4,5,6,7,8,9,10,11,12,13,14]`} {
+		if err := json.Unmarshal([]byte(malformed), &out); err == nil {
+			t.Errorf("%s was accepted as a row", malformed)
 		}
 	}
 }
 
-// TestSheetsOfAFleetAreSmall bounds what all instances of the target fleet write of a roll-out
-// of five routes: with 4 KB a second for control, a second's observations are 25 at most.
+// TestObservationSetsOfAFleetAreSmall bounds the size of an observation set on a roll-out with five
+// routes: with 4 KB/s for control data, the fleet writes 25 sets a second at most.
 func TestObservationSetsOfAFleetAreSmall(t *testing.T) {
-	const most = 4096 / 6 // bytes: a sixth of a second's, beside heartbeats and configurations
+	const most = 4096 / 6 // bytes: a sixth of a second's budget, beside heartbeats and configurations
 	s := observationSet{Instance: "edge-salle-trois-pistoles-120", ProcessStart: 1 << 60, Service: "model-engines", Target: "v2", Order: 1 << 20,
 		ElapsedMS: 23_500, Routes: map[string]observationRow{}}
 	for i := range 5 {
@@ -57,6 +59,6 @@
 		t.Fatal(err)
 	}
 	if len(text) > most {
-		t.Errorf("a observationSet is %d bytes, more than %d", len(text), most)
+		t.Errorf("an observation set is %d bytes, want %d at most", len(text), most)
 	}
 }
--- a/router/internal/relay/cache.go
+++ b/router/internal/relay/cache.go
@@ -65,7 +65,7 @@
 
 // isOfLaterEra reports whether the cache has a later era than a position. The lock must be held.
 func (c *Cache) isOfLaterEra(p keyedlog.Position) bool {
-	return !p.IsOf(c.next.Era) && p.Era < c.next.Era
+	return !p.MatchesEra(c.next.Era) && p.Era < c.next.Era
 }
 
 // hasLaterEraThan reports whether the cache has a later era than a position.
@@ -80,7 +80,7 @@
 func (c *Cache) Add(b keyedlog.Batch, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !b.Next.IsOf(c.next.Era) {
+	if !b.Next.MatchesEra(c.next.Era) {
 		return
 	}
 	for _, r := range b.Records {
@@ -162,7 +162,7 @@
 // isBehind reports whether the reader at a position knows more than the cache: a later era, or
 // later records of the cache's era.
 func (c *Cache) isBehind(from keyedlog.Position) bool {
-	if from.IsOf(c.next.Era) {
+	if from.MatchesEra(c.next.Era) {
 		return from.Offset > c.next.Offset
 	}
 	return from.Era > c.next.Era
@@ -171,7 +171,7 @@
 // lacks reports whether records from the position on are no longer cached, given that the cache is
 // not behind it: the position has an earlier era, or is too far back.
 func (c *Cache) lacks(from keyedlog.Position) bool {
-	return !from.IsOf(c.next.Era) || from.Offset < c.firstOffset
+	return !from.MatchesEra(c.next.Era) || from.Offset < c.firstOffset
 }
 
 func (c *Cache) batchFrom(from keyedlog.Position) (keyedlog.Batch, error) {
@@ -179,9 +179,9 @@
 	defer c.mu.Unlock()
 	switch {
 	case !c.loaded, c.isBehind(from):
-		return keyedlog.Batch{}, keyedlog.ErrNotDone // the reader knows more
+		return keyedlog.Batch{}, keyedlog.ErrNotApplied // the reader knows more
 	case c.lacks(from):
-		return keyedlog.Batch{}, keyedlog.ErrGone
+		return keyedlog.Batch{}, keyedlog.ErrTrimmed
 	}
 	out := keyedlog.Batch{Next: c.next, Age: c.now().Sub(c.confirmedAt)}
 	out.Records = append(out.Records, c.recordsFrom(from.Offset)...)
@@ -208,7 +208,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.loaded {
-		return answer{}, keyedlog.ErrNotDone
+		return answer{}, keyedlog.ErrNotApplied
 	}
 	now := c.now()
 	if p := &c.packed; p.packedAt.IsZero() || now.Sub(p.packedAt) > packedSnapshotTTL || p.answer.Next < c.firstOffset || p.answer.Era != c.next.Era {
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -77,7 +77,7 @@
 		var answered *jsonrpc2.Error
 		switch {
 		case errors.As(err, &answered) && answered.Code == codeGone:
-			return collectorAnswer{collector: m.Name}, keyedlog.ErrGone
+			return collectorAnswer{collector: m.Name}, keyedlog.ErrTrimmed
 		case errors.As(err, &answered): // it does not know yet
 		case err != nil && ctx.Err() != nil:
 			return collectorAnswer{}, ctx.Err()
--- a/router/internal/relay/log.go
+++ b/router/internal/relay/log.go
@@ -49,7 +49,7 @@
 	}
 	out, err := l.askCollectors(ctx, methodRead, params, wait)
 	l.noteCollector(out.collector)
-	if err == nil && !from.IsOf(out.Era) {
+	if err == nil && !from.MatchesEra(out.Era) {
 		return keyedlog.Batch{}, keyedlog.ErrRestored
 	}
 	if err == nil {
@@ -57,7 +57,7 @@
 		l.cache.Add(b, l.now().Add(-out.age))
 		return b, nil
 	}
-	if errors.Is(err, keyedlog.ErrGone) || ctx.Err() != nil {
+	if errors.Is(err, keyedlog.ErrTrimmed) || ctx.Err() != nil {
 		return keyedlog.Batch{}, err
 	}
 	if !l.mayReadStore() {
@@ -87,7 +87,7 @@
 	params := func(time.Duration) any { return newestParams{l.topic} }
 	out, err := l.askCollectors(ctx, methodNewest, params, newestExtraTime)
 	if err == nil && l.cache.hasLaterEraThan(out.position()) {
-		err = keyedlog.ErrNotDone // the collector has not noticed yet that the store was restored
+		err = keyedlog.ErrNotApplied // the collector has not noticed yet that the store was restored
 	}
 	l.noteCollector(out.collector)
 	if err == nil {
@@ -134,12 +134,12 @@
 // noteStoreResult records whether the store answered, unless the read was cancelled here.
 func (l *Log) noteStoreResult(ctx context.Context, err error) {
 	l.mu.Lock()
-	l.lastReadFromStore = err == nil || errors.Is(err, keyedlog.ErrGone)
+	l.lastReadFromStore = err == nil || errors.Is(err, keyedlog.ErrTrimmed)
 	l.mu.Unlock()
 	switch {
 	case err == nil:
 		l.client.storeAnswered()
-	case ctx.Err() == nil && !errors.Is(err, keyedlog.ErrGone):
+	case ctx.Err() == nil && !errors.Is(err, keyedlog.ErrTrimmed):
 		l.client.storeFailed()
 	}
 }
@@ -147,7 +147,7 @@
 // Append implements keyedlog.Log. Unconditional appends go to the collector, which sends the
 // records of several instances in one call; conditional ones go to the store.
 func (l *Log) Append(ctx context.Context, at keyedlog.Position, records ...keyedlog.Record) error {
-	if at == keyedlog.Anywhere {
+	if at == keyedlog.AnyPosition {
 		params := func(time.Duration) any { return appendParams{l.topic, records} }
 		_, err := l.client.call(ctx, methodAppend, params, 0, l.maxAge)
 		if err == nil {
