--- a/router/internal/peer/bills.go
+++ b/router/internal/peer/bills.go
@@ -48,7 +48,7 @@
 }
 
 func (n *Node) holdWithCopy(ctx context.Context, r record.Record) error {
-	reservation, err := n.bills.Reserve()
+	reservation, err := n.heldBills.Reserve()
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 // classes are rejected: held records are written to the log in this instance's
 // name, so an instance could otherwise write arbitrary records through another.
 func (n *Node) acceptCopy(r record.Record) error {
-	err := n.bills.AcceptCopy(r)
+	err := n.heldBills.AcceptCopy(r)
 	switch {
 	case errors.Is(err, ledger.ErrBufferFull):
 		return rpcError(CodeBufferFull, "no room to hold bills")
@@ -119,8 +119,8 @@
 
 // flushBills writes held bills to the log, until the log fails.
 func (n *Node) flushBills(ctx context.Context) {
-	before := n.bills.Len()
-	left := n.bills.Flush(ctx)
+	before := n.heldBills.Len()
+	left := n.heldBills.Flush(ctx)
 	if done := before - left; done > 0 {
 		n.Log.Emit(ctx, logging.EventBillFlushed, slog.Int("bills", done), slog.Int("left", left))
 	}
@@ -133,5 +133,5 @@
 	if n.Bills.Reachable() {
 		n.flushBills(ctx)
 	}
-	return n.bills.HandOver(ctx)
+	return n.heldBills.HandOver(ctx)
 }
--- a/router/internal/peer/board.go
+++ b/router/internal/peer/board.go
@@ -79,7 +79,7 @@
 
 // merge adds all items or, after an error, none, and returns those that were
 // new.
-func (b *healthSet) merge(items []HealthItem, now time.Time) ([]HealthItem, error) {
+func (s *healthSet) merge(items []HealthItem, now time.Time) ([]HealthItem, error) {
 	if len(items) > maxHealthItems {
 		return nil, trace.LimitExceeded("%d items", len(items))
 	}
@@ -88,12 +88,12 @@
 			return nil, err
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire(now)
 	var added []HealthItem
 	for _, it := range items {
-		if b.insertIfNewer(it, now) {
+		if s.insertIfNewer(it, now) {
 			added = append(added, it)
 		}
 	}
@@ -102,40 +102,40 @@
 
 // insertIfNewer adds an item if it is newer than the known one. A full set
 // drops the item that expires first, which is the same one at all instances.
-func (b *healthSet) insertIfNewer(it HealthItem, now time.Time) bool {
+func (s *healthSet) insertIfNewer(it HealthItem, now time.Time) bool {
 	if it.Until <= now.UnixMilli() {
 		return false
 	}
 	key := itemKey{it.Kind, it.ID}
-	if known, ok := b.entries[key]; ok && !it.supersedes(known.HealthItem) {
+	if known, ok := s.entries[key]; ok && !it.supersedes(known.HealthItem) {
 		return false
 	}
-	b.remove(key)
-	b.insert(key, it)
-	if len(b.entries) <= maxHealthItems {
+	s.remove(key)
+	s.insert(key, it)
+	if len(s.entries) <= maxHealthItems {
 		return true
 	}
-	expiring := b.firstToExpire()
-	b.remove(expiring)
+	expiring := s.firstToExpire()
+	s.remove(expiring)
 	return expiring != key
 }
 
-func (b *healthSet) insert(key itemKey, it HealthItem) {
-	r := healthEntry{HealthItem: it, itemHash: it.hash()}
-	b.entries[key] = r
-	b.combinedHash ^= r.itemHash
+func (s *healthSet) insert(key itemKey, it HealthItem) {
+	entry := healthEntry{HealthItem: it, itemHash: it.hash()}
+	s.entries[key] = entry
+	s.combinedHash ^= entry.itemHash
 }
 
-func (b *healthSet) remove(key itemKey) {
-	b.combinedHash ^= b.entries[key].itemHash // XOR with 0 if there is no such entry
-	delete(b.entries, key)
+func (s *healthSet) remove(key itemKey) {
+	s.combinedHash ^= s.entries[key].itemHash // XOR with 0 if there is no such entry
+	delete(s.entries, key)
 }
 
 // firstToExpire returns the item that expires first.
-func (b *healthSet) firstToExpire() itemKey {
+func (s *healthSet) firstToExpire() itemKey {
 	var key itemKey
 	var earliest healthEntry
-	for k, r := range b.entries {
+	for k, r := range s.entries {
 		if key.id == "" || r.Until < earliest.Until || r.Until == earliest.Until && r.itemHash < earliest.itemHash {
 			key, earliest = k, r
 		}
@@ -158,20 +158,20 @@
 }
 
 // has reports whether there is an unexpired item on the ID.
-func (b *healthSet) has(kind HealthKind, id string, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r, ok := b.entries[itemKey{kind, id}]
+func (s *healthSet) has(kind HealthKind, id string, now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r, ok := s.entries[itemKey{kind, id}]
 	return ok && r.Until > now.UnixMilli()
 }
 
 // all returns the unexpired items, in a fixed order.
-func (b *healthSet) all(now time.Time) []HealthItem {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
-	out := make([]HealthItem, 0, len(b.entries))
-	for _, r := range b.entries {
+func (s *healthSet) all(now time.Time) []HealthItem {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire(now)
+	out := make([]HealthItem, 0, len(s.entries))
+	for _, r := range s.entries {
 		out = append(out, r.HealthItem)
 	}
 	slices.SortFunc(out, func(x, y HealthItem) int {
@@ -181,17 +181,17 @@
 }
 
 // hash is equal for sets with the same unexpired items.
-func (b *healthSet) hash(now time.Time) uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
-	return b.combinedHash
+func (s *healthSet) hash(now time.Time) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire(now)
+	return s.combinedHash
 }
 
-func (b *healthSet) expire(now time.Time) {
-	for key, r := range b.entries {
+func (s *healthSet) expire(now time.Time) {
+	for key, r := range s.entries {
 		if r.Until <= now.UnixMilli() {
-			b.remove(key)
+			s.remove(key)
 		}
 	}
 }
--- a/router/internal/peer/fixture_test.go
+++ b/router/internal/peer/fixture_test.go
@@ -201,7 +201,7 @@
 	t.Helper()
 	var reservations []*ledger.Reservation
 	for !i.HeldBillsFull(0) {
-		reservation, err := i.bills.Reserve()
+		reservation, err := i.heldBills.Reserve()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -171,7 +171,7 @@
 		if err != nil {
 			assertUnchanged(t, one, method)
 		}
-		for _, r := range n.bills.Bills() {
+		for _, r := range n.heldBills.Bills() {
 			if r.Key.Class() != record.ClassBill {
 				t.Errorf("holds %s", r.Key)
 			}
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -82,7 +82,7 @@
 	pool        *connPool
 	server      *server
 	healthItems *healthSet
-	bills       *ledger.Buffer
+	heldBills   *ledger.Buffer
 	snapshots   *snapshotCache
 	// rejectionLogs and divergenceLogs limit log lines that others can cause,
 	// or that a lasting condition would repeat in each round.
@@ -147,7 +147,7 @@
 		earlyRoundLimit: rate.NewLimiter(rate.Every(time.Second), 1),
 		answered:        map[string]bool{},
 	}
-	n.bills = newBillBuffer(deps.Bills.Put, n.sendCopy)
+	n.heldBills = newBillBuffer(deps.Bills.Put, n.sendCopy)
 	n.server = &server{
 		tls:      cfg.TLS,
 		handler:  jsonrpc2.HandlerWithError(n.handle).SuppressErrClosed(),
@@ -264,11 +264,11 @@
 
 // HeldBills is the number of bills that wait here for the log, own and other
 // instances'.
-func (n *Node) HeldBills() int { return n.bills.Len() }
+func (n *Node) HeldBills() int { return n.heldBills.Len() }
 
 // HeldBillsFull reports whether no more bills can be held, so that new work
 // must be refused. open is the number of requests in progress, each of which
 // may still have to hold its bill.
-func (n *Node) HeldBillsFull(open int) bool { return n.bills.FullWithOpen(open) }
+func (n *Node) HeldBillsFull(open int) bool { return n.heldBills.FullWithOpen(open) }
 
 func peerAttr(id string) slog.Attr { return slog.String("peer", id) }
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -442,7 +442,7 @@
 func TestDrainLeavesNoBillBehind(t *testing.T) {
 	for name, reachable := range map[string]bool{"into the log": true, "to a peer": false} {
 		f := newFleet(t, 2, nil)
-		if err := f[0].bills.AcceptCopy(testBill(1)); err != nil {
+		if err := f[0].heldBills.AcceptCopy(testBill(1)); err != nil {
 			t.Fatal(err)
 		}
 		f[0].store.set(func(s *fakeStore) { s.status.LogReachable = reachable })
--- a/router/internal/peer/real_test.go
+++ b/router/internal/peer/real_test.go
@@ -85,10 +85,10 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if err := f[0].bills.AcceptCopy(testBill(1)); err != nil {
+		if err := f[0].heldBills.AcceptCopy(testBill(1)); err != nil {
 			t.Fatal(err)
 		}
-		if left := f[0].bills.Flush(context.Background()); left != 0 {
+		if left := f[0].heldBills.Flush(context.Background()); left != 0 {
 			t.Error("a bill that is in the log already was not settled")
 		}
 	}
--- a/router/internal/peer/round.go
+++ b/router/internal/peer/round.go
@@ -55,7 +55,7 @@
 	if !reachable {
 		n.runIfIdle(&n.transferring, func() { n.restoreFromPeer(ctx, answers) })
 	}
-	if n.Bills.Reachable() && n.bills.Len() > 0 {
+	if n.Bills.Reachable() && n.heldBills.Len() > 0 {
 		n.runIfIdle(&n.flushing, func() { n.flushBills(ctx) })
 	}
 	wg.Wait()
