--- a/router/internal/directory/load.go
+++ b/router/internal/directory/load.go
@@ -70,7 +70,8 @@
 	return interval
 }
 
-// Answered takes the load that a server stated in a response (wire.HeaderLoad).
+// ObserveLoad takes the load that a server stated in a response
+// (wire.HeaderLoad). Any other text is ignored.
 func (d *Directory) ObserveLoad(id decision.ServerID, load string) {
 	running, queued, ok := wire.ParseLoad(load)
 	if !ok {
--- a/router/internal/peer/chooser.go
+++ b/router/internal/peer/chooser.go
@@ -97,7 +97,7 @@
 }
 
 // ensureOtherDomain replaces the newest peer by one of another failure domain
-// if all are in the own.
+// if all are in the instance's own.
 func (c *stickyChooser) ensureOtherDomain(live []wire.ListedInstance, order []int, byID map[string]wire.ListedInstance) {
 	for _, id := range c.kept {
 		if byID[id].Domain != c.domain {
--- a/router/internal/peer/handler.go
+++ b/router/internal/peer/handler.go
@@ -75,8 +75,8 @@
 	return answer(p)
 }
 
-// handleDigest answers with the own status. The asker's state is not used: it
-// may be old in an unsolicited message, and the next own round queries the
+// handleDigest answers with this instance's status. The asker's state is not
+// used: it may be old in an unsolicited message, and the next round queries the
 // peers anyway.
 func (n *Node) handleDigest(DigestParams) (any, error) { return n.statusReport(), nil }
 
--- a/router/internal/peer/health.go
+++ b/router/internal/peer/health.go
@@ -21,7 +21,7 @@
 	defaultVerdictLifetime = 5 * time.Minute
 )
 
-// ShareVerdict sends an own verdict to the peers. It does not block.
+// ShareVerdict sends this instance's verdict to the peers. It does not block.
 func (n *Node) ShareVerdict(v decision.VersionVerdict) {
 	now := n.Now()
 	until := v.Until
@@ -32,8 +32,8 @@
 }
 
 // ShareLeaving sends to the peers that a backend server is leaving. It does not
-// block. The earliest statement is kept, so what came from a peer is not sent
-// again as an own one.
+// block. The earliest statement is kept, so one that came from a peer is not
+// replaced by a later one of this instance.
 func (n *Node) ShareLeaving(id decision.ServerID) {
 	now := n.Now()
 	if n.healthItems.has(HealthLeaving, string(id), now) {
--- a/router/internal/peer/round.go
+++ b/router/internal/peer/round.go
@@ -143,8 +143,8 @@
 }
 
 // restoreFromPeer fetches the state of the peer that is furthest ahead. This is
-// done only while the own log is unreachable: otherwise the log delivers the
-// same, and only the missing part.
+// done only while this instance cannot read the log: otherwise the log delivers
+// the same, and only the missing part.
 func (n *Node) restoreFromPeer(ctx context.Context, answers []answer) {
 	var furthest answer
 	for _, a := range answers {
@@ -162,7 +162,7 @@
 	n.Log.Emit(ctx, logging.EventStateRestored, peerAttr(furthest.peer.ID))
 }
 
-// compare acts on differences between a peer's state and the own state.
+// compare acts on differences between a peer's state and this instance's.
 func (n *Node) compare(ctx context.Context, a answer) {
 	if !a.ok {
 		return
--- a/router/internal/peer/transfer.go
+++ b/router/internal/peer/transfer.go
@@ -16,8 +16,8 @@
 // bounds how often peers can make this instance encode one.
 const snapshotTTL = fetchTimeout
 
-// snapshotCache serves pieces of the own state. It keeps one snapshot at a
-// time. Safe for concurrent use.
+// snapshotCache serves pieces of this instance's state. It keeps one snapshot
+// at a time. Safe for concurrent use.
 type snapshotCache struct {
 	store node.Store
 
--- a/router/internal/relay/members.go
+++ b/router/internal/relay/members.go
@@ -48,7 +48,7 @@
 type Members struct {
 	self Member
 	now  func() time.Time
-	// domains is the number of failure domains.
+	// domainCount is the number of failure domains.
 	domainCount int
 
 	mu sync.Mutex
--- a/router/internal/relay/messages.go
+++ b/router/internal/relay/messages.go
@@ -65,7 +65,7 @@
 	// Loads is the known load of other instances at the engines, Instances the number of these.
 	Loads  []byte `json:"loads,omitempty"`
 	Limits []byte `json:"limits,omitempty"`
-	// LostConfig is as in loadsParams.
+	// LostConfigVersion is as in loadsParams.
 	LostConfigVersion uint64 `json:"lost_config,omitempty"`
 	Instances         int    `json:"instances,omitempty"`
 	// Fleet is the number of instances of all failure domains.
