--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -76,7 +76,7 @@
 		age := out.age(c.now().Sub(start))
 		var answered *jsonrpc2.Error
 		switch {
-		case errors.As(err, &answered) && answered.Code == codeGone:
+		case errors.As(err, &answered) && answered.Code == codeTrimmed:
 			return collectorAnswer{collector: m.Name}, keyedlog.ErrTrimmed
 		case errors.As(err, &answered): // it does not know yet
 		case err != nil && ctx.Err() != nil:
--- a/router/internal/relay/messages.go
+++ b/router/internal/relay/messages.go
@@ -84,6 +84,6 @@
 
 // Error codes, in addition to those of JSON-RPC.
 const (
-	codeNotDone = 1
-	codeGone    = 2
+	codeNotApplied = 1
+	codeTrimmed    = 2
 )
--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -178,7 +178,7 @@
 	case errors.As(err, &known):
 		return known
 	case errors.Is(err, keyedlog.ErrTrimmed):
-		return &jsonrpc2.Error{Code: codeGone, Message: err.Error()}
+		return &jsonrpc2.Error{Code: codeTrimmed, Message: err.Error()}
 	}
-	return &jsonrpc2.Error{Code: codeNotDone, Message: err.Error()}
+	return &jsonrpc2.Error{Code: codeNotApplied, Message: err.Error()}
 }
