--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -29,7 +29,7 @@
 
 func TestSubsetIsBoundedStableAndEven(t *testing.T) {
 	if got := Subset("entry-1", servers(15)); len(got) != 15 {
-		t.Errorf("a small fleet is cut to %d", len(got))
+		t.Errorf("a small fleet is reduced to %d", len(got))
 	}
 	const fleet, instances = 1000, 200
 	all := servers(fleet)
@@ -48,8 +48,8 @@
 		t.Errorf("%d of %d servers are picked by nobody", fleet-len(times), fleet)
 	}
 	before := ids(Subset("entry-1", all))
-	gone := before[0]
-	rest := slices.DeleteFunc(servers(fleet), func(s wire.ListedServer) bool { return s.ID == gone })
+	removed := before[0]
+	rest := slices.DeleteFunc(servers(fleet), func(s wire.ListedServer) bool { return s.ID == removed })
 	kept := 0
 	for _, id := range ids(Subset("entry-1", rest)) {
 		if slices.Contains(before, id) {
@@ -57,7 +57,7 @@
 		}
 	}
 	if kept != subsetSize-1 {
-		t.Errorf("one server left and %d of the subset stayed", kept)
+		t.Errorf("one server left, and %d of the subset stayed", kept)
 	}
 }
 
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestAnswersTellTheLoad has a server tell its load on an answer: the decision
-// hears of it at once, and the server is asked more seldom.
+// TestAnswersTellTheLoad checks that a load stated in a response is passed on
+// to the decision at once, and that the server is then polled less often.
 func TestAnswersTellTheLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent := &events{}
@@ -92,7 +92,7 @@
 		}
 		time.Sleep(time.Second)
 		if got := d.nextPollDelay("s1"); got != 250*time.Millisecond {
-			t.Errorf("once the word is old: %v", got)
+			t.Errorf("after the report has become old: %v", got)
 		}
 	})
 }
--- a/router/internal/relay/members_test.go
+++ b/router/internal/relay/members_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFollowersLearnTheFleet holds that a follower, which reads the list of its own failure
-// domain only, counts the instances of all as its collector does.
+// TestFollowersLearnTheFleet checks that a follower, which reads the list of its own failure domain
+// only, counts the instances of all failure domains as its collector does.
 func TestFollowersLearnTheFleet(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestUncountedDomainsAreThoughtAlike holds that the count is no lower bound before the other
-// failure domains were counted: the retry budget's slack is shared by it.
+// TestUncountedDomainsAreThoughtAlike checks that the count is not too low before the other failure
+// domains are counted, since the retry budget's slack is divided by it.
 func TestUncountedDomainsAreThoughtAlike(t *testing.T) {
 	m := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 5, time.Now)
 	for i := range 9 {
@@ -34,29 +34,29 @@
 		m.Add(Member{Name: fmt.Sprint("far", i), Domain: "e", Address: "a:3"})
 	}
 	if n := m.FleetSize(); n != 70 {
-		t.Errorf("%d instances, want the 70 that are known", n)
+		t.Errorf("%d instances, want the 70 known ones", n)
 	}
 }
 
-// TestStrongInstancesTakeTheFirstTurns holds that those which will collect are known before the
-// small ones ask who does.
+// TestStrongInstancesTakeTheFirstTurns checks that the instances which become collectors are known
+// before the weak ones look for them.
 func TestStrongInstancesTakeTheFirstTurns(t *testing.T) {
-	lastStrong, firstSmall := 0.0, 1.0
+	lastStrong, firstWeak := 0.0, 1.0
 	for i := range 60 {
 		strong := Member{Name: fmt.Sprint("strong", i), Cores: 0.8}.AnnounceOrder()
-		small := Member{Name: fmt.Sprint("small", i), Cores: 0.2}.AnnounceOrder()
-		lastStrong, firstSmall = max(lastStrong, strong), min(firstSmall, small)
-		if strong < 0 || small > 1 {
-			t.Fatalf("turns %v and %v", strong, small)
+		weak := Member{Name: fmt.Sprint("small", i), Cores: 0.2}.AnnounceOrder()
+		lastStrong, firstWeak = max(lastStrong, strong), min(firstWeak, weak)
+		if strong < 0 || weak > 1 {
+			t.Fatalf("announce orders %v and %v", strong, weak)
 		}
 	}
-	if lastStrong > firstSmall {
-		t.Errorf("a strong instance goes at %.2f, a small one at %.2f", lastStrong, firstSmall)
+	if lastStrong > firstWeak {
+		t.Errorf("a strong instance announces itself at %.2f, a weak one at %.2f", lastStrong, firstWeak)
 	}
 }
 
-// TestTheFirstOfAllReadsForAll holds whom the first of each failure domain asks: the first of those
-// that rank before it, and nobody where none does.
+// TestTheFirstOfAllReadsForAll checks whom the first of each failure domain asks: the first of
+// those that rank before it, or nobody if there is none.
 func TestTheFirstOfAllReadsForAll(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := []Member{
@@ -73,10 +73,10 @@
 		m := NewMembers(self, 3, func() time.Time { return now })
 		for _, other := range all {
 			m.Add(other)
-			m.Add(other) // told again
+			m.Add(other) // repeated announcement
 		}
-		if far := m.RemoteCollectors(); len(far) > 0 {
-			asks = far[0].Name
+		if remote := m.RemoteCollectors(); len(remote) > 0 {
+			asks = remote[0].Name
 		}
 		if asks != want[name] {
 			t.Errorf("%s asks %q, want %q", name, asks, want[name])
@@ -88,8 +88,8 @@
 	}
 	for _, next := range []string{"a1", "b2"} {
 		m.Failed(m.RemoteCollectors()[0].Name)
-		if far := m.RemoteCollectors(); len(far) == 0 || far[0].Name != next {
-			t.Errorf("asks %+v, want %s", far, next)
+		if remote := m.RemoteCollectors(); len(remote) == 0 || remote[0].Name != next {
+			t.Errorf("asks %+v, want %s", remote, next)
 		}
 	}
 }
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -10,7 +10,7 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-// eraSnapshot is a snapshot of one record, of an era.
+// eraSnapshot is a snapshot of one record in an era.
 func eraSnapshot(era, end uint64, value string) keyedlog.Snapshot {
 	return keyedlog.Snapshot{
 		Records: []keyedlog.Record{{Key: "a", Value: []byte(value), Offset: end - 1}},
@@ -18,7 +18,8 @@
 	}
 }
 
-// TestLaterEraStands holds which of two answers a cache keeps, in whichever order they come.
+// TestLaterEraStands checks that a cache keeps the state of the later era, in whichever order the
+// answers arrive.
 func TestLaterEraStands(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := NewCache(func() time.Time { return now }, nil)
@@ -46,7 +47,8 @@
 	}
 }
 
-// TestFollowersLearnOfARestoreByTheirCollector holds that they do not turn to the store for it.
+// TestFollowersLearnOfARestoreByTheirCollector checks that followers do not read the store to learn
+// of a restore.
 func TestFollowersLearnOfARestoreByTheirCollector(t *testing.T) {
 	st := &fakeStore{era: 1}
 	st.put("a", "1")
@@ -76,8 +78,8 @@
 	}
 }
 
-// TestCollectorThatHasNotNoticedIsPassedOver holds that an instance which knows of a restore does
-// not go back to the log of before.
+// TestCollectorThatHasNotNoticedIsPassedOver checks that an instance which knows of a restore does
+// not return to the state before it.
 func TestCollectorThatHasNotNoticedIsPassedOver(t *testing.T) {
 	st := &fakeStore{era: 1}
 	st.put("a", "1")
@@ -93,16 +95,16 @@
 	}
 }
 
-// TestRestoreReachesAllByTheirCollectors holds that all instances of a failure domain have the restored
-// state within two seconds, and that the store is read by those that did so before. It prints the
-// time and the reads.
+// TestRestoreReachesAllByTheirCollectors checks that all instances of a failure domain have the
+// restored state within two seconds, and that only the instances that read the store before read
+// it. It logs the time and the number of reads.
 func TestRestoreReachesAllByTheirCollectors(t *testing.T) {
 	const (
-		entries   = 150
-		pause     = 100 * time.Millisecond
-		wait      = 350 * time.Millisecond
-		longest   = 2 * time.Second
-		mostReads = 4 // of the newest records
+		entries  = 150
+		pause    = 100 * time.Millisecond
+		wait     = 350 * time.Millisecond
+		maxTime  = 2 * time.Second
+		maxReads = 4 // of the newest records
 	)
 	for _, count := range []int{8, 58, 300} {
 		st := &fakeStore{era: 1}
@@ -110,31 +112,31 @@
 			st.put(fmt.Sprint("server-", i), "an entry of a backend server")
 		}
 		all := startInstances(t, st, count, time.Hour)
-		places := make([]keyedlog.Position, count)
+		positions := make([]keyedlog.Position, count)
 		for i, in := range all {
-			places[i] = in.newest(t).Next
+			positions[i] = in.newest(t).Next
 		}
 		before := st.newestReads()
 		st.restore(entries / 2)
-		began := time.Now()
+		start := time.Now()
 		var done sync.WaitGroup
 		for i, in := range all {
 			done.Go(func() {
-				for time.Since(began) < 10*longest {
-					if _, err := in.log.Read(t.Context(), places[i], wait); errors.Is(err, keyedlog.ErrTrimmed) {
+				for time.Since(start) < 10*maxTime {
+					if _, err := in.log.Read(t.Context(), positions[i], wait); errors.Is(err, keyedlog.ErrTrimmed) {
 						if s, err := in.log.Newest(t.Context()); err == nil && s.Next.Era == 2 {
 							return
 						}
 					}
 					time.Sleep(pause)
 				}
-				t.Errorf("%d instances: one does not learn of the restore", count)
+				t.Errorf("%d instances: an instance does not learn of the restore", count)
 			})
 		}
 		done.Wait()
-		took, reads := time.Since(began), st.newestReads()-before
+		took, reads := time.Since(start), st.newestReads()-before
 		t.Logf("%d instances: %v, %d reads of the store's newest records", count, took.Round(time.Millisecond), reads)
-		if took > longest || reads > mostReads {
+		if took > maxTime || reads > maxReads {
 			t.Errorf("%d instances have the restored state after %v, by %d reads of the store", count, took, reads)
 		}
 		for _, in := range all {
