--- a/router/cmd/masticplank/main.go
+++ b/router/cmd/masticplank/main.go
@@ -1,4 +1,4 @@
-// Command masticplank is the operators' tool.
+// Command masticplank is the command-line tool for operators.
 package main
 
 import (
--- a/router/cmd/masticplankd/main.go
+++ b/router/cmd/masticplankd/main.go
@@ -1,4 +1,4 @@
-// Command masticplankd is one entry instance.
+// Command masticplankd runs one entry instance.
 package main
 
 import (
@@ -32,8 +32,8 @@
 		Use:   "masticplankd --config FILE",
 		Short: "Run one entry instance",
 		Long: "Run one entry instance until SIGTERM or an interrupt.\n" +
-			"Where the platform names a settings file in the environment, that one is used,\n" +
-			"and only pass-through routes are served.\n" +
+			"If the platform names a settings file in the environment, that file is used instead\n" +
+			"of --config, and only pass-through routes are served.\n" +
 			"Exit status: 0 after a graceful shutdown, 2 for faults in the settings, 1 otherwise.",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
@@ -63,10 +63,11 @@
 	return daemon.Run(cfg, os.Stderr)
 }
 
-// runOnPlatform runs an instance with the adapter of the users' platform.
+// runOnPlatform runs an instance with the adapter of the users' platform; path is the
+// settings file that the environment names.
 func runOnPlatform(path, metrics string) error {
-	// The settings are watched for a SIGHUP once the parts are put together; one that comes
-	// before must not end the process.
+	// A SIGHUP reloads the settings once the application is built. One that comes earlier
+	// must not end the process, which is its default action.
 	signal.Ignore(syscall.SIGHUP)
 	cfg, err := platform.LoadSettings(path)
 	if err != nil {
--- a/router/internal/cli/clitest/clitest.go
+++ b/router/internal/cli/clitest/clitest.go
@@ -1,5 +1,5 @@
-// Package clitest runs commands of masticplank in tests, and holds their output
-// and exit status to what is wanted.
+// Package clitest runs commands of masticplank in tests and checks their output
+// and exit status.
 package clitest
 
 import (
@@ -12,17 +12,19 @@
 	"masticplank.example/router/internal/cli"
 )
 
-// Case is one run of a command.
+// Case is one run of a command: its arguments, its standard input and the exit
+// status that is expected.
 type Case struct {
 	Name   string
 	Args   []string
 	Stdin  string
 	Status int
-	// Want lists what the output must have.
+	// Want lists texts that the standard output must contain.
 	Want []string
 }
 
-// Run executes a new command for each case.
+// Run executes a new command for each case and reports each difference as an
+// error of t.
 func Run(t *testing.T, newCommand func() *cobra.Command, cases []Case) {
 	t.Helper()
 	for _, c := range cases {
--- a/router/internal/cli/democmd/democmd.go
+++ b/router/internal/cli/democmd/democmd.go
@@ -1,4 +1,5 @@
-// Package democmd is the command "masticplank demo".
+// Package democmd implements "masticplank demo", which runs the whole system in
+// one process and checks what it promises.
 package democmd
 
 import (
@@ -29,14 +30,14 @@
 		Use:   "demo",
 		Short: "Run everything in one process on loopback, and check the promises",
 		Long: `Run the whole product in this process on loopback: a log, an instance list, a
-rating service, three engines, a shop and two entry instances. A mixed load goes
-through them (plain and streamed chat, sessions, reads, reservations, some of
-them sent twice at once), with a roll-out halfway that withdraws a version.
+rating service, three engines, a shop and two entry instances. It sends them a
+mixed load (plain and streamed chat, sessions, reads, reservations, some of them
+sent twice at once), with a roll-out halfway that withdraws a version.
 
-Then a table shows the outcomes, latency, versions, cost, and bills against
-completed requests. Nothing is left behind.
+Then a table shows the outcomes, latency, versions, cost, and the number of bills
+against that of completed requests. Nothing is left behind.
 
-Exit status: 0 where every promise was held, 1 where one was broken.`,
+Exit status: 0 if every promise was kept, 1 if one was broken.`,
 		Example: "  masticplank demo --requests 2000 --faults\n  masticplank demo --json | jq .promises",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -54,17 +55,17 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&cfg.Requests, "requests", defaultRequests, "requests of the load")
-	flags.IntVar(&cfg.Workers, "workers", defaultWorkers, "requests under way at once")
-	flags.Uint64Var(&cfg.Seed, "seed", 1, "seed of the load")
-	flags.BoolVar(&cfg.Faults, "faults", false, "switch on faults of the platform and the backend servers")
+	flags.IntVar(&cfg.Requests, "requests", defaultRequests, "number of requests")
+	flags.IntVar(&cfg.Workers, "workers", defaultWorkers, "number of concurrent requests")
+	flags.Uint64Var(&cfg.Seed, "seed", 1, "random seed of the load")
+	flags.BoolVar(&cfg.Faults, "faults", false, "inject faults into the platform and the backend servers")
 	flags.BoolVar(&logs, "logs", false, "show the instances' logs on standard error")
 	flags.BoolVar(&asJSON, "json", false, "print the report as one JSON object")
 	return cmd
 }
 
-// progress returns what is called for each request that has ended: a bar on a
-// terminal, nothing elsewhere.
+// newProgress returns the function to call for each request that has ended. It
+// advances a progress bar where w is a terminal; it is nil elsewhere.
 func newProgress(total int, w io.Writer) func() {
 	f, ok := w.(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) {
@@ -76,7 +77,7 @@
 		progressbar.OptionShowCount(),
 		progressbar.OptionClearOnFinish(),
 	)
-	// A bar that cannot be drawn is no reason to stop.
+	// A bar that cannot be drawn does not stop the run.
 	return func() { _ = bar.Add(1) }
 }
 
--- a/router/internal/cli/exit.go
+++ b/router/internal/cli/exit.go
@@ -8,40 +8,42 @@
 
 // Exit statuses of masticplank.
 const (
-	// StatusOK: done.
+	// StatusOK: the command succeeded.
 	StatusOK = 0
-	// StatusFailed: the command could not do its work, or found a promise
-	// broken.
+	// StatusFailed: the command failed, or a check of what the system promises
+	// did.
 	StatusFailed = 1
-	// StatusInvalid: the input (a file, a flag) is wrong.
+	// StatusInvalid: the input (a file, a flag) is invalid.
 	StatusInvalid = 2
-	// StatusPartial: done for some instances; the others did not answer.
+	// StatusPartial: the command succeeded in part, for example because some
+	// instances did not answer.
 	StatusPartial = 3
 )
 
-// StatusError is an error with the exit status that it ends the process with.
+// StatusError is an error together with the exit status of the process.
 type StatusError struct {
 	Status int
 	Err    error
 }
 
-// Error is the text of the error inside.
+// Error returns the text of the wrapped error.
 func (e *StatusError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error inside.
+// Unwrap returns the wrapped error.
 func (e *StatusError) Unwrap() error { return e.Err }
 
-// Exit makes err end the process with status.
+// WithStatus returns err as a StatusError with status.
 func WithStatus(status int, err error) error {
 	return &StatusError{Status: status, Err: err}
 }
 
-// Exitf is Exit with a formatted error.
+// StatusErrorf is WithStatus with an error formatted by fmt.Errorf.
 func StatusErrorf(status int, format string, args ...any) error {
 	return WithStatus(status, fmt.Errorf(format, args...))
 }
 
-// Status is the exit status for what a command returned.
+// ExitStatus is the exit status for the error that a command returned: that of a
+// StatusError in its chain, StatusFailed for any other error.
 func ExitStatus(err error) int {
 	var statusErr *StatusError
 	switch {
--- a/router/internal/cli/gather.go
+++ b/router/internal/cli/gather.go
@@ -7,15 +7,16 @@
 	"masticplank.example/router/internal/adminclient"
 )
 
-// Answer is what one instance's admin listener gave.
+// Response is what one instance's admin listener returned. Value is set only
+// where Err is nil.
 type Response[T any] struct {
 	Address string
 	Value   T
 	Err     error
 }
 
-// Gather reads path from all instances at the same time. The answers stand in
-// the order of the addresses, those that failed too.
+// GetAll requests path from the admin listeners at all addresses concurrently.
+// The responses are in the order of the addresses, failed ones included.
 func GetAll[T any](ctx context.Context, addresses []string, path string) []Response[T] {
 	responses := make([]Response[T], len(addresses))
 	var wg sync.WaitGroup
@@ -29,8 +30,9 @@
 	return responses
 }
 
-// Silent is the error that a command ends with where n of all instances did not
-// answer; nil for none.
+// UnansweredError is the error that a command returns where unanswered of total
+// instances did not answer; nil where all answered. Its exit status is
+// StatusFailed if none answered, StatusPartial otherwise.
 func UnansweredError(unanswered, total int) error {
 	switch {
 	case unanswered == 0:
--- a/router/internal/cli/ledgercmd/ledgercmd.go
+++ b/router/internal/cli/ledgercmd/ledgercmd.go
@@ -1,5 +1,5 @@
-// Package ledgercmd is "masticplank ledger": the bills, as any reader of the log
-// finds them.
+// Package ledgercmd implements "masticplank ledger", which reads the bills from
+// the platform's log.
 package ledgercmd
 
 import (
@@ -26,11 +26,11 @@
 	var from uint64
 	cmd := &cobra.Command{
 		Use:   "export --log URL",
-		Short: "Write each bill that counts, once",
-		Long: `Write each bill that counts, in the log's order, one JSON object a line (or a
-line of text). Copies of a bill are void and left out. The summary on standard
-error names the offset to give as --from next time; exports in a row give each
-bill once, as long as they come within the log's retention.
+		Short: "Write each valid bill once",
+		Long: `Write each valid bill once, in the log's order, as a line of JSON (or of text).
+Further copies of a bill are void and left out. The summary on standard error
+names the offset to give as --from next time; successive exports give each bill
+once, as long as they run within the log's retention.
 
 Exit status: 0 done, 1 the log could not be read, 3 some bills were malformed.`,
 		Args: cobra.NoArgs,
@@ -42,7 +42,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&logURL, "log", "", "URL of the platform's log")
-	cmd.Flags().Uint64Var(&from, "from", 0, "offset to start at, from the last export's summary")
+	cmd.Flags().Uint64Var(&from, "from", 0, "offset to start at, as the last export's summary names it")
 	cmd.Flags().StringVarP(&output, "output", "o", cli.OutputJSON, "text or json")
 	_ = cmd.MarkFlagRequired("log")
 	return cmd
--- a/router/internal/cli/loadcmd/loadcmd.go
+++ b/router/internal/cli/loadcmd/loadcmd.go
@@ -1,5 +1,5 @@
-// Package loadcmd is "masticplank load": a bounded load on loopback, and what its
-// callers got.
+// Package loadcmd implements "masticplank load", which sends a bounded load on
+// loopback and prints the rate and latency of the answers.
 package loadcmd
 
 import (
@@ -12,14 +12,16 @@
 	"masticplank.example/router/internal/loadgen"
 )
 
-// Bounds of the flags: a load ends by itself and cannot take a machine down.
+// Bounds of the flags, so that a load ends by itself and cannot exhaust the
+// machine. maxRate is in requests per second.
 const (
 	maxCallers  = 4096
 	maxDuration = 10 * time.Minute
 	maxRate     = 100_000
 )
 
-// result is what the command prints.
+// result is what the command prints. "Whole" is the time to the last byte of an
+// answer, "first" the time to its first byte.
 type result struct {
 	loadgen.Phase
 	WholeP50 float64 `json:"whole_p50_ms"`
@@ -37,9 +39,9 @@
 	var plan loadgen.Plan
 	cmd := &cobra.Command{
 		Use:   "load --url http://127.0.0.1:PORT --key KEY",
-		Short: "Send a bounded load to an instance on loopback, and measure it",
-		Long: `Send chat requests to an instance, or to an engine stand-in, and print what the
-callers got. Load goes to loopback only and ends by itself.
+		Short: "Send a bounded load to an instance on loopback, and measure the answers",
+		Long: `Send chat requests to an instance, or to an engine stand-in, and print the rate
+and latency of the answers. Load goes to loopback only and ends by itself.
 
 Exit status: 0 done, 1 no answer came, 2 a flag is out of range.`,
 		Args: cobra.NoArgs,
@@ -55,16 +57,16 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&base, "url", "", "address of the callers' edge")
+	flags.StringVar(&base, "url", "", "URL of the listener for callers")
 	flags.StringVar(&key, "key", "", "the team's API key")
 	flags.StringVar(&ask.Model, "model", "", "model or version; empty lets the cascade choose")
 	flags.StringVar(&ask.Prompt, "prompt", "draft a twill pattern of eight shafts", "the prompt")
-	flags.IntVar(&ask.MaxTokens, "max-tokens", 32, "tokens of an answer")
+	flags.IntVar(&ask.MaxTokens, "max-tokens", 32, "maximum number of tokens of an answer")
 	flags.BoolVar(&ask.Stream, "stream", false, "stream the answers")
-	flags.IntVar(&plan.Callers, "callers", 16, "callers side by side")
-	flags.Float64Var(&plan.Rate, "rate", 0, "requests a second in all; 0 is as fast as answers come")
-	flags.DurationVar(&plan.Warmup, "warmup", time.Second, "time that is sent but not counted")
-	flags.DurationVar(&plan.Length, "length", 5*time.Second, "time that is counted")
+	flags.IntVar(&plan.Callers, "callers", 16, "number of concurrent callers")
+	flags.Float64Var(&plan.Rate, "rate", 0, "requests per second of all callers together; 0 sends as fast as answers come")
+	flags.DurationVar(&plan.Warmup, "warmup", time.Second, "time of load before counting begins")
+	flags.DurationVar(&plan.Length, "length", 5*time.Second, "time of load that is counted")
 	flags.StringVarP(&output, "output", "o", cli.OutputText, "text or json")
 	_ = cmd.MarkFlagRequired("url")
 	return cmd
--- a/router/internal/cli/manifestcmd/get.go
+++ b/router/internal/cli/manifestcmd/get.go
@@ -18,7 +18,8 @@
 	Manifest manifest.Manifest `json:"manifest"`
 }
 
-// newGet prints what a pipeline generates the next manifest from.
+// newGet returns the command that prints the manifest in force. A deployment
+// pipeline can generate the next manifest from its output.
 func newGet() *cobra.Command {
 	var instances []string
 	var next bool
@@ -56,10 +57,10 @@
 			return response, nil
 		}
 	}
-	return manifestResponse{}, cli.StatusErrorf(cli.StatusFailed, "no instance gave its manifest: %w", lastErr)
+	return manifestResponse{}, cli.StatusErrorf(cli.StatusFailed, "no instance returned its manifest: %w", lastErr)
 }
 
-// following turns the manifest in force into a draft of the next one.
+// draftNext turns the manifest in force into a draft of the next one.
 func draftNext(current manifestResponse) manifest.Manifest {
 	m := current.Manifest
 	m.Generation++
@@ -68,8 +69,9 @@
 	return m
 }
 
-// newHashKey prints an API key's hash for a manifest or for settings. The key is
-// read from standard input, so that it is in no process list and no history.
+// newHashKey returns the command that prints an API key's hash for a manifest or
+// for settings. The key is read from standard input, so that it shows up in no
+// process list and no shell history.
 func newHashKey() *cobra.Command {
 	return &cobra.Command{
 		Use:   "hash-key < KEY",
--- a/router/internal/cli/manifestcmd/manifestcmd.go
+++ b/router/internal/cli/manifestcmd/manifestcmd.go
@@ -1,5 +1,5 @@
-// Package manifestcmd is "masticplank manifest": check, compare, publish and
-// follow manifests.
+// Package manifestcmd implements "masticplank manifest", which checks, compares,
+// fetches and publishes manifests.
 package manifestcmd
 
 import (
@@ -48,7 +48,8 @@
 	cmd.Flags().StringVarP(output, "output", "o", cli.OutputText, "text or json")
 }
 
-// read loads a manifest file.
+// readManifest reads and parses a manifest file. A file that cannot be read
+// gives exit status StatusFailed, one that cannot be parsed StatusInvalid.
 func readManifest(path string) (manifest.Manifest, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -76,7 +77,7 @@
 		}
 	}
 	if len(faults) > 0 {
-		return cli.StatusErrorf(cli.StatusInvalid, "%d faults", len(faults))
+		return cli.StatusErrorf(cli.StatusInvalid, "the manifest has %d faults", len(faults))
 	}
 	return nil
 }
--- a/router/internal/cli/manifestcmd/publish.go
+++ b/router/internal/cli/manifestcmd/publish.go
@@ -14,10 +14,11 @@
 	"masticplank.example/router/internal/manifest"
 )
 
-// keyVariable holds the operator's key, so that it is in no process list.
+// keyVariable is the environment variable that holds the operator's key. A flag
+// would show the key in the process list.
 const keyVariable = "MASTICPLANK_OPERATOR_KEY"
 
-// pollInterval is how often --wait asks the instances.
+// pollInterval is the time between two polls of the instances under --wait.
 const pollInterval = 50 * time.Millisecond
 
 type publishFlags struct {
@@ -32,12 +33,12 @@
 	cmd := &cobra.Command{
 		Use:   "publish FILE --instances ADDR,...",
 		Short: "Publish a manifest through one instance, and wait until all have it in force",
-		Long: `Publish a manifest. The first instance that answers takes it into the log.
-The operator's key is read from ` + keyVariable + `.
+		Long: `Publish a manifest. The first instance that answers appends it to the log.
+The operator's key is read from the environment variable ` + keyVariable + `.
 
-With --wait the command follows until every instance named has the generation
-in force. Publishing the same file again is harmless: its publication id makes
-it the same proposal.
+With --wait the command waits until every instance named has the generation in
+force. Publishing the same file again is harmless: its publication id makes it
+the same proposal.
 
 Exit status: 0 accepted (and in force everywhere, with --wait), 1 refused or
 unknown, 2 invalid, 3 accepted but not in force everywhere in time, 4 conflict
@@ -55,14 +56,15 @@
 		},
 	}
 	cmd.Flags().StringSliceVar(&f.instances, "instances", nil, "admin addresses of the instances")
-	cmd.Flags().BoolVar(&f.rebase, "rebase", false, "follow the manifest in force, whatever it is")
-	cmd.Flags().DurationVar(&f.wait, "wait", 0, "how long to wait for all instances; 0 does not wait")
+	cmd.Flags().BoolVar(&f.rebase, "rebase", false, "use the manifest in force as the parent, whichever it is")
+	cmd.Flags().DurationVar(&f.wait, "wait", 0, "how long to wait until all instances have it in force; 0 does not wait")
 	addOutputFlag(cmd, &f.output)
 	_ = cmd.MarkFlagRequired("instances")
 	return cmd
 }
 
-// statusConflict is the exit status for a publication that lost a race.
+// statusConflict is the exit status for a publication that conflicts with
+// another one, whose generation is in force.
 const statusConflict = 4
 
 func (f publishFlags) publish(cmd *cobra.Command, m manifest.Manifest) error {
@@ -83,7 +85,7 @@
 	return f.waitInForce(cmd, response.Generation)
 }
 
-// send tries the instances in turn. Trying the next one after a lost answer is
+// send tries the instances in turn. Trying the next one after a lost response is
 // harmless, since the publication id makes it the same proposal.
 func (f publishFlags) send(ctx context.Context, m manifest.Manifest) (admin.PublishResponse, error) {
 	var lastErr error
@@ -94,7 +96,7 @@
 		}
 		lastErr = err
 	}
-	return admin.PublishResponse{}, cli.StatusErrorf(cli.StatusFailed, "no instance took the manifest: %w", lastErr)
+	return admin.PublishResponse{}, cli.StatusErrorf(cli.StatusFailed, "no instance answered the publication: %w", lastErr)
 }
 
 func outcomeError(r admin.PublishResponse) error {
@@ -110,7 +112,8 @@
 	}
 }
 
-// follow waits until every instance has the generation in force.
+// waitInForce waits until every instance has the generation in force, for at
+// most f.wait.
 func (f publishFlags) waitInForce(cmd *cobra.Command, generation uint64) error {
 	if f.wait == 0 {
 		return nil
@@ -131,7 +134,7 @@
 	}
 }
 
-// inForce is the part of /status that matters here.
+// generationStatus is the part of the body of /status that is read here.
 type generationStatus struct {
 	Generation uint64 `json:"generation"`
 }
--- a/router/internal/cli/output.go
+++ b/router/internal/cli/output.go
@@ -14,7 +14,7 @@
 	OutputHTML = "html"
 )
 
-// CheckOutput refuses a format that the command does not have.
+// CheckOutput returns an error with StatusInvalid if format is not one of allowed.
 func CheckOutput(format string, allowed ...string) error {
 	if slices.Contains(allowed, format) {
 		return nil
--- a/router/internal/cli/reportcmd/reportcmd.go
+++ b/router/internal/cli/reportcmd/reportcmd.go
@@ -1,4 +1,5 @@
-// Package reportcmd is "masticplank report": service levels of a fleet.
+// Package reportcmd implements "masticplank report", which reports the service
+// levels of a fleet.
 package reportcmd
 
 import (
@@ -21,7 +22,7 @@
 	return cmd
 }
 
-// newBurn takes the clock, for the report's time.
+// newBurn returns the command "burn"; now is the clock for the report's time.
 func newBurn(now func() time.Time) *cobra.Command {
 	var addresses []string
 	var output string
@@ -31,7 +32,7 @@
 		Long: "Show each team's service levels (availability, first token, inter-token,\n" +
 			"cost, exposure to bad versions) against the manifest's objectives, the error\n" +
 			"budget left and burn rates over 5m and 1h, 30m and 6h, merged from the\n" +
-			"instances' own counters. HTML is one page that needs nothing else.\n" +
+			"instances' own counters. HTML is one self-contained page.\n" +
 			"Exit status: 0 all answered, 3 some did not, 1 none did.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/router/internal/cli/reportcmd/reportcmd_test.go
+++ b/router/internal/cli/reportcmd/reportcmd_test.go
@@ -18,7 +18,7 @@
 
 var at = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
-// instance serves /burn with one request of a team.
+// instance returns the URL of a server whose /burn counts one completed request.
 func instance(t *testing.T, name string) string {
 	t.Helper()
 	r := report.NewRecorder(func() time.Time { return at })
@@ -39,7 +39,7 @@
 	return srv.URL
 }
 
-// dead is an address where nobody answers.
+// unreachableURL returns the URL of a server that has been closed.
 func unreachableURL() string {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	defer srv.Close()
--- a/router/internal/cli/settingscmd/settingscmd.go
+++ b/router/internal/cli/settingscmd/settingscmd.go
@@ -1,5 +1,5 @@
-// Package settingscmd is "masticplank settings": checks of settings files
-// before they reach an instance.
+// Package settingscmd implements "masticplank settings", which checks settings
+// files before they are deployed and prints documented examples.
 package settingscmd
 
 import (
@@ -43,7 +43,8 @@
 	return cmd
 }
 
-// check reads all files before it fails, so that one run shows all faults.
+// check reads all files before it returns an error, so that one run shows the
+// faults of all of them.
 func check(cmd *cobra.Command, files []string, output string) error {
 	all := settings.Faults{}
 	for _, file := range files {
--- a/router/internal/cli/soakcmd/soakcmd.go
+++ b/router/internal/cli/soakcmd/soakcmd.go
@@ -1,5 +1,5 @@
-// Package soakcmd is "masticplank soak": many processes between stand-ins of the platform,
-// with faults from outside, and what was promised of them.
+// Package soakcmd implements "masticplank soak", which runs many instances as processes
+// between stand-ins of the platform, injects faults and checks what the system promises.
 package soakcmd
 
 import (
@@ -20,13 +20,13 @@
 	var minutes float64
 	cmd := &cobra.Command{
 		Use:   "soak --seed N --minutes M --processes P",
-		Short: "Run many instances on loopback with faults from outside, and check what is promised",
+		Short: "Run many instances on loopback, inject faults and check what is promised",
 		Long: `Run masticplankd as separate processes between stand-ins of the platform, inject
-faults from outside, and hold what callers and backend servers see against what is
+faults from outside, and check what callers and backend servers see against what is
 promised. The report is printed as JSON. It ends only processes that it started.
 
-Exit status: 0 all was kept, 1 a promise was broken or the run failed, 2 a flag is out
-of range.`,
+Exit status: 0 all promises were kept, 1 a promise was broken or the run failed, 2 a
+flag is out of range.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			opts.Length = time.Duration(minutes * float64(time.Minute))
@@ -50,19 +50,19 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&opts.Seed, "seed", 1, "what is drawn: faults, their times, and what callers send")
-	flags.Float64Var(&minutes, "minutes", 1, "minutes with faults; a calm of 12 s follows")
-	flags.IntVar(&opts.Processes, "processes", 9, fmt.Sprintf("instances, %d at most", soak.MostProcesses))
+	flags.Uint64Var(&opts.Seed, "seed", 1, "random seed of the faults, of their times and of the callers' requests")
+	flags.Float64Var(&minutes, "minutes", 1, "minutes with faults; 12 s without faults follow")
+	flags.IntVar(&opts.Processes, "processes", 9, fmt.Sprintf("number of instances, %d at most", soak.MostProcesses))
 	flags.StringVar(&opts.Program, "program", "", "path of masticplankd; empty for the one beside this program")
-	flags.StringVar(&opts.Dir, "dir", "", "directory for settings and logs; empty for a temporary one, kept after a breach")
+	flags.StringVar(&opts.Dir, "dir", "", "directory for settings and logs; empty for a temporary one, which is kept if a promise was broken")
 	return cmd
 }
 
-// beside is the path of masticplankd in this program's directory.
+// siblingProgram is the path of masticplankd in this program's directory.
 func siblingProgram() string {
 	self, err := os.Executable()
 	if err != nil {
-		return "masticplankd" // found by the path
+		return "masticplankd" // looked up in PATH
 	}
 	return filepath.Join(filepath.Dir(self), "masticplankd")
 }
--- a/router/internal/cli/standincmd/standincmd.go
+++ b/router/internal/cli/standincmd/standincmd.go
@@ -1,4 +1,4 @@
-// Package standincmd is the command "masticplank standin": small stand-ins for
+// Package standincmd implements "masticplank standin", which runs stand-ins for
 // the platform's services and for backend servers, one process each.
 package standincmd
 
@@ -44,7 +44,8 @@
   curl -s http://ADDRESS/faults
   curl -s -X PUT http://ADDRESS/faults -d '{"down": true}'
 
-Counts such as "lost_reply" strike that many times; -1 is always.`,
+A fault with a count, such as "lost_reply", occurs that many times; -1 means
+always.`,
 	}
 	cmd.AddCommand(logCommand(), listCommand(), engineCommand(), serviceCommand(), ratingCommand())
 	return cmd
@@ -66,9 +67,9 @@
 		},
 	}
 	addListenFlag(cmd, &listen)
-	cmd.Flags().DurationVar(&cfg.Retention, "retention", time.Hour, "how long an entry is kept; 0 is for ever")
-	cmd.Flags().IntVar(&cfg.MaxEntries, "max-entries", 0, "how many entries are kept; 0 is all")
-	cmd.Flags().IntVar(&cfg.AppendRate, "append-rate", 500, "most appends a second; 0 is no limit")
+	cmd.Flags().DurationVar(&cfg.Retention, "retention", time.Hour, "how long an entry is kept; 0 means for ever")
+	cmd.Flags().IntVar(&cfg.MaxEntries, "max-entries", 0, "maximum number of entries kept; 0 means no limit")
+	cmd.Flags().IntVar(&cfg.AppendRate, "append-rate", 500, "maximum appends per second; 0 means no limit")
 	return cmd
 }
 
@@ -126,9 +127,9 @@
 	flags := cmd.Flags()
 	flags.StringArrayVar(&versions, "version", nil, "a version and its settings; may be repeated (default small@1 and large@1)")
 	flags.IntVar(&cfg.Slots, "slots", engine.DefaultSlots, "requests that run at once")
-	flags.IntVar(&cfg.QueueLimit, "queue", engine.DefaultQueueLimit, "requests that wait for a slot; -1 is none")
+	flags.IntVar(&cfg.QueueLimit, "queue", engine.DefaultQueueLimit, "maximum number of requests that wait for a slot; -1 refuses a request that finds no free slot")
 	flags.IntVar(&cfg.CacheBlocks, "cache-blocks", engine.DefaultCacheBlocks, "size of the prefix cache in blocks")
-	flags.DurationVar(&cfg.ReportLag, "report-lag", 500*time.Millisecond, "how old a load report may be")
+	flags.DurationVar(&cfg.ReportLag, "report-lag", 500*time.Millisecond, "maximum age of a load report")
 	flags.BoolVar(&cfg.CheckFencing, "check-fencing", false, "refuse orders with an old fencing number")
 	flags.Uint64Var(&cfg.Seed, "seed", 1, "seed of the fault error_rate")
 	return cmd
@@ -174,7 +175,7 @@
 		},
 	}
 	addListenFlag(cmd, &listen)
-	cmd.Flags().Float64Var(&cfg.Noise, "noise", 0.1, "widest deviation of a score, to either side")
+	cmd.Flags().Float64Var(&cfg.Noise, "noise", 0.1, "maximum deviation of a score, up or down")
 	return cmd
 }
 
@@ -182,15 +183,15 @@
 	cmd.Flags().StringVar(listen, "listen", "127.0.0.1:0", "address to listen on, IP:port; port 0 picks one")
 }
 
-// run serves until the command's context ends or the process is told to stop.
+// run serves until the command's context ends or the process gets SIGTERM or an interrupt.
 func run(cmd *cobra.Command, listen string, handler http.Handler) error {
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return serve(ctx, listen, handler, cmd.OutOrStdout())
 }
 
-// serve answers on the address until ctx ends, then finishes the requests in
-// progress. The first line on out names the address.
+// serve handles requests on the address until ctx ends, then waits up to stopTimeout for
+// the requests in progress. The first line written to out names the address.
 func serve(ctx context.Context, listen string, handler http.Handler, out io.Writer) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
--- a/router/internal/cli/standincmd/standincmd_test.go
+++ b/router/internal/cli/standincmd/standincmd_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Each stand-in names its address first, serves its faults, and ends without
-// an error once its context does.
+// Each stand-in prints its address as the first line, serves /faults, and
+// returns without an error when its context ends.
 func TestEachStandinServesAndStops(t *testing.T) {
 	for _, name := range []string{"log", "instances", "engine", "service", "rating"} {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 		cmd.SetOut(io.Discard)
 		cmd.SetErr(io.Discard)
 		if err := cmd.ExecuteContext(t.Context()); err == nil {
-			t.Errorf("%v was taken", args)
+			t.Errorf("%v was accepted", args)
 		}
 	}
 }
--- a/router/internal/cli/statuscmd/statuscmd.go
+++ b/router/internal/cli/statuscmd/statuscmd.go
@@ -1,4 +1,5 @@
-// Package statuscmd is "masticplank status": where each instance stands.
+// Package statuscmd implements "masticplank status", which shows the state of
+// each instance.
 package statuscmd
 
 import (
@@ -15,7 +16,7 @@
 	cmd := &cobra.Command{
 		Use:   "status --instances ADDR,...",
 		Short: "Show generation, freshness, log, held bills, shut-off versions and ejected servers of each instance",
-		Long: "Show where each instance stands, by its admin listener.\n" +
+		Long: "Show the state of each instance as its admin listener reports it.\n" +
 			"Exit status: 0 all answered, 3 some did not, 1 none did.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/router/internal/settings/check.go
+++ b/router/internal/settings/check.go
@@ -7,14 +7,15 @@
 	"strings"
 )
 
-// place is one setting's value and the path that it has in this file.
+// settingValue is the value of one setting and its path in this file, such as
+// "session.keys[0].id".
 type settingValue struct {
 	path  string
 	value reflect.Value
 }
 
-// places finds the values that a Field's path stands for: one, or one for each
-// element where the path goes through an array.
+// valuesAt returns the values that a Field's path stands for: a single one, or one
+// for each element if the path goes through an array.
 func valuesAt(root reflect.Value, pattern string) []settingValue {
 	values := []settingValue{{"", root}}
 	for _, key := range strings.Split(pattern, ".") {
@@ -36,7 +37,7 @@
 	return values
 }
 
-// checkRanges holds every setting to its rule.
+// checkRanges checks every setting without an earlier fault against its rule.
 func (d *decoder) checkRanges(s *Settings) {
 	root := reflect.ValueOf(s).Elem()
 	for _, f := range Fields() {
@@ -51,7 +52,7 @@
 	}
 }
 
-// brokenAt says that path, or an object around it, has a fault already.
+// hasFault says whether path, or an object that contains it, has a fault already.
 func (d *decoder) hasFault(path string) bool {
 	for path != "" {
 		if d.faults.faulty[path] {
@@ -62,8 +63,8 @@
 	return false
 }
 
-// offsetOf is where a setting stands, or the nearest object around it for one
-// that the file leaves out.
+// offsetOf is the byte offset of a setting; for one that the file leaves out, that
+// of the innermost object that would contain it.
 func (d *decoder) offsetOf(path string) int {
 	for {
 		if offset, ok := d.offsets[path]; ok {
@@ -73,19 +74,19 @@
 	}
 }
 
-// parent cuts the last key off a path.
+// parentPath cuts the last key off a path.
 func parentPath(path string) string {
 	return path[:max(strings.LastIndexByte(path, '.'), 0)]
 }
 
-// checkTogether holds settings to each other.
+// checkConsistency checks settings against each other.
 func (d *decoder) checkConsistency(s *Settings) {
 	d.checkPeer(s)
 	d.checkKeyRing(s.Session.Keys)
 }
 
-// checkPeer refuses plaintext between instances beyond loopback: whoever can
-// reach the port could hand an instance state and verdicts.
+// checkPeer refuses plaintext between instances beyond loopback, since anyone who
+// can reach the port could send an instance false state and verdicts.
 func (d *decoder) checkPeer(s *Settings) {
 	fileCount := 0
 	for _, file := range []string{s.Peer.CertFile, s.Peer.KeyFile, s.Peer.CAFile} {
@@ -99,11 +100,12 @@
 	addr, err := netip.ParseAddrPort(s.Listen.Peer)
 	if fileCount == 0 && err == nil && !addr.Addr().Unmap().IsLoopback() {
 		d.faults.add(d.offsetOf("listen.peer"), "listen.peer",
-			"%s is not loopback: peers need cert_file, key_file and ca_file there", addr)
+			"%s is not a loopback address: peer.cert_file, peer.key_file and peer.ca_file must be set", addr)
 	}
 }
 
-// checkKeyRing refuses two keys with one id: a token names its key by id.
+// checkKeyRing refuses two keys with the same id, since a session token names its
+// key by id.
 func (d *decoder) checkKeyRing(keys []SessionKey) {
 	seen := map[string]bool{}
 	for i, k := range keys {
--- a/router/internal/settings/decode.go
+++ b/router/internal/settings/decode.go
@@ -9,14 +9,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder copies a syntax tree into Settings. It goes on after a fault, so
-// that one run reports them all, and remembers where each setting stands.
+// decoder copies a syntax tree into Settings. It continues after a fault, so that
+// all faults are reported together, and records the byte offset of each setting by
+// its path.
 type decoder struct {
 	faults  *faultList
 	offsets map[string]int
 }
 
-// value decodes v into dst, whose setting is path.
+// value decodes v into dst, the setting at path.
 func (d *decoder) value(v hujson.Value, dst reflect.Value, path string) {
 	d.offsets[path] = v.StartOffset
 	switch dst.Kind() {
@@ -96,7 +97,7 @@
 	return path + "." + key
 }
 
-// typeName names what a Go kind takes, in the words of JSON.
+// expectedType names the JSON type that is decoded into a Go kind.
 func expectedType(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
@@ -108,7 +109,8 @@
 	}
 }
 
-// kindName names what stands in the file.
+// describeValue names the JSON type of a value in the file, with the value for a
+// number.
 func describeValue(v hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
--- a/router/internal/settings/defaults.go
+++ b/router/internal/settings/defaults.go
@@ -1,7 +1,6 @@
 package settings
 
-// Defaults that other packages and the documentation refer to. Durations are
-// in the unit of the field's name.
+// Default values. The unit of a duration is in the constant's name.
 const (
 	defaultAppendBudget      = 200
 	defaultLingerMS          = 20
@@ -26,9 +25,9 @@
 	defaultListenAddress     = "127.0.0.1:0"
 )
 
-// Default returns the settings that hold where a file is silent. Instance,
-// Domain and the URLs of the platform's log and list have no default: a file
-// must set them. What each value is for stands in the table of fields.
+// Default returns the values of settings that a file leaves out. Instance, Domain
+// and the URLs of the platform's log and list have no default: a file must set
+// them. Fields documents each setting.
 func Default() Settings {
 	return Settings{
 		Listen: Listen{
--- a/router/internal/settings/doc_table.go
+++ b/router/internal/settings/doc_table.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// DefaultText is the default of f as it would stand in a file; "required" where
-// there is none.
+// DefaultText is the default of f as JSON; "required" if the file must set it, "none"
+// for a setting within the elements of an array.
 func (f Field) DefaultText() string {
 	s := Default()
 	values := valuesAt(reflect.ValueOf(&s).Elem(), f.Path)
@@ -29,7 +29,7 @@
 	return string(text)
 }
 
-// Note is the comment of f in a settings file.
+// Comment is the comment for f in a documented settings file.
 func (f Field) Comment() string {
 	comment := fmt.Sprintf("%s Default %s; range %s", f.Text, f.DefaultText(), f.Rule.Range())
 	if f.Unit != "" {
--- a/router/internal/settings/doc_test.go
+++ b/router/internal/settings/doc_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// leaves lists the paths of all settings of a type.
+// leafPaths lists the paths of all settings in a type.
 func leafPaths(t reflect.Type, path string) []string {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -58,16 +58,16 @@
 		text := strings.Join(strings.Fields(strings.ReplaceAll(string(data), "//", " ")), " ")
 		for _, d := range domains {
 			if !strings.Contains(text, d) {
-				t.Errorf("%s: failure domain %s is not named", name, d)
+				t.Errorf("%s: failure domain %s is missing", name, d)
 			}
 		}
 		for _, f := range Fields() {
 			if !strings.Contains(text, f.Comment()) {
-				t.Errorf("%s: %s lacks its comment: %s", name, f.Path, f.Comment())
+				t.Errorf("%s: %s lacks the comment: %s", name, f.Path, f.Comment())
 			}
 		}
 	}
 	if _, err := Example("nobody"); err == nil {
-		t.Error("an example for nobody")
+		t.Error("no error for a deployment without an example")
 	}
 }
--- a/router/internal/settings/fault.go
+++ b/router/internal/settings/fault.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	// File is the name given to Parse.
 	File string `json:"file"`
 	// Line and Column count from 1; Column counts bytes.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Path names the setting, such as "limits.max_body_bytes"; empty where the
-	// file is no JSON at all.
+	// Path names the setting, such as "limits.max_body_bytes"; empty for a syntax
+	// error or a fault of the whole file.
 	Path string `json:"path,omitempty"`
-	// Message says what is wrong and what would be right.
+	// Message says what is wrong and what is allowed.
 	Message string `json:"message"`
 }
 
@@ -29,7 +29,7 @@
 	return prefix + f.Path + ": " + f.Message
 }
 
-// Faults are all that is wrong in a settings file, in the order of the file.
+// Faults are all errors in a settings file, in the order of the file.
 type Faults []Fault
 
 // Error lists the faults, one a line.
@@ -41,7 +41,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// faultList collects faults by byte offset while a file is read.
+// faultList collects faults by byte offset while a file is read. faulty holds the
+// paths that have one.
 type faultList struct {
 	file   string
 	data   []byte
@@ -54,14 +55,14 @@
 	path, message string
 }
 
-// add notes a fault of the setting at path, and that its value is not to be
-// judged any further.
+// add records a fault of the setting at path, and marks the path as faulty, so
+// that its value is not checked any further.
 func (l *faultList) add(offset int, path, format string, args ...any) {
 	l.faulty[path] = true
 	l.found = append(l.found, offsetFault{offset, path, fmt.Sprintf(format, args...)})
 }
 
-// faults returns what was found in the order of the file.
+// sorted returns the faults in the order of the file.
 func (l *faultList) sorted() Faults {
 	slices.SortStableFunc(l.found, func(a, b offsetFault) int { return a.offset - b.offset })
 	var out Faults
@@ -72,7 +73,7 @@
 	return out
 }
 
-// position turns a byte offset into a line and column, both from 1.
+// lineColumn converts a byte offset into a line and column, both counted from 1.
 func lineColumn(data []byte, offset int) (line, column int) {
 	before := string(data[:min(offset, len(data))])
 	line = 1 + strings.Count(before, "\n")
--- a/router/internal/settings/fields.go
+++ b/router/internal/settings/fields.go
@@ -1,6 +1,6 @@
 package settings
 
-// Values of the settings that choose among words.
+// Allowed values of log.format and log.level.
 const (
 	FormatJSON = "json"
 	FormatText = "text"
@@ -11,16 +11,17 @@
 	LevelError = "error"
 )
 
-// Field documents one setting: docs/SETTINGS.md, the examples and the checks
-// are all held to it.
+// Field documents one setting. docs/SETTINGS.md, the examples and the checks of
+// a settings file must agree with it.
 type Field struct {
-	// Path names the setting; "[]" stands for any element of an array.
+	// Path names the setting, such as "session.keys[].id"; "[]" stands for any
+	// element of an array.
 	Path string
 	// Unit of the value, empty where it has none.
 	Unit string
-	// Rule is the range of values allowed.
+	// Rule checks the value.
 	Rule Rule
-	// Text says what the setting is for.
+	// Text describes the setting for operators.
 	Text string
 }
 
@@ -30,7 +31,7 @@
 	daySec   = 24 * 60 * 60
 )
 
-// Fields lists every setting, in the order of the struct.
+// Fields lists every setting, in the order of the fields of Settings.
 func Fields() []Field {
 	return []Field{
 		{"instance", "", nameRule{required: true}, "This instance's name, unique in the fleet."},
@@ -41,10 +42,10 @@
 		{"listen.peer", "", addressRule{}, "Where the other instances connect."},
 
 		{"platform.log_url", "", urlRule{required: true}, "The platform's append-only log."},
-		{"platform.bill_log_url", "", urlRule{}, "A log for bills alone, which no instance reads; empty for the log of all records. The same at every instance."},
+		{"platform.bill_log_url", "", urlRule{}, "A separate log for bills, which no instance reads; if empty, bills go to the log of all records. Must be the same at every instance."},
 		{"platform.list_url", "", urlRule{required: true}, "The platform's list of live and leaving instances and backend servers."},
-		{"platform.rating_url", "", urlRule{}, "The service that rates answers; empty for none, then no cascade learns."},
-		{"platform.append_budget", "appends/s", intRule{1, 100_000}, "Appends a second for the whole fleet; each instance lingers long enough to stay inside its part."},
+		{"platform.rating_url", "", urlRule{}, "The service that rates answers; if empty, no answer is rated and cascades do not learn."},
+		{"platform.append_budget", "appends/s", intRule{1, 100_000}, "Appends per second for the whole fleet; each instance lengthens its group commit interval as needed to stay within its share."},
 		{"platform.linger_ms", "ms", intRule{1, 1000}, "The shortest interval of group commit; a request that needs the log waits half of it on average."},
 		{"platform.list_interval_ms", "ms", intRule{50, minuteMS}, "How often the list is fetched."},
 		{"platform.load_interval_ms", "ms", intRule{20, minuteMS}, "How often each backend server's load is fetched."},
@@ -59,28 +60,28 @@
 		{"log.format", "", enumRule{FormatJSON, FormatText}, "The format of the log."},
 		{"log.level", "", enumRule{LevelDebug, LevelInfo, LevelWarn, LevelError}, "The lowest level that is logged."},
 
-		{"freshness.bound_ms", "ms", intRule{500, 10 * minuteMS}, "How old the last confirmation of the manifest may be; past it an instance refuses new work. The same at every instance."},
+		{"freshness.bound_ms", "ms", intRule{500, 10 * minuteMS}, "How old the last confirmation of the manifest may be; past it an instance refuses new work. Must be the same at every instance."},
 
-		{"shutdown.grace_ms", "ms", intRule{0, 10 * minuteMS}, "How long readiness fails before new requests are refused: longer than the balancer's check."},
-		{"shutdown.drain_ms", "ms", intRule{0, hourMS}, "The longest wait for requests in progress: longer than the longest deadline."},
+		{"shutdown.grace_ms", "ms", intRule{0, 10 * minuteMS}, "How long readiness fails before new requests are refused; it should exceed the interval of the balancer's check."},
+		{"shutdown.drain_ms", "ms", intRule{0, hourMS}, "The longest wait for requests in progress; it should exceed the longest deadline."},
 
 		{"session.keys", "", countRule{0, 16}, "Key ring of session tokens. The first key signs, all verify. With none, no token is issued."},
 		{"session.keys[].id", "", nameRule{required: true}, "The key's id, unique in the ring; never reused for another secret."},
 		{"session.keys[].secret", "base64", secretRule{}, "The key itself, the same at every instance."},
-		{"session.ttl_seconds", "s", intRule{60, 30 * daySec}, "A session token's life."},
+		{"session.ttl_seconds", "s", intRule{60, 30 * daySec}, "The lifetime of a session token."},
 
-		{"peer.cert_file", "", pathRule{}, "This instance's certificate (PEM); its IP must be in it. Empty with plaintext, on loopback only."},
+		{"peer.cert_file", "", pathRule{}, "This instance's certificate (PEM); its IP must be in it. Empty for plaintext, which is allowed on loopback only."},
 		{"peer.key_file", "", pathRule{}, "The certificate's private key (PEM)."},
 		{"peer.ca_file", "", pathRule{}, "Certificates (PEM) of the authority that signs every instance's certificate."},
 		{"peer.interval_ms", "ms", intRule{100, minuteMS}, "How often digests are exchanged with three peers."},
 
-		{"decision.queue_limit", "requests", intRule{1, 1_000_000}, "The longest queue of a team whose manifest entry names none."},
-		{"decision.retry_budget", "part of 1", floatRule{0, 1}, "Retries allowed, as a part of a team's recent successes."},
-		{"decision.rate_budget_ms", "ms", intRule{0, minuteMS}, "How long a held answer may wait for its rating."},
-		{"decision.max_ejected", "part of 1", floatRule{0, 0.9}, "The largest part of a version's backend servers that may be ejected as outliers."},
-		{"decision.overload_wait", "part of 1", floatRule{0.05, 1}, "The part of its time to the deadline that a request may wait in an overloaded queue; more answers late, less refuses more."},
+		{"decision.queue_limit", "requests", intRule{1, 1_000_000}, "The longest queue of a team whose manifest entry sets no limit."},
+		{"decision.retry_budget", "fraction", floatRule{0, 1}, "Retries allowed, as a fraction of a team's recent successes."},
+		{"decision.rate_budget_ms", "ms", intRule{0, minuteMS}, "How long a cascade's answer may be held back to wait for its rating."},
+		{"decision.max_ejected", "fraction", floatRule{0, 0.9}, "The largest fraction of a version's backend servers that may be ejected as outliers."},
+		{"decision.overload_wait", "fraction", floatRule{0.05, 1}, "The fraction of the time to its deadline that a request may wait in an overloaded queue; a higher value lets more answers come late, a lower one refuses more requests."},
 
-		{"operator_key_hashes", "", countRule{0, 64}, "Operators' API keys. With none, nobody can publish."},
+		{"operator_key_hashes", "", countRule{0, 64}, "Hashes of operators' API keys. With none, nobody can publish."},
 		{"operator_key_hashes[]", "hex", hashRule{}, "SHA-256 of an operator's API key: printf %s KEY | sha256sum."},
 	}
 }
--- a/router/internal/settings/load.go
+++ b/router/internal/settings/load.go
@@ -11,18 +11,19 @@
 )
 
 // MaxFileBytes bounds a settings file, so that a wrong path (a device, a dump)
-// ends in an error and not in an exhausted instance.
+// gives an error instead of exhausting the instance's memory.
 const MaxFileBytes = 1 << 20
 
-// Load reads and validates the settings file at path. The error is Faults
-// where the file could be read.
+// Load reads and validates the settings file at path. An error is Faults if the
+// file could be read but is invalid; otherwise a trace error, LimitExceeded for a
+// file of more than MaxFileBytes.
 func Load(path string) (Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return Settings{}, trace.ConvertSystemError(err)
 	}
 	if info.Size() > MaxFileBytes {
-		return Settings{}, trace.LimitExceeded("%s has %d bytes, more than %d", path, info.Size(), MaxFileBytes)
+		return Settings{}, trace.LimitExceeded("%s has %d bytes, at most %d are allowed", path, info.Size(), MaxFileBytes)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -31,9 +32,9 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings from data: JSON with comments and trailing commas over
-// the defaults. name stands for the file in faults. Every fault is reported at
-// once, as Faults; then the Settings are zero.
+// Parse reads settings from data: JSON with comments and trailing commas, over
+// the defaults. name is the file's name in faults. All faults are returned
+// together as an error of type Faults; then the Settings are zero.
 func Parse(name string, data []byte) (Settings, error) {
 	faults := &faultList{file: name, data: data, faulty: map[string]bool{}}
 	root, err := hujson.Parse(data)
@@ -53,7 +54,8 @@
 	return s, nil
 }
 
-// syntaxFault takes the place out of hujson's message, which is its only form.
+// syntaxFault parses the line and column out of hujson's message, the only place
+// where hujson gives them.
 func syntaxFault(name string, err error) Fault {
 	f := Fault{File: name, Line: 1, Column: 1, Message: err.Error()}
 	rest := strings.TrimPrefix(err.Error(), "hujson: ")
--- a/router/internal/settings/rules.go
+++ b/router/internal/settings/rules.go
@@ -12,16 +12,16 @@
 	"strings"
 )
 
-// Rule is the range of a setting.
+// Rule checks the value of a setting.
 type Rule interface {
-	// Range describes the values allowed, for people.
+	// Range describes the allowed values for operators.
 	Range() string
-	// check says what is wrong with v; empty means nothing.
+	// check returns what is wrong with v; empty if v is allowed.
 	check(v reflect.Value) string
 }
 
-// MinSecretBytes is the shortest session key: HS256 is no stronger than its
-// key, and its own output is that long.
+// MinSecretBytes is the minimum length of a session key: HS256 is no stronger
+// than its key, and its output has this length.
 const MinSecretBytes = 32
 
 const maxNameBytes = 64
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// wordRule allows the words listed.
+// enumRule allows the strings listed.
 type enumRule []string
 
 func (r enumRule) Range() string { return strings.Join(r, ", ") }
@@ -74,7 +74,8 @@
 	return ""
 }
 
-// nameRule allows names that can stand in a key, a metric and a log line.
+// nameRule allows names that can be part of a key of the log, a metric's name and
+// a log line without escaping.
 type nameRule struct{ required bool }
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
@@ -89,20 +90,20 @@
 	case s == "" && r.required:
 		return "must be set"
 	case len(s) > maxNameBytes || !namePattern.MatchString(s):
-		return fmt.Sprintf("%q is no name: want %s", s, r.Range())
+		return fmt.Sprintf("%q is not a valid name: want %s", s, r.Range())
 	}
 	return ""
 }
 
-// addressRule allows IP:port. A name is refused: instances are reached by
-// their IP numbers, and a resolver would be one more thing to fail.
+// addressRule allows IP:port. A host name is refused: instances are reached by
+// their IP addresses, and a resolver would be one more component that can fail.
 type addressRule struct{}
 
 func (addressRule) Range() string { return "IP:port; port 0 picks a free one" }
 
 func (r addressRule) check(v reflect.Value) string {
 	if _, err := netip.ParseAddrPort(v.String()); err != nil {
-		return fmt.Sprintf("%q is no address: want %s", v.String(), r.Range())
+		return fmt.Sprintf("%q is not an address: want %s", v.String(), r.Range())
 	}
 	return ""
 }
@@ -127,20 +128,20 @@
 	}
 	u, err := url.Parse(s)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		return fmt.Sprintf("%q is no base URL: want %s", s, r.Range())
+		return fmt.Sprintf("%q is not a base URL: want %s", s, r.Range())
 	}
 	return ""
 }
 
-// textRule allows any text.
+// pathRule allows any string; whether the file exists is not checked.
 type pathRule struct{}
 
 func (pathRule) Range() string { return "a path, or empty" }
 
 func (pathRule) check(reflect.Value) string { return "" }
 
-// secretRule allows base64 of a long enough key. Its messages never show the
-// value.
+// secretRule allows base64 of a key of at least MinSecretBytes. Its messages never
+// contain the value.
 type secretRule struct{}
 
 func (secretRule) Range() string { return fmt.Sprintf("at least %d bytes", MinSecretBytes) }
@@ -148,7 +149,7 @@
 func (r secretRule) check(v reflect.Value) string {
 	key, err := base64.StdEncoding.DecodeString(v.String())
 	if err != nil {
-		return "is not base64"
+		return "is not valid base64"
 	}
 	if len(key) < MinSecretBytes {
 		return fmt.Sprintf("has %d bytes: want %s", len(key), r.Range())
@@ -156,7 +157,7 @@
 	return ""
 }
 
-// hashRule allows the hex form of a SHA-256 sum.
+// hashRule allows a SHA-256 sum in hex.
 type hashRule struct{}
 
 const sha256Bytes = 32
@@ -166,7 +167,7 @@
 func (r hashRule) check(v reflect.Value) string {
 	sum, err := hex.DecodeString(v.String())
 	if err != nil || len(sum) != sha256Bytes {
-		return "is no SHA-256 sum: want " + r.Range()
+		return "is not a SHA-256 sum: want " + r.Range()
 	}
 	return ""
 }
--- a/router/internal/settings/settings.go
+++ b/router/internal/settings/settings.go
@@ -1,15 +1,17 @@
-// Package settings reads an instance's settings: JSON with comments, every
-// fault reported at once with file, line and column.
+// Package settings reads an instance's settings from a file of JSON with
+// comments. All faults of a file are reported together, each with file, line and
+// column.
 package settings
 
-// Settings of one entry instance. Every field has a default; Default documents
-// it with its unit and range.
+// Settings of one entry instance. Default has the default values; Fields
+// documents each setting with its unit and range.
 type Settings struct {
 	// Instance is this process's name, unique in the fleet.
 	Instance string `json:"instance"`
 	// Domain is the failure domain that it runs in.
 	Domain string `json:"domain"`
-	// Listen addresses are IP:port; port 0 picks one and logs it.
+	// Listen addresses are IP:port; with port 0 the system picks the port, which
+	// the event "listening" logs.
 	Listen    Listen    `json:"listen"`
 	Platform  Platform  `json:"platform"`
 	Limits    Limits    `json:"limits"`
@@ -23,14 +25,15 @@
 	OperatorKeyHashes []string `json:"operator_key_hashes"`
 }
 
-// Listen holds the three listeners.
+// Listen holds the addresses of the three listeners.
 type Listen struct {
 	API   string `json:"api"`
 	Admin string `json:"admin"`
 	Peer  string `json:"peer"`
 }
 
-// Platform holds the base URLs of the platform's services.
+// Platform holds the base URLs of the platform's services and how often they are
+// called.
 type Platform struct {
 	LogURL string `json:"log_url"`
 	// BillLogURL is a log for bills alone; empty for LogURL.
@@ -43,11 +46,11 @@
 	LingerMS int `json:"linger_ms"`
 	// ListIntervalMS is how often the list is fetched. Default 1000.
 	ListIntervalMS int `json:"list_interval_ms"`
-	// LoadIntervalMS is how often each backend server's load is fetched.
+	// LoadIntervalMS is how often each backend server's load is fetched. Default 250.
 	LoadIntervalMS int `json:"load_interval_ms"`
 }
 
-// Limits towards callers.
+// Limits apply to callers' requests and connections.
 type Limits struct {
 	MaxBodyBytes      int64 `json:"max_body_bytes"`
 	MaxHeaderBytes    int   `json:"max_header_bytes"`
@@ -63,12 +66,13 @@
 	Level  string `json:"level"`
 }
 
-// Freshness holds F.
+// Freshness holds the freshness bound: the maximum age of the last confirmation of
+// the manifest, past which an instance refuses new work.
 type Freshness struct {
 	BoundMS int `json:"bound_ms"`
 }
 
-// Shutdown is the order of a planned stop.
+// Shutdown holds the times of a graceful shutdown, in the order of its phases.
 type Shutdown struct {
 	// GraceMS is how long readiness fails before new requests are refused.
 	GraceMS int `json:"grace_ms"`
@@ -79,18 +83,18 @@
 // Session holds the key ring for session tokens; the first key signs.
 type Session struct {
 	Keys []SessionKey `json:"keys"`
-	// TTLSeconds is a token's life.
+	// TTLSeconds is the lifetime of a session token.
 	TTLSeconds int `json:"ttl_seconds"`
 }
 
-// SessionKey is one HMAC key, in base64, with its id.
+// SessionKey is one HMAC key with its id. Secret is in base64.
 type SessionKey struct {
 	ID     string `json:"id"`
 	Secret string `json:"secret"`
 }
 
-// Peer sets up mutual TLS between instances; empty files mean plaintext, which
-// is allowed on loopback only.
+// Peer configures the connections between instances. With empty files they are
+// plaintext, which is allowed on loopback only; otherwise mutual TLS.
 type Peer struct {
 	CertFile   string `json:"cert_file"`
 	KeyFile    string `json:"key_file"`
@@ -104,6 +108,7 @@
 	RetryBudget  float64 `json:"retry_budget"`
 	RateBudgetMS int     `json:"rate_budget_ms"`
 	MaxEjected   float64 `json:"max_ejected"`
-	// OverloadWait is a part of a request's time.
+	// OverloadWait is the part, from 0 to 1, of the time to its deadline that a
+	// request may wait in an overloaded queue.
 	OverloadWait float64 `json:"overload_wait"`
 }
--- a/router/internal/settings/settings_test.go
+++ b/router/internal/settings/settings_test.go
@@ -52,28 +52,28 @@
 		t.Fatalf("got %v, want Faults", err)
 	}
 	if !reflect.DeepEqual(s, Settings{}) {
-		t.Errorf("settings returned beside faults: %+v", s)
+		t.Errorf("settings returned together with faults: %+v", s)
 	}
 	want := []string{
 		"f.jsonc:1:1: domain: must be set",
 		"f.jsonc:2:15: instance: must be set",
 		`f.jsonc:3:3: domian: unknown key; known here: instance, domain,`,
-		`f.jsonc:4:21: listen.api: "localhost:80" is no address`,
-		`f.jsonc:4:45: listen.peer: "0.0.0.0" is no address`,
+		`f.jsonc:4:21: listen.api: "localhost:80" is not an address`,
+		`f.jsonc:4:45: listen.peer: "0.0.0.0" is not an address`,
 		"f.jsonc:5:33: platform.append_budget: want an integer, got a string",
 		"f.jsonc:5:54: platform.linger_ms: want an integer, got the number 1.5",
 		"f.jsonc:6:38: platform.log_url: given twice",
-		`f.jsonc:6:83: platform.list_url: "nowhere" is no base URL`,
+		`f.jsonc:6:83: platform.list_url: "nowhere" is not a base URL`,
 		"f.jsonc:7:13: limits: want an object, got the number 7",
 		"f.jsonc:8:21: log.format: want a string, got null",
 		"f.jsonc:9:28: shutdown.drain_ms: -1 is out of range: want 0 to 3600000",
 		"f.jsonc:11:27: session.keys[0].secret: has 5 bytes",
 		`f.jsonc:12:12: session.keys[1].id: "k" is given twice`,
-		"f.jsonc:12:27: session.keys[1].secret: is not base64",
+		"f.jsonc:12:27: session.keys[1].secret: is not valid base64",
 		"f.jsonc:12:34: session.keys[2]: want an object",
 		"f.jsonc:13:11: peer: cert_file, key_file and ca_file must be set together",
 		"f.jsonc:14:31: decision.max_ejected: 1.5 is out of range: want 0 to 0.9",
-		"f.jsonc:15:27: operator_key_hashes[0]: is no SHA-256 sum",
+		"f.jsonc:15:27: operator_key_hashes[0]: is not a SHA-256 sum",
 	}
 	got := strings.Split(faults.Error(), "\n")
 	if len(got) != len(want) {
@@ -134,7 +134,8 @@
 	}
 }
 
-// FuzzParse looks for input that ends in a panic, or in faults without a place.
+// FuzzParse looks for input that makes Parse panic, or return a fault without a
+// line and column.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(minimal))
 	for _, name := range []string{ExampleCoop, ExampleAgency} {
@@ -152,7 +153,7 @@
 		}
 		for _, fault := range faults {
 			if fault.Line < 1 || fault.Column < 1 {
-				t.Errorf("fault without a place: %#v", fault)
+				t.Errorf("fault without a line and column: %#v", fault)
 			}
 		}
 	})
