--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -18,7 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// managers starts n instances on one log, each with a Manager of one lease.
+// managers starts n instances on one log, each with a Manager of the same
+// lease.
 func managers(t *testing.T, n int) (*logtest.Log, []*Manager, []*node.Node) {
 	log := logtest.New()
 	var ms []*Manager
@@ -46,21 +47,21 @@
 	return log, ms, nodes
 }
 
-func wantCheck(t *testing.T, m *Manager, e FencingSupport, want CheckResult) uint64 {
+func wantCheck(t *testing.T, m *Manager, fencing FencingSupport, want CheckResult) uint64 {
 	t.Helper()
-	fence, got := m.Check(e)
+	fence, got := m.Check(fencing)
 	if got != want {
-		t.Fatalf("%s, engine %d: refusal %d, want %d", m.cfg.Holder, e, got, want)
+		t.Fatalf("%s, fencing support %d: check result %d, want %d", m.cfg.Holder, fencing, got, want)
 	}
 	return fence
 }
 
-func wantTake(t *testing.T, m *Manager, want bool) {
+func wantAcquire(t *testing.T, m *Manager, want bool) {
 	t.Helper()
 	if got := m.Acquire(t.Context()); got != want {
-		t.Fatalf("%s took the lease: %v, want %v", m.cfg.Holder, got, want)
+		t.Fatalf("%s acquired the lease: %v, want %v", m.cfg.Holder, got, want)
 	}
-	synctest.Wait() // for the others to read it
+	synctest.Wait() // for the other instances to read the term
 }
 
 func TestTakeRenewAndTakeOver(t *testing.T) {
@@ -68,26 +69,26 @@
 		_, ms, _ := managers(t, 2)
 		a, b := ms[0], ms[1]
 		wantCheck(t, a, FencingEnforced, NotHolder)
-		wantTake(t, a, true)
-		wantTake(t, b, false)
+		wantAcquire(t, a, true)
+		wantAcquire(t, b, false)
 		first := wantCheck(t, a, FencingEnforced, Allowed)
 		wantCheck(t, a, FencingIgnored, WaitingForPredecessor)
 		time.Sleep(5 * time.Second)
-		wantTake(t, a, true)
+		wantAcquire(t, a, true)
 		if second := wantCheck(t, a, FencingEnforced, Allowed); second <= first {
-			t.Errorf("fencing numbers %d, then %d", first, second)
+			t.Errorf("fencing number is %d, then %d after a renewal", first, second)
 		}
-		// A renewal does not begin the wait anew: 12.1 s after the first term.
+		// A renewal does not restart the wait: it ends 12.1 s after the first term.
 		time.Sleep(7099 * time.Millisecond)
 		wantCheck(t, a, FencingIgnored, WaitingForPredecessor)
 		time.Sleep(2 * time.Millisecond)
 		wantCheck(t, a, FencingIgnored, Allowed)
-		// The holder stops ClockBound and PauseGuard before its end.
+		// The holder stops MaxClockDrift and MaxPause before the end of its term.
 		time.Sleep(799 * time.Millisecond)
 		wantCheck(t, a, FencingEnforced, Expired)
-		wantTake(t, b, false)
+		wantAcquire(t, b, false)
 		time.Sleep(2100 * time.Millisecond)
-		wantTake(t, b, true)
+		wantAcquire(t, b, true)
 		wantCheck(t, a, FencingEnforced, NotHolder)
 		wantCheck(t, b, FencingEnforced, Allowed)
 		wantCheck(t, b, FencingIgnored, WaitingForPredecessor)
@@ -98,29 +99,30 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, _ := managers(t, 2)
 		a, b := ms[0], ms[1]
-		wantTake(t, a, true)
+		wantAcquire(t, a, true)
 		if b.HandOver(t.Context()) {
-			t.Error("handed over by who does not hold it")
+			t.Error("an instance that does not hold the lease handed it over")
 		}
 		if !a.HandOver(t.Context()) {
-			t.Fatal("not handed over")
+			t.Fatal("the holder could not hand the lease over")
 		}
 		wantCheck(t, a, FencingEnforced, NotHolder)
 		time.Sleep(time.Second)
-		wantTake(t, b, true)
+		wantAcquire(t, b, true)
 		wantCheck(t, b, FencingIgnored, Allowed)
 	})
 }
 
-// TestTwoTakeAtOnce: in a hundred rounds, since what goes wrong here depends on
-// the order of goroutines.
+// Several instances acquire a free lease at the same time; exactly one must
+// hold it. A hundred rounds, since a fault here would depend on the scheduling
+// of goroutines.
 func TestTwoTakeAtOnce(t *testing.T) {
 	for range 100 {
-		synctest.Test(t, takeAtOnce)
+		synctest.Test(t, acquireAtOnce)
 	}
 }
 
-func takeAtOnce(t *testing.T) {
+func acquireAtOnce(t *testing.T) {
 	_, ms, _ := managers(t, 3)
 	won := make(chan bool, len(ms))
 	for _, m := range ms {
@@ -133,31 +135,33 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("%d holders", n)
+		t.Errorf("%d instances hold the lease, want 1", n)
 	}
 }
 
-// TestLogDownLapses: who can't renew stops in time.
+// A holder that cannot renew since the log is down stops before its term ends.
 func TestLogDownLapses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, ms, _ := managers(t, 1)
-		wantTake(t, ms[0], true)
+		wantAcquire(t, ms[0], true)
 		log.SetDown(true)
 		time.Sleep(5 * time.Second)
-		wantTake(t, ms[0], false)
+		wantAcquire(t, ms[0], false)
 		wantCheck(t, ms[0], FencingEnforced, Allowed)
 		time.Sleep(3 * time.Second)
 		wantCheck(t, ms[0], FencingEnforced, Expired)
 	})
 }
 
-// TestTermCountsFromBeforeItsPut: the holder can't know when the log took it.
+// The holder counts its term from before the Put, since it cannot know when the
+// log appended it: counted from the reply, a slow append would prolong the
+// term.
 func TestTermCountsFromBeforeItsPut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, ms, _ := managers(t, 1)
 		log.SetSlow(time.Second)
 		sent := time.Now()
-		wantTake(t, ms[0], true)
+		wantAcquire(t, ms[0], true)
 		time.Sleep(time.Until(sent.Add(7899 * time.Millisecond)))
 		wantCheck(t, ms[0], FencingEnforced, Allowed)
 		time.Sleep(time.Millisecond)
@@ -165,7 +169,8 @@
 	})
 }
 
-// TestUnreadableTermBlocks: it takes its number and a whole duration.
+// A term that cannot be decoded takes its number and blocks the lease for one
+// Duration.
 func TestUnreadableTermBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, nodes := managers(t, 2)
@@ -174,21 +179,22 @@
 			t.Fatal(res)
 		}
 		time.Sleep(time.Second)
-		wantTake(t, ms[1], false)
+		wantAcquire(t, ms[1], false)
 		time.Sleep(10 * time.Second)
-		wantTake(t, ms[1], true)
+		wantAcquire(t, ms[1], true)
 	})
 }
 
 func TestNewRefuses(t *testing.T) {
 	for _, cfg := range []Config{{Holder: "a"}, {Name: "a/b", Holder: "a"}, {Name: "a"}} {
 		if _, err := New(nil, cfg, nil); !errors.Is(err, ErrInvalidConfig) {
-			t.Errorf("%+v: %v", cfg, err)
+			t.Errorf("New with %+v: error %v, want ErrInvalidConfig", cfg, err)
 		}
 	}
 }
 
-// world is a log of terms read by contenders with lags and pauses of their own.
+// simulation is a log of terms and contenders that read it with lags and
+// pauses.
 type simulation struct {
 	rng        *rand.Rand
 	now        time.Time
@@ -200,19 +206,19 @@
 	state   state
 	read    int
 	pending *pendingPut
-	// lastOrder is when an order sent under the last check may arrive.
+	// lastOrder is the latest time at which an order of the last check may arrive.
 	lastOrder time.Time
 }
 
-// proposed is a Put that lands in the log at the time lands.
+// pendingPut is a Put that is appended to the log at landsAt.
 type pendingPut struct {
 	sentAt  time.Time
 	landsAt time.Time
 	term    term
 }
 
-// step lets one contender act: read some of the log, take or renew, or send an
-// order that arrives up to PauseGuard after its check.
+// step lets one contender act: read part of the log, acquire or renew, or send
+// an order that arrives up to MaxPause after its check.
 func (w *simulation) step(t *testing.T) {
 	w.now = w.now.Add(time.Duration(w.rng.IntN(1500)) * time.Millisecond)
 	i := w.rng.IntN(len(w.contenders))
@@ -228,18 +234,18 @@
 		next := term{number: c.state.current.number + 1, holder: c.state.cfg.Holder, duration: c.state.cfg.Duration}
 		c.pending = &pendingPut{sentAt: w.now, landsAt: w.now.Add(late), term: next}
 	}
-	if _, refusal := c.state.check(w.now, FencingIgnored); refusal != Allowed {
+	if _, result := c.state.check(w.now, FencingIgnored); result != Allowed {
 		return
 	}
 	for j, other := range w.contenders {
 		if j != i && !w.now.After(other.lastOrder) {
-			t.Fatalf("%d may order at %v while an order of %d may arrive until %v", i, w.now, j, other.lastOrder)
+			t.Fatalf("contender %d may send an order at %v, while an order of %d may arrive until %v", i, w.now, j, other.lastOrder)
 		}
 	}
 	c.lastOrder = w.now.Add(c.state.cfg.MaxPause)
 }
 
-// land appends a pending Put once its time has come, if its term is free.
+// land appends a pending Put once its time has come, unless its term is taken.
 func (w *simulation) land(c *contender) {
 	p := c.pending
 	if p == nil || p.term.offset != 0 || w.now.Before(p.landsAt) {
@@ -266,9 +272,9 @@
 	c.state.observeTerm(w.now, next, sent)
 }
 
-// TestOneOrderAtATime: over seeded runs of lagging readers, late appends and
-// pauses up to PauseGuard, an engine that ignores fencing numbers never gets
-// orders of two holders crossed.
+// A backend server that ignores fencing numbers must never get interleaved
+// orders of two holders. Seeded runs of lagging readers, late appends and
+// pauses up to MaxPause try to bring that about.
 func TestOneOrderAtATime(t *testing.T) {
 	orders := 0
 	for seed := range uint64(300) {
@@ -287,7 +293,7 @@
 		}
 	}
 	if orders < 300 {
-		t.Errorf("only %d contenders ever sent an order", orders)
+		t.Errorf("%d contenders sent an order, want at least 300", orders)
 	}
 }
 
@@ -297,7 +303,7 @@
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		got, ok := m.parseTerm(fold.Register{Key: record.Key(key), Value: value})
 		if ok && got.duration < 0 {
-			t.Errorf("a term of %v", got.duration)
+			t.Errorf("term has the negative duration %v", got.duration)
 		}
 	})
 }
--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -6,66 +6,68 @@
 )
 
 // wantedVersion is the version that the request goes to: the roll-out's target, or "" for
-// any other one.
+// any other.
 //
-// Where no server with it is listed, the other one takes the work: an instance that
-// started lately may not know yet that the old servers are gone. A bad version gets
+// If no server with that version is listed, the other one takes the request: an instance
+// that has just started may not know yet that the old servers are gone. A bad version gets
 // nothing even then.
 func (w *World) wantedVersion(r *request, ro *Rollout) string {
-	fresh, old := w.countVersions(r.service, ro.Target)
+	atTarget, others := w.countVersions(r.service, ro.Target)
 	switch {
-	case ro.Phase == PhaseReverted, w.wantsTarget(r, ro) && fresh == 0:
+	case ro.Phase == PhaseReverted, w.wantsTarget(r, ro) && atTarget == 0:
 		return ""
-	case w.wantsTarget(r, ro) && ro.Phase == PhaseCanary && old > 0 && w.limitsBlockVersion(r.service, ro.Target):
-		return "" // the canary waits, not its share of the callers
-	case w.wantsTarget(r, ro), old == 0:
+	case w.wantsTarget(r, ro) && ro.Phase == PhaseCanary && others > 0 && w.limitsBlockVersion(r.service, ro.Target):
+		return "" // delays the canary, not the callers in its share
+	case w.wantsTarget(r, ro), others == 0:
 		return ro.Target
 	}
 	return ""
 }
 
-// versions counts the servers that do not leave, at the version and at others.
-func (w *World) countVersions(s *service, target string) (at, others int) {
+// countVersions counts the servers that stay, at the target version and at others.
+func (w *World) countVersions(s *service, target string) (atTarget, others int) {
 	for _, srv := range s.servers {
 		switch {
-		case srv.gone, srv.Draining, srv.drained, w.revertedVersions[versionKey{srv.Service, srv.Version}]:
+		case srv.gone, srv.Leaving, srv.drained, w.revertedVersions[versionKey{srv.Service, srv.Version}]:
 		case srv.Version == target:
-			at++
+			atTarget++
 		default:
 			others++
 		}
 	}
-	return at, others
+	return atTarget, others
 }
 
-// fitting says of a server whether it has the version that the request goes to. A version
-// that was reverted stays out while another one is rolled out: its servers leave late.
+// versionFilter returns a function that says whether a server has the version that the
+// request goes to. A reverted version stays excluded while another one is rolled out, as
+// its servers leave late.
 func (w *World) versionFilter(r *request) func(*server) bool {
 	ro := w.rollouts[r.service.name]
 	if ro == nil {
 		return func(*server) bool { return true }
 	}
-	wants := w.wantedVersion(r, ro)
-	least := uint64(0)
-	if wants == ro.Target && ro.Phase == PhaseCanary && !w.switchesEarly(r, ro) {
-		least = w.canaryMinHash(r.service, ro)
+	wanted := w.wantedVersion(r, ro)
+	minHash := uint64(0)
+	if wanted == ro.Target && ro.Phase == PhaseCanary && !w.switchesEarly(r, ro) {
+		minHash = w.canaryMinHash(r.service, ro)
 	}
 	return func(s *server) bool {
-		return (s.Version == ro.Target) == (wants == ro.Target) && s.hash >= least &&
+		return (s.Version == ro.Target) == (wanted == ro.Target) && s.hash >= minHash &&
 			!w.revertedVersions[versionKey{s.Service, s.Version}]
 	}
 }
 
-// canaryLeast is the least number of servers that a canary goes to: by one alone, a slow
-// server cannot be told from a slow version. With one, good versions were taken back on two
-// of twelve calm days, on each play of them.
+// minCanaryServers is the least number of servers that a canary uses: with a single one, a
+// slow server cannot be told from a slow version. With one, good versions were reverted on
+// two of twelve calm days, in each run of them.
 const minCanaryServers = 3
 
-// canaryServers is the least hash of the servers that the canary's share goes to: as many
-// of the new ones as the share is of all requests.
+// canaryMinHash is the lowest hash of the servers that the canary's share goes to: their
+// fraction of the new servers is about the canary's share of all requests.
 //
-// Load: a version that fails only under load, with a small share on as many servers as
-// the whole traffic has. Harm prevented: a canary that shows nothing, as its servers idle.
+// Load: a version that fails only under load, with a small share spread over as many
+// servers as the whole traffic has. Harm prevented: a canary that shows nothing, as its
+// servers are idle.
 func (w *World) canaryMinHash(s *service, ro *Rollout) uint64 {
 	var hashes []uint64
 	for _, srv := range s.servers {
--- a/router/cmd/masticplankd/main.go
+++ b/router/cmd/masticplankd/main.go
@@ -74,7 +74,7 @@
 		return cli.WithStatus(cli.StatusInvalid, err)
 	}
 	return passthrough.Run(passthrough.Platform{
-		Headers: platform.Wire{}, Records: platform.Records{}, Store: platform.NewStore(cfg.StoreAddr),
+		Headers: platform.HeaderCodec{}, Records: platform.Records{}, Store: platform.NewStore(cfg.StoreAddr),
 		ReadyPath: platform.ReadyPath,
 		Settings:  func() (seam.Settings, error) { return platform.LoadSettings(path) },
 	}, metrics, os.Stdout)
--- a/router/internal/cli/soakcmd/soakcmd.go
+++ b/router/internal/cli/soakcmd/soakcmd.go
@@ -29,8 +29,8 @@
 flag is out of range.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			opts.Length = time.Duration(minutes * float64(time.Minute))
-			if err := opts.Check(); err != nil {
+			opts.Duration = time.Duration(minutes * float64(time.Minute))
+			if err := opts.Validate(); err != nil {
 				return cli.WithStatus(cli.StatusInvalid, err)
 			}
 			if opts.Program == "" {
@@ -52,7 +52,7 @@
 	flags := cmd.Flags()
 	flags.Uint64Var(&opts.Seed, "seed", 1, "random seed of the faults, of their times and of the callers' requests")
 	flags.Float64Var(&minutes, "minutes", 1, "minutes with faults; 12 s without faults follow")
-	flags.IntVar(&opts.Processes, "processes", 9, fmt.Sprintf("number of instances, %d at most", soak.MostProcesses))
+	flags.IntVar(&opts.Processes, "processes", 9, fmt.Sprintf("number of instances, %d at most", soak.MaxProcesses))
 	flags.StringVar(&opts.Program, "program", "", "path of masticplankd; empty for the one beside this program")
 	flags.StringVar(&opts.Dir, "dir", "", "directory for settings and logs; empty for a temporary one, which is kept if a promise was broken")
 	return cmd
--- a/router/internal/daemon/decide.go
+++ b/router/internal/daemon/decide.go
@@ -115,7 +115,7 @@
 }
 
 // NoteEjection implements driver.FleetSink.
-func (f *fleetLink) NoteEjection(c decision.ReportEjection) {
+func (f *fleetLink) ReportEjection(c decision.ReportEjection) {
 	f.log.Emit(context.Background(), logging.EventServerEjected,
 		slog.String("server", string(c.Server)), slog.Bool("ejected", c.Ejected))
 	f.setMember(f.ejectedServers, string(c.Server), c.Ejected)
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -35,7 +35,7 @@
 // Observe implements api.Recorder.
 func (r *requestRecorder) Observe(o api.Observation) {
 	gometrics.GetOrRegisterCounter("requests."+o.Outcome, r.registry).Inc(1)
-	gometrics.GetOrRegisterTimer("request.whole", r.registry).Update(o.Whole)
+	gometrics.GetOrRegisterTimer("request.whole", r.registry).Update(o.Duration)
 	if o.FirstToken > 0 {
 		gometrics.GetOrRegisterTimer("request.first_token", r.registry).Update(o.FirstToken)
 	}
@@ -83,12 +83,12 @@
 		Domain:         s.params.Settings.Domain,
 		Generation:     s.params.Holder.Generation(),
 		Mode:           modeNames[s.params.Gate.Mode()],
-		OpenRequests:   s.params.Driver.Open(),
-		Offset:         log.Next,
+		OpenRequests:   s.params.Driver.OpenRequests(),
+		Offset:         log.NextOffset,
 		Head:           log.Head,
-		Lag:            max(log.Head, log.Next) - log.Next,
+		Lag:            max(log.Head, log.NextOffset) - log.NextOffset,
 		LogReachable:   log.LogReachable,
-		HeldBills:      s.params.Peers.Held(),
+		HeldBills:      s.params.Peers.HeldBills(),
 		BadVersions:    badVersions,
 		EjectedServers: ejectedServers,
 	}
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -42,8 +42,8 @@
 	return session.NewTokens(cfg.Session, time.Now)
 }
 
-func newNamedSessions(cfg settings.Settings, store node.Store) *session.Names {
-	return session.NewNames(store, time.Duration(cfg.Session.TTLSeconds)*time.Second)
+func newNamedSessions(cfg settings.Settings, store node.Store) *session.NamedSessions {
+	return session.NewNamedSessions(store, time.Duration(cfg.Session.TTLSeconds)*time.Second)
 }
 
 func newPublisher(store node.Store, h *manifest.Holder, g *gate.Gate) *publish.Publisher {
@@ -63,7 +63,7 @@
 	Store     node.Store
 	Biller    *billing.Biller
 	Tokens    *session.Tokens
-	Names     *session.Names
+	Names     *session.NamedSessions
 	Rater     platform.Rater
 	Recorder  api.Recorder
 	Log       *logging.Logger
@@ -71,20 +71,20 @@
 
 func newAPI(p apiParams) *api.Server {
 	return api.New(api.Deps{
-		Driver:    p.Driver,
-		Manifests: p.Manifests,
-		Gate:      p.Gate,
-		Servers:   p.Directory,
-		Upstream:  p.Upstream,
-		Store:     p.Store,
-		Biller:    p.Biller,
-		Tokens:    p.Tokens,
-		Names:     p.Names,
-		Rater:     p.Rater,
-		Recorder:  p.Recorder,
-		Log:       p.Log,
+		Driver:        p.Driver,
+		Manifests:     p.Manifests,
+		Gate:          p.Gate,
+		Servers:       p.Directory,
+		Upstream:      p.Upstream,
+		Store:         p.Store,
+		Biller:        p.Biller,
+		SessionTokens: p.Tokens,
+		SessionNames:  p.Names,
+		Rater:         p.Rater,
+		Recorder:      p.Recorder,
+		Log:           p.Log,
 		Limits: api.Limits{
-			MaxBody:         p.Settings.Limits.MaxBodyBytes,
+			MaxBodyBytes:    p.Settings.Limits.MaxBodyBytes,
 			ReadTimeout:     ms(p.Settings.Limits.ReadTimeoutMS),
 			WriteTimeout:    ms(p.Settings.Limits.WriteTimeoutMS),
 			DefaultDeadline: ms(p.Settings.Limits.DefaultDeadlineMS),
@@ -169,7 +169,7 @@
 		return "draining"
 	case d.holder.Current() == nil:
 		return "no manifest yet"
-	case !d.directory.Known():
+	case !d.directory.HasList():
 		return "no list of backend servers yet"
 	default:
 		return string(d.gate.MayRun(true))
@@ -181,7 +181,7 @@
 func startDrain(lc fx.Lifecycle, d *drain, a *api.Server) {
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		d.draining.Store(true)
-		d.log.Emit(ctx, logging.EventDrainBegin, slog.Int("open", d.driver.Open()))
+		d.log.Emit(ctx, logging.EventDrainBegin, slog.Int("open", d.driver.OpenRequests()))
 		d.server.SetKeepAlivesEnabled(false)
 		sleep(ctx, ms(d.cfg.Shutdown.GraceMS))
 		d.finishRequests(ctx, a)
@@ -193,11 +193,11 @@
 	ctx, cancel := context.WithTimeout(ctx, ms(d.cfg.Shutdown.DrainMS))
 	defer cancel()
 	err := d.server.Shutdown(ctx)
-	for err == nil && d.driver.Open() > 0 && ctx.Err() == nil {
+	for err == nil && d.driver.OpenRequests() > 0 && ctx.Err() == nil {
 		sleep(ctx, drainPollInterval)
 	}
 	a.Wait(ctx)
-	open, held := d.driver.Open(), d.peers.Drain(ctx)
+	open, held := d.driver.OpenRequests(), d.peers.Drain(ctx)
 	if open > 0 || held > 0 {
 		d.log.Emit(ctx, logging.EventDrainCut, slog.Int("open", open), slog.Int("held_bills", held))
 		return
--- a/router/internal/loadgen/phase.go
+++ b/router/internal/loadgen/phase.go
@@ -15,28 +15,28 @@
 	// answers.
 	Rate float64
 	// Warmup is sent but not counted; Length is.
-	Warmup, Length time.Duration
+	Warmup, Duration time.Duration
 }
 
 // Phase is what one stretch of load gave.
-type Phase struct {
+type Result struct {
 	// Rate is whole answers a second.
 	Rate   float64 `json:"rate"`
 	Failed int64   `json:"failed"`
 	// Example is the text of one failure.
-	Example string   `json:"example,omitempty"`
-	Samples []Sample `json:"-"`
+	LastError string   `json:"example,omitempty"`
+	Samples   []Sample `json:"-"`
 }
 
 // Run sends the load and returns once it has ended.
-func Run(ctx context.Context, t Target, p Plan) Phase {
+func Run(ctx context.Context, t Target, p Plan) Result {
 	r := &run{target: t, plan: p, start: time.Now()}
 	var wg sync.WaitGroup
 	for i := range p.Callers {
-		wg.Go(func() { r.caller(ctx, i) })
+		wg.Go(func() { r.runCaller(ctx, i) })
 	}
 	wg.Wait()
-	r.phase.Rate = float64(len(r.phase.Samples)) / p.Length.Seconds()
+	r.phase.Rate = float64(len(r.phase.Samples)) / p.Duration.Seconds()
 	return r.phase
 }
 
@@ -46,46 +46,46 @@
 	start  time.Time
 
 	mu    sync.Mutex
-	phase Phase
+	phase Result
 }
 
 // caller sends until the load's end.
-func (r *run) caller(ctx context.Context, index int) {
+func (r *run) runCaller(ctx context.Context, index int) {
 	c := NewCaller()
 	defer c.Close()
-	counted := r.start.Add(r.plan.Warmup)
-	end := counted.Add(r.plan.Length)
-	var own []Sample
-	next := r.first(index)
+	measureFrom := r.start.Add(r.plan.Warmup)
+	end := measureFrom.Add(r.plan.Duration)
+	var samples []Sample
+	next := r.firstSend(index)
 	for {
-		next = r.wait(next)
+		next = r.waitTurn(next)
 		now := time.Now()
 		if now.After(end) || ctx.Err() != nil {
 			break
 		}
 		s, err := c.Send(ctx, r.target)
 		if err != nil {
-			r.failed(err)
+			r.recordFailure(err)
 			continue
 		}
-		if now.After(counted) {
-			own = append(own, s)
+		if now.After(measureFrom) {
+			samples = append(samples, s)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.phase.Samples = append(r.phase.Samples, own...)
+	r.phase.Samples = append(r.phase.Samples, samples...)
 }
 
-func (r *run) failed(err error) {
+func (r *run) recordFailure(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.phase.Failed++
-	r.phase.Example = err.Error()
+	r.phase.LastError = err.Error()
 }
 
 // gap is the time between two requests of one caller.
-func (r *run) gap() time.Duration {
+func (r *run) interval() time.Duration {
 	if r.plan.Rate <= 0 {
 		return 0
 	}
@@ -93,19 +93,19 @@
 }
 
 // first spreads the callers' starts over one gap.
-func (r *run) first(index int) time.Time {
-	return r.start.Add(r.gap() * time.Duration(index) / time.Duration(r.plan.Callers))
+func (r *run) firstSend(index int) time.Time {
+	return r.start.Add(r.interval() * time.Duration(index) / time.Duration(r.plan.Callers))
 }
 
 // wait holds a caller to its rate. A late one catches up, so that a slow answer
 // does not hide the load that was to come.
-func (r *run) wait(next time.Time) time.Time {
+func (r *run) waitTurn(next time.Time) time.Time {
 	time.Sleep(time.Until(next))
-	return next.Add(r.gap())
+	return next.Add(r.interval())
 }
 
 // Quantile of a figure by nearest rank; 0 without samples.
-func (p Phase) Quantile(pick func(Sample) time.Duration, q float64) time.Duration {
+func (p Result) Quantile(pick func(Sample) time.Duration, q float64) time.Duration {
 	if len(p.Samples) == 0 {
 		return 0
 	}
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -10,42 +10,44 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// exchange carries one request from its admission to its final answer.
+// exchange carries one request from its admission to its final response.
 type exchange struct {
-	edge   *Handler
-	call   *call
-	ticket *ticket
-	w      http.ResponseWriter
-	ctx    context.Context
-	// last is the backend server's failure that was kept for the caller, if any.
-	lastFailure *answer
-	// ran says that the request may have run.
+	handler *Handler
+	call    *call
+	ticket  *ticket
+	w       http.ResponseWriter
+	ctx     context.Context
+	// lastFailure is the last complete response of a failed attempt, kept for the caller; nil
+	// for none.
+	lastFailure *response
+	// mayHaveRun says that some attempt may have run the request.
 	mayHaveRun bool
-	// stream is the part of a stream that went to the caller.
+	// stream is what the caller has of a stream.
 	stream stream
-	// patience ends the wait in the queue, at arrival and after each attempt.
+	// queueTimer ends the wait in the queue, at arrival and after each attempt.
 	queueTimer *time.Timer
 }
 
-// run asks for decisions and follows them until one final answer is out.
-func (e *Handler) run(w http.ResponseWriter, c *call) {
-	remaining := c.deadline.Sub(e.clock.Now())
+// run submits the request to the decision and executes its commands until the final response is
+// written.
+func (h *Handler) run(w http.ResponseWriter, c *call) {
+	remaining := c.deadline.Sub(h.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(remaining, 0))
 	defer cancel()
-	x := &exchange{edge: e, call: c, w: w, ctx: ctx, stream: stream{lastEvent: c.caller.LastEventID}}
+	x := &exchange{handler: h, call: c, w: w, ctx: ctx, stream: stream{lastEventID: c.caller.LastEventID}}
 	r := c.decisionRequest()
-	x.ticket = e.driver.open(r)
-	defer e.driver.close(x.ticket)
-	x.queueTimer = time.AfterFunc(passthrough.MaxQueueWait(&r, e.clock.Now()), func() {
-		e.driver.Handle(passthrough.QueueWaitExpired{Request: x.ticket.id})
+	x.ticket = h.driver.open(r)
+	defer h.driver.close(x.ticket)
+	x.queueTimer = time.AfterFunc(passthrough.MaxQueueWait(&r, h.clock.Now()), func() {
+		h.driver.Handle(passthrough.QueueWaitExpired{Request: x.ticket.id})
 	})
 	defer x.queueTimer.Stop()
 	for !x.step() {
-		x.queueTimer.Reset(passthrough.MaxQueueWait(&r, e.clock.Now()))
+		x.queueTimer.Reset(passthrough.MaxQueueWait(&r, h.clock.Now()))
 	}
 }
 
-// step waits for one command and follows it. It says whether the request has ended.
+// step waits for one command and executes it. It reports whether the request has ended.
 func (x *exchange) step() bool {
 	select {
 	case c := <-x.ticket.commands:
@@ -68,10 +70,10 @@
 	return true
 }
 
-// expired ends a request whose time has passed, or whose caller has gone.
+// expire ends a request whose deadline has passed or whose caller has disconnected.
 func (x *exchange) expire() {
 	if x.call.request.Context().Err() != nil {
-		x.edge.telemetry.callerLost(x.call, x.ctx.Err())
+		x.handler.telemetry.callerLost(x.call, x.ctx.Err())
 		panic(http.ErrAbortHandler)
 	}
 	if !x.mayHaveRun {
@@ -81,44 +83,45 @@
 	x.fail(http.StatusGatewayTimeout, reasonTimeout)
 }
 
-// refuse ends a request that has not run.
+// refuse ends a request that did not run.
 func (x *exchange) refuse(refused refusal) {
 	if x.stream.begun {
 		x.abort(refused.reason)
 	}
-	x.edge.refuse(x.w, x.call, refused)
+	x.handler.refuse(x.w, x.call, refused)
 }
 
-// finish ends a request that ran or may have run, with the backend server's own failure
-// where there is one.
+// finish ends a request that ran or may have run. It responds with the backend server's own
+// failure, if there is one.
 func (x *exchange) finish(reason passthrough.Reason) {
 	if x.lastFailure == nil || x.stream.begun {
 		x.fail(http.StatusBadGateway, reasonMayHaveRun)
 		return
 	}
-	x.edge.telemetry.finished(x.call, x.lastFailure.status, reason)
-	x.writeAnswer(x.lastFailure)
+	x.handler.telemetry.finished(x.call, x.lastFailure.status, reason)
+	x.writeResponse(x.lastFailure)
 }
 
-// fail ends a request that may have run, without an answer. Its status promises nothing.
+// fail ends a request that may have run and has no response. The status must not imply that it
+// did not run.
 func (x *exchange) fail(status int, reason passthrough.Reason) {
 	if x.stream.begun {
 		x.abort(reason)
 	}
-	x.edge.telemetry.finished(x.call, status, reason)
+	x.handler.telemetry.finished(x.call, status, reason)
 	x.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(status)
 	writeAll(x.w, []byte(string(reason)+"\n"))
 }
 
-// abort breaks the caller's connection, so that a part of an answer does not look whole.
+// abort breaks the caller's connection, so that a partial response does not look complete.
 func (x *exchange) abort(reason passthrough.Reason) {
-	x.edge.telemetry.finished(x.call, 0, reason)
+	x.handler.telemetry.finished(x.call, 0, reason)
 	panic(http.ErrAbortHandler)
 }
 
-// deliver hands a whole answer to the caller, unchanged.
-func (x *exchange) writeAnswer(a *answer) {
+// writeResponse writes a complete response to the caller, unchanged.
+func (x *exchange) writeResponse(a *response) {
 	h := x.w.Header()
 	x.copyHeaders(a.header)
 	h.Set("Content-Length", strconv.Itoa(len(a.body)))
@@ -126,11 +129,11 @@
 	writeAll(x.w, a.body)
 }
 
-// copyHeaders copies a backend server's headers. No header of our own is added: net/http
-// leaves out what is set to nil.
+// copyHeaders copies a backend server's headers. Content-Type and Date are set to nil where the
+// server sent none, since net/http would add its own.
 func (x *exchange) copyHeaders(from http.Header) {
 	h := x.w.Header()
-	for name, values := range x.edge.headers.AnswerHeaders(from) {
+	for name, values := range x.handler.headers.ResponseHeaders(from) {
 		h[name] = values
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
@@ -140,9 +143,10 @@
 	}
 }
 
-// dispatch runs one attempt, unless the configuration forbids it by now.
+// dispatch runs one attempt, unless the configuration in force no longer permits the request. It
+// reports whether the request has ended.
 func (x *exchange) dispatch(d passthrough.Dispatch) bool {
-	if _, denied := x.edge.resolve(x.call); denied != nil {
+	if _, denied := x.handler.resolve(x.call); denied != nil {
 		if x.mayHaveRun {
 			x.fail(http.StatusBadGateway, denied.reason)
 			return true
@@ -152,24 +156,24 @@
 	}
 	a := x.newAttempt(d)
 	out := a.run(x.ctx)
-	x.edge.telemetry.attempted(x.call, d, out)
+	x.handler.telemetry.attempted(x.call, d, out)
 	x.mayHaveRun = x.mayHaveRun || out.result.MayHaveRun()
 	if out.load != nil && !out.loadReported {
-		x.edge.driver.Handle(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
+		x.handler.driver.Handle(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
 	}
 	limit := out.limit
 	if out.loadReported {
 		limit = nil
 	}
 	if x.ctx.Err() != nil && out.result != passthrough.Completed {
-		x.edge.driver.Handle(passthrough.AttemptEnded{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
+		x.handler.driver.Handle(passthrough.AttemptEnded{Request: x.ticket.id, Result: passthrough.Abandoned, Limit: limit})
 		x.expire()
 		return true
 	}
-	if out.answer != nil {
-		x.lastFailure = out.answer
+	if out.response != nil {
+		x.lastFailure = out.response
 	}
-	x.edge.driver.Handle(passthrough.AttemptEnded{
+	x.handler.driver.Handle(passthrough.AttemptEnded{
 		Request: x.ticket.id, Result: out.result, Begun: x.stream.begun,
 		Misdirected: out.misdirected, Leaving: out.leaving, ConnectionLost: out.connectionLost, EventInterval: out.eventInterval,
 		Confidence: out.confidence, Limit: limit,
@@ -181,33 +185,33 @@
 	return true
 }
 
-// complete gives the caller the rest of a whole answer.
+// complete ends a request that succeeded; a plain response is written here, a stream already was.
 func (x *exchange) complete(out outcome) {
 	status := http.StatusOK
-	if out.answer != nil {
-		status = out.answer.status
-		x.writeAnswer(out.answer)
+	if out.response != nil {
+		status = out.response.status
+		x.writeResponse(out.response)
 	}
-	x.edge.telemetry.finished(x.call, status, "")
+	x.handler.telemetry.finished(x.call, status, "")
 }
 
-// attempt prepares one attempt.
+// newAttempt prepares an attempt.
 func (x *exchange) newAttempt(d passthrough.Dispatch) *attempt {
 	c := x.call
 	team := ""
 	if c.team != nil {
 		team = c.team.Name
 	}
-	lastEvent := int64(-1)
+	lastEventID := int64(-1)
 	if x.stream.begun {
-		lastEvent = x.stream.lastEvent
+		lastEventID = x.stream.lastEventID
 	}
-	now := x.edge.clock.Now()
+	now := x.handler.clock.Now()
 	return &attempt{
 		exchange: x, server: d.Server, startedAt: now, firstByteTimeout: d.FirstByteTimeout,
-		header: x.edge.headers.WriteAttempt(c.request.Header, seam.Attempt{
+		header: x.handler.headers.WriteAttempt(c.request.Header, seam.Attempt{
 			Server: d.Server.ID, Team: team, Remaining: c.deadline.Sub(now), Model: d.Model,
-			Priority: passthrough.EffectivePriority(c.team, c.route), LastEventID: lastEvent,
+			Priority: passthrough.EffectivePriority(c.team, c.route), LastEventID: lastEventID,
 		}),
 	}
 }
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -10,6 +10,8 @@
 	"masticplank.example/decision/passthrough"
 )
 
+// TestRegisterHoldsOneEnd guards against two ends of one roll-out: b writes an end between a's read of
+// the register and its write.
 func TestRegisterHoldsOneEnd(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	a, b := newParts("a", clock, status, &fakeLog{}), newParts("b", clock, status, &fakeLog{})
@@ -18,7 +20,7 @@
 		p.rollouts.applyOrder(testOrder, 1)
 		p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
 	}
-	a.observeMany("v2", true, 20) // a alone finds it bad; b would complete it
+	a.observeMany("v2", true, 20) // only a finds the version bad; b would complete it
 	clock.advance(19500 * time.Millisecond)
 	a.observations.markRead(clock.Now())
 	b.observations.markRead(clock.Now())
@@ -26,13 +28,15 @@
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
 	if got := storedEnds(status); len(got) != 1 {
-		t.Fatalf("the register holds %d ends", len(got))
+		t.Fatalf("the register holds %d ends, want one", len(got))
 	}
 	if x, y := a.rollouts.open["shop"].ended, b.rollouts.open["shop"].ended; x != y || x == 0 {
-		t.Errorf("a ended with %v, b with %v", x, y)
+		t.Errorf("a ended as %v, b as %v, want the same", x, y)
 	}
 }
 
+// TestLostAnswerOfTheEndIsReadBack guards against a second end where a write took effect but its
+// result was lost: the register is read before anything is written again.
 func TestLostAnswerOfTheEndIsReadBack(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newParts("a", clock, status, &fakeLog{})
@@ -45,17 +49,17 @@
 	status.appendDespiteErr, status.appendErrs = true, []error{keyedlog.ErrUnknown}
 	p.rollouts.advance(t.Context(), r)
 	if r.ended != 0 {
-		t.Error("ended without knowing it")
+		t.Error("ended although the result of the write is unknown")
 	}
 	p.rollouts.advance(t.Context(), r)
 	if got := storedEnds(status); len(got) != 1 || r.ended != passthrough.PhaseCompleted {
-		t.Errorf("ends %v, known %v", got, r.ended)
+		t.Errorf("ends %v in the register, %v at the instance, want completed", got, r.ended)
 	}
 }
 
-// TestRegisterHistories runs seeded histories of instances that plan, lose answers, meet a
-// store that is away, and restart, in any order: one end is written, nobody believes in
-// another, and a version that was told to fail is never completed.
+// TestRegisterHistories runs seeded histories of instances that plan, lose results of writes,
+// find the store unavailable, and restart, in any order: one end is written, no instance
+// holds another, and a version that was reported to fail is never completed.
 func TestRegisterHistories(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRegister(t, seed) })
@@ -75,11 +79,11 @@
 		}
 		return p
 	}
-	if bad { // what was seen before, and told
+	if bad { // what an earlier instance saw and shared
 		first := start(9)
 		first.rollouts.advance(t.Context(), first.rollouts.open["shop"])
 		first.observeMany("v2", true, 10)
-		if err := observations.Append(t.Context(), keyedlog.Anywhere, first.observations.pendingRecords()...); err != nil {
+		if err := observations.Append(t.Context(), keyedlog.AnyPosition, first.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -96,7 +100,7 @@
 			status.appendErrs = append(status.appendErrs, keyedlog.ErrUnknown)
 			status.appendDespiteErr = rng.IntN(2) == 0
 		case 1:
-			status.newestErrs = append(status.newestErrs, keyedlog.ErrNotDone)
+			status.newestErrs = append(status.newestErrs, keyedlog.ErrNotApplied)
 		case 2:
 			if rng.IntN(6) == 0 {
 				fleet[i] = start(i)
@@ -106,7 +110,7 @@
 		case 4:
 			p.observeMany("v2", bad, 2)
 		case 5, 6:
-			if err := observations.Append(t.Context(), keyedlog.Anywhere, p.observations.pendingRecords()...); err != nil {
+			if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
 				t.Fatal(err)
 			}
 		case 7, 8:
@@ -114,7 +118,7 @@
 				t.Fatal(err)
 			}
 		case 9:
-			// Another instance comes between the next read of the register and its write.
+			// Another instance advances between the next read of the register and its write.
 			other := fleet[rng.IntN(len(fleet))]
 			status.beforeAppend = func() {
 				if r := other.rollouts.open["shop"]; other != p && r.ended == 0 {
@@ -138,11 +142,11 @@
 	}
 	got := storedEnds(status)
 	if len(got) != 1 {
-		t.Fatalf("the register holds %v", got)
+		t.Fatalf("the register holds the ends %v, want one", got)
 	}
 	for i, p := range fleet {
 		if known := p.rollouts.open["shop"].ended; known != got[0] {
-			t.Errorf("instance %d has %v, the register %v", i, known, got[0])
+			t.Errorf("instance %d ended as %v, the register holds %v", i, known, got[0])
 		}
 	}
 	if bad && got[0] == passthrough.PhaseCompleted {
--- a/router/internal/platform/platform.go
+++ b/router/internal/platform/platform.go
@@ -10,11 +10,11 @@
 
 // List is the platform's list of live and leaving instances and backend
 // servers. It lags.
-type List interface {
+type InstanceLister interface {
 	Fetch(ctx context.Context) (wire.InstanceList, error)
 }
 
 // Rater is the service that rates answers. It may be slow, wrong or down.
 type Rater interface {
-	Rate(ctx context.Context, r wire.RateRequest) (float64, error)
+	Rate(ctx context.Context, r wire.RatingRequest) (float64, error)
 }
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -26,21 +26,21 @@
 	c.Replace(eraSnapshot(2, 5, "after"), now)
 	c.Replace(eraSnapshot(1, 10, "late"), now)
 	c.Add(keyedlog.Batch{Records: []keyedlog.Record{{Key: "a", Value: []byte("later"), Offset: 9}}, Next: keyedlog.Position{Era: 1, Offset: 10}}, now)
-	if got := string(c.newest["a"].Value); got != "after" || c.next != (keyedlog.Position{Era: 2, Offset: 5}) {
+	if got := string(c.newestByKey["a"].Value); got != "after" || c.next != (keyedlog.Position{Era: 2, Offset: 5}) {
 		t.Errorf("%q up to %+v", got, c.next)
 	}
 	for _, tt := range []struct {
 		from keyedlog.Position
 		want error
 	}{
-		{keyedlog.Position{Era: 1, Offset: 5}, keyedlog.ErrGone},
-		{keyedlog.Position{Era: 3, Offset: 2}, keyedlog.ErrNotDone},
-		{keyedlog.Position{Era: 2, Offset: 6}, keyedlog.ErrNotDone},
-		{keyedlog.Position{Era: 2, Offset: 4}, keyedlog.ErrGone},
+		{keyedlog.Position{Era: 1, Offset: 5}, keyedlog.ErrTrimmed},
+		{keyedlog.Position{Era: 3, Offset: 2}, keyedlog.ErrNotApplied},
+		{keyedlog.Position{Era: 2, Offset: 6}, keyedlog.ErrNotApplied},
+		{keyedlog.Position{Era: 2, Offset: 4}, keyedlog.ErrTrimmed},
 		{keyedlog.Position{Era: 2, Offset: 5}, nil},
-		{keyedlog.At(5), nil}, // of an instance that knows no eras
+		{keyedlog.AtOffset(5), nil}, // of an instance that knows no eras
 	} {
-		if _, err := c.since(tt.from); !errors.Is(err, tt.want) {
+		if _, err := c.batchFrom(tt.from); !errors.Is(err, tt.want) {
 			t.Errorf("from %+v: %v, want %v", tt.from, err, tt.want)
 		}
 	}
@@ -48,13 +48,13 @@
 
 // TestFollowersLearnOfARestoreByTheirCollector holds that they do not turn to the store for it.
 func TestFollowersLearnOfARestoreByTheirCollector(t *testing.T) {
-	st := &store{era: 1}
+	st := &fakeStore{era: 1}
 	st.put("a", "1")
 	all := startInstances(t, st, 4, time.Hour)
 	for _, in := range all {
 		in.newest(t)
 	}
-	before := st.count()
+	before := st.readCount()
 	st.restore(0)
 	st.put("b", "2")
 	st.put("c", "3")
@@ -64,14 +64,14 @@
 	}
 	all[0].newest(t)
 	for _, in := range all[1:] {
-		if _, err := in.log.Read(t.Context(), at, 0); !errors.Is(err, keyedlog.ErrGone) {
+		if _, err := in.log.Read(t.Context(), at, 0); !errors.Is(err, keyedlog.ErrTrimmed) {
 			t.Errorf("a follower's read: %v", err)
 		}
 		if s := in.newest(t); s.Next != (keyedlog.Position{Era: 2, Offset: 2}) || len(s.Records) != 2 {
 			t.Errorf("a follower has %+v", s)
 		}
 	}
-	if n := st.count() - before; n != 2 {
+	if n := st.readCount() - before; n != 2 {
 		t.Errorf("%d reads of the store, want 2", n)
 	}
 }
@@ -79,7 +79,7 @@
 // TestCollectorThatHasNotNoticedIsPassedOver holds that an instance which knows of a restore does
 // not go back to the log of before.
 func TestCollectorThatHasNotNoticedIsPassedOver(t *testing.T) {
-	st := &store{era: 1}
+	st := &fakeStore{era: 1}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Hour)
 	for _, in := range all {
@@ -105,7 +105,7 @@
 		mostReads = 4 // of the newest records
 	)
 	for _, count := range []int{8, 58, 300} {
-		st := &store{era: 1}
+		st := &fakeStore{era: 1}
 		for i := range entries {
 			st.put(fmt.Sprint("server-", i), "an entry of a backend server")
 		}
@@ -121,7 +121,7 @@
 		for i, in := range all {
 			done.Go(func() {
 				for time.Since(began) < 10*longest {
-					if _, err := in.log.Read(t.Context(), places[i], wait); errors.Is(err, keyedlog.ErrGone) {
+					if _, err := in.log.Read(t.Context(), places[i], wait); errors.Is(err, keyedlog.ErrTrimmed) {
 						if s, err := in.log.Newest(t.Context()); err == nil && s.Next.Era == 2 {
 							return
 						}
