--- a/router/internal/admin/admin.go
+++ b/router/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' edge of an instance, on a listener of its own:
-// health, readiness, metrics, profiles, status, and publishing manifests.
+// Package admin serves operators on a separate listener of an instance: health,
+// readiness, metrics, profiles, status, and publishing of manifests.
 package admin
 
 import (
@@ -22,19 +22,20 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// maxManifestBytes bounds a published manifest.
+// maxManifestBytes bounds the body of a request that publishes a manifest.
 const maxManifestBytes = 4 << 20
 
-// Readiness says why the instance is not ready; empty when it is.
+// Readiness says why the instance is not ready; the empty string if it is ready.
 type Readiness interface{ NotReadyReason() string }
 
-// Deps is what the admin edge shows.
+// Deps are the sources of what the handler shows.
 type Deps struct {
 	Registry  gometrics.Registry
 	Readiness Readiness
 	Manifests *manifest.Holder
 	Publisher *publish.Publisher
-	// Status is encoded as JSON for /status; Burn for /burn.
+	// Status returns the body of /status, Burn that of /burn; both are encoded as
+	// JSON.
 	Status func() any
 	Burn   func() any
 	// OperatorKeyHashes are SHA-256 sums (hex) of the operators' keys.
@@ -43,7 +44,7 @@
 
 type server struct{ Deps }
 
-// New returns the handler.
+// New returns the handler for the admin listener.
 func New(deps Deps) http.Handler {
 	s := &server{deps}
 	r := mux.NewRouter()
@@ -62,7 +63,7 @@
 	return r
 }
 
-// health says that the process runs; it says nothing of its state.
+// health answers as long as the process runs, whatever its state.
 func (s *server) health(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "ok\n")
 }
@@ -102,7 +103,8 @@
 	writeJSON(w, http.StatusOK, manifestResponse{Digest: x.Digest, Manifest: x.Manifest})
 }
 
-// putManifest publishes; "?rebase=true" takes the manifest in force as parent.
+// postManifest publishes a manifest; "?rebase=true" takes the manifest in force as
+// its parent.
 func (s *server) postManifest(w http.ResponseWriter, r *http.Request) {
 	if !s.isOperator(r) {
 		writeError(w, http.StatusUnauthorized, "invalid_operator_key", "the operator key is missing or not known")
@@ -139,7 +141,8 @@
 // Accepted says whether the manifest is in the log.
 func (r PublishResponse) Accepted() bool { return r.Outcome == string(outcome.Completed) }
 
-// operator compares the key's hash with every known one in constant time.
+// isOperator says whether the request has an operator's key. It compares the key's
+// hash with every known one, each in constant time.
 func (s *server) isOperator(r *http.Request) bool {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(key))
@@ -158,6 +161,6 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the reader has gone.
+	// A failed write means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/router/internal/adminclient/client.go
+++ b/router/internal/adminclient/client.go
@@ -1,5 +1,5 @@
-// Package adminclient reads and drives instances over their admin listeners,
-// for the operators' tool.
+// Package adminclient queries instances and publishes manifests over their admin
+// listeners, for the operators' tool.
 package adminclient
 
 import (
@@ -18,13 +18,14 @@
 )
 
 const (
-	// timeout bounds one call; publishing waits for the log.
+	// requestTimeout bounds one request. It is long because publishing waits for
+	// the log.
 	requestTimeout = 15 * time.Second
-	// maxBytes bounds an answer.
+	// maxResponseBytes bounds the body of a response.
 	maxResponseBytes = 32 << 20
 )
 
-// Client talks to one instance. It is safe for concurrent use.
+// Client calls the admin listener of one instance. It is safe for concurrent use.
 type Client struct {
 	base string
 	key  string
@@ -32,7 +33,8 @@
 }
 
 // New returns a client of the admin listener at base, such as
-// "http://10.0.0.7:9090" or "10.0.0.7:9090". key is the operator's key.
+// "http://10.0.0.7:9090" or "10.0.0.7:9090". key is the operator's key; it may be
+// empty, except for Publish.
 func New(base, key string) *Client {
 	if !strings.Contains(base, "://") {
 		base = "http://" + base
@@ -40,17 +42,18 @@
 	return &Client{base: strings.TrimRight(base, "/"), key: key, http: &http.Client{Timeout: requestTimeout}}
 }
 
-// Base is the instance's address.
+// Base is the instance's base URL.
 func (c *Client) Base() string { return c.base }
 
-// Get reads path into out.
+// Get requests path and decodes the JSON body into out. It returns an error for a
+// status of 400 or above too.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
 	_, err := c.do(ctx, http.MethodGet, path, nil, out)
 	return err
 }
 
-// Publish sends a manifest. An answer of any status is returned as it is; an
-// error means that none came.
+// Publish sends a manifest. A response with an outcome is returned whatever its
+// status; an error means that there was none.
 func (c *Client) Publish(ctx context.Context, m manifest.Manifest, rebase bool) (admin.PublishResponse, error) {
 	body, err := manifest.Encode(m)
 	if err != nil {
@@ -83,7 +86,7 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return resp.StatusCode, trace.ConnectionProblem(err, "the answer of %s broke off", c.base)
+		return resp.StatusCode, trace.ConnectionProblem(err, "the connection to %s broke before the end of its answer", c.base)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
 		return resp.StatusCode, trace.BadParameter("%s answered %s: %s", c.base, resp.Status, strings.TrimSpace(string(data)))
--- a/router/internal/daemon/daemon.go
+++ b/router/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts one entry instance together with fx.
+// Package daemon assembles and runs one entry instance, with fx.
 package daemon
 
 import (
@@ -14,18 +14,20 @@
 	"masticplank.example/router/internal/settings"
 )
 
-// stopMargin is added to the shutdown's own times for what follows the drain:
-// flushing bills and closing listeners.
+// stopMargin is added to the configured times of a shutdown for what follows the
+// drain: flushing bills and closing listeners.
 const stopMargin = 10 * time.Second
 
-// Instance is a running instance's addresses, once it has started.
+// Addresses are the addresses of a running instance's listeners, as IP:port. They
+// are set while it starts.
 type Addresses struct {
 	API   string
 	Admin string
 	Peer  string
 }
 
-// Run runs an instance until SIGTERM or an interrupt, then stops it gracefully.
+// Run runs an instance until SIGTERM or an interrupt, then stops it gracefully. It
+// writes the log to log.
 func Run(cfg settings.Settings, log io.Writer) error {
 	app, _ := New(cfg, log)
 	if err := app.Err(); err != nil {
@@ -42,16 +44,16 @@
 	return trace.Wrap(app.Stop(stopCtx))
 }
 
-// New returns the application of one instance; its Instance is filled in while
-// it starts.
+// New returns the application of one instance, and its Addresses, which are set
+// while it starts. The caller checks the application's Err.
 func New(cfg settings.Settings, log io.Writer) (*fx.App, *Addresses) {
 	addrs := &Addresses{}
 	app := fx.New(options(cfg, addrs, log))
 	return app, addrs
 }
 
-// options is the whole graph. The invokes stand in the order of starting; the
-// stop runs through them in reverse, so the drain comes first.
+// options is the whole graph of dependencies. The invoked functions are in the order
+// of starting; the stop hooks run in reverse, so that the drain comes first.
 func options(cfg settings.Settings, addrs *Addresses, log io.Writer) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
@@ -73,7 +75,7 @@
 	)
 }
 
-// stopTimeout lets the whole shutdown happen; fx's default of 15 s would cut
+// stopTimeout leaves time for the whole shutdown; fx's default of 15 s would cut
 // streams off.
 func stopTimeout(cfg settings.Settings) time.Duration {
 	return ms(cfg.Shutdown.GraceMS) + ms(cfg.Shutdown.DrainMS) + stopMargin
@@ -81,8 +83,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// background runs f from the start to the stop of the app. The context given
-// to a start hook ends with the start, so f gets one of its own.
+// runInBackground runs f from the start to the stop of the application. The context
+// given to a start hook ends with the start, so f gets a context of its own.
 func runInBackground(lc fx.Lifecycle, f func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/router/internal/daemon/daemon_test.go
+++ b/router/internal/daemon/daemon_test.go
@@ -9,17 +9,20 @@
 	"masticplank.example/router/internal/settings"
 )
 
-// TestGraphIsComplete finds a part that nobody provides, without starting any.
+// TestGraphIsComplete finds a dependency that nothing provides. Without it, the
+// instance would fail only at its start.
 func TestGraphIsComplete(t *testing.T) {
 	if err := fx.ValidateApp(options(settings.Default(), &Addresses{}, io.Discard)); err != nil {
 		t.Error(err)
 	}
 }
 
+// TestStopTimeoutCoversTheDrain guards against a stop timeout that ends before the
+// drain does, which would cut off requests in progress.
 func TestStopTimeoutCoversTheDrain(t *testing.T) {
 	cfg := settings.Default()
 	app, _ := New(cfg, io.Discard)
 	if least := ms(cfg.Shutdown.GraceMS) + ms(cfg.Shutdown.DrainMS); app.StopTimeout() <= least {
-		t.Errorf("%v for a drain of %v", app.StopTimeout(), least)
+		t.Errorf("stop timeout %v, want more than %v", app.StopTimeout(), least)
 	}
 }
--- a/router/internal/daemon/decide.go
+++ b/router/internal/daemon/decide.go
@@ -29,8 +29,9 @@
 // quarantineTimeout bounds the write of a quarantine to the log.
 const quarantineTimeout = 5 * time.Second
 
-// newDriver seeds each instance's decision apart from the others', so that all
-// instances do not send the same picks to the same backend servers.
+// newDriver returns the driver of this instance's decision. Each instance has a
+// random seed of its own, so that the instances do not all pick the same backend
+// servers at the same time.
 func newDriver(cfg settings.Settings, f *fleetLink) *driver.Driver {
 	c := decision.DefaultConfig()
 	c.Seed = randomSeed()
@@ -46,15 +47,16 @@
 
 func randomSeed() uint64 {
 	var b [8]byte
-	// crypto/rand.Read never fails on the systems that this runs on.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:])
 }
 
 func startDriver(lc fx.Lifecycle, d *driver.Driver) { runInBackground(lc, d.Run) }
 
-// fleet carries the decision's words to the other instances, and theirs to the
-// decision; it remembers both for operators.
+// fleetLink passes the decision's verdicts, ejections, leaving servers and
+// quarantines on to the other instances, and logs them. It keeps the bad versions
+// and the ejected servers for /status.
 type fleetLink struct {
 	log    *logging.Logger
 	report *report.Recorder
@@ -62,8 +64,9 @@
 	mu    sync.Mutex
 	store node.Store
 	peers *peer.Node
-	// shutOff are the versions judged bad here or at a peer.
-	badVersions    map[string]bool
+	// badVersions are the versions judged bad here or at a peer.
+	badVersions map[string]bool
+	// ejectedServers are the backend servers that this instance has ejected.
 	ejectedServers map[string]bool
 }
 
@@ -71,8 +74,8 @@
 	return &fleetLink{log: log, report: r, badVersions: map[string]bool{}, ejectedServers: map[string]bool{}}
 }
 
-// attach gives the fleet what it sends through; the decision is made before
-// the peers, which need the decision themselves.
+// setLinks sets the store and the peers to send through. They come later than the
+// fleetLink: the decision needs the fleetLink, and the peers need the decision.
 func (f *fleetLink) setLinks(store node.Store, peers *peer.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +88,8 @@
 	return f.store, f.peers
 }
 
-// fromPeers hands what peers pass on to the decision.
+// peerEvents passes events from peers on to the decision, and records their
+// verdicts.
 type peerEvents struct {
 	fleet  *fleetLink
 	driver *driver.Driver
@@ -107,6 +111,8 @@
 	}
 }
 
+// recordVerdict logs a verdict of this instance or of a peer and keeps it for
+// /status and /burn.
 func (f *fleetLink) recordVerdict(v decision.VersionVerdict) {
 	f.log.Emit(context.Background(), logging.EventVersionVerdict,
 		slog.String("version", string(v.Version)), slog.Bool("bad", v.Bad))
@@ -114,7 +120,7 @@
 	f.setMember(f.badVersions, string(v.Version), v.Bad)
 }
 
-// NoteEjection implements driver.FleetSink.
+// ReportEjection implements driver.FleetSink.
 func (f *fleetLink) ReportEjection(c decision.ReportEjection) {
 	f.log.Emit(context.Background(), logging.EventServerEjected,
 		slog.String("server", string(c.Server)), slog.Bool("ejected", c.Ejected))
@@ -131,7 +137,8 @@
 	}
 }
 
-// status lists the versions shut off and the backend servers ejected.
+// badAndEjected lists the versions judged bad and the backend servers ejected, each
+// sorted.
 func (f *fleetLink) badAndEjected() (badVersions, ejectedServers []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,9 +152,9 @@
 	}
 }
 
-// Quarantine implements driver.FleetSink: the register makes the fingerprint
-// known everywhere, also to instances that start later; the peers' word makes it
-// known while the log is down.
+// Quarantine implements driver.FleetSink. A register in the log makes the
+// fingerprint known to all instances, also to those that start later; the message
+// to the peers makes it known while the log is unreachable.
 func (f *fleetLink) Quarantine(q decision.Quarantine) {
 	f.log.Emit(context.Background(), logging.EventQuarantine,
 		slog.String("fingerprint", fmt.Sprintf("%016x", uint64(q.Fingerprint))),
@@ -161,6 +168,8 @@
 	}
 }
 
+// putQuarantine writes a quarantine to the log; it expires there when the quarantine
+// ends. The write is given up after quarantineTimeout.
 func putQuarantine(store node.Store, q decision.Quarantine) {
 	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
@@ -173,7 +182,8 @@
 	store.Put(ctx, rec)
 }
 
-// quarantined reads a quarantine from the log; false for a key of another form.
+// parseQuarantine reads a quarantine from the log. It returns false for a malformed
+// key and for a record that did not take effect.
 func parseQuarantine(c fold.Change) (decision.RequestQuarantined, bool) {
 	_, digits, _ := strings.Cut(string(c.Register.Key), "/")
 	n, err := strconv.ParseUint(digits, 16, 64)
--- a/router/internal/daemon/orders.go
+++ b/router/internal/daemon/orders.go
@@ -15,8 +15,8 @@
 	"masticplank.example/router/internal/settings"
 )
 
-// newOrders makes the sender of orders for the own failure domain. Every
-// instance has one; the lease says whose sends.
+// newOrderSender returns the sender of orders to the engines of this failure
+// domain. Every instance has one; only the holder of the domain's lease sends.
 func newOrderSender(lc fx.Lifecycle, cfg settings.Settings, n *node.Node, dir *directory.Directory, h *manifest.Holder, log *logging.Logger) (*orders.Sender, error) {
 	l, err := lease.New(n, lease.Config{Name: "orders-" + cfg.Domain, Holder: cfg.Instance}, time.Now)
 	if err != nil {
--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -22,7 +22,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// peerParams are what the edge towards the other instances is made of.
+// peerParams are the dependencies of the connections to the other instances.
 type peerParams struct {
 	fx.In
 
@@ -61,8 +61,8 @@
 	return n, nil
 }
 
-// startPeers serves the other instances and follows what they pass on by the
-// log.
+// startPeers opens the listener for the other instances, serves them, and follows
+// the quarantines that they write to the log.
 func startPeers(lc fx.Lifecycle, p peerParams, n *peer.Node, addrs *Addresses) {
 	p.Store.Watch(record.ClassQuarantine, func(c fold.Change) {
 		if ev, ok := parseQuarantine(c); ok {
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -26,12 +26,12 @@
 	"masticplank.example/router/internal/upstream"
 )
 
-// freshnessInterval is how often the mode is looked at between reads, so that
-// the decision hears of a lapse soon after it happened.
+// freshnessCheckInterval is how often the freshness mode is checked between reads of
+// the log, so that the decision learns of a lapse soon after it happened.
 const freshnessCheckInterval = 100 * time.Millisecond
 
-// pollsPerBound is how many long polls fit into the freshness bound: a poll
-// confirms the state as of its start, and one or two may fail without harm.
+// pollsPerBound is how many long polls fit into the freshness bound. A poll confirms
+// the state as of its start, and one or two may fail without a lapse.
 const pollsPerBound = 5
 
 func newLogger(w io.Writer, cfg settings.Settings) *logging.Logger {
@@ -61,8 +61,8 @@
 	return gate.New(tracker, time.Now)
 }
 
-// newNode reads the log. It is the one place that knows how the parts of the
-// coordination library hang together here.
+// newNode returns the reader and writer of the log. Only this function knows how
+// the parts of the coordination library are connected in an instance.
 func newNode(cfg settings.Settings, log platformlog.Log, g *gate.Gate, dir *directory.Directory) (*node.Node, error) {
 	n, err := node.New(log,
 		node.Config{
@@ -83,8 +83,8 @@
 
 func newStore(n *node.Node) node.Store { return n }
 
-// newBills is where bills go: a log of their own where the settings name one,
-// which keeps them out of what every instance reads.
+// newBillLog returns the log to which bills are written: a separate one if the
+// settings name it, so that not every instance has to read them.
 func newBillLog(lc fx.Lifecycle, cfg settings.Settings, store node.Store, dir *directory.Directory) ledger.BillLog {
 	if cfg.Platform.BillLogURL == "" {
 		return ledger.StoreLog{Store: store}
@@ -97,7 +97,8 @@
 	return w
 }
 
-// billLinger keeps the appends of all instances together within the budget.
+// billLinger is the interval of group commit of bills. It is long enough to keep the
+// appends of all live instances together within the budget.
 func billLinger(cfg settings.Settings, live int) time.Duration {
 	share := time.Duration(live) * time.Second / time.Duration(cfg.Platform.AppendBudget)
 	return max(ms(cfg.Platform.LingerMS), share)
@@ -112,8 +113,8 @@
 	lc.Append(fx.Hook{OnStart: n.Start, OnStop: n.Stop})
 }
 
-// newHolder tells the decision of each manifest before callers' requests are
-// read under it.
+// newHolder returns the holder of the manifest in force. It passes each manifest to
+// the decision before callers' requests are handled under it.
 func newHolder(d *driver.Driver, r *report.Recorder, log *logging.Logger) *manifest.Holder {
 	return manifest.NewHolder(func(x *manifest.Index) {
 		d.Send(x.DecisionEvent())
@@ -130,8 +131,8 @@
 
 func startDirectory(lc fx.Lifecycle, dir *directory.Directory) { runInBackground(lc, dir.Run) }
 
-// startFreshness tells the decision of each change of mode, and looks for the
-// lapse that comes by time alone.
+// startFreshness passes each change of the freshness mode to the decision. It also
+// checks the mode at intervals, since freshness lapses by the passage of time alone.
 func startFreshness(lc fx.Lifecycle, g *gate.Gate, d *driver.Driver, dir *directory.Directory, log *logging.Logger) {
 	g.OnChange(func(mode freshness.Mode) {
 		ev := gate.FreshnessEvent(mode)
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -22,7 +22,7 @@
 
 func newBurnRecorder() *report.Recorder { return report.NewRecorder(time.Now) }
 
-// recorder hands each ended request to the metrics and the burn report.
+// requestRecorder passes each ended request on to the metrics and the burn report.
 type requestRecorder struct {
 	registry gometrics.Registry
 	report   *report.Recorder
@@ -50,7 +50,7 @@
 	})
 }
 
-// status answers /status and /burn.
+// status produces the bodies of /status and /burn.
 type status struct{ params statusParams }
 
 type statusParams struct {
@@ -94,8 +94,9 @@
 	}
 }
 
-// burn is the body of /burn. A snapshot that cannot be encoded is a broken
-// invariant of the histograms; the report then names this instance as empty.
+// burn is the body of /burn. If the histograms cannot be encoded, which would be a
+// violated invariant, it has no teams, so that the report lists this instance
+// without counts.
 func (s *status) burn() report.Snapshot {
 	snapshot, err := s.params.Report.Snapshot(s.params.Settings.Instance)
 	if err != nil {
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -31,10 +31,10 @@
 )
 
 const (
-	// maxDeadline caps what a caller may ask for: a slot held longer than this
-	// would outlive any drain.
+	// maxDeadline bounds the deadline that a caller may set: a request that holds
+	// a slot for longer would outlast any drain.
 	maxDeadline = 10 * time.Minute
-	// drainPoll is how often a drain looks whether all requests have ended.
+	// drainPollInterval is how often a drain checks whether all requests have ended.
 	drainPollInterval = 10 * time.Millisecond
 )
 
@@ -50,7 +50,7 @@
 	return publish.New(store, h, g)
 }
 
-// apiParams are what the callers' edge is made of.
+// apiParams are the dependencies of the server for callers.
 type apiParams struct {
 	fx.In
 
@@ -93,7 +93,7 @@
 	})
 }
 
-// newAdmin builds the operators' edge.
+// newAdmin returns the handler of the admin listener, for operators.
 func newAdmin(cfg settings.Settings, r gometrics.Registry, d *drain, h *manifest.Holder, p *publish.Publisher, s *status) http.Handler {
 	return admin.New(admin.Deps{
 		Registry:          r,
@@ -121,7 +121,8 @@
 	addListener(lc, d.server, cfg.Listen.API, "api", &addrs.API, log)
 }
 
-// listen opens a listener at the start and serves until the stop.
+// addListener opens a listener on addr at the start and serves it until the stop. It
+// writes the actual address, with the port that was picked, to boundAddr.
 func addListener(lc fx.Lifecycle, srv *http.Server, addr, name string, boundAddr *string, log *logging.Logger) {
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
@@ -144,8 +145,8 @@
 	}
 }
 
-// drain is the planned stop: readiness fails first, the balancer gets a grace
-// to move on, then the requests in progress finish, streams too.
+// drain is the graceful shutdown: readiness fails first, the balancer gets a grace
+// period to stop sending, then the requests in progress finish, streams too.
 type drain struct {
 	cfg       settings.Settings
 	gate      *gate.Gate
@@ -162,7 +163,7 @@
 	return &drain{cfg: cfg, gate: g, holder: h, directory: dir, driver: d, peers: p, log: log}
 }
 
-// NotReady implements admin.Readiness.
+// NotReadyReason implements admin.Readiness.
 func (d *drain) NotReadyReason() string {
 	switch {
 	case d.draining.Load():
@@ -176,8 +177,8 @@
 	}
 }
 
-// startDrain must be invoked last: hooks stop in reverse, so the drain comes
-// before anything that it needs has stopped.
+// startDrain must be invoked last: stop hooks run in reverse order, so the drain
+// comes before anything that it needs has stopped.
 func startDrain(lc fx.Lifecycle, d *drain, a *api.Server) {
 	lc.Append(fx.StopHook(func(ctx context.Context) {
 		d.draining.Store(true)
@@ -188,7 +189,8 @@
 	}))
 }
 
-// finish lets the requests in progress end, within the drain time.
+// finishRequests waits for the requests in progress and for held bills, for at most
+// the drain time.
 func (d *drain) finishRequests(ctx context.Context, a *api.Server) {
 	ctx, cancel := context.WithTimeout(ctx, ms(d.cfg.Shutdown.DrainMS))
 	defer cancel()
--- a/router/internal/logging/async.go
+++ b/router/internal/logging/async.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// asyncRoom is how many bytes of lines may wait to be written: two seconds of the
+	// asyncBufferBytes bounds the lines that wait to be written: two seconds of the
 	// busiest instance.
 	asyncBufferBytes = 1 << 20
-	// asyncEvery is the time between two writes: one system call takes what came in
-	// between, where one for each line cost more than the lines.
+	// asyncFlushInterval is the time between two writes. One system call writes all
+	// lines of an interval: a call for each line cost more than producing the lines.
 	asyncFlushInterval = 250 * time.Millisecond
 )
 
-// Async writes lines in the background. It never blocks its callers: lines that find no
-// room are dropped and counted.
+// AsyncWriter writes lines in the background. It never blocks its callers: lines that do
+// not fit into its buffer are dropped and counted. It is safe for concurrent use.
 type AsyncWriter struct {
 	out io.Writer
 
@@ -28,10 +28,11 @@
 	writeMu        sync.Mutex
 }
 
-// NewAsync returns a writer in front of out.
+// NewAsyncWriter returns a buffering writer in front of out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter { return &AsyncWriter{out: out} }
 
-// Write implements io.Writer; p is one line.
+// Write implements io.Writer; p is one line. It never fails, also where the line is
+// dropped.
 func (a *AsyncWriter) Write(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -47,7 +48,7 @@
 	return len(p), nil
 }
 
-// Flush writes what waits.
+// Flush writes the buffered lines.
 func (a *AsyncWriter) Flush() {
 	a.writeMu.Lock()
 	defer a.writeMu.Unlock()
@@ -57,11 +58,11 @@
 	a.flushScheduled = false
 	a.mu.Unlock()
 	if len(text) > 0 {
-		_, _ = a.out.Write(text) // a log that cannot be written has nowhere to say so
+		_, _ = a.out.Write(text) // a failure to write the log cannot be logged
 	}
 }
 
-// Dropped is the number of lines dropped so far.
+// Dropped is the number of lines dropped since the start.
 func (a *AsyncWriter) Dropped() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/router/internal/logging/event.go
+++ b/router/internal/logging/event.go
@@ -1,5 +1,5 @@
-// Package logging writes the log by slog as numbered events. Every event is
-// declared in the catalogue; docs/EVENTS.md lists the same.
+// Package logging writes an instance's log, with slog, as numbered events. Every
+// event is declared in the catalogue; docs/EVENTS.md has the same list.
 package logging
 
 import (
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// Event is one kind of log line. Its ID never changes meaning: a number that
-// is no longer used is not given to another event.
+// Event is one kind of log line. Its ID never changes meaning: the number of a
+// retired event is not given to another one.
 type Event struct {
 	// ID is the number that operators search for.
 	ID int
-	// Name is short and stable, in snake case.
+	// Name is short and never changes, in snake case.
 	Name string
 	// Level at which the event is logged.
 	Level slog.Level
-	// Text says what happened and, where something is to be done, what.
+	// Text says what happened and, if operators have to act, what to do.
 	Text string
 }
 
--- a/router/internal/logging/logger.go
+++ b/router/internal/logging/logger.go
@@ -14,7 +14,7 @@
 	KeyEvent = "event"
 	// KeyName holds the event's name.
 	KeyName = "name"
-	// KeyInstance holds the instance that logs.
+	// KeyInstance holds the name of the logging instance.
 	KeyInstance = "instance"
 	// KeyError holds an error's text.
 	KeyError = "error"
@@ -26,7 +26,7 @@
 	slog *slog.Logger
 }
 
-// New returns a Logger that writes to w as cfg says.
+// New returns a Logger that writes to w in the format and from the level of cfg.
 func New(w io.Writer, cfg settings.Log) *Logger {
 	opts := &slog.HandlerOptions{Level: level(cfg.Level)}
 	if cfg.Format == settings.FormatText {
@@ -52,7 +52,8 @@
 	l.slog.LogAttrs(ctx, ev.Level, ev.Text, all...)
 }
 
-// Err is an attribute that holds err's text.
+// Err is an attribute with err's text; an empty attribute, which is not logged, for
+// a nil err.
 func Err(err error) slog.Attr {
 	if err == nil {
 		return slog.Attr{}
@@ -60,7 +61,7 @@
 	return slog.String(KeyError, err.Error())
 }
 
-// level maps the settings' word; settings are validated before.
+// level converts the setting log.level, which has been validated.
 func level(name string) slog.Level {
 	switch name {
 	case settings.LevelDebug:
--- a/router/internal/logging/logging_test.go
+++ b/router/internal/logging/logging_test.go
@@ -32,21 +32,22 @@
 	last := 0
 	for _, ev := range Catalogue() {
 		if ev.ID <= last {
-			t.Errorf("%d %s is out of order or doubled", ev.ID, ev.Name)
+			t.Errorf("%d %s: number out of order or used twice", ev.ID, ev.Name)
 		}
 		if slices.Contains(Retired(), ev.ID) {
 			t.Errorf("%d %s has a retired number", ev.ID, ev.Name)
 		}
 		if names[ev.Name] || ev.Text == "" {
-			t.Errorf("%d %s: name doubled or text missing", ev.ID, ev.Name)
+			t.Errorf("%d %s: name used twice or text missing", ev.ID, ev.Name)
 		}
 		last = ev.ID
 		names[ev.Name] = true
 	}
 }
 
-// TestEveryDeclaredEventIsInTheCatalogue reads the source, since a variable
-// that Catalogue leaves out would be logged without documentation.
+// TestEveryDeclaredEventIsInTheCatalogue guards against an event that is declared
+// but missing in Catalogue, and so logged without documentation. It counts the
+// declarations in the source.
 func TestEveryDeclaredEventIsInTheCatalogue(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
 	if err != nil {
--- a/router/internal/metrics/metrics.go
+++ b/router/internal/metrics/metrics.go
@@ -12,13 +12,14 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// prefix of every metric's name.
+// namePrefix starts the name of every metric.
 const namePrefix = "masticplank_"
 
-// quantiles given for histograms and timers.
+// quantiles of a histogram or a timer that are written.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Write writes all metrics of r, sorted by name. Timers are in nanoseconds.
+// Write writes all metrics of r, sorted by name. Timers are in nanoseconds. Characters
+// that Prometheus does not allow in a name become "_".
 func Write(w io.Writer, r gometrics.Registry) error {
 	var families []*dto.MetricFamily
 	r.Each(func(name string, m any) {
@@ -35,6 +36,7 @@
 	return nil
 }
 
+// metricFamily converts one metric; nil for a type that is not supported.
 func metricFamily(name string, m any) *dto.MetricFamily {
 	fullName := namePrefix + strings.NewReplacer(".", "_", "-", "_", "@", "_", "/", "_").Replace(name)
 	switch v := m.(type) {
--- a/router/internal/procstat/procstat.go
+++ b/router/internal/procstat/procstat.go
@@ -1,5 +1,5 @@
-// Package procstat reads what a process of this machine uses, from /proc. The
-// benches read the instances that they started with it.
+// Package procstat reads the memory and processor time of a process from /proc, for
+// benchmarks that start instances as processes.
 package procstat
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/gravitational/trace"
 )
 
-// clockTick is the unit of processor time in /proc.
+// clockTick is the unit of processor time in /proc (USER_HZ is 100).
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat, counted after the name in parentheses.
+// Indexes of the fields of /proc/PID/stat after the name in parentheses, from 0.
 const (
 	fieldUser   = 11
 	fieldSystem = 12
 )
 
-// ResidentMB is the resident memory of a process.
+// ResidentMB is the resident memory of a process in MiB.
 func ResidentMB(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -36,7 +36,7 @@
 	return 0, trace.NotFound("no VmRSS of process %d", pid)
 }
 
-// ProcessorTime is the user and system time that a process has used.
+// CPUTime is the user and system time that a process has used.
 func CPUTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -45,7 +45,7 @@
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) <= fieldSystem {
-		return 0, trace.BadParameter("the state of process %d has %d fields", pid, len(fields))
+		return 0, trace.BadParameter("/proc/%d/stat has %d fields after the name", pid, len(fields))
 	}
 	ticks := 0
 	for _, i := range []int{fieldUser, fieldSystem} {
