--- a/router/internal/report/bench_test.go
+++ b/router/internal/report/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkRecord is the cost of one ended request.
+// BenchmarkRecord measures the cost of recording one ended request.
 func BenchmarkRecord(b *testing.B) {
 	r := NewRecorder(time.Now)
 	r.SetObjectives(1, agencyObjectives)
@@ -17,7 +17,7 @@
 	}
 }
 
-// BenchmarkSnapshot is the cost of one snapshot, and the memory that each team
+// BenchmarkSnapshot measures the cost of one snapshot, and the memory that each team
 // takes after six busy hours with four versions.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, teams := range []int{10, 100} {
--- a/router/internal/report/burn.go
+++ b/router/internal/report/burn.go
@@ -22,40 +22,42 @@
 	LevelExposure     LevelKind = "bad versions"
 )
 
-// State says what a level asks of the people on call.
+// State says whether the people on call have to act on a level.
 type State string
 
-// The states.
+// The states of a level.
 const (
-	// StateOK: nothing.
+	// StateOK: nothing to do.
 	StateOK State = "ok"
-	// StateTicket: the budget burns too fast; look at it this day.
+	// StateTicket: the budget is used up too fast; act on it within the day.
 	StateTicket State = "ticket"
-	// StatePage: it is gone within hours; look at it now.
+	// StatePage: the budget will be used up within hours; act on it at once.
 	StatePage State = "page"
 	// StateNoData: no events in the last 6 hours.
 	StateNoData State = "no data"
-	// StateNoObjective: the manifest sets none, so nothing is judged.
+	// StateNoObjective: the manifest sets no objective, so there is nothing to
+	// compare with.
 	StateNoObjective State = "no objective"
 )
 
-// Burn rates at which both windows of a pair raise a state. A burn rate of 1
-// uses up exactly the budget. The figures are the customary ones for a budget
-// of 30 days: 14.4 over an hour takes 2% of it, 6 over six hours takes 5%.
+// A state is raised where both windows of a pair reach its burn rate. A burn rate
+// of 1 uses up exactly the budget. The rates are the customary ones for a budget
+// of 30 days: 14.4 over an hour uses 2% of it, 6 over six hours uses 5%.
 const (
 	pageBurn   = 14.4
 	ticketBurn = 6.0
-	// pagePart and ticketPart of all requests raise the state whatever the
-	// budget: under a wide budget the rates above can never be reached.
+	// A fraction of pageFraction or ticketFraction of all requests raises the
+	// state whatever the budget: with a large budget, the rates above cannot be
+	// reached.
 	pageFraction   = 0.5
 	ticketFraction = 0.25
-	// maxBurn bounds a rate, for the scale of a plot.
+	// maxBurn bounds a burn rate, to keep the scale of a plot readable.
 	maxBurn = 1e4
-	// costBurn is for cost, whose budget is a mean and not a small part of the
-	// requests: any lasting excess is one.
+	// costTicketBurn is the rate for cost, whose budget is a mean and not a small
+	// fraction of the requests: any lasting excess raises a ticket.
 	costTicketBurn = 1.0
-	// latencyPart of the answers may be over a latency objective, which is to
-	// be met for 95 in 100.
+	// latencyBudget is the fraction of the answers that may be over a latency
+	// objective, which is an objective for the 95th percentile.
 	latencyBudget = 0.05
 )
 
@@ -66,16 +68,16 @@
 	Objective float64 `json:"objective"`
 	// Unit of Objective and Measured: "part of 1", "ms" or "cost/request".
 	Unit string `json:"unit"`
-	// Measured: for availability and bad versions the part over 6 h, for
-	// latencies the 95th percentile of the last hour, for cost the mean over
+	// Measured is for availability and bad versions the fraction over 6 h, for
+	// latencies the 95th percentile over the last hour, for cost the mean over
 	// 6 h.
 	Measured float64 `json:"measured"`
-	// Events is how many requests the 6 h hold.
+	// Events is the number of requests in the 6 h.
 	Events uint64 `json:"events"`
-	// BudgetLeft is the part of the budget for these 6 h that is not used; it
-	// is negative where more was used than there is.
+	// BudgetLeft is the fraction of the budget for these 6 h that is not used; it
+	// is negative where the budget is exceeded.
 	BudgetLeft float64 `json:"budget_left"`
-	// Burn rates by the name of the window.
+	// Burn holds the burn rates by the name of the window.
 	Burn  map[string]float64 `json:"burn"`
 	State State              `json:"state"`
 }
@@ -87,7 +89,7 @@
 	points []Point
 }
 
-// InstanceLine says what came of asking one instance.
+// InstanceResult says whether one instance answered, and with what or why not.
 type InstanceResult struct {
 	Address    string    `json:"address"`
 	Instance   string    `json:"instance,omitempty"`
@@ -103,12 +105,12 @@
 	Instances []InstanceResult `json:"instances"`
 	Bad       []string         `json:"bad_versions"`
 	Teams     []TeamReport     `json:"teams"`
-	// objectives are for the plots.
+	// objectives and badVersions are for the plots.
 	objectives  map[string]manifest.Objective
 	badVersions map[string]bool
 }
 
-// Silent is how many instances did not answer.
+// UnansweredCount is the number of instances that did not answer.
 func (r Report) UnansweredCount() int {
 	n := 0
 	for _, i := range r.Instances {
@@ -119,8 +121,8 @@
 	return n
 }
 
-// Build merges the snapshots and judges each team's levels. at is the time of
-// the report.
+// Build merges the snapshots and computes each team's levels and their states. at
+// is the time of the report.
 func Build(at time.Time, sources []Source) Report {
 	f := mergeSnapshots(sources)
 	out := Report{
@@ -160,15 +162,16 @@
 	return out
 }
 
-// use is how much of a level's budget a span took: used of allowed, over
-// events. With allowed 0 there is no budget.
+// budgetUse is how much of a level's budget a span of time used: used out of
+// allowed, over a number of events. With allowed 0 there is no budget.
 type budgetUse struct {
 	used    float64
 	allowed float64
 	events  uint64
 }
 
-// burn is the rate at which the budget goes; 0 without events.
+// burnRate is the rate at which the budget is used, at most maxBurn; 0 without
+// events.
 func (u budgetUse) burnRate() float64 {
 	if u.allowed == 0 {
 		return 0
@@ -176,7 +179,8 @@
 	return min(u.used/u.allowed, maxBurn)
 }
 
-// budget is the part of the events that may be used; 0 without events.
+// budgetFraction is the fraction of the events that the budget allows; 0 without
+// events.
 func (u budgetUse) budgetFraction() float64 {
 	if u.events == 0 {
 		return 0
@@ -184,7 +188,7 @@
 	return u.allowed / float64(u.events)
 }
 
-// useOf takes a level's events out of counts.
+// budgetUseOf computes the use of a level's budget from counts.
 func budgetUseOf(kind LevelKind, c Counts, o manifest.Objective, bad map[string]bool) budgetUse {
 	fraction := func(used, events uint64, budget float64) budgetUse {
 		return budgetUse{used: float64(used), allowed: budget * float64(events), events: events}
@@ -220,7 +224,7 @@
 	return l
 }
 
-// measure gives a level's objective, its unit and what was measured.
+// measure returns a level's objective, its unit and what was measured.
 func (m *teamTotals) measure(kind LevelKind, sixHours budgetUse, o manifest.Objective) (objective float64, unit string, measured float64) {
 	fraction := 0.0
 	if sixHours.events > 0 {
@@ -243,9 +247,9 @@
 	}
 }
 
-// judge raises a state where both the long and the short window of a pair are
-// over its rate: the long one so that a few bad seconds wake nobody, the short
-// one so that what is over does not keep on alarming.
+// alertState raises a state where both the long and the short window of a pair
+// reach its rate. The long one prevents an alert for a few bad seconds, the short
+// one ends the alert soon after the cause has ended.
 func alertState(l Level, budget float64) State {
 	fast := min(l.Burn[Window5m.Name], l.Burn[Window1h.Name])
 	slow := min(l.Burn[Window30m.Name], l.Burn[Window6h.Name])
@@ -272,9 +276,9 @@
 	return float64(h.ValueAtPercentile(95))
 }
 
-// round keeps six decimals, so that reports do not differ by the order in
-// which floats were added. What is no number, from counts that no instance
-// sends, becomes 0.
+// round keeps six decimals, so that reports do not depend on the order in which
+// floats were added. NaN and infinity, which only counts that no instance sends can
+// give, become 0.
 func round(f float64) float64 {
 	const scale = 1e6
 	out := math.Round(f*scale) / scale
--- a/router/internal/report/counts.go
+++ b/router/internal/report/counts.go
@@ -1,43 +1,44 @@
-// Package report measures service levels and reports how fast they burn their
-// error budgets.
+// Package report measures service levels and reports how fast each team uses up
+// its error budgets.
 //
-// Each instance has a Recorder: counters in short slots of time and histograms,
-// with a bound on memory. A Snapshot of it goes out on the admin listener; the
-// operators' tool merges the snapshots of all instances into one Report. The
-// instances keep nothing, so a replaced one takes its part of the past along,
-// and a Report says since when each has counted.
+// Each instance has a Recorder: counters in short slots of time, and histograms,
+// with a bound on memory. The admin listener serves a Snapshot of it; the
+// operators' tool merges the snapshots of all instances into one Report. Instances
+// store no counts, so those of a replaced instance are lost, and a Report says
+// since when each instance has counted.
 package report
 
-// Counts are the events of one team in a span of time. Counts add up over
-// slots and over instances.
+// Counts are the requests of one team in a span of time. Counts of several slots
+// and of several instances can be added up.
 type Counts struct {
-	// Served requests got a whole answer; Unavailable ones did not, by the
-	// system's doing. A caller's own faults are in neither.
+	// Served requests got a complete answer; Unavailable ones did not, for a
+	// reason of the system. Failures that the caller caused are in neither.
 	Served      uint64 `json:"served"`
 	Unavailable uint64 `json:"unavailable"`
-	// First counts answers with a first token; FirstSlow those over the
-	// objective in force when they came.
+	// FirstTokens counts answers with a first token; SlowFirstTokens those whose
+	// time to the first token was over the objective then in force.
 	FirstTokens     uint64 `json:"first"`
 	SlowFirstTokens uint64 `json:"first_slow"`
-	// Inter and InterSlow count answers by their mean gap between tokens.
+	// InterTokens counts answers with a mean time between tokens; SlowInterTokens
+	// those with one over the objective then in force.
 	InterTokens     uint64 `json:"inter"`
 	SlowInterTokens uint64 `json:"inter_slow"`
-	// Cost of all billed requests, and their number.
+	// Cost is the sum over all billed requests, Billed their number.
 	Cost   float64 `json:"cost"`
 	Billed uint64  `json:"billed"`
-	// Versions counts the requests that ran on each version. Whether one is
-	// bad may turn out later.
+	// Versions counts the requests that ran on each version, all of them, since
+	// a version may be judged bad later.
 	Versions map[string]uint64 `json:"versions,omitempty"`
 }
 
-// maxVersions bounds the versions counted apart in one slot: all that a team
-// uses in a roll-out of every model at the largest target.
+// maxVersions bounds the versions counted separately in one slot. It covers what a
+// team uses during a roll-out of every model in the largest target deployment.
 const maxVersions = 64
 
-// otherVersions stands for those beyond the bound.
+// otherVersions is the key for the versions beyond the bound.
 const otherVersions = "other"
 
-// Add adds the events of o.
+// Add adds the counts of o.
 func (c *Counts) Add(o Counts) {
 	c.Served += o.Served
 	c.Unavailable += o.Unavailable
@@ -52,7 +53,7 @@
 	}
 }
 
-// ran counts n requests on a version.
+// addRuns adds n requests that ran on a version.
 func (c *Counts) addRuns(version string, n uint64) {
 	if c.Versions == nil {
 		c.Versions = map[string]uint64{}
@@ -63,8 +64,8 @@
 	c.Versions[version] += n
 }
 
-// Exposed is how many requests ran on versions that are judged bad, and how
-// many ran on any.
+// Exposed returns how many requests ran on versions that are judged bad, and how
+// many ran on any version.
 func (c Counts) Exposed(bad map[string]bool) (exposed, all uint64) {
 	for v, n := range c.Versions {
 		all += n
@@ -75,7 +76,7 @@
 	return exposed, all
 }
 
-// Empty says that nothing was counted.
+// Empty says whether nothing was counted.
 func (c Counts) Empty() bool {
 	return c.Served+c.Unavailable+c.FirstTokens+c.InterTokens+c.Billed == 0 && len(c.Versions) == 0
 }
--- a/router/internal/report/export_test.go
+++ b/router/internal/report/export_test.go
@@ -1,6 +1,6 @@
 package report
 
-// What the tests of the page, which stand outside this package, need of its own.
+// Fixtures for the tests of package page, which are in package report_test.
 var (
 	DegradedFleet = degradedFleet
 	Begin         = begin
--- a/router/internal/report/fleet.go
+++ b/router/internal/report/fleet.go
@@ -11,16 +11,16 @@
 	"masticplank.example/router/internal/manifest"
 )
 
-// Source is one instance that was asked for its snapshot.
+// Source is the result of requesting one instance's snapshot.
 type Source struct {
-	// Address that was asked.
+	// Address of the instance's admin listener.
 	Address string
-	// Snapshot is its answer, where Err is nil.
+	// Snapshot is the response; valid if Err is nil.
 	Snapshot Snapshot
 	Err      error
 }
 
-// fleet is what the instances counted together.
+// fleetTotals are the counts of all instances together.
 type fleetTotals struct {
 	generation  uint64
 	objectives  map[string]manifest.Objective
@@ -28,7 +28,7 @@
 	teams       map[string]*teamTotals
 }
 
-// merged is one team over all instances.
+// teamTotals are one team's counts of all instances together.
 type teamTotals struct {
 	windows    map[string]Counts
 	points     map[int64]Counts
@@ -36,8 +36,8 @@
 	interToken *hdrhistogram.Histogram
 }
 
-// merge adds up the snapshots. Objectives are those of the newest manifest; a
-// version counts as bad where any instance judged it so.
+// mergeSnapshots adds up the snapshots. Objectives are those of the newest manifest;
+// a version counts as bad if any instance has judged it bad.
 func mergeSnapshots(sources []Source) *fleetTotals {
 	f := &fleetTotals{badVersions: map[string]bool{}, teams: map[string]*teamTotals{}}
 	for _, s := range sources {
@@ -91,7 +91,8 @@
 	addHistogram(m.interToken, t.InterToken)
 }
 
-// sum does not touch a: its map of versions may be a snapshot's.
+// sumCounts adds two counts. It does not modify a, whose map of versions may belong
+// to a snapshot.
 func sumCounts(a, b Counts) Counts {
 	var total Counts
 	total.Add(a)
@@ -99,8 +100,9 @@
 	return total
 }
 
-// addHistogram merges an encoded histogram. One that does not decode is left
-// out: percentiles are for people, the levels stand on counters.
+// addHistogram merges an encoded histogram. One that cannot be decoded is left out:
+// it is only used for the measured percentile, while states and budgets are computed
+// from counters.
 func addHistogram(into *hdrhistogram.Histogram, data []byte) {
 	if len(data) == 0 {
 		return
@@ -110,7 +112,7 @@
 	}
 }
 
-// names lists the teams that have counts or an objective.
+// teamNames lists the teams that have counts or an objective, sorted.
 func (f *fleetTotals) teamNames() []string {
 	all := map[string]bool{}
 	for name := range f.teams {
@@ -122,7 +124,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// instances is the report's line on each source, those without an answer first.
+// instanceResults returns the result for each source: those without an answer first,
+// the others by the name of the instance.
 func instanceResults(sources []Source) []InstanceResult {
 	out := make([]InstanceResult, 0, len(sources))
 	for _, s := range sources {
--- a/router/internal/report/latency.go
+++ b/router/internal/report/latency.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// latencySpan is what each part of a latency's history covers; the parts
-	// together make an hour.
+	// latencySpan is the span of time of one histogram; latencySpans of them cover
+	// an hour.
 	latencySpan  = 5 * time.Minute
 	latencySpans = 12
-	// maxLatencyMS is the longest time told apart; longer ones count as it.
+	// maxLatencyMS is the longest time that is distinguished; longer ones count as
+	// this one.
 	maxLatencyMS = 600_000
-	// latencyDigits are the significant digits kept: 1% is finer than any
-	// objective, and a histogram then takes about 12 KB.
+	// latencyDigits are the significant digits kept: a resolution of 1% is finer
+	// than any objective needs, and a histogram then takes about 12 KB.
 	latencyDigits = 2
 )
 
@@ -23,8 +24,8 @@
 	return hdrhistogram.New(1, maxLatencyMS, latencyDigits)
 }
 
-// latency keeps the last hour of a duration: one live histogram, and the ones
-// before it in their encoded form, which is small.
+// rollingHistogram keeps the distribution of a duration over the last hour: one live
+// histogram, and those of earlier spans encoded, which takes little memory.
 type rollingHistogram struct {
 	live          *hdrhistogram.Histogram
 	liveNumber    int64
@@ -32,17 +33,18 @@
 	closedNumbers [latencySpans]int64
 }
 
+// spanNumber numbers the spans of latencySpan since 1970.
 func spanNumber(t time.Time) int64 { return t.UnixNano() / int64(latencySpan) }
 
-// record counts one duration.
+// record counts one duration, rounded up to a millisecond.
 func (l *rollingHistogram) record(now time.Time, d time.Duration) {
 	l.roll(now)
 	ms := min(max((d+time.Millisecond-1).Milliseconds(), 1), maxLatencyMS)
-	// The value is within the histogram's range, which is the only error.
+	// The only error is a value outside the histogram's range, which ms is not.
 	_ = l.live.RecordValue(ms)
 }
 
-// roll closes the live histogram when its span is over.
+// roll encodes and resets the live histogram when its span is over.
 func (l *rollingHistogram) roll(now time.Time) {
 	n := spanNumber(now)
 	if l.live != nil && l.liveNumber == n {
@@ -59,7 +61,7 @@
 	l.liveNumber = n
 }
 
-// encode merges the last hour; nil where nothing was counted.
+// encode merges the histograms of the last hour; nil if nothing was counted.
 func (l *rollingHistogram) encode(now time.Time) ([]byte, error) {
 	if l.live == nil {
 		return nil, nil
--- a/router/internal/report/page/html.go
+++ b/router/internal/report/page/html.go
@@ -1,5 +1,5 @@
-// Package page renders the burn report as a page with plots. It stands apart from the
-// recorder, so that instances do not link the plot library and its fonts.
+// Package page renders the burn report as an HTML page with plots. It is separate from
+// package report, so that instances do not link the plot library and its fonts.
 package page
 
 import (
@@ -21,7 +21,7 @@
 	"rfc3339": func(t time.Time) string { return t.Format(time.RFC3339) },
 }).Parse(pageHTML))
 
-// pageData is what the template shows.
+// pageData is the input of the template.
 type pageData struct {
 	report.Report
 	Answered int
@@ -29,13 +29,13 @@
 	Sections []section
 }
 
-// section is one team with its plot.
+// section is one team's levels with their plot, an SVG.
 type section struct {
 	report.TeamReport
 	Plot template.HTML
 }
 
-// WriteHTML writes the report as one page that needs nothing else.
+// WriteHTML writes the report as one self-contained page.
 func WriteHTML(w io.Writer, r report.Report) error {
 	data := pageData{Report: r, Answered: len(r.Instances) - r.UnansweredCount(), Windows: report.AlertWindows()}
 	for _, team := range r.Teams {
--- a/router/internal/report/page/plot.go
+++ b/router/internal/report/page/plot.go
@@ -23,8 +23,8 @@
 	plotHeight = 5.5 * vg.Centimeter
 )
 
-// lineColours tell the levels apart, also for those who do not see red and
-// green as different.
+// lineColours distinguish the levels, also for readers who cannot distinguish red
+// and green.
 var lineColours = map[report.LevelKind]color.Color{
 	report.LevelAvailability: color.RGBA{R: 0xd5, G: 0x5e, A: 0xff},
 	report.LevelFirstToken:   color.RGBA{G: 0x72, B: 0xb2, A: 0xff},
@@ -33,7 +33,7 @@
 	report.LevelExposure:     color.RGBA{R: 0x56, G: 0x56, B: 0x56, A: 0xff},
 }
 
-// plotBurn draws a team's burn rates over the last 6 hours as SVG. Spans
+// plotBurn draws a team's burn rates over the last 6 hours as SVG. Spans of time
 // without events have no point.
 func plotBurn(r report.Report, team report.TeamReport) (template.HTML, error) {
 	p := plot.New()
@@ -59,8 +59,8 @@
 	if _, err := canvas.WriteTo(&b); err != nil {
 		return "", trace.Wrap(err)
 	}
-	// An XML head may not stand within HTML. The rest is made of numbers and
-	// of this package's own words, so it needs no escaping.
+	// An XML declaration is not allowed within HTML, so it is cut off. The rest
+	// consists of numbers and this package's own texts, so it needs no escaping.
 	svg := b.String()
 	return template.HTML(svg[strings.Index(svg, "<svg"):]), nil
 }
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// addBudgetLine marks the rate that uses up exactly the budget.
+// addBudgetLine draws a dashed line at the rate 1, which uses up exactly the budget.
 func addBudgetLine(p *plot.Plot) error {
 	line, err := plotter.NewLine(plotter.XYs{{X: p.X.Min, Y: 1}, {X: p.X.Max, Y: 1}})
 	if err != nil {
--- a/router/internal/report/page_test.go
+++ b/router/internal/report/page_test.go
@@ -20,7 +20,7 @@
 	}
 	goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "burn.html", out.Bytes())
 	if !strings.Contains(out.String(), "10.62.3.12:8081: no answer from") {
-		t.Error("the instance that did not answer is not named")
+		t.Error("the instance that did not answer is missing")
 	}
 	for _, outside := range []string{"src=", "<link", "@import", "url("} {
 		if strings.Contains(out.String(), outside) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// FuzzPage takes any answer of an instance.
+// FuzzPage checks that no response of an instance makes the page fail.
 func FuzzPage(f *testing.F) {
 	f.Add([]byte(`{"objectives":[{"team":"a","cost_per_request":1}],"teams":[{"team":"a","windows":{"6h":{"cost":1,"billed":1}}}]}`))
 	f.Add([]byte(`{"objectives":[{"team":"a","cost_per_request":1e-300}],"teams":[{"team":"a","windows":{"6h":{"cost":1e308,"billed":1}},"points":[{"begin":1788242400,"cost":1e308,"billed":1},{"begin":-9000000000000000000}],"first_token":"AAAA"}]}`))
--- a/router/internal/report/recorder.go
+++ b/router/internal/report/recorder.go
@@ -12,18 +12,19 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// Sample is one ended request.
+// Sample describes one ended request.
 type Sample struct {
 	Team string
-	// Version that ran it; empty for a plain service, or where none did.
+	// Version that ran it; empty for a plain service, or if none did.
 	Version string
-	// Outcome and its code say whether the caller was served.
+	// Outcome and Code say whether the caller was served, and why not.
 	Outcome outcome.Kind
 	Code    string
-	// FirstToken and InterToken (the mean gap) are zero where there is none.
+	// FirstToken is the time to the first token, InterToken the mean time between
+	// tokens; zero if there is none.
 	FirstToken time.Duration
 	InterToken time.Duration
-	// Cost is zero for what is not billed.
+	// Cost in the unit of the manifest's costs; zero if the request is not billed.
 	Cost float64
 }
 
@@ -37,12 +38,13 @@
 	teams      map[string]*teamMetrics
 	generation uint64
 	objectives map[string]manifest.Objective
-	// bad are the versions that are judged bad, or were and are not cleared.
+	// badVersions are the versions with a bad verdict that has not been cleared.
 	badVersions map[string]bool
 }
 
-// teamRow has a lock of its own: making a snapshot of one team takes some
-// milliseconds, and must not hold up the requests of the others.
+// teamMetrics are the counters and histograms of one team. Each has its own lock,
+// because a snapshot of one team takes some milliseconds and must not delay the
+// requests of the others.
 type teamMetrics struct {
 	mu         sync.Mutex
 	ring       slotRing
@@ -61,9 +63,9 @@
 	}
 }
 
-// SetObjectives takes the objectives of the manifest in force. Slow answers are
-// counted against the objective of their time, so that a later change of it
-// does not rewrite the past.
+// SetObjectives sets the objectives of the manifest in force. An answer is counted
+// as slow by the objective at its end, so that a later change of the objective does
+// not change earlier counts.
 func (r *Recorder) SetObjectives(generation uint64, rows []manifest.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,8 +76,9 @@
 	}
 }
 
-// SetVerdict takes a verdict on a version, own or a peer's. Requests that ran
-// on it before count as exposed as well.
+// SetVerdict sets the verdict of this instance or of a peer on a version. Requests
+// that ran on a version before it was judged bad count as exposed too. At most
+// maxVersions versions are kept as bad.
 func (r *Recorder) SetVerdict(version string, bad bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,8 +117,8 @@
 	}
 }
 
-// row finds a team's row and its objective. API keys are checked before, so teams are those of
-// the manifest; the bound is for a manifest with very many.
+// metricsOf returns a team's metrics and its objective. API keys have been checked, so teams
+// are those of the manifest; the bound is for a manifest with very many.
 func (r *Recorder) metricsOf(team string) (*teamMetrics, manifest.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,12 +135,13 @@
 	return m, objective
 }
 
-// codeCancelled is the code of a request that its caller gave up.
+// codeCancelled is the code of a request that its caller cancelled.
 const codeCancelled = "cancelled"
 
-// countAvailability judges by what the caller got. What the caller caused (a
-// wrong model, an expired key, a key used before, a cancel) says nothing about
-// the system; being told to come back later (429, 503) does.
+// countAvailability counts a request as served or unavailable by what the caller
+// got. A failure that the caller caused (a wrong model, an expired key, a key used
+// before, a cancelled request) says nothing about the system and is not counted; a
+// refusal that asks the caller to retry later (429, 503) is.
 func countAvailability(c *Counts, s Sample) {
 	if s.Outcome == outcome.Completed {
 		c.Served++
@@ -150,7 +154,8 @@
 	}
 }
 
-// over is 1 where d is over the objective in ms; 0 is no objective.
+// exceedsObjective returns 1 if d is over the objective, else 0. An objective of 0
+// means that there is none.
 func exceedsObjective(d time.Duration, objectiveMS int) uint64 {
 	if objectiveMS > 0 && d > time.Duration(objectiveMS)*time.Millisecond {
 		return 1
@@ -158,7 +163,8 @@
 	return 0
 }
 
-// Snapshot is what this instance counted, in a form that merges with others'.
+// Snapshot returns what this instance has counted, in a form that can be merged with
+// other instances' snapshots. It fails only if a histogram cannot be encoded.
 func (r *Recorder) Snapshot(instance string) (Snapshot, error) {
 	now := r.now()
 	out, teams := r.snapshotHeader()
@@ -174,7 +180,7 @@
 	return out, nil
 }
 
-// head is the part of a snapshot that is not a team's, and the teams' rows.
+// snapshotHeader returns a snapshot without teams, and the teams' metrics.
 func (r *Recorder) snapshotHeader() (Snapshot, map[string]*teamMetrics) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,8 +210,9 @@
 	return out, trace.Wrap(err)
 }
 
-// points are the last 6 h in spans that begin at the same times everywhere, so
-// that those of several instances add up. Empty ones are left out.
+// points returns the counts of the last 6 h in spans of pointSpan. They begin at the
+// same times at all instances, so that their counts can be added up. Empty spans are
+// left out.
 func (m *teamMetrics) points(now time.Time) []Point {
 	const slots = int64(pointSpan / slotSpan)
 	last := now.Truncate(pointSpan)
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -11,7 +11,7 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// clock is set by the test.
+// clock is a clock that the test sets.
 type clock struct{ t time.Time }
 
 func (c *clock) now() time.Time { return c.t }
@@ -64,7 +64,7 @@
 			t.Errorf("after %v: histogram kept: %v, want %v", step.after, got, hour)
 		}
 	}
-	// The slot of 6 h ago is the same one now.
+	// The slot for the current time is the one that was used 6 h ago.
 	r.Record(served("ecoles", "m@1", time.Second))
 	if got := snapshot(t, r, "i").Teams[0].Windows["6h"].Served; got != 1 {
 		t.Errorf("a reused slot counts %d", got)
@@ -118,8 +118,9 @@
 	}
 }
 
-// TestMergedSnapshotsEqualOneRecorder spreads the same requests over one
-// instance and over three; the reports must agree.
+// TestMergedSnapshotsEqualOneRecorder guards against a merge that counts requests
+// twice or drops them: it records the same requests at one instance and spread over
+// three, and compares the reports.
 func TestMergedSnapshotsEqualOneRecorder(t *testing.T) {
 	c := &clock{begin}
 	whole := NewRecorder(c.now)
--- a/router/internal/report/report_test.go
+++ b/router/internal/report/report_test.go
@@ -13,8 +13,8 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// afternoon is a fleet of two instances, and one that does not answer, over
-// three hours: a version turns bad in the last half hour.
+// degradedFleet is the report of two instances, and of one that does not answer, after
+// three hours. In the last half hour, a version that is judged bad serves one team.
 func degradedFleet(t *testing.T) Report {
 	t.Helper()
 	c := &clock{begin}
@@ -53,7 +53,7 @@
 	g.Assert(t, "burn.txt", text.Bytes())
 	g.AssertJson(t, "burn.json", r)
 	if !strings.Contains(text.String(), "10.62.3.12:8081: no answer from") {
-		t.Error("the instance that did not answer is not named")
+		t.Error("the instance that did not answer is missing")
 	}
 }
 
@@ -100,7 +100,8 @@
 	}
 }
 
-// FuzzBuild takes any answer of an instance.
+// FuzzBuild checks that no response of an instance makes the report fail, for example
+// by a value that cannot be encoded.
 func FuzzBuild(f *testing.F) {
 	f.Add([]byte(`{"objectives":[{"team":"a","cost_per_request":1}],"teams":[{"team":"a","windows":{"6h":{"cost":1,"billed":1}}}]}`))
 	f.Add([]byte(`{"objectives":[{"team":"a","cost_per_request":1e-300}],"teams":[{"team":"a","windows":{"6h":{"cost":1e308,"billed":1}},"points":[{"begin":1788242400,"cost":1e308,"billed":1},{"begin":-9000000000000000000}],"first_token":"AAAA"}]}`))
--- a/router/internal/report/series.go
+++ b/router/internal/report/series.go
@@ -4,14 +4,15 @@
 
 // BurnPoint is a team's burn rate in one span.
 type BurnPoint struct {
-	// HoursBefore the report, so at most 0.
+	// HoursBefore is the time relative to the report in hours, negative for the
+	// past.
 	HoursBefore float64
-	// Rate at which the budget is used; 1 uses up exactly all of it.
+	// Rate at which the budget is used; 1 uses it up exactly.
 	Rate float64
 }
 
-// Burn is the team's burn rates of one level over the last 6 hours. Spans without events
-// have no point.
+// BurnSeries returns the team's burn rates of one level over the last 6 hours. Spans
+// without events have no point.
 func (r Report) BurnSeries(team TeamReport, kind LevelKind) []BurnPoint {
 	var out []BurnPoint
 	for _, pt := range team.points {
@@ -21,7 +22,7 @@
 		}
 		age := r.At.Sub(time.Unix(pt.Begin, 0).Add(pointSpan / 2))
 		if age < -pointSpan || age > Window6h.Span+pointSpan {
-			continue // by a clock that is far off
+			continue // counted by an instance whose clock is far off
 		}
 		out = append(out, BurnPoint{HoursBefore: -age.Hours(), Rate: round(u.burnRate())})
 	}
--- a/router/internal/report/status.go
+++ b/router/internal/report/status.go
@@ -7,40 +7,41 @@
 	"text/tabwriter"
 )
 
-// StatusReport is the body of /status: where one instance stands.
+// StatusReport is the body of /status: the state of one instance.
 type StatusReport struct {
 	Instance string `json:"instance"`
 	Domain   string `json:"domain"`
-	// Generation of the manifest in force here.
+	// Generation of the manifest in force; 0 for none.
 	Generation uint64 `json:"generation"`
 	// Mode is "fresh", "stale" or "outage".
 	Mode string `json:"mode"`
-	// Open requests.
+	// OpenRequests is the number of requests in progress.
 	OpenRequests int `json:"open"`
-	// Offset is the next entry of the log to fold, Head the log's end as last
-	// read, Lag the entries between.
+	// Offset is that of the next entry of the log to fold, Head the end of the log
+	// when it was last read, Lag the number of entries between them.
 	Offset uint64 `json:"offset"`
 	Head   uint64 `json:"head"`
 	Lag    uint64 `json:"lag"`
 	// LogReachable says whether the last read of the log succeeded.
 	LogReachable bool `json:"log_reachable"`
-	// HeldBills wait here for the log, own and other instances'.
+	// HeldBills is the number of bills, own and other instances', that are held
+	// until they can be appended to the log.
 	HeldBills int `json:"held_bills"`
-	// ShutOff are versions judged bad, Ejected backend servers taken out as
-	// outliers.
+	// BadVersions are the versions judged bad, EjectedServers the backend servers
+	// ejected as outliers.
 	BadVersions    []string `json:"shut_off_versions"`
 	EjectedServers []string `json:"ejected_servers"`
 }
 
-// StatusLine is one instance's answer, or that there was none.
+// InstanceStatus is one instance's status, or the error of requesting it.
 type InstanceStatus struct {
 	Address string        `json:"address"`
 	Status  *StatusReport `json:"status,omitempty"`
 	Error   string        `json:"error,omitempty"`
 }
 
-// WriteStatusText writes the lines for a terminal, and what is odd between
-// instances.
+// WriteStatusText writes the statuses as a table for a terminal, followed by
+// warnings.
 func WriteStatusText(w io.Writer, lines []InstanceStatus) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "INSTANCE\tADDRESS\tDOMAIN\tGENERATION\tMODE\tOPEN\tOFFSET\tLAG\tLOG\tHELD BILLS\tSHUT OFF\tEJECTED")
@@ -65,7 +66,8 @@
 	return nil
 }
 
-// statusNotes says what to look at.
+// statusWarnings names the instances that are behind the newest generation and those
+// that hold bills.
 func statusWarnings(lines []InstanceStatus) []string {
 	var out []string
 	var newest uint64
--- a/router/internal/report/text.go
+++ b/router/internal/report/text.go
@@ -48,7 +48,7 @@
 	_ = t.Flush()
 }
 
-// ObjectiveText is the objective for people.
+// ObjectiveText formats the objective; "-" for none.
 func (l Level) ObjectiveText() string {
 	if l.State == StateNoObjective {
 		return "-"
@@ -56,7 +56,7 @@
 	return FormatNumber(l.Objective)
 }
 
-// BudgetText is the budget left, in per cent.
+// BudgetText formats the budget left in per cent; "-" without an objective or data.
 func (l Level) BudgetText() string {
 	if l.State == StateNoObjective || l.State == StateNoData {
 		return "-"
@@ -64,7 +64,8 @@
 	return strconv.FormatFloat(100*l.BudgetLeft, 'f', 1, 64) + "%"
 }
 
-// BurnText is the burn rate over a window.
+// BurnText formats the burn rate over the window with this name; "-" without an
+// objective or data.
 func (l Level) BurnText(window string) string {
 	if l.State == StateNoObjective || l.State == StateNoData {
 		return "-"
@@ -72,8 +73,8 @@
 	return strconv.FormatFloat(l.Burn[window], 'f', 2, 64)
 }
 
-// burnText is the budget and the rates in the order of the heading, in which
-// the windows stand in pairs.
+// budgetAndBurnText joins the budget left and the burn rates in the order of the
+// heading, which is that of AlertWindows.
 func (l Level) budgetAndBurnText(sep string) string {
 	parts := []string{l.BudgetText()}
 	for _, w := range AlertWindows() {
@@ -82,9 +83,9 @@
 	return strings.Join(parts, sep)
 }
 
-// pairs lists the windows as they are judged: the fast pair, then the slow one.
-// AlertWindows are the windows of the burn rates, short and long in turn.
+// AlertWindows lists the windows in the pairs that raise a state: the fast pair, then
+// the slow one, each with the short window first.
 func AlertWindows() []Window { return []Window{Window5m, Window1h, Window30m, Window6h} }
 
-// Number formats a figure for people.
+// FormatNumber formats a number with six significant digits.
 func FormatNumber(f float64) string { return strconv.FormatFloat(f, 'g', 6, 64) }
