--- a/router/internal/cli/manifestcmd/publish.go
+++ b/router/internal/cli/manifestcmd/publish.go
@@ -187,7 +187,7 @@
 		}
 		rows = append(rows, row)
 	}
-	if err := printRows(cmd, rows, output); err != nil {
+	if err := printGenerations(cmd, rows, output); err != nil {
 		return err
 	}
 	if unanswered > 0 {
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func printRows(cmd *cobra.Command, rows []generationRow, output string) error {
+func printGenerations(cmd *cobra.Command, rows []generationRow, output string) error {
 	if output == cli.OutputJSON {
 		return cli.WriteJSON(cmd.OutOrStdout(), rows)
 	}
--- a/router/internal/cli/reportcmd/reportcmd.go
+++ b/router/internal/cli/reportcmd/reportcmd.go
@@ -39,7 +39,7 @@
 			if err := cli.CheckOutput(output, cli.OutputText, cli.OutputJSON, cli.OutputHTML); err != nil {
 				return err
 			}
-			return burn(cmd, addresses, output, now)
+			return reportBurn(cmd, addresses, output, now)
 		},
 	}
 	cmd.Flags().StringSliceVar(&addresses, "instances", nil, "admin addresses of the instances")
@@ -48,7 +48,7 @@
 	return cmd
 }
 
-func burn(cmd *cobra.Command, addresses []string, output string, now func() time.Time) error {
+func reportBurn(cmd *cobra.Command, addresses []string, output string, now func() time.Time) error {
 	var sources []report.Source
 	for _, a := range cli.GetAll[report.Snapshot](cmd.Context(), addresses, "/burn") {
 		sources = append(sources, report.Source{Address: a.Address, Snapshot: a.Value, Err: a.Err})
--- a/router/internal/cli/standincmd/standincmd.go
+++ b/router/internal/cli/standincmd/standincmd.go
@@ -63,7 +63,7 @@
 late_effect_ms. POST /trim?before=OFFSET drops older entries at once.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return run(cmd, listen, logsvc.New(cfg))
+			return serveUntilStopped(cmd, listen, logsvc.New(cfg))
 		},
 	}
 	addListenFlag(cmd, &listen)
@@ -85,7 +85,7 @@
 Faults: down, delay_ms, lag_ms.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return run(cmd, listen, listsvc.New(listsvc.Config{}))
+			return serveUntilStopped(cmd, listen, listsvc.New(listsvc.Config{}))
 		},
 	}
 	addListenFlag(cmd, &listen)
@@ -120,7 +120,7 @@
 				}
 				cfg.Versions = append(cfg.Versions, v)
 			}
-			return run(cmd, listen, engine.New(cfg))
+			return serveUntilStopped(cmd, listen, engine.New(cfg))
 		},
 	}
 	addListenFlag(cmd, &listen)
@@ -149,7 +149,7 @@
 truncate.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return run(cmd, listen, service.New(cfg))
+			return serveUntilStopped(cmd, listen, service.New(cfg))
 		},
 	}
 	addListenFlag(cmd, &listen)
@@ -171,7 +171,7 @@
 Faults: down, delay_ms, wrong, scores, out_of_range, fail.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return run(cmd, listen, rating.New(cfg))
+			return serveUntilStopped(cmd, listen, rating.New(cfg))
 		},
 	}
 	addListenFlag(cmd, &listen)
@@ -183,8 +183,9 @@
 	cmd.Flags().StringVar(listen, "listen", "127.0.0.1:0", "address to listen on, IP:port; port 0 picks one")
 }
 
-// run serves until the command's context ends or the process gets SIGTERM or an interrupt.
-func run(cmd *cobra.Command, listen string, handler http.Handler) error {
+// serveUntilStopped serves until the command's context ends or the process gets SIGTERM or
+// an interrupt.
+func serveUntilStopped(cmd *cobra.Command, listen string, handler http.Handler) error {
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return serve(ctx, listen, handler, cmd.OutOrStdout())
--- a/router/internal/cli/statuscmd/statuscmd.go
+++ b/router/internal/cli/statuscmd/statuscmd.go
@@ -33,7 +33,7 @@
 }
 
 func show(cmd *cobra.Command, addresses []string, output string) error {
-	lines := make([]report.InstanceStatus, 0, len(addresses))
+	statuses := make([]report.InstanceStatus, 0, len(addresses))
 	unanswered := 0
 	for _, a := range cli.GetAll[report.StatusReport](cmd.Context(), addresses, "/status") {
 		line := report.InstanceStatus{Address: a.Address}
@@ -43,17 +43,17 @@
 		} else {
 			line.Status = &a.Value
 		}
-		lines = append(lines, line)
+		statuses = append(statuses, line)
 	}
-	if err := write(cmd, lines, output); err != nil {
+	if err := write(cmd, statuses, output); err != nil {
 		return err
 	}
 	return cli.UnansweredError(unanswered, len(addresses))
 }
 
-func write(cmd *cobra.Command, lines []report.InstanceStatus, output string) error {
+func write(cmd *cobra.Command, statuses []report.InstanceStatus, output string) error {
 	if output == cli.OutputJSON {
-		return cli.WriteJSON(cmd.OutOrStdout(), lines)
+		return cli.WriteJSON(cmd.OutOrStdout(), statuses)
 	}
-	return report.WriteStatusText(cmd.OutOrStdout(), lines)
+	return report.WriteStatusText(cmd.OutOrStdout(), statuses)
 }
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -99,8 +99,8 @@
 
 // billLinger is the interval of group commit of bills. It is long enough to keep the
 // appends of all live instances together within the budget.
-func billLinger(cfg settings.Settings, live int) time.Duration {
-	share := time.Duration(live) * time.Second / time.Duration(cfg.Platform.AppendBudget)
+func billLinger(cfg settings.Settings, liveInstances int) time.Duration {
+	share := time.Duration(liveInstances) * time.Second / time.Duration(cfg.Platform.AppendBudget)
 	return max(ms(cfg.Platform.LingerMS), share)
 }
 
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -28,8 +28,8 @@
 	report   *report.Recorder
 }
 
-func newRequestRecorder(r gometrics.Registry, rep *report.Recorder) api.Recorder {
-	return &requestRecorder{registry: r, report: rep}
+func newRequestRecorder(r gometrics.Registry, burn *report.Recorder) api.Recorder {
+	return &requestRecorder{registry: r, report: burn}
 }
 
 // Observe implements api.Recorder.
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -54,19 +54,19 @@
 type apiParams struct {
 	fx.In
 
-	Settings  settings.Settings
-	Driver    *driver.Driver
-	Manifests *manifest.Holder
-	Gate      *gate.Gate
-	Directory *directory.Directory
-	Upstream  *upstream.Client
-	Store     node.Store
-	Biller    *billing.Biller
-	Tokens    *session.Tokens
-	Names     *session.NamedSessions
-	Rater     platform.Rater
-	Recorder  api.Recorder
-	Log       *logging.Logger
+	Settings      settings.Settings
+	Driver        *driver.Driver
+	Manifests     *manifest.Holder
+	Gate          *gate.Gate
+	Directory     *directory.Directory
+	Upstream      *upstream.Client
+	Store         node.Store
+	Biller        *billing.Biller
+	SessionTokens *session.Tokens
+	SessionNames  *session.NamedSessions
+	Rater         platform.Rater
+	Recorder      api.Recorder
+	Log           *logging.Logger
 }
 
 func newAPI(p apiParams) *api.Server {
@@ -78,8 +78,8 @@
 		Upstream:      p.Upstream,
 		Store:         p.Store,
 		Biller:        p.Biller,
-		SessionTokens: p.Tokens,
-		SessionNames:  p.Names,
+		SessionTokens: p.SessionTokens,
+		SessionNames:  p.SessionNames,
 		Rater:         p.Rater,
 		Recorder:      p.Recorder,
 		Log:           p.Log,
--- a/router/internal/logging/logger.go
+++ b/router/internal/logging/logger.go
@@ -48,8 +48,8 @@
 	if l == nil || !l.slog.Enabled(ctx, ev.Level) {
 		return
 	}
-	all := append([]slog.Attr{slog.Int(KeyEvent, ev.ID), slog.String(KeyName, ev.Name)}, attrs...)
-	l.slog.LogAttrs(ctx, ev.Level, ev.Text, all...)
+	allAttrs := append([]slog.Attr{slog.Int(KeyEvent, ev.ID), slog.String(KeyName, ev.Name)}, attrs...)
+	l.slog.LogAttrs(ctx, ev.Level, ev.Text, allAttrs...)
 }
 
 // Err is an attribute with err's text; an empty attribute, which is not logged, for
--- a/router/internal/report/latency.go
+++ b/router/internal/report/latency.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// latencySpan is the span of time of one histogram; latencySpans of them cover
-	// an hour.
-	latencySpan  = 5 * time.Minute
-	latencySpans = 12
+	// latencySpan is the span of time of one histogram; latencySpanCount of them
+	// cover an hour.
+	latencySpan      = 5 * time.Minute
+	latencySpanCount = 12
 	// maxLatencyMS is the longest time that is distinguished; longer ones count as
 	// this one.
 	maxLatencyMS = 600_000
@@ -29,8 +29,8 @@
 type rollingHistogram struct {
 	live          *hdrhistogram.Histogram
 	liveNumber    int64
-	closed        [latencySpans][]byte
-	closedNumbers [latencySpans]int64
+	closed        [latencySpanCount][]byte
+	closedNumbers [latencySpanCount]int64
 }
 
 // spanNumber numbers the spans of latencySpan since 1970.
@@ -53,7 +53,7 @@
 	if l.live == nil {
 		l.live = newHistogram()
 	} else if l.live.TotalCount() > 0 {
-		i := int(l.liveNumber % latencySpans)
+		i := int(l.liveNumber % latencySpanCount)
 		l.closed[i], _ = l.live.EncodeV2()
 		l.closedNumbers[i] = l.liveNumber
 		l.live.Reset()
@@ -69,7 +69,7 @@
 	l.roll(now)
 	total := l.live.Clone()
 	for i, data := range l.closed {
-		if data == nil || l.closedNumbers[i] <= l.liveNumber-latencySpans {
+		if data == nil || l.closedNumbers[i] <= l.liveNumber-latencySpanCount {
 			continue
 		}
 		part, err := hdrhistogram.Decode(data)
--- a/router/internal/report/recorder.go
+++ b/router/internal/report/recorder.go
@@ -66,12 +66,12 @@
 // SetObjectives sets the objectives of the manifest in force. An answer is counted
 // as slow by the objective at its end, so that a later change of the objective does
 // not change earlier counts.
-func (r *Recorder) SetObjectives(generation uint64, rows []manifest.Objective) {
+func (r *Recorder) SetObjectives(generation uint64, objectives []manifest.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.generation = generation
-	r.objectives = make(map[string]manifest.Objective, len(rows))
-	for _, o := range rows {
+	r.objectives = make(map[string]manifest.Objective, len(objectives))
+	for _, o := range objectives {
 		r.objectives[o.Team] = o
 	}
 }
--- a/router/internal/report/status.go
+++ b/router/internal/report/status.go
@@ -42,10 +42,10 @@
 
 // WriteStatusText writes the statuses as a table for a terminal, followed by
 // warnings.
-func WriteStatusText(w io.Writer, lines []InstanceStatus) error {
+func WriteStatusText(w io.Writer, statuses []InstanceStatus) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "INSTANCE\tADDRESS\tDOMAIN\tGENERATION\tMODE\tOPEN\tOFFSET\tLAG\tLOG\tHELD BILLS\tSHUT OFF\tEJECTED")
-	for _, l := range lines {
+	for _, l := range statuses {
 		if l.Status == nil {
 			fmt.Fprintf(t, "NO ANSWER\t%s\t%s\n", l.Address, l.Error)
 			continue
@@ -58,7 +58,7 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, note := range statusWarnings(lines) {
+	for _, note := range statusWarnings(statuses) {
 		if _, err := fmt.Fprintln(w, note); err != nil {
 			return err
 		}
@@ -68,27 +68,27 @@
 
 // statusWarnings names the instances that are behind the newest generation and those
 // that hold bills.
-func statusWarnings(lines []InstanceStatus) []string {
-	var out []string
+func statusWarnings(statuses []InstanceStatus) []string {
+	var warnings []string
 	var newest uint64
-	for _, l := range lines {
+	for _, l := range statuses {
 		if l.Status != nil {
 			newest = max(newest, l.Status.Generation)
 		}
 	}
-	for _, l := range lines {
+	for _, l := range statuses {
 		if l.Status == nil {
 			continue
 		}
 		s := l.Status
 		if s.Generation < newest {
-			out = append(out, fmt.Sprintf("%s is at generation %d, others at %d", s.Instance, s.Generation, newest))
+			warnings = append(warnings, fmt.Sprintf("%s is at generation %d, others at %d", s.Instance, s.Generation, newest))
 		}
 		if s.HeldBills > 0 {
-			out = append(out, fmt.Sprintf("%s holds %d bills for the log: do not stop it and its peers at once", s.Instance, s.HeldBills))
+			warnings = append(warnings, fmt.Sprintf("%s holds %d bills for the log: do not stop it and its peers at once", s.Instance, s.HeldBills))
 		}
 	}
-	return out
+	return warnings
 }
 
 func reachability(ok bool) string {
--- a/router/internal/settings/check.go
+++ b/router/internal/settings/check.go
@@ -19,12 +19,12 @@
 func valuesAt(root reflect.Value, pattern string) []settingValue {
 	values := []settingValue{{"", root}}
 	for _, key := range strings.Split(pattern, ".") {
-		name, each := strings.CutSuffix(key, "[]")
+		name, everyElement := strings.CutSuffix(key, "[]")
 		var next []settingValue
 		for _, p := range values {
 			index := fieldsByKey(p.value.Type())[name]
 			child := settingValue{joinPath(p.path, name), p.value.Field(index)}
-			if !each {
+			if !everyElement {
 				next = append(next, child)
 				continue
 			}
--- a/router/internal/settings/fields.go
+++ b/router/internal/settings/fields.go
@@ -65,7 +65,7 @@
 		{"shutdown.grace_ms", "ms", intRule{0, 10 * minuteMS}, "How long readiness fails before new requests are refused; it should exceed the interval of the balancer's check."},
 		{"shutdown.drain_ms", "ms", intRule{0, hourMS}, "The longest wait for requests in progress; it should exceed the longest deadline."},
 
-		{"session.keys", "", countRule{0, 16}, "Key ring of session tokens. The first key signs, all verify. With none, no token is issued."},
+		{"session.keys", "", lengthRule{0, 16}, "Key ring of session tokens. The first key signs, all verify. With none, no token is issued."},
 		{"session.keys[].id", "", nameRule{required: true}, "The key's id, unique in the ring; never reused for another secret."},
 		{"session.keys[].secret", "base64", secretRule{}, "The key itself, the same at every instance."},
 		{"session.ttl_seconds", "s", intRule{60, 30 * daySec}, "The lifetime of a session token."},
@@ -81,7 +81,7 @@
 		{"decision.max_ejected", "fraction", floatRule{0, 0.9}, "The largest fraction of a version's backend servers that may be ejected as outliers."},
 		{"decision.overload_wait", "fraction", floatRule{0.05, 1}, "The fraction of the time to its deadline that a request may wait in an overloaded queue; a higher value lets more answers come late, a lower one refuses more requests."},
 
-		{"operator_key_hashes", "", countRule{0, 64}, "Hashes of operators' API keys. With none, nobody can publish."},
+		{"operator_key_hashes", "", lengthRule{0, 64}, "Hashes of operators' API keys. With none, nobody can publish."},
 		{"operator_key_hashes[]", "hex", hashRule{}, "SHA-256 of an operator's API key: printf %s KEY | sha256sum."},
 	}
 }
--- a/router/internal/settings/rules.go
+++ b/router/internal/settings/rules.go
@@ -50,12 +50,12 @@
 	return ""
 }
 
-// countRule allows arrays of min to max elements.
-type countRule struct{ min, max int }
+// lengthRule allows arrays of min to max elements.
+type lengthRule struct{ min, max int }
 
-func (r countRule) Range() string { return fmt.Sprintf("%d to %d entries", r.min, r.max) }
+func (r lengthRule) Range() string { return fmt.Sprintf("%d to %d entries", r.min, r.max) }
 
-func (r countRule) check(v reflect.Value) string {
+func (r lengthRule) check(v reflect.Value) string {
 	if n := v.Len(); n < r.min || n > r.max {
 		return fmt.Sprintf("%d entries are out of range: want %s", n, r.Range())
 	}
