--- a/router/internal/cli/exit.go
+++ b/router/internal/cli/exit.go
@@ -1,4 +1,5 @@
-// Package cli holds what the commands of masticplank share.
+// Package cli has what the commands of masticplank share: exit statuses, output formats
+// and requests to all instances.
 package cli
 
 import (
--- a/router/internal/logging/async.go
+++ b/router/internal/logging/async.go
@@ -31,8 +31,7 @@
 // NewAsyncWriter returns a buffering writer in front of out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter { return &AsyncWriter{out: out} }
 
-// Write implements io.Writer; p is one line. It never fails, also where the line is
-// dropped.
+// Write implements io.Writer; p is one line. It reports success for a dropped line too.
 func (a *AsyncWriter) Write(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -36,6 +36,8 @@
 	return s
 }
 
+// TestWindowsForgetWhatIsOlder guards against counts and histograms that stay in a
+// window after its span, also when a slot or a span of the ring is used again.
 func TestWindowsForgetWhatIsOlder(t *testing.T) {
 	c := &clock{begin}
 	r := NewRecorder(c.now)
@@ -71,6 +73,8 @@
 	}
 }
 
+// TestOnlyTheSystemsFaultsCountAgainstAvailability guards against availability that
+// drops by failures that callers cause, or that misses refusals by the system.
 func TestOnlyTheSystemsFaultsCountAgainstAvailability(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	for _, s := range []struct {
@@ -104,6 +108,8 @@
 	}
 }
 
+// TestSlowIsJudgedByTheObjectiveOfItsTime guards against a new objective that changes
+// which earlier answers count as slow.
 func TestSlowIsJudgedByTheObjectiveOfItsTime(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	r.Record(served("ecoles", "", time.Second)) // no objective yet
@@ -168,6 +174,8 @@
 	return out
 }
 
+// TestRecorderIsBounded guards against memory that grows with the number of teams and
+// versions, and against requests beyond the bounds that are not counted.
 func TestRecorderIsBounded(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	for i := range 2 * maxTeams {
--- a/router/internal/report/text.go
+++ b/router/internal/report/text.go
@@ -44,7 +44,7 @@
 				team.Team, l.Kind, l.State, l.ObjectiveText(), FormatNumber(l.Measured), l.Unit, l.Events, l.budgetAndBurnText("\t"))
 		}
 	}
-	// A strings.Builder takes every write.
+	// A write to a strings.Builder never fails.
 	_ = t.Flush()
 }
 
--- a/router/internal/settings/decode.go
+++ b/router/internal/settings/decode.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// fieldsByKey maps the JSON keys of a struct to the indexes of its fields.
+// fieldsByKey maps the JSON keys of a struct type to the indexes of its fields.
 func fieldsByKey(t reflect.Type) map[string]int {
 	out := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
--- a/router/internal/settings/fault.go
+++ b/router/internal/settings/fault.go
@@ -41,8 +41,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// faultList collects faults by byte offset while a file is read. faulty holds the
-// paths that have one.
+// faultList collects faults by byte offset while a file is read. faulty is the set
+// of paths with a fault.
 type faultList struct {
 	file   string
 	data   []byte
--- a/router/internal/settings/settings.go
+++ b/router/internal/settings/settings.go
@@ -40,7 +40,7 @@
 	BillLogURL string `json:"bill_log_url"`
 	ListURL    string `json:"list_url"`
 	RatingURL  string `json:"rating_url"`
-	// AppendBudget is appends a second for the whole fleet. Default 200.
+	// AppendBudget is appends per second for the whole fleet. Default 200.
 	AppendBudget int `json:"append_budget"`
 	// LingerMS is the shortest group commit interval. Default 20.
 	LingerMS int `json:"linger_ms"`
@@ -108,7 +108,7 @@
 	RetryBudget  float64 `json:"retry_budget"`
 	RateBudgetMS int     `json:"rate_budget_ms"`
 	MaxEjected   float64 `json:"max_ejected"`
-	// OverloadWait is the part, from 0 to 1, of the time to its deadline that a
-	// request may wait in an overloaded queue.
+	// OverloadWait is the fraction of the time to its deadline that a request may
+	// wait in an overloaded queue.
 	OverloadWait float64 `json:"overload_wait"`
 }
--- a/router/internal/settings/settings_test.go
+++ b/router/internal/settings/settings_test.go
@@ -29,6 +29,8 @@
 	}
 }
 
+// TestParseReportsEveryFaultAtItsPlace guards against a check that stops at the first
+// fault, reports a consequence of another fault, or names a wrong line and column.
 func TestParseReportsEveryFaultAtItsPlace(t *testing.T) {
 	const file = `{
   "instance": "",
@@ -86,6 +88,8 @@
 	}
 }
 
+// TestPeersInPlaintextOnLoopbackOnly guards against an instance that accepts plaintext
+// from other machines, among them by the unspecified address, which listens on all.
 func TestPeersInPlaintextOnLoopbackOnly(t *testing.T) {
 	const tls = `, "peer": {"cert_file": "c", "key_file": "k", "ca_file": "a"}`
 	for _, c := range []struct {
