--- a/router/internal/cli/reportcmd/reportcmd.go
+++ b/router/internal/cli/reportcmd/reportcmd.go
@@ -1,4 +1,5 @@
-// Package reportcmd is "masticplank report": service levels of a fleet.
+// Package reportcmd implements "masticplank report", which reports the service
+// levels of a fleet.
 package reportcmd
 
 import (
@@ -21,7 +22,7 @@
 	return cmd
 }
 
-// newBurn takes the clock, for the report's time.
+// newBurn returns the command "burn"; now is the clock for the report's time.
 func newBurn(now func() time.Time) *cobra.Command {
 	var addresses []string
 	var output string
@@ -31,14 +32,14 @@
 		Long: "Show each team's service levels (availability, first token, inter-token,\n" +
 			"cost, exposure to bad versions) against the manifest's objectives, the error\n" +
 			"budget left and burn rates over 5m and 1h, 30m and 6h, merged from the\n" +
-			"instances' own counters. HTML is one page that needs nothing else.\n" +
+			"instances' own counters. HTML is one self-contained page.\n" +
 			"Exit status: 0 all answered, 3 some did not, 1 none did.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := cli.CheckOutput(output, cli.OutputText, cli.OutputJSON, cli.OutputHTML); err != nil {
 				return err
 			}
-			return burn(cmd, addresses, output, now)
+			return reportBurn(cmd, addresses, output, now)
 		},
 	}
 	cmd.Flags().StringSliceVar(&addresses, "instances", nil, "admin addresses of the instances")
@@ -47,7 +48,7 @@
 	return cmd
 }
 
-func burn(cmd *cobra.Command, addresses []string, output string, now func() time.Time) error {
+func reportBurn(cmd *cobra.Command, addresses []string, output string, now func() time.Time) error {
 	var sources []report.Source
 	for _, a := range cli.GetAll[report.Snapshot](cmd.Context(), addresses, "/burn") {
 		sources = append(sources, report.Source{Address: a.Address, Snapshot: a.Value, Err: a.Err})
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -11,7 +11,7 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// clock is set by the test.
+// clock is a clock that the test sets.
 type clock struct{ t time.Time }
 
 func (c *clock) now() time.Time { return c.t }
@@ -36,6 +36,8 @@
 	return s
 }
 
+// TestWindowsForgetWhatIsOlder guards against counts and histograms that stay in a
+// window after its span, also when a slot or a span of the ring is used again.
 func TestWindowsForgetWhatIsOlder(t *testing.T) {
 	c := &clock{begin}
 	r := NewRecorder(c.now)
@@ -64,13 +66,15 @@
 			t.Errorf("after %v: histogram kept: %v, want %v", step.after, got, hour)
 		}
 	}
-	// The slot of 6 h ago is the same one now.
+	// The slot for the current time is the one that was used 6 h ago.
 	r.Record(served("ecoles", "m@1", time.Second))
 	if got := snapshot(t, r, "i").Teams[0].Windows["6h"].Served; got != 1 {
 		t.Errorf("a reused slot counts %d", got)
 	}
 }
 
+// TestOnlyTheSystemsFaultsCountAgainstAvailability guards against availability that
+// drops by failures that callers cause, or that misses refusals by the system.
 func TestOnlyTheSystemsFaultsCountAgainstAvailability(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	for _, s := range []struct {
@@ -104,6 +108,8 @@
 	}
 }
 
+// TestSlowIsJudgedByTheObjectiveOfItsTime guards against a new objective that changes
+// which earlier answers count as slow.
 func TestSlowIsJudgedByTheObjectiveOfItsTime(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	r.Record(served("ecoles", "", time.Second)) // no objective yet
@@ -118,8 +124,9 @@
 	}
 }
 
-// TestMergedSnapshotsEqualOneRecorder spreads the same requests over one
-// instance and over three; the reports must agree.
+// TestMergedSnapshotsEqualOneRecorder guards against a merge that counts requests
+// twice or drops them: it records the same requests at one instance and spread over
+// three, and compares the reports.
 func TestMergedSnapshotsEqualOneRecorder(t *testing.T) {
 	c := &clock{begin}
 	whole := NewRecorder(c.now)
@@ -167,6 +174,8 @@
 	return out
 }
 
+// TestRecorderIsBounded guards against memory that grows with the number of teams and
+// versions, and against requests beyond the bounds that are not counted.
 func TestRecorderIsBounded(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	for i := range 2 * maxTeams {
