--- a/router/internal/api/answer.go
+++ b/router/internal/api/answer.go
@@ -12,7 +12,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// reasonText explains the decision's refusals to people.
+// reasonMessages explains the refusals by package decision to people.
 var reasonMessages = map[decision.RefusalReason]string{
 	decision.ReasonQueueFull:        "the team's queue is full",
 	decision.ReasonWaitTooLong:      "the wait would pass the request's deadline",
@@ -27,7 +27,7 @@
 	decision.ReasonOutage:           "the platform's log is down; only idempotent work is done",
 }
 
-// refusal is the outcome of a request that the decision refused.
+// decisionRefusal returns the outcome of a request that package decision refused.
 func decisionRefusal(reason decision.RefusalReason, retryAfter time.Duration) outcome.Outcome {
 	return outcome.Outcome{
 		Kind:       outcome.Refused,
@@ -37,12 +37,12 @@
 	}
 }
 
-// refused is the outcome of a request that the router refused by itself.
+// routerRefusal returns the outcome of a request that this package refused.
 func routerRefusal(code, message string) outcome.Outcome {
 	return outcome.Outcome{Kind: outcome.Refused, Code: code, Message: message}
 }
 
-// writeOutcome writes a final answer that is not the backend server's.
+// writeOutcome writes a final answer that is not a backend server's answer.
 func writeOutcome(w http.ResponseWriter, o outcome.Outcome) {
 	seconds := int(math.Ceil(o.RetryAfter.Seconds()))
 	body := wire.Error{Error: wire.ErrorBody{
@@ -60,6 +60,6 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the caller has gone; there is nobody to tell.
+	// A failed write means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/router/internal/api/api.go
+++ b/router/internal/api/api.go
@@ -1,10 +1,11 @@
-// Package api is the callers' edge: OpenAI-compatible chat, plain services, and
-// sessions. It turns HTTP into requests for the decision, carries out the
-// attempts that the decision commands, and writes exactly one final answer.
+// Package api serves callers over HTTP: OpenAI-compatible chat completions, plain
+// services and sessions. It turns each HTTP request into a request for package
+// decision, runs the attempts that decision commands, and writes exactly one
+// final answer.
 //
-// One request through the code: server.go routes it, chat.go or service.go
-// reads it, exchange.go follows the decision's commands, attempt.go runs each
-// attempt, answer.go writes the end.
+// The path of a request: api.go routes it, chat.go or service.go parses it,
+// exchange.go executes the commands for it, attempt.go runs each attempt, and
+// answer.go writes outcomes that are not a backend server's answer.
 package api
 
 import (
@@ -25,26 +26,28 @@
 	"masticplank.example/router/internal/upstream"
 )
 
-// Manifests gives the manifest in force; nil before the first.
+// Manifests returns the manifest in force, or nil before the first one.
 type Manifests interface{ Current() *manifest.Index }
 
-// Gate says whether new work may start now. It is asked at admission and again
-// right before each dispatch.
+// Gate reports whether new work may start now. It is checked at admission and
+// again right before each dispatch.
 type Gate interface {
-	// MayRun returns an empty reason where work may start. idempotent is false
+	// MayRun returns an empty reason if work may start. idempotent is false
 	// for work that needs a claim in the log.
 	MayRun(idempotent bool) decision.RefusalReason
 }
 
-// Servers finds a backend server's address.
+// Servers looks up backend servers and receives their load.
 type Servers interface {
+	// Addr returns a server's host:port, or false if it is not listed.
 	Addr(decision.ServerID) (string, bool)
-	// Answered takes the load that a server told on an answer; empty for none.
+	// ObserveLoad takes the value of the load header of a server's answer;
+	// empty if the answer had none.
 	ObserveLoad(id decision.ServerID, load string)
 }
 
-// Recorder takes the service-level figures of each ended request. Safe for
-// concurrent use.
+// Recorder receives the service-level figures of each ended request. It must be
+// safe for concurrent use.
 type Recorder interface{ Observe(Observation) }
 
 // Observation is one ended request, for metrics and reports.
@@ -52,17 +55,21 @@
 	Team    string
 	Version string
 	Outcome string
-	// Code is the outcome's code where it is not completed; it tells a
-	// caller's own fault from the system's.
+	// Code is the outcome's code if the request did not complete. It separates
+	// callers' errors from faults of the system.
 	Code string
-	// FirstToken is zero where none came; InterToken is the mean gap.
+	// FirstToken is the time from arrival to the first token, or to the whole
+	// answer if it was not streamed; zero if none came.
 	FirstToken time.Duration
+	// InterToken is the mean time between two tokens, zero below two tokens.
 	InterToken time.Duration
-	Duration   time.Duration
-	Cost       float64
+	// Duration is the time from arrival to the end of the request.
+	Duration time.Duration
+	// Cost over all attempts, in the manifest's unit of cost.
+	Cost float64
 }
 
-// Deps is what the API works with.
+// Deps are the dependencies of a Server.
 type Deps struct {
 	Driver        *driver.Driver
 	Manifests     Manifests
@@ -79,29 +86,29 @@
 	Limits        Limits
 }
 
-// Limits towards callers.
+// Limits bound what callers can send and how long they are waited for.
 type Limits struct {
-	// MaxBody in bytes.
+	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
-	// ReadTimeout bounds the reading of a body, against slow callers.
+	// ReadTimeout bounds reading a body, as protection against slow callers.
 	ReadTimeout time.Duration
-	// WriteTimeout bounds each write to a caller: one that does not read must
-	// not hold an engine's slot.
+	// WriteTimeout bounds each write to a caller, so that one which does not
+	// read cannot hold an engine's slot.
 	WriteTimeout time.Duration
-	// DefaultDeadline for a request that names none.
+	// DefaultDeadline is the time to the deadline of a request that states none.
 	DefaultDeadline time.Duration
-	// MaxDeadline caps what a caller may ask for.
+	// MaxDeadline bounds the time to the deadline that a caller may state.
 	MaxDeadline time.Duration
 }
 
-// Server serves callers.
+// Server is the HTTP handler for callers.
 type Server struct {
 	Deps
 	router  *mux.Router
 	ratings *ratingPool
 }
 
-// New returns the API's handler.
+// New returns a Server.
 func New(deps Deps) *Server {
 	s := &Server{Deps: deps, router: mux.NewRouter()}
 	s.ratings = newRatingPool(deps.Rater, deps.Driver)
@@ -114,10 +121,10 @@
 	return s
 }
 
-// ServeHTTP serves one caller's request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.router.ServeHTTP(w, r)
 }
 
-// Wait returns once the ratings under way have ended, or ctx has.
+// Wait blocks until all running ratings have ended or ctx is done.
 func (s *Server) Wait(ctx context.Context) { s.ratings.wait(ctx) }
--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -17,7 +17,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// attempt runs one Dispatch to its end and reports it.
+// runAttempt runs one Dispatch to its end and reports the result.
 func (x *exchange) runAttempt(ctx context.Context, d decision.Dispatch) {
 	ctx, done := x.ticket.BeginAttempt(ctx, d.Attempt)
 	defer done()
@@ -36,8 +36,8 @@
 	x.complete(ctx, result)
 }
 
-// exchangeWith writes the attempt and reads its answer. A stream that is not held flows
-// to the caller meanwhile, up to its last events.
+// sendAndRead sends the attempt and reads its answer. A stream that is not held
+// is forwarded to the caller as it arrives, except for its last events.
 func (x *exchange) sendAndRead(ctx context.Context, d decision.Dispatch) (*answer, error) {
 	addr, ok := x.s.Servers.Addr(d.Server)
 	if !ok {
@@ -76,9 +76,10 @@
 	return chatCall(*x.chat, d.Version, addr, nonce)
 }
 
-// readRejected handles an engine's answer that is not a success. What the
-// engine holds against the request itself (4xx) is the caller's to see; trying
-// it elsewhere would say the same. It is no completed answer, and not billed.
+// readErrorResponse handles an engine's answer whose status is not 200. A 4xx
+// status, 429 excepted, is an error in the request itself: it is passed on to the
+// caller, since another server would return the same. It is not a completed
+// answer and not billed.
 func (x *exchange) readErrorResponse(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	body, err := upstream.ReadAll(ctx, resp)
 	if err != nil {
@@ -92,7 +93,8 @@
 	return &answer{attempt: d.Attempt, version: d.Version, status: resp.StatusCode, header: resp.Header, body: body}, nil
 }
 
-// readPlain reads a plain answer of an engine and counts its tokens.
+// readCompletionBody reads an answer that an engine did not stream and adds its
+// token usage to the bill.
 func (x *exchange) readCompletionBody(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	body, err := upstream.ReadAll(ctx, resp)
 	if err != nil {
@@ -111,7 +113,7 @@
 	return out, nil
 }
 
-// addUsage adds an attempt's tokens and their cost to the request's one bill.
+// addUsage adds an attempt's tokens and their cost to the request's bill.
 func (x *exchange) addUsage(version decision.VersionID, u wire.Usage) {
 	const perTokens = 1000
 	x.bill.Version = string(version)
@@ -120,8 +122,9 @@
 	x.cost += x.price(version) * float64(u.CompletionTokens) / perTokens
 }
 
-// price of a version by the manifest in force. One that was withdrawn from it
-// altogether while the request ran has the price of the request's arrival.
+// price returns a version's cost per 1000 generated tokens from the manifest in
+// force. For a version that was removed from the manifest while the request ran,
+// it returns the price at the request's arrival.
 func (x *exchange) price(version decision.VersionID) float64 {
 	for _, index := range []*manifest.Index{x.s.Manifests.Current(), x.caller.index} {
 		if v, ok := index.Version(string(version)); ok {
@@ -131,8 +134,8 @@
 	return 0
 }
 
-// attemptFailed tells the decision how the attempt ended. A cancelled one means
-// that the decision itself, or the caller, ended it.
+// reportFailure reports how a failed attempt ended. A cancelled attempt was ended
+// by package decision or by the caller.
 func (x *exchange) reportFailure(ctx context.Context, d decision.Dispatch, err error) {
 	failure := &upstream.Failure{Result: decision.AttemptUnknown, Err: err}
 	errors.As(err, &failure)
@@ -159,8 +162,8 @@
 		logging.Err(failure))
 }
 
-// complete gives the caller an answer that is not held: the bill first, then
-// the end of it.
+// complete gives the caller an answer that is not held: it records the bill
+// first and then writes what remains of the answer.
 func (x *exchange) complete(ctx context.Context, a *answer) {
 	if !x.settleBill(ctx) {
 		return
@@ -168,14 +171,14 @@
 	x.finishWithAnswer(a)
 }
 
-// end writes a whole answer and ends the request.
+// finishWithAnswer writes a whole answer and ends the request.
 func (x *exchange) finishWithAnswer(a *answer) {
 	x.writeAnswer(a)
 	x.observe(x.finalOutcome())
 	x.done = true
 }
 
-// ending is the outcome of an answer that came whole.
+// finalOutcome returns the outcome of an answer that was received whole.
 func (x *exchange) finalOutcome() outcome.Outcome {
 	if x.rejectedByServer {
 		return outcome.Outcome{Kind: outcome.Failed, Code: "rejected_by_backend_server"}
@@ -195,7 +198,7 @@
 	x.setOutcomeHeaders(a.version)
 	x.setWriteDeadline()
 	x.w.WriteHeader(a.status)
-	// A failed write means that the caller has gone; the bill stands.
+	// A failed write means that the caller has disconnected; the bill stands.
 	_, _ = x.w.Write(a.body)
 }
 
--- a/router/internal/api/auth.go
+++ b/router/internal/api/auth.go
@@ -8,7 +8,7 @@
 	"masticplank.example/router/internal/manifest"
 )
 
-// caller is who asks, under the manifest that was in force on arrival.
+// caller is the team that sent a request, with the manifest in force on arrival.
 type caller struct {
 	team  manifest.Team
 	index *manifest.Index
@@ -16,8 +16,8 @@
 
 type authedHandler func(w http.ResponseWriter, r *http.Request, c caller)
 
-// authenticated finds the caller's team by its API key ("Authorization: Bearer
-// KEY") before anything of the request is read.
+// authenticated looks up the caller's team by its API key ("Authorization: Bearer
+// KEY") before any of the body is read.
 func (s *Server) authenticated(next authedHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		index := s.Manifests.Current()
--- a/router/internal/api/chat.go
+++ b/router/internal/api/chat.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// defaultMaxTokens sizes a request that names no limit.
+	// defaultMaxTokens is the assumed size of a request that states no limit.
 	defaultMaxTokens = 256
-	// retrySoon is when to come back after a refusal that passes by itself
-	// within seconds, such as an instance catching up.
+	// retryDelay is the Retry-After of refusals whose cause passes within
+	// seconds, such as an instance that is catching up with the log.
 	retryDelay = time.Second
-	// bytesPerToken estimates the prompt's tokens before an engine counts them.
+	// bytesPerToken estimates a prompt's tokens before an engine counts them.
 	bytesPerToken = 4
 )
 
@@ -58,10 +58,10 @@
 	x.run()
 }
 
-// readBody reads the body within the limit.
+// readBody reads the body within the limits of size and time.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *outcome.Outcome) {
-	// The deadline is lifted after the body: net/http would else take it for the
-	// end of the caller while a long answer is under way.
+	// The read deadline is cleared after the body: if it passed during a long
+	// answer, net/http would take it for a disconnect of the caller.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(s.Limits.ReadTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.Limits.MaxBodyBytes))
@@ -95,7 +95,7 @@
 	return &o
 }
 
-// chatRequest builds what the decision is told.
+// chatRequest builds the decision.Request of a chat.
 func (s *Server) chatRequest(r *http.Request, c caller, key idempotencyKey, chat wire.ChatRequest, body []byte) (decision.Request, *outcome.Outcome) {
 	req, refusal := s.newRequest(r, c, key, body)
 	if refusal != nil {
@@ -116,7 +116,7 @@
 	return req, s.pinSession(r, c, &req)
 }
 
-// commonRequest reads what all requests have: task, priority, deadline.
+// newRequest reads what all requests have in common: task, priority, deadline.
 func (s *Server) newRequest(r *http.Request, c caller, key idempotencyKey, body []byte) (decision.Request, *outcome.Outcome) {
 	fingerprint := xxhash.New()
 	_, _ = fingerprint.WriteString(c.team.ID + "\x00" + r.Method + "\x00" + r.URL.Path + "\x00")
@@ -125,7 +125,7 @@
 		Team:        decision.TeamID(c.team.ID),
 		Class:       decision.TaskClass(r.Header.Get(wire.HeaderTask)),
 		Fingerprint: decision.Fingerprint(fingerprint.Sum64()),
-		// By the request's identity, so that a resend falls on the same version.
+		// Derived from the Idempotency-Key, so that a resend gets the same version.
 		RolloutPosition: session.ShareHash(c.team.ID, key.id),
 		Resend:          isResend(r),
 	}
@@ -150,8 +150,8 @@
 	return req, nil
 }
 
-// isResend says whether the caller marks the request as sent again. Those draw on
-// the team's budget for retries, so that they cannot keep an overload alive.
+// isResend reports whether the caller marks the request as a retry. Retries draw
+// on the team's retry budget, so that they cannot sustain an overload.
 func isResend(r *http.Request) bool {
 	for _, name := range []string{wire.HeaderRetry, wire.HeaderClientRetry} {
 		if n, err := strconv.Atoi(r.Header.Get(name)); err == nil && n > 0 {
@@ -161,8 +161,8 @@
 	return false
 }
 
-// chatCall builds the attempt for an engine, which is always asked for a stream;
-// see plain.go.
+// chatCall builds the call to an engine, which is always asked for a stream; see
+// plain.go.
 func chatCall(chat wire.ChatRequest, version decision.VersionID, addr, nonce string) (upstream.Call, error) {
 	chat.Model = string(version)
 	chat.Stream = true
@@ -181,7 +181,7 @@
 	}, nil
 }
 
-// models serves GET /v1/models: what the team may use.
+// models serves GET /v1/models: the serving versions that the team may use.
 func (s *Server) models(w http.ResponseWriter, _ *http.Request, c caller) {
 	type row struct {
 		ID     string `json:"id"`
--- a/router/internal/api/claim.go
+++ b/router/internal/api/claim.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// claimTimeout bounds the wait for the own claim to come back from the log:
-	// many group commits, and short beside what a caller waits.
+	// claimTimeout bounds the wait until a claim is read back from the log. It
+	// is as long as many group commits, and short compared with callers'
+	// deadlines.
 	claimTimeout = 3 * time.Second
-	// claimLifetime is two claim windows and the skew, past which the key's own
-	// time makes a second claim void.
+	// claimLifetime is twice the claim window plus the clock skew. After that,
+	// the timestamp in the key makes a second claim void.
 	claimLifetime = 24*time.Hour + time.Minute
 )
 
-// claim is a won claim of a non-idempotent request.
+// claim identifies a won claim of a non-idempotent request.
 type claim struct {
 	key   record.Key
 	nonce record.Nonce
 }
 
-// takeClaim proposes the claim and waits for the log's verdict. It returns nil
-// once the claim is won, else the request's final answer. The request has not
-// been sent anywhere yet, so every answer but already_run is "not run", and a
-// claim whose outcome is unknown is released first: a late Put of a released
-// nonce never wins, and only this process could have acted on it.
+// acquireClaim writes the claim to the log and waits for its result. It returns
+// nil once the claim is won, else the request's final answer. The request has not
+// been sent to any server yet, so every answer except already_run means "not
+// run". A claim whose outcome is unknown is released first: a late Put of a
+// released nonce never wins, and only this process could have acted on it.
 func (x *exchange) acquireClaim(ctx context.Context) *outcome.Outcome {
 	c := &claim{
 		key:   record.Key(string(record.ClassClaim) + "/" + x.caller.team.ID + "/" + x.key.id),
@@ -63,14 +64,14 @@
 	}
 }
 
-// keyOutsideWindow explains a void claim; it decides nothing.
+// keyOutsideWindow finds the reason of a void claim, for the error message only.
 func (x *exchange) keyOutsideWindow() bool {
 	age := time.Since(x.key.timestamp)
 	return age > claimLifetime/2-time.Minute || age < -time.Second
 }
 
-// releaseClaim lets the caller send the request again after a refusal: the
-// decision refuses only what was provably not run.
+// releaseClaim lets the caller send the request again after a refusal. That is
+// safe since package decision refuses only what provably did not run.
 func (x *exchange) releaseClaim() {
 	if x.claimed == nil {
 		return
--- a/router/internal/api/key.go
+++ b/router/internal/api/key.go
@@ -10,18 +10,18 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// identity is a request's Idempotency-Key.
+// idempotencyKey is a request's Idempotency-Key.
 type idempotencyKey struct {
 	id string
-	// at is the time that a UUIDv7 carries; it bounds the claim window.
+	// timestamp is the time in the UUIDv7; the claim window counts from it.
 	timestamp time.Time
-	// minted keys were made here, since the caller gave none.
+	// generated is set if the caller sent no key and one was made here.
 	generated bool
 }
 
-// requestKey reads the caller's Idempotency-Key, a UUIDv7. Without one it mints
-// a key, unless the call needs the caller's: only the caller can say that two
-// requests are one.
+// readIdempotencyKey reads the caller's Idempotency-Key, a UUIDv7. If there is
+// none it generates one, unless the call requires the caller's: only the caller
+// knows that two requests are the same.
 func readIdempotencyKey(r *http.Request, required bool) (idempotencyKey, *outcome.Outcome) {
 	text := r.Header.Get(wire.HeaderIdempotencyKey)
 	if text == "" && required {
--- a/router/internal/api/plain.go
+++ b/router/internal/api/plain.go
@@ -12,13 +12,12 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Engines are asked for a stream also where the caller wants a plain answer,
-// which is then put together here. Load: callers that leave, and engines that die,
-// in the middle of long answers. Harm prevented: what was generated until then
-// would be neither known nor billed. An engine that answers plain all the same is
-// taken at its word.
+// Engines are asked for a stream even if the caller wants a single JSON body, which
+// is then assembled here. Otherwise, when a caller disconnects or an engine dies in
+// the middle of a long answer, the tokens generated until then would be neither
+// known nor billed. An engine that sends a single body nevertheless is accepted.
 
-// readWhole reads the answer that a caller of a plain chat gets.
+// readCompletion reads the answer to a chat whose caller did not ask for a stream.
 func (x *exchange) readCompletion(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		return x.readCompletionBody(ctx, d, resp)
@@ -39,9 +38,9 @@
 	return sr.out, nil
 }
 
-// noteChunk keeps what a plain answer has of a chunk beside its text. What names
-// the answer is read from the first chunk alone; reading it from each would cost
-// more than the rest.
+// aggregateChunk keeps what the assembled answer needs of a chunk besides its text.
+// Identifier, model and the like are decoded from the first chunk only; decoding
+// them from each would cost more than all other work on a chunk.
 func (sr *streamReader) aggregateChunk(c streamChunk, data string) error {
 	if sr.text.Len() > upstream.MaxAnswerBytes {
 		return &upstream.Failure{Result: decision.AttemptFailed, Err: errAnswerTooLarge}
@@ -65,7 +64,7 @@
 	errAnswerTooLarge = errors.New("the answer is larger than the limit")
 )
 
-// whole is the stream as one chat completion.
+// completion returns the stream as the JSON of one chat completion.
 func (sr *streamReader) completion() ([]byte, error) {
 	if sr.firstChunk == nil || sr.finishReason == nil {
 		return nil, errNoFinish
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// maxRatings bounds ratings under way at once: a slow rating service must
-	// not gather goroutines without end. Past it an answer counts as not rated.
+	// maxConcurrentRatings bounds the goroutines that wait for a slow rating
+	// service. Answers beyond it count as not rated.
 	maxConcurrentRatings = 128
-	// lateRating bounds a rating that no answer waits for.
+	// unheldRatingTimeout bounds a rating that no held answer waits for.
 	unheldRatingTimeout = 5 * time.Second
 )
 
-// raters asks the rating service, away from the path of answers.
+// ratingPool queries the rating service in the background.
 type ratingPool struct {
 	rater  platform.Rater
 	driver *driver.Driver
@@ -31,7 +31,7 @@
 	return &ratingPool{rater: rater, driver: d, slots: make(chan struct{}, maxConcurrentRatings)}
 }
 
-// rate has an answer rated where the decision asked for it.
+// rate starts the rating of an answer if the Dispatch asks for one.
 func (x *exchange) rate(d decision.Dispatch, a *answer) {
 	if !d.NeedsRating {
 		return
@@ -89,7 +89,7 @@
 	return event
 }
 
-// wait returns once no rating is under way, or ctx has ended.
+// wait blocks until no rating is running or ctx is done.
 func (q *ratingPool) wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
--- a/router/internal/api/service.go
+++ b/router/internal/api/service.go
@@ -18,7 +18,7 @@
 type serviceCall struct {
 	service manifest.Service
 	method  string
-	// path and query as the service gets them, without /services/{name}.
+	// path and query are sent to the service; /services/{name} is stripped.
 	path       string
 	query      string
 	header     http.Header
@@ -26,7 +26,8 @@
 	idempotent bool
 }
 
-// passedHeaders go on to the service and back; everything else is the router's.
+// forwardedHeaders are the caller's headers that are sent on to the service; all
+// others are dropped or set by the router.
 var forwardedHeaders = []string{"Accept", "Content-Type", "Accept-Language"}
 
 // service serves /services/{service}/...
@@ -100,8 +101,8 @@
 	}
 }
 
-// readService reads a service's answer whole. What the service itself says
-// below 500 is its answer; above, it ran and failed.
+// readService reads a service's whole answer. Any status below 500 is the
+// service's answer; from 500 on the call ran and failed.
 func (x *exchange) readService(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	body, err := upstream.ReadAll(ctx, resp)
 	if err != nil {
--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -14,7 +14,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// sessionAnswer is the body of POST /v1/sessions.
+// sessionResponse is the response body of POST /v1/sessions.
 type sessionResponse struct {
 	Session  string            `json:"session"`
 	Token    string            `json:"token"`
@@ -22,8 +22,8 @@
 	Versions map[string]string `json:"versions"`
 }
 
-// newSession serves POST /v1/sessions: the token carries the versions, so that
-// no instance keeps anything.
+// newSession serves POST /v1/sessions. The token carries the pinned versions, so
+// that no instance has to store the session.
 func (s *Server) newSession(w http.ResponseWriter, r *http.Request, c caller) {
 	if reason := s.Gate.MayRun(true); reason != "" {
 		writeOutcome(w, decisionRefusal(reason, retryDelay))
@@ -59,7 +59,7 @@
 	return pins
 }
 
-// pinSession fixes the request to its session's versions, where it has one.
+// pinSession pins the request to the versions of its session, if it has one.
 func (s *Server) pinSession(r *http.Request, c caller, req *decision.Request) *outcome.Outcome {
 	header := r.Header.Get(wire.HeaderSession)
 	if header == "" {
@@ -81,8 +81,9 @@
 	return nil
 }
 
-// readSession reads a token, or the pins of a session that has only a name; a
-// name not seen before gets its pins now, from the first writer in the log.
+// readSession reads a session from its token or, for a session that has only a
+// name, its pins from the log. A new name is pinned now; if several instances do
+// so at once, the first writer in the log wins.
 func (s *Server) readSession(ctx context.Context, c caller, header string) (session.Session, *outcome.Outcome) {
 	if session.LooksLikeToken(header) {
 		opened, err := s.SessionTokens.Verify(header, c.team.ID)
--- a/router/internal/api/stream.go
+++ b/router/internal/api/stream.go
@@ -16,45 +16,46 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// maxEventBytes bounds one server-sent event of an engine.
+// maxEventBytes bounds one server-sent event from an engine.
 const maxEventBytes = 1 << 20
 
 var (
-	errTruncatedStream = errors.New("the stream ended before its end mark")
+	errTruncatedStream = errors.New("the stream ended before its end marker")
 	errMalformedChunk  = errors.New("the stream holds an event that is not a chunk")
 	errNoUsage         = errors.New("the stream ended without its usage")
 	errMissingEvent    = errors.New("an event of the stream is missing")
-	errCallerGone      = errors.New("the caller has gone")
+	errCallerGone      = errors.New("the caller has disconnected")
 )
 
-// streamReader follows one engine's stream.
+// streamReader reads the stream of one attempt.
 type streamReader struct {
 	x        *exchange
 	dispatch decision.Dispatch
-	// flow is false for a held stream, whose events are only kept.
+	// forward is false for a held stream, whose events are only collected.
 	forward bool
 	out     *answer
-	// usage comes with the last chunk.
-	usage       *wire.Usage
+	// usage is sent with the last chunk.
+	usage *wire.Usage
+	// sawEnd is set by the end marker.
 	sawEnd      bool
 	lastTokenAt time.Time
-	// chunks counts what was generated so far, for the bill of a cancelled
-	// request: an engine sends a token a chunk.
+	// chunks counts the tokens generated so far, for the bill of a cancelled
+	// request: an engine sends one token per chunk.
 	chunks int
-	// text is the answer so far, where it is to be rated.
+	// text is the answer so far, if it is to be rated or aggregated.
 	text strings.Builder
-	// plain is set where the caller gets one plain answer; head names it, and
-	// finish is why the engine ended it.
+	// aggregate is set if the caller gets a single JSON body. firstChunk then
+	// holds the answer's identifier and model.
 	aggregate    bool
 	firstChunk   *wire.ChatResponse
 	finishReason *string
-	// next is the number that the next event must have; see repeated.
+	// nextEvent is the id expected of the next event; see isDuplicate.
 	nextEvent int
 }
 
-// readStream passes an engine's stream on. The chunks that make an answer look
-// complete (finish reason, usage, end mark) are kept back in answer.events, to
-// be written once the bill is durable.
+// readStream forwards an engine's stream. The events that make an answer look
+// complete (finish reason, usage, end marker) are withheld in answer.events and
+// written once the bill is durable.
 func (x *exchange) readStream(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	sr := x.newStreamReader(d)
 	if err := sr.follow(ctx, resp); err != nil {
@@ -73,8 +74,8 @@
 	}
 }
 
-// follow reads the stream to its end and counts its tokens, or, where it broke
-// off, those that came.
+// follow reads the stream to its end and bills its tokens. For a stream that
+// broke off it bills the tokens received.
 func (sr *streamReader) follow(ctx context.Context, resp *http.Response) error {
 	version := sr.dispatch.Version
 	err := sr.read(ctx, resp)
@@ -113,10 +114,10 @@
 	return sr.checkEnd(ctx)
 }
 
-// repeated reads an event's number. Engines that number their events (id: 0, 1,
-// 2, ...) let masticplank drop one that comes twice and refuse a stream with one
-// missing; both would pass unseen otherwise, in the middle of an answer. Events
-// without a number are taken as they come.
+// isDuplicate checks an event's id against the expected one. If an engine numbers
+// its events (id: 0, 1, 2, ...), duplicates are dropped and a stream that lacks an
+// event fails; otherwise both would go unnoticed in the middle of an answer.
+// Events without a number are accepted in the order of arrival.
 func (sr *streamReader) isDuplicate(id string) (bool, error) {
 	n, err := strconv.Atoi(id)
 	if err != nil {
@@ -132,7 +133,7 @@
 	return false, nil
 }
 
-// checkEnd accepts a stream only with its explicit end and usage.
+// checkEnd accepts a stream only if it had an end marker and a usage.
 func (sr *streamReader) checkEnd(ctx context.Context) error {
 	if !sr.sawEnd {
 		return upstream.ClassifyReadError(ctx, errTruncatedStream)
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// streamChunk is what of a chunk matters here; the rest is passed on unread.
+// streamChunk has the fields of a chunk that are used here; the rest is forwarded
+// without being decoded.
 type streamChunk struct {
 	Choices []struct {
 		Delta struct {
@@ -185,7 +187,7 @@
 		sr.text.WriteString(text)
 	}
 	if sr.aggregate {
-		return // nothing of it goes to the caller yet
+		return // the caller gets nothing before the whole answer
 	}
 	now := time.Now()
 	if sr.chunks == 1 {
@@ -204,7 +206,7 @@
 	}
 }
 
-// writeEvent sends one event to the caller at once.
+// writeEvent sends one event to the caller without buffering.
 func (x *exchange) writeEvent(version decision.VersionID, data string) error {
 	x.startStream(version)
 	if err := x.writeAndFlush(data); err != nil {
@@ -213,7 +215,7 @@
 	return nil
 }
 
-// send writes and flushes one event within the write timeout.
+// writeAndFlush writes and flushes one event within the write timeout.
 func (x *exchange) writeAndFlush(data string) error {
 	x.setWriteDeadline()
 	if _, err := x.w.Write([]byte("data: " + data + "\n\n")); err != nil {
@@ -222,8 +224,8 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// limitWrite gives the next write its deadline. Writers without one, as in some
-// tests, go without.
+// setWriteDeadline sets the deadline of the next write. Response writers that
+// support no deadline, as in some tests, have none.
 func (x *exchange) setWriteDeadline() {
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(x.s.Limits.WriteTimeout))
 }
@@ -239,7 +241,7 @@
 	x.w.WriteHeader(http.StatusOK)
 }
 
-// writeEvents writes what was kept back, and the end mark.
+// writeEvents writes the withheld events and the end marker.
 func (x *exchange) writeEvents(a *answer) {
 	for _, data := range append(a.events, wire.StreamEnd) {
 		if x.writeEvent(a.version, data) != nil {
--- a/router/internal/billing/billing.go
+++ b/router/internal/billing/billing.go
@@ -1,5 +1,5 @@
-// Package billing makes each completed request's bill durable before its answer
-// ends: in the log, or held in two places while the log is down.
+// Package billing makes the bill of each request durable before its answer ends:
+// in the log or, while the log is unreachable, held at two instances.
 package billing
 
 import (
@@ -13,22 +13,22 @@
 	"masticplank.example/coordination/record"
 )
 
-// putTimeout bounds the wait for the log before a bill is held instead. It is
-// several group commits long, and short beside a caller's patience.
+// putTimeout bounds the wait for the log before a bill is held instead. It is as
+// long as several group commits, and short compared with callers' deadlines.
 const putTimeout = 2 * time.Second
 
 const (
-	// recordTimeout bounds all tries for one bill. It is longer than the list
-	// takes to name a peer to an instance that has just started.
+	// recordTimeout bounds all tries to record one bill. It is longer than an
+	// instance that has just started waits for a list that names a peer.
 	recordTimeout = 5 * time.Second
-	// tryInterval is the pause between two tries.
+	// retryInterval is the pause between two tries.
 	retryInterval = 150 * time.Millisecond
 )
 
-// Holder keeps a bill while the log is down: here and at one peer in another
-// failure domain. It flushes by itself once the log is back.
+// Holder holds bills while the log is unreachable, here and at one peer in
+// another failure domain. It writes them to the log once that is reachable again.
 type Holder interface {
-	// Hold returns an error where no second copy could be had.
+	// Hold returns an error if no peer took the second copy.
 	Hold(ctx context.Context, r record.Record) error
 }
 
@@ -38,17 +38,17 @@
 	holder Holder
 }
 
-// New returns a biller.
+// New returns a Biller that writes to log and holds bills in holder.
 func New(log ledger.BillLog, holder Holder) *Biller {
 	return &Biller{log: log, holder: holder}
 }
 
-// Record returns nil once the bill is durable: in the log (the own one, or one
-// for the same request before it), or held in two places. After an error the
+// Record returns nil once the bill is durable: it, or an earlier bill for the same
+// request, is in the log, or it is held at two instances. After an error the
 // answer must not end as if it had been billed.
 //
-// Where neither can be had it tries again for a while: the request has run, and
-// an answer that comes late is worth more to its caller than none.
+// If neither succeeds, Record retries up to recordTimeout: the request has run,
+// and a late answer is worth more to its caller than none.
 func (b *Biller) Record(ctx context.Context, bill ledger.Bill) error {
 	rec, err := bill.Record()
 	if err != nil {
@@ -67,9 +67,9 @@
 	}
 }
 
-// try puts the bill into the log, or holds it. Holding has bounds of its own and
-// is not cut off by ctx: after a pause of this process ctx may have ended without
-// anything having been tried.
+// recordOnce writes the bill to the log or else holds it. Holding has its own
+// timeouts and ignores the end of ctx: after a pause of this process, ctx may have
+// ended before anything was tried.
 func (b *Biller) recordOnce(ctx context.Context, rec record.Record) error {
 	if b.log.Reachable() && b.put(ctx, rec) {
 		return nil
@@ -88,7 +88,7 @@
 	}
 }
 
-// pause waits between two tries; false once ctx has ended.
+// waitRetry waits for retryInterval. It returns false if ctx ends first.
 func waitRetry(ctx context.Context) bool {
 	timer := time.NewTimer(retryInterval)
 	defer timer.Stop()
--- a/router/internal/billing/billing_test.go
+++ b/router/internal/billing/billing_test.go
@@ -12,7 +12,8 @@
 	"masticplank.example/coordination/record"
 )
 
-// scripted answers each call with the next step and repeats the last one.
+// fakeLog is a log and a holder. Each call returns the next scripted result; the
+// last one is repeated.
 type fakeLog struct {
 	reachable bool
 	puts      []node.Outcome
@@ -33,8 +34,9 @@
 	return s.holds[min(s.holdCalls, len(s.holds))-1]
 }
 
-// TestRecord walks what the log and the peers can say. A nil error means that
-// the bill is in the log or held twice; nothing else may give one.
+// TestRecord goes through the results of the log and the peers. Record may return
+// nil only if the bill is in the log or held at two instances; otherwise an answer
+// would be given without a bill.
 func TestRecord(t *testing.T) {
 	noPeer := errors.New("no peer")
 	for name, c := range map[string]struct {
--- a/router/internal/driver/driver.go
+++ b/router/internal/driver/driver.go
@@ -1,5 +1,5 @@
-// Package driver runs the decision: one goroutine owns the World, feeds it
-// events and hands each command to the request that it is for.
+// Package driver runs the state machine of package decision: one goroutine owns
+// the World, feeds it events and passes each command to the request that it is for.
 package driver
 
 import (
@@ -12,24 +12,26 @@
 )
 
 const (
-	// inboxSize is how many events may wait for the next tick. A full inbox
-	// makes senders wait, which slows the arrival of requests, not their end.
+	// inboxSize is how many events can wait for the next tick. A full inbox
+	// blocks senders, which slows the arrival of requests, not their end.
 	inboxSize = 4096
-	// batchSize bounds the events of one tick, so that one burst cannot delay
-	// the commands for the requests before it.
+	// batchSize bounds the events of one tick, so that a burst cannot delay the
+	// commands for earlier requests.
 	batchSize = 256
-	// tickInterval is how often time alone is looked at (deadlines, waits).
+	// tickInterval is the time to the next tick while requests are open and no
+	// event arrives. Such ticks apply deadlines and limits of waiting times.
 	tickInterval = 5 * time.Millisecond
-	// idleInterval is the same while no request is open: 4 wake-ups a second instead of
-	// 200. It stays well under decision.Config.PauseGap, past which a gap between two
-	// ticks counts as a pause of the process.
+	// idleTickInterval is the same while no request is open: 4 wake-ups a second
+	// instead of 200. It is well below decision.Config.PauseThreshold; a longer gap
+	// between two ticks counts as a pause of the process.
 	idleTickInterval = 250 * time.Millisecond
-	// mailboxSize is the most commands that a request can have unread: attempts
-	// follow one another, so a dispatch and a final word are the usual most.
+	// commandBuffer is how many unread commands a request can have. Attempts run
+	// one after the other, so there are rarely more than a Dispatch and a final
+	// command.
 	commandBuffer = 16
 )
 
-// FleetSink takes the commands that are for no single request.
+// FleetSink receives the commands that do not concern a single request.
 type FleetSink interface {
 	ShareVerdict(decision.VersionVerdict)
 	ShareLeaving(decision.ServerID)
@@ -37,12 +39,12 @@
 	Quarantine(decision.Quarantine)
 }
 
-// Decider is the decision; *decision.World is it.
+// Decider is the state machine that the driver runs; *decision.World implements it.
 type Decider interface {
 	Tick(now time.Time, in []decision.Event) []decision.Command
 }
 
-// Driver owns the decision. Its methods are safe for concurrent use.
+// Driver owns a Decider. Its methods are safe for concurrent use.
 type Driver struct {
 	decider Decider
 	sink    FleetSink
@@ -55,7 +57,7 @@
 	openingSessions map[decision.SessionID]chan []decision.VersionID
 }
 
-// New returns a driver; Run starts it.
+// New returns a driver of decider; Run starts it.
 func New(decider Decider, sink FleetSink) *Driver {
 	return &Driver{
 		decider:         decider,
@@ -88,7 +90,7 @@
 	}
 }
 
-// drain takes what else waits, without waiting itself.
+// fillBatch adds the events that are waiting, up to batchSize, without blocking.
 func (d *Driver) fillBatch(batch []decision.Event) []decision.Event {
 	for len(batch) < batchSize {
 		select {
@@ -101,7 +103,7 @@
 	return batch
 }
 
-// interval is the time until the next tick by time alone.
+// interval returns the time until the next tick if no event arrives.
 func (d *Driver) interval() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,7 +113,7 @@
 	return tickInterval
 }
 
-// Send hands an event to the next tick. After Run has ended it does nothing.
+// Send queues an event for the next tick. After Run has ended it does nothing.
 func (d *Driver) Send(ev decision.Event) {
 	select {
 	case d.inbox <- ev:
@@ -119,7 +121,7 @@
 	}
 }
 
-// Submit numbers a request, hands it over and returns its ticket, which the
+// Submit assigns an ID to a request, submits it and returns its ticket, which the
 // caller must Close.
 func (d *Driver) Submit(req decision.Request) *Ticket {
 	req.ID = decision.RequestID(d.nextID.Add(1))
@@ -136,7 +138,7 @@
 	return t
 }
 
-// Open is the number of requests that have not ended.
+// OpenRequests returns the number of requests that have not ended.
 func (d *Driver) OpenRequests() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,14 +187,15 @@
 	select {
 	case t.commands <- cmd:
 	default:
-		// A request that has this many unread commands has left; its Close
-		// follows. Waiting here would hold up every other request.
+		// A request with this many unread commands has been abandoned; its Close
+		// follows. Waiting here would delay every other request.
 		d.reportNotRun(cmd)
 	}
 }
 
-// giveBack ends a dispatch that nobody will carry out, so that its slot is free
-// again. The World's goroutine must not wait on its own inbox.
+// reportNotRun reports a Dispatch that nobody will execute as not run, which frees
+// its slot. It sends from a new goroutine, since the goroutine that runs the
+// Decider must not wait on its own inbox.
 func (d *Driver) reportNotRun(cmd decision.Command) {
 	c, ok := cmd.(decision.Dispatch)
 	if !ok {
@@ -205,8 +208,8 @@
 	})
 }
 
-// OpenSession asks which versions a new session gets. It returns none where
-// ctx ended first or the team may use no model.
+// OpenSession returns the versions that a new session is pinned to. It returns none
+// if ctx ends first or the team may not use any model.
 func (d *Driver) OpenSession(ctx context.Context, team decision.TeamID, rolloutPosition float64) []decision.VersionID {
 	id := decision.SessionID(d.nextID.Add(1))
 	answer := make(chan []decision.VersionID, 1)
--- a/router/internal/driver/ticket.go
+++ b/router/internal/driver/ticket.go
@@ -7,8 +7,9 @@
 	"masticplank.example/decision"
 )
 
-// Ticket is one request's end of the driver. Next and Close are for the one
-// goroutine that serves the request.
+// Ticket is the handle of one request: it receives the request's commands and
+// sends its events. Only the goroutine that serves the request may call Next and
+// Close.
 type Ticket struct {
 	ID       decision.RequestID
 	driver   *Driver
@@ -16,13 +17,13 @@
 
 	mu      sync.Mutex
 	cancels map[decision.AttemptID]context.CancelFunc
-	// cancelled remembers a cancel that came before its attempt began.
+	// cancelled has the attempts that were cancelled before they began.
 	cancelled map[decision.AttemptID]bool
 }
 
-// Next waits for the next command. It returns ctx's error once that has ended,
-// also where a command waits: for a caller that has gone, the decision's word on a
-// cancelled attempt must not count as the end of the request.
+// Next waits for the next command. Once ctx has ended it returns ctx's error, even
+// if a command is waiting: after a caller has disconnected, the command that
+// follows a cancelled attempt must not count as the end of the request.
 func (t *Ticket) Next(ctx context.Context) (decision.Command, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -37,8 +38,9 @@
 	}
 }
 
-// Begin returns the context of an attempt; it ends when the decision cancels
-// the attempt. The caller must call the returned function when it is over.
+// BeginAttempt returns the context of an attempt, which ends when package decision
+// cancels the attempt. The caller must call the returned function at the end of
+// the attempt.
 func (t *Ticket) BeginAttempt(ctx context.Context, id decision.AttemptID) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	t.mu.Lock()
@@ -70,10 +72,10 @@
 	t.cancelled[id] = true
 }
 
-// Send hands over an event about this request.
+// Send queues an event about this request for the next tick.
 func (t *Ticket) Send(ev decision.Event) { t.driver.Send(ev) }
 
-// Close ends the ticket. Commands that were not read are given back.
+// Close ends the ticket. Dispatches that were not read are reported as not run.
 func (t *Ticket) Close() {
 	d := t.driver
 	d.mu.Lock()
--- a/router/internal/gate/gate.go
+++ b/router/internal/gate/gate.go
@@ -1,5 +1,6 @@
-// Package gate answers "may new work start here now?" for the callers' edge, the
-// decision and readiness, from the freshness of the folded state.
+// Package gate reports whether new work may start at this instance, from the
+// freshness of the folded state. Package api, package decision and the readiness
+// check depend on it.
 package gate
 
 import (
@@ -10,8 +11,8 @@
 	"masticplank.example/decision"
 )
 
-// Gate wraps the pure freshness tracker for many goroutines. It observes the
-// node's reads.
+// Gate makes a freshness.Tracker safe for concurrent use. As a node.Observer it
+// follows the node's reads of the log.
 type Gate struct {
 	now func() time.Time
 
@@ -19,11 +20,12 @@
 	tracker  *freshness.Tracker
 	lastMode freshness.Mode
 	onChange func(freshness.Mode)
-	// full says that no more bills can be held, so that new work must wait.
+	// billBufferFull reports that no more bills can be held, so that new work
+	// must be refused.
 	billBufferFull func() bool
 }
 
-// New returns a gate over the tracker; now is the clock.
+// New returns a gate over tracker; now is the clock.
 func New(tracker *freshness.Tracker, now func() time.Time) *Gate {
 	return &Gate{
 		now:            now,
@@ -33,13 +35,13 @@
 	}
 }
 
-// OnChange sets who is told of each change of mode, before anybody can act on
-// it; f must not block for long nor ask the gate. Call it before the gate is
-// used.
+// OnChange sets a callback for changes of the mode. It runs before anyone can act
+// on the new mode, under the gate's lock: f must not block for long or call the
+// gate. Call OnChange before the gate is used.
 func (g *Gate) OnChange(f func(freshness.Mode)) { g.onChange = f }
 
-// SetFull tells the gate how to learn that no more bills can be held. Call it
-// before the gate is used.
+// SetHeldBillsFull sets the function that reports whether no more bills can be
+// held. Call it before the gate is used.
 func (g *Gate) SetHeldBillsFull(full func() bool) { g.billBufferFull = full }
 
 // HeadRead implements node.Observer.
@@ -66,7 +68,7 @@
 	g.update()
 }
 
-// Vouched takes a peer's word that came just now.
+// Vouched takes a peer's report on its state, received just now.
 func (g *Gate) Vouched(v freshness.Vouch) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -74,7 +76,7 @@
 	g.update()
 }
 
-// Live takes the names of the instances that the platform lists.
+// SetLiveInstances takes the names of the instances that the platform lists.
 func (g *Gate) SetLiveInstances(peers []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,17 +84,18 @@
 	g.update()
 }
 
-// Mode is what the instance may do now.
+// Mode returns what the instance may do now.
 func (g *Gate) Mode() freshness.Mode {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.update()
 }
 
-// mode looks at the clock; whoever finds a change tells of it, under the lock,
-// so that the decision has heard of a mode before a caller is let in by it.
-// Each look is a tick, so a pause is found by the first look after it, and what
-// was known before it does not let anything in.
+// update advances the tracker to the current time and returns the mode. It calls
+// onChange under the lock, so that package decision has received a mode before
+// any request is admitted by it. Each call is a tick of the tracker: the first
+// call after a pause detects it, so that no request is admitted on what was known
+// before the pause.
 func (g *Gate) update() freshness.Mode {
 	now := g.now()
 	g.tracker.Tick(now)
@@ -104,8 +107,9 @@
 	return mode
 }
 
-// MayRun returns an empty reason where new work may start. It is asked at
-// admission and again right before each dispatch.
+// MayRun returns an empty reason if new work may start. It is called at admission
+// and again right before each dispatch. idempotent is false for work that needs a
+// claim in the log.
 func (g *Gate) MayRun(idempotent bool) decision.RefusalReason {
 	switch g.Mode() {
 	case freshness.ModeFresh:
@@ -120,7 +124,7 @@
 	}
 }
 
-// Event is a mode as the decision takes it.
+// FreshnessEvent returns the event that reports mode to package decision.
 func FreshnessEvent(mode freshness.Mode) decision.FreshnessChanged {
 	return decision.FreshnessChanged{
 		Fresh:  mode != freshness.ModeStale,
--- a/router/internal/gate/gate_test.go
+++ b/router/internal/gate/gate_test.go
@@ -8,8 +8,9 @@
 	"masticplank.example/decision"
 )
 
-// TestPauseEndsFreshness pauses an instance for less than the bound: its last
-// confirmation is young enough, but nothing from before a pause may count.
+// TestPauseEndsFreshness pauses an instance for less than the freshness bound. Its
+// last confirmation is recent enough, but no confirmation from before a pause may
+// count: the instance would admit work on outdated state.
 func TestPauseEndsFreshness(t *testing.T) {
 	const bound = 5 * time.Second
 	for _, c := range []struct {
--- a/router/internal/manifest/diff.go
+++ b/router/internal/manifest/diff.go
@@ -10,12 +10,13 @@
 type Change struct {
 	// Kind is "added", "removed" or "changed".
 	Kind string `json:"kind"`
-	// Item is such as "team weavers" or "version draft@2".
+	// Item is the kind and ID of an entry, such as "team weavers" or
+	// "version draft@2".
 	Item   string `json:"item"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Diff lists what to changes from from, sorted by item.
+// Diff returns the differences of to from from, sorted by item.
 func Diff(from, to Manifest) []Change {
 	var out []Change
 	out = append(out, diffRows("team", teamRows(from), teamRows(to))...)
--- a/router/internal/manifest/holder.go
+++ b/router/internal/manifest/holder.go
@@ -10,32 +10,33 @@
 	"masticplank.example/coordination/record"
 )
 
-// Holder has the manifest in force at this instance. Reads take no lock.
+// Holder holds the manifest in force at this instance. Current takes no lock.
 type Holder struct {
 	current atomic.Pointer[Index]
-	// applied is told of each newer manifest, in order, before readers see it.
+	// onApplied is called with each newer manifest, in order, before readers
+	// see it.
 	onApplied func(*Index)
 
 	mu sync.Mutex
-	// accepted has the generation of each of the last publications; order is
-	// the oldest first.
+	// accepted has the generations of the last publications; acceptedOrder has
+	// the same publications, oldest first.
 	accepted      map[string]uint64
 	acceptedOrder []string
 }
 
-// maxAccepted bounds the publications remembered: an hour and more of 66,000
-// changes a day, which is far longer than a pipeline repeats one.
+// maxAccepted bounds the remembered publications. At 66,000 changes a day that is
+// more than an hour, much longer than a pipeline retries one.
 const maxAccepted = 4096
 
-// NewHolder returns an empty holder. applied may be nil; it must not block.
+// NewHolder returns an empty holder. onApplied may be nil; it must not block.
 func NewHolder(onApplied func(*Index)) *Holder {
 	return &Holder{onApplied: onApplied, accepted: map[string]uint64{}}
 }
 
-// Current is the manifest in force; nil before the first.
+// Current returns the manifest in force, or nil before the first one.
 func (h *Holder) Current() *Index { return h.current.Load() }
 
-// Generation is the number in force, 0 before the first.
+// Generation returns the generation in force, 0 before the first manifest.
 func (h *Holder) Generation() uint64 {
 	if x := h.Current(); x != nil {
 		return x.Manifest.Generation
@@ -43,8 +44,8 @@
 	return 0
 }
 
-// Accepted is the generation that a publication got, where it is one of the last
-// that came in force here.
+// AcceptedGeneration returns the generation of a publication if it is one of the
+// last maxAccepted that took effect here.
 func (h *Holder) AcceptedGeneration(publication string) (generation uint64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,8 +66,9 @@
 	}
 }
 
-// Fold takes a change of a manifest register. The fold gives winners in order;
-// a generation that is not newer changes nothing, so that no replay reverts.
+// Fold applies a change of a manifest register. The fold reports winners in order.
+// A generation that is not newer is ignored, so that a replay never reverts to an
+// older manifest.
 func (h *Holder) Fold(c fold.Change) error {
 	if c.Verdict != fold.VerdictWon {
 		return nil
@@ -74,7 +76,8 @@
 	return h.Apply(c.Register.Value)
 }
 
-// Apply puts an encoded manifest in force. One caller at a time.
+// Apply puts an encoded manifest in force unless its generation is not newer. It
+// must not be called concurrently.
 func (h *Holder) Apply(encoded []byte) error {
 	m, err := Parse(encoded)
 	if err != nil {
@@ -92,8 +95,8 @@
 	return nil
 }
 
-// CheckRecord is the fold's check of a manifest's content. It depends on the
-// record alone, so every reader comes to the same verdict.
+// CheckRecord validates the manifest in a record for the fold. It depends on the
+// record only, so that every reader has the same result.
 func CheckRecord(r record.Record) error {
 	m, err := Parse(r.Value)
 	if err != nil {
--- a/router/internal/manifest/index.go
+++ b/router/internal/manifest/index.go
@@ -9,11 +9,12 @@
 	"masticplank.example/decision"
 )
 
-// Index answers an instance's questions about one manifest. It never changes
-// after New, so any goroutine may read it.
+// Index provides lookups in one manifest. It is immutable and therefore safe for
+// concurrent use.
 type Index struct {
 	Manifest Manifest
-	// Digest names the encoded manifest; the next one states it as its parent.
+	// Digest is the hex digest of the encoded manifest; the next manifest states
+	// it as its parent.
 	Digest string
 
 	keys     map[string]keyOwner
@@ -28,7 +29,7 @@
 	team Team
 }
 
-// NewIndex builds the index of a valid manifest.
+// NewIndex returns the index of a valid manifest.
 func NewIndex(m Manifest, digest string) *Index {
 	x := &Index{
 		Manifest: m,
@@ -67,9 +68,9 @@
 	x.allowed[t.ID] = set
 }
 
-// TeamByKey finds the team that an API key belongs to. The key is hashed before
-// it is looked up, so the time taken tells nothing about a stored hash; the
-// last compare is constant-time besides.
+// TeamByKey returns the team that an API key belongs to. The key is hashed before
+// the lookup, so that the time of the lookup reveals nothing about a stored hash;
+// the final comparison also takes constant time.
 func (x *Index) TeamByKey(key string) (Team, bool) {
 	sum := sha256.Sum256([]byte(key))
 	owner, ok := x.keys[hex.EncodeToString(sum[:])]
@@ -79,25 +80,26 @@
 	return owner.team, true
 }
 
-// HashKey is how an API key is kept in a manifest.
+// HashKey returns the form of an API key in a manifest, its SHA-256 in hex.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Version returns one version's row.
+// Version returns one version's entry.
 func (x *Index) Version(id string) (Version, bool) {
 	v, ok := x.versions[id]
 	return v, ok
 }
 
-// KnowsModel says whether name is a model or a version here.
+// HasModel reports whether name is a model or a version of the manifest.
 func (x *Index) HasModel(name string) bool {
 	_, isVersion := x.versions[name]
 	return isVersion || x.models[name]
 }
 
-// MayUse says whether the team may use a version, or any version of a model.
+// MayUse reports whether the team may use the version name, or any version of the
+// model name.
 func (x *Index) MayUse(team, name string) bool {
 	set := x.allowed[team]
 	if set[name] {
@@ -111,14 +113,14 @@
 	return false
 }
 
-// Service returns one service, and whether the team may call it.
+// Service returns one service, and whether it exists and the team may call it.
 func (x *Index) Service(team, id string) (s Service, known, allowed bool) {
 	s, known = x.services[id]
 	return s, known, x.allowed[team]["service:"+id]
 }
 
-// Idempotent says whether a call of the service may be repeated. A call that
-// matches no route is not: the harm of repeating it is worse than of refusing.
+// Idempotent reports whether a call of the service may be repeated. A call that
+// matches no route is not idempotent: repeating it does more harm than refusing it.
 func (s Service) Idempotent(method, callPath string) bool {
 	for _, r := range s.Routes {
 		if r.Method != method {
@@ -137,7 +139,7 @@
 	StateWithdrawn: decision.VersionWithdrawn,
 }
 
-// Tables gives the manifest as the decision takes it.
+// DecisionEvent returns the event that reports the manifest to package decision.
 func (x *Index) DecisionEvent() decision.ManifestApplied {
 	out := decision.ManifestApplied{Generation: x.Manifest.Generation}
 	for _, v := range x.Manifest.Versions {
--- a/router/internal/manifest/manifest.go
+++ b/router/internal/manifest/manifest.go
@@ -1,58 +1,61 @@
-// Package manifest defines the manifest that an operator's pipeline generates,
-// and its validation, which is pure: the same at every reader.
+// Package manifest defines the manifest that an operator's pipeline generates, and
+// its validation. Validation is pure, so that every reader has the same result.
 package manifest
 
-// Manifest is what an operator publishes.
+// Manifest is the configuration that an operator publishes: teams, versions and
+// services.
 type Manifest struct {
-	// Generation is this manifest's number: its parent's plus 1.
+	// Generation is this manifest's number, its parent's plus 1.
 	Generation uint64 `json:"generation"`
-	// Parent is the digest (hex) of the manifest that it replaces; empty for
-	// generation 1.
+	// Parent is the hex digest of the manifest that this one replaces; empty
+	// for generation 1.
 	Parent string `json:"parent,omitempty"`
 	// Publication identifies one pipeline run, so that publishing is idempotent.
 	Publication string    `json:"publication"`
 	Teams       []Team    `json:"teams"`
 	Versions    []Version `json:"versions"`
 	Services    []Service `json:"services,omitempty"`
-	// Orders says what backend servers are told to load; without it they are
-	// told nothing.
+	// Orders states what backend servers are to load; without it they are sent
+	// no orders.
 	Orders     *Orders     `json:"orders,omitempty"`
 	Objectives []Objective `json:"objectives,omitempty"`
 }
 
-// Orders is the wanted state of the engines.
+// Orders is the desired state of the engines.
 type Orders struct {
 	Placements []Placement `json:"placements"`
 	// FencedDomains are the failure domains whose engines refuse an order with
-	// an old fencing number. All others are taken to ignore the number.
+	// an old fencing number. Engines of all others are taken to ignore it.
 	FencedDomains []string `json:"fenced_domains,omitempty"`
 }
 
-// Placement says on how many engines of each failure domain a version is loaded.
+// Placement states on how many engines of each failure domain a version is loaded.
 type Placement struct {
 	Version string `json:"version"`
 	Servers int    `json:"servers"`
 }
 
-// Team may use versions and services.
+// Team is a team of callers and what it may use.
 type Team struct {
-	ID            string   `json:"id"`
+	ID string `json:"id"`
+	// KeyHashes are the SHA-256 sums of the team's API keys; see HashKey.
 	KeyHashes     []string `json:"key_hashes"`
 	Weight        int      `json:"weight"`
 	QueueLimit    int      `json:"queue_limit,omitempty"`
 	QualityTarget float64  `json:"quality_target"`
-	Allowed       []string `json:"allowed"`
-	Services      []string `json:"services,omitempty"`
+	// Allowed are the IDs of versions, Services those of services.
+	Allowed  []string `json:"allowed"`
+	Services []string `json:"services,omitempty"`
 }
 
-// Version of a model; ID is "model@version".
+// Version is a version of a model; ID has the form "model@version".
 type Version struct {
 	ID          string  `json:"id"`
 	Model       string  `json:"model"`
 	State       string  `json:"state"`
 	Share       float64 `json:"share"`
 	Predecessor string  `json:"predecessor,omitempty"`
-	// Cost per 1000 tokens generated.
+	// Cost per 1000 generated tokens.
 	Cost    float64 `json:"cost"`
 	Quality float64 `json:"quality"`
 }
@@ -67,9 +70,9 @@
 // Service is a plain service beside the engines.
 type Service struct {
 	ID string `json:"id"`
-	// Price of one completed call; 0 is not billed.
+	// Price of one completed call; calls with price 0 are not billed.
 	Price float64 `json:"price,omitempty"`
-	// Routes say which calls are idempotent; a call that matches none is not.
+	// Routes state which calls are idempotent; a call that matches none is not.
 	Routes []Route `json:"routes"`
 }
 
@@ -80,17 +83,18 @@
 	Idempotent bool   `json:"idempotent"`
 }
 
-// Objective is a team's service level.
+// Objective is a team's service-level objective.
 type Objective struct {
 	Team string `json:"team"`
-	// Availability wanted, such as 0.999.
+	// Availability is the target availability, such as 0.999.
 	Availability float64 `json:"availability"`
-	// FirstTokenMS and InterTokenMS are met for 95 in 100.
+	// FirstTokenMS and InterTokenMS are targets for the 95th percentile, in
+	// milliseconds.
 	FirstTokenMS int `json:"first_token_ms,omitempty"`
 	InterTokenMS int `json:"inter_token_ms,omitempty"`
 	// CostPerRequest is the budget for the mean cost.
 	CostPerRequest float64 `json:"cost_per_request,omitempty"`
-	// BadExposure is the part of requests that may run on a version later
-	// judged bad.
+	// BadExposure is the largest share of requests that may run on a version
+	// that is judged bad later.
 	BadExposure float64 `json:"bad_exposure,omitempty"`
 }
--- a/router/internal/manifest/manifest_test.go
+++ b/router/internal/manifest/manifest_test.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// TestHolderNeverReverts replays older generations, as a lagging reader would.
+// TestHolderNeverReverts replays older generations, as a reader that lags behind
+// does. They must not replace the manifest in force.
 func TestHolderNeverReverts(t *testing.T) {
 	var applied []uint64
 	h := NewHolder(func(x *Index) { applied = append(applied, x.Manifest.Generation) })
@@ -113,7 +114,8 @@
 	}
 }
 
-// TestHolderRemembersPublications: the last ones, and no more.
+// TestHolderRemembersPublications checks that the last maxAccepted publications are
+// remembered, and that the memory for them is bounded.
 func TestHolderRemembersPublications(t *testing.T) {
 	h := NewHolder(nil)
 	for i := range uint64(maxAccepted + 2) {
@@ -182,8 +184,8 @@
 		if err != nil || len(Validate(m)) > 0 {
 			return
 		}
-		// What is accepted must survive its own encoding, or readers of the log
-		// would judge it otherwise than its publisher did.
+		// A valid manifest must still be valid after encoding, else readers of the
+		// log would reject what its publisher accepted.
 		encoded, err := Encode(m)
 		if err != nil {
 			t.Fatal(err)
--- a/router/internal/manifest/validate.go
+++ b/router/internal/manifest/validate.go
@@ -11,8 +11,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Limits of a manifest's content. They bound the memory that one publication
-// can take at each instance, not what a deployment may need today.
+// Limits of a manifest's content. They bound the memory that one publication can
+// take at each instance; they do not follow from the needs of a deployment.
 const (
 	maxTeams    = 10_000
 	maxVersions = 1_000
@@ -28,17 +28,17 @@
 	hashPattern    = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// Fault is one thing wrong with a manifest.
+// Fault is one error in a manifest.
 type Fault struct {
-	// Path leads to the fault, such as "teams[2].allowed[0]".
+	// Path locates the fault, such as "teams[2].allowed[0]".
 	Path string `json:"path"`
 	Text string `json:"text"`
 }
 
-// Faults is every fault of a manifest; it is an error.
+// Faults are all faults of a manifest. They implement error.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -47,8 +47,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads a manifest from JSON. Unknown keys are refused, so that a
-// misspelt one cannot silently change who may use what.
+// Parse decodes a manifest from JSON. It rejects unknown keys, so that a misspelt
+// key cannot silently change who may use what.
 func Parse(data []byte) (Manifest, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -62,7 +62,8 @@
 	return m, nil
 }
 
-// Encode is the one encoding that goes into the log and under the digest.
+// Encode returns the encoding that is written to the log and that digests are
+// computed from.
 func Encode(m Manifest) ([]byte, error) {
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -101,7 +102,7 @@
 }
 
 // Validate checks a manifest's content and returns every fault. It depends on
-// nothing but m, so all readers of the log come to the same verdict.
+// nothing but m, so that all readers of the log have the same result.
 func Validate(m Manifest) Faults {
 	c := &checker{}
 	if m.Publication == "" {
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// TestPlansConverge applies plan after plan to random fleets: the budget is
-// kept in each, what is wanted is reached, and then nothing moves.
+// TestPlansConverge applies plan after plan to random fleets. Each plan must keep
+// to its limit of loads, and the plans must reach the placements and then be empty;
+// else engines would go on loading weights without end.
 func TestPlansConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []string{"a@1", "a@2", "b@1", "c@1"}
@@ -97,7 +98,7 @@
 	})
 }
 
-// world is what a sender sees.
+// fakeFleet is the manifest and the engines that a sender sees.
 type fakeFleet struct {
 	index   *manifest.Index
 	servers []wire.ListedServer
@@ -117,7 +118,7 @@
 	}
 }
 
-// fakeLease answers as told.
+// fakeLease returns preset results and records the last argument of Check.
 type fakeLease struct {
 	acquires bool
 	fence    uint64
@@ -132,9 +133,10 @@
 	return l.fence, l.result
 }
 
-// TestSenderAsksTheLease sends only where the lease allows it, right before the
-// order, under its number, and treats a domain that is not named as one whose
-// engines ignore the number.
+// TestSenderAsksTheLease checks that an order is sent only if the lease allows it
+// right before, with the lease's fencing number. Engines of a domain that the
+// manifest does not list as fenced must be taken to ignore the number; else two
+// holders could order them at the same time.
 func TestSenderAsksTheLease(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -162,8 +164,10 @@
 	}
 }
 
-// TestOldHolderIsFencedOff pauses a holder past its lease: another instance
-// takes over and orders; the old order then comes to an engine that checks.
+// TestOldHolderIsFencedOff pauses a holder between its check and its order until
+// its lease has expired. Another instance takes over and sends an order; the old
+// holder's order then reaches an engine that checks fencing numbers, which must
+// refuse it.
 func TestOldHolderIsFencedOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
--- a/router/internal/orders/plan.go
+++ b/router/internal/orders/plan.go
@@ -1,9 +1,10 @@
-// Package orders tells engines which versions to load.
+// Package orders sends engines the orders that state which versions to load.
 //
-// The wanted state comes from the manifest. One instance for each failure domain
-// sends, by a lease in the log, and the lease's offset is the fencing number. An
-// order states the whole wanted state of one engine, so it is idempotent, and a
-// holder reconciles against what the engines report, never against what it sent.
+// The desired state comes from the manifest. In each failure domain one instance
+// sends orders, under a lease in the log whose offset is the fencing number. An
+// order states the whole desired state of one engine and is therefore idempotent.
+// The holder of the lease reconciles against what the engines report, never against
+// what it sent.
 package orders
 
 import (
@@ -13,39 +14,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Engine is one engine as it reports itself.
+// Engine is the reported state of one engine.
 type Engine struct {
 	ID string
-	// Versions that are loaded now.
+	// Versions are those loaded now.
 	Versions []string
 	// Leaving engines get no orders.
 	Leaving bool
 }
 
-// Want is how many engines are to have a version.
+// Placement states on how many engines a version is to be loaded.
 type Placement struct {
 	Version string
 	Servers int
 }
 
-// Order is the whole wanted state of one engine.
+// Order is the whole desired state of one engine.
 type Order struct {
 	Engine   string
 	Versions []string
-	// Loads is how many versions the order adds.
+	// LoadCount is the number of versions that the order adds.
 	LoadCount int
 }
 
-// Plan gives the orders that bring the engines closer to what is wanted.
+// Plan returns the orders that bring the engines closer to the placements.
 //
-// Load: a season's worth of new versions in one manifest. Harm prevented: the
-// weight store is rate-limited, and an engine that loads weights serves nothing;
-// loading everywhere at once would take all engines away. So at most loads
-// versions are added in one plan, and an engine drops what is not wanted on it
-// only once it has everything that is.
+// One plan adds at most maxLoads versions, and an engine unloads what it should
+// not have only once it has everything that it should. Otherwise a manifest with
+// many new versions would take all engines out of service at once: the store of
+// weights is rate-limited, and an engine serves nothing while it loads weights.
 //
-// It is pure: same input, same orders. An engine that has a version keeps it, so
-// that a plan made again moves nothing.
+// Plan is pure: the same input gives the same orders. An engine that has a placed
+// version is preferred for it, so that planning again moves nothing.
 func Plan(engines []Engine, placements []Placement, maxLoads int) []Order {
 	p := newPlanner(engines)
 	for _, w := range placements {
@@ -56,7 +56,7 @@
 
 type planner struct {
 	engines []Engine
-	// target is the wanted state by engine.
+	// desired has the versions that each engine should have, by engine ID.
 	desired map[string][]string
 }
 
@@ -71,8 +71,8 @@
 	return p
 }
 
-// assign picks the engines of one version: those that have it, then those with
-// the fewest versions assigned, by rendezvous hash among equals.
+// assign chooses the engines of one version: first those that have it, then those
+// with the fewest versions assigned. A rendezvous hash breaks ties.
 func (p *planner) assign(w Placement) {
 	ranked := slices.Clone(p.engines)
 	slices.SortStableFunc(ranked, func(a, b Engine) int {
@@ -87,7 +87,8 @@
 	}
 }
 
-// orders turns the targets into orders, at most loads added versions in all.
+// orders returns an order for each engine that needs a change. Together they add
+// at most maxLoads versions.
 func (p *planner) orders(maxLoads int) []Order {
 	var out []Order
 	for _, e := range p.engines {
@@ -101,9 +102,9 @@
 	return out
 }
 
-// order is the next state of one engine: what it has and is wanted, and of what
-// it lacks as much as may be loaded. While something still waits to be loaded
-// there, it keeps the versions that are to go.
+// order returns the next state of one engine and whether it differs from the
+// current one. The engine keeps its desired versions and loads missing ones up to
+// maxLoads. While it still lacks any, or loads any, it also keeps its surplus.
 func (p *planner) order(e Engine, maxLoads int) (Order, bool) {
 	o := Order{Engine: e.ID}
 	desired := p.desired[e.ID]
@@ -127,7 +128,7 @@
 	return o, !slices.Equal(o.Versions, loaded)
 }
 
-// surplus lists what an engine has and is not wanted there.
+// surplus returns the loaded versions that the engine should not have.
 func surplus(e Engine, desired []string) []string {
 	var out []string
 	for _, v := range e.Versions {
--- a/router/internal/orders/sender.go
+++ b/router/internal/orders/sender.go
@@ -21,33 +21,34 @@
 )
 
 const (
-	// interval between two reconciliations.
+	// reconcileInterval is the time between two reconciliations.
 	reconcileInterval = time.Second
-	// orderTimeout bounds one order. It is under the lease's pause guard, so an
-	// order that is under way ends inside the lease it was checked for.
+	// orderTimeout bounds one order. It is shorter than lease.Config.MaxPause, so
+	// that an order ends within the lease that it was checked under.
 	orderTimeout = time.Second
-	// loadsPerSecond and loadBurst are the holder's part of the weight store's
-	// limit; a failure domain has one holder, so they bound the domain.
+	// loadsPerSecond and loadBurst are one failure domain's part of the rate
+	// limit of the store of weights. They are applied at the lease's holder, of
+	// which a domain has one.
 	loadsPerSecond = 2
 	loadBurst      = 4
 )
 
-// Lease is the right to send; *lease.Manager is it.
+// Lease is the right to send orders; *lease.Manager implements it.
 type Lease interface {
 	Acquire(ctx context.Context) bool
 	Check(engine lease.FencingSupport) (fence uint64, r lease.CheckResult)
 	HandOver(ctx context.Context) bool
 }
 
-// Reports gives the engines of the own failure domain and their loaded versions.
+// EngineReports returns the engines of a failure domain with their loaded versions.
 type EngineReports interface {
 	Engines(domain string) []wire.ListedServer
 }
 
-// Manifests gives the manifest in force; nil before the first.
+// Manifests returns the manifest in force, or nil before the first one.
 type Manifests interface{ Current() *manifest.Index }
 
-// Sender reconciles the engines of one failure domain. Run it once.
+// Sender reconciles the engines of one failure domain. Run must be called once.
 type Sender struct {
 	domain      string
 	lease       Lease
@@ -58,8 +59,8 @@
 	loadLimiter *rate.Limiter
 
 	mu sync.Mutex
-	// sent remembers the last order to each engine and its time, so that one
-	// is not repeated before the engine could have reported its effect.
+	// lastSent has the time of the last order to each engine, so that no order
+	// is repeated before the engine could have reported its effect.
 	lastSent map[string]time.Time
 }
 
@@ -77,7 +78,7 @@
 	}
 }
 
-// Run reconciles until ctx ends, then gives the lease up.
+// Run reconciles until ctx ends, then hands the lease over.
 func (s *Sender) Run(ctx context.Context) {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
@@ -98,7 +99,7 @@
 	s.lease.HandOver(ctx)
 }
 
-// Reconcile takes or renews the lease and sends the orders that are due.
+// Reconcile acquires or renews the lease and sends the orders that are due.
 func (s *Sender) Reconcile(ctx context.Context) {
 	index := s.manifests.Current()
 	if index == nil || index.Manifest.Orders == nil {
@@ -129,7 +130,8 @@
 	return out
 }
 
-// wants lists the placements of versions that are not withdrawn.
+// placements returns the placements of the manifest. Validation ensures that none
+// is of a withdrawn version.
 func placements(index *manifest.Index) []Placement {
 	var out []Placement
 	for _, p := range index.Manifest.Orders.Placements {
@@ -138,7 +140,7 @@
 	return out
 }
 
-// send checks the lease right before the order goes out.
+// send sends an order. It checks the lease right before.
 func (s *Sender) send(ctx context.Context, fencing lease.FencingSupport, o Order, servers []wire.ListedServer) {
 	if s.recentlyOrdered(o.Engine) {
 		return
@@ -158,10 +160,10 @@
 	s.log.Emit(ctx, logging.EventOrderSent, attrs...)
 }
 
-// settleTime is how long an engine has to report what an order changed.
+// reportDelay is how long an engine may take to report the effect of an order.
 const reportDelay = 3 * reconcileInterval
 
-// settling says whether an order to the engine was sent just now.
+// recentlyOrdered reports whether an order was sent to the engine within reportDelay.
 func (s *Sender) recentlyOrdered(engine string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/internal/outcome/outcome.go
+++ b/router/internal/outcome/outcome.go
@@ -1,5 +1,4 @@
-// Package outcome holds the outcome of a request as a value, and its one
-// mapping to HTTP.
+// Package outcome defines the outcome of a request and its mapping to HTTP.
 package outcome
 
 import (
@@ -10,7 +9,7 @@
 // Kind is how a request ended.
 type Kind string
 
-// The kinds; the text is what callers read in Masticplank-Outcome.
+// The kinds of outcome, as sent in the Masticplank-Outcome header.
 const (
 	Completed  Kind = "completed"
 	Refused    Kind = "refused"
@@ -20,17 +19,17 @@
 	Conflict   Kind = "conflict"
 )
 
-// Outcome is a final answer other than the backend server's own.
+// Outcome is a final answer that is not a backend server's answer.
 type Outcome struct {
 	Kind Kind
-	// Code is stable, for programs; Message is for people.
+	// Code is stable and meant for programs, Message for people.
 	Code    string
 	Message string
-	// RetryAfter is set where asking again can help.
+	// RetryAfter is set if a retry can succeed, else zero.
 	RetryAfter time.Duration
 }
 
-// codeStatus maps the codes that do not follow their kind's status.
+// statusByCode has the codes whose status differs from that of their kind.
 var statusByCode = map[string]int{
 	"invalid_api_key":            http.StatusUnauthorized,
 	"model_not_allowed":          http.StatusForbidden,
@@ -52,7 +51,7 @@
 	"retry_budget_spent":         http.StatusTooManyRequests,
 }
 
-// Status is the HTTP status of o.
+// Status returns the HTTP status of o.
 func (o Outcome) Status() int {
 	if s, ok := statusByCode[o.Code]; ok {
 		return s
--- a/router/internal/outcome/outcome_test.go
+++ b/router/internal/outcome/outcome_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestAPIPageHoldsEveryCode compares the codes that have a status of their own
-// with the page that callers read.
+// TestAPIPageHoldsEveryCode checks that the API page for callers has each code of
+// statusByCode.
 func TestAPIPageHoldsEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/API.md")
 	if err != nil {
--- a/router/internal/platform/clients_test.go
+++ b/router/internal/platform/clients_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestUnchangedListIsNotSentAgain counts the bytes of lists that were sent.
+// TestUnchangedListIsNotSentAgain counts the whole lists that were sent: an
+// unchanged one must be answered by 304 without a body.
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	svc := listsvc.New(listsvc.Config{List: wire.InstanceList{Servers: []wire.ListedServer{{ID: "e1"}}}})
 	var whole int
--- a/router/internal/platform/list.go
+++ b/router/internal/platform/list.go
@@ -18,8 +18,8 @@
 	maxListBytes = 32 << 20
 )
 
-// ListClient reads the platform's list over HTTP. It implements List and is
-// safe for concurrent use.
+// ListClient fetches the platform's list over HTTP. It implements InstanceLister
+// and is safe for concurrent use.
 type ListClient struct {
 	base   string
 	client *http.Client
@@ -36,9 +36,10 @@
 	return &ListClient{base: strings.TrimRight(base, "/"), client: newClient()}
 }
 
-// Fetch implements List. On an error the caller keeps the list that it has. The
-// request names the list had last by its ETag, so an unchanged one is not sent
-// again: a long list fetched every second would be most of an instance's traffic.
+// Fetch implements InstanceLister. After an error the caller keeps the list that it
+// has. The request carries the ETag of the last list, so that an unchanged list is
+// not sent again: a long list fetched every second would be most of an instance's
+// traffic.
 func (c *ListClient) Fetch(ctx context.Context) (wire.InstanceList, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
--- a/router/internal/platform/log.go
+++ b/router/internal/platform/log.go
@@ -21,14 +21,15 @@
 const (
 	// DefaultAppendTimeout bounds an append whose context has no deadline.
 	DefaultAppendTimeout = 5 * time.Second
-	// readMargin is added to a long poll for the answer to arrive.
+	// longPollMargin is added to the timeout of a long poll for the answer to
+	// arrive.
 	longPollMargin = 5 * time.Second
-	// maxPageBytes bounds the answer to one read: the largest entry in base64,
-	// with room for a page of ordinary ones.
+	// maxPageBytes bounds the answer to one read: it has room for the largest
+	// entry in base64 and for a page of ordinary ones.
 	maxPageBytes = 64 << 20
 )
 
-// LogClient speaks to the platform's log service over HTTP. It implements
+// LogClient is a client of the platform's log service over HTTP. It implements
 // platformlog.Log and is safe for concurrent use.
 type LogClient struct {
 	base          string
@@ -49,10 +50,10 @@
 
 // Append implements platformlog.Log.
 //
-// An error wraps ErrNotAppended in two cases only: no connection was ever had,
-// so that no byte can have left this process, or the service itself refused
-// with the code not_appended. Every other failure is ErrUnknown: a request that
-// was written, even in part, may take effect later.
+// An error wraps ErrNotAppended in two cases only: there was no connection, so
+// that no byte can have left this process, or the service itself refused with the
+// code not_appended. Every other error wraps ErrUnknown: a request that was
+// written, even in part, may take effect later.
 func (c *LogClient) Append(ctx context.Context, data []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.appendTimeout)
 	defer cancel()
@@ -106,7 +107,7 @@
 	return decodePage(resp.StatusCode, body, from)
 }
 
-// decodeAppended reads the answer to an append.
+// decodeAppended decodes the answer to an append and returns the entry's offset.
 func decodeAppended(status int, body []byte) (uint64, error) {
 	if status == http.StatusOK {
 		var appended struct {
@@ -123,9 +124,9 @@
 	return 0, fmt.Errorf("%w: %w", platformlog.ErrUnknown, statusError(status, body))
 }
 
-// decodePage reads the answer to a read from offset from. It takes only a page
-// whose entries are dense, start at from and end at or before the head: a
-// reader that folded anything else would differ from the others for good.
+// decodePage decodes the answer to a read from offset from. It accepts only a page
+// whose entries have no gaps, start at from and lie before the head: a reader that
+// folded anything else would differ from the other readers permanently.
 func decodePage(status int, body []byte, from uint64) (platformlog.Page, error) {
 	if status != http.StatusOK && status != http.StatusGone {
 		return platformlog.Page{}, fmt.Errorf("%w: %w", platformlog.ErrUnavailable, statusError(status, body))
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -16,7 +16,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// entries returns what the log holds, whatever its faults.
+// entries clears the log's faults and returns how many entries it holds.
 func entries(t *testing.T, svc *logsvc.Server) int {
 	t.Helper()
 	svc.Faults.Set(logsvc.Faults{})
@@ -29,8 +29,9 @@
 	return len(page.Entries)
 }
 
-// An append's error must tell the truth: ErrNotAppended only where the entry
-// certainly is not there, since a caller is then told that nothing was run.
+// TestAppendErrorsAgainstEffects compares an append's error with its effect.
+// ErrNotAppended is allowed only if the entry is certainly not in the log, since a
+// caller is then told that its request was not run.
 func TestAppendErrorsAgainstEffects(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -70,7 +71,7 @@
 	server := httptest.NewServer(svc)
 	defer server.Close()
 	client := NewLogClient(server.URL)
-	// The bucket holds one: of a thousand in a row, nearly all are refused.
+	// The token bucket holds one: of a thousand in a row, nearly all are refused.
 	done := 0
 	for range 1000 {
 		_, err := client.Append(context.Background(), []byte("x"))
@@ -101,8 +102,9 @@
 	}
 }
 
-// A pooled connection that the service has closed, and a caller that gives up
-// while the service works, both leave the outcome open.
+// TestAppendGivenUpIsUnknown cancels an append while the service works on it. The
+// entry may still be appended, so the error must be ErrUnknown. The same holds if
+// the service closes a pooled connection.
 func TestAppendGivenUpIsUnknown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	release := make(chan struct{})
--- a/router/internal/platform/rating.go
+++ b/router/internal/platform/rating.go
@@ -11,8 +11,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// RatingClient asks the rating service over HTTP. It implements Rater and is
-// safe for concurrent use. The caller's context carries the budget.
+// RatingClient is a client of the rating service over HTTP. It implements Rater and
+// is safe for concurrent use. It has no timeout besides the caller's context.
 type RatingClient struct {
 	base   string
 	client *http.Client
@@ -25,8 +25,8 @@
 	return &RatingClient{base: strings.TrimRight(base, "/"), client: newClient()}
 }
 
-// Rate implements Rater. A score outside 0 to 1 is an error, not clamped: a
-// service that breaks its own range proves nothing about the answer.
+// Rate implements Rater. A score outside 0 to 1 is an error and not clamped: a
+// service that violates its own range says nothing about the answer.
 func (c *RatingClient) Rate(ctx context.Context, r wire.RateRequest) (float64, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
--- a/router/internal/platform/transport.go
+++ b/router/internal/platform/transport.go
@@ -20,8 +20,8 @@
 )
 
 // newClient returns an HTTP client that neither follows redirects nor uses a
-// proxy: a platform service is spoken to directly, so that what its answer
-// proves is known.
+// proxy: only an answer that comes directly from the platform's service proves
+// what happened to a request.
 func newClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -47,7 +47,7 @@
 	return data, nil
 }
 
-// statusError describes an answer that is not a success.
+// statusError returns the error of an answer whose status is not a success.
 func statusError(status int, body []byte) error {
 	if e, ok := errorBody(body); ok {
 		return fmt.Errorf("platform: status %d: %s: %s", status, e.Code, e.Message)
@@ -55,7 +55,7 @@
 	return fmt.Errorf("platform: status %d", status)
 }
 
-// errorBody decodes the error that all services share.
+// errorBody decodes the error body that all services use.
 func errorBody(body []byte) (wire.ErrorBody, bool) {
 	var e wire.Error
 	if err := json.Unmarshal(body, &e); err != nil || e.Error.Code == "" {
--- a/router/internal/publish/publish.go
+++ b/router/internal/publish/publish.go
@@ -1,7 +1,7 @@
-// Package publish takes a manifest from an operator's pipeline into the log.
+// Package publish writes manifests from an operator's pipeline to the log.
 //
-// Of two publishers that race from the same parent, the first in the log's
-// order wins at every reader; the other is told the winner's generation.
+// If two publishers race from the same parent, the first in the order of the log
+// wins at every reader; the other gets a conflict with the winner's generation.
 package publish
 
 import (
@@ -17,43 +17,43 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// putTimeout bounds the wait for the own manifest to be read back.
+// putTimeout bounds the wait until a manifest is read back from the log.
 const putTimeout = 5 * time.Second
 
-// retrySoon is when to publish again after the log did not take a manifest.
+// retryDelay is the Retry-After if the log did not accept a manifest.
 const retryDelay = time.Second
 
-// Gate says whether the instance may act on what it knows.
+// Gate reports whether the instance may act on its folded state.
 type Gate interface {
 	MayRun(idempotent bool) decision.RefusalReason
 }
 
-// Result of publishing.
+// Result is the result of a publication.
 type Result struct {
 	Outcome outcome.Outcome `json:"-"`
-	// Generation that this publication has, or, at a conflict, the one that is
-	// in force.
+	// Generation of this publication or, after a conflict, the generation in
+	// force.
 	Generation uint64 `json:"generation"`
-	// Digest of the manifest in force; the next one's parent.
+	// Digest of the manifest in force, to be stated as the next one's parent.
 	Digest string          `json:"digest,omitempty"`
 	Faults manifest.Faults `json:"faults,omitempty"`
 }
 
-// Publisher is safe for concurrent use.
+// Publisher publishes manifests. It is safe for concurrent use.
 type Publisher struct {
 	store  node.Store
 	holder *manifest.Holder
 	gate   Gate
 }
 
-// New returns a publisher.
+// New returns a Publisher.
 func New(store node.Store, holder *manifest.Holder, gate Gate) *Publisher {
 	return &Publisher{store: store, holder: holder, gate: gate}
 }
 
-// Publish proposes m. With rebase the generation and parent are those of the
-// manifest in force; without, m must state them, so that a pipeline which did
-// not see the newest manifest cannot overwrite it. Publishing the same
+// Publish proposes m. With rebase, Publish sets m's generation and parent so that
+// it follows the manifest in force. Without, m must state them, so that a pipeline
+// that has not seen the newest manifest cannot overwrite it. Publishing the same
 // publication id again is idempotent.
 func (p *Publisher) Publish(ctx context.Context, m manifest.Manifest, rebase bool) Result {
 	if reason := p.gate.MayRun(false); reason != "" {
@@ -64,8 +64,8 @@
 		return p.result(outcome.Completed, "already_published", "")
 	}
 	if _, before := p.holder.AcceptedGeneration(m.Publication); before {
-		// A repetition whose first try was accepted long since must not bring
-		// its old content back over what was published after it.
+		// A late retry of an accepted publication must not replace what was
+		// published after it.
 		return p.result(outcome.Conflict, "conflict", "this publication was accepted before, and a later one is in force")
 	}
 	if rebase {
@@ -82,7 +82,7 @@
 	return p.propose(ctx, m)
 }
 
-// over makes m follow the manifest in force.
+// rebased returns m with the generation and parent that follow current.
 func rebased(m manifest.Manifest, current *manifest.Index) manifest.Manifest {
 	m.Generation, m.Parent = 1, ""
 	if current != nil {
@@ -126,8 +126,9 @@
 	}
 }
 
-// notTaken tells a publication that lost its place from one that the log did not
-// take: the first must be made anew, the second can be sent again as it is.
+// voidResult returns the result of a void write. If another publication came
+// first, the manifest must be generated again; if the log did not accept the
+// write, the manifest can be published again as it is.
 func (p *Publisher) voidResult(m manifest.Manifest) Result {
 	if p.holder.Generation() >= m.Generation {
 		return p.result(outcome.Conflict, "conflict", "another publication came first")
@@ -137,8 +138,8 @@
 	return r
 }
 
-// publicationNonce is the same for each try of one pipeline run, so that a try
-// whose reply was lost and its repetition are one proposal.
+// publicationNonce returns the same nonce for each try of one pipeline run, so that
+// a try whose reply was lost and its retry are one proposal.
 func publicationNonce(publication string) record.Nonce {
 	return record.DeriveNonce("publication", publication)
 }
--- a/router/internal/upstream/upstream.go
+++ b/router/internal/upstream/upstream.go
@@ -1,9 +1,9 @@
-// Package upstream carries one attempt to a backend server and back.
+// Package upstream sends an attempt to a backend server and reads its answer.
 //
-// It alone decides how an attempt ended, by what is provable: an attempt counts
-// as not run only where no connection was had, so that no byte was written, or
-// where the backend server's own protocol says that it refused. Everything else
-// that broke may have run.
+// It alone determines how an attempt ended, from what can be proved: an attempt
+// counts as not run only if there was no connection, so that no byte was written,
+// or if the backend server answered with the header that says it refused. Any
+// other failed attempt may have run.
 package upstream
 
 import (
@@ -22,49 +22,49 @@
 )
 
 const (
-	// dialTimeout bounds the wait for a connection; loopback and one failure
-	// domain to the next take milliseconds, so a second means a dead server.
+	// dialTimeout bounds the wait for a connection. Within a host or between
+	// failure domains that takes milliseconds, so a second means a dead server.
 	dialTimeout = time.Second
-	// idleConns per backend server: as many as requests that one may run.
+	// maxIdleConns per backend server: as many as the requests that it may run.
 	maxIdleConns = 256
-	// idleTimeout closes connections before a backend server's own limit.
+	// idleTimeout closes idle connections before a backend server does.
 	idleTimeout = 30 * time.Second
-	// finishTime and finishBytes bound what is read after a stream's end mark:
-	// only the end of the chunked encoding should come.
+	// discardTimeout and maxDiscardBytes bound what is read after a stream's end
+	// marker: only the end of the chunked encoding should follow.
 	discardTimeout  = 50 * time.Millisecond
 	maxDiscardBytes = 4096
-	// MaxAnswer bounds a plain answer that is read whole, in bytes.
+	// MaxAnswerBytes bounds an answer that is read whole.
 	MaxAnswerBytes = 16 << 20
 )
 
 // Call is one attempt.
 type Call struct {
 	Method string
-	// URL is the whole address, such as http://10.0.0.7:8000/v1/chat/completions.
+	// URL is absolute, such as http://10.0.0.7:8000/v1/chat/completions.
 	URL    string
 	Header http.Header
 	Body   []byte
 	// Nonce identifies the attempt; the answer must echo it.
 	Nonce string
-	// Idempotent calls may share connections. Others get a new connection each:
-	// net/http sends a request that carries an Idempotency-Key again by itself
-	// when a kept connection breaks, which would run it twice.
+	// Idempotent calls reuse connections. All others get a new connection each:
+	// net/http resends a request that has an Idempotency-Key by itself when a
+	// reused connection breaks, which would run it twice.
 	Idempotent bool
 }
 
-// Failure says how an attempt ended that brought no whole answer.
+// Failure is the error of an attempt that brought no whole answer.
 type Failure struct {
 	Result decision.AttemptResult
 	// Leaving is set when the backend server refused because it is leaving.
 	Leaving bool
-	// WrongNonce is set when the answer was for another attempt.
+	// WrongNonce is set when the answer did not echo this attempt's nonce.
 	WrongNonce bool
-	// RetryAfter is the backend server's own word, in seconds.
+	// RetryAfter is the backend server's Retry-After header, in seconds.
 	RetryAfter string
 	Err        error
 }
 
-// Error describes the failure.
+// Error implements error.
 func (f *Failure) Error() string {
 	if f.Err == nil {
 		return "attempt failed"
@@ -75,28 +75,28 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Errors that stand as the cause of a Failure.
+// Causes of a Failure.
 var (
 	errWrongNonce = errors.New("answer carries another attempt's nonce")
 	errRefused    = errors.New("backend server refused before running")
 	errTooLarge   = errors.New("answer is larger than the limit")
 )
 
-// Client sends attempts. It is safe for concurrent use.
+// Client sends attempts to backend servers. It is safe for concurrent use.
 type Client struct {
 	pooled   *http.Transport
 	unpooled *http.Transport
 }
 
-// DialFunc connects to a backend server; (*net.Dialer).DialContext is one.
+// DialFunc connects to a backend server, as (*net.Dialer).DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// NewClient returns a client for plaintext backend servers.
+// NewClient returns a client that connects by TCP without TLS.
 func NewClient() *Client {
 	return NewClientWith((&net.Dialer{Timeout: dialTimeout}).DialContext)
 }
 
-// NewClientWith is NewClient over other connections than TCP, for tests.
+// NewClientWith returns a client that connects by dial, for tests.
 func NewClientWith(dial DialFunc) *Client {
 	return &Client{pooled: newTransport(dial, false), unpooled: newTransport(dial, true)}
 }
@@ -111,15 +111,14 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
 	c.unpooled.CloseIdleConnections()
 }
 
-// Send writes the call and returns the answer once its header came and proved
-// to be this attempt's. The caller must close the body. The error is always a
-// *Failure.
+// Send writes the call and returns the answer once its header has arrived and
+// echoed the nonce. The caller must close the body. The error is always a *Failure.
 func (c *Client) Send(ctx context.Context, call Call) (*http.Response, error) {
 	req, connected, err := newRequest(ctx, call)
 	if err != nil {
@@ -159,8 +158,9 @@
 	return req, connected, nil
 }
 
-// sendFailure judges an attempt without an answer. Without a connection no byte
-// was written. With one the request may have run, also when it was cancelled.
+// classifySendError returns the result of an attempt without an answer. Without a
+// connection no byte was written. With one the request may have run, even if it
+// was cancelled.
 func classifySendError(ctx context.Context, err error, connected bool) *Failure {
 	switch {
 	case !connected:
@@ -174,8 +174,8 @@
 	}
 }
 
-// isCrash says whether the backend server's side of the connection went away,
-// as it does when the process dies.
+// isConnectionLost reports whether the backend server's side closed or reset the
+// connection, as happens when its process dies.
 func isConnectionLost(err error) bool {
 	var op *net.OpError
 	if errors.As(err, &op) && !op.Timeout() {
@@ -184,9 +184,9 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// checkAnswer accepts an answer only with this attempt's nonce. A refusal by
-// the backend server counts as one only under the same nonce: another attempt's
-// "not run" says nothing about this one.
+// checkResponse accepts an answer only if it echoes the attempt's nonce. That also
+// holds for a refusal by the backend server: "not run" for another attempt says
+// nothing about this one.
 func checkResponse(resp *http.Response, call Call) error {
 	if resp.Header.Get(wire.HeaderAttempt) != call.Nonce {
 		return &Failure{Result: decision.AttemptUnknown, WrongNonce: true, Err: errWrongNonce}
@@ -202,18 +202,19 @@
 	return nil
 }
 
-// Finish reads what follows a stream's end mark, so that the connection can be
-// used again: net/http closes one whose answer was not read to its end. An engine
-// that does not end its answer after the mark loses the connection.
+// DiscardRest reads what follows a stream's end marker, so that the connection can
+// be reused: net/http closes the connection of an answer that was not read to its
+// end. If the answer does not end shortly after the marker, the connection is
+// closed.
 func DiscardRest(resp *http.Response) {
 	timer := time.AfterFunc(discardTimeout, func() { resp.Body.Close() })
 	defer timer.Stop()
-	// What comes here, and whether it comes, changes nothing about the answer.
+	// The answer is complete already; neither data nor errors matter here.
 	_, _ = io.CopyN(io.Discard, resp.Body, maxDiscardBytes)
 }
 
-// ReadAll reads a plain answer whole. An answer that breaks off, or exceeds
-// MaxAnswer, is a Failure.
+// ReadAll reads a whole answer. It returns a *Failure if the answer breaks off or
+// exceeds MaxAnswerBytes.
 func ReadAll(ctx context.Context, resp *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerBytes+1))
 	if err != nil {
@@ -225,7 +226,8 @@
 	return body, nil
 }
 
-// ReadFailure judges an answer that broke off. It ran, and how far is unknown.
+// ClassifyReadError returns the result of an attempt whose answer broke off. The
+// request was started; how far it ran is unknown.
 func ClassifyReadError(ctx context.Context, err error) *Failure {
 	if ctx.Err() != nil {
 		return &Failure{Result: decision.AttemptUnknown, Err: ctx.Err()}
