--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -192,8 +192,8 @@
 		return
 	}
 	h := x.w.Header()
-	if kind := a.header.Get("Content-Type"); kind != "" {
-		h.Set("Content-Type", kind)
+	if contentType := a.header.Get("Content-Type"); contentType != "" {
+		h.Set("Content-Type", contentType)
 	}
 	x.setOutcomeHeaders(a.version)
 	x.setWriteDeadline()
--- a/router/internal/api/chat.go
+++ b/router/internal/api/chat.go
@@ -183,18 +183,18 @@
 
 // models serves GET /v1/models: the serving versions that the team may use.
 func (s *Server) models(w http.ResponseWriter, _ *http.Request, c caller) {
-	type row struct {
+	type entry struct {
 		ID     string `json:"id"`
 		Object string `json:"object"`
 	}
-	rows := []row{}
+	entries := []entry{}
 	for _, v := range c.index.Manifest.Versions {
 		if c.index.MayUse(c.team.ID, v.ID) && v.State == "serving" {
-			rows = append(rows, row{ID: v.ID, Object: "model"})
+			entries = append(entries, entry{ID: v.ID, Object: "model"})
 		}
 	}
 	writeJSON(w, http.StatusOK, struct {
-		Object string `json:"object"`
-		Data   []row  `json:"data"`
-	}{"list", rows})
+		Object string  `json:"object"`
+		Data   []entry `json:"data"`
+	}{"list", entries})
 }
--- a/router/internal/api/outcome_test.go
+++ b/router/internal/api/outcome_test.go
@@ -277,12 +277,12 @@
 // request is cancelled.
 func TestCallerThatDoesNotReadFreesTheSlot(t *testing.T) {
 	f := newFixtureWith(t, 50*time.Millisecond)
-	wide := `{"choices":[{"delta":{"content":"` + strings.Repeat("x", 64<<10) + `"}}]}`
+	largeEvent := `{"choices":[{"delta":{"content":"` + strings.Repeat("x", 64<<10) + `"}}]}`
 	cancelled := make(chan struct{})
 	f.setBackend(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 		for r.Context().Err() == nil {
-			_, _ = io.WriteString(w, "data: "+wide+"\n\n")
+			_, _ = io.WriteString(w, "data: "+largeEvent+"\n\n")
 		}
 		close(cancelled)
 	})
--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -30,13 +30,13 @@
 		return
 	}
 	id := uuid.NewString()
-	opened := session.Session{
+	sess := session.Session{
 		Team:      c.team.ID,
 		ID:        id,
 		ShareHash: session.ShareHash(c.team.ID, id),
 	}
-	opened.Pins = s.pickVersions(r.Context(), opened)
-	token, expires, err := s.SessionTokens.Issue(opened)
+	sess.Pins = s.pickVersions(r.Context(), sess)
+	token, expires, err := s.SessionTokens.Issue(sess)
 	if err != nil {
 		writeOutcome(w, routerRefusal("session_invalid", err.Error()))
 		return
@@ -46,13 +46,13 @@
 		Session:  id,
 		Token:    token,
 		Expires:  expires.UTC().Format(http.TimeFormat),
-		Versions: opened.Pins,
+		Versions: sess.Pins,
 	})
 }
 
-func (s *Server) pickVersions(ctx context.Context, opened session.Session) map[string]string {
+func (s *Server) pickVersions(ctx context.Context, sess session.Session) map[string]string {
 	pins := map[string]string{}
-	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(opened.Team), opened.ShareHash) {
+	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(sess.Team), sess.ShareHash) {
 		model, _, _ := strings.Cut(string(v), "@")
 		pins[model] = string(v)
 	}
@@ -65,19 +65,19 @@
 	if header == "" {
 		return nil
 	}
-	opened, refusal := s.readSession(r.Context(), c, header)
+	sess, refusal := s.readSession(r.Context(), c, header)
 	if refusal != nil {
 		return refusal
 	}
-	req.RolloutPosition = opened.ShareHash
+	req.RolloutPosition = sess.ShareHash
 	if req.Model == "" {
-		for _, v := range opened.Pins {
+		for _, v := range sess.Pins {
 			req.Pins = append(req.Pins, decision.VersionID(v))
 		}
 		return nil
 	}
 	model, _, _ := strings.Cut(string(req.Model), "@")
-	req.Pinned = decision.VersionID(opened.Pins[model])
+	req.Pinned = decision.VersionID(sess.Pins[model])
 	return nil
 }
 
@@ -86,22 +86,22 @@
 // so at once, the first writer in the log wins.
 func (s *Server) readSession(ctx context.Context, c caller, header string) (session.Session, *outcome.Outcome) {
 	if session.LooksLikeToken(header) {
-		opened, err := s.SessionTokens.Verify(header, c.team.ID)
-		return opened, sessionRefusal(err)
+		sess, err := s.SessionTokens.Verify(header, c.team.ID)
+		return sess, sessionRefusal(err)
 	}
-	known, ok, err := s.SessionNames.Lookup(c.team.ID, header)
+	pinned, ok, err := s.SessionNames.Lookup(c.team.ID, header)
 	if err != nil || ok {
-		return known, sessionRefusal(err)
+		return pinned, sessionRefusal(err)
 	}
 	if reason := s.Gate.MayRun(false); reason != "" {
 		o := decisionRefusal(reason, retryDelay)
-		return known, &o
+		return pinned, &o
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	own := session.Session{Team: c.team.ID, ID: header, ShareHash: session.ShareHash(c.team.ID, header)}
-	opened, err := s.SessionNames.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, own))
-	return opened, sessionRefusal(err)
+	unpinned := session.Session{Team: c.team.ID, ID: header, ShareHash: session.ShareHash(c.team.ID, header)}
+	sess, err := s.SessionNames.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, unpinned))
+	return sess, sessionRefusal(err)
 }
 
 func sessionRefusal(err error) *outcome.Outcome {
--- a/router/internal/api/stream.go
+++ b/router/internal/api/stream.go
@@ -58,7 +58,7 @@
 // written once the bill is durable.
 func (x *exchange) readStream(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	sr := x.newStreamReader(d)
-	if err := sr.follow(ctx, resp); err != nil {
+	if err := sr.readAndBill(ctx, resp); err != nil {
 		return nil, err
 	}
 	sr.out.text = sr.text.String()
@@ -74,9 +74,9 @@
 	}
 }
 
-// follow reads the stream to its end and bills its tokens. For a stream that
+// readAndBill reads the stream to its end and bills its tokens. For a stream that
 // broke off it bills the tokens received.
-func (sr *streamReader) follow(ctx context.Context, resp *http.Response) error {
+func (sr *streamReader) readAndBill(ctx context.Context, resp *http.Response) error {
 	version := sr.dispatch.Version
 	err := sr.read(ctx, resp)
 	if err != nil {
@@ -104,7 +104,7 @@
 			sr.sawEnd = true
 			break
 		}
-		if err := sr.chunk(ev.Data); err != nil {
+		if err := sr.handleChunk(ev.Data); err != nil {
 			return err
 		}
 	}
@@ -156,7 +156,7 @@
 	Usage *wire.Usage `json:"usage"`
 }
 
-func (sr *streamReader) chunk(data string) error {
+func (sr *streamReader) handleChunk(data string) error {
 	var c streamChunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return &upstream.Failure{Result: decision.AttemptFailed, Err: errMalformedChunk}
@@ -164,7 +164,7 @@
 	last := c.Usage != nil
 	for _, choice := range c.Choices {
 		if choice.Delta.Content != "" {
-			sr.token(choice.Delta.Content)
+			sr.addToken(choice.Delta.Content)
 		}
 		last = last || choice.FinishReason != nil
 	}
@@ -181,7 +181,7 @@
 	return sr.x.writeEvent(sr.dispatch.Version, data)
 }
 
-func (sr *streamReader) token(text string) {
+func (sr *streamReader) addToken(text string) {
 	sr.chunks++
 	if sr.dispatch.NeedsRating || sr.aggregate {
 		sr.text.WriteString(text)
--- a/router/internal/gate/gate.go
+++ b/router/internal/gate/gate.go
@@ -20,18 +20,18 @@
 	tracker  *freshness.Tracker
 	lastMode freshness.Mode
 	onChange func(freshness.Mode)
-	// billBufferFull reports that no more bills can be held, so that new work
+	// heldBillsFull reports that no more bills can be held, so that new work
 	// must be refused.
-	billBufferFull func() bool
+	heldBillsFull func() bool
 }
 
 // New returns a gate over tracker; now is the clock.
 func New(tracker *freshness.Tracker, now func() time.Time) *Gate {
 	return &Gate{
-		now:            now,
-		tracker:        tracker,
-		onChange:       func(freshness.Mode) {},
-		billBufferFull: func() bool { return false },
+		now:           now,
+		tracker:       tracker,
+		onChange:      func(freshness.Mode) {},
+		heldBillsFull: func() bool { return false },
 	}
 }
 
@@ -42,7 +42,7 @@
 
 // SetHeldBillsFull sets the function that reports whether no more bills can be
 // held. Call it before the gate is used.
-func (g *Gate) SetHeldBillsFull(full func() bool) { g.billBufferFull = full }
+func (g *Gate) SetHeldBillsFull(full func() bool) { g.heldBillsFull = full }
 
 // HeadRead implements node.Observer.
 func (g *Gate) HeadRead(at time.Time, head uint64) {
@@ -115,7 +115,7 @@
 	case freshness.ModeFresh:
 		return ""
 	case freshness.ModeOutage:
-		if !idempotent || g.billBufferFull() {
+		if !idempotent || g.heldBillsFull() {
 			return decision.ReasonOutage
 		}
 		return ""
--- a/router/internal/manifest/diff.go
+++ b/router/internal/manifest/diff.go
@@ -19,15 +19,15 @@
 // Diff returns the differences of to from from, sorted by item.
 func Diff(from, to Manifest) []Change {
 	var out []Change
-	out = append(out, diffRows("team", teamRows(from), teamRows(to))...)
-	out = append(out, diffRows("version", versionRows(from), versionRows(to))...)
-	out = append(out, diffRows("service", serviceRows(from), serviceRows(to))...)
-	out = append(out, diffRows("objective", objectiveRows(from), objectiveRows(to))...)
+	out = append(out, diffEntries("team", teamsByID(from), teamsByID(to))...)
+	out = append(out, diffEntries("version", versionsByID(from), versionsByID(to))...)
+	out = append(out, diffEntries("service", servicesByID(from), servicesByID(to))...)
+	out = append(out, diffEntries("objective", objectivesByTeam(from), objectivesByTeam(to))...)
 	sort.Slice(out, func(i, j int) bool { return out[i].Item < out[j].Item })
 	return out
 }
 
-func diffRows(kind string, from, to map[string]any) []Change {
+func diffEntries(kind string, from, to map[string]any) []Change {
 	var out []Change
 	for id, old := range from {
 		item := kind + " " + id
@@ -47,34 +47,34 @@
 	return out
 }
 
-func teamRows(m Manifest) map[string]any {
-	rows := map[string]any{}
+func teamsByID(m Manifest) map[string]any {
+	out := map[string]any{}
 	for _, t := range m.Teams {
-		rows[t.ID] = t
+		out[t.ID] = t
 	}
-	return rows
+	return out
 }
 
-func versionRows(m Manifest) map[string]any {
-	rows := map[string]any{}
+func versionsByID(m Manifest) map[string]any {
+	out := map[string]any{}
 	for _, v := range m.Versions {
-		rows[v.ID] = v
+		out[v.ID] = v
 	}
-	return rows
+	return out
 }
 
-func serviceRows(m Manifest) map[string]any {
-	rows := map[string]any{}
+func servicesByID(m Manifest) map[string]any {
+	out := map[string]any{}
 	for _, s := range m.Services {
-		rows[s.ID] = s
+		out[s.ID] = s
 	}
-	return rows
+	return out
 }
 
-func objectiveRows(m Manifest) map[string]any {
-	rows := map[string]any{}
+func objectivesByTeam(m Manifest) map[string]any {
+	out := map[string]any{}
 	for _, o := range m.Objectives {
-		rows[o.Team] = o
+		out[o.Team] = o
 	}
-	return rows
+	return out
 }
--- a/router/internal/manifest/index.go
+++ b/router/internal/manifest/index.go
@@ -160,17 +160,17 @@
 }
 
 func decisionTeam(t Team) decision.Team {
-	row := decision.Team{
+	out := decision.Team{
 		ID:            decision.TeamID(t.ID),
 		Weight:        t.Weight,
 		QueueLimit:    t.QueueLimit,
 		QualityTarget: t.QualityTarget,
 	}
 	for _, v := range t.Allowed {
-		row.Allowed = append(row.Allowed, decision.VersionID(v))
+		out.Allowed = append(out.Allowed, decision.VersionID(v))
 	}
 	for _, s := range t.Services {
-		row.Services = append(row.Services, decision.ServiceID(s))
+		out.Services = append(out.Services, decision.ServiceID(s))
 	}
-	return row
+	return out
 }
--- a/router/internal/manifest/validate.go
+++ b/router/internal/manifest/validate.go
@@ -116,13 +116,13 @@
 	return c.faults
 }
 
-func (c *checker) versions(rows []Version) map[string]bool {
-	c.maxCount("versions", len(rows), maxVersions)
+func (c *checker) versions(versions []Version) map[string]bool {
+	c.maxCount("versions", len(versions), maxVersions)
 	seen := map[string]bool{}
-	for i, v := range rows {
+	for i, v := range versions {
 		c.version(fmt.Sprintf("versions[%d]", i), v, seen)
 	}
-	for i, v := range rows {
+	for i, v := range versions {
 		if v.Predecessor != "" && !seen[v.Predecessor] {
 			c.add(fmt.Sprintf("versions[%d].predecessor", i), "no version %q", v.Predecessor)
 		}
@@ -151,10 +151,10 @@
 	c.inRange(at+".quality", v.Quality, 0, 1)
 }
 
-func (c *checker) services(rows []Service) map[string]bool {
-	c.maxCount("services", len(rows), maxServices)
+func (c *checker) services(services []Service) map[string]bool {
+	c.maxCount("services", len(services), maxServices)
 	seen := map[string]bool{}
-	for i, s := range rows {
+	for i, s := range services {
 		at := fmt.Sprintf("services[%d]", i)
 		c.id(at+".id", s.ID, seen)
 		c.inRange(at+".price", s.Price, 0, 1e9)
@@ -175,11 +175,11 @@
 	}
 }
 
-func (c *checker) teams(rows []Team, versions, services map[string]bool) map[string]bool {
-	c.maxCount("teams", len(rows), maxTeams)
+func (c *checker) teams(teams []Team, versions, services map[string]bool) map[string]bool {
+	c.maxCount("teams", len(teams), maxTeams)
 	seen := map[string]bool{}
 	keys := map[string]string{}
-	for i, t := range rows {
+	for i, t := range teams {
 		at := fmt.Sprintf("teams[%d]", i)
 		c.id(at+".id", t.ID, seen)
 		c.inRange(at+".weight", float64(t.Weight), 1, maxWeight)
@@ -237,8 +237,8 @@
 	}
 }
 
-func (c *checker) objectives(rows []Objective, teams map[string]bool) {
-	for i, o := range rows {
+func (c *checker) objectives(objectives []Objective, teams map[string]bool) {
+	for i, o := range objectives {
 		at := fmt.Sprintf("objectives[%d]", i)
 		if !teams[o.Team] {
 			c.add(at+".team", "no team %q", o.Team)
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -175,9 +175,9 @@
 		if !first.Acquire(t.Context()) {
 			t.Fatal("first did not get the lease")
 		}
-		oldFence, refusal := first.Check(lease.FencingEnforced)
-		if refusal != lease.Allowed {
-			t.Fatalf("first: %v", refusal)
+		oldFence, result := first.Check(lease.FencingEnforced)
+		if result != lease.Allowed {
+			t.Fatalf("first: %v", result)
 		}
 		// first pauses here, between its check and its order.
 		for !second.Acquire(t.Context()) {
@@ -194,7 +194,7 @@
 		if code := putTo(e, oldFence, "small@1"); code != http.StatusConflict {
 			t.Errorf("old holder: %d", code)
 		}
-		if _, refusal := first.Check(lease.FencingEnforced); refusal == lease.Allowed {
+		if _, result := first.Check(lease.FencingEnforced); result == lease.Allowed {
 			t.Error("the old holder still thinks that it may send")
 		}
 	})
--- a/router/internal/orders/sender.go
+++ b/router/internal/orders/sender.go
@@ -145,8 +145,8 @@
 	if s.recentlyOrdered(o.Engine) {
 		return
 	}
-	fence, refusal := s.lease.Check(fencing)
-	if refusal != lease.Allowed {
+	fence, result := s.lease.Check(fencing)
+	if result != lease.Allowed {
 		return
 	}
 	err := s.putOrder(ctx, addrOf(o.Engine, servers), fence, o)
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -38,15 +38,15 @@
 		faults logsvc.Faults
 		size   int
 		// want is nil for success.
-		want error
-		held int
+		want        error
+		wantEntries int
 	}{
-		{name: "sound", held: 1},
+		{name: "sound", wantEntries: 1},
 		{name: "refused", faults: logsvc.Faults{RefuseAppends: true}, want: platformlog.ErrNotAppended},
 		{name: "too large", size: logsvc.MaxBlob + 1, want: platformlog.ErrNotAppended},
 		{name: "lost before the effect", faults: logsvc.Faults{LostBefore: 1}, want: platformlog.ErrUnknown},
-		{name: "lost reply", faults: logsvc.Faults{LostReply: 1}, want: platformlog.ErrUnknown, held: 1},
-		{name: "failed after the effect", faults: logsvc.Faults{FailAppends: 1}, want: platformlog.ErrUnknown, held: 1},
+		{name: "lost reply", faults: logsvc.Faults{LostReply: 1}, want: platformlog.ErrUnknown, wantEntries: 1},
+		{name: "failed after the effect", faults: logsvc.Faults{FailAppends: 1}, want: platformlog.ErrUnknown, wantEntries: 1},
 		{name: "down", faults: logsvc.Faults{Common: faults.Common{Down: true}}, want: platformlog.ErrUnknown},
 	}
 	for _, tt := range tests {
@@ -59,8 +59,8 @@
 			if !errors.Is(err, tt.want) {
 				t.Errorf("error %v, want %v", err, tt.want)
 			}
-			if got := entries(t, svc); got != tt.held {
-				t.Errorf("%d entries in the log, want %d", got, tt.held)
+			if got := entries(t, svc); got != tt.wantEntries {
+				t.Errorf("%d entries in the log, want %d", got, tt.wantEntries)
 			}
 		})
 	}
--- a/router/internal/publish/publish.go
+++ b/router/internal/publish/publish.go
@@ -63,7 +63,7 @@
 	if current != nil && current.Manifest.Publication == m.Publication {
 		return p.result(outcome.Completed, "already_published", "")
 	}
-	if _, before := p.holder.AcceptedGeneration(m.Publication); before {
+	if _, accepted := p.holder.AcceptedGeneration(m.Publication); accepted {
 		// A late retry of an accepted publication must not replace what was
 		// published after it.
 		return p.result(outcome.Conflict, "conflict", "this publication was accepted before, and a later one is in force")
