--- a/router/internal/api/api.go
+++ b/router/internal/api/api.go
@@ -58,8 +58,8 @@
 	// Code is the outcome's code if the request did not complete. It separates
 	// callers' errors from faults of the system.
 	Code string
-	// FirstToken is the time from arrival to the first token, or to the whole
-	// answer if it was not streamed; zero if none came.
+	// FirstToken is the time from arrival to the first token, or to the end of
+	// an answer that was not streamed; zero if none came.
 	FirstToken time.Duration
 	// InterToken is the mean time between two tokens, zero below two tokens.
 	InterToken time.Duration
--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -171,14 +171,14 @@
 	x.finishWithAnswer(a)
 }
 
-// finishWithAnswer writes a whole answer and ends the request.
+// finishWithAnswer writes a complete answer and ends the request.
 func (x *exchange) finishWithAnswer(a *answer) {
 	x.writeAnswer(a)
 	x.observe(x.finalOutcome())
 	x.done = true
 }
 
-// finalOutcome returns the outcome of an answer that was received whole.
+// finalOutcome returns the outcome of an answer that was received completely.
 func (x *exchange) finalOutcome() outcome.Outcome {
 	if x.rejectedByServer {
 		return outcome.Outcome{Kind: outcome.Failed, Code: "rejected_by_backend_server"}
--- a/router/internal/api/bench_test.go
+++ b/router/internal/api/bench_test.go
@@ -13,9 +13,9 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// asAsked answers with tokens tokens: as a stream where one is asked for, and
-// else plain. What it writes is made beforehand, so that the engine's own cost
-// stays small.
+// answerAsRequested answers with the given number of tokens, as a stream or a
+// single JSON body as requested. Both are built in advance, so that the engine's
+// own cost stays small.
 func answerAsRequested(tokens int) http.HandlerFunc {
 	content := strings.Repeat("tisse ", tokens)
 	whole := fmt.Sprintf(`{"id":"c1","object":"chat.completion","created":1,"model":"draft@1","choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"stop"}],"usage":{"prompt_tokens":9,"completion_tokens":%d,"total_tokens":%d}}`, content, tokens, 9+tokens)
@@ -40,8 +40,9 @@
 	}
 }
 
-// BenchmarkPlain is a plain chat from the caller's request to its whole answer,
-// over loopback, many at once, with caller and engine in the same process.
+// BenchmarkPlain measures chats without streaming, from the caller's request to
+// the complete answer: many at once, over loopback, with caller and engine in the
+// same process.
 func BenchmarkPlain(b *testing.B) {
 	for _, tokens := range []int{64, 256, 1024} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
@@ -64,8 +65,8 @@
 	}
 }
 
-// processorTime is what this process has used. The wait for the bill's group
-// commit makes ns/op, so it tells nothing of the cost.
+// cpuTime returns the processor time used by this process. ns/op consists mostly of
+// the wait for the bill's group commit and is no measure of the cost.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -54,8 +54,8 @@
 	tokenIntervalSum time.Duration
 }
 
-// answer is the whole answer of one attempt, of which the caller lacks at least
-// the end.
+// answer is the complete answer of one attempt. At least its end has not been
+// written to the caller yet.
 type answer struct {
 	attempt decision.AttemptID
 	version decision.VersionID
--- a/router/internal/api/failure_test.go
+++ b/router/internal/api/failure_test.go
@@ -7,8 +7,9 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// Found by "masticplank demo --faults": a reservation whose reply was lost after
-// its effect was answered as failed.
+// TestFailureSaysNoMoreThanIsKnown guards against answering a reservation as failed
+// although it took effect and only its reply was lost ("masticplank demo --faults"
+// produces such losses).
 func TestFailureSaysNoMoreThanIsKnown(t *testing.T) {
 	tests := []struct {
 		result     decision.AttemptResult
--- a/router/internal/api/fixture_test.go
+++ b/router/internal/api/fixture_test.go
@@ -30,7 +30,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// patience bounds a wait for what happens within milliseconds.
+// waitTimeout bounds waits for conditions that normally hold within milliseconds.
 const waitTimeout = 30 * time.Second
 
 const (
@@ -38,8 +38,8 @@
 	prompt  = `{"model":"draft","messages":[{"role":"user","content":"a twill"}],"max_tokens":4}`
 )
 
-// fixture is the callers' edge with a real decision and node over an in-memory
-// log, before one backend server that each test scripts.
+// fixture is a Server with a real decision.World and node over an in-memory log,
+// and one backend server whose handler each test sets.
 type fixture struct {
 	t       testing.TB
 	log     *logtest.Log
@@ -49,9 +49,10 @@
 	driver  *driver.Driver
 	server  *httptest.Server
 	backend *httptest.Server
-	// ran counts what reached the backend server and was not refused by it.
+	// executions counts the requests that reached the backend server and were
+	// not refused by it.
 	executions atomic.Int64
-	// opened counts the connections to the backend server.
+	// connections counts the connections opened to the backend server.
 	connections  atomic.Int64
 	handler      atomic.Value
 	index        atomic.Pointer[manifest.Index]
@@ -69,11 +70,11 @@
 // Answered implements Servers.
 func (f *fixture) ObserveLoad(decision.ServerID, string) {}
 
-// switchGate refuses with whatever reason it holds.
+// fakeGate refuses work for a set reason.
 type fakeGate struct {
 	mu     sync.Mutex
 	reason decision.RefusalReason
-	// asked counts the questions; from the one numbered after on, reason holds.
+	// calls counts the calls; those beyond the first allowed return reason.
 	calls, allowed int
 }
 
@@ -87,7 +88,7 @@
 	return ""
 }
 
-// refuse makes the gate refuse from the question after on.
+// refuse makes the gate allow the given number of calls and then refuse.
 func (g *fakeGate) refuse(reason decision.RefusalReason, allowed int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,15 +164,15 @@
 	return f
 }
 
-// mend ends all faults.
+// clearFaults ends all faults and sets the backend server's handler.
 func (f *fixture) clearFaults(h http.HandlerFunc) {
 	f.log.SetDown(false)
 	f.gate.refuse("", 0)
 	f.setBackend(h)
-	f.eventually("the log read again", func() bool { return f.node.Status().LogReachable })
+	f.eventually("the log to be read again", func() bool { return f.node.Status().LogReachable })
 }
 
-// eventually polls until ok holds; it fails only past patience.
+// eventually polls until ok returns true; the test fails after waitTimeout.
 func (f *fixture) eventually(what string, ok func() bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
@@ -179,13 +180,13 @@
 	defer tick.Stop()
 	for !ok() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("never: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 		<-tick.C
 	}
 }
 
-// script sets what the backend server does.
+// setBackend sets the backend server's handler.
 func (f *fixture) setBackend(h http.HandlerFunc) { f.handler.Store(h) }
 
 func (f *fixture) startNode() {
@@ -235,7 +236,7 @@
 	f.t.Cleanup(func() { f.server.Close(); client.Close(); cancel() })
 }
 
-// answer is what a caller got; err is set where the answer broke off.
+// callerResponse is what a caller received; err is set if the answer broke off.
 type callerResponse struct {
 	status  int
 	outcome string
@@ -258,7 +259,7 @@
 	}
 }
 
-// open sends a request and returns its answer unread.
+// open sends a request and returns the response with its body unread.
 func (f *fixture) open(ctx context.Context, method, path, body, idempotencyKey string) *http.Response {
 	f.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, f.server.URL+path, bytes.NewBufferString(body))
@@ -276,7 +277,7 @@
 	return resp
 }
 
-// bills lists what is in the log, by register, so each request counts once.
+// bills returns the registers of bills in the log, of which each request has one.
 func (f *fixture) bills() []fold.Register {
 	f.t.Helper()
 	return f.registers(record.ClassBill)
@@ -284,13 +285,13 @@
 
 const completionBody = `{"choices":[{"message":{"role":"assistant","content":"over under"}}],"usage":{"completion_tokens":4}}`
 
-// chatAnswer answers a plain chat request whole.
+// answerChat answers a chat with a single JSON body.
 func answerChat(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 	_, _ = io.WriteString(w, completionBody)
 }
 
-// chatStream streams the events given, each as one server-sent event.
+// chatStream answers with a stream of the given server-sent events.
 func chatStream(events ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
--- a/router/internal/api/outcome_test.go
+++ b/router/internal/api/outcome_test.go
@@ -17,7 +17,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Chunks of a stream of two tokens.
+// Chunks of a stream with two tokens.
 const (
 	token1    = `{"choices":[{"delta":{"content":"over "}}]}`
 	token2    = `{"choices":[{"delta":{"content":"under"}}]}`
@@ -27,7 +27,7 @@
 
 var streamed = strings.Replace(prompt, `"max_tokens"`, `"stream":true,"max_tokens"`, 1)
 
-// hangUp closes the connection, as a backend server does that dies.
+// closeConnection closes the connection, as happens when a backend server dies.
 func closeConnection(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
@@ -57,8 +57,9 @@
 	_, _ = io.WriteString(w, completionBody)
 }
 
-// TestChatOutcomes judges by what the caller gets: a whole answer with one bill,
-// or an outcome that is true, and never a cut stream that looks whole.
+// TestChatOutcomes checks what the caller gets from engines that answer, fail or
+// break off: either a complete answer with one bill, or an outcome that is true. A
+// truncated stream must never look complete.
 func TestChatOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -72,18 +73,18 @@
 		{"stream", streamed, chatStream(token1, token2, lastChunk, wire.StreamEnd), "completed", false, 1},
 		{"plain, streamed by the engine", prompt, chatStream(token1, token2, lastChunk, wire.StreamEnd), "completed", false, 1},
 		{"plain, stream without usage", prompt, chatStream(token1, wire.StreamEnd), "failed", false, 0},
-		{"plain, stream without a reason", prompt, chatStream(token1, usageOnly, wire.StreamEnd), "failed", false, 0},
-		{"plain, cut stream", prompt, truncateAfter(token1), "failed", false, 0},
+		{"plain, stream without a finish reason", prompt, chatStream(token1, usageOnly, wire.StreamEnd), "failed", false, 0},
+		{"plain, truncated stream", prompt, truncateAfter(token1), "failed", false, 0},
 		{"plain, crash", prompt, closeConnection, "failed", false, 0},
-		{"plain, another's answer", prompt, wrongNonce, "unknown", false, 0},
+		{"plain, wrong nonce", prompt, wrongNonce, "unknown", false, 0},
 		{"plain, no usage", prompt, answerStatus(200, false), "failed", false, 0},
 		{"plain, server error", prompt, answerStatus(500, false), "failed", false, 0},
 		{"plain, refused everywhere", prompt, answerStatus(503, true), "refused", false, 0},
 		{"plain, rejected by the engine", prompt, answerStatus(422, false), "failed", false, 0},
 		{"stream, rejected by the engine", streamed, answerStatus(422, false), "failed", false, 0},
-		{"stream cut after a token", streamed, truncateAfter(token1), "completed", true, 0},
-		{"stream cut before the end mark", streamed, truncateAfter(token1, token2, lastChunk), "completed", true, 0},
-		{"stream ended without its end mark", streamed, chatStream(token1, token2, lastChunk), "completed", true, 0},
+		{"stream truncated after a token", streamed, truncateAfter(token1), "completed", true, 0},
+		{"stream truncated before the end marker", streamed, truncateAfter(token1, token2, lastChunk), "completed", true, 0},
+		{"stream ended without its end marker", streamed, chatStream(token1, token2, lastChunk), "completed", true, 0},
 		{"stream ended without usage", streamed, chatStream(token1, wire.StreamEnd), "completed", true, 0},
 		{"stream of no chunks", streamed, chatStream("nonsense"), "failed", false, 0},
 	} {
@@ -96,19 +97,19 @@
 				t.Errorf("outcome %q, error %v, body %q", got.outcome, got.err, got.body)
 			}
 			if c.broken && strings.Contains(got.body, wire.StreamEnd) {
-				t.Errorf("a cut stream looks whole: %q", got.body)
+				t.Errorf("a truncated stream looks complete: %q", got.body)
 			}
 			if n := len(f.bills()); n != c.bills {
 				t.Errorf("%d bills, want %d", n, c.bills)
 			}
 			if c.body == prompt && c.outcome == "completed" && !strings.Contains(got.body, `"content":"over under"`) {
-				t.Errorf("not the whole answer: %q", got.body)
+				t.Errorf("not the complete answer: %q", got.body)
 			}
 		})
 	}
 }
 
-// numbered streams events as given, "N|DATA" each.
+// numberedStream streams the given events, each in the form "ID|DATA".
 func numberedStream(events ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
@@ -119,8 +120,9 @@
 	}
 }
 
-// TestNumberedStreams repeats and drops events of a stream. Found by the demo
-// under faults (seed 1): a repeated chunk doubled words in the middle.
+// TestNumberedStreams duplicates and drops events of a numbered stream. Without the
+// check of event ids, a duplicated chunk doubles words in the middle of an answer
+// ("masticplank demo --faults" with seed 1 does so).
 func TestNumberedStreams(t *testing.T) {
 	end := "3|" + wire.StreamEnd
 	for _, c := range []struct {
@@ -142,8 +144,8 @@
 	}
 }
 
-// TestBillComesBeforeTheEnd takes the log away: the bill is held, and where
-// that fails too, the answer must not end as a billed one.
+// TestBillComesBeforeTheEnd makes the log unreachable. The bill must be held, and if
+// that fails too, the answer must not end like one that was billed.
 func TestBillComesBeforeTheEnd(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -166,14 +168,15 @@
 		wg.Go(func() {
 			got := f.call(context.Background(), http.MethodPost, "/v1/chat/completions", body, "")
 			if got.err == nil && got.outcome == "completed" {
-				t.Errorf("no bill, but a whole answer: %q", got.body)
+				t.Errorf("no bill, but a complete answer: %q", got.body)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// TestResendIsBilledOnce sends an idempotent request twice under one key.
+// TestResendIsBilledOnce sends an idempotent request twice with the same
+// Idempotency-Key. Only one bill may be recorded.
 func TestResendIsBilledOnce(t *testing.T) {
 	f := newFixture(t)
 	key := uuid.Must(uuid.NewV7()).String()
@@ -187,9 +190,9 @@
 	}
 }
 
-// TestReservationRunsAtMostOnce walks a non-idempotent request through a fault
-// at each step, then sends it again. It must never run twice, and what was told
-// "refused" must not have run.
+// TestReservationRunsAtMostOnce sends a non-idempotent request with a fault at each
+// step in turn, then sends it again without. It must never run twice, and a request
+// that was answered as refused must not have run.
 func TestReservationRunsAtMostOnce(t *testing.T) {
 	reserved := func(w http.ResponseWriter, r *http.Request) { answerStatus(201, false)(w, r) }
 	for _, c := range []struct {
@@ -209,7 +212,7 @@
 		{"backend server refuses", func(f *fixture) { f.setBackend(answerStatus(503, true)) }, "refused", "completed"},
 		{"backend server dies", func(f *fixture) { f.setBackend(closeConnection) }, "unknown", "already_run"},
 		{"backend server fails", func(f *fixture) { f.setBackend(answerStatus(500, false)) }, "failed", "already_run"},
-		{"another's answer", func(f *fixture) { f.setBackend(wrongNonce) }, "unknown", "already_run"},
+		{"wrong nonce", func(f *fixture) { f.setBackend(wrongNonce) }, "unknown", "already_run"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -224,7 +227,7 @@
 			f.clearFaults(reserved)
 			before := f.executions.Load()
 			if first.outcome == "refused" && before != 0 {
-				t.Errorf("told refused, but it ran %d times", before)
+				t.Errorf("answered as refused, but it ran %d times", before)
 			}
 			again := f.retryUntilAccepted(key)
 			if again.outcome != c.again {
@@ -237,20 +240,22 @@
 	}
 }
 
-// sendUntilTaken sends a reservation again as a caller does that is told when to
-// come back: after a fault the log client rests for a moment, and refuses.
+// retryUntilAccepted sends a reservation again until it is not refused, as a caller
+// that follows Retry-After does. For a moment after a fault the log client is in
+// backoff, and requests are refused.
 func (f *fixture) retryUntilAccepted(key string) callerResponse {
 	f.t.Helper()
 	var got callerResponse
-	f.eventually("the reservation taken", func() bool {
+	f.eventually("the reservation to be accepted", func() bool {
 		got = f.call(context.Background(), http.MethodPost, "/services/shop/reservations", `{}`, key)
 		return got.outcome != "refused"
 	})
 	return got
 }
 
-// TestCallerGoneFreesTheSlot reads the first token of a stream and leaves: the
-// engine sees it end, and what was generated is billed once.
+// TestCallerGoneFreesTheSlot disconnects after the first token of a stream. The
+// engine's request must be cancelled, else it would hold a slot, and the tokens
+// generated so far must be billed once.
 func TestCallerGoneFreesTheSlot(t *testing.T) {
 	f := newFixture(t)
 	ended := make(chan struct{})
@@ -268,13 +273,13 @@
 	}
 	cancel()
 	<-ended
-	f.eventually("the ticket closes", func() bool { return f.driver.OpenRequests() == 0 })
+	f.eventually("the ticket to close", func() bool { return f.driver.OpenRequests() == 0 })
 	f.eventually("the bill", func() bool { return len(f.bills()) == 1 })
 }
 
-// TestCallerThatDoesNotReadFreesTheSlot opens a stream and never reads it. The
-// engine writes more than the buffers between hold; past the write timeout its
-// request is cancelled.
+// TestCallerThatDoesNotReadFreesTheSlot opens a stream and never reads it, while the
+// engine writes more than the buffers in between can take. After the write timeout
+// the engine's request must be cancelled, else it would hold a slot.
 func TestCallerThatDoesNotReadFreesTheSlot(t *testing.T) {
 	f := newFixtureWith(t, 50*time.Millisecond)
 	largeEvent := `{"choices":[{"delta":{"content":"` + strings.Repeat("x", 64<<10) + `"}}]}`
@@ -296,5 +301,5 @@
 		t.Fatal(err)
 	}
 	<-cancelled
-	f.eventually("the ticket closes", func() bool { return f.driver.OpenRequests() == 0 })
+	f.eventually("the ticket to close", func() bool { return f.driver.OpenRequests() == 0 })
 }
--- a/router/internal/api/reuse_test.go
+++ b/router/internal/api/reuse_test.go
@@ -10,8 +10,8 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// TestConnectionsToBackendServersAreKept counts the connections that many
-// requests one after another take.
+// TestConnectionsToBackendServersAreKept counts the connections of many consecutive
+// requests. A body that is not read to its end would cost a connection each.
 func TestConnectionsToBackendServersAreKept(t *testing.T) {
 	f := newFixture(t)
 	for _, body := range []string{prompt, streamed} {
@@ -30,8 +30,8 @@
 	}
 }
 
-// FuzzChunk feeds what an engine may send as an event to the reader of chunks: it
-// is a chunk or a failure, never a panic.
+// FuzzChunk decodes arbitrary data that an engine may send as an event. It must not
+// panic, and must have the same result as with the standard library's decoder.
 func FuzzChunk(f *testing.F) {
 	for _, seed := range []string{token1, lastChunk, `{"choices":[{"delta":null}]}`, `{"choices":{}}`, "nonsense", ""} {
 		f.Add(seed)
--- a/router/internal/api/stream.go
+++ b/router/internal/api/stream.go
@@ -187,7 +187,7 @@
 		sr.text.WriteString(text)
 	}
 	if sr.aggregate {
-		return // the caller gets nothing before the whole answer
+		return // the caller gets nothing before the answer is complete
 	}
 	now := time.Now()
 	if sr.chunks == 1 {
--- a/router/internal/billing/billing_test.go
+++ b/router/internal/billing/billing_test.go
@@ -45,15 +45,15 @@
 		puts    int
 		holds   int
 	}{
-		"in the log":            {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeWon}}, true, 1, 0},
-		"another's bill is in":  {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeLost}}, true, 1, 0},
-		"log down":              {fakeLog{holds: []error{nil}}, true, 0, 1},
-		"reply lost":            {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeUnknown}, holds: []error{nil}}, true, 1, 1},
-		"refused":               {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid}, holds: []error{nil}}, true, 1, 1},
-		"no peer known at once": {fakeLog{holds: []error{noPeer, noPeer, nil}}, true, 0, 3},
-		"log back meanwhile": {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid, node.OutcomeWon},
+		"in the log":              {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeWon}}, true, 1, 0},
+		"earlier bill in the log": {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeLost}}, true, 1, 0},
+		"log unreachable":         {fakeLog{holds: []error{nil}}, true, 0, 1},
+		"reply lost":              {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeUnknown}, holds: []error{nil}}, true, 1, 1},
+		"refused":                 {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid}, holds: []error{nil}}, true, 1, 1},
+		"no peer at first":        {fakeLog{holds: []error{noPeer, noPeer, nil}}, true, 0, 3},
+		"log accepts the second try": {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid, node.OutcomeWon},
 			holds: []error{noPeer}}, true, 2, 1},
-		"nothing helps": {fakeLog{holds: []error{noPeer}}, false, 0, 1 + int(recordTimeout/retryInterval)},
+		"every try fails": {fakeLog{holds: []error{noPeer}}, false, 0, 1 + int(recordTimeout/retryInterval)},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
--- a/router/internal/upstream/upstream.go
+++ b/router/internal/upstream/upstream.go
@@ -52,7 +52,7 @@
 	Idempotent bool
 }
 
-// Failure is the error of an attempt that brought no whole answer.
+// Failure is the error of an attempt without a complete answer.
 type Failure struct {
 	Result decision.AttemptResult
 	// Leaving is set when the backend server refused because it is leaving.
--- a/router/internal/upstream/upstream_test.go
+++ b/router/internal/upstream/upstream_test.go
@@ -14,7 +14,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// server answers with f and counts the requests that reached it.
+// startServer starts a server that answers with f and counts its requests.
 func startServer(t *testing.T, f http.HandlerFunc) (url string, count *atomic.Int64) {
 	t.Helper()
 	count = &atomic.Int64{}
@@ -30,7 +30,7 @@
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 }
 
-// hangUp closes the connection after the request was read.
+// closeConnection closes the connection after the request was read.
 func closeConnection(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
@@ -47,13 +47,14 @@
 	return "http://" + addr
 }
 
-// TestResults walks the ways in which an attempt can end. "Not run" may come
-// out only where nothing was written or the backend server itself said so.
+// TestResults goes through the ways in which an attempt can end. A request whose
+// attempt is reported as not run may be sent again, so that result is allowed only
+// if nothing was written or the backend server itself reported it.
 func TestResults(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		handler http.HandlerFunc
-		want    decision.AttemptResult // 0 for a whole answer
+		want    decision.AttemptResult // 0 for a complete answer
 	}{
 		{"whole", func(w http.ResponseWriter, r *http.Request) { echo(w, r); _, _ = io.WriteString(w, "ok") }, 0},
 		{"no connection", nil, decision.AttemptNotRun},
@@ -69,8 +70,8 @@
 		}, decision.AttemptUnknown},
 		{"wrong nonce", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(wire.HeaderAttempt, "other") }, decision.AttemptUnknown},
 		{"no nonce", func(http.ResponseWriter, *http.Request) {}, decision.AttemptUnknown},
-		{"hung up before an answer", closeConnection, decision.AttemptCrashed},
-		{"cut in the body", func(w http.ResponseWriter, r *http.Request) {
+		{"connection closed before an answer", closeConnection, decision.AttemptCrashed},
+		{"connection closed in the body", func(w http.ResponseWriter, r *http.Request) {
 			echo(w, r)
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "half")
@@ -104,9 +105,9 @@
 	return 0
 }
 
-// TestNonIdempotentIsSentOnce is the trap of net/http: a request with an
-// Idempotency-Key counts as replayable there, and is sent again by itself when
-// a kept connection breaks under it.
+// TestNonIdempotentIsSentOnce breaks connections that could be reused. net/http
+// takes a request with an Idempotency-Key for replayable and resends it by itself
+// when a reused connection breaks, which would run the request twice.
 func TestNonIdempotentIsSentOnce(t *testing.T) {
 	var breakConnections atomic.Bool
 	url, count := startServer(t, func(w http.ResponseWriter, r *http.Request) {
