--- a/router/internal/api/fixture_test.go
+++ b/router/internal/api/fixture_test.go
@@ -67,7 +67,7 @@
 	return strings.TrimPrefix(f.backend.URL, "http://"), true
 }
 
-// Answered implements Servers.
+// ObserveLoad implements Servers.
 func (f *fixture) ObserveLoad(decision.ServerID, string) {}
 
 // fakeGate refuses work for a set reason.
--- a/router/internal/manifest/manifest.go
+++ b/router/internal/manifest/manifest.go
@@ -67,7 +67,7 @@
 	StateWithdrawn = "withdrawn"
 )
 
-// Service is a plain service beside the engines.
+// Service is a plain service, one that is not a model.
 type Service struct {
 	ID string `json:"id"`
 	// Price of one completed call; calls with price 0 are not billed.
--- a/router/internal/platform/log.go
+++ b/router/internal/platform/log.go
@@ -19,7 +19,7 @@
 
 // Limits of the log client.
 const (
-	// DefaultAppendTimeout bounds an append whose context has no deadline.
+	// DefaultAppendTimeout bounds an append, besides its context's deadline.
 	DefaultAppendTimeout = 5 * time.Second
 	// longPollMargin is added to the timeout of a long poll for the answer to
 	// arrive.
--- a/router/internal/upstream/upstream.go
+++ b/router/internal/upstream/upstream.go
@@ -37,7 +37,7 @@
 	MaxAnswerBytes = 16 << 20
 )
 
-// Call is one attempt.
+// Call is the HTTP request of one attempt at a backend server.
 type Call struct {
 	Method string
 	// URL is absolute, such as http://10.0.0.7:8000/v1/chat/completions.
