--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// script drives a Tracker by seconds after start, ticking each 100 ms.
+// scenario drives a Tracker that ticks every 100 ms.
 type scenario struct {
 	t   *testing.T
 	tr  *Tracker
@@ -34,7 +34,7 @@
 	}
 }
 
-func (s *scenario) peer(peer string, head uint64, age time.Duration, reachable bool) {
+func (s *scenario) vouch(peer string, head uint64, age time.Duration, reachable bool) {
 	s.tr.Vouched(s.now, Vouch{Peer: peer, Head: head, HeadAge: age, LogReachable: reachable})
 }
 
@@ -73,7 +73,7 @@
 			s.tr.Folded(10)
 			s.want(ModeStale)
 		},
-		"fresh for F and no longer": func(s *scenario) {
+		"fresh for the bound and no longer": func(s *scenario) {
 			s.fresh()
 			s.run(5, nil)
 			s.want(ModeFresh)
@@ -84,27 +84,27 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 9, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 9, time.Minute, false)
 			})
 			s.want(ModeOutage)
 			s.fresh()
 			s.want(ModeFresh)
 		},
-		"log down, half of the list answers": func(s *scenario) {
+		"log down, only half of the list reports": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
-		"log down, who answers is not in the list": func(s *scenario) {
+		"log down, the reporting peers are not in the list": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("x", 10, time.Minute, false)
-				s.peer("y", 10, time.Minute, false)
+				s.vouch("x", 10, time.Minute, false)
+				s.vouch("y", 10, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
@@ -112,9 +112,9 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 10, time.Minute, false)
-				s.peer("c", 11, 0, true)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 10, time.Minute, false)
+				s.vouch("c", 11, 0, true)
 			})
 			s.want(ModeStale)
 		},
@@ -122,54 +122,54 @@
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 11, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 11, time.Minute, false)
 			})
 			s.want(ModeStale)
 			s.tr.Folded(11)
 			s.want(ModeOutage)
 		},
-		"log down, own read does not know it": func(s *scenario) {
+		"log down, but no own read has failed": func(s *scenario) {
 			s.run(6, func() {
-				s.peer("a", 0, time.Minute, false)
-				s.peer("b", 0, time.Minute, false)
+				s.vouch("a", 0, time.Minute, false)
+				s.vouch("b", 0, time.Minute, false)
 			})
 			s.want(ModeStale)
 		},
-		"old answers do not make a majority": func(s *scenario) {
+		"outdated reports do not make a majority": func(s *scenario) {
 			s.fresh()
-			s.peer("a", 10, time.Minute, false)
-			s.peer("b", 10, time.Minute, false)
+			s.vouch("a", 10, time.Minute, false)
+			s.vouch("b", 10, time.Minute, false)
 			s.run(6, func() { s.tr.ReadFailed(s.now) })
 			s.want(ModeStale)
 		},
-		"cut from the log, a peer vouches": func(s *scenario) {
+		"disconnected from the log, a peer vouches": func(s *scenario) {
 			s.fresh()
 			s.run(20, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Second, true)
+				s.vouch("a", 10, time.Second, true)
 			})
 			s.want(ModeFresh)
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 11, time.Second, true)
+				s.vouch("a", 11, time.Second, true)
 			})
 			s.want(ModeStale)
 			s.tr.Folded(11)
 			s.want(ModeFresh)
 		},
-		"a vouch is as old as its head": func(s *scenario) {
+		"a vouch is as old as the head that it names": func(s *scenario) {
 			s.tr.Folded(10)
-			s.peer("a", 10, 4*time.Second, true)
+			s.vouch("a", 10, 4*time.Second, true)
 			s.want(ModeFresh)
 			s.run(1.1, nil)
 			s.want(ModeStale)
-			s.peer("a", 10, 6*time.Second, true)
+			s.vouch("a", 10, 6*time.Second, true)
 			s.want(ModeStale)
-			s.peer("a", 10, -time.Hour, true)
+			s.vouch("a", 10, -time.Hour, true)
 			s.want(ModeStale)
 		},
-		"cut from all": func(s *scenario) {
+		"disconnected from the log and from all peers": func(s *scenario) {
 			s.fresh()
 			s.run(60, func() { s.tr.ReadFailed(s.now) })
 			s.want(ModeStale)
@@ -180,12 +180,12 @@
 			s.want(ModeStale)
 			s.tr.Tick(s.now)
 			s.want(ModeStale)
-			s.tr.HeadRead(s.now.Add(-time.Second), 10) // sent before the resume
+			s.tr.HeadRead(s.now.Add(-time.Second), 10) // sent before the pause ended
 			s.want(ModeStale)
 			s.tr.HeadRead(s.now, 10)
 			s.want(ModeFresh)
 		},
-		"a pause shorter than F/2": func(s *scenario) {
+		"a pause shorter than half the bound": func(s *scenario) {
 			s.fresh()
 			s.now = s.now.Add(2400 * time.Millisecond)
 			s.want(ModeFresh)
@@ -194,8 +194,8 @@
 			s.fresh()
 			down := func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 10, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 10, time.Minute, false)
 			}
 			s.run(6, down)
 			s.now = s.now.Add(3 * time.Second)
@@ -203,12 +203,12 @@
 			down()
 			s.want(ModeOutage)
 		},
-		"a name that left the list": func(s *scenario) {
+		"a reporting peer is no longer listed": func(s *scenario) {
 			s.fresh()
 			s.run(6, func() {
 				s.tr.ReadFailed(s.now)
-				s.peer("a", 10, time.Minute, false)
-				s.peer("b", 10, time.Minute, false)
+				s.vouch("a", 10, time.Minute, false)
+				s.vouch("b", 10, time.Minute, false)
 			})
 			s.tr.SetLiveInstances([]string{"me", "b", "c", "d"})
 			s.want(ModeStale)
@@ -242,13 +242,14 @@
 	}
 }
 
-// TestSuspendedMachine: the monotonic clock stood still, the wall clock ran on.
+// While a machine is suspended, the monotonic clock stops and the wall clock
+// does not. The pause must be detected by the latter.
 func TestSuspendedMachine(t *testing.T) {
 	s := newScenario(t, fleet...)
 	s.fresh()
 	now := time.Now()
 	before := now.Round(0).Add(-time.Hour)
 	if got := pauseBetween(before, now); got < time.Hour {
-		t.Errorf("pause of %v", got)
+		t.Errorf("detected a pause of %v, want at least 1h", got)
 	}
 }
--- a/coordination/lease/example_test.go
+++ b/coordination/lease/example_test.go
@@ -9,7 +9,8 @@
 	"masticplank.example/coordination/platformlog/logtest"
 )
 
-// The holder checks right before each order and sends the fencing number along.
+// The holder checks right before each order and sends the fencing number with
+// it.
 func Example() {
 	ctx := context.Background()
 	n, err := node.New(logtest.New().Client("a"), node.Config{Name: "a"})
@@ -26,10 +27,10 @@
 	}
 	defer m.Close()
 	fmt.Println("taken:", m.Acquire(ctx))
-	fence, refusal := m.Check(lease.FencingEnforced)
-	fmt.Println("may order, fencing number:", refusal == lease.Allowed, fence)
-	_, refusal = m.Check(lease.FencingIgnored)
-	fmt.Println("engine without fencing waits:", refusal == lease.WaitingForPredecessor)
+	fence, result := m.Check(lease.FencingEnforced)
+	fmt.Println("may order, fencing number:", result == lease.Allowed, fence)
+	_, result = m.Check(lease.FencingIgnored)
+	fmt.Println("engine without fencing waits:", result == lease.WaitingForPredecessor)
 	// Output:
 	// taken: true
 	// may order, fencing number: true 0
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// demand is one team's load: a mean of perSecond requests, like Request.
+// demand is the load of one team: on average perSecond copies of request.
 type demand struct {
 	perSecond float64
 	request   Request
-	// deadline after arrival.
+	// deadline is the time from the arrival to the deadline.
 	deadline time.Duration
 }
 
-// offer sends Poisson-like arrivals of all demands for a time.
+// offer generates approximately Poisson arrivals of all demands for the time d.
 func offer(h *harness, rng *rand.Rand, d time.Duration, demands ...demand) {
 	for end := h.now.Add(d); h.now.Before(end); {
 		for _, dem := range demands {
@@ -35,7 +35,7 @@
 	}
 }
 
-// arrivals draws from a binomial with many trials, near Poisson.
+// arrivals draws from a binomial distribution with many trials, close to Poisson.
 func arrivals(rng *rand.Rand, rate float64) int {
 	const trials = 200
 	n := 0
@@ -47,27 +47,29 @@
 	return n
 }
 
-// paced makes attempts take 10 ms a token.
+// tenMsPerToken makes attempts take 10 ms per token.
 func tenMsPerToken(d Dispatch, r Request) time.Duration {
 	return time.Duration(r.MaxTokens) * 10 * time.Millisecond
 }
 
-// drafting is one request of 20 tokens: 200 ms at the fakes' pace.
+// draftRequest is a request of 20 tokens: 200 ms at 10 ms per token.
 func draftRequest(team TeamID) Request {
 	return Request{Team: team, Model: "weave", MaxTokens: 20, Idempotent: true}
 }
 
-// loadWorld has 6 servers of 8 slots: 240 drafting requests a second.
+// loadHarness has 6 servers with 8 slots each: a capacity of 240 draft requests per
+// second.
 func loadHarness(t *testing.T, teams ...Team) (*harness, *rand.Rand) {
 	h := newHarness(t, DefaultConfig())
 	h.duration = tenMsPerToken
 	h.manifest(1, teams, smallVersions())
-	h.servers(serversOf(6, 8, weave1, draft1)...)
+	h.servers(testServers(6, 8, weave1, draft1)...)
 	h.tick()
 	return h, rand.New(rand.NewPCG(7, 7))
 }
 
-// waits lists, sorted, how long a team's callers waited for whole answers.
+// answerTimes returns, sorted, the times from arrival to delivery of a team's
+// answers.
 func (h *harness) answerTimes(team TeamID) []time.Duration {
 	var list []time.Duration
 	for _, o := range h.outcomes {
@@ -86,8 +88,8 @@
 	return sorted[int(p*float64(len(sorted)-1))]
 }
 
-// refusedAtOnce fails the test where a refusal came late, or said nothing of
-// when to come back.
+// requirePromptRefusals fails the test if more than 1% of the requests were refused
+// late, or if any was refused without a retry time or only at its deadline.
 func (h *harness) requirePromptRefusals() {
 	h.t.Helper()
 	late, noRetryAfter, atDeadline := 0, 0, 0
@@ -108,13 +110,14 @@
 	}
 	total := len(h.outcomes)
 	if late*100 > total || noRetryAfter > 0 || atDeadline > 0 {
-		h.t.Errorf("of %d: %d refused late, %d without a time, %d held to the deadline", total, late, noRetryAfter, atDeadline)
+		h.t.Errorf("of %d: %d refused late, %d without RetryAfter, %d only at the deadline", total, late, noRetryAfter, atDeadline)
 	}
 }
 
-// A burst of one team neither delays the other nor is held to its deadline.
+// A burst of one team must not delay another team. The part of it that cannot be
+// answered in time must be refused at once, not at its deadline.
 func TestBurst(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	steady := demand{perSecond: 60, request: draftRequest("shops"), deadline: 5 * time.Second}
 	offer(h, rng, 2*time.Second, steady)
 	for range 2000 {
@@ -127,18 +130,18 @@
 	h.requireAllAnswered()
 	h.requirePromptRefusals()
 	if p99 := percentile(h.answerTimes("shops"), 0.99); p99 > 600*time.Millisecond {
-		t.Errorf("p99 of the steady team: %v", p99)
+		t.Errorf("p99 of the steady team: %v, want at most 600 ms", p99)
 	}
-	// 180 requests a second are free for the burst, for 2.8 s of its deadline.
+	// 180 requests per second are left for the burst, for 2.8 s until its deadline.
 	if got := h.delivered("weavers"); got < 400 {
-		t.Errorf("%d of the burst answered, want at least 400", got)
+		t.Errorf("%d requests of the burst answered, want at least 400", got)
 	}
 }
 
-// One team sends 80% of twice the capacity. Teams below their share get all they
-// ask for; the large one gets what is left.
+// One team sends 80% of a load of twice the capacity. The teams below their share
+// must get all that they request and the large one what is left.
 func TestSkew(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("big", 1), teamOf("a", 1), teamOf("b", 1), teamOf("c", 1))
+	h, rng := loadHarness(t, testTeam("big", 1), testTeam("a", 1), testTeam("b", 1), testTeam("c", 1))
 	var demands []demand
 	for _, id := range []TeamID{"a", "b", "c"} {
 		demands = append(demands, demand{perSecond: 32, request: draftRequest(id), deadline: 3 * time.Second})
@@ -154,21 +157,21 @@
 	}
 	for _, id := range []TeamID{"a", "b", "c"} {
 		if got := h.delivered(id); got < sent[id]*99/100 {
-			t.Errorf("team %s below its share got %d of %d", id, got, sent[id])
+			t.Errorf("team %s, which is below its share, got %d of %d answers, want 99%%", id, got, sent[id])
 		}
 		if p99 := percentile(h.answerTimes(id), 0.99); p99 > 600*time.Millisecond {
-			t.Errorf("p99 of team %s: %v", id, p99)
+			t.Errorf("p99 of team %s: %v, want at most 600 ms", id, p99)
 		}
 	}
-	// 144 a second are left of 240; 5% is allowed for the ticks.
+	// 144 of 240 per second are left; 5% tolerance for the length of a tick.
 	if got := h.delivered("big"); got < 1440*95/100 {
-		t.Errorf("big got %d, want 1440", got)
+		t.Errorf("team big got %d answers, want 1440 less 5%%", got)
 	}
 }
 
-// Weights share a saturated pool: 3 to 1.
+// Two teams must share a saturated pool in proportion to their weights, 3 to 1.
 func TestWeights(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("heavy", 3), teamOf("light", 1))
+	h, rng := loadHarness(t, testTeam("heavy", 3), testTeam("light", 1))
 	offer(h, rng, 10*time.Second,
 		demand{perSecond: 300, request: draftRequest("heavy"), deadline: 2 * time.Second},
 		demand{perSecond: 300, request: draftRequest("light"), deadline: 2 * time.Second})
@@ -177,14 +180,15 @@
 	h.requirePromptRefusals()
 	ratio := float64(h.delivered("heavy")) / float64(h.delivered("light"))
 	if ratio < 2.7 || ratio > 3.3 {
-		t.Errorf("ratio %.2f, want about 3", ratio)
+		t.Errorf("ratio of answers %.2f, want 2.7 to 3.3", ratio)
 	}
 }
 
-// At twice saturation goodput is at least 95% of that at saturation.
+// At twice and at ten times the saturation load, goodput must be at least 95% of
+// that at saturation: it collapses if slots are used for answers that are too late.
 func TestSaturationGoodput(t *testing.T) {
 	at := func(factor float64) int {
-		h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+		h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 		half := 120 * factor
 		offer(h, rng, 15*time.Second,
 			demand{perSecond: half, request: draftRequest("weavers"), deadline: 2 * time.Second},
@@ -196,14 +200,14 @@
 	}
 	once, twice, tenfold := at(1), at(2), at(10)
 	if twice*100 < once*95 || tenfold*100 < once*95 {
-		t.Errorf("goodput %d at saturation, %d at twice, %d at ten times", once, twice, tenfold)
+		t.Errorf("goodput %d at saturation, %d at twice and %d at ten times the load, want at least 95%%", once, twice, tenfold)
 	}
 }
 
-// A queue that stands is kept short: callers of an overloaded pool wait for a part
-// of their time only, and as many are answered.
+// In sustained overload the queue must stay short: callers wait for a fraction of
+// the time to their deadline only, and the throughput stays the same.
 func TestStandingQueueIsShort(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	load := []demand{
 		{perSecond: 240, request: draftRequest("weavers"), deadline: 10 * time.Second},
 		{perSecond: 240, request: draftRequest("shops"), deadline: 10 * time.Second},
@@ -216,16 +220,16 @@
 	h.requireAllAnswered()
 	h.requirePromptRefusals()
 	if p95 := percentile(h.answerTimes("shops"), 0.95); p95 > 3*time.Second {
-		t.Errorf("p95 of the answers: %v of 10 s", p95)
+		t.Errorf("p95 of the answers: %v, want at most 3 s", p95)
 	}
 	if answered < 2400*95/100 {
-		t.Errorf("%d answered in 10 s, want 2400", answered)
+		t.Errorf("%d answered in 10 s, want 2400 less 5%%", answered)
 	}
 }
 
-// Long work of one team does not starve the short work of another.
+// Long requests of one team must not starve the short requests of another.
 func TestLongAndShort(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("long", 1), teamOf("short", 1))
+	h, rng := loadHarness(t, testTeam("long", 1), testTeam("short", 1))
 	long := Request{Team: "long", Model: "weave", MaxTokens: 300, Idempotent: true}
 	offer(h, rng, 15*time.Second,
 		demand{perSecond: 30, request: long, deadline: 12 * time.Second},
@@ -234,17 +238,18 @@
 	h.requireAllAnswered()
 	short := h.answerTimes("short")
 	if len(short) < 60*15*90/100 {
-		t.Errorf("%d short answers of about 900", len(short))
+		t.Errorf("%d short requests answered, want 90%% of 900", len(short))
 	}
 	if p95 := percentile(short, 0.95); p95 > 1500*time.Millisecond {
-		t.Errorf("p95 of short work: %v", p95)
+		t.Errorf("p95 of the short requests: %v, want at most 1.5 s", p95)
 	}
 }
 
-// One backend server dies under load: what it ran is run elsewhere where it may
-// be, and its fast refusals draw no work.
+// One backend server crashes under load and then refuses at once. Idempotent
+// requests that it ran must be retried elsewhere, and its fast refusals, which make
+// it look idle, must not attract requests that then fail or are refused.
 func TestServerDies(t *testing.T) {
-	h, rng := loadHarness(t, teamOf("weavers", 1), teamOf("shops", 1))
+	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	booking := draftRequest("shops")
 	booking.Idempotent = false
 	load := []demand{
@@ -271,7 +276,7 @@
 		return tenMsPerToken(d, r)
 	}
 	offer(h, rng, 5*time.Second, load...)
-	h.servers(serversOf(6, 8, weave1, draft1)[1:]...)
+	h.servers(testServers(6, 8, weave1, draft1)[1:]...)
 	offer(h, rng, 3*time.Second, load...)
 	h.run(5 * time.Second)
 	h.requireAllAnswered()
@@ -292,14 +297,15 @@
 	}
 }
 
-// A server that refuses at once looks idle. Also where nothing ejects it, it is
-// left alone for a moment after each refusal and draws little work.
+// A server that refuses at once looks idle and would attract all requests. Even
+// without ejection it must get few, since it is excluded for a short time after
+// each refusal.
 func TestRefusingServerDrawsLittleWork(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Policy.NoVerdicts = true
 	h := newHarness(t, cfg)
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	h.servers(serversOf(6, 8, weave1)...)
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.servers(testServers(6, 8, weave1)...)
 	refusals := 0
 	h.duration = func(d Dispatch, r Request) time.Duration {
 		if d.Server == "s0" {
@@ -319,8 +325,9 @@
 	offer(h, rng, 4*time.Second, demand{perSecond: 120, request: draftRequest("weavers"), deadline: 5 * time.Second})
 	h.run(5 * time.Second)
 	h.requireAllAnswered()
-	// 20 times the backoff; about two go there before the first is refused.
+	// The test lasts 20 backoffs; about two requests are sent before the first is
+	// refused.
 	if refusals > 60 {
-		t.Errorf("%d of %d requests went to the refusing server", refusals, len(h.outcomes))
+		t.Errorf("the refusing server got %d of %d requests, want at most 60", refusals, len(h.outcomes))
 	}
 }
--- a/decision/passthrough/ended.go
+++ b/decision/passthrough/ended.go
@@ -1,6 +1,6 @@
 package passthrough
 
-// end takes in an attempt's end, and decides what follows.
+// attemptEnded applies an attempt's end and decides what follows.
 func (w *World) attemptEnded(e AttemptEnded) {
 	r := w.requests[e.Request]
 	if r == nil {
@@ -34,7 +34,8 @@
 	}
 }
 
-// judge takes the end as evidence on the server, and tells others of it.
+// recordOutcome records what the end says about the server, and emits an observation
+// for the other instances.
 func (w *World) recordOutcome(r *request, s *server, e AttemptEnded) {
 	if s == nil || e.Result == Abandoned {
 		return
@@ -45,20 +46,20 @@
 	}
 	if e.Result == NotSent {
 		r.attempts--
-		s.excludedUntil = w.now.Add(unreachableBackoff)
+		s.backoffUntil = w.now.Add(unreachableBackoff)
 		w.serverLost(s)
 		w.emit(RefreshServers{Server: s.ID})
 		return
 	}
 	if e.Leaving || e.Misdirected {
-		s.Draining = true
+		s.Leaving = true
 		w.emit(RefreshServers{Server: s.ID})
 	}
 	if !r.service.engine {
 		r.service.throttle.observeEnd(e, w.now)
 	}
 	if e.Result == Rejected {
-		s.excludedUntil = w.now.Add(rejectedBackoff)
+		s.backoffUntil = w.now.Add(rejectedBackoff)
 		return
 	}
 	bad := e.Result != Completed
@@ -74,13 +75,15 @@
 	w.observeAttempt(r, s, e)
 }
 
-// triesMost bounds the servers tried in vain beside the attempts that count.
+// maxVainDispatches is how many dispatches a request may have beyond its route's
+// MaxAttempts, for those that reached no server.
 const maxVainDispatches = 5
 
-// again sends the request to another server than the last one, if it may go there.
+// retry sends the request to another server than the last one, if that is allowed.
 //
-// Load: servers that crash, refuse or go silent. Harm prevented: an answer lost where
-// another server could give it, and repeats that bring down those that are left.
+// Load: servers that crash, reject requests or time out. Harm prevented: a response
+// lost where another server could give it, and retries that bring down the servers
+// that are left.
 func (w *World) retry(r *request, last *server) {
 	if last != nil {
 		r.tried = append(r.tried, last)
@@ -94,7 +97,7 @@
 	}
 }
 
-// barsAgain gives the reason why no other attempt may follow.
+// retryRefusal gives the reason why no other attempt may follow; "" if one may.
 func (w *World) retryRefusal(r *request) Reason {
 	switch {
 	case !r.Deadline.After(w.now):
--- a/decision/passthrough/place.go
+++ b/decision/passthrough/place.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// place sends the request to a server with a free place. It says no where there is none
-// now.
+// tryDispatch sends the request to a server with a free slot. It returns false if there
+// is none now.
 func (w *World) tryDispatch(r *request) bool {
 	views := w.viewServers(r.service)
-	f := occupancyOf(r.service, views)
-	v, ok := w.pickServer(r, views, f)
+	occ := occupancyOf(r.service, views)
+	v, ok := w.pickServer(r, views, occ)
 	if !ok {
 		return false
 	}
@@ -37,9 +37,9 @@
 		cmd.LoadAge = w.now.Sub(s.reportedAt)
 	}
 	if r.ChooseModel && len(r.Route.Models) > 0 {
-		f = f.withOneMore()
-		cmd.Utilization, cmd.MeanPrefillWait, cmd.RetriesLeft = f.utilization, seconds(f.prefillWait), r.service.budget.Remaining(w.now)
-		r.model = w.chooseModel(r, f.headroom(r))
+		occ = occ.withOneMore()
+		cmd.Utilization, cmd.MeanPrefillWait, cmd.RetriesLeft = occ.utilization, seconds(occ.prefillWait), r.service.budget.Remaining(w.now)
+		r.model = w.chooseModel(r, occ.headroom(r))
 		cmd.Model = r.Route.Models[r.model]
 	}
 	if r.service.engine {
@@ -52,17 +52,18 @@
 }
 
 const (
-	// silentPart is the part of the time to the target for which a repeatable plain
-	// request waits for the first byte of an answer before it is tried elsewhere.
+	// firstByteTimeoutFactor is how many times its target latency a retryable plain
+	// request waits for the first byte before it is tried elsewhere.
 	firstByteTimeoutFactor = 2.5
-	// silentLeast bounds that time from below: a slow server is no dead one.
+	// minFirstByteTimeout is the least such wait: a slow server is not a dead one.
 	minFirstByteTimeout = 400 * time.Millisecond
 )
 
-// patience is how long an attempt may stay silent before another server is asked.
+// firstByteTimeout is how long an attempt may take to its first byte before another
+// server is tried.
 //
-// Load: a server that hangs or has gone dark. Harm prevented: a caller who waits for it
-// to the end. Only what may run again is given up.
+// Load: a server that hangs or is down. Harm prevented: a caller who waits for it to
+// the deadline. Only requests that may run again time out this way.
 func firstByteTimeout(r *request) time.Duration {
 	if r.Route.Kind != KindIdempotent || r.attempts >= r.Route.MaxAttempts {
 		return 0
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// small returns a harness with two teams, two models and two servers.
+// smallHarness has two teams, two models and two servers.
 func smallHarness(t reporter) *harness {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{teamOf("weavers", 1), teamOf("shops", 1)}, smallVersions())
-	h.servers(serversOf(2, 2, weave1, draft1)...)
+	h.manifest(1, []Team{testTeam("weavers", 1), testTeam("shops", 1)}, smallVersions())
+	h.servers(testServers(2, 2, weave1, draft1)...)
 	h.tick()
 	return h
 }
 
+// A single request must get the answer that its fields, the manifest, the servers
+// and the freshness call for.
 func TestOneRequest(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -40,7 +42,7 @@
 			setup: func(h *harness) {
 				v := smallVersions()
 				v[0].State = VersionWithdrawn
-				h.manifest(2, []Team{teamOf("weavers", 1)}, v)
+				h.manifest(2, []Team{testTeam("weavers", 1)}, v)
 			},
 			want: Refuse{Request: 1, Reason: ReasonVersionWithdrawn},
 		},
@@ -49,7 +51,7 @@
 			setup: func(h *harness) {
 				v := smallVersions()
 				v[0].State = VersionDraining
-				h.manifest(2, []Team{teamOf("weavers", 1)}, v)
+				h.manifest(2, []Team{testTeam("weavers", 1)}, v)
 			},
 			want: Deliver{Request: 1, Attempt: 1},
 		},
@@ -109,7 +111,7 @@
 			want:  Refuse{Request: 1, Reason: ReasonNoServer},
 		},
 		{
-			name: "unknown result of a reservation", request: Request{Model: "weave"},
+			name: "unknown result, not idempotent", request: Request{Model: "weave"},
 			setup: func(h *harness) { h.result = always(AttemptUnknown) },
 			want:  Fail{Request: 1, Result: AttemptUnknown},
 		},
@@ -157,7 +159,7 @@
 	return func(Dispatch, Request) AttemptResult { return result }
 }
 
-// A crashing request takes down two servers at most, and its resend none.
+// A request that crashes servers must crash two at most, and a resend of it none.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	h := smallHarness(t)
 	h.result = always(AttemptCrashed)
@@ -175,19 +177,20 @@
 		t.Errorf("ran %d and %d times, want 2 and 0", h.ran[first], h.ran[second])
 	}
 	if len(quarantines) != 1 || quarantines[0].Fingerprint != 5 {
-		t.Errorf("quarantines: %v", quarantines)
+		t.Errorf("quarantines %v, want one of fingerprint 5", quarantines)
 	}
 }
 
-// Raising a share only adds: no request leaves the version whose share grew.
+// Raising a share must only add requests: none may leave the version whose share
+// grew.
 func TestShareOnlyAdds(t *testing.T) {
 	at := func(share float64) []VersionID {
 		h := newHarness(t, DefaultConfig())
-		h.manifest(1, []Team{teamOf("weavers", 1)}, []Version{
+		h.manifest(1, []Team{testTeam("weavers", 1)}, []Version{
 			{ID: weave1, Model: "weave", State: VersionServing, Share: 1 - share},
 			{ID: weave2, Model: "weave", State: VersionServing, Share: share, Predecessor: weave1},
 		})
-		h.servers(serversOf(4, 8, weave1, weave2)...)
+		h.servers(testServers(4, 8, weave1, weave2)...)
 		h.tick()
 		var got []VersionID
 		h.onCommand = func(c Command) {
@@ -205,18 +208,19 @@
 	n := 0
 	for i := range before {
 		if before[i] == weave2 && after[i] != weave2 {
-			t.Errorf("request %d left %s", i, weave2)
+			t.Errorf("request %d left version %s", i, weave2)
 		}
 		if after[i] == weave2 {
 			n++
 		}
 	}
 	if n != 10 {
-		t.Errorf("%d of 20 on %s, want 10", n, weave2)
+		t.Errorf("%d of 20 requests on %s, want 10", n, weave2)
 	}
 }
 
-// Queued work follows the manifest that comes while it waits.
+// Queued requests must follow a manifest that is applied while they wait: one
+// pinned to a version that is withdrawn is refused, others move to its successor.
 func TestQueuedWorkFollowsTheManifest(t *testing.T) {
 	h := smallHarness(t)
 	h.duration = func(Dispatch, Request) time.Duration { return time.Second }
@@ -229,28 +233,29 @@
 	h.tick()
 	v := append(smallVersions(), Version{ID: weave2, Model: "weave", State: VersionServing, Share: 1, Predecessor: weave1})
 	v[0].State = VersionWithdrawn
-	h.manifest(2, []Team{teamOf("weavers", 1)}, v)
-	h.servers(serversOf(2, 2, weave1, draft1, weave2)...)
+	h.manifest(2, []Team{testTeam("weavers", 1)}, v)
+	h.servers(testServers(2, 2, weave1, draft1, weave2)...)
 	h.run(5 * time.Second)
 	if r, ok := h.outcomes[pinned].command.(Refuse); !ok || r.Reason != ReasonVersionWithdrawn {
-		t.Errorf("pinned: %+v", h.outcomes[pinned])
+		t.Errorf("pinned request: %+v, want refused as withdrawn", h.outcomes[pinned])
 	}
 	if _, ok := h.outcomes[free].command.(Deliver); !ok {
-		t.Errorf("not pinned: %+v", h.outcomes[free])
+		t.Errorf("unpinned request: %+v, want delivered", h.outcomes[free])
 	}
 	h.requireAllAnswered()
 }
 
-// After a pause nothing queued is dispatched before the freshness is told anew.
+// After a pause of the process no queued request may be dispatched before the
+// freshness is reported again, since the manifest may be outdated.
 func TestNothingIsDispatchedAfterAPause(t *testing.T) {
 	tests := []struct {
-		name string
-		told *FreshnessChanged
-		want Command
+		name     string
+		reported *FreshnessChanged
+		want     Command
 	}{
-		{name: "still fresh", told: &FreshnessChanged{Fresh: true}, want: Deliver{Request: 5, Attempt: 1}},
-		{name: "not fresh", told: &FreshnessChanged{}, want: Refuse{Request: 5, Reason: ReasonNotFresh}},
-		{name: "not told", want: Deliver{Request: 5, Attempt: 1}},
+		{name: "still fresh", reported: &FreshnessChanged{Fresh: true}, want: Deliver{Request: 5, Attempt: 1}},
+		{name: "not fresh", reported: &FreshnessChanged{}, want: Refuse{Request: 5, Reason: ReasonNotFresh}},
+		{name: "not reported", want: Deliver{Request: 5, Attempt: 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -262,13 +267,13 @@
 			h.now = h.now.Add(4 * time.Second)
 			h.onCommand = func(c Command) {
 				if _, ok := c.(Dispatch); ok {
-					t.Errorf("dispatched right after the pause: %+v", c)
+					t.Errorf("dispatched in the first tick after the pause: %+v", c)
 				}
 			}
 			h.tick()
 			h.onCommand = nil
-			if tt.told != nil {
-				h.send(*tt.told)
+			if tt.reported != nil {
+				h.send(*tt.reported)
 			}
 			h.run(3 * time.Second)
 			got := h.outcomes[5].command
--- a/router/internal/api/api.go
+++ b/router/internal/api/api.go
@@ -79,7 +79,7 @@
 	Store         node.Store
 	Biller        *billing.Biller
 	SessionTokens *session.Tokens
-	SessionNames  *session.Names
+	SessionNames  *session.NamedSessions
 	Rater         platform.Rater
 	Recorder      Recorder
 	Log           *logging.Logger
--- a/router/internal/api/fixture_test.go
+++ b/router/internal/api/fixture_test.go
@@ -114,7 +114,7 @@
 
 type noRater struct{}
 
-func (noRater) Rate(context.Context, wire.RateRequest) (float64, error) {
+func (noRater) Rate(context.Context, wire.RatingRequest) (float64, error) {
 	return 0, context.DeadlineExceeded
 }
 
@@ -227,7 +227,7 @@
 		Store:         f.node,
 		Biller:        billing.New(ledger.StoreLog{Store: f.node}, f.holder),
 		SessionTokens: tokens,
-		SessionNames:  session.NewNames(f.node, time.Hour),
+		SessionNames:  session.NewNamedSessions(f.node, time.Hour),
 		Rater:         noRater{},
 		Recorder:      noRecorder{},
 		Log:           logging.New(io.Discard, settings.Default().Log),
--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -31,9 +31,9 @@
 	}
 	id := uuid.NewString()
 	sess := session.Session{
-		Team:      c.team.ID,
-		ID:        id,
-		ShareHash: session.ShareHash(c.team.ID, id),
+		Team:            c.team.ID,
+		ID:              id,
+		RolloutPosition: session.RolloutPosition(c.team.ID, id),
 	}
 	sess.Pins = s.pickVersions(r.Context(), sess)
 	token, expires, err := s.SessionTokens.Issue(sess)
@@ -52,7 +52,7 @@
 
 func (s *Server) pickVersions(ctx context.Context, sess session.Session) map[string]string {
 	pins := map[string]string{}
-	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(sess.Team), sess.ShareHash) {
+	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(sess.Team), sess.RolloutPosition) {
 		model, _, _ := strings.Cut(string(v), "@")
 		pins[model] = string(v)
 	}
@@ -69,7 +69,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	req.RolloutPosition = sess.ShareHash
+	req.RolloutPosition = sess.RolloutPosition
 	if req.Model == "" {
 		for _, v := range sess.Pins {
 			req.Pins = append(req.Pins, decision.VersionID(v))
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	unpinned := session.Session{Team: c.team.ID, ID: header, ShareHash: session.ShareHash(c.team.ID, header)}
+	unpinned := session.Session{Team: c.team.ID, ID: header, RolloutPosition: session.RolloutPosition(c.team.ID, header)}
 	sess, err := s.SessionNames.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, unpinned))
 	return sess, sessionRefusal(err)
 }
--- a/router/internal/passthrough/crashnotes.go
+++ b/router/internal/passthrough/crashnotes.go
@@ -9,30 +9,33 @@
 )
 
 const (
+	// crashKeyPrefix starts the keys of crash records.
 	crashKeyPrefix = "crash/"
-	// mostCrashes is how many are written at once; more are a fault of another kind.
+	// maxPendingCrashes bounds the fingerprints that wait to be written; more than that at
+	// once come from a fault of another kind.
 	maxPendingCrashes = 256
 )
 
-// crashed counts a crash. It must not block: the driver calls it.
-func (b *observationStore) recordCrash(c passthrough.CrashSuspected) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.pendingCrashes) < maxPendingCrashes {
-		b.pendingCrashes[c.Fingerprint]++
+// recordCrash counts a crash. It must not block: the driver calls it.
+func (st *observationStore) recordCrash(c passthrough.CrashSuspected) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if len(st.pendingCrashes) < maxPendingCrashes {
+		st.pendingCrashes[c.Fingerprint]++
 	}
-	b.wakeUp()
+	st.wakeUp()
 }
 
-// crashNotes makes the notes on the crashes that were not told yet; the lock is held.
-func (b *observationStore) crashRecords(now time.Time) []keyedlog.Record {
+// crashRecords returns a record of each fingerprint whose crashes were not written yet. The lock is
+// held.
+func (st *observationStore) crashRecords(now time.Time) []keyedlog.Record {
 	var out []keyedlog.Record
-	for fingerprint, times := range b.pendingCrashes {
-		s := &observationSet{Instance: b.instance, CrashFingerprint: fingerprint, CrashCount: times}
-		key := crashKeyPrefix + strconv.FormatUint(fingerprint, 16) + "/" + b.instance
-		out = append(out, b.encode(key, s))
-		b.deleteAt[key] = now.Add(recordLifetime)
+	for fingerprint, times := range st.pendingCrashes {
+		s := &observationSet{Instance: st.instance, CrashFingerprint: fingerprint, CrashCount: times}
+		key := crashKeyPrefix + strconv.FormatUint(fingerprint, 16) + "/" + st.instance
+		out = append(out, st.encode(key, s))
+		st.deleteAt[key] = now.Add(recordLifetime)
 	}
-	clear(b.pendingCrashes)
+	clear(st.pendingCrashes)
 	return out
 }
