--- a/router/internal/api/plain.go
+++ b/router/internal/api/plain.go
@@ -24,7 +24,7 @@
 	}
 	sr := x.newStreamReader(d)
 	sr.aggregate = true
-	if err := sr.readAndBill(ctx, resp); err != nil {
+	if err := sr.readAndCount(ctx, resp); err != nil {
 		return nil, err
 	}
 	x.markFirstToken()
--- a/router/internal/api/stream.go
+++ b/router/internal/api/stream.go
@@ -58,7 +58,7 @@
 // written once the bill is durable.
 func (x *exchange) readStream(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	sr := x.newStreamReader(d)
-	if err := sr.readAndBill(ctx, resp); err != nil {
+	if err := sr.readAndCount(ctx, resp); err != nil {
 		return nil, err
 	}
 	sr.out.text = sr.text.String()
@@ -74,9 +74,9 @@
 	}
 }
 
-// readAndBill reads the stream to its end and bills its tokens. For a stream that
-// broke off it bills the tokens received.
-func (sr *streamReader) readAndBill(ctx context.Context, resp *http.Response) error {
+// readAndCount reads the stream to its end and adds its tokens to the bill. For a
+// stream that broke off it adds the tokens received.
+func (sr *streamReader) readAndCount(ctx context.Context, resp *http.Response) error {
 	version := sr.dispatch.Version
 	err := sr.read(ctx, resp)
 	if err != nil {
