--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -14,7 +14,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// sessionAnswer is the body of POST /v1/sessions.
+// sessionResponse is the response body of POST /v1/sessions.
 type sessionResponse struct {
 	Session  string            `json:"session"`
 	Token    string            `json:"token"`
@@ -22,21 +22,21 @@
 	Versions map[string]string `json:"versions"`
 }
 
-// newSession serves POST /v1/sessions: the token carries the versions, so that
-// no instance keeps anything.
+// newSession serves POST /v1/sessions. The token carries the pinned versions, so
+// that no instance has to store the session.
 func (s *Server) newSession(w http.ResponseWriter, r *http.Request, c caller) {
 	if reason := s.Gate.MayRun(true); reason != "" {
 		writeOutcome(w, decisionRefusal(reason, retryDelay))
 		return
 	}
 	id := uuid.NewString()
-	opened := session.Session{
+	sess := session.Session{
 		Team:            c.team.ID,
 		ID:              id,
 		RolloutPosition: session.RolloutPosition(c.team.ID, id),
 	}
-	opened.Pins = s.pickVersions(r.Context(), opened)
-	token, expires, err := s.SessionTokens.Issue(opened)
+	sess.Pins = s.pickVersions(r.Context(), sess)
+	token, expires, err := s.SessionTokens.Issue(sess)
 	if err != nil {
 		writeOutcome(w, routerRefusal("session_invalid", err.Error()))
 		return
@@ -46,61 +46,62 @@
 		Session:  id,
 		Token:    token,
 		Expires:  expires.UTC().Format(http.TimeFormat),
-		Versions: opened.Pins,
+		Versions: sess.Pins,
 	})
 }
 
-func (s *Server) pickVersions(ctx context.Context, opened session.Session) map[string]string {
+func (s *Server) pickVersions(ctx context.Context, sess session.Session) map[string]string {
 	pins := map[string]string{}
-	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(opened.Team), opened.RolloutPosition) {
+	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(sess.Team), sess.RolloutPosition) {
 		model, _, _ := strings.Cut(string(v), "@")
 		pins[model] = string(v)
 	}
 	return pins
 }
 
-// pinSession fixes the request to its session's versions, where it has one.
+// pinSession pins the request to the versions of its session, if it has one.
 func (s *Server) pinSession(r *http.Request, c caller, req *decision.Request) *outcome.Outcome {
 	header := r.Header.Get(wire.HeaderSession)
 	if header == "" {
 		return nil
 	}
-	opened, refusal := s.readSession(r.Context(), c, header)
+	sess, refusal := s.readSession(r.Context(), c, header)
 	if refusal != nil {
 		return refusal
 	}
-	req.RolloutPosition = opened.RolloutPosition
+	req.RolloutPosition = sess.RolloutPosition
 	if req.Model == "" {
-		for _, v := range opened.Pins {
+		for _, v := range sess.Pins {
 			req.Pins = append(req.Pins, decision.VersionID(v))
 		}
 		return nil
 	}
 	model, _, _ := strings.Cut(string(req.Model), "@")
-	req.Pinned = decision.VersionID(opened.Pins[model])
+	req.Pinned = decision.VersionID(sess.Pins[model])
 	return nil
 }
 
-// readSession reads a token, or the pins of a session that has only a name; a
-// name not seen before gets its pins now, from the first writer in the log.
+// readSession reads a session from its token or, for a session that has only a
+// name, its pins from the log. A new name is pinned now; if several instances do
+// so at once, the first writer in the log wins.
 func (s *Server) readSession(ctx context.Context, c caller, header string) (session.Session, *outcome.Outcome) {
 	if session.LooksLikeToken(header) {
-		opened, err := s.SessionTokens.Verify(header, c.team.ID)
-		return opened, sessionRefusal(err)
+		sess, err := s.SessionTokens.Verify(header, c.team.ID)
+		return sess, sessionRefusal(err)
 	}
-	known, ok, err := s.SessionNames.Lookup(c.team.ID, header)
+	pinned, ok, err := s.SessionNames.Lookup(c.team.ID, header)
 	if err != nil || ok {
-		return known, sessionRefusal(err)
+		return pinned, sessionRefusal(err)
 	}
 	if reason := s.Gate.MayRun(false); reason != "" {
 		o := decisionRefusal(reason, retryDelay)
-		return known, &o
+		return pinned, &o
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	own := session.Session{Team: c.team.ID, ID: header, RolloutPosition: session.RolloutPosition(c.team.ID, header)}
-	opened, err := s.SessionNames.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, own))
-	return opened, sessionRefusal(err)
+	unpinned := session.Session{Team: c.team.ID, ID: header, RolloutPosition: session.RolloutPosition(c.team.ID, header)}
+	sess, err := s.SessionNames.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, unpinned))
+	return sess, sessionRefusal(err)
 }
 
 func sessionRefusal(err error) *outcome.Outcome {
--- a/router/internal/billing/billing_test.go
+++ b/router/internal/billing/billing_test.go
@@ -12,7 +12,8 @@
 	"masticplank.example/coordination/record"
 )
 
-// scripted answers each call with the next step and repeats the last one.
+// fakeLog is a log and a holder. Each call returns the next scripted result; the
+// last one is repeated.
 type fakeLog struct {
 	reachable bool
 	puts      []node.Outcome
@@ -33,8 +34,9 @@
 	return s.holds[min(s.holdCalls, len(s.holds))-1]
 }
 
-// TestRecord walks what the log and the peers can say. A nil error means that
-// the bill is in the log or held twice; nothing else may give one.
+// TestRecord goes through the results of the log and the peers. Record may return
+// nil only if the bill is in the log or held at two instances; otherwise an answer
+// would be given without a bill.
 func TestRecord(t *testing.T) {
 	noPeer := errors.New("no peer")
 	for name, c := range map[string]struct {
@@ -43,15 +45,15 @@
 		puts    int
 		holds   int
 	}{
-		"in the log":            {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeWon}}, true, 1, 0},
-		"another's bill is in":  {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeLost}}, true, 1, 0},
-		"log down":              {fakeLog{holds: []error{nil}}, true, 0, 1},
-		"reply lost":            {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeUnknown}, holds: []error{nil}}, true, 1, 1},
-		"refused":               {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid}, holds: []error{nil}}, true, 1, 1},
-		"no peer known at once": {fakeLog{holds: []error{noPeer, noPeer, nil}}, true, 0, 3},
-		"log back meanwhile": {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid, node.OutcomeWon},
+		"in the log":              {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeWon}}, true, 1, 0},
+		"earlier bill in the log": {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeLost}}, true, 1, 0},
+		"log unreachable":         {fakeLog{holds: []error{nil}}, true, 0, 1},
+		"reply lost":              {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeUnknown}, holds: []error{nil}}, true, 1, 1},
+		"refused":                 {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid}, holds: []error{nil}}, true, 1, 1},
+		"no peer at first":        {fakeLog{holds: []error{noPeer, noPeer, nil}}, true, 0, 3},
+		"log accepts the second try": {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid, node.OutcomeWon},
 			holds: []error{noPeer}}, true, 2, 1},
-		"nothing helps": {fakeLog{holds: []error{noPeer}}, false, 0, 1 + int(recordTimeout/retryInterval)},
+		"every try fails": {fakeLog{holds: []error{noPeer}}, false, 0, 1 + int(recordTimeout/retryInterval)},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
--- a/router/internal/manifest/validate.go
+++ b/router/internal/manifest/validate.go
@@ -11,8 +11,8 @@
 	"github.com/gravitational/trace"
 )
 
-// Limits of a manifest's content. They bound the memory that one publication
-// can take at each instance, not what a deployment may need today.
+// Limits of a manifest's content. They bound the memory that one publication can
+// take at each instance; they do not follow from the needs of a deployment.
 const (
 	maxTeams    = 10_000
 	maxVersions = 1_000
@@ -28,17 +28,17 @@
 	hashPattern    = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// Fault is one thing wrong with a manifest.
+// Fault is one error in a manifest.
 type Fault struct {
-	// Path leads to the fault, such as "teams[2].allowed[0]".
+	// Path locates the fault, such as "teams[2].allowed[0]".
 	Path string `json:"path"`
 	Text string `json:"text"`
 }
 
-// Faults is every fault of a manifest; it is an error.
+// Faults are all faults of a manifest. They implement error.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -47,8 +47,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads a manifest from JSON. Unknown keys are refused, so that a
-// misspelt one cannot silently change who may use what.
+// Parse decodes a manifest from JSON. It rejects unknown keys, so that a misspelt
+// key cannot silently change who may use what.
 func Parse(data []byte) (Manifest, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -62,7 +62,8 @@
 	return m, nil
 }
 
-// Encode is the one encoding that goes into the log and under the digest.
+// Encode returns the encoding that is written to the log and that digests are
+// computed from.
 func Encode(m Manifest) ([]byte, error) {
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -101,7 +102,7 @@
 }
 
 // Validate checks a manifest's content and returns every fault. It depends on
-// nothing but m, so all readers of the log come to the same verdict.
+// nothing but m, so that all readers of the log have the same result.
 func Validate(m Manifest) Faults {
 	c := &checker{}
 	if m.Publication == "" {
@@ -115,13 +116,13 @@
 	return c.faults
 }
 
-func (c *checker) versions(rows []Version) map[string]bool {
-	c.maxCount("versions", len(rows), maxVersions)
+func (c *checker) versions(versions []Version) map[string]bool {
+	c.maxCount("versions", len(versions), maxVersions)
 	seen := map[string]bool{}
-	for i, v := range rows {
+	for i, v := range versions {
 		c.version(fmt.Sprintf("versions[%d]", i), v, seen)
 	}
-	for i, v := range rows {
+	for i, v := range versions {
 		if v.Predecessor != "" && !seen[v.Predecessor] {
 			c.add(fmt.Sprintf("versions[%d].predecessor", i), "no version %q", v.Predecessor)
 		}
@@ -150,10 +151,10 @@
 	c.inRange(at+".quality", v.Quality, 0, 1)
 }
 
-func (c *checker) services(rows []Service) map[string]bool {
-	c.maxCount("services", len(rows), maxServices)
+func (c *checker) services(services []Service) map[string]bool {
+	c.maxCount("services", len(services), maxServices)
 	seen := map[string]bool{}
-	for i, s := range rows {
+	for i, s := range services {
 		at := fmt.Sprintf("services[%d]", i)
 		c.id(at+".id", s.ID, seen)
 		c.inRange(at+".price", s.Price, 0, 1e9)
@@ -174,11 +175,11 @@
 	}
 }
 
-func (c *checker) teams(rows []Team, versions, services map[string]bool) map[string]bool {
-	c.maxCount("teams", len(rows), maxTeams)
+func (c *checker) teams(teams []Team, versions, services map[string]bool) map[string]bool {
+	c.maxCount("teams", len(teams), maxTeams)
 	seen := map[string]bool{}
 	keys := map[string]string{}
-	for i, t := range rows {
+	for i, t := range teams {
 		at := fmt.Sprintf("teams[%d]", i)
 		c.id(at+".id", t.ID, seen)
 		c.inRange(at+".weight", float64(t.Weight), 1, maxWeight)
@@ -236,8 +237,8 @@
 	}
 }
 
-func (c *checker) objectives(rows []Objective, teams map[string]bool) {
-	for i, o := range rows {
+func (c *checker) objectives(objectives []Objective, teams map[string]bool) {
+	for i, o := range objectives {
 		at := fmt.Sprintf("objectives[%d]", i)
 		if !teams[o.Team] {
 			c.add(at+".team", "no team %q", o.Team)
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -16,7 +16,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// entries returns what the log holds, whatever its faults.
+// entries clears the log's faults and returns how many entries it holds.
 func entries(t *testing.T, svc *logsvc.Server) int {
 	t.Helper()
 	svc.Faults.Set(logsvc.Faults{})
@@ -29,23 +29,24 @@
 	return len(page.Entries)
 }
 
-// An append's error must tell the truth: ErrNotAppended only where the entry
-// certainly is not there, since a caller is then told that nothing was run.
+// TestAppendErrorsAgainstEffects compares an append's error with its effect.
+// ErrNotAppended is allowed only if the entry is certainly not in the log, since a
+// caller is then told that its request was not run.
 func TestAppendErrorsAgainstEffects(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults logsvc.Faults
 		size   int
 		// want is nil for success.
-		want error
-		held int
+		want        error
+		wantEntries int
 	}{
-		{name: "sound", held: 1},
+		{name: "sound", wantEntries: 1},
 		{name: "refused", faults: logsvc.Faults{RefuseAppends: true}, want: platformlog.ErrNotAppended},
 		{name: "too large", size: logsvc.MaxAppendBytes + 1, want: platformlog.ErrNotAppended},
 		{name: "lost before the effect", faults: logsvc.Faults{LostBefore: 1}, want: platformlog.ErrUnknown},
-		{name: "lost reply", faults: logsvc.Faults{LostReply: 1}, want: platformlog.ErrUnknown, held: 1},
-		{name: "failed after the effect", faults: logsvc.Faults{FailAppends: 1}, want: platformlog.ErrUnknown, held: 1},
+		{name: "lost reply", faults: logsvc.Faults{LostReply: 1}, want: platformlog.ErrUnknown, wantEntries: 1},
+		{name: "failed after the effect", faults: logsvc.Faults{FailAppends: 1}, want: platformlog.ErrUnknown, wantEntries: 1},
 		{name: "down", faults: logsvc.Faults{Common: faults.Common{Down: true}}, want: platformlog.ErrUnknown},
 	}
 	for _, tt := range tests {
@@ -58,8 +59,8 @@
 			if !errors.Is(err, tt.want) {
 				t.Errorf("error %v, want %v", err, tt.want)
 			}
-			if got := entries(t, svc); got != tt.held {
-				t.Errorf("%d entries in the log, want %d", got, tt.held)
+			if got := entries(t, svc); got != tt.wantEntries {
+				t.Errorf("%d entries in the log, want %d", got, tt.wantEntries)
 			}
 		})
 	}
@@ -70,7 +71,7 @@
 	server := httptest.NewServer(svc)
 	defer server.Close()
 	client := NewLogClient(server.URL)
-	// The bucket holds one: of a thousand in a row, nearly all are refused.
+	// The token bucket holds one: of a thousand in a row, nearly all are refused.
 	done := 0
 	for range 1000 {
 		_, err := client.Append(context.Background(), []byte("x"))
@@ -101,8 +102,9 @@
 	}
 }
 
-// A pooled connection that the service has closed, and a caller that gives up
-// while the service works, both leave the outcome open.
+// TestAppendGivenUpIsUnknown cancels an append while the service works on it. The
+// entry may still be appended, so the error must be ErrUnknown. The same holds if
+// the service closes a pooled connection.
 func TestAppendGivenUpIsUnknown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	release := make(chan struct{})
