--- a/router/internal/demo/caller.go
+++ b/router/internal/demo/caller.go
@@ -19,15 +19,16 @@
 )
 
 const (
-	// outcomeCut is what a caller sees whose connection broke.
+	// outcomeConnectionLost is the outcome of a request whose response was not
+	// received completely.
 	outcomeConnectionLost = "cut"
 	// callTimeout bounds one request of the load.
 	callTimeout = 60 * time.Second
-	// maxAnswer bounds an answer.
+	// maxAnswerBytes bounds the body of a response.
 	maxAnswerBytes = 16 << 20
 )
 
-// result is what came of one request, as its caller saw it.
+// result is the result of one request as seen by its caller.
 type result struct {
 	request  *request
 	start    time.Time
@@ -35,12 +36,12 @@
 	// firstToken is set for streams.
 	firstToken time.Duration
 	status     int
-	// outcome is the header's word, or outcomeCut.
+	// outcome is the value of wire.HeaderOutcome, or outcomeConnectionLost.
 	outcome string
-	// code is the error body's.
+	// code is the code of the error body.
 	code    string
 	version string
-	// text of a chat answer; body of any other.
+	// text is set for a chat answer, body for a plain answer.
 	text string
 	body []byte
 	err  error
@@ -48,12 +49,13 @@
 
 func (r result) completed() bool { return r.outcome == string(outcome.Completed) }
 
-// caller sends the load to the entry instances in turn, as a balancer would.
+// caller sends the load to the entry instances in turn, as a load balancer does.
 type caller struct {
 	client *http.Client
 	// addrs are the instances' API addresses.
 	addrs []string
-	// tokens are the session tokens by team and session, pins their versions.
+	// tokens holds the session tokens by team and session, pins the versions
+	// pinned by each session, by model.
 	tokens map[string][]string
 	pins   map[string][]map[string]string
 }
@@ -69,7 +71,7 @@
 
 func (c *caller) close() { c.client.CloseIdleConnections() }
 
-// openSessions opens the sessions that the load goes on with.
+// openSessions opens the sessions that the load uses.
 func (c *caller) openSessions(ctx context.Context) error {
 	for _, t := range demoTeams() {
 		for i := range sessionsPerTeam {
@@ -106,14 +108,14 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	// Without GetBody, net/http never sends a request twice by itself.
+	// Without GetBody, net/http never retries a request by itself.
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+t.key)
 	req.Header.Set("Content-Type", "application/json")
 	return req, nil
 }
 
-// send sends r to an instance and reads its whole answer.
+// send sends r to an instance and reads the whole response.
 func (c *caller) send(ctx context.Context, r *request, instance int) result {
 	out := result{request: r, start: time.Now(), outcome: outcomeConnectionLost}
 	req, err := c.buildRequest(ctx, r, instance)
@@ -167,7 +169,8 @@
 	return req, nil
 }
 
-// read reads the answer. An error means that it was not whole.
+// readBody reads the response's body. An error means that it was incomplete or
+// malformed.
 func (out *result) readBody(resp *http.Response) error {
 	if resp.StatusCode >= http.StatusMultipleChoices {
 		var e wire.Error
@@ -199,7 +202,8 @@
 	return nil
 }
 
-// readStream joins a stream's text, and takes it only with its explicit end.
+// readStream concatenates a stream's text. A stream without end marker is an
+// error.
 func (out *result) readStream(body io.Reader) error {
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
@@ -229,5 +233,5 @@
 	if err := lines.Err(); err != nil {
 		return err
 	}
-	return errors.New("the stream ended without its end mark")
+	return errors.New("the stream ended without its end marker")
 }
--- a/router/internal/demo/check.go
+++ b/router/internal/demo/check.go
@@ -12,7 +12,7 @@
 	"masticplank.example/router/internal/standin/service"
 )
 
-// maxExamples bounds the examples kept of one broken promise.
+// maxExamples bounds the reported examples of one broken promise.
 const maxExamples = 5
 
 // The promises that the demo checks.
@@ -35,16 +35,16 @@
 	promiseBilled, promiseNotRun, promiseAtMostOnce, promiseNoFalseFailure, promiseManifest,
 }
 
-// checker holds the results to the promises.
+// checker checks the results against the promises.
 type checker struct {
-	// faults says that faults were switched on: then a request may fail, but
-	// no other promise may break.
+	// faults is set if faults were injected: then requests may fail, but all
+	// other promises hold.
 	faults bool
-	// withdrawnAt is when the withdrawal was in force everywhere.
+	// withdrawnAt is the time at which the withdrawal was in force everywhere.
 	withdrawnAt time.Time
 	caller      *caller
 	bills       billExport
-	// runs are the shop's counts by Idempotency-Key.
+	// runs holds the shop's counts by Idempotency-Key.
 	runs       map[string]int
 	violations map[string][]string
 }
@@ -53,7 +53,7 @@
 	c.violations[promise] = append(c.violations[promise], fmt.Sprintf(format, args...))
 }
 
-// check holds every result to every promise.
+// check checks every result against every promise.
 func (c *checker) check(results []result) {
 	byKey := map[string][]result{}
 	for _, r := range results {
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkAnswered allows each kind its outcomes.
+// checkAnswered checks that the outcome is one that the request's kind allows.
 func (c *checker) checkAnswered(r result) {
 	switch {
 	case r.request.kind == kindForbidden:
@@ -124,7 +124,7 @@
 	}
 }
 
-// checkKey looks at all that was answered for one Idempotency-Key.
+// checkKey checks the results with one Idempotency-Key together.
 func (c *checker) checkKey(key string, same []result) {
 	completed, refused := 0, 0
 	for _, r := range same {
@@ -152,9 +152,10 @@
 	}
 }
 
-// checkFailed looks for a failure that was none. Only the service's own 500 says
-// that a call ran and failed; a connection that broke says nothing of it, and a
-// caller who is told of a failure reserves again under another key.
+// checkFalseFailure checks that a call reported as failed did not take effect.
+// Only the service's own 500 (backend_server_failed) means that the call ran and
+// failed. After a lost connection that is unknown, and a caller that gets a
+// failure reserves again under another key.
 func (c *checker) checkFalseFailure(key string, same []result) {
 	for _, r := range same {
 		if r.outcome == string(outcome.Failed) && r.code != "backend_server_failed" && c.runs[key] > 0 {
@@ -163,7 +164,7 @@
 	}
 }
 
-// checkBill holds a bill to the answer that it is for.
+// checkBill compares a bill with the answer that it is for.
 func (c *checker) checkBill(same []result, b bills.Bill) {
 	for _, r := range same {
 		if !r.completed() {
@@ -178,7 +179,7 @@
 	}
 }
 
-// String names a result in an example.
+// String identifies the request of a result in an example.
 func (r result) String() string {
 	return fmt.Sprintf("request %d (%s, %s, %s)", r.request.index, r.request.kind, r.request.team.id, r.request.key)
 }
--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -14,8 +14,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// soundRun is a session request, a reservation sent twice, and a request for a
-// model that is not allowed, all answered as promised.
+// validRun returns a session request, a reservation sent twice, and a request
+// for a model that is not allowed, with results that keep all promises.
 func validRun() (*checker, []result) {
 	teams := demoTeams()
 	session := &request{
@@ -52,8 +52,8 @@
 	return c, results
 }
 
-// The demo is worth nothing if it does not see a broken promise, so each is
-// broken here once.
+// A check that misses a violation makes the demo report a promise as held, so
+// each promise is broken here once.
 func TestEachBrokenPromiseIsSeen(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -98,7 +98,7 @@
 			}
 			report := newReport(results, c.bills, c.violations)
 			if report.Held() != (len(tt.want) == 0) {
-				t.Errorf("held %v", report.Held())
+				t.Errorf("report.Held() = %v", report.Held())
 			}
 		})
 	}
--- a/router/internal/demo/demo.go
+++ b/router/internal/demo/demo.go
@@ -1,7 +1,7 @@
 // Package demo runs the whole product in one process on loopback: the
-// platform's stand-ins, three engines, a shop and two entry instances. It puts
-// a mixed load through them with a roll-out halfway, and holds what the callers
-// saw, what the shop counted and what the log says to the promises.
+// platform's stand-ins, three engines, a shop and two entry instances. It sends
+// a mixed load through them with a roll-out halfway, and checks the callers'
+// results, the shop's counts and the bills in the log against the promises.
 package demo
 
 import (
@@ -24,31 +24,32 @@
 const (
 	// readyTimeout bounds the wait for the instances to be ready.
 	readyTimeout = 15 * time.Second
-	// rolloutTimeout bounds the wait for a manifest; past it a promise is broken.
+	// rolloutTimeout bounds the time until the second manifest is in force
+	// everywhere; a longer one breaks promiseManifest.
 	rolloutTimeout = 5 * time.Second
-	// pollEvery is how often states are asked for.
+	// pollInterval is the time between two queries for a state.
 	pollInterval = 10 * time.Millisecond
 )
 
 // Config of a run.
 type Config struct {
-	// Requests of the load, at least 1.
+	// Requests is the number of requests of the load, at least 1.
 	Requests int
-	// Workers is how many requests are under way at once.
+	// Workers is the maximum number of concurrent requests.
 	Workers int
 	// Seed of the load.
 	Seed uint64
-	// Faults switches faults of the platform and the backend servers on.
+	// Faults injects faults into the platform and the backend servers.
 	Faults bool
-	// Progress is told of each request that has ended; nil for no one. It is
-	// called from several goroutines.
+	// Progress is called at the end of each request, from several goroutines;
+	// may be nil.
 	Progress func()
-	// Log takes the instances' logs; nil discards them.
+	// Log receives the instances' logs; nil discards them.
 	Log io.Writer
 }
 
-// Run starts everything, puts the load through, stops everything, and reports.
-// An error means that the demo itself could not be done.
+// Run starts everything, sends the load, stops everything, and reports. An error
+// means that the demo itself failed; broken promises are in the report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	if cfg.Log == nil {
 		cfg.Log = io.Discard
@@ -79,7 +80,8 @@
 	env    *environment
 	caller *caller
 
-	// withdrawnAt is when the second manifest was in force everywhere.
+	// withdrawnAt is the time at which the second manifest was in force
+	// everywhere; zero before.
 	withdrawnAt time.Time
 	rolloutTime time.Duration
 	violations  map[string][]string
@@ -107,8 +109,8 @@
 	return nil
 }
 
-// breakThings switches on faults that callers must not suffer from beyond an
-// honest failure.
+// injectFaults switches on faults under which a request may fail, but no promise
+// may break.
 func (s *environment) injectFaults() {
 	s.log.Faults.Set(logsvc.Faults{LostReply: 3, LostBefore: 2})
 	s.shop.Faults.Set(service.Faults{LostReply: 2, Busy: 2, FailAfter: 1})
@@ -116,7 +118,8 @@
 	s.engines[1].Faults.Set(engine.Faults{Busy: 5, EndEarly: 2, Crossed: 2, LostReply: 2})
 }
 
-// publish publishes m through the first instance and waits until all have it.
+// publish publishes m through the first instance, waits until it is in force at
+// all instances, and returns how long that took.
 func (r *run) publish(ctx context.Context, m manifest.Manifest, timeout time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -133,7 +136,7 @@
 		if err == nil && len(answer.Faults) > 0 {
 			return 0, trace.Wrap(answer.Faults)
 		}
-		// Not accepted yet, as when the instance has only just started.
+		// Retry: the instance may not be ready yet.
 		if waitErr := sleep(ctx, pollInterval); waitErr != nil {
 			return 0, trace.Wrap(waitErr, "publishing %s: %s %s %v", m.Publication, answer.Code, answer.Message, err)
 		}
@@ -159,7 +162,8 @@
 	return nil
 }
 
-// load sends the whole load, with the roll-out once half of it has begun.
+// runLoad sends the whole load and starts the roll-out when half of the requests
+// have been started.
 func (r *run) runLoad(ctx context.Context) []result {
 	requests := generateLoad(r.cfg.Requests, r.cfg.Seed)
 	var results resultCollector
@@ -189,7 +193,7 @@
 	return results.all
 }
 
-// rollOut publishes the second manifest under traffic.
+// publishRollout publishes the second manifest while requests are running.
 func (r *run) publishRollout(ctx context.Context) {
 	took, err := r.publish(ctx, secondManifest(), rolloutTimeout)
 	if err != nil {
@@ -200,7 +204,8 @@
 	r.withdrawnAt = time.Now()
 }
 
-// send sends one request of the load; kindTwice goes to two instances at once.
+// send sends one request of the load; one of kindDuplicate goes to two instances
+// at once.
 func (r *run) send(ctx context.Context, req *request) []result {
 	if req.kind != kindDuplicate {
 		return []result{r.caller.send(ctx, req, req.index)}
@@ -241,7 +246,7 @@
 	return report, nil
 }
 
-// collector gathers results from several goroutines.
+// resultCollector collects results from several goroutines.
 type resultCollector struct {
 	mu  sync.Mutex
 	all []result
@@ -262,7 +267,7 @@
 	}
 }
 
-// splitVersion parts "model@version".
+// splitVersion splits "model@version".
 func splitVersion(id string) (model, version string) {
 	model, version, _ = strings.Cut(id, "@")
 	return model, version
--- a/router/internal/demo/demo_test.go
+++ b/router/internal/demo/demo_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// The whole product on loopback, with a roll-out under traffic: whatever the
-// timing, no promise may break, with faults of the platform and the backend
-// servers neither.
+// Runs the whole product on loopback with a roll-out under load. No promise may
+// break at any timing, with and without faults of the platform and the backend
+// servers.
 func TestNoPromiseBreaks(t *testing.T) {
 	for _, faults := range []bool{false, true} {
 		var log bytes.Buffer
@@ -26,12 +26,12 @@
 			t.Errorf("faults %v:\n%s\nlogs:\n%s", faults, text.String(), log.String())
 		}
 		if report.Bills.Completed < 100 || report.RolloutMS == 0 {
-			t.Errorf("faults %v: the load did not pass:\n%s", faults, text.String())
+			t.Errorf("faults %v: fewer than 100 requests completed, or no roll-out:\n%s", faults, text.String())
 		}
 	}
 }
 
-// syncWriter takes the logs of two instances.
+// syncWriter serialises the writes of two instances' logs.
 type syncWriter struct {
 	mu sync.Mutex
 	w  io.Writer
--- a/router/internal/demo/ledger.go
+++ b/router/internal/demo/ledger.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// ledgerPoll is the time between two exports while bills are awaited.
+	// billPollInterval is the time between two exports while bills are missing.
 	billPollInterval = 100 * time.Millisecond
-	// ledgerPatience bounds the wait for bills that are held.
+	// billTimeout bounds the wait for bills that instances still hold.
 	billTimeout = 5 * time.Second
 )
 
-// ledger is the bills as any reader of the log finds them.
+// billExport holds the bills exported from the log.
 type billExport struct {
-	// bills by request id; more than one is a broken promise.
+	// byRequest holds the bills by request ID; more than one breaks
+	// promiseBilled.
 	byRequest map[string][]bills.Bill
-	// void counts proposals of a bill that another one had won.
+	// duplicates counts the bill records that were void because an earlier one
+	// for the same request had won.
 	duplicates int
 }
 
-// readLedger exports the bills, and waits for late ones until all of want are
-// there or the patience has ended.
+// awaitBills exports the bills until those of all requests in want are found, or
+// billTimeout has passed.
 func awaitBills(ctx context.Context, logURL string, want []string) (billExport, error) {
 	deadline := time.Now().Add(billTimeout)
 	for {
--- a/router/internal/demo/load.go
+++ b/router/internal/demo/load.go
@@ -13,20 +13,20 @@
 // kind of a request in the load.
 type kind string
 
-// The kinds, with their parts of the load in kindParts.
+// The kinds of requests; loadMix has their shares of the load.
 const (
 	kindChat    kind = "chat"
 	kindStream  kind = "stream"
 	kindSession kind = "session"
 	kindRead    kind = "read"
 	kindReserve kind = "reserve"
-	// kindTwice is one reservation sent to two instances at once.
+	// kindDuplicate is one reservation sent to two instances at once.
 	kindDuplicate kind = "reserve twice"
-	// kindForbidden asks for a model that the team may not use.
+	// kindForbidden requests a model that the team may not use.
 	kindForbidden kind = "forbidden"
 )
 
-// kindParts are the parts of the load, in hundredths.
+// loadMix is the composition of the load, in percent.
 var loadMix = []struct {
 	kind kind
 	part int
@@ -45,23 +45,23 @@
 	index int
 	kind  kind
 	team  team
-	// chat is set for model work.
+	// chat is set for requests to models.
 	chat wire.ChatRequest
 	task string
-	// path and body are set for the shop.
+	// path and body are set for requests to the shop.
 	path string
 	body string
-	// key is its Idempotency-Key.
+	// key is the Idempotency-Key.
 	key string
-	// session numbers the session that it belongs to.
+	// session is the index of the session among the team's.
 	session int
 }
 
-// sessionsPerTeam is how many sessions are opened before the load.
+// sessionsPerTeam is the number of sessions opened before the load.
 const sessionsPerTeam = 3
 
-// plan makes the load: the same for the same seed, but for the keys, whose time
-// must be the present.
+// generateLoad returns a load of n requests. It is the same for the same seed,
+// except for the keys, which are UUIDv7 and must contain the current time.
 func generateLoad(n int, seed uint64) []request {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	teams := demoTeams()
@@ -102,8 +102,8 @@
 	return kindChat
 }
 
-// fillChat makes model work: a third names a model, the rest leaves the choice
-// to the cascade.
+// fillChat fills in a chat request. Session requests and a third of the others
+// name a model; the rest leaves the choice to the cascade.
 func fillChat(r *request, rng *rand.Rand) {
 	r.chat = chatBody(rng, r.index)
 	r.chat.Stream = r.kind == kindStream || rng.IntN(2) == 0 && r.kind == kindSession
@@ -114,8 +114,8 @@
 	}
 }
 
-// chatBody mixes short and long prompts behind shared openings, so that the
-// engines' prefix caches have something to keep.
+// chatBody returns a short or long prompt with one of five shared prefixes, so
+// that the engines' prefix caches get hits.
 func chatBody(rng *rand.Rand, index int) wire.ChatRequest {
 	prefix := strings.Repeat(fmt.Sprintf("House rules of pattern book %d. ", rng.IntN(5)), 1+rng.IntN(20))
 	return wire.ChatRequest{
--- a/router/internal/demo/ready.go
+++ b/router/internal/demo/ready.go
@@ -7,7 +7,7 @@
 	"github.com/gravitational/trace"
 )
 
-// waitReady waits until an instance would get requests from a balancer.
+// waitReady waits until the readiness check of an instance succeeds.
 func waitReady(ctx context.Context, admin string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/router/internal/demo/scenario.go
+++ b/router/internal/demo/scenario.go
@@ -13,23 +13,24 @@
 	modelSmall   = "small"
 	modelLarge   = "large"
 	versionSmall = "small@1"
-	// versionOld is withdrawn halfway, in favour of versionNew.
+	// versionOld is withdrawn halfway and replaced by versionNew.
 	versionOld = "large@1"
 	versionNew = "large@2"
-	// reservationPrice is billed for each completed call of the shop.
+	// reservationPrice is billed for each completed call of the shop, in the
+	// manifest's unit of cost.
 	reservationPrice = 0.01
 )
 
-// domains are the co-op's failure domains.
+// domains are the failure domains.
 var domains = []string{"salle-rimouski", "salle-matane", "salle-riviere"}
 
-// team is a caller with its API key. The keys are for the demo alone.
+// team is a team with its API key, which is used by the demo only.
 type team struct {
 	id  string
 	key string
-	// models that it may ask for.
+	// models that the team may request.
 	models []string
-	// quality that its answers should have in the mean.
+	// quality is the team's target for the mean quality of its answers.
 	quality float64
 }
 
@@ -41,7 +42,7 @@
 	}
 }
 
-// engineVersions are what each engine stand-in can run.
+// engineVersions returns the versions that each engine stand-in can run.
 func engineVersions() []engine.Version {
 	small := engine.Version{
 		ID:         versionSmall,
@@ -63,7 +64,7 @@
 	return []engine.Version{small, old, next}
 }
 
-// firstManifest has the old version serving and the new one not yet there.
+// firstManifest serves the old version and does not contain the new one.
 func firstManifest() manifest.Manifest {
 	return scenarioManifest("demo-1",
 		manifest.Version{ID: versionOld, Model: modelLarge, State: manifest.StateServing, Share: 1, Cost: 2, Quality: 0.88},
--- a/router/internal/demo/stage.go
+++ b/router/internal/demo/stage.go
@@ -28,15 +28,17 @@
 	instanceCount = 2
 	engineSlots   = 16
 	ratingNoise   = 0.05
-	// operatorKey is for the demo alone.
+	// operatorKey is used by the demo only.
 	operatorKey = "demo-operator-key"
-	// graceMS is short, since no balancer has to notice.
+	// graceMS (shutdown.grace_ms) is short, since there is no load balancer that
+	// has to notice a failing readiness check.
 	graceMS = 50
-	// stopTimeout bounds the end of the demo.
+	// stopTimeout bounds the shutdown of all instances.
 	stopTimeout = 30 * time.Second
 )
 
-// stage is everything that the demo runs, in this process and on loopback.
+// environment holds the stand-ins and the entry instances, all of which run in
+// this process on loopback.
 type environment struct {
 	log     *logsvc.Server
 	list    *listsvc.Server
@@ -47,12 +49,12 @@
 	logURL  string
 	servers []*http.Server
 	apps    []*fx.App
-	// instances are the addresses of the entry instances.
+	// instances holds the addresses of the entry instances.
 	instances []daemon.Instance
 }
 
-// newStage starts the stand-ins, then the entry instances. On an error nothing
-// is left running.
+// newEnvironment starts the stand-ins, then the entry instances. On an error it
+// stops what it has started.
 func newEnvironment(ctx context.Context, out io.Writer) (*environment, error) {
 	s := &environment{
 		log:    logsvc.New(logsvc.Config{AppendRate: 500}),
@@ -92,7 +94,8 @@
 	return nil
 }
 
-// startBackends starts the engines and the shop, and returns their list rows.
+// startBackends starts the engines and the shop, and returns their entries for
+// the platform's list.
 func (s *environment) startBackends() ([]wire.ListedServer, error) {
 	var rows []wire.ListedServer
 	for i := range engineCount {
@@ -122,7 +125,7 @@
 	}), nil
 }
 
-// serve runs a handler on a free port of loopback and returns its address.
+// serve serves h on a free loopback port and returns the address.
 func (s *environment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -168,13 +171,14 @@
 	cfg.Platform.LoadIntervalMS = 100
 	cfg.Shutdown.GraceMS = graceMS
 	cfg.OperatorKeyHashes = []string{manifest.HashKey(operatorKey)}
-	// The same ring everywhere, so that any instance reads any session token.
+	// All instances have the same keys, so that each accepts the session tokens
+	// of the others.
 	secret := base64.StdEncoding.EncodeToString([]byte("demo-session-secret-of-32-bytes!"))
 	cfg.Session.Keys = []settings.SessionKey{{ID: "demo", Secret: secret}}
 	return cfg
 }
 
-// stop ends the instances first, gracefully, then the stand-ins.
+// stop stops the instances gracefully, then the stand-ins.
 func (s *environment) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/router/internal/standin/balancer/balancer.go
+++ b/router/internal/standin/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer is the stand-in for the platform's balancer: it names the
-// instance that the next request goes to.
+// Package balancer is a stand-in for the platform's load balancer: it selects
+// the instance for the next request.
 package balancer
 
 import (
@@ -7,22 +7,22 @@
 	"sync"
 )
 
-// Balancer goes round the live addresses. The zero value has none. It is safe for
-// concurrent use.
+// Balancer selects addresses by round robin. The zero value has none. It is safe
+// for concurrent use.
 type Balancer struct {
 	mu    sync.Mutex
 	addrs []string
 	next  int
 }
 
-// Set replaces the live addresses.
+// Set replaces the addresses.
 func (b *Balancer) Set(addrs []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addrs = slices.Clone(addrs)
 }
 
-// Pick names the next address; empty where there is none.
+// Pick returns the next address, or "" if there is none.
 func (b *Balancer) Pick() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/router/internal/standin/engine/answer.go
+++ b/router/internal/standin/engine/answer.go
@@ -10,21 +10,23 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Lengths of answers in tokens, of which the first names the quality.
+// Lengths of answers in tokens, including the first token, which states the
+// quality.
 const (
-	// MaxTokens is the longest answer.
+	// MaxTokens is the length of the longest answer.
 	MaxTokens = 1 << 16
-	// minOwnLength and ownLengthSpread shape the length of an answer whose
-	// request names none: from minOwnLength up, by the prompt's hash.
+	// The length of an answer without MaxTokens in the request is
+	// minDefaultLength plus the hash of version and prompt modulo
+	// defaultLengthRange.
 	minDefaultLength   = 16
 	defaultLengthRange = 48
 )
 
-// qualityMark starts the first token of each answer.
+// qualityMark is the prefix of the first token of each answer.
 const qualityMark = "q="
 
-// answer generates the tokens of one answer. They depend on version and prompt
-// only, so that a caller can tell its own whole answer from any other.
+// answer generates the tokens of one answer. They depend on version, prompt and
+// length only, so that a caller can tell its own complete answer from any other.
 type answer struct {
 	seed       uint64
 	length     int
@@ -48,19 +50,20 @@
 	return a
 }
 
-// token returns the i-th token, with the space that parts it from the last.
+// token returns the i-th token with its leading space.
 func (a answer) token(i int) string {
 	if i == 0 {
 		return qualityMark + strconv.FormatFloat(a.quality, 'f', 3, 64)
 	}
-	// The length stands in the last token, so that a shortened answer shows.
+	// The last token states the length, so that a truncated answer is detected.
 	if i == a.length-1 {
 		return fmt.Sprintf(" end-%d-%x", a.length, a.seed)
 	}
 	return " " + strconv.FormatUint(a.mix(uint64(i)), 36)
 }
 
-// mix derives the i-th word from the seed (the finalizer of splitmix64).
+// mix derives the value of the i-th token from the seed (finalizer of
+// splitmix64).
 func (a answer) mix(i uint64) uint64 {
 	z := a.seed + i*0x9e3779b97f4a7c15
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -75,8 +78,8 @@
 	return "length"
 }
 
-// Expected returns the text that every sound engine answers with, without the
-// first token, which names the quality and may change while a version runs.
+// ExpectedText returns the text that every correct engine answers with, without
+// the first token, which states the quality and may change while a version runs.
 func ExpectedText(version string, messages []wire.Message, maxTokens int) string {
 	a := newAnswer(version, messages, maxTokens, 0)
 	var text strings.Builder
@@ -86,8 +89,9 @@
 	return text.String()
 }
 
-// Split parts an answer's text into the quality that its first token names and
-// the rest, which Expected gives. It reports false for a text of another form.
+// ParseAnswer splits an answer's text into the quality stated by its first token
+// and the rest, which a correct engine makes equal to ExpectedText. ok is false
+// if the text has another form.
 func ParseAnswer(text string) (quality float64, rest string, ok bool) {
 	marked, found := strings.CutPrefix(text, qualityMark)
 	if !found {
@@ -101,7 +105,8 @@
 	return quality, marked[len(number):], true
 }
 
-// Check reports whether text is the whole answer of version to messages.
+// IsExpectedAnswer reports whether text is the complete answer of version to
+// messages.
 func IsExpectedAnswer(text, version string, messages []wire.Message, maxTokens int) bool {
 	_, rest, ok := ParseAnswer(text)
 	return ok && rest == ExpectedText(version, messages, maxTokens)
--- a/router/internal/standin/engine/cache.go
+++ b/router/internal/standin/engine/cache.go
@@ -8,13 +8,13 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// maxCacheEvents bounds the events kept for readers; one that asks for older
-// ones sees a gap.
+// maxCacheEvents bounds the events kept for readers. A reader that asks for
+// older ones sees a gap in their numbers.
 const maxCacheEvents = 1024
 
-// prefixCache holds the hashes of the prompt blocks whose state the engine has
-// kept, least recently used out first. One cache serves all versions of the
-// engine, which is simpler than life. It is safe for concurrent use.
+// prefixCache is an LRU cache of the hashes of prompt blocks. All versions of
+// the engine share it, a simplification compared with a real engine. It is safe
+// for concurrent use.
 type prefixCache struct {
 	mu      sync.Mutex
 	blocks  *simplelru.LRU[uint64, struct{}]
@@ -26,13 +26,14 @@
 func newPrefixCache(size int) *prefixCache {
 	c := &prefixCache{}
 	onEvict := func(hash uint64, _ struct{}) { c.evicted = append(c.evicted, hash) }
-	// The one error is a size below 1.
+	// NewLRU fails only for sizes below 1.
 	c.blocks, _ = simplelru.NewLRU(max(size, 1), onEvict)
 	return c
 }
 
-// use looks the prompt up, adds what was missing, and returns how many blocks
-// from the start were there. drop loses the event, as a gap.
+// lookupAndAdd returns how many blocks from the start of the prompt are cached,
+// and adds the missing ones. If dropEvent returns true, the cache event is lost
+// and leaves a gap in the numbers.
 func (c *prefixCache) lookupAndAdd(prompt []uint64, dropEvent func() bool) (cached int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +54,7 @@
 	return cached
 }
 
-// clear empties the cache, as after a crash. No event tells of it.
+// clear empties the cache without an event, as a crash does.
 func (c *prefixCache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,14 +78,14 @@
 	}
 }
 
-// last returns the number of the last event.
+// lastSeq returns the number of the last event.
 func (c *prefixCache) lastSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.seq
 }
 
-// between returns the kept events numbered above since and up to upTo.
+// eventsBetween returns the kept events with numbers in (since, upTo].
 func (c *prefixCache) eventsBetween(since, upTo uint64) []wire.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/internal/standin/engine/chat.go
+++ b/router/internal/standin/engine/chat.go
@@ -13,10 +13,10 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// maxChat bounds the body of a chat request.
+// maxChatBytes bounds the body of a chat request.
 const maxChatBytes = 16 << 20
 
-// otherNonce is echoed under the faults WrongNonce and Crossed.
+// foreignNonce is the nonce echoed under the faults WrongNonce and Crossed.
 const foreignNonce = "00000000-0000-7000-8000-000000000000"
 
 // job is one chat request that the engine has accepted.
@@ -26,12 +26,14 @@
 	answer  answer
 	faults  Faults
 	usage   wire.Usage
-	// blocks and hit are the prompt's blocks and how many were cached.
+	// blocks are the hashes of the prompt's blocks, cachedBlocks is how many
+	// of them, from the start, were cached.
 	blocks       []uint64
 	cachedBlocks int
-	// nonce is what the answer echoes.
+	// nonce is echoed in the response.
 	nonce string
-	// from is the first chunk to send, above 0 for a resumed stream.
+	// firstChunk is the index of the first chunk to send, above 0 for a resumed
+	// stream.
 	firstChunk int
 }
 
@@ -58,8 +60,8 @@
 	s.run(ctx, w, j)
 }
 
-// accept decodes and checks a request. It answers refusals itself: all of them
-// say that the request was not run.
+// accept decodes and checks a request. It answers refusals itself; each carries
+// wire.HeaderNotRun.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request) (*job, bool) {
 	active := s.Faults.Get()
 	j := &job{faults: active, nonce: r.Header.Get(wire.HeaderAttempt)}
@@ -94,7 +96,8 @@
 	return j, true
 }
 
-// prepare works out the answer and its usage.
+// prepare computes the answer and its usage, and applies the faults that change
+// them.
 func (s *Server) prepare(j *job) {
 	quality := j.version.Quality
 	if bad, ok := j.faults.Quality[j.version.ID]; ok {
@@ -144,7 +147,8 @@
 	s.updateStats(func(st *Stats) { st.Completed++ })
 }
 
-// prefill waits out the time to the first token, which cached blocks shorten.
+// prefill waits for the time to the first token, which cached blocks shorten.
+// It reports whether ctx is still active.
 func (s *Server) prefill(ctx context.Context, j *job) bool {
 	loseEvent := func() bool {
 		return s.Faults.Take(func(f *Faults) *faults.Count { return &f.CacheGaps })
@@ -155,15 +159,17 @@
 	return sleep(ctx, wait)
 }
 
-// stopped ends a request that was not answered in full: a crash cuts the
-// connection; else the caller has gone, which cancels the work.
+// endInterrupted ends a request that was not answered in full: after a crash it
+// aborts the connection; otherwise the caller has disconnected and the request
+// counts as cancelled.
 func (s *Server) endInterrupted(ctx context.Context) {
 	abortIfCrashed(ctx)
 	s.updateStats(func(st *Stats) { st.Cancelled++ })
 }
 
-// refuse answers a request that was not run, under its own nonce: a refusal of
-// another attempt would prove nothing about this one.
+// refuse answers a request that was not run. It echoes the request's own nonce
+// even under WrongNonce, since a refusal of another attempt proves nothing
+// about this one.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, code, message string) {
 	s.updateStats(func(st *Stats) { st.Refused++ })
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
--- a/router/internal/standin/engine/engine.go
+++ b/router/internal/standin/engine/engine.go
@@ -1,17 +1,17 @@
-// Package engine is the stand-in for a model engine: OpenAI-compatible chat
+// Package engine is a stand-in for a model engine: OpenAI-compatible chat
 // completions, plain and streamed, with continuous batching, a bounded prefix
-// cache, lagging load reports and orders.
+// cache, delayed load reports and orders that load and unload versions.
 //
 //	POST /v1/chat/completions     Model is a version, "model@version"
 //	GET  /v1/models               the loaded versions
 //	GET  /load?since=SEQ          wire.LoadReport with cache events after SEQ
-//	PUT  /orders, GET /orders     the wanted state; see orders.go
+//	PUT  /orders, GET /orders     the versions to load; see orders.go
 //	GET  /stats                   Stats, for tests
 //	GET  /faults, PUT /faults     see Faults
 //
-// Each event of a stream has an SSE id, counted from 0 without gaps. A request
-// with the header Last-Event-ID resumes the stream behind that event. The
-// attempt's nonce (wire.HeaderAttempt) is echoed in the answer's header.
+// The events of a stream have consecutive SSE ids from 0. A request with the
+// header Last-Event-ID resumes the stream after that event. The response header
+// echoes the attempt's nonce (wire.HeaderAttempt).
 package engine
 
 import (
@@ -27,7 +27,7 @@
 	"masticplank.example/router/internal/standin/faults"
 )
 
-// errCrashed is the cause that ends every request of a crashed engine.
+// errCrashed is the cancellation cause of the requests of a crashed engine.
 var errCrashed = errors.New("engine: crashed")
 
 // Defaults of Config.
@@ -39,45 +39,46 @@
 
 // Config of an engine.
 type Config struct {
-	// Versions that it can load; all are loaded at the start. None means
-	// DefaultVersions.
+	// Versions that the engine can load; all are loaded at the start. An empty
+	// list means DefaultVersions.
 	Versions []Version
-	// Slots is how many requests run at once; 0 is DefaultSlots.
+	// Slots is the maximum number of running requests; 0 is DefaultSlots.
 	Slots int
-	// QueueLimit is how many wait for a slot; 0 is DefaultQueueLimit, and a
-	// negative number is no queue.
+	// QueueLimit is the maximum number of requests that wait for a slot; 0 is
+	// DefaultQueueLimit, and a negative number disables the queue.
 	QueueLimit int
-	// CacheBlocks is the size of the prefix cache; 0 is DefaultCacheBlocks.
+	// CacheBlocks is the capacity of the prefix cache in blocks; 0 is
+	// DefaultCacheBlocks.
 	CacheBlocks int
-	// ReportLag is how old a load report may be.
+	// ReportLag is the maximum age of a load report.
 	ReportLag time.Duration
-	// CheckFencing refuses orders with an old fencing number; else the number
-	// is ignored.
+	// CheckFencing refuses orders with an old fencing number; otherwise the
+	// number is ignored.
 	CheckFencing bool
-	// Seed of the error rate.
+	// Seed of the random numbers for the fault ErrorRate.
 	Seed uint64
 	// Now is the engine's clock; nil is time.Now.
 	Now func() time.Time
 }
 
-// Stats count requests, for tests.
+// Stats counts requests, for tests.
 type Stats struct {
-	// Started requests had a slot; each ends as one of the three below, or in
-	// a crash.
+	// Started counts the requests that got a slot. Each of them is counted in
+	// one of the next three fields unless a crash ended it.
 	Started   int `json:"started"`
 	Completed int `json:"completed"`
 	Cancelled int `json:"cancelled"`
 	Failed    int `json:"failed"`
-	// Refused requests were told that they were not run.
+	// Refused counts the requests refused with wire.HeaderNotRun.
 	Refused int `json:"refused"`
 	Crashes int `json:"crashes"`
-	// Tokens generated, also for those that were cancelled.
+	// Tokens generated, including those of cancelled requests.
 	Tokens int `json:"tokens"`
-	// ByVersion counts started requests.
+	// ByVersion counts the started requests of each version.
 	ByVersion map[string]int `json:"by_version"`
 }
 
-// Server is the engine. It is safe for concurrent use.
+// Server is the engine's HTTP handler. It is safe for concurrent use.
 type Server struct {
 	Faults  faults.Injector[Faults]
 	cfg     Config
@@ -89,7 +90,7 @@
 	handler http.Handler
 
 	mu sync.Mutex
-	// life ends when the engine crashes; the next one starts at once, but the
+	// runCtx is cancelled when the engine crashes and replaced at once, but the
 	// engine serves nothing before downUntil.
 	runCtx    context.Context
 	cancelRun context.CancelCauseFunc
@@ -144,7 +145,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// common adds the time after a crash to the fault Down.
+// commonFaults returns the common faults, with Down set during the time after
+// a crash.
 func (s *Server) commonFaults() faults.Common {
 	common := s.Faults.Get().Common
 	s.mu.Lock()
@@ -155,8 +157,8 @@
 	return common
 }
 
-// Crash cuts all connections in use, empties the cache and stops serving for
-// the time that the faults name.
+// Crash aborts all connections in use, empties the cache and stops serving for
+// the time set by the fault CrashMS.
 func (s *Server) Crash() {
 	downtime := s.Faults.Get().downtime()
 	s.mu.Lock()
@@ -168,7 +170,8 @@
 	s.cache.clear()
 }
 
-// bind returns a context that ends with the request or the engine's life.
+// bindToRun returns a context that ends with the request or with the engine's
+// next crash.
 func (s *Server) bindToRun(ctx context.Context) (context.Context, context.CancelFunc) {
 	s.mu.Lock()
 	runCtx := s.runCtx
@@ -181,7 +184,7 @@
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns a copy of the counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,14 +196,14 @@
 	return out
 }
 
-// count changes the counts.
+// updateStats changes the counts under the lock.
 func (s *Server) updateStats(update func(*Stats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	update(&s.stats)
 }
 
-// strikes draws whether a fault of the given rate hits.
+// drawFault reports whether a fault of the given rate (0 to 1) strikes now.
 func (s *Server) drawFault(rate float64) bool {
 	if rate <= 0 {
 		return false
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -14,7 +14,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// testVersion has round times that add up by hand.
+// testVersion has durations of different magnitude, so that a sum shows its
+// parts.
 func testVersion() Version {
 	return Version{
 		ID:         "m@1",
@@ -48,8 +49,8 @@
 	})
 }
 
-// readStream joins a stream's text. It reports the ids in order, and whether the
-// usage and the explicit end came.
+// readStream concatenates a stream's text. It also returns the event ids in
+// order and whether the usage and the end marker were received.
 func readStream(t *testing.T, body string) (text string, ids []int, whole bool) {
 	t.Helper()
 	var usage *wire.Usage
@@ -100,7 +101,7 @@
 				r.Stream = true
 				text, ids, whole := readStream(t, chat(t.Context(), s, r).Body)
 				if !whole || text != plain.Choices[0].Message.Content {
-					t.Errorf("stream %q, whole %v", text, whole)
+					t.Errorf("stream %q, complete %v", text, whole)
 				}
 				for i, id := range ids {
 					if i != id {
@@ -111,7 +112,7 @@
 		}
 		other := ExpectedText("m@1", user("rag"), 40)
 		if other == ExpectedText("m@1", user("rug"), 40) || other == ExpectedText("m@2", user("rag"), 40) {
-			t.Error("answers of another prompt or version are alike")
+			t.Error("answers to different prompts or of different versions are equal")
 		}
 	})
 }
@@ -151,21 +152,23 @@
 	tests := []struct {
 		faults string
 		stream bool
-		// check looks at the reply; the engine's own text is known.
-		cut    bool
-		nonce  string
-		own    bool
-		whole  bool
-		double bool
+		// aborted, nonce: of the response. expected: the text is the expected answer.
+		// complete: the response was received to its end. duplicated: an event id
+		// was sent twice.
+		aborted    bool
+		nonce      string
+		expected   bool
+		complete   bool
+		duplicated bool
 	}{
-		{faults: `{"truncate":1}`, stream: true, cut: true, nonce: "n1"},
-		{faults: `{"truncate":1}`, cut: true, nonce: "n1"},
+		{faults: `{"truncate":1}`, stream: true, aborted: true, nonce: "n1"},
+		{faults: `{"truncate":1}`, aborted: true, nonce: "n1"},
 		{faults: `{"end_early":1}`, stream: true, nonce: "n1"},
-		{faults: `{"lost_reply":1}`, cut: true},
-		{faults: `{"lost_reply":1}`, stream: true, cut: true, nonce: "n1", own: true},
-		{faults: `{"wrong_nonce":1}`, nonce: foreignNonce, own: true, whole: true},
-		{faults: `{"crossed":1}`, nonce: foreignNonce, whole: true},
-		{faults: `{"duplicate_chunk":1}`, stream: true, nonce: "n1", whole: true, double: true},
+		{faults: `{"lost_reply":1}`, aborted: true},
+		{faults: `{"lost_reply":1}`, stream: true, aborted: true, nonce: "n1", expected: true},
+		{faults: `{"wrong_nonce":1}`, nonce: foreignNonce, expected: true, complete: true},
+		{faults: `{"crossed":1}`, nonce: foreignNonce, complete: true},
+		{faults: `{"duplicate_chunk":1}`, stream: true, nonce: "n1", complete: true, duplicated: true},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.faults, tt.stream), func(t *testing.T) {
@@ -173,27 +176,27 @@
 			standintest.SetFaults(s, tt.faults)
 			r := wire.ChatRequest{Model: "m@1", Messages: user("x"), Stream: tt.stream}
 			reply := chat(t.Context(), s, r)
-			if reply.Aborted != tt.cut || reply.Header.Get(wire.HeaderAttempt) != tt.nonce {
-				t.Errorf("cut %v, nonce %q", reply.Aborted, reply.Header.Get(wire.HeaderAttempt))
+			if reply.Aborted != tt.aborted || reply.Header.Get(wire.HeaderAttempt) != tt.nonce {
+				t.Errorf("aborted %v, nonce %q", reply.Aborted, reply.Header.Get(wire.HeaderAttempt))
 			}
 			var text string
 			var ids []int
-			whole := false
+			complete := false
 			if tt.stream {
-				text, ids, whole = readStream(t, reply.Body)
-			} else if !tt.cut {
-				text, whole = readPlain(t, reply.Body).Choices[0].Message.Content, true
+				text, ids, complete = readStream(t, reply.Body)
+			} else if !tt.aborted {
+				text, complete = readPlain(t, reply.Body).Choices[0].Message.Content, true
 			}
-			if whole != tt.whole || IsExpectedAnswer(text, "m@1", r.Messages, 0) != tt.own {
-				t.Errorf("whole %v, own %v", whole, !tt.own)
+			if complete != tt.complete || IsExpectedAnswer(text, "m@1", r.Messages, 0) != tt.expected {
+				t.Errorf("complete %v, expected answer %v", complete, !tt.expected)
 			}
-			if doubled := len(ids) > 0 && ids[len(ids)-1] == len(ids)-2; doubled != tt.double {
+			if duplicated := len(ids) > 0 && ids[len(ids)-1] == len(ids)-2; duplicated != tt.duplicated {
 				t.Errorf("ids %v", ids)
 			}
-			// The fault struck once; the next answer is sound.
+			// The fault strikes once; the next answer is correct.
 			next := readPlain(t, chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}).Body)
 			if !IsExpectedAnswer(next.Choices[0].Message.Content, "m@1", r.Messages, 0) {
-				t.Error("the next answer is not sound")
+				t.Error("the next answer is not the expected one")
 			}
 		})
 	}
@@ -226,7 +229,7 @@
 	c.lookupAndAdd([]uint64{1, 2}, kept)
 	c.lookupAndAdd([]uint64{3}, kept)
 	if hit := c.lookupAndAdd([]uint64{1}, func() bool { return true }); hit != 0 {
-		t.Error("the oldest block is still there")
+		t.Error("the oldest block is still cached")
 	}
 	c.lookupAndAdd([]uint64{4}, kept)
 	events := c.eventsBetween(0, c.lastSeq())
@@ -256,7 +259,7 @@
 		send("over", 9)
 		for _, want := range []string{"over429", "first200", "high200", "low200"} {
 			if got := <-ended; got != want {
-				t.Errorf("%s ended where %s was due", got, want)
+				t.Errorf("got %s, want %s", got, want)
 			}
 		}
 	})
@@ -294,11 +297,11 @@
 			}()
 			synctest.Wait()
 		}
-		// The crash comes from outside a slot here; a marked prompt does the same.
+		// Called directly here; below, a prompt with the mark causes the crash.
 		s.Crash()
 		for range 3 {
 			if !<-cut {
-				t.Error("a request outlived the crash")
+				t.Error("the crash did not abort a request")
 			}
 		}
 		if reply := chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}); !reply.Aborted {
@@ -307,14 +310,14 @@
 		time.Sleep(3 * time.Second)
 		marked := wire.ChatRequest{Model: "m@1", Messages: user("a " + CrashMark)}
 		if reply := chat(t.Context(), s, marked); !reply.Aborted {
-			t.Errorf("the marked prompt: %+v", reply)
+			t.Errorf("prompt with the crash mark: %+v", reply)
 		}
 		time.Sleep(3 * time.Second)
 		if reply := chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}); reply.Status != http.StatusOK {
-			t.Errorf("after the crash: %+v", reply)
+			t.Errorf("after the downtime: %+v", reply)
 		}
 		if running, _ := s.slots.load(); running != 0 {
-			t.Errorf("%d slots are held", running)
+			t.Errorf("%d slots are still held", running)
 		}
 	})
 }
@@ -363,7 +366,7 @@
 		}
 		standintest.SetFaults(s, `{"leaving":true}`)
 		if r := report(); r.Leaving || len(r.Versions) != 2 {
-			t.Errorf("without a lag: %+v", r)
+			t.Errorf("the report changed before the lag: %+v", r)
 		}
 		time.Sleep(time.Second)
 		if r := report(); !r.Leaving || len(r.Versions) != 1 {
--- a/router/internal/standin/engine/generate.go
+++ b/router/internal/standin/engine/generate.go
@@ -12,18 +12,18 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// firstToken is the time to the first token: the version's own, and more for
-// each block of the prompt that was not cached.
+// timeToFirstToken is the version's FirstToken plus PerBlock for each block of
+// the prompt that was not cached.
 func (j *job) timeToFirstToken() time.Duration {
 	uncached := len(j.blocks) - j.cachedBlocks
 	return j.version.FirstToken + time.Duration(uncached)*j.version.PerBlock
 }
 
-// late is the fault LateMS as a duration.
+// firstTokenDelay is the fault LateMS as a duration.
 func (f Faults) firstTokenDelay() time.Duration { return time.Duration(f.LateMS) * time.Millisecond }
 
-// step waits for one token. A full batch doubles the time between tokens, as
-// in an engine that is bound by memory bandwidth.
+// waitToken waits for the time of one token. A full batch doubles the time
+// between tokens, as in an engine that is bound by memory bandwidth.
 func (s *Server) waitToken(ctx context.Context, j *job) bool {
 	interval := j.version.InterToken
 	if interval == 0 {
@@ -35,7 +35,7 @@
 	return sleep(ctx, j.faults.scaled(interval))
 }
 
-// pause waits for d and reports whether ctx still lives.
+// sleep waits for d and reports whether ctx is still active.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -102,7 +102,8 @@
 	return err == nil
 }
 
-// envelope is what plain answers and chunks share.
+// envelope returns a response with the fields common to plain answers and
+// chunks.
 func (s *Server) envelope(j *job, object string, choice wire.ChatChoice) wire.ChatResponse {
 	return wire.ChatResponse{
 		ID:      "chatcmpl-" + j.nonce,
--- a/router/internal/standin/engine/orders.go
+++ b/router/internal/standin/engine/orders.go
@@ -12,11 +12,11 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// maxOrder bounds the body of an order.
+// maxOrderBytes bounds the body of an order.
 const maxOrderBytes = 1 << 20
 
-// orders holds what the engine has been told to load. It is safe for
-// concurrent use.
+// orders holds the last order, which lists the versions that the engine has
+// loaded. It is safe for concurrent use.
 type orders struct {
 	available    []Version
 	checkFencing bool
@@ -41,7 +41,7 @@
 	return o
 }
 
-// loaded returns the version with that name where it is loaded.
+// loaded returns the version with the given ID if it is loaded.
 func (o *orders) loaded(id string) (Version, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,14 +60,15 @@
 	return Version{}, false
 }
 
-// versions returns the names of the loaded versions.
+// versions returns the IDs of the loaded versions.
 func (o *orders) versions() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.state.Versions)
 }
 
-// apply takes an order. It reports a code and a text where it refuses.
+// apply replaces the order. If it refuses, it returns an error code and a
+// message.
 func (o *orders) apply(order wire.Order, fencing uint64) (code, message string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -84,8 +85,8 @@
 	return "", ""
 }
 
-// putOrder takes the whole wanted state. With checked fencing numbers, an order
-// without a number counts as number 0.
+// putOrder replaces the list of loaded versions. If the engine checks fencing
+// numbers, an order without one counts as number 0.
 func (s *Server) putOrder(w http.ResponseWriter, r *http.Request) {
 	var order wire.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes)).Decode(&order); err != nil {
--- a/router/internal/standin/engine/report.go
+++ b/router/internal/standin/engine/report.go
@@ -9,13 +9,14 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// reporter keeps the last load report until it is as old as the lag.
+// reportCache keeps the last load report until it is as old as ReportLag.
 type reportCache struct {
 	mu   sync.Mutex
 	last wire.LoadReport
 }
 
-// loadReport returns a report between 0 and ReportLag old, without events.
+// loadReport returns a report that is at most ReportLag old, without cache
+// events.
 func (s *Server) loadReport() wire.LoadReport {
 	s.report.mu.Lock()
 	defer s.report.mu.Unlock()
--- a/router/internal/standin/engine/slots.go
+++ b/router/internal/standin/engine/slots.go
@@ -10,8 +10,8 @@
 // errBusy means that both the slots and the queue are full.
 var errBusy = errors.New("engine: slots and queue are full")
 
-// slots admits requests to the running batch: at most limit at once, the others
-// by priority and then in order of arrival. It is safe for concurrent use.
+// slots admits requests to the running batch: at most limit at once. The others
+// wait in order of priority, then of arrival. It is safe for concurrent use.
 type slots struct {
 	limit      int
 	queueLimit int
@@ -22,8 +22,8 @@
 	queue   waiters
 }
 
-// acquire waits for a slot. It returns errBusy at once with a full queue, and
-// the context's error where that ends first; then no slot is held.
+// acquire waits for a slot. It returns errBusy at once if the queue is full, and
+// the context's error if ctx ends first. No slot is held after an error.
 func (s *slots) acquire(ctx context.Context, priority int) error {
 	s.mu.Lock()
 	if s.running < s.limit {
@@ -49,7 +49,7 @@
 	}
 }
 
-// abandon takes w from the queue, or hands back the slot that it was granted
+// abandon removes w from the queue, or releases the slot if it was granted one
 // in the meantime.
 func (s *slots) abandon(w *waiter) {
 	s.mu.Lock()
@@ -61,7 +61,7 @@
 	s.releaseLocked()
 }
 
-// release hands the slot to the next waiter.
+// release frees the slot or hands it to the next waiter.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,7 @@
 	close(next.granted)
 }
 
-// load returns how many run and how many wait.
+// load returns the numbers of running and of waiting requests.
 func (s *slots) load() (running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,12 +88,12 @@
 type waiter struct {
 	priority int
 	seq      uint64
-	// index is the place in the heap, -1 outside.
+	// index is the position in the heap, -1 after removal.
 	index   int
 	granted chan struct{}
 }
 
-// waiters is a heap by priority, then by arrival.
+// waiters is a heap ordered by priority, then by arrival.
 type waiters []*waiter
 
 func (q waiters) Len() int { return len(q) }
--- a/router/internal/standin/engine/stream.go
+++ b/router/internal/standin/engine/stream.go
@@ -10,7 +10,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// chunkObject is the object name of a chunk.
+// chunkObject is the field "object" of a chunk.
 const chunkObject = "chat.completion.chunk"
 
 // stream writes server-sent events.
@@ -19,7 +19,8 @@
 	flush *http.ResponseController
 }
 
-// send writes one event; id is its number in the stream.
+// send writes and flushes one event; id is its number in the stream. It reports
+// whether the caller is still connected.
 func (s stream) send(id int, data []byte) bool {
 	if _, err := fmt.Fprintf(s.w, "id: %d\ndata: %s\n\n", id, data); err != nil {
 		return false
@@ -27,8 +28,8 @@
 	return s.flush.Flush() == nil
 }
 
-// sendStream answers with one chunk per token, a last chunk with the usage, and
-// the explicit end.
+// sendStream sends one chunk per token, a last chunk with the usage, and the
+// end marker. It reports whether the request counts as completed.
 func (s *Server) sendStream(ctx context.Context, w http.ResponseWriter, j *job) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
@@ -71,12 +72,12 @@
 	if !out.send(i, data) {
 		return false
 	}
-	// Not before the second chunk: the first may still be held back by a reader.
+	// Not the first chunk: a reader may hold it back until the second one.
 	duplicate := i > 0 && s.Faults.Take(func(f *Faults) *faults.Count { return &f.DuplicateChunk })
 	return !duplicate || out.send(i, data)
 }
 
-// sendEnd sends the last chunk and the end.
+// sendEnd sends the last chunk and the end marker.
 func (s *Server) sendEnd(out stream, j *job) bool {
 	reason := j.answer.finishReason()
 	choice := wire.ChatChoice{Delta: &wire.Message{}, FinishReason: &reason}
--- a/router/internal/standin/engine/version.go
+++ b/router/internal/standin/engine/version.go
@@ -11,17 +11,18 @@
 type Version struct {
 	// ID is "model@version".
 	ID string `json:"id"`
-	// Quality (0 to 1) is embedded in its answers, for the rating stand-in.
+	// Quality (0 to 1) is written into the answers, for the rating stand-in.
 	Quality float64 `json:"quality"`
-	// FirstToken is the time to the first token of an empty prompt.
+	// FirstToken is the time to the first token of a fully cached prompt.
 	FirstToken time.Duration `json:"first_token"`
-	// PerBlock is added for each block of the prompt that is not cached.
+	// PerBlock is added to it for each block of the prompt that is not cached.
 	PerBlock time.Duration `json:"per_block"`
-	// InterToken is the time between tokens with one request running.
+	// InterToken is the time between tokens while one request runs.
 	InterToken time.Duration `json:"inter_token"`
 }
 
-// DefaultVersions are a cheap, quick, plain version and a better, slower one.
+// DefaultVersions returns a fast version of low quality and a slower, better
+// one.
 func DefaultVersions() []Version {
 	return []Version{
 		{
@@ -41,9 +42,9 @@
 	}
 }
 
-// ParseVersion reads "model@version" with optional settings after commas, as in
-// "small@1,quality=0.6,first=20ms,block=1ms,inter=5ms". What is left out is
-// quality 0.5 and no time at all.
+// ParseVersion parses "model@version" with optional settings after commas, as in
+// "small@1,quality=0.6,first=20ms,block=1ms,inter=5ms". The defaults are quality
+// 0.5 and zero durations.
 func ParseVersion(text string) (Version, error) {
 	id, settings, _ := strings.Cut(text, ",")
 	model, number, ok := strings.Cut(id, "@")
@@ -62,7 +63,7 @@
 	return v, nil
 }
 
-// set reads one "name=value".
+// set applies one setting of the form "name=value".
 func (v *Version) set(setting string) error {
 	name, value, _ := strings.Cut(setting, "=")
 	switch name {
--- a/router/internal/standin/faults/faults.go
+++ b/router/internal/standin/faults/faults.go
@@ -1,5 +1,5 @@
-// Package faults holds the switches of a stand-in: a typed set of faults that
-// is read and replaced over HTTP while the stand-in runs.
+// Package faults injects faults into stand-ins: a typed set of faults that is
+// read and replaced over HTTP while the stand-in runs.
 package faults
 
 import (
@@ -11,39 +11,39 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Path is where every stand-in serves its switches: GET reads, PUT replaces.
+// Path is where every stand-in serves its faults: GET reads, PUT replaces.
 const Path = "/faults"
 
-// maxBody bounds the body of a PUT.
+// maxBodyBytes bounds the body of a PUT.
 const maxBodyBytes = 1 << 20
 
-// Always as a Count means every time, until the switch is set again.
+// Always is the Count of a fault that strikes every time, until it is replaced.
 const Always Count = -1
 
-// Count is how many more times a fault strikes: 0 never, Always each time.
+// Count is how many more times a fault strikes; 0 means never.
 type Count int
 
 // Common are the faults that every stand-in has.
 type Common struct {
-	// Down cuts every connection before the request has any effect.
+	// Down aborts every connection before the request has any effect.
 	Down bool `json:"down,omitempty"`
-	// DelayMS is waited before each request is handled.
+	// DelayMS delays the handling of each request, in milliseconds.
 	DelayMS int `json:"delay_ms,omitempty"`
 }
 
-// Delay is DelayMS as a duration.
+// Delay returns DelayMS as a duration.
 func (c Common) Delay() time.Duration {
 	return time.Duration(c.DelayMS) * time.Millisecond
 }
 
-// Board holds the faults T of one stand-in. The zero value has no fault
-// switched on. It is safe for concurrent use.
+// Injector holds the faults T of one stand-in. The zero value injects none. It
+// is safe for concurrent use.
 type Injector[T any] struct {
 	mu     sync.Mutex
 	active T
 }
 
-// Get returns the faults as they are now.
+// Get returns the current faults.
 func (i *Injector[T]) Get() T {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -57,8 +57,8 @@
 	i.active = set
 }
 
-// Take uses up one strike of the count that pick points at, and says whether
-// the fault strikes now.
+// Take reports whether the fault whose count pick returns strikes now, and
+// decrements the count if it is positive.
 func (i *Injector[T]) Take(pick func(*T) *Count) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -97,10 +97,11 @@
 	WriteJSON(w, http.StatusOK, set)
 }
 
-// Cut ends the connection without an answer, as a process that dies would.
+// AbortConnection closes the connection without completing the response, as the
+// death of the process does. It panics with http.ErrAbortHandler.
 func AbortConnection() { panic(http.ErrAbortHandler) }
 
-// Sleep waits for d, and reports false where the request ended first.
+// Sleep waits for d. It returns false if the request's context ended first.
 func Sleep(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -115,21 +116,22 @@
 	}
 }
 
-// WriteJSON answers with v. A caller that has gone is no fault of the stand-in.
+// WriteJSON answers with v as JSON. Write errors are ignored: the caller has
+// disconnected.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// WriteError answers with the error body that all services share.
+// WriteError answers with the error body common to all services.
 func WriteError(w http.ResponseWriter, status int, code, message string) {
 	body := wire.Error{Error: wire.ErrorBody{Code: code, Message: message}}
 	WriteJSON(w, status, body)
 }
 
-// Guard puts the common faults before next: Down cuts, DelayMS waits. The
-// switches themselves stay reachable, so that a fault can be ended again.
+// Middleware applies the common faults before next. Path stays reachable, so
+// that the faults can be switched off again.
 func Middleware(common func() Common, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == Path {
@@ -142,7 +144,7 @@
 		if !Sleep(r, common().Delay()) {
 			return
 		}
-		// It may have gone down during the wait.
+		// Down may have been set during the delay.
 		if common().Down {
 			AbortConnection()
 		}
--- a/router/internal/standin/listsvc/listsvc.go
+++ b/router/internal/standin/listsvc/listsvc.go
@@ -1,7 +1,7 @@
-// Package listsvc is the stand-in for the platform's list of live and leaving
+// Package listsvc is a stand-in for the platform's list of live and leaving
 // instances and backend servers.
 //
-//	GET    /instances             the list, as old as the lag fault makes it
+//	GET    /instances             the list as of LagMS ago
 //	PUT    /instances             replaces the list
 //	PUT    /servers/{id}          adds or replaces one backend server
 //	DELETE /servers/{id}
@@ -25,15 +25,15 @@
 )
 
 const (
-	// maxBody bounds a body.
+	// maxBodyBytes bounds the body of a request.
 	maxBodyBytes = 32 << 20
-	// maxPast bounds how many former lists are kept for the lag.
+	// maxHistory is how many former lists are kept for the fault LagMS.
 	maxHistory = 1024
 )
 
 // Config of the service.
 type Config struct {
-	// List is what it starts with.
+	// List is the initial list.
 	List wire.InstanceList
 	// Now is the service's clock; nil is time.Now.
 	Now func() time.Time
@@ -42,11 +42,11 @@
 // Faults of the list service.
 type Faults struct {
 	faults.Common
-	// LagMS is how old the list is that readers get.
+	// LagMS is the age of the list that readers get, in milliseconds.
 	LagMS int `json:"lag_ms,omitempty"`
 }
 
-// state is one list and since when it has been in force.
+// snapshot is a list and the time from which it was in force.
 type snapshot struct {
 	since time.Time
 	list  wire.InstanceList
@@ -59,7 +59,7 @@
 	handler http.Handler
 
 	mu sync.Mutex
-	// past holds the lists in order; the last one is in force.
+	// history holds the lists in order of time; the last one is in force.
 	history []snapshot
 }
 
@@ -85,7 +85,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// Update changes the list by edit, which gets a copy that it may alter.
+// Update changes the list: edit gets a copy that it may modify.
 func (s *Server) Update(edit func(*wire.InstanceList)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// asOf returns the list that was in force at t, or the oldest known.
+// asOf returns the list that was in force at t, or the oldest one kept.
 func (s *Server) asOf(t time.Time) snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return s.history[0]
 }
 
-// get answers 304 to a reader that names the list which it would get.
+// getList answers with the list, or with 304 if If-None-Match names its ETag.
 func (s *Server) getList(w http.ResponseWriter, r *http.Request) {
 	lag := time.Duration(s.Faults.Get().LagMS) * time.Millisecond
 	current := s.asOf(s.now().Add(-lag))
@@ -183,7 +183,8 @@
 	return func(i wire.ListedInstance) bool { return i.ID == id }
 }
 
-// decode reads a JSON body strictly; on a fault it answers 400 itself.
+// decode decodes a JSON body and rejects unknown fields. On an error it answers
+// 400 itself and returns false.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
--- a/router/internal/standin/logsvc/logsvc.go
+++ b/router/internal/standin/logsvc/logsvc.go
@@ -1,8 +1,8 @@
-// Package logsvc is the stand-in for the platform's append-only log service.
+// Package logsvc is a stand-in for the platform's append-only log service.
 //
-//	POST /append                        body is the blob -> {"offset":N}
-//	GET  /read?from=&limit=&wait_ms=    -> wire.LogPage; 410 where trimmed
-//	POST /trim?before=                  drops older entries now
+//	POST /append                        body is the entry's data -> {"offset":N}
+//	GET  /read?from=&limit=&wait_ms=    -> wire.LogPage; 410 if from is trimmed
+//	POST /trim?before=                  trims the entries before an offset
 //	GET  /faults, PUT /faults           see Faults
 package logsvc
 
@@ -21,21 +21,21 @@
 
 // Limits of one request.
 const (
-	// MaxBlob is the largest append in bytes.
+	// MaxAppendBytes is the maximum size of an entry's data in bytes.
 	MaxAppendBytes = 8 << 20
-	// MaxLimit is the most entries in one answer.
+	// MaxReadEntries is the maximum number of entries in one response.
 	MaxReadEntries = 1000
-	// MaxWait is the longest long poll.
+	// MaxLongPoll is the maximum wait of a read.
 	MaxLongPoll = 30 * time.Second
 )
 
-// Config of the service. The zero value keeps everything and takes any rate.
+// Config of the service. The zero value has no limits.
 type Config struct {
-	// Retention is how long an entry is kept; 0 is for ever.
+	// Retention is how long an entry is kept; 0 is forever.
 	Retention time.Duration
-	// MaxEntries is how many entries are kept; 0 is all.
+	// MaxEntries is the maximum number of entries kept; 0 is no limit.
 	MaxEntries int
-	// AppendRate is the most appends a second; 0 is no limit.
+	// AppendRate is the maximum number of appends per second; 0 is no limit.
 	AppendRate int
 	// Now is the service's clock; nil is time.Now.
 	Now func() time.Time
@@ -46,18 +46,19 @@
 	faults.Common
 	// RefuseAppends answers appends with 503 and the code not_appended.
 	RefuseAppends bool `json:"refuse_appends,omitempty"`
-	// FailAppends answers appends with a bare 500 after they took effect.
+	// FailAppends answers appends with 500 after they took effect, without the
+	// code not_appended.
 	FailAppends faults.Count `json:"fail_appends,omitempty"`
-	// LostReply cuts the connection after the append took effect.
+	// LostReply aborts the connection after the append took effect.
 	LostReply faults.Count `json:"lost_reply,omitempty"`
-	// LostBefore cuts the connection before the append takes effect.
+	// LostBefore aborts the connection before the append takes effect.
 	LostBefore faults.Count `json:"lost_before,omitempty"`
-	// LateEffectMS delays the effect of an append, also past its caller's
-	// patience: a caller that gave up still finds its entry later.
+	// LateEffectMS delays the effect of an append, in milliseconds, even after
+	// the caller has timed out: its entry then appears later.
 	LateEffectMS int `json:"late_effect_ms,omitempty"`
 }
 
-// Server is the service. It is safe for concurrent use.
+// Server is the service's HTTP handler. It is safe for concurrent use.
 type Server struct {
 	Faults  faults.Injector[Faults]
 	store   *store
@@ -90,7 +91,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// Trim drops all entries before offset.
+// Trim removes all entries before offset.
 func (s *Server) Trim(offset uint64) { s.store.trimBefore(offset) }
 
 func (s *Server) serveAppend(w http.ResponseWriter, r *http.Request) {
@@ -111,7 +112,8 @@
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostBefore }) {
 		faults.AbortConnection()
 	}
-	// Not bound to the request: what was sent takes effect in the end.
+	// Not bound to the request's context: an append that was received takes
+	// effect even if the caller has disconnected.
 	time.Sleep(time.Duration(s.Faults.Get().LateEffectMS) * time.Millisecond)
 	offset := s.store.append(data)
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
@@ -165,7 +167,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// readQuery is what a GET /read asks for.
+// readQuery holds the parameters of GET /read.
 type readQuery struct {
 	from  uint64
 	limit int
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// The worst case of a lost reply: the caller has long given up when its append
-// takes effect.
+// The worst case of a lost reply: the append takes effect long after its caller
+// has timed out.
 func TestLateEffectOutlivesItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
--- a/router/internal/standin/logsvc/store.go
+++ b/router/internal/standin/logsvc/store.go
@@ -15,10 +15,11 @@
 
 	mu      sync.Mutex
 	entries []wire.LogEntry
-	// first is the offset of entries[0], or of the next append with none kept.
+	// first is the offset of entries[0], or of the next append if no entry is
+	// kept.
 	first    uint64
 	lastTime time.Time
-	// grown is closed at the next append.
+	// appended is closed by the next append.
 	appended chan struct{}
 }
 
@@ -31,7 +32,8 @@
 	}
 }
 
-// append adds data at the head. Times never fall, even where the clock does.
+// append adds data at the head and returns its offset. The entries' times never
+// decrease, even if the clock does.
 func (s *store) append(data []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,7 +51,7 @@
 }
 
 // read returns up to limit entries from offset from, whether that offset is
-// still kept, and a channel that is closed at the next append.
+// still kept, and a channel that is closed by the next append.
 func (s *store) read(from uint64, limit int) (wire.LogPage, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +71,7 @@
 	return page, true, s.appended
 }
 
-// dropBefore trims all entries before offset, as far as there are any.
+// trimBefore removes all entries before offset.
 func (s *store) trimBefore(offset uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +80,8 @@
 
 func (s *store) head() uint64 { return s.first + uint64(len(s.entries)) }
 
-// trim drops what is older than the retention or beyond the count.
+// applyRetention removes entries older than the retention and those in excess of
+// maxEntries.
 func (s *store) applyRetention(now time.Time) {
 	firstKept := 0
 	if s.retention > 0 {
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -1,10 +1,10 @@
-// Package rating is the stand-in for the platform's service that rates answers.
+// Package rating is a stand-in for the platform's service that rates answers.
 //
 //	POST /rate                    wire.RateRequest -> wire.RateResponse
 //	GET  /faults, PUT /faults     see Faults
 //
-// The score is the quality that the engine stand-in wrote into its answer, less
-// what the task makes harder, with noise that depends on the request alone.
+// The score is the quality that the engine stand-in wrote into its answer, minus
+// the penalty of the task class, plus noise that depends on the request alone.
 package rating
 
 import (
@@ -21,30 +21,31 @@
 )
 
 const (
-	// maxBody bounds a body.
+	// maxBodyBytes bounds the body of a request.
 	maxBodyBytes = 16 << 20
-	// unknownQuality is for a text that the engine stand-in did not write.
+	// unknownQuality is the quality of a text that the engine stand-in did not
+	// write.
 	unknownQuality = 0
 )
 
 // Config of the service.
 type Config struct {
-	// Noise is the widest deviation of a score, to either side.
+	// Noise is the maximum deviation of a score in either direction.
 	Noise float64
-	// Harder is what each task class takes off the score, 0 to 1.
+	// TaskPenalty is subtracted from the score, by task class, 0 to 1.
 	TaskPenalty map[string]float64
 }
 
 // Faults of the rating service.
 type Faults struct {
 	faults.Common
-	// Wrong turns scores around: 1 for 0 and 0 for 1.
+	// Wrong inverts the scores: 1 minus the score.
 	Wrong bool `json:"wrong,omitempty"`
 	// Scores replaces the score of all answers of a version.
 	Scores map[string]float64 `json:"scores,omitempty"`
 	// OutOfRange answers with a score above 1.
 	OutOfRange faults.Count `json:"out_of_range,omitempty"`
-	// Fail answers 500.
+	// Fail answers with status 500.
 	Fail faults.Count `json:"fail,omitempty"`
 }
 
@@ -85,7 +86,7 @@
 	faults.WriteJSON(w, http.StatusOK, wire.RateResponse{Score: score})
 }
 
-// score rates an answer.
+// score returns the score of an answer, 0 to 1.
 func (s *Server) score(r wire.RateRequest) float64 {
 	active := s.Faults.Get()
 	if score, ok := active.Scores[r.Version]; ok {
@@ -102,7 +103,7 @@
 	return min(max(score, 0), 1)
 }
 
-// noise is a number from -1 to 1 that is the same for the same request.
+// noise returns a number from -1 to 1 derived from a hash of the request.
 func noise(r wire.RateRequest) float64 {
 	sum := xxhash.Sum64String(fmt.Sprintf("%q%q%q%q", r.Team, r.Task, r.Prompt, r.Answer))
 	return float64(sum>>11)/(1<<52) - 1
--- a/router/internal/standin/rating/rating_test.go
+++ b/router/internal/standin/rating/rating_test.go
@@ -18,7 +18,7 @@
 			t.Fatal("the same request scored differently")
 		}
 		if math.Abs(score-0.5) > 0.1 {
-			t.Fatalf("score %v beyond the noise", score)
+			t.Fatalf("score %v differs from 0.5 by more than the noise 0.1", score)
 		}
 		sum += score
 	}
--- a/router/internal/standin/relay/relay.go
+++ b/router/internal/standin/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is the stand-in for a network line that can be cut: it passes TCP
-// connections on to a target, until it is told not to.
+// Package relay is a TCP proxy that simulates a network connection which can be
+// interrupted: it forwards connections to a target until it is disconnected.
 package relay
 
 import (
@@ -20,7 +20,7 @@
 	conns        map[net.Conn]bool
 }
 
-// New returns a relay to target, which is asked for at each connection only.
+// New returns a relay to target, which is dialed for each connection only.
 func New(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,16 +31,17 @@
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.SetDisconnected(true)
 }
 
-// SetCut closes what is open and refuses what comes, or ends that.
+// SetDisconnected(true) closes the open connections and then each new one;
+// SetDisconnected(false) lets new connections pass again.
 func (r *Relay) SetDisconnected(disconnected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +65,8 @@
 	}
 }
 
-// keep notes a connection; false where the line is cut.
+// track records a connection. If the relay is disconnected, it closes the
+// connection and returns false.
 func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/router/internal/standin/service/service.go
+++ b/router/internal/standin/service/service.go
@@ -1,7 +1,7 @@
-// Package service is the stand-in for a plain service, such as a shop's stock
-// or a lending record. Every path is served.
+// Package service is a stand-in for a plain service, such as a shop's stock or a
+// lending record. It serves every path.
 //
-//	GET  any path                 idempotent: echoes what was asked for
+//	GET  any path                 idempotent: echoes the request
 //	POST /reservations            runs once per call; not idempotent
 //	any other method and path     likewise counted as a run
 //	GET  /load                    wire.LoadReport
@@ -22,19 +22,20 @@
 )
 
 const (
-	// maxBody bounds a body.
+	// maxBodyBytes bounds the body of a request.
 	maxBodyBytes = 16 << 20
-	// DefaultSlots is what the load report names where Config has none.
+	// DefaultSlots is used if Config.Slots is 0.
 	DefaultSlots = 64
 )
 
 // Config of a service.
 type Config struct {
-	// Name stands in its answers.
+	// Name is stated in the responses.
 	Name string
-	// Slots is what the load report names; calls beyond it are refused.
+	// Slots is the maximum number of running calls, as stated in the load
+	// report; calls beyond it are refused. 0 is DefaultSlots.
 	Slots int
-	// Work is how long each call takes.
+	// Work is the service time of each call.
 	Work time.Duration
 	// Now is the service's clock; nil is time.Now.
 	Now func() time.Time
@@ -43,47 +44,49 @@
 // Faults of a service.
 type Faults struct {
 	faults.Common
-	// Leaving refuses new calls with 503, and says so in the load report.
+	// Leaving refuses new calls with 503, and is stated in the load report.
 	Leaving bool `json:"leaving,omitempty"`
 	// Busy refuses calls with 429, as not run.
 	Busy faults.Count `json:"busy,omitempty"`
-	// LostReply cuts the connection after the call took effect.
+	// LostReply aborts the connection after the call took effect.
 	LostReply faults.Count `json:"lost_reply,omitempty"`
 	// FailAfter answers 500 after the call took effect.
 	FailAfter faults.Count `json:"fail_after,omitempty"`
 	// WrongNonce echoes another attempt's nonce.
 	WrongNonce faults.Count `json:"wrong_nonce,omitempty"`
-	// Truncate cuts the answer halfway, after the call took effect.
+	// Truncate aborts the connection in the middle of the response, after the
+	// call took effect.
 	Truncate faults.Count `json:"truncate,omitempty"`
 }
 
-// Stats count calls, for tests.
+// Stats counts calls, for tests.
 type Stats struct {
 	// Runs counts, for each Idempotency-Key, how often a non-idempotent call
-	// took effect. Calls without a key stand under the empty one.
+	// took effect. Calls without a key are counted under "".
 	Runs map[string]int `json:"runs"`
 	// Reads counts idempotent calls.
 	Reads int `json:"reads"`
-	// Refused calls were told that they were not run.
+	// Refused counts the calls refused with wire.HeaderNotRun.
 	Refused int `json:"refused"`
 }
 
-// Answer is the body of an answer.
+// Response is the body of a response.
 type Response struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
-	// Query is the raw query.
+	// Query is the raw query string.
 	Query string `json:"query,omitempty"`
 	// Key is the call's Idempotency-Key.
 	Key string `json:"key,omitempty"`
-	// Run numbers the runs under Key from 1: above 1 it ran twice.
+	// Run is the number of this run under Key, from 1; above 1 the call ran more
+	// than once.
 	Run int `json:"run,omitempty"`
-	// Body is what was sent, so that a caller can tell its own answer.
+	// Body is the request's body, by which a caller recognises its own response.
 	Body string `json:"body,omitempty"`
 }
 
-// Server is the service. It is safe for concurrent use.
+// Server is the service's HTTP handler. It is safe for concurrent use.
 type Server struct {
 	Faults  faults.Injector[Faults]
 	cfg     Config
@@ -94,7 +97,7 @@
 	stats   Stats
 }
 
-// New returns a service that nobody has called yet.
+// New returns a service with all counts at 0.
 func New(cfg Config) *Server {
 	if cfg.Slots == 0 {
 		cfg.Slots = DefaultSlots
@@ -115,7 +118,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// Stats returns the counts so far.
+// Stats returns a copy of the counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +154,7 @@
 	s.reply(w, r, answer)
 }
 
-// effect counts the call, which is what a reservation changes.
+// recordCall counts the call, which is the whole effect of a reservation.
 func (s *Server) recordCall(r *http.Request, body []byte) Response {
 	answer := Response{
 		Service: s.cfg.Name,
@@ -172,7 +175,7 @@
 	return answer
 }
 
-// reply sends the answer, under the faults that strike after the effect.
+// reply sends the response, subject to the faults that strike after the effect.
 func (s *Server) reply(w http.ResponseWriter, r *http.Request, answer Response) {
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
 		faults.AbortConnection()
@@ -199,7 +202,7 @@
 	faults.WriteJSON(w, status, answer)
 }
 
-// refuse answers a call that was not run, under its own nonce.
+// refuse answers a call that was not run. It echoes the call's own nonce.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, code, message string) {
 	s.mu.Lock()
 	s.stats.Refused++
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -17,7 +17,8 @@
 	return standintest.Do(s, standintest.Call{Method: http.MethodPost, Path: "/reservations", Body: `{"wool":3}`, Header: header})
 }
 
-// Each fault's effect on the count is what tests of at-most-once rely on.
+// Tests of at-most-once execution rely on the count of runs under each fault: a
+// fault after the effect counts one run, a refusal or a fault before it none.
 func TestRunsAreCountedUnderEveryFault(t *testing.T) {
 	tests := []struct {
 		faults string
--- a/router/internal/standin/standintest/standintest.go
+++ b/router/internal/standin/standintest/standintest.go
@@ -1,5 +1,5 @@
-// Package standintest calls stand-ins in tests without a socket, so that their
-// time can be a synctest bubble's.
+// Package standintest calls stand-ins in tests without a socket, so that they
+// can run in a synctest bubble.
 package standintest
 
 import (
@@ -16,21 +16,21 @@
 	Path   string
 	Body   string
 	Header http.Header
-	// Context of the request; nil is the background.
+	// Context of the request; nil is context.Background().
 	Context context.Context
 }
 
-// Reply is what came of a Call.
+// Response is the response to a Call.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Cut says that the handler ended the connection without a whole answer;
-	// Body then holds what was flushed before.
+	// Aborted is set if the handler closed the connection without completing
+	// the response; Body then holds what was written before.
 	Aborted bool
 }
 
-// Do runs the call on h.
+// Do calls h.
 func Do(h http.Handler, c Call) (reply Response) {
 	if c.Context == nil {
 		c.Context = context.Background()
@@ -55,7 +55,7 @@
 	return reply
 }
 
-// SetFaults switches faults by their JSON, as an operator would.
+// SetFaults replaces the faults of a stand-in, given as JSON, over HTTP.
 func SetFaults(h http.Handler, json string) Response {
 	return Do(h, Call{Method: http.MethodPut, Path: "/faults", Body: json})
 }
