--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -8,7 +8,7 @@
 	"masticplank.example/decision"
 )
 
-// caller is a request that waits for its answer.
+// caller is the caller of a request that has no answer yet.
 type caller struct {
 	job           *job
 	firstToken    time.Duration
@@ -18,7 +18,8 @@
 	ratingBudgets map[decision.AttemptID]time.Duration
 }
 
-// plan notes what a dispatch asks for.
+// recordDispatch records whether the answer is held and whether it is to be
+// rated.
 func (c *caller) recordDispatch(d decision.Dispatch) {
 	c.held[d.Attempt] = d.Hold
 	if c.scores == nil {
@@ -30,30 +31,32 @@
 	}
 }
 
-// Tally is what came of one run, for the callers.
+// Results holds the results of one run as its callers see them.
 type Results struct {
 	load Load
-	// Arrived, Whole, Refused, Failed and Late are requests; Late ones were
-	// answered after their deadline, which counts as failed to their callers.
-	// Lost were never answered, Broken commands did not fit any request.
+	// The numbers of requests by their end. Late requests were answered after
+	// their deadline, which is a failure for their callers. InvalidCommands
+	// counts commands of the policy that match no request.
 	Arrived, Completed, Refused, Failed, Late, Unanswered, InvalidCommands int
-	// HeldToDeadline are refusals that came at the deadline.
+	// RefusedAtDeadline counts the refusals that came only at the deadline.
 	RefusedAtDeadline int
-	// FalseVerdicts are bad words on versions that are well.
+	// FalseAlarms counts bad verdicts on versions without a fault.
 	FalseAlarms int
-	// Cost and Quality are sums over whole answers of models.
+	// Cost and Quality are sums over the ModelAnswers complete answers of models.
 	Cost, Quality float64
 	ModelAnswers  int
-	// wholes are times of whole answers of models, firsts the times to the first
-	// token of those that are streamed.
+	// latencies are the times to the complete answers of models, firstTokens the
+	// times to the first token of those that are streamed.
 	firstTokens, latencies []time.Duration
-	// blocks are those of all prompts, cached those found in a prefix cache.
+	// promptBlocks counts the blocks of all prompts, cachedBlocks those found in
+	// a prefix cache.
 	promptBlocks, cachedBlocks int
 	teams                      map[decision.TeamID]*teamResults
 	fault                      faultResults
 }
 
-// teamTally is one team's part.
+// teamResults holds the results of one team. demand and served are in units of
+// work, quality is a sum of ratings by class.
 type teamResults struct {
 	demand, served float64
 	quality        map[decision.TaskClass]float64
@@ -62,16 +65,18 @@
 	weight         float64
 }
 
-// badTally follows smallNew once it is bad.
+// faultResults counts the effects of the fault of smallNew.
 type faultResults struct {
 	badAnswers int
-	// exposed counts requests dispatched to it, and of all requests those that
-	// arrived, from the start of its being bad and from its 50th bad answer on.
-	exposed, exposedAfter int
-	arrivedAfter          int
+	// exposedRequests counts the dispatches to smallNew since the fault began,
+	// exposedAfterLimit those after its 50th bad answer, and arrivedAfterLimit
+	// the requests to any model that arrived after that answer.
+	exposedRequests, exposedAfterLimit int
+	arrivedAfterLimit                  int
 }
 
-// badLimit is the number of bad answers after which a version should be barred.
+// maxBadAnswers is the number of bad answers after which a version should be
+// blocked.
 const maxBadAnswers = 50
 
 func newResults(l Load) *Results {
@@ -87,14 +92,15 @@
 	return t
 }
 
-// work is the size of a request, for shares among teams.
+// work is the size of a request, in generated tokens; a prompt token counts a
+// tenth.
 func work(j *job) float64 { return float64(j.tokens) + 0.1*float64(j.PromptTokens) }
 
 func (t *Results) measured(j *job) bool { return j.arrived >= t.load.Warmup }
 
-func (t *Results) arrived(j *job) {
+func (t *Results) recordArrival(j *job) {
 	if j.Service == "" && t.fault.badAnswers >= maxBadAnswers {
-		t.fault.arrivedAfter++
+		t.fault.arrivedAfterLimit++
 	}
 	if !t.measured(j) {
 		return
@@ -105,30 +111,30 @@
 	}
 }
 
-func (t *Results) dispatched(_ *job, v decision.VersionID, now time.Duration) {
+func (t *Results) recordDispatch(_ *job, v decision.VersionID, now time.Duration) {
 	if t.load.Fault == NoFault || now < t.load.FaultFrom || v != smallNew {
 		return
 	}
-	t.fault.exposed++
+	t.fault.exposedRequests++
 	if t.fault.badAnswers >= maxBadAnswers {
-		t.fault.exposedAfter++
+		t.fault.exposedAfterLimit++
 	}
 }
 
-func (t *Results) badAnswer(v decision.VersionID, now time.Duration) {
+func (t *Results) recordBadAnswer(v decision.VersionID, now time.Duration) {
 	if v == smallNew && now >= t.load.FaultFrom {
 		t.fault.badAnswers++
 	}
 }
 
-func (t *Results) verdict(v decision.VersionVerdict, now time.Duration) {
+func (t *Results) observeVerdict(v decision.VersionVerdict, now time.Duration) {
 	isBad := t.load.Fault != NoFault && now >= t.load.FaultFrom && v.Version == smallNew
 	if v.Bad && !isBad {
 		t.FalseAlarms++
 	}
 }
 
-func (t *Results) delivered(c *caller, a decision.AttemptID, now time.Duration) {
+func (t *Results) recordDelivery(c *caller, a decision.AttemptID, now time.Duration) {
 	j := c.job
 	if !t.measured(j) {
 		return
@@ -158,7 +164,7 @@
 	team.answers[j.Class]++
 }
 
-func (t *Results) refused(c *caller, r decision.Refuse) {
+func (t *Results) recordRefusal(c *caller, r decision.Refuse) {
 	if !t.measured(c.job) {
 		return
 	}
@@ -168,13 +174,13 @@
 	}
 }
 
-func (t *Results) failed(c *caller) {
+func (t *Results) recordFailure(c *caller) {
 	if t.measured(c.job) {
 		t.Failed++
 	}
 }
 
-func (t *Results) unanswered(c *caller) {
+func (t *Results) recordUnanswered(c *caller) {
 	if t.measured(c.job) {
 		t.Unanswered++
 	}
@@ -189,7 +195,7 @@
 	return s[min(int(p*float64(len(s))), len(s)-1)]
 }
 
-// work is the size of what was answered.
+// totalWork is the work of all complete answers of models.
 func (t *Results) totalWork() float64 {
 	total := 0.0
 	for i := range teamShares {
@@ -198,50 +204,52 @@
 	return total
 }
 
-// leastShare is the lowest ratio over the teams of what a team got to its
-// weighted max-min share of what all got. Teams that wanted less than their
-// share should get it all, and nobody's surplus counts against another.
+// minShareRatio is the lowest ratio, over the teams, of the work served to a
+// team to its weighted max-min fair share of all work served. A team that
+// demanded less than its share should get all of it, and what another team gets
+// beyond its share does not count against that one. It is NaN where the teams do
+// not compete for one model.
 func (t *Results) minShareRatio() float64 {
 	if t.load.Model == "" {
 		return math.NaN()
 	}
 	total := t.totalWork()
-	open := make([]*teamResults, 0, len(t.teams))
+	unsatisfied := make([]*teamResults, 0, len(t.teams))
 	for i := range teamShares {
-		open = append(open, t.teams[teamID(i)])
+		unsatisfied = append(unsatisfied, t.teams[teamID(i)])
 	}
 	lowest := 1.0
-	for len(open) > 0 {
+	for len(unsatisfied) > 0 {
 		weights := 0.0
-		for _, x := range open {
-			weights += x.weight
+		for _, team := range unsatisfied {
+			weights += team.weight
 		}
 		fairShare := total / weights
-		var rest []*teamResults
-		for _, x := range open {
-			if x.demand > fairShare*x.weight {
-				rest = append(rest, x)
+		var remaining []*teamResults
+		for _, team := range unsatisfied {
+			if team.demand > fairShare*team.weight {
+				remaining = append(remaining, team)
 				continue
 			}
-			total -= x.demand
-			if x.demand > 0 {
-				lowest = min(lowest, x.served/x.demand)
+			total -= team.demand
+			if team.demand > 0 {
+				lowest = min(lowest, team.served/team.demand)
 			}
 		}
-		if len(rest) == len(open) {
-			for _, x := range open {
-				lowest = min(lowest, x.served/(fairShare*x.weight))
+		if len(remaining) == len(unsatisfied) {
+			for _, team := range unsatisfied {
+				lowest = min(lowest, team.served/(fairShare*team.weight))
 			}
 			break
 		}
-		open = rest
+		unsatisfied = remaining
 	}
 	return lowest
 }
 
-// missed is by how much the answers of the team and class farthest under its
-// quality target missed it. Those with under 100 answers are left out: the
-// standard error of their mean is over 0.015.
+// targetShortfall is the largest difference, over teams and classes, by which
+// the mean quality of the answers is below the team's target. Classes with under
+// 100 answers are left out: the standard error of their mean is over 0.015.
 func (t *Results) targetShortfall() float64 {
 	worst := 0.0
 	for _, x := range t.teams {
--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -15,7 +15,7 @@
 )
 
 // sessionAnswer is the body of POST /v1/sessions.
-type sessionAnswer struct {
+type sessionResponse struct {
 	Session  string            `json:"session"`
 	Token    string            `json:"token"`
 	Expires  string            `json:"expires"`
@@ -26,23 +26,23 @@
 // no instance keeps anything.
 func (s *Server) newSession(w http.ResponseWriter, r *http.Request, c caller) {
 	if reason := s.Gate.MayRun(true); reason != "" {
-		writeOutcome(w, refusal(reason, retrySoon))
+		writeOutcome(w, decisionRefusal(reason, retryDelay))
 		return
 	}
 	id := uuid.NewString()
 	opened := session.Session{
-		Team:      c.team.ID,
-		ID:        id,
-		ShareHash: session.ShareHash(c.team.ID, id),
+		Team:            c.team.ID,
+		ID:              id,
+		RolloutPosition: session.RolloutPosition(c.team.ID, id),
 	}
 	opened.Pins = s.pickVersions(r.Context(), opened)
-	token, expires, err := s.Tokens.Issue(opened)
+	token, expires, err := s.SessionTokens.Issue(opened)
 	if err != nil {
-		writeOutcome(w, refused("session_invalid", err.Error()))
+		writeOutcome(w, routerRefusal("session_invalid", err.Error()))
 		return
 	}
 	w.Header().Set(wire.HeaderOutcome, string(outcome.Completed))
-	writeJSON(w, http.StatusCreated, sessionAnswer{
+	writeJSON(w, http.StatusCreated, sessionResponse{
 		Session:  id,
 		Token:    token,
 		Expires:  expires.UTC().Format(http.TimeFormat),
@@ -52,7 +52,7 @@
 
 func (s *Server) pickVersions(ctx context.Context, opened session.Session) map[string]string {
 	pins := map[string]string{}
-	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(opened.Team), opened.ShareHash) {
+	for _, v := range s.Driver.OpenSession(ctx, decision.TeamID(opened.Team), opened.RolloutPosition) {
 		model, _, _ := strings.Cut(string(v), "@")
 		pins[model] = string(v)
 	}
@@ -65,11 +65,11 @@
 	if header == "" {
 		return nil
 	}
-	opened, bad := s.readSession(r.Context(), c, header)
-	if bad != nil {
-		return bad
+	opened, refusal := s.readSession(r.Context(), c, header)
+	if refusal != nil {
+		return refusal
 	}
-	req.RolloutPosition = opened.ShareHash
+	req.RolloutPosition = opened.RolloutPosition
 	if req.Model == "" {
 		for _, v := range opened.Pins {
 			req.Pins = append(req.Pins, decision.VersionID(v))
@@ -85,32 +85,32 @@
 // name not seen before gets its pins now, from the first writer in the log.
 func (s *Server) readSession(ctx context.Context, c caller, header string) (session.Session, *outcome.Outcome) {
 	if session.LooksLikeToken(header) {
-		opened, err := s.Tokens.Verify(header, c.team.ID)
-		return opened, sessionFault(err)
+		opened, err := s.SessionTokens.Verify(header, c.team.ID)
+		return opened, sessionRefusal(err)
 	}
-	known, ok, err := s.Names.Lookup(c.team.ID, header)
+	known, ok, err := s.SessionNames.Lookup(c.team.ID, header)
 	if err != nil || ok {
-		return known, sessionFault(err)
+		return known, sessionRefusal(err)
 	}
 	if reason := s.Gate.MayRun(false); reason != "" {
-		o := refusal(reason, retrySoon)
+		o := decisionRefusal(reason, retryDelay)
 		return known, &o
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	own := session.Session{Team: c.team.ID, ID: header, ShareHash: session.ShareHash(c.team.ID, header)}
-	opened, err := s.Names.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, own))
-	return opened, sessionFault(err)
+	own := session.Session{Team: c.team.ID, ID: header, RolloutPosition: session.RolloutPosition(c.team.ID, header)}
+	opened, err := s.SessionNames.Pin(ctx, c.team.ID, header, s.pickVersions(ctx, own))
+	return opened, sessionRefusal(err)
 }
 
-func sessionFault(err error) *outcome.Outcome {
+func sessionRefusal(err error) *outcome.Outcome {
 	if err == nil {
 		return nil
 	}
-	o := refused("session_invalid", err.Error())
+	o := routerRefusal("session_invalid", err.Error())
 	if errors.Is(err, &session.Error{Reason: session.ReasonUndecided}) {
-		o = refused("session_undecided", err.Error())
-		o.RetryAfter = retrySoon
+		o = routerRefusal("session_undecided", err.Error())
+		o.RetryAfter = retryDelay
 	}
 	return &o
 }
--- a/router/internal/demo/stage.go
+++ b/router/internal/demo/stage.go
@@ -50,7 +50,7 @@
 	servers []*http.Server
 	apps    []*fx.App
 	// instances holds the addresses of the entry instances.
-	instances []daemon.Instance
+	instances []daemon.Addresses
 }
 
 // newEnvironment starts the stand-ins, then the entry instances. On an error it
--- a/router/internal/faultmatrix/faults.go
+++ b/router/internal/faultmatrix/faults.go
@@ -10,7 +10,7 @@
 // now on reaches anybody. Its goroutines are ended later, without a flush.
 func (b *testbed) kill(in *instance) {
 	in.killed.Do(func() {
-		b.log.Cut(in.name, true)
+		b.log.SetDisconnected(in.name, true)
 		b.net.takeDown(in.name)
 		in.cancel()
 		in.spawn(func() {
@@ -35,18 +35,18 @@
 // nothing, and is as it was when f has ended.
 func (b *testbed) freeze(in *instance, f func()) {
 	in.frozen.Store(true)
-	b.log.Cut(in.name, true)
+	b.log.SetDisconnected(in.name, true)
 	b.isolate(in.name)
 	f()
 	b.net.reconnectAll()
-	b.log.Cut(in.name, false)
+	b.log.SetDisconnected(in.name, false)
 	in.frozen.Store(false)
 }
 
 // drain is a planned stop, in the daemon's order.
 func (b *testbed) drain(in *instance) {
 	_ = in.server.Shutdown(context.Background())
-	for in.driver.Open() > 0 {
+	for in.driver.OpenRequests() > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	b.heldAfterDrain <- in.peers.Drain(context.Background())
@@ -63,7 +63,7 @@
 	b.mu.Unlock()
 	for _, in := range b.instances {
 		if !b.net.isDown(in.name) {
-			b.log.Cut(in.name, false)
+			b.log.SetDisconnected(in.name, false)
 		}
 	}
 	time.Sleep(4 * time.Second)
--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -48,7 +48,7 @@
 	return b.launch("c")
 }
 
-func (b *testbed) disconnectFromLog(name string) { b.log.Cut(name, true) }
+func (b *testbed) disconnectFromLog(name string) { b.log.SetDisconnected(name, true) }
 
 // lifeCells: an instance gives service only on a state that it may trust.
 var lifeCells = []lifeCell{
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -24,8 +24,8 @@
 var requestFaults = map[string]func(b *testbed){
 	"none":         func(*testbed) {},
 	"kill":         func(b *testbed) { b.kill(b.instances["a"]) },
-	"cut from log": func(b *testbed) { b.log.Cut("a", true); time.Sleep(2 * freshnessBound) },
-	"cut from all": func(b *testbed) { b.log.Cut("a", true); b.isolate("a"); time.Sleep(2 * freshnessBound) },
+	"cut from log": func(b *testbed) { b.log.SetDisconnected("a", true); time.Sleep(2 * freshnessBound) },
+	"cut from all": func(b *testbed) { b.log.SetDisconnected("a", true); b.isolate("a"); time.Sleep(2 * freshnessBound) },
 	"freeze": func(b *testbed) {
 		b.freeze(b.instances["a"], func() { b.withdraw("b"); time.Sleep(pauseWithinBound) })
 	},
--- a/router/internal/passthrough/starting_test.go
+++ b/router/internal/passthrough/starting_test.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// TestCallersWaitUntilTheProcessKnows guards against refusals right after a start: requests are held
+// until all prerequisites are loaded.
 func TestCallersWaitUntilTheProcessKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartGate()
@@ -21,31 +23,33 @@
 		}()
 		s.wait(t.Context())
 		if took := time.Since(began); took != 100*time.Millisecond {
-			t.Errorf("held for %v, want until both are learnt", took)
+			t.Errorf("held for %v, want until both prerequisites are loaded", took)
 		}
 		s.wait(t.Context())
 		if took := time.Since(began); took != 100*time.Millisecond {
-			t.Errorf("held again, %v after the start", took)
+			t.Errorf("held again until %v after the start", took)
 		}
 	})
 }
 
+// TestCallersAreNotHeldForLong checks that requests are held for startTimeout at most where a
+// prerequisite is missing, and not after their caller has disconnected.
 func TestCallersAreNotHeldForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartGate()
 		began := time.Now()
-		s.loaded(prerequisiteServers) // the configuration does not come
+		s.loaded(prerequisiteServers) // the configuration is never loaded
 		time.Sleep(startTimeout / 2)
 		s.wait(t.Context())
 		if took := time.Since(began); took != startTimeout {
-			t.Errorf("held until %v after the start", took)
+			t.Errorf("held until %v after the start, want startTimeout", took)
 		}
 		s.wait(t.Context())
 		gone, cancel := context.WithCancel(t.Context())
 		cancel()
 		newStartGate().wait(gone)
 		if took := time.Since(began); took != startTimeout {
-			t.Errorf("held past the end, or for a caller who has gone: %v", took)
+			t.Errorf("held past startTimeout, or for a caller that has disconnected: %v", took)
 		}
 	})
 }
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -12,33 +12,33 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// stream is the part of a stream that went to the caller.
+// stream is what the caller has of a stream.
 type stream struct {
-	// begun says that the head is out.
+	// begun says that the head was sent.
 	begun bool
-	// last is the id of the last event that the caller has, -1 for none.
-	lastEvent int64
+	// lastEventID is the id of the last event that the caller has, -1 for none.
+	lastEventID int64
 }
 
 const (
-	// streamBuffer is the room for reading a stream; an event is tens to hundreds of
-	// bytes long.
+	// streamBufferSize is the size of the read buffer in bytes; an event has tens to hundreds.
 	streamBufferSize = 4 << 10
-	// paceEvents is how many events tell a stream's pace: enough to level out a pause for
-	// another request's prompt, and two seconds of a version that is eight times slower.
+	// intervalEvents is the number of events over which a stream's event interval is measured:
+	// enough to average out a pause for another request's prompt, and at a version that is
+	// eight times slower they take two seconds.
 	intervalEvents = 6
-	// eventLimit bounds one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 1 << 20
 )
 
-// relay hands a stream to the caller, whole events only, as they come.
+// relayStream relays a stream to the caller, unless its confidence is below the threshold.
 func (a *attempt) relayStream(resp *http.Response, meta seam.Response) outcome {
 	x := a.exchange
 	a.reportFirstByte(meta)
 	if x.stream.begun || meta.Confidence < 0 {
 		return a.relayEvents(resp)
 	}
-	threshold := x.edge.driver.confidenceThreshold(x.ticket)
+	threshold := x.handler.driver.confidenceThreshold(x.ticket)
 	if meta.Confidence < threshold {
 		return outcome{result: passthrough.Dropped, confidenceThreshold: threshold}
 	}
@@ -47,13 +47,13 @@
 	return out
 }
 
-// pass hands on the events.
+// relayEvents relays events to the caller as they arrive, and only whole ones.
 func (a *attempt) relayEvents(resp *http.Response) outcome {
 	x := a.exchange
 	var pending []byte
 	buf := make([]byte, streamBufferSize)
 	events, reported := 0, false
-	began := x.edge.clock.Now()
+	began := x.handler.clock.Now()
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
@@ -66,7 +66,7 @@
 				events += count
 				if events >= intervalEvents && !reported {
 					reported = true
-					x.edge.driver.Handle(passthrough.EventIntervalMeasured{Request: x.ticket.id, EventInterval: eventInterval(x.edge.clock.Now().Sub(began), events)})
+					x.handler.driver.Handle(passthrough.EventIntervalMeasured{Request: x.ticket.id, EventInterval: eventInterval(x.handler.clock.Now().Sub(began), events)})
 				}
 			}
 			if orderErr != nil {
@@ -78,7 +78,7 @@
 		case err == nil && len(pending) <= maxEventBytes:
 			continue
 		case errors.Is(err, io.EOF) && len(pending) == 0 && events > 0:
-			return outcome{result: passthrough.Completed, eventInterval: eventInterval(x.edge.clock.Now().Sub(began), events)}
+			return outcome{result: passthrough.Completed, eventInterval: eventInterval(x.handler.clock.Now().Sub(began), events)}
 		case errors.Is(err, io.EOF):
 			return outcome{result: passthrough.Broken, err: errTruncatedEvent}
 		case err != nil:
@@ -89,20 +89,21 @@
 	}
 }
 
-// tellBegun tells the decision that the answer has begun, and the server's load as its head
-// states it.
+// reportFirstByte reports to the decision that the response has begun, with the server's load and
+// rate limit from its head.
 //
-// Load: streams of many seconds, at servers whose load changes within tenths of one. Harm
-// prevented: a load that is as old as the stream, taken for what the server has now.
+// Load: streams last many seconds, at servers whose load changes within tenths of one. Harm
+// prevented: a load reported at the end of the stream is as old as the stream, and is taken for
+// the server's load at that time.
 func (a *attempt) reportFirstByte(meta seam.Response) {
 	x := a.exchange
-	x.edge.driver.Handle(passthrough.FirstByte{
+	x.handler.driver.Handle(passthrough.FirstByte{
 		Request: x.ticket.id, After: a.firstByte, Load: meta.Load, HasLoad: meta.HasLoad,
 		Limit: meta.Limit,
 	})
 }
 
-// pace is the mean time between events.
+// eventInterval returns the mean time between events, 0 for fewer than two.
 func eventInterval(elapsed time.Duration, events int) time.Duration {
 	if events < 2 {
 		return 0
@@ -110,7 +111,8 @@
 	return elapsed / time.Duration(events-1)
 }
 
-// begin sends the first backend server's head; a stream that goes on keeps it.
+// writeHead sends the first backend server's head to the caller. A stream that continues from
+// another server keeps it.
 func (x *exchange) writeHead(resp *http.Response) {
 	if x.stream.begun {
 		return
@@ -120,15 +122,15 @@
 	x.stream.begun = true
 }
 
-// forward sends events at once.
+// writeEvents sends events to the caller and flushes them.
 func (x *exchange) writeEvents(events []byte) {
 	writeAll(x.w, events)
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
-		x.edge.telemetry.callerLost(x.call, err)
+		x.handler.telemetry.callerLost(x.call, err)
 	}
 }
 
-// wholeEvents splits what was read into whole events and the begin of the next.
+// splitEvents splits what was read into whole events and the beginning of the next.
 func splitEvents(text []byte) (ready, rest []byte) {
 	end := 0
 	for _, mark := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -139,10 +141,11 @@
 	return text[:end], text[end:]
 }
 
-// order checks that the events follow on what the caller has, and counts them. Events
-// without an id are taken as they come.
+// checkOrder checks that the events' ids continue those that the caller has, and counts the events
+// with an id. Events without an id are not checked. It returns errEventOrder for a gap, a repetition
+// or a malformed id.
 func (x *exchange) checkOrder(events []byte) (count int, err error) {
-	last := x.stream.lastEvent
+	lastID := x.stream.lastEventID
 	for line := range bytes.Lines(events) {
 		text, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:"))
 		if !ok {
@@ -152,12 +155,12 @@
 		if err != nil {
 			return count, errEventOrder
 		}
-		if (last >= 0 || x.stream.begun) && id != last+1 {
+		if (lastID >= 0 || x.stream.begun) && id != lastID+1 {
 			return count, errEventOrder
 		}
-		last = id
+		lastID = id
 		count++
 	}
-	x.stream.lastEvent = last
+	x.stream.lastEventID = lastID
 	return count, nil
 }
--- a/router/internal/session/session.go
+++ b/router/internal/session/session.go
@@ -21,7 +21,7 @@
 	// Pins maps models to the version ("model@version") that answers them.
 	Pins map[string]string `json:"pins"`
 	// ShareHash places the session in a roll-out, 0 up to but not 1.
-	ShareHash float64 `json:"share"`
+	RolloutPosition float64 `json:"share"`
 }
 
 // Bounds on a session, so that neither a token nor a register grows past what
@@ -32,12 +32,12 @@
 	// MaxPins bounds the pins: four times the models of the largest target.
 	MaxPins = 64
 	// maxNameBytes bounds a model's or version's name.
-	maxNameBytes = 128
+	maxModelNameBytes = 128
 )
 
 // ShareHash spreads sessions evenly over 0 to 1. The same session gets the
 // same value at every instance, so raising a version's share only adds.
-func ShareHash(team, id string) float64 {
+func RolloutPosition(team, id string) float64 {
 	const bits = 53 // of a float64's mantissa
 	sum := xxhash.Sum64String(team + "\x00" + id)
 	return float64(sum>>(64-bits)) / (1 << bits)
@@ -50,27 +50,27 @@
 }
 
 // check says what is wrong with s; empty means nothing.
-func (s Session) check() string {
+func (s Session) violation() string {
 	switch {
-	case s.Team == "" || len(s.Team) > maxNameBytes:
+	case s.Team == "" || len(s.Team) > maxModelNameBytes:
 		return "team missing or too long"
 	case !ValidName(s.ID):
 		return "id missing, too long or with characters that are not allowed"
 	case len(s.Pins) > MaxPins:
 		return "too many pins"
-	case !(s.ShareHash >= 0 && s.ShareHash < 1):
+	case !(s.RolloutPosition >= 0 && s.RolloutPosition < 1):
 		return "share out of range"
 	}
 	for model, version := range s.Pins {
-		if !pinFits(model, version) {
+		if !isVersionOf(model, version) {
 			return "pin of a model to what is no version of it"
 		}
 	}
 	return ""
 }
 
-func pinFits(model, version string) bool {
-	short := len(model) <= maxNameBytes && len(version) <= maxNameBytes
+func isVersionOf(model, version string) bool {
+	short := len(model) <= maxModelNameBytes && len(version) <= maxModelNameBytes
 	return short && model != "" && strings.HasPrefix(version, model+"@")
 }
 
@@ -81,14 +81,14 @@
 		return false
 	}
 	for _, c := range []byte(name) {
-		if !nameByte(c) {
+		if !isNameByte(c) {
 			return false
 		}
 	}
 	return true
 }
 
-func nameByte(c byte) bool {
+func isNameByte(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return true
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -70,7 +70,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
 func (s *Server) rate(w http.ResponseWriter, r *http.Request) {
-	var request wire.RateRequest
+	var request wire.RatingRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&request); err != nil {
 		faults.WriteError(w, http.StatusBadRequest, "malformed_request", err.Error())
 		return
@@ -83,11 +83,11 @@
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.OutOfRange }) {
 		score += 2
 	}
-	faults.WriteJSON(w, http.StatusOK, wire.RateResponse{Score: score})
+	faults.WriteJSON(w, http.StatusOK, wire.RatingResponse{Score: score})
 }
 
 // score returns the score of an answer, 0 to 1.
-func (s *Server) score(r wire.RateRequest) float64 {
+func (s *Server) score(r wire.RatingRequest) float64 {
 	active := s.Faults.Get()
 	if score, ok := active.Scores[r.Version]; ok {
 		return score
@@ -104,7 +104,7 @@
 }
 
 // noise returns a number from -1 to 1 derived from a hash of the request.
-func noise(r wire.RateRequest) float64 {
+func noise(r wire.RatingRequest) float64 {
 	sum := xxhash.Sum64String(fmt.Sprintf("%q%q%q%q", r.Team, r.Task, r.Prompt, r.Answer))
 	return float64(sum>>11)/(1<<52) - 1
 }
