--- a/router/internal/faultmatrix/backend.go
+++ b/router/internal/faultmatrix/backend.go
@@ -12,7 +12,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// servers are the backend servers as every instance lists them.
+// servers are the backend servers known to every instance.
 var servers = []decision.Server{
 	{ID: "e1", Versions: []decision.VersionID{"draft@1", "draft@2"}, Slots: 2},
 	{ID: "e2", Versions: []decision.VersionID{"draft@1", "draft@2"}, Slots: 2},
@@ -20,15 +20,15 @@
 	{ID: "s2", Service: "stock", Slots: 2},
 }
 
-type addresses struct{}
+type backendAddrs struct{}
 
-func (addresses) Addr(id decision.ServerID) (string, bool) { return string(id) + ":8000", true }
+func (backendAddrs) Addr(id decision.ServerID) (string, bool) { return string(id) + ":8000", true }
 
-func (addresses) ObserveLoad(decision.ServerID, string) {}
+func (backendAddrs) ObserveLoad(decision.ServerID, string) {}
 
 const teamKey = "loom"
 
-// first is the manifest at the beginning of a cell.
+// initialManifest is in force at the beginning of a cell.
 func initialManifest() manifest.Manifest {
 	return manifest.Manifest{
 		Publication: "first",
@@ -42,7 +42,7 @@
 	}
 }
 
-// withdrawal replaces draft@1 by draft@2.
+// withdrawalManifest withdraws draft@1 and replaces it by draft@2.
 func withdrawalManifest(publication string) manifest.Manifest {
 	m := initialManifest()
 	m.Publication = publication
@@ -52,17 +52,23 @@
 	return m
 }
 
-// What the next run at a backend server does.
+// Faulty behaviours of a run at a backend server.
 const (
-	behaviourCrossed    = "crossed"
-	behaviourTruncated  = "truncated"
-	behaviourUnended    = "unended"
+	// behaviourCrossed echoes the nonce of another attempt.
+	behaviourCrossed = "crossed"
+	// behaviourTruncated breaks the connection before the end of the answer.
+	behaviourTruncated = "truncated"
+	// behaviourUnended ends a stream normally, without the end marker.
+	behaviourUnended = "unended"
+	// behaviourDuplicated sends the events of a stream twice.
 	behaviourDuplicated = "duplicated"
-	behaviourSlow       = "slow"
-	behaviourLateTail   = "late tail"
+	// behaviourSlow pauses for 8 s in the middle of the run.
+	behaviourSlow = "slow"
+	// behaviourLateTail repeats an event after the end marker.
+	behaviourLateTail = "late tail"
 )
 
-// serve starts a backend server: an engine or a plain service.
+// serveBackend starts a backend server, either an engine or a plain service.
 func (b *testbed) serveBackend(name string) {
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.handleBackend(name, w, r) })}
 	l := b.net.listen(name + ":8000")
@@ -109,7 +115,7 @@
 	return leaves || b.allServersLeaving
 }
 
-// ran notes a run, which was asked to behave in a way.
+// recordRun records a run with the current time.
 func (b *testbed) recordRun(r run) {
 	r.at = time.Now()
 	b.mu.Lock()
@@ -118,7 +124,8 @@
 	b.servingServer = r.server
 }
 
-// midway is the step at which a run is under way; it returns what to do next.
+// reachMidstream is the step "stream", in the middle of a run. It returns the
+// behaviour for the rest of the run and resets it.
 func (b *testbed) reachMidstream() (behaviour string) {
 	b.reachStep(nil, "stream")
 	b.mu.Lock()
@@ -135,8 +142,9 @@
 	_, _ = io.WriteString(w, reservationAnswer)
 }
 
-// spoil sets the header of a wrong answer; true means cut it short.
-func applyBehaviour(w http.ResponseWriter, behaviour string) (short bool) {
+// applyBehaviour sets a wrong nonce or pauses, depending on the behaviour. It
+// reports whether the response is to be truncated.
+func applyBehaviour(w http.ResponseWriter, behaviour string) (truncate bool) {
 	switch behaviour {
 	case behaviourCrossed:
 		w.Header().Set(wire.HeaderAttempt, "another's")
@@ -146,11 +154,12 @@
 	return behaviour == behaviourTruncated
 }
 
+// reservationAnswer is the body of an answer of the plain service.
 const (
 	reservationAnswer = `{"reserved":true}`
 )
 
-// events of a streamed answer.
+// streamEvents are the events of a streamed answer.
 var streamEvents = []string{
 	`{"choices":[{"delta":{"content":"over "}}]}`,
 	`{"choices":[{"delta":{"content":"under"}}]}`,
@@ -167,7 +176,8 @@
 	b.t.Error("the engine was not asked for a stream")
 }
 
-// stream sends the first token, has the fault of the step happen, and goes on.
+// stream sends the first token, reaches the step "stream", and sends the rest
+// according to the behaviour.
 func (b *testbed) stream(w http.ResponseWriter) {
 	b.mu.Lock()
 	if b.behaviour == behaviourCrossed {
--- a/router/internal/faultmatrix/bed.go
+++ b/router/internal/faultmatrix/bed.go
@@ -10,10 +10,10 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// bound is the freshness bound of all instances.
+// freshnessBound is the freshness bound of all instances.
 const freshnessBound = 5 * time.Second
 
-// bed is a fleet on one in-memory log, with its backend servers.
+// testbed is a fleet of instances on one in-memory log, with backend servers.
 type testbed struct {
 	t   *testing.T
 	log *logtest.Log
@@ -21,37 +21,45 @@
 
 	mu        sync.Mutex
 	instances map[string]*instance
-	// all has also those that a later instance of the same name replaced.
+	// allInstances includes those that a later instance of the same name
+	// replaced.
 	allInstances []*instance
-	// faults holds what happens at a step of the first request or publication
-	// at instance a, once.
+	// faults holds, by step, the fault that is injected once when the request or
+	// publication at instance a reaches the step.
 	faults map[string]func()
-	// asked counts the questions to a's gate since the request began.
+	// gateChecks counts the calls of the gate since the request began.
 	gateChecks int
-	// leaving are backend servers that leave; nextLeaves marks whichever is
-	// called next; behaviour is what the next run does.
-	leaving           map[string]time.Time
-	nextLeaving       bool
+	// leaving holds, by backend server, the time since which it is leaving.
+	leaving map[string]time.Time
+	// nextLeaving makes the backend server that is called next leave.
+	nextLeaving bool
+	// allServersLeaving makes all backend servers refuse as leaving.
 	allServersLeaving bool
-	behaviour         string
-	servingServer     string
+	// behaviour of the next run at a backend server; empty is normal.
+	behaviour string
+	// servingServer is the backend server of the last run.
+	servingServer string
 	// kind and key are those of the cell's request.
 	kind, key string
-	// hangUp makes its caller leave.
+	// cancelCaller makes the caller of the request disconnect.
 	cancelCaller context.CancelFunc
 	runs         []run
 	answers      []answer
-	// withdrawn has when a version's withdrawal was in force everywhere.
+	// withdrawn holds, by version, the time at which its withdrawal was in force
+	// everywhere.
 	withdrawn map[string]time.Time
-	// slack is the bound in cells in which an instance may not have heard.
+	// withdrawalSlack is the time after that in which runs are still allowed:
+	// the freshness bound in cells where an instance cannot learn of the
+	// withdrawal.
 	withdrawalSlack time.Duration
-	// startsCut: the next instance starts cut off from the log.
+	// startDisconnected makes the next instance start disconnected from the log.
 	startDisconnected bool
-	// drained is told how many bills a planned stop left at the instance.
+	// heldAfterDrain receives the number of bills that a planned stop left at
+	// the instance.
 	heldAfterDrain chan int
 }
 
-// run is one run at a backend server.
+// run is one execution of a request at a backend server.
 type run struct {
 	request, version, server string
 	at                       time.Time
@@ -82,14 +90,15 @@
 	return b
 }
 
-// begun is a bed with three instances and the first manifest in force.
+// readyTestbed returns a testbed with three instances and the initial manifest
+// in force.
 func readyTestbed(t *testing.T) *testbed {
 	b := newTestbed(t)
 	for _, l := range fleet {
 		b.start(l.ID)
 	}
 	if r := b.instances["b"].publisher.Publish(t.Context(), initialManifest(), true); r.Outcome.Code != "accepted" {
-		t.Fatalf("the first manifest: %+v", r)
+		t.Fatalf("publishing the initial manifest: %+v", r)
 	}
 	time.Sleep(time.Second)
 	return b
--- a/router/internal/faultmatrix/caller.go
+++ b/router/internal/faultmatrix/caller.go
@@ -16,31 +16,32 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// The kinds of work.
+// The kinds of requests.
 const (
 	kindPlain   = "plain"
 	kindStream  = "stream"
 	kindReserve = "reserve"
 )
 
-// What a caller can get, beside the outcomes that masticplank names.
+// Outcomes in addition to the values of wire.HeaderOutcome.
 const (
-	// cut: the answer broke off, and the caller's client says so.
+	// outcomeTruncated: the response ended early, with an error at the client.
 	outcomeTruncated = "cut"
-	// gone: the connection ended without an answer.
+	// outcomeNoAnswer: the connection ended without a response.
 	outcomeNoAnswer = "gone"
 )
 
-// answer is what a caller got for one try of a request.
+// answer is the result of sending a request once, as seen by the caller.
 type answer struct {
 	request, kind, outcome string
 	body                   string
-	// runsAfter is how often the request had run when the answer came.
+	// runsAfter is how often the request had run when the answer arrived.
 	runsAfter int
 }
 
-// newKey is a UUIDv7 of the bubble's time: uuid.NewV7 never goes back behind
-// the last key of the process, which another bubble may have made.
+// newKey returns a UUIDv7 with the time of the synctest bubble. uuid.NewV7 is
+// monotonic within the process and would use the time of another bubble if that
+// is later.
 func newKey() string {
 	var id uuid.UUID
 	copy(id[:], uuid.Must(uuid.NewV7()).NodeID())
@@ -55,7 +56,7 @@
 	return id.String()
 }
 
-// call sends a request to an instance and notes what came back.
+// call sends a request to an instance and records the answer.
 func (b *testbed) call(kind, via, key string) answer {
 	b.t.Helper()
 	b.mu.Lock()
@@ -122,12 +123,12 @@
 	return out
 }
 
-// wholePlain is the streamed answer, put together.
+// expectedPlainAnswer is the plain answer assembled from streamEvents.
 const expectedPlainAnswer = `{"id":"","object":"chat.completion","created":0,"model":"","choices":[{"index":0,` +
 	`"message":{"role":"assistant","content":"over under"},"finish_reason":"stop"}],` +
 	`"usage":{"prompt_tokens":0,"completion_tokens":2,"total_tokens":0}}`
 
-// whole is the whole answer of a kind, as the caller is to see it.
+// expectedAnswer returns the body of a completed answer of the given kind.
 func expectedAnswer(kind string) string {
 	switch kind {
 	case kindReserve:
@@ -142,7 +143,10 @@
 	return out.String()
 }
 
-// judge holds everything that happened in a cell to the promises.
+// checkInvariants checks all answers, runs, bills and generations of a cell: a
+// refused reservation has not run, a reservation runs at most once, a completed
+// answer is complete, has run and is billed exactly once, and a truncated answer
+// does not look complete.
 func (b *testbed) checkInvariants() {
 	b.t.Helper()
 	bills := b.bills()
@@ -150,7 +154,7 @@
 		runs := len(b.runsOf(a.request))
 		switch {
 		case a.outcome == "refused" && a.kind == kindReserve && a.runsAfter > 0:
-			b.t.Errorf("told refused, but it ran %d times", a.runsAfter)
+			b.t.Errorf("refused, but it ran %d times", a.runsAfter)
 		case a.kind == kindReserve && runs > 1:
 			b.t.Errorf("a reservation ran %d times", runs)
 		case a.outcome == "completed" && a.body != expectedAnswer(a.kind):
@@ -158,9 +162,9 @@
 		case a.outcome == "completed" && bills[a.request] != 1:
 			b.t.Errorf("completed and billed %d times", bills[a.request])
 		case a.outcome == "completed" && runs == 0:
-			b.t.Error("completed, and never ran")
+			b.t.Error("completed, but never ran")
 		case a.outcome == outcomeTruncated && strings.Contains(a.body, wire.StreamEnd):
-			b.t.Errorf("a cut answer looks whole: %q", a.body)
+			b.t.Errorf("a truncated answer has the end marker: %q", a.body)
 		}
 	}
 	for key, n := range bills {
@@ -172,8 +176,8 @@
 	b.checkGenerations()
 }
 
-// judgeRuns: nothing starts on a version withdrawn everywhere, nor at a
-// backend server that has said that it leaves.
+// checkRuns checks that no run started on a version withdrawn everywhere, nor at
+// a backend server that had reported that it is leaving.
 func (b *testbed) checkRuns() {
 	b.t.Helper()
 	for _, r := range b.runs {
@@ -181,12 +185,13 @@
 			b.t.Errorf("ran on %s, withdrawn %v before", r.version, r.at.Sub(at))
 		}
 		if at, is := b.leaving[r.server]; is && r.at.After(at) {
-			b.t.Errorf("ran at %s, which left %v before", r.server, r.at.Sub(at))
+			b.t.Errorf("ran at %s, which was leaving since %v before", r.server, r.at.Sub(at))
 		}
 	}
 }
 
-// judgeGenerations: no instance reverts, and all that live agree.
+// checkGenerations checks that the generations of each instance increase, and
+// that all live instances have the same manifest in force.
 func (b *testbed) checkGenerations() {
 	b.t.Helper()
 	var digest string
@@ -203,12 +208,12 @@
 			digest = in.holder.Current().Digest
 		}
 		if in.holder.Current().Digest != digest {
-			b.t.Errorf("%s has another manifest in force", in.name)
+			b.t.Errorf("%s has a different manifest in force", in.name)
 		}
 	}
 }
 
-// bills counts the bills that the ledger has of each request.
+// bills returns the number of bills in the ledger by request.
 func (b *testbed) bills() map[string]int {
 	b.t.Helper()
 	out := map[string]int{}
--- a/router/internal/faultmatrix/cells_test.go
+++ b/router/internal/faultmatrix/cells_test.go
@@ -1,11 +1,11 @@
 package faultmatrix
 
-// requestCells is the matrix of the request path. Lapsed leases have no cell
-// here: leases are for orders to backend servers, and no request takes one.
+// requestCells is the matrix of the request path. It has no cells for expired
+// leases: leases are for orders to backend servers, and requests use none.
 //
-// A resend of a chat completes again: it is idempotent, and its one bill stands.
-// A resend of a reservation completes only where the first try was truly not
-// run, and is told already_run in every other case.
+// A resent chat completes again: it is idempotent, and is billed once only. A
+// resent reservation completes only if the first one was not run, and gets
+// already_run in every other case.
 var requestCells = []requestCell{
 	{"admit", "none", "completed>completed", "completed>completed", "completed>already_run"},
 	{"admit", "kill", "gone>completed", "gone>completed", "gone>completed"},
@@ -33,12 +33,13 @@
 	{"claim", "leaving", "", "", "completed>already_run"},
 	{"claim", "crossed resend", "", "", "already_run>already_run"},
 
-	// The first record that the request puts into the log, written and not yet
-	// read back: a reservation's claim, a chat's bill.
+	// The first record that the request appends to the log (a reservation's
+	// claim, a chat's bill) is written and not yet read back.
 	{"read back", "kill", "gone>completed", "cut>completed", "gone>already_run"},
-	// Cut from the log, the instance reads its own claim from a peer's state. Cut
-	// from all it cannot know that the bill counts: the answer is not given, and the
-	// resend is billed by the first bill. After a freeze it puts the bill again.
+	// Disconnected from the log, the instance reads its own claim from a peer's
+	// state. Disconnected from all, it cannot know whether the bill counts: it does
+	// not complete the answer, and the resend is covered by the first bill. After a
+	// freeze it writes the bill again.
 	{"read back", "cut from log", "completed>completed", "completed>completed", "completed>already_run"},
 	{"read back", "cut from all", "unknown>completed", "cut>completed", "refused>completed"},
 	{"read back", "freeze", "completed>completed", "completed>completed", "refused>completed"},
@@ -47,8 +48,8 @@
 	{"read back", "operator race", "completed>completed", "completed>completed", "completed>already_run"},
 	{"read back", "crossed resend", "completed>completed", "completed>completed", "completed>already_run"},
 
-	// The claim is won, the reservation not yet sent: what is refused now must
-	// be free again for the resend.
+	// The claim is won, the reservation not yet sent: after a refusal the claim
+	// must be released for the resend.
 	{"claimed", "kill", "", "", "gone>already_run"},
 	{"claimed", "cut from log", "", "", "completed>already_run"},
 	{"claimed", "cut from all", "", "", "refused>completed"},
@@ -61,8 +62,8 @@
 	{"claimed", "server dies", "", "", "completed>already_run"},
 	{"claimed", "crossed resend", "", "", "completed>already_run"},
 
-	// The decision has sent the request to a backend server; the last look at
-	// the gate and the manifest is still to come.
+	// The decision has dispatched the request to a backend server; the last check
+	// of the gate and the manifest is still to come.
 	{"dispatch", "kill", "gone>completed", "gone>completed", "gone>completed"},
 	{"dispatch", "cut from log", "completed>completed", "completed>completed", "refused>completed"},
 	{"dispatch", "cut from all", "refused>completed", "refused>completed", "refused>completed"},
@@ -106,7 +107,7 @@
 	{"bill", "operator race", "completed>completed", "completed>completed", "completed>already_run"},
 	{"bill", "crossed resend", "completed>completed", "completed>completed", "completed>already_run"},
 
-	// The bill is durable, the end of the answer is not out.
+	// The bill is durable, the end of the answer is not sent yet.
 	{"final frame", "kill", "gone>completed", "cut>completed", "gone>already_run"},
 	{"final frame", "cut from log", "completed>completed", "completed>completed", "completed>already_run"},
 	{"final frame", "cut from all", "completed>completed", "completed>completed", "completed>already_run"},
--- a/router/internal/faultmatrix/doc.go
+++ b/router/internal/faultmatrix/doc.go
@@ -1,5 +1,6 @@
-// Package faultmatrix puts each fault to each step of a request, of a publication
-// and of an instance's life, one named cell each. The tests hold the cells; the
-// rest is the bed that they run on: whole instances (decision, node, gate, peers,
-// callers' edge) over in-memory connections and a fake clock. No program uses it.
+// Package faultmatrix injects each fault at each step of a request, of a
+// publication and of an instance's life cycle. Each combination is one named
+// cell, defined in the tests. The other files are their testbed: complete
+// instances (decision, node, gate, peers, API) over in-memory connections and a
+// fake clock. The package is used by its tests only.
 package faultmatrix
--- a/router/internal/faultmatrix/faults.go
+++ b/router/internal/faultmatrix/faults.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// kill ends an instance as the death of its process does: nothing it does from
-// now on reaches anybody. Its goroutines are ended later, without a flush.
+// kill simulates the death of an instance's process: from now on nothing it
+// sends arrives. Its goroutines are stopped afterwards, without flushing bills.
 func (b *testbed) kill(in *instance) {
 	in.killed.Do(func() {
 		b.log.SetDisconnected(in.name, true)
@@ -22,7 +22,7 @@
 	})
 }
 
-// isolate cuts an instance from its peers.
+// isolate disconnects an instance from its peers.
 func (b *testbed) isolate(name string) {
 	for _, l := range fleet {
 		if l.ID != name {
@@ -31,8 +31,8 @@
 	}
 }
 
-// freeze holds an instance still while f runs: it looks at no clock and hears
-// nothing, and is as it was when f has ended.
+// freeze simulates a paused process while f runs: the instance does not check
+// the clock and receives nothing from the log or its peers. Its state is kept.
 func (b *testbed) freeze(in *instance, f func()) {
 	in.frozen.Store(true)
 	b.log.SetDisconnected(in.name, true)
@@ -43,7 +43,7 @@
 	in.frozen.Store(false)
 }
 
-// drain is a planned stop, in the daemon's order.
+// drain performs a planned stop in the same order as the daemon.
 func (b *testbed) drain(in *instance) {
 	_ = in.server.Shutdown(context.Background())
 	for in.driver.OpenRequests() > 0 {
@@ -53,7 +53,7 @@
 	b.kill(in)
 }
 
-// heal ends all faults and lets the fleet settle.
+// heal ends all faults and waits until the instances are up to date.
 func (b *testbed) heal() {
 	b.log.SetDown(false)
 	b.log.SetSlow(0)
@@ -70,8 +70,8 @@
 	synctest.Wait()
 }
 
-// plan sets the fault of a step. met fails the cell where the step did not come,
-// and returns once the fault is over.
+// planFault sets the fault of a step. await fails the cell if the step was not
+// reached, and otherwise waits until fault has returned.
 func (b *testbed) planFault(step string, fault func()) (await func()) {
 	done := make(chan struct{})
 	b.mu.Lock()
@@ -86,13 +86,15 @@
 		_, pending := b.faults[step]
 		b.mu.Unlock()
 		if pending {
-			b.t.Fatalf("the step %q was not met", step)
+			b.t.Fatalf("step %q was not reached", step)
 		}
 		<-done
 	}
 }
 
-// at is a step of instance in: the fault planned for it happens now.
+// reachStep is called when instance in reaches a step; in is nil for a step at a
+// backend server. It runs the fault planned for the step, if any, once. Steps of
+// instances other than a are ignored.
 func (b *testbed) reachStep(in *instance, step string) {
 	if in != nil && in.name != "a" {
 		return
@@ -106,6 +108,7 @@
 	}
 }
 
+// isPlanned reports whether a fault of instance in at the step is still to come.
 func (b *testbed) isPlanned(in *instance, step string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -15,11 +15,12 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// The hooks below stand where the daemon has the part itself.
+// The hooks below wrap parts of an instance and report the steps of a request or
+// publication to the testbed.
 
 type hookStore struct{ *instance }
 
-// Status is what billing asks first.
+// Status is the first call of billing, and thus the step "bill".
 func (s hookStore) Status() node.Status {
 	s.b.reachStep(s.instance, "bill")
 	return s.Node.Status()
@@ -79,7 +80,7 @@
 }
 
 // Append is the step "read back": the record is in the log, and its writer does
-// not hear of it before the fault has happened.
+// not read it before the fault has been injected.
 func (l hookLog) Append(ctx context.Context, data []byte) (uint64, error) {
 	if !l.in.b.isPlanned(l.in, "read back") {
 		return l.Client.Append(ctx, data)
@@ -99,7 +100,8 @@
 	return page, err
 }
 
-// The observer's methods, and the peers' words, find a frozen instance deaf.
+// A frozen instance ignores the calls of node's observer and the vouches of its
+// peers.
 
 func (in *instance) HeadRead(at time.Time, head uint64) {
 	if !in.frozen.Load() {
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -26,7 +26,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// instance is one entry instance, put together as the daemon does.
+// instance is one entry instance, assembled as in package daemon.
 type instance struct {
 	*node.Node
 	b      *testbed
@@ -36,15 +36,16 @@
 	driver *driver.Driver
 	peers  *peer.Node
 	server *http.Server
-	// publisher proposes through the hooked store.
+	// publisher writes through hookStore.
 	publisher *publish.Publisher
-	frozen    atomic.Bool
-	// deaf instances append, but do not hear the log.
+	// frozen simulates a paused process; see testbed.freeze.
+	frozen atomic.Bool
+	// readsFail makes reads of the log fail while appends succeed.
 	readsFail  atomic.Bool
 	cancel     context.CancelFunc
 	killed     sync.Once
 	goroutines sync.WaitGroup
-	// generations are those that came in force here, in order.
+	// generations that came into force at this instance, in order.
 	generations []uint64
 }
 
@@ -55,7 +56,7 @@
 	return in
 }
 
-// begin starts an instance without waiting for it.
+// launch starts an instance without waiting until it is ready.
 func (b *testbed) launch(name string) *instance {
 	b.t.Helper()
 	b.net.bringUp(name)
@@ -114,7 +115,8 @@
 	in.Node = n
 }
 
-// look looks for the lapse that comes by time alone, as the daemon does.
+// pollGate triggers the changes of the gate's mode that are caused by the
+// passing of time alone, as the daemon does.
 func (in *instance) pollGate(ctx context.Context) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
@@ -141,7 +143,7 @@
 		Driver:        in.driver,
 		Manifests:     in.holder,
 		Gate:          hookGate{in},
-		Servers:       addresses{},
+		Servers:       backendAddrs{},
 		Upstream:      client,
 		Store:         store,
 		Biller:        billing.New(ledger.StoreLog{Store: store}, hookHolder{in}),
--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -8,14 +8,14 @@
 	"masticplank.example/coordination/lease"
 )
 
-// cell is one fault at one step of an instance's life, beside the planned stop,
-// which stands with the requests that it must not cut off.
+// lifeCell is one fault at one step of an instance's life cycle. The planned
+// stop is not among them: it is the step "drain" of the requests.
 type lifeCell struct {
 	path, step, fault string
 	run               func(b *testbed)
 }
 
-// expect sends a request and wants one of the outcomes, "a or b".
+// expect sends a request and checks that its outcome is one of want, "a or b".
 func (b *testbed) expect(kind, via, want string) {
 	b.t.Helper()
 	got := b.call(kind, via, newKey())
@@ -32,7 +32,7 @@
 	b.expect(kind, via, "completed")
 }
 
-// serves expects whole service at an instance.
+// expectService checks that an instance completes requests of all kinds.
 func (b *testbed) expectService(via string) {
 	b.t.Helper()
 	for _, kind := range []string{kindPlain, kindStream, kindReserve} {
@@ -40,7 +40,8 @@
 	}
 }
 
-// replaced takes c away and starts another in its place, without waiting.
+// replaceC kills instance c, calls fault, and launches a new c without waiting
+// until it is ready.
 func (b *testbed) replaceC(fault func()) *instance {
 	b.kill(b.instances["c"])
 	time.Sleep(time.Second)
@@ -50,7 +51,8 @@
 
 func (b *testbed) disconnectFromLog(name string) { b.log.SetDisconnected(name, true) }
 
-// lifeCells: an instance gives service only on a state that it may trust.
+// lifeCells check that an instance serves requests only if its state is fresh,
+// or vouched for by its peers.
 var lifeCells = []lifeCell{
 	{"life", "start", "none", func(b *testbed) {
 		<-b.replaceC(func() {}).Ready()
@@ -66,8 +68,8 @@
 		b.expectService("c")
 	}},
 	{"life", "start", "cut from log", func(b *testbed) {
-		// Its peers give it the state and vouch for the head. What needs the
-		// log itself is refused as not run.
+		// Its peers send it the state and vouch for the head. Requests that need
+		// the log itself are refused as not run.
 		b.startDisconnected = true
 		b.replaceC(func() {})
 		time.Sleep(freshnessBound)
@@ -87,7 +89,8 @@
 		b.expectService("c")
 	}},
 	{"life", "start", "log down", func(b *testbed) {
-		// All are in outage mode; the new one takes their state over.
+		// All instances are in outage mode; the new one gets the state from its
+		// peers.
 		b.replaceC(func() { b.log.SetDown(true); time.Sleep(2 * freshnessBound) })
 		time.Sleep(freshnessBound)
 		b.expectCompleted(kindPlain, "c")
@@ -126,18 +129,19 @@
 	}},
 
 	{"life", "catch up", "kill", func(b *testbed) {
-		// The publisher dies with the word out to nobody.
+		// The publishing instance dies before it has pushed the manifest to any
+		// peer.
 		b.disconnectFromLog("c")
-		met := b.planFault("push", func() { b.kill(b.instances["a"]) })
+		awaitFault := b.planFault("push", func() { b.kill(b.instances["a"]) })
 		b.instances["a"].publisher.Publish(context.Background(), withdrawalManifest("p-a"), true)
-		met()
+		awaitFault()
 		time.Sleep(time.Second)
 		b.withdrawn["draft@1"] = time.Now()
 		b.expectCompleted(kindPlain, "b")
 		b.expectCompleted(kindPlain, "c")
 	}},
 	{"life", "catch up", "cut from log", func(b *testbed) {
-		// The push makes it ask its peers at once.
+		// The push makes it fetch the state from its peers at once.
 		b.disconnectFromLog("c")
 		time.Sleep(freshnessBound)
 		b.withdraw("b")
@@ -145,7 +149,8 @@
 		b.expect(kindReserve, "c", "refused")
 	}},
 	{"life", "catch up", "cut from all", func(b *testbed) {
-		// Within the bound it may not have heard; past it, it refuses.
+		// Within the freshness bound it may not know of the withdrawal and still
+		// run requests; after the bound it refuses them.
 		b.withdrawalSlack = freshnessBound
 		b.disconnectFromLog("c")
 		b.isolate("c")
@@ -171,7 +176,7 @@
 		b.expectService("c")
 	}},
 	{"life", "catch up", "log down", func(b *testbed) {
-		// The log goes down right behind a manifest that c has not read.
+		// The log goes down right after a manifest that c has not read from it.
 		b.disconnectFromLog("c")
 		time.Sleep(freshnessBound)
 		b.withdraw("b")
@@ -200,7 +205,8 @@
 		}
 	}},
 	{"life", "catch up", "lapsed lease", func(b *testbed) {
-		// The holder of the orders' lease is paused past it, and does not send.
+		// The holder of the orders' lease is paused until after the lease has
+		// expired, and must not send orders.
 		a, c := b.leaseManager("a"), b.leaseManager("c")
 		if !a.Acquire(b.t.Context()) {
 			b.t.Fatal("no lease")
@@ -211,14 +217,14 @@
 			b.t.Errorf("the old holder may send: %d", r)
 		}
 		if !c.Acquire(b.t.Context()) {
-			b.t.Error("the lease did not lapse")
+			b.t.Error("the lease did not expire")
 		}
 		if fence, r := c.Check(lease.FencingEnforced); r != lease.Allowed || fence <= old {
 			b.t.Errorf("fence %d after %d, %d", fence, old, r)
 		}
 		b.heal()
 		if _, r := a.Check(lease.FencingEnforced); r != lease.NotHolder {
-			b.t.Errorf("the old holder thinks that it holds: %d", r)
+			b.t.Errorf("the old holder still believes that it holds the lease: %d", r)
 		}
 	}},
 	{"life", "catch up", "leaving", func(b *testbed) {
--- a/router/internal/faultmatrix/matrix_test.go
+++ b/router/internal/faultmatrix/matrix_test.go
@@ -1,5 +1,6 @@
-// The fault matrix: rows are the steps of each path, columns the faults. A cell
-// is named path/step/fault; docs/PROOFS.md says how each was seen red.
+// The rows of the fault matrix are the steps of each path, the columns the
+// faults. A cell is named path/step/fault. docs/PROOFS.md describes how each was
+// made to fail.
 package faultmatrix
 
 import (
@@ -17,7 +18,7 @@
 		for kind, want := range map[string]string{kindPlain: c.plain, kindStream: c.stream, kindReserve: c.reserve} {
 			name := "request/" + c.step + "/" + c.fault + "/" + kind
 			if seen[name] {
-				t.Errorf("cell %s stands twice", name)
+				t.Errorf("cell %s is defined twice", name)
 			}
 			seen[name] = true
 			if want == "" {
--- a/router/internal/faultmatrix/network.go
+++ b/router/internal/faultmatrix/network.go
@@ -8,18 +8,20 @@
 	"sync"
 )
 
-// network connects the parts of a cell through pipes, so that a cell runs on the
-// bubble's clock. An address is "owner:port"; the owner can be cut off.
+// network connects callers, instances and backend servers through pipes, so that
+// a cell runs on the clock of its synctest bubble. An address is "owner:port";
+// an owner can be disconnected.
 type network struct {
 	mu          sync.Mutex
 	listeners   map[string]*pipeListener
 	connections map[*connection]bool
-	// down has the owners that nobody reaches; severed the pairs that are cut.
-	down         map[string]bool
+	// down holds the unreachable owners.
+	down map[string]bool
+	// disconnected holds the pairs of owners that cannot reach each other.
 	disconnected map[string]bool
 }
 
-// line is one connection between two owners.
+// connection is one connection between two owners.
 type connection struct {
 	from, to string
 	ends     [2]net.Conn
@@ -44,7 +46,7 @@
 	return l
 }
 
-// dialer connects in the name of from.
+// dialer returns a dial function for the owner from.
 func (n *network) dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		to := owner(addr)
@@ -70,60 +72,65 @@
 	}
 }
 
+// blocked reports whether a and b cannot reach each other; n.mu is held.
 func (n *network) blocked(a, b string) bool {
 	return n.down[a] || n.down[b] || n.disconnected[pair(a, b)]
 }
 
-// keep notes a new line, unless it was cut while it was being made.
-func (n *network) track(l *connection) bool {
+// track records a new connection. If the owners were disconnected while it was
+// established, it closes the connection and returns false.
+func (n *network) track(c *connection) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.blocked(l.from, l.to) {
-		_, _ = l.ends[0].Close(), l.ends[1].Close()
+	if n.blocked(c.from, c.to) {
+		_, _ = c.ends[0].Close(), c.ends[1].Close()
 		return false
 	}
-	n.connections[l] = true
+	n.connections[c] = true
 	return true
 }
 
 func pair(a, b string) string { return min(a, b) + "|" + max(a, b) }
 
-// sever ends the lines between two owners until mend.
+// disconnect closes the connections between two owners and blocks new ones until
+// reconnectAll.
 func (n *network) disconnect(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.disconnected[pair(a, b)] = true
-	for l := range n.connections {
-		if pair(l.from, l.to) == pair(a, b) {
-			_, _ = l.ends[0].Close(), l.ends[1].Close()
-			delete(n.connections, l)
+	for c := range n.connections {
+		if pair(c.from, c.to) == pair(a, b) {
+			_, _ = c.ends[0].Close(), c.ends[1].Close()
+			delete(n.connections, c)
 		}
 	}
 }
 
-// lose takes an owner off the network for good, as the death of its process
-// does: the other sides read the end of their connections.
+// takeDown disconnects an owner as the death of its process does: the other ends
+// of its connections read EOF, and new connections fail until bringUp.
 func (n *network) takeDown(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.down[name] = true
-	for l := range n.connections {
-		if l.from == name {
-			_ = l.ends[0].Close()
+	for c := range n.connections {
+		if c.from == name {
+			_ = c.ends[0].Close()
 		}
-		if l.to == name {
-			_ = l.ends[1].Close()
+		if c.to == name {
+			_ = c.ends[1].Close()
 		}
 	}
 }
 
-// revive lets a new process take a lost owner's addresses.
+// bringUp makes the addresses of an owner that was taken down reachable again,
+// for a new process.
 func (n *network) bringUp(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.down, name)
 }
 
+// reconnectAll ends the effect of all calls of disconnect.
 func (n *network) reconnectAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -165,7 +172,7 @@
 	return n.down[name]
 }
 
-// close ends what is left.
+// close closes all remaining connections and listeners.
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/router/internal/faultmatrix/publish_test.go
+++ b/router/internal/faultmatrix/publish_test.go
@@ -9,7 +9,7 @@
 )
 
 // withdraw publishes the withdrawal of draft@1 at an instance and waits until it
-// is in force at the instances that can hear of it.
+// is in force at the instances that can be reached.
 func (b *testbed) withdraw(via string) publish.Result {
 	b.t.Helper()
 	time.Sleep(propagationTime)
@@ -21,8 +21,8 @@
 	return r
 }
 
-// isWithdrawn notes that draft@1 is withdrawn everywhere, and lets time pass, so
-// that a run which starts now is one too late.
+// recordWithdrawal records that draft@1 is withdrawn everywhere and lets time
+// pass, so that any run which starts afterwards violates the withdrawal.
 func (b *testbed) recordWithdrawal() {
 	time.Sleep(propagationTime)
 	b.mu.Lock()
@@ -31,11 +31,11 @@
 	time.Sleep(time.Second - propagationTime)
 }
 
-// settled is how long the others take to read what one appended.
+// propagationTime is enough for all instances to read an appended record.
 const propagationTime = 100 * time.Millisecond
 
-// race has pipelines at two instances withdraw draft@1 at once, from the same
-// parent.
+// racePublications publishes the withdrawal of draft@1 at two instances at once
+// with the same parent: exactly one is accepted.
 func (b *testbed) racePublications(instances ...string) {
 	b.t.Helper()
 	time.Sleep(propagationTime)
@@ -54,19 +54,18 @@
 	b.recordWithdrawal()
 }
 
-// publishCell is one fault at one step of a publication at instance a: what its
-// pipeline hears, what it hears when it publishes the same again at b once the
-// fault is over, and how many generations there are then.
+// publishCell is one fault at one step of a publication at instance a. want is
+// "first>again": the code returned at a, and the code of the same publication
+// repeated at b after the fault. generations is the last generation afterwards.
 type publishCell struct {
 	step, fault, want string
 	generations       uint64
 }
 
-// A repetition of a publication that a later one has replaced is a conflict: it
-// must not bring its old content back.
-//
-// publishCells: a publication is accepted at most once, and what was said to be
-// accepted is in force everywhere within the bound.
+// publishCells check that a publication is accepted at most once, and that an
+// accepted one is in force everywhere within the freshness bound. Repeating a
+// publication that a later one has replaced is a conflict, since it would bring
+// its old content back.
 var publishCells = []publishCell{
 	{"publish", "none", "accepted>already_published", 2},
 	{"publish", "kill", "gone>accepted", 2},
@@ -86,7 +85,7 @@
 	{"read back", "log goes down", "accepted>already_published", 2},
 	{"read back", faultUnread, "publish_unknown>already_published", 2},
 	{"read back", "operator race", "accepted>conflict", 3},
-	// The publication is accepted; others have yet to hear of it.
+	// The publication is accepted; the other instances do not know of it yet.
 	{"push", "kill", "gone>already_published", 2},
 	{"push", "cut from log", "accepted>already_published", 2},
 	{"push", "cut from all", "accepted>already_published", 2},
@@ -107,8 +106,8 @@
 		first = outcomeNoAnswer
 	}
 	b.heal()
-	again := b.instances["b"].publisher.Publish(context.Background(), m, true).Outcome.Code
-	if got := first + ">" + again; got != c.want {
+	repeated := b.instances["b"].publisher.Publish(context.Background(), m, true).Outcome.Code
+	if got := first + ">" + repeated; got != c.want {
 		b.t.Errorf("got %s, want %s", got, c.want)
 	}
 	b.heal()
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -4,23 +4,24 @@
 	"time"
 )
 
-// stepDrain is the planned stop of the instance in the middle of an answer.
+// stepDrain is a planned stop of the instance in the middle of an answer.
 const stepDrain = "drain"
 
-// requestCell is one fault at one step of a request. What each kind of work gets
-// stands as "first>again": the answer to the first try at instance a, and to a
-// resend under the same key at b once the fault is over. No answer to the first
-// try means that the kind has no such step.
+// requestCell is one fault at one step of a request. The expected outcomes of
+// each kind are "first>again": of the request at instance a, and of a resend
+// with the same key at b after the fault. An empty string means that the kind
+// has no such step.
 type requestCell struct {
 	step, fault            string
 	plain, stream, reserve string
 }
 
-// shortOfBound, after a withdrawal, makes a pause longer than half the bound and
-// short enough that the confirmation from before it is still young.
+// pauseWithinBound after a withdrawal makes a pause that is longer than half the
+// freshness bound, but short enough that the confirmation of freshness from
+// before the pause is still valid.
 const pauseWithinBound = freshnessBound/2 - 600*time.Millisecond
 
-// faults of a request, as they happen at its step.
+// requestFaults holds the faults that are injected at a step of a request.
 var requestFaults = map[string]func(b *testbed){
 	"none":         func(*testbed) {},
 	"kill":         func(b *testbed) { b.kill(b.instances["a"]) },
@@ -39,9 +40,10 @@
 	"lost append":     func(b *testbed) { b.log.LoseAppends(1) },
 	"operator race":   func(b *testbed) { b.racePublications("b", "c") },
 	faultCallerLeaves: func(b *testbed) { b.cancelCaller(); time.Sleep(time.Second) },
-	// Nobody reads what was appended before the log goes down.
+	// The log goes down before anyone has read the last append.
 	faultUnread: func(b *testbed) { b.log.SetDown(true); b.setOthersReadsFail(false) },
-	// The caller loses patience and sends the request again, elsewhere.
+	// The caller resends the request at another instance without waiting for the
+	// first answer.
 	"crossed resend": func(b *testbed) { b.call(b.kind, "b", b.key) },
 	"leaving":        func(b *testbed) { b.makeServerLeave() },
 	"server dies":    func(b *testbed) { b.takeServerDown() },
@@ -58,7 +60,7 @@
 
 const faultUnread = "log goes down unread"
 
-// othersDeaf keeps b and c from reading the log.
+// setOthersReadsFail makes reads of the log at b and c fail or succeed again.
 func (b *testbed) setOthersReadsFail(fail bool) {
 	b.instances["b"].readsFail.Store(fail)
 	b.instances["c"].readsFail.Store(fail)
@@ -70,7 +72,8 @@
 	b.behaviour = behaviour
 }
 
-// leaves makes the serving backend server leave, or the one called next.
+// makeServerLeave makes the serving backend server leave, or, if there is none
+// yet, the one called next.
 func (b *testbed) makeServerLeave() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,14 +84,15 @@
 	b.nextLeaving = true
 }
 
-// allLeave makes every backend server leave until the fleet is healed.
+// makeAllServersLeave makes every backend server leave until heal.
 func (b *testbed) makeAllServersLeave() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.allServersLeaving = true
 }
 
-// dies takes the serving backend server away, or one of each kind.
+// takeServerDown takes the serving backend server down, or, if there is none
+// yet, one of each kind.
 func (b *testbed) takeServerDown() {
 	b.mu.Lock()
 	servingServer := b.servingServer
@@ -128,11 +132,11 @@
 	}
 	b.heal()
 	if bills := b.bills()[key]; c.fault == faultCallerLeaves && bills != 1 {
-		b.t.Errorf("what was generated for a caller that left has %d bills", bills)
+		b.t.Errorf("%d bills for an answer whose caller disconnected, want 1", bills)
 	}
-	again := b.call(kind, "b", key)
-	if outcomes := got.outcome + ">" + again.outcome; outcomes != want {
-		b.t.Errorf("got %s, want %s (%q, %q)", outcomes, want, got.body, again.body)
+	resend := b.call(kind, "b", key)
+	if outcomes := got.outcome + ">" + resend.outcome; outcomes != want {
+		b.t.Errorf("got %s, want %s (%q, %q)", outcomes, want, got.body, resend.body)
 	}
 	b.heal()
 	b.checkInvariants()
--- a/router/internal/loadgen/loadgen.go
+++ b/router/internal/loadgen/loadgen.go
@@ -1,5 +1,5 @@
-// Package loadgen sends chat requests at a bounded load and measures what its
-// callers get. It sends to loopback only and ends by itself.
+// Package loadgen generates a bounded load of chat requests and measures the
+// latency of the answers. It sends to loopback only and ends by itself.
 package loadgen
 
 import (
@@ -17,16 +17,17 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Target is where a request goes, and what it asks for.
+// Target is the endpoint and the content of the requests.
 type Target struct {
 	// URL of the chat endpoint.
 	URL string
 	// Key is the team's API key; empty for an engine called directly.
-	Key  string
+	Key string
+	// Body is the encoded wire.ChatRequest.
 	Body []byte
 }
 
-// Ask is what a request asks for.
+// RequestSpec describes the requests to send.
 type RequestSpec struct {
 	// Model or version; empty leaves the choice to the cascade.
 	Model     string
@@ -35,8 +36,9 @@
 	Stream    bool
 }
 
-// NewTarget returns the chat endpoint of base, such as "http://127.0.0.1:8080".
-// A base that is not on loopback is an error: load is for stand-ins only.
+// NewTarget returns the chat endpoint below base, such as
+// "http://127.0.0.1:8080". It returns an error if base is not a loopback IP
+// address, so that load never reaches anything but stand-ins.
 func NewTarget(base, key string, ask RequestSpec) (Target, error) {
 	u, err := url.Parse(base)
 	if err != nil {
@@ -44,7 +46,7 @@
 	}
 	ip := net.ParseIP(u.Hostname())
 	if ip == nil || !ip.IsLoopback() {
-		return Target{}, trace.BadParameter("address %q is not on loopback: load goes nowhere else", base)
+		return Target{}, trace.BadParameter("address %q is not a loopback IP address: load is sent to loopback only", base)
 	}
 	body, err := json.Marshal(wire.ChatRequest{
 		Model:     ask.Model,
@@ -58,20 +60,21 @@
 	return Target{URL: base + "/v1/chat/completions", Key: key, Body: body}, nil
 }
 
-// Sample is what one request took, in all and to its first byte of body.
+// Sample holds the times from the start of a request to the end of the response
+// and to the first byte of its body.
 type Sample struct{ Total, FirstByte time.Duration }
 
-// Whole and First pick a figure of a sample.
+// TotalTime selects Sample.Total, for Result.Quantile.
 func TotalTime(s Sample) time.Duration { return s.Total }
 
-// First is the time to the first byte of body.
+// TimeToFirstByte selects Sample.FirstByte, for Result.Quantile.
 func TimeToFirstByte(s Sample) time.Duration { return s.FirstByte }
 
-// Caller sends one request at a time on a connection of its own, so that callers
-// do not wait for each other in a shared pool. For one goroutine.
+// Caller sends one request at a time on its own connection, so that callers do
+// not wait for each other in a shared pool. It is not safe for concurrent use.
 type Caller struct{ client *http.Client }
 
-// NewCaller returns a caller; Close it.
+// NewCaller returns a caller that must be closed with Close.
 func NewCaller() Caller {
 	return Caller{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 }
@@ -79,7 +82,7 @@
 // Close drops the caller's connection.
 func (c Caller) Close() { c.client.CloseIdleConnections() }
 
-// Send sends one request and reads its answer whole.
+// Send sends one request and reads the whole response.
 func (c Caller) Send(ctx context.Context, t Target) (Sample, error) {
 	began := time.Now()
 	resp, err := c.Open(ctx, t)
@@ -98,11 +101,11 @@
 	return Sample{Total: time.Since(began), FirstByte: first}, nil
 }
 
-// maxErrorBytes bounds what of a refusal is kept as an example.
+// maxErrorBytes bounds the part of an error response that is kept in the error.
 const maxErrorBytes = 512
 
-// Open sends one request and returns its answer unread. Any status but 200 is an
-// error.
+// Open sends one request and returns the response with its body unread. Any
+// status other than 200 is an error.
 func (c Caller) Open(ctx context.Context, t Target) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, t.URL, bytes.NewReader(t.Body))
 	if err != nil {
--- a/router/internal/loadgen/loadgen_test.go
+++ b/router/internal/loadgen/loadgen_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// TestRunCounts sends to a server that refuses every third request.
+// TestRunCounts sends to a server that refuses every third request: both answers
+// and failures are counted.
 func TestRunCounts(t *testing.T) {
 	var n int
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -40,6 +41,6 @@
 		t.Errorf("got %d answers, %d failed, %q", len(p.Samples), p.Failed, p.LastError)
 	}
 	if p.Quantile(TotalTime, 0.99) < p.Quantile(TimeToFirstByte, 0.5) {
-		t.Error("quantiles")
+		t.Error("the 99th percentile of the total time is below the median time to the first byte")
 	}
 }
--- a/router/internal/loadgen/phase.go
+++ b/router/internal/loadgen/phase.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// Plan of one stretch of load.
+// Plan of one run of load.
 type Plan struct {
-	// Callers send side by side.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Rate is requests a second over all callers; 0 sends as fast as callers get
-	// answers.
+	// Rate is the number of requests per second over all callers; 0 sends the
+	// next request as soon as the answer has arrived.
 	Rate float64
-	// Warmup is sent but not counted; Length is.
+	// Warmup is the time at the start that is not measured, Duration the
+	// measured time after it.
 	Warmup, Duration time.Duration
 }
 
-// Phase is what one stretch of load gave.
+// Result of one run of load.
 type Result struct {
-	// Rate is whole answers a second.
-	Rate   float64 `json:"rate"`
-	Failed int64   `json:"failed"`
-	// Example is the text of one failure.
+	// Rate is the number of complete answers per second.
+	Rate float64 `json:"rate"`
+	// Failed counts failed requests, including those during Warmup.
+	Failed int64 `json:"failed"`
+	// LastError is the text of the last failure.
 	LastError string   `json:"example,omitempty"`
 	Samples   []Sample `json:"-"`
 }
@@ -36,8 +38,8 @@
 		wg.Go(func() { r.runCaller(ctx, i) })
 	}
 	wg.Wait()
-	r.phase.Rate = float64(len(r.phase.Samples)) / p.Duration.Seconds()
-	return r.phase
+	r.result.Rate = float64(len(r.result.Samples)) / p.Duration.Seconds()
+	return r.result
 }
 
 type run struct {
@@ -45,11 +47,11 @@
 	plan   Plan
 	start  time.Time
 
-	mu    sync.Mutex
-	phase Result
+	mu     sync.Mutex
+	result Result
 }
 
-// caller sends until the load's end.
+// runCaller sends requests until the end of the run.
 func (r *run) runCaller(ctx context.Context, index int) {
 	c := NewCaller()
 	defer c.Close()
@@ -74,17 +76,17 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.phase.Samples = append(r.phase.Samples, samples...)
+	r.result.Samples = append(r.result.Samples, samples...)
 }
 
 func (r *run) recordFailure(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.phase.Failed++
-	r.phase.LastError = err.Error()
+	r.result.Failed++
+	r.result.LastError = err.Error()
 }
 
-// gap is the time between two requests of one caller.
+// interval is the time between two requests of one caller; 0 without a rate.
 func (r *run) interval() time.Duration {
 	if r.plan.Rate <= 0 {
 		return 0
@@ -92,25 +94,27 @@
 	return time.Duration(float64(r.plan.Callers) / r.plan.Rate * float64(time.Second))
 }
 
-// first spreads the callers' starts over one gap.
+// firstSend spreads the first requests of the callers over one interval.
 func (r *run) firstSend(index int) time.Time {
 	return r.start.Add(r.interval() * time.Duration(index) / time.Duration(r.plan.Callers))
 }
 
-// wait holds a caller to its rate. A late one catches up, so that a slow answer
-// does not hide the load that was to come.
+// waitTurn waits until next and returns the time of the request after it. A
+// caller that is late catches up, so that a slow answer does not reduce the
+// offered load (coordinated omission).
 func (r *run) waitTurn(next time.Time) time.Time {
 	time.Sleep(time.Until(next))
 	return next.Add(r.interval())
 }
 
-// Quantile of a figure by nearest rank; 0 without samples.
-func (p Result) Quantile(pick func(Sample) time.Duration, q float64) time.Duration {
-	if len(p.Samples) == 0 {
+// Quantile returns the q-quantile (0 to 1) of the times that pick selects, by
+// nearest rank; 0 without samples.
+func (r Result) Quantile(pick func(Sample) time.Duration, q float64) time.Duration {
+	if len(r.Samples) == 0 {
 		return 0
 	}
-	all := make([]time.Duration, len(p.Samples))
-	for i, s := range p.Samples {
+	all := make([]time.Duration, len(r.Samples))
+	for i, s := range r.Samples {
 		all[i] = pick(s)
 	}
 	slices.Sort(all)
