--- a/router/internal/e2e/bench_test.go
+++ b/router/internal/e2e/bench_test.go
@@ -20,7 +20,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Bounds of the bench. Load goes to loopback and ends by itself.
+// Parameters of the benchmark. The load goes to loopback and ends by itself.
 const (
 	benchCores   = 4
 	benchCallers = 64
@@ -31,21 +31,21 @@
 	benchTokens  = 8
 )
 
-// BenchmarkPath compares requests through masticplankd with the same requests
-// to the same engine stand-in, in one run. Run it with scripts/bench.
+// BenchmarkPath compares requests routed through masticplankd with the same
+// requests sent directly to the same engine stand-in. Run it with scripts/bench.
 func BenchmarkPath(b *testing.B) {
 	b.Setenv("GOMAXPROCS", strconv.Itoa(benchCores))
 	p := startBenchPath(b)
 	for b.Loop() {
-		// Memory first, in a fresh process: what the load leaves folded would
-		// count besides.
+		// Memory first, in a fresh process: afterwards it would include the
+		// state folded from the records of the load.
 		p.measureStreams(b)
 		p.measureThroughputAndLatency(b)
 		fmt.Printf("resident: %.1f MB after the load\n", p.residentMB(b))
 	}
 }
 
-// benchPath is one engine, behind one instance.
+// benchPath is one engine behind one instance.
 type benchPath struct {
 	engine string
 	entry  *instance
@@ -77,7 +77,8 @@
 	return p
 }
 
-// publish puts a manifest in force through the admin edge.
+// publish publishes a manifest through the admin API and waits until requests
+// are served.
 func (p *benchPath) publish(b *testing.B) {
 	m := manifest.Manifest{
 		Publication: "bench",
@@ -102,7 +103,7 @@
 	})
 	c := loadgen.NewCaller()
 	defer c.Close()
-	eventually(b, "an answer", func() bool {
+	eventually(b, "a first answer", func() bool {
 		_, err := c.Send(context.Background(), p.routed(b, false))
 		return err == nil
 	})
@@ -130,9 +131,10 @@
 	return p.target(b, p.entry.api, "quick", benchTokens, stream)
 }
 
-// saturate sends as fast as callers get answers; pace sends at a steady rate.
+// saturate sends each caller's next request as soon as it has the answer.
 func saturate(t loadgen.Target, callers int) loadgen.Result { return sendAtRate(t, 0, callers) }
 
+// sendAtRate sends rate requests per second over all callers; 0 saturates.
 func sendAtRate(t loadgen.Target, rate float64, callers int) loadgen.Result {
 	return loadgen.Run(context.Background(), t, loadgen.Plan{
 		Callers:  callers,
@@ -142,7 +144,8 @@
 	})
 }
 
-// show prints one line and returns the quantiles of what pick reads.
+// printResult prints one line and returns quantiles of the times selected by
+// pick.
 func printResult(b *testing.B, ph loadgen.Result, name string, pick func(loadgen.Sample) time.Duration) (p50, p99 time.Duration) {
 	b.Helper()
 	if len(ph.Samples) == 0 {
@@ -156,14 +159,15 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// measure compares throughput, then latency at half of the routed throughput.
+// measureThroughputAndLatency compares the throughput of routed and direct
+// requests, then their latency at half of the routed throughput.
 func (p *benchPath) measureThroughputAndLatency(b *testing.B) {
 	direct := saturate(p.direct(b, false), benchCallers)
 	printResult(b, direct, "plain, direct, saturated", loadgen.TotalTime)
 	routed := saturate(p.routed(b, false), benchCallers)
 	printResult(b, routed, "plain, routed, saturated", loadgen.TotalTime)
-	// Answers wait for their bill's group commit, so few callers cannot
-	// saturate: throughput needs many of them under way.
+	// Answers wait for the group commit of their bills, so that few callers
+	// cannot saturate the instance; many concurrent requests are needed.
 	many := saturate(p.routed(b, false), 16*benchCallers)
 	printResult(b, many, "plain, routed, saturated, 16 x callers", loadgen.TotalTime)
 	manyDirect := saturate(p.direct(b, false), 16*benchCallers)
@@ -197,7 +201,8 @@
 	b.ReportMetric(millis(r99-d99), strings.NewReplacer(", ", "-", " ", "-").Replace(name)+"-added-p99-ms")
 }
 
-// measureStreams reads the instance's memory with many streams open.
+// measureStreams reports the instance's resident memory with benchStreams open
+// streams.
 func (p *benchPath) measureStreams(b *testing.B) {
 	before := p.residentMB(b)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -21,7 +21,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// readyFleet starts three instances and publishes the first manifest.
+// readyFleet starts three instances, publishes the first manifest and waits
+// until all are ready.
 func readyFleet(t *testing.T) *fleet {
 	t.Helper()
 	return readyFleetWith(t, options{})
@@ -53,7 +54,7 @@
 
 func outcomeOf(r response) string { return r.header.Get(wire.HeaderOutcome) }
 
-// withdraw publishes a manifest without large@1, through instance i.
+// withdraw publishes a manifest that withdraws large@1, through instance i.
 func (f *fleet) withdraw(i *instance) {
 	f.t.Helper()
 	m := testManifest("withdraw")
@@ -66,7 +67,7 @@
 	}
 }
 
-// startedOn counts the requests that engines began on a version.
+// requestsStarted returns how many requests the engines started on a version.
 func (f *fleet) requestsStarted(version string) int {
 	f.t.Helper()
 	total := 0
@@ -83,14 +84,14 @@
 	return total
 }
 
-// TestKilledWhileAReservationRuns kills the instance between the claim and the
-// answer. Sent again elsewhere it must not run again.
+// A reservation must not run twice if its instance is killed between the claim
+// and the answer and the caller resends it at another instance.
 func TestKilledWhileAReservationRuns(t *testing.T) {
 	f := readyFleetWith(t, options{shopArgs: []string{"--work", "500ms"}})
 	key := newKey()
 	first := make(chan response, 1)
 	go func() { first <- f.reserve(f.instances[0], key) }()
-	eventually(t, "the reservation at the shop", func() bool {
+	eventually(t, "the reservation running at the shop", func() bool {
 		return strings.Contains(call(t, http.MethodGet, "http://"+f.shop+"/load", "", "", nil).body, `"running":1`)
 	})
 	f.instances[0].kill()
@@ -99,7 +100,7 @@
 	}
 	for _, i := range f.instances[1:] {
 		if r := f.reserve(i, key); outcomeOf(r) != "already_run" {
-			t.Errorf("again at %s: %+v", i.name, r)
+			t.Errorf("resend at %s: %+v", i.name, r)
 		}
 	}
 	if n := f.runs(key); n > 1 {
@@ -114,15 +115,15 @@
 	}
 }
 
-// freeze stops a process and waits until none of its threads runs: the signal takes effect
-// a while after it was sent, and a request that comes before that is served as usual.
+// freeze sends SIGSTOP and waits until all threads are stopped: the signal takes effect some
+// time after it was sent, and a request that arrives before that would be served as usual.
 func (f *fleet) freeze(i *instance) {
 	f.t.Helper()
 	f.signal(i, syscall.SIGSTOP)
-	eventually(f.t, i.name+" is stopped", func() bool { return threadsStopped(f.t, i.cmd.Process.Pid) })
+	eventually(f.t, i.name+" to be stopped", func() bool { return threadsStopped(f.t, i.cmd.Process.Pid) })
 }
 
-// threadsStopped tells whether the kernel shows all threads of a process as stopped.
+// threadsStopped reports whether all threads of a process are in state T in /proc.
 func threadsStopped(t testing.TB, pid int) bool {
 	t.Helper()
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
@@ -137,7 +138,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The state follows the command's name, which stands in brackets.
+		// The state follows the command name, which is in parentheses.
 		if !strings.HasPrefix(string(stat[bytes.LastIndexByte(stat, ')')+1:]), " T") {
 			return false
 		}
@@ -145,9 +146,9 @@
 	return true
 }
 
-// TestFrozenInstanceMissesAWithdrawal stops a process for longer than the
-// freshness bound, withdraws a version meanwhile, and lets it go on with a
-// request already in its socket.
+// An instance that was stopped for longer than the freshness bound while a
+// version was withdrawn must not run a request on that version, even if the
+// request was already in its socket when it continues.
 func TestFrozenInstanceMissesAWithdrawal(t *testing.T) {
 	f := readyFleet(t)
 	frozen, publisher, witness := f.instances[0], f.instances[1], f.instances[2]
@@ -156,8 +157,9 @@
 	waiting := make(chan response, 1)
 	go func() { waiting <- f.chat(frozen) }()
 	f.withdraw(publisher)
-	// The witness is cut off after the freeze; once it is stale, the frozen
-	// instance's last read is older than the bound as well.
+	// The witness is disconnected from the log and its peers after the freeze.
+	// Once it is stale, the frozen instance's last read is older than the bound,
+	// too.
 	f.logRelays[2].SetDisconnected(true)
 	f.freeze(publisher)
 	f.awaitMode(witness, "stale")
@@ -167,16 +169,17 @@
 		t.Errorf("ran on a withdrawn version: %+v", r)
 	}
 	if n := f.requestsStarted("large@1") - before; n != 0 {
-		t.Errorf("%d requests began on the withdrawn version", n)
+		t.Errorf("%d requests started on the withdrawn version", n)
 	}
 }
 
-// TestLogDown takes the log away from everybody: idempotent work goes on and is
-// billed once the log is back, non-idempotent work is refused and not run.
+// While the log is unreachable for all instances, idempotent requests are
+// served and billed once the log is back; non-idempotent ones are refused and
+// not run.
 func TestLogDown(t *testing.T) {
 	f := readyFleet(t)
 	if r := f.chat(f.instances[0]); outcomeOf(r) != "completed" {
-		t.Fatalf("before: %+v", r)
+		t.Fatalf("chat before the outage: %+v", r)
 	}
 	f.faults(f.log, map[string]any{"down": true})
 	for _, i := range f.instances {
@@ -193,10 +196,10 @@
 	key := newKey()
 	r := f.reserve(f.instances[0], key)
 	if outcomeOf(r) != "refused" || r.header.Get("Retry-After") == "" || f.runs(key) != 0 {
-		t.Errorf("reservation in the outage: %+v, ran %d times", r, f.runs(key))
+		t.Errorf("reservation during the outage: %+v, ran %d times", r, f.runs(key))
 	}
 	if out, err := f.publish(testManifest("in-outage"), "--rebase"); err == nil {
-		t.Errorf("published in an outage: %s", out)
+		t.Errorf("published during the outage: %s", out)
 	}
 	f.faults(f.log, map[string]any{})
 	for _, i := range f.instances {
@@ -205,7 +208,7 @@
 	}
 	for _, want := range keys {
 		if n := f.billsOf(want); n != 1 {
-			t.Errorf("%d bills for %s", n, want)
+			t.Errorf("%d bills for %s, want 1", n, want)
 		}
 	}
 	if r := f.reserve(f.instances[0], key); r.status >= http.StatusMultipleChoices {
@@ -213,9 +216,9 @@
 	}
 }
 
-// TestReplacedWhileTheLogIsDown starts a new instance in an outage: it takes the
-// state over from its peers, serves idempotent work under the manifest in force, and
-// refuses what needs the log.
+// An instance that starts during an outage of the log gets the state from its
+// peers, serves idempotent requests under the manifest in force, and refuses
+// requests that need the log. After the outage it knows the earlier claims.
 func TestReplacedWhileTheLogIsDown(t *testing.T) {
 	f := readyFleet(t)
 	key := newKey()
@@ -232,22 +235,22 @@
 	if s := f.status(replacement); s.Generation != 1 {
 		t.Errorf("generation %d", s.Generation)
 	}
-	eventually(t, "a chat at the new instance", func() bool { return outcomeOf(f.chat(replacement)) == "completed" })
+	eventually(t, "a completed chat at the new instance", func() bool { return outcomeOf(f.chat(replacement)) == "completed" })
 	if r := f.reserve(replacement, newKey()); outcomeOf(r) != "refused" {
-		t.Errorf("reservation in the outage: %+v", r)
+		t.Errorf("reservation during the outage: %+v", r)
 	}
 	f.faults(f.log, map[string]any{})
 	f.awaitMode(replacement, "fresh")
 	if r := f.reserve(replacement, key); outcomeOf(r) != "already_run" {
-		t.Errorf("the reservation of before: %+v", r)
+		t.Errorf("resend of the reservation from before the outage: %+v", r)
 	}
 	if n := f.runs(key); n != 1 {
 		t.Errorf("ran %d times", n)
 	}
 }
 
-// TestBillLogDown has bills in a log of their own and takes that one away: all
-// work goes on, reservations too, and each bill is in once the log is back.
+// While a separate log for bills is unreachable, all requests are served,
+// including reservations, and each bill is written once the log is back.
 func TestBillLogDown(t *testing.T) {
 	f := readyFleetWith(t, options{billLog: true})
 	var keys []string
@@ -275,13 +278,13 @@
 	}
 }
 
-// TestCutFromTheLogOnly cuts one instance's line to the log: it hears of a new
-// manifest from its peers.
+// An instance that is disconnected from the log alone gets a new manifest from
+// its peers and stays fresh.
 func TestCutFromTheLogOnly(t *testing.T) {
 	f := readyFleet(t)
 	f.logRelays[0].SetDisconnected(true)
 	f.withdraw(f.instances[1])
-	eventually(t, "generation 2 at the cut instance", func() bool {
+	eventually(t, "generation 2 at the disconnected instance", func() bool {
 		return f.status(f.instances[0]).Generation == 2
 	})
 	f.awaitMode(f.instances[0], "fresh")
@@ -290,8 +293,9 @@
 	}
 }
 
-// TestCutFromAll leaves one instance alone: it refuses new work as not run and
-// fails readiness, and comes back by itself.
+// An instance that is disconnected from the log while its peers are stopped
+// refuses new requests as not run and fails the readiness check. It recovers by
+// itself.
 func TestCutFromAll(t *testing.T) {
 	f := readyFleet(t)
 	alone := f.instances[0]
@@ -302,10 +306,10 @@
 	f.awaitMode(alone, "stale")
 	before := f.requestsStarted("large@1")
 	if r := f.chat(alone); outcomeOf(r) != "refused" || r.header.Get("Retry-After") == "" {
-		t.Errorf("new work: %+v", r)
+		t.Errorf("chat at the disconnected instance: %+v", r)
 	}
 	if n := f.requestsStarted("large@1") - before; n != 0 {
-		t.Errorf("%d requests began", n)
+		t.Errorf("%d requests started", n)
 	}
 	if r := call(t, http.MethodGet, alone.admin+"/readyz", "", "", nil); r.status != http.StatusServiceUnavailable {
 		t.Errorf("readiness: %+v", r)
@@ -318,12 +322,13 @@
 	f.logRelays[0].SetDisconnected(false)
 	f.awaitMode(alone, "fresh")
 	if r := f.chat(alone); outcomeOf(r) != "completed" {
-		t.Errorf("after the cut: %+v", r)
+		t.Errorf("chat after the reconnection: %+v", r)
 	}
 }
 
-// TestOperatorsRace publishes conflicting manifests through all instances at
-// once: one wins everywhere, the others are told of a conflict.
+// Of conflicting manifests that are published through all instances at once,
+// exactly one comes into force everywhere; the other publishers get a conflict
+// (exit status 4).
 func TestOperatorsRace(t *testing.T) {
 	f := readyFleet(t)
 	var now struct {
--- a/router/internal/e2e/fleet_test.go
+++ b/router/internal/e2e/fleet_test.go
@@ -14,12 +14,12 @@
 
 var domains = []string{"salle-rimouski", "salle-matane", "salle-riviere"}
 
-// fleet is the whole path: a log, a list, three engines, a shop service and some
-// instances, each a process of its own.
+// fleet is a complete system: a log, a list, a rating service, three engines, a
+// shop service and some instances, each a separate process.
 type fleet struct {
 	t   testing.TB
 	log string
-	// bills is the address of the log that has the bills.
+	// bills is the address of the log that holds the bills.
 	bills     string
 	list      string
 	shop      string
@@ -27,15 +27,16 @@
 	instances []*instance
 	// platform are the settings that all instances share.
 	platform map[string]any
-	// lines are the instances' ways to the log, which a test can cut.
+	// logRelays are the instances' connections to the log, which a test can
+	// interrupt.
 	logRelays []*relay.Relay
 }
 
 // options of a fleet.
 type options struct {
-	// shopArgs go to the shop service's command line.
+	// shopArgs are added to the shop service's command line.
 	shopArgs []string
-	// billLog gives bills a log of their own.
+	// billLog starts a separate log for bills.
 	billLog bool
 }
 
@@ -80,7 +81,7 @@
 	return f
 }
 
-// add starts one more instance and lists it.
+// add starts one more instance and adds it to the platform's list.
 func (f *fleet) add() *instance {
 	f.t.Helper()
 	n := len(f.instances)
@@ -99,7 +100,7 @@
 	return i
 }
 
-// put sends a JSON body to a stand-in.
+// put sends a PUT with a JSON body to a stand-in.
 func (f *fleet) put(url string, body any) {
 	f.t.Helper()
 	data, err := json.Marshal(body)
@@ -111,7 +112,7 @@
 	}
 }
 
-// faults switches a stand-in's faults.
+// faults replaces the faults of the stand-in at addr.
 func (f *fleet) faults(addr string, set map[string]any) { f.put("http://"+addr+"/faults", set) }
 
 // status reads an instance's /status.
@@ -131,7 +132,7 @@
 	eventually(f.t, i.name+" is "+mode, func() bool { return f.status(i).Mode == mode })
 }
 
-// runs counts how often the shop ran a reservation.
+// runs returns how often the shop ran the reservation with the given key.
 func (f *fleet) runs(key string) int {
 	f.t.Helper()
 	r := call(f.t, http.MethodGet, "http://"+f.shop+"/stats", "", "", nil)
@@ -144,13 +145,13 @@
 	return got.Runs[key]
 }
 
-// billsOf counts a request's bills in the ledger.
+// billsOf returns the number of bills of a request in the ledger.
 func (f *fleet) billsOf(request string) int {
 	f.t.Helper()
 	return strings.Count(f.ledger(), request)
 }
 
-// ledger is read from the log by the operators' tool.
+// ledger returns the output of "masticplank ledger export".
 func (f *fleet) ledger() string {
 	f.t.Helper()
 	out, err := runTool("ledger", "export", "--log", "http://"+f.bills)
--- a/router/internal/e2e/orders_test.go
+++ b/router/internal/e2e/orders_test.go
@@ -7,8 +7,8 @@
 	"masticplank.example/router/internal/manifest"
 )
 
-// TestOrders has engines unload a version and load it again, by the manifest
-// alone.
+// Engines unload a version and load it again when the placements in the manifest
+// change.
 func TestOrders(t *testing.T) {
 	f := readyFleet(t)
 	publishPlacements := func(publication string, versions ...string) {
--- a/router/internal/e2e/process_test.go
+++ b/router/internal/e2e/process_test.go
@@ -1,4 +1,4 @@
-// Package e2e runs the two binaries as separate processes on loopback.
+// Package e2e tests the two binaries as separate processes on loopback.
 package e2e
 
 import (
@@ -19,11 +19,11 @@
 	"time"
 )
 
-// patience bounds every wait for something that a healthy process does in
+// waitTimeout bounds every wait for something that a healthy process does in
 // milliseconds. No test asserts how long anything took.
 const waitTimeout = 60 * time.Second
 
-// binaries holds the folder of the two binaries, built once.
+// binDir is the directory of the two binaries, which are built once.
 var binDir string
 
 func TestMain(m *testing.M) {
@@ -52,13 +52,16 @@
 	name string
 	cmd  *exec.Cmd
 
-	mu     sync.Mutex
-	lines  []string
+	mu sync.Mutex
+	// lines is all output, logged if the test fails.
+	lines []string
+	// output receives each line, for await; lines are dropped if it is full.
 	output chan string
-	done   chan error
+	// done receives the result of cmd.Wait.
+	done chan error
 }
 
-// start runs a binary and reads its lines from stdout and stderr.
+// startProcess starts a binary and reads the lines of its stdout and stderr.
 func startProcess(t testing.TB, name, binary string, args ...string) *process {
 	t.Helper()
 	p := &process{
@@ -107,7 +110,7 @@
 	}
 }
 
-// await returns the first line that match accepts.
+// await returns the result of match for the first line that it accepts.
 func (p *process) await(what string, match func(line string) (string, bool)) string {
 	p.t.Helper()
 	timeout := time.After(waitTimeout)
@@ -126,7 +129,7 @@
 	}
 }
 
-// terminate sends SIGTERM and returns how the process ended.
+// terminate sends SIGTERM and returns the result of cmd.Wait.
 func (p *process) terminate() error {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -141,7 +144,7 @@
 	}
 }
 
-// standin starts "masticplank standin ..." and returns its address.
+// startStandin starts "masticplank standin ..." and returns its address.
 func startStandin(t testing.TB, kind string, args ...string) string {
 	t.Helper()
 	p := startProcess(t, kind, "masticplank", append([]string{"standin", kind, "--listen", "127.0.0.1:0"}, args...)...)
@@ -150,15 +153,16 @@
 	})
 }
 
-// instance is one masticplankd.
+// instance is one masticplankd process with the addresses of its listeners; api
+// and admin start with "http://".
 type instance struct {
 	*process
 	api, admin, peer string
 }
 
-// tuning shortens the times that a test would else wait for. A freshness bound
-// of seconds is what the product runs with; here it only must be well above the
-// time in which a busy machine schedules a process.
+// shortTimings are settings that shorten the waits of the tests. The product runs
+// with a freshness bound of seconds; here it only has to be well above the time
+// in which a busy machine schedules a process.
 var shortTimings = map[string]map[string]any{
 	"freshness": {"bound_ms": 2000},
 	"peer":      {"interval_ms": 100},
@@ -193,7 +197,8 @@
 	return i
 }
 
-// listener reads the log's "listening" events.
+// readListener takes the address of a listener from a "listening" event in the
+// instance's log.
 func (i *instance) readListener(line string) (string, bool) {
 	var ev struct {
 		Name, Listener, Addr string
@@ -212,7 +217,7 @@
 	return "", true
 }
 
-// reply is an answer read whole.
+// response is a response with its whole body.
 type response struct {
 	status int
 	header http.Header
@@ -238,7 +243,7 @@
 	return readResponse(http.DefaultClient.Do(req))
 }
 
-// read takes an answer whole.
+// readResponse reads the whole body of a response.
 func readResponse(resp *http.Response, err error) response {
 	if err != nil {
 		return response{err: err}
@@ -248,7 +253,7 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-// eventually polls until ok holds; it fails only past patience.
+// eventually polls until cond returns true, and fails the test after waitTimeout.
 func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
@@ -256,7 +261,7 @@
 	defer tick.Stop()
 	for !cond() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		<-tick.C
 	}
--- a/router/internal/e2e/publish_bench_test.go
+++ b/router/internal/e2e/publish_bench_test.go
@@ -13,9 +13,10 @@
 	publishRounds    = 20
 )
 
-// BenchmarkPublish measures the time from the publisher's request to the
-// manifest being in force at the slowest of 8 instances: healthy, and with one
-// cut from the log, which hears of it from its peers. Run it with scripts/bench.
+// BenchmarkPublish measures the time from the publisher's request until the
+// manifest is in force at the slowest of 8 instances: with all connected, and
+// with one disconnected from the log, which gets it from its peers. Run it with
+// scripts/bench.
 func BenchmarkPublish(b *testing.B) {
 	f := startFleet(b, publishInstances, options{})
 	eventually(b, "publishing", func() bool {
@@ -31,8 +32,8 @@
 	}
 }
 
-// publishTimes publishes several times and returns, sorted, how long each took
-// to be in force everywhere.
+// publishTimes publishes publishRounds manifests and returns, sorted, the time
+// that each took to be in force everywhere.
 func (f *fleet) publishTimes(name string) []time.Duration {
 	var out []time.Duration
 	for n := range publishRounds {
--- a/router/internal/e2e/rolling_test.go
+++ b/router/internal/e2e/rolling_test.go
@@ -13,17 +13,17 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// callers send requests through the balancer.
+// balancedClients send requests through a load balancer.
 type balancedClients struct {
 	t        *testing.T
 	balancer balancer.Balancer
-	// cut counts answers that broke off after a connection was had: a planned
-	// stop must cause none.
+	// connectionsLost counts requests that failed after their connection was
+	// established; a planned stop must cause none.
 	connectionsLost atomic.Int64
 	completed       atomic.Int64
 }
 
-// send tries until an instance has taken the request.
+// send retries until an instance has accepted the request.
 func (b *balancedClients) send(client *http.Client, key string) {
 	for {
 		r := b.try(client, key)
@@ -51,7 +51,7 @@
 	return readResponse(client.Do(req))
 }
 
-// isDial says that no connection was had, so that nothing was cut.
+// isDialError reports whether no connection was established.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
@@ -65,8 +65,8 @@
 	return out
 }
 
-// TestRollingReplacement replaces all instances, one after another, under load.
-// No answer breaks off and each request is billed once.
+// Replacing all instances under load, one after another, must not interrupt any
+// answer, and each request is billed once.
 func TestRollingReplacement(t *testing.T) {
 	f := readyFleet(t)
 	b := &balancedClients{t: t}
@@ -100,13 +100,13 @@
 		if err := old.terminate(); err != nil {
 			t.Errorf("%s: %v", old.name, err)
 		}
-		eventually(t, "answers after the stop", func() bool { return b.completed.Load() > before+20 })
+		eventually(t, "20 more answers after the stop", func() bool { return b.completed.Load() > before+20 })
 	}
 	close(stop)
 	wg.Wait()
 	close(keys)
 	if n := b.connectionsLost.Load(); n > 0 {
-		t.Errorf("%d answers broke off", n)
+		t.Errorf("%d connections lost", n)
 	}
 	ledger := f.ledger()
 	for key := range keys {
--- a/router/internal/e2e/thinpath_test.go
+++ b/router/internal/e2e/thinpath_test.go
@@ -24,8 +24,8 @@
 
 var operatorKeyHash = manifest.HashKey(operatorKey)
 
-// testManifest lets the weavers use both models and the shop, the clerks only
-// the small one.
+// testManifest allows the weavers both models and the shop, the clerks only the
+// small model.
 func testManifest(publication string) manifest.Manifest {
 	return manifest.Manifest{
 		Publication: publication,
@@ -46,7 +46,7 @@
 	}
 }
 
-// publish runs "masticplank manifest publish --wait" over all instances.
+// publish runs "masticplank manifest publish --wait" with all instances.
 func (f *fleet) publish(m manifest.Manifest, args ...string) (string, error) {
 	f.t.Helper()
 	data, err := json.Marshal(m)
@@ -65,7 +65,7 @@
 	return runTool(args...)
 }
 
-// tool runs the operators' tool.
+// runTool runs the operators' tool and returns its combined output.
 func runTool(args ...string) (string, error) {
 	cmd := exec.Command(filepath.Join(binDir, "masticplank"), args...)
 	cmd.Env = append(os.Environ(), "MASTICPLANK_OPERATOR_KEY="+operatorKey)
@@ -127,11 +127,12 @@
 	text, ended := readEvents(t, r.body)
 	checkAnswer(t, text, 12)
 	if !ended {
-		t.Error("the stream has no end mark")
+		t.Error("the stream has no end marker")
 	}
 }
 
-// checkAnswer compares with the text that a sound engine gives for hello.
+// checkAnswer compares text with the answer of a correct engine to
+// helloMessages.
 func checkAnswer(t *testing.T, text string, maxTokens int) {
 	t.Helper()
 	_, rest, ok := engine.ParseAnswer(text)
@@ -140,7 +141,8 @@
 	}
 }
 
-// readEvents joins a stream's deltas.
+// readEvents concatenates the deltas of a stream and reports whether the end
+// marker was received.
 func readEvents(t *testing.T, body string) (text string, ended bool) {
 	t.Helper()
 	for _, line := range strings.Split(body, "\n") {
@@ -234,7 +236,8 @@
 	}
 }
 
-// testConflict publishes twice over the same parent: the second one loses.
+// testConflict publishes two manifests with the same parent: the second one is a
+// conflict (exit status 4), and repeating the first one succeeds.
 func (f *fleet) testConflict(t *testing.T) {
 	var now struct {
 		Digest   string            `json:"digest"`
@@ -261,7 +264,7 @@
 	}
 }
 
-// testOperators reads the fleet with each command that reads.
+// testOperators runs each command that reads the state of the fleet.
 func (f *fleet) testOperators(t *testing.T) {
 	addrs := f.instances[0].admin + "," + f.instances[1].admin
 	for _, c := range []struct {
@@ -281,8 +284,8 @@
 	}
 }
 
-// testShutdown sends SIGTERM while a stream runs: the stream ends whole and the
-// process exits with 0.
+// testShutdown sends SIGTERM while a stream is running: the stream is completed
+// and the process exits with status 0.
 func (f *fleet) testShutdown(t *testing.T) {
 	body := `{"model":"large","stream":true,"max_tokens":200,"messages":[{"role":"user","content":"draft a twill pattern"}]}`
 	i := f.instances[0]
@@ -290,7 +293,7 @@
 	go func() {
 		got <- call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, body, nil)
 	}()
-	eventually(t, "stream under way", func() bool {
+	eventually(t, "an open stream", func() bool {
 		return strings.Contains(call(t, http.MethodGet, i.admin+"/status", "", "", nil).body, `"open":1`)
 	})
 	if err := i.terminate(); err != nil {
@@ -300,6 +303,6 @@
 	text, ended := readEvents(t, r.body)
 	checkAnswer(t, text, 200)
 	if !ended {
-		t.Errorf("stream cut off: error %v", r.err)
+		t.Errorf("the stream has no end marker: error %v", r.err)
 	}
 }
--- a/router/internal/e2e/tokens_bench_test.go
+++ b/router/internal/e2e/tokens_bench_test.go
@@ -13,12 +13,13 @@
 
 const (
 	tokenStreams = 32
-	// tokensEach is long enough that the start of a stream does not count.
+	// tokensEach is the number of tokens per stream, large enough that the cost
+	// of starting a stream is negligible.
 	tokensEach = 8192
 )
 
-// BenchmarkTokens measures the instance's processor time for each token that
-// streams through it, and for each short plain request, by /proc.
+// BenchmarkTokens measures the instance's CPU time, from /proc, per token of a
+// stream and per short plain request.
 func BenchmarkTokens(b *testing.B) {
 	p := startBenchPath(b)
 	for b.Loop() {
@@ -35,7 +36,7 @@
 	}
 }
 
-// stream reads streams to their end, side by side.
+// stream reads tokenStreams concurrent streams to their end.
 func (p *benchPath) stream(b *testing.B, t loadgen.Target) {
 	var wg sync.WaitGroup
 	for range tokenStreams {
@@ -50,7 +51,7 @@
 	wg.Wait()
 }
 
-// processorTime is what the instance used while f ran.
+// measureCPUTime returns the CPU time that the instance used while f ran.
 func (p *benchPath) measureCPUTime(b *testing.B, f func()) time.Duration {
 	before := p.cpuTime(b)
 	f()
