--- a/router/internal/demo/check.go
+++ b/router/internal/demo/check.go
@@ -155,7 +155,7 @@
 // checkFalseFailure checks that a call reported as failed did not take effect.
 // Only the service's own 500 (backend_server_failed) means that the call ran and
 // failed. After a lost connection that is unknown, and a caller that gets a
-// failure reserves again under another key.
+// failure reserves again under another key, which would then run twice.
 func (c *checker) checkFalseFailure(key string, same []result) {
 	for _, r := range same {
 		if r.outcome == string(outcome.Failed) && r.code != "backend_server_failed" && c.runs[key] > 0 {
--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -94,7 +94,7 @@
 			c.check(results)
 			got := slices.Sorted(maps.Keys(c.violations))
 			if want := slices.Sorted(slices.Values(tt.want)); !slices.Equal(got, want) {
-				t.Errorf("broken %v, want %v", c.violations, want)
+				t.Errorf("violations %v, want those of %v", c.violations, want)
 			}
 			report := newReport(results, c.bills, c.violations)
 			if report.Held() != (len(tt.want) == 0) {
@@ -110,14 +110,14 @@
 	for i := range a {
 		kinds[a[i].kind]++
 		if a[i].kind != b[i].kind || a[i].path != b[i].path || a[i].chat.Model != b[i].chat.Model {
-			t.Fatalf("request %d differs", i)
+			t.Fatalf("request %d differs with the same seed", i)
 		}
 		if a[i].key == b[i].key {
-			t.Fatalf("request %d has the same key", i)
+			t.Fatalf("request %d has the same key in both loads", i)
 		}
 	}
 	if len(kinds) != len(loadMix) {
-		t.Errorf("kinds %v", kinds)
+		t.Errorf("some kinds are missing: %v", kinds)
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 	for q, want := range map[float64]float64{0: 1, 0.5: 50, 0.95: 95, 0.99: 99, 1: 100} {
 		if got := percentile(all, q); got != want {
-			t.Errorf("%v: %v, want %v", q, got, want)
+			t.Errorf("percentile %v: %v, want %v", q, got, want)
 		}
 	}
 }
--- a/router/internal/e2e/bench_test.go
+++ b/router/internal/e2e/bench_test.go
@@ -65,7 +65,7 @@
 		b.Fatal(err)
 	}
 	if r := call(b, http.MethodPut, "http://"+listAddr+"/instances", "", string(list), nil); r.status >= 300 {
-		b.Fatalf("list: %+v", r)
+		b.Fatalf("setting the list: %+v", r)
 	}
 	entry := startInstance(b, "entry-1", "salle-rimouski", map[string]any{
 		"log_url":    "http://" + logAddr,
@@ -95,10 +95,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	eventually(b, "manifest", func() bool {
+	eventually(b, "publishing the manifest", func() bool {
 		return call(b, http.MethodPost, p.entry.admin+"/manifest?rebase=true", operatorKey, string(body), nil).status == http.StatusOK
 	})
-	eventually(b, "ready", func() bool {
+	eventually(b, "the instance to be ready", func() bool {
 		return call(b, http.MethodGet, p.entry.admin+"/readyz", "", "", nil).status == http.StatusOK
 	})
 	c := loadgen.NewCaller()
@@ -228,9 +228,9 @@
 		})
 	}
 	eventually(b, "streams open", func() bool { return opened.Load() == benchStreams })
-	with := p.residentMB(b)
-	fmt.Printf("resident: %.1f MB before, %.1f MB with %d streams open\n", before, with, benchStreams)
-	b.ReportMetric(with, "MB-with-1000-streams")
+	during := p.residentMB(b)
+	fmt.Printf("resident: %.1f MB before, %.1f MB with %d streams open\n", before, during, benchStreams)
+	b.ReportMetric(during, "MB-with-1000-streams")
 	cancel()
 	wg.Wait()
 }
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -233,7 +233,7 @@
 	replacement := f.add()
 	f.awaitMode(replacement, "outage")
 	if s := f.status(replacement); s.Generation != 1 {
-		t.Errorf("generation %d", s.Generation)
+		t.Errorf("generation %d, want 1", s.Generation)
 	}
 	eventually(t, "a completed chat at the new instance", func() bool { return outcomeOf(f.chat(replacement)) == "completed" })
 	if r := f.reserve(replacement, newKey()); outcomeOf(r) != "refused" {
@@ -273,7 +273,7 @@
 	round()
 	for _, key := range keys {
 		if n, runs := f.billsOf(key), f.runs(key); n != 1 || runs != 1 {
-			t.Errorf("%s: %d bills, %d runs", key, n, runs)
+			t.Errorf("%s: %d bills and %d runs, want 1 each", key, n, runs)
 		}
 	}
 }
@@ -312,7 +312,7 @@
 		t.Errorf("%d requests started", n)
 	}
 	if r := call(t, http.MethodGet, alone.admin+"/readyz", "", "", nil); r.status != http.StatusServiceUnavailable {
-		t.Errorf("readiness: %+v", r)
+		t.Errorf("readiness check at the disconnected instance: %+v", r)
 	}
 	for _, i := range f.instances[1:] {
 		if err := i.cmd.Process.Signal(syscall.SIGCONT); err != nil {
@@ -331,21 +331,21 @@
 // (exit status 4).
 func TestOperatorsRace(t *testing.T) {
 	f := readyFleet(t)
-	var now struct {
+	var current struct {
 		Digest string `json:"digest"`
 	}
 	r := call(t, http.MethodGet, f.instances[0].admin+"/manifest", "", "", nil)
-	if err := json.Unmarshal([]byte(r.body), &now); err != nil {
+	if err := json.Unmarshal([]byte(r.body), &current); err != nil {
 		t.Fatal(err)
 	}
 	statuses := make([]int, len(f.instances))
 	var wg sync.WaitGroup
 	for n, i := range f.instances {
 		m := testManifest("racer-" + i.name)
-		m.Generation, m.Parent = 2, now.Digest
-		one := &fleet{t: t, instances: []*instance{i}}
+		m.Generation, m.Parent = 2, current.Digest
+		single := &fleet{t: t, instances: []*instance{i}}
 		wg.Go(func() {
-			_, err := one.publish(m)
+			_, err := single.publish(m)
 			if exit, ok := err.(*exec.ExitError); ok {
 				statuses[n] = exit.ExitCode()
 			}
@@ -363,11 +363,11 @@
 		}
 	}
 	if won != 1 {
-		t.Errorf("%d publishers won: %v", won, statuses)
+		t.Errorf("%d publishers succeeded, want 1: exit statuses %v", won, statuses)
 	}
 	for _, i := range f.instances {
 		if got := f.status(i).Generation; got != 2 {
-			t.Errorf("%s has generation %d", i.name, got)
+			t.Errorf("%s has generation %d, want 2", i.name, got)
 		}
 	}
 }
--- a/router/internal/e2e/process_test.go
+++ b/router/internal/e2e/process_test.go
@@ -124,7 +124,7 @@
 				return got
 			}
 		case <-timeout:
-			p.t.Fatalf("%s: no %s", p.name, what)
+			p.t.Fatalf("%s: timed out waiting for %s", p.name, what)
 		}
 	}
 }
--- a/router/internal/e2e/publish_bench_test.go
+++ b/router/internal/e2e/publish_bench_test.go
@@ -40,8 +40,8 @@
 		generation := f.status(f.instances[0]).Generation + 1
 		start := time.Now()
 		i := f.instances[1+n%(len(f.instances)-1)]
-		one := &fleet{t: f.t, instances: []*instance{i}}
-		if text, err := one.publish(testManifest(fmt.Sprintf("%s-%d", name, n)), "--rebase"); err != nil {
+		single := &fleet{t: f.t, instances: []*instance{i}}
+		if text, err := single.publish(testManifest(fmt.Sprintf("%s-%d", name, n)), "--rebase"); err != nil {
 			f.t.Fatalf("%v: %s", err, text)
 		}
 		var wg sync.WaitGroup
--- a/router/internal/e2e/rolling_test.go
+++ b/router/internal/e2e/rolling_test.go
@@ -24,25 +24,25 @@
 }
 
 // send retries until an instance has accepted the request.
-func (b *balancedClients) send(client *http.Client, key string) {
+func (c *balancedClients) send(client *http.Client, key string) {
 	for {
-		r := b.try(client, key)
+		r := c.try(client, key)
 		switch {
 		case r.err != nil && !isDialError(r.err):
-			b.connectionsLost.Add(1)
+			c.connectionsLost.Add(1)
 			return
 		case r.err == nil && outcomeOf(r) == "completed":
-			b.completed.Add(1)
+			c.completed.Add(1)
 			return
 		case r.err == nil && outcomeOf(r) != "refused":
-			b.t.Errorf("%s: %+v", key, r)
+			c.t.Errorf("%s: %+v", key, r)
 			return
 		}
 	}
 }
 
-func (b *balancedClients) try(client *http.Client, key string) response {
-	req, err := http.NewRequest(http.MethodPost, b.balancer.Pick()+"/v1/chat/completions", strings.NewReader(helloBody))
+func (c *balancedClients) try(client *http.Client, key string) response {
+	req, err := http.NewRequest(http.MethodPost, c.balancer.Pick()+"/v1/chat/completions", strings.NewReader(helloBody))
 	if err != nil {
 		return response{err: err}
 	}
@@ -69,8 +69,8 @@
 // answer, and each request is billed once.
 func TestRollingReplacement(t *testing.T) {
 	f := readyFleet(t)
-	b := &balancedClients{t: t}
-	b.balancer.Set(apiAddrs(f.instances))
+	clients := &balancedClients{t: t}
+	clients.balancer.Set(apiAddrs(f.instances))
 	stop := make(chan struct{})
 	keys := make(chan string, 1<<16)
 	var wg sync.WaitGroup
@@ -84,7 +84,7 @@
 				default:
 				}
 				key := newKey()
-				b.send(client, key)
+				clients.send(client, key)
 				keys <- key
 			}
 		})
@@ -95,23 +95,23 @@
 			return call(t, http.MethodGet, added.admin+"/readyz", "", "", nil).status == http.StatusOK
 		})
 		live := f.instances[len(f.instances)-3:]
-		before := b.completed.Load()
-		b.balancer.Set(apiAddrs(live))
+		before := clients.completed.Load()
+		clients.balancer.Set(apiAddrs(live))
 		if err := old.terminate(); err != nil {
-			t.Errorf("%s: %v", old.name, err)
+			t.Errorf("stopping %s: %v", old.name, err)
 		}
-		eventually(t, "20 more answers after the stop", func() bool { return b.completed.Load() > before+20 })
+		eventually(t, "20 more answers after the stop", func() bool { return clients.completed.Load() > before+20 })
 	}
 	close(stop)
 	wg.Wait()
 	close(keys)
-	if n := b.connectionsLost.Load(); n > 0 {
+	if n := clients.connectionsLost.Load(); n > 0 {
 		t.Errorf("%d connections lost", n)
 	}
 	ledger := f.ledger()
 	for key := range keys {
 		if n := strings.Count(ledger, key); n != 1 {
-			t.Errorf("%s: %d bills", key, n)
+			t.Errorf("%s: %d bills, want 1", key, n)
 		}
 	}
 }
--- a/router/internal/e2e/thinpath_test.go
+++ b/router/internal/e2e/thinpath_test.go
@@ -223,7 +223,7 @@
 		Versions map[string]string `json:"versions"`
 	}
 	if err := json.Unmarshal([]byte(r.body), &opened); err != nil || r.status != http.StatusCreated {
-		t.Fatalf("open: %+v", r)
+		t.Fatalf("opening a session: %+v", r)
 	}
 	for _, session := range []string{opened.Token, "school-17"} {
 		for _, i := range f.instances {
@@ -239,12 +239,12 @@
 // testConflict publishes two manifests with the same parent: the second one is a
 // conflict (exit status 4), and repeating the first one succeeds.
 func (f *fleet) testConflict(t *testing.T) {
-	var now struct {
+	var current struct {
 		Digest   string            `json:"digest"`
 		Manifest manifest.Manifest `json:"manifest"`
 	}
 	r := call(t, http.MethodGet, f.instances[0].admin+"/manifest", "", "", nil)
-	if err := json.Unmarshal([]byte(r.body), &now); err != nil {
+	if err := json.Unmarshal([]byte(r.body), &current); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -252,7 +252,7 @@
 		status      int
 	}{{"run-2", 0}, {"run-3", 4}, {"run-2", 0}} {
 		m := testManifest(c.publication)
-		m.Generation, m.Parent = now.Manifest.Generation+1, now.Digest
+		m.Generation, m.Parent = current.Manifest.Generation+1, current.Digest
 		out, err := f.publish(m)
 		status := 0
 		if exit, ok := err.(*exec.ExitError); ok {
@@ -297,7 +297,7 @@
 		return strings.Contains(call(t, http.MethodGet, i.admin+"/status", "", "", nil).body, `"open":1`)
 	})
 	if err := i.terminate(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 	r := <-got
 	text, ended := readEvents(t, r.body)
--- a/router/internal/faultmatrix/caller.go
+++ b/router/internal/faultmatrix/caller.go
@@ -158,7 +158,7 @@
 		case a.kind == kindReserve && runs > 1:
 			b.t.Errorf("a reservation ran %d times", runs)
 		case a.outcome == "completed" && a.body != expectedAnswer(a.kind):
-			b.t.Errorf("completed with %q", a.body)
+			b.t.Errorf("completed with %q instead of the expected answer", a.body)
 		case a.outcome == "completed" && bills[a.request] != 1:
 			b.t.Errorf("completed and billed %d times", bills[a.request])
 		case a.outcome == "completed" && runs == 0:
@@ -182,10 +182,10 @@
 	b.t.Helper()
 	for _, r := range b.runs {
 		if at, is := b.withdrawn[r.version]; is && r.at.After(at.Add(b.withdrawalSlack)) {
-			b.t.Errorf("ran on %s, withdrawn %v before", r.version, r.at.Sub(at))
+			b.t.Errorf("ran on %s %v after its withdrawal", r.version, r.at.Sub(at))
 		}
 		if at, is := b.leaving[r.server]; is && r.at.After(at) {
-			b.t.Errorf("ran at %s, which was leaving since %v before", r.server, r.at.Sub(at))
+			b.t.Errorf("ran at %s %v after it began to leave", r.server, r.at.Sub(at))
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	for _, in := range b.instances {
 		for i := 1; i < len(in.generations); i++ {
 			if in.generations[i] <= in.generations[i-1] {
-				b.t.Errorf("%s went through generations %v", in.name, in.generations)
+				b.t.Errorf("the generations of %s do not increase: %v", in.name, in.generations)
 			}
 		}
 		if b.net.isDown(in.name) || in.holder.Current() == nil {
--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -201,7 +201,7 @@
 		b.heal()
 		b.expectService("c")
 		if g := b.instances["c"].holder.Generation(); g != 3 {
-			b.t.Errorf("generation %d", g)
+			b.t.Errorf("generation %d, want 3", g)
 		}
 	}},
 	{"life", "catch up", "lapsed lease", func(b *testbed) {
@@ -214,17 +214,17 @@
 		old, _ := a.Check(lease.FencingEnforced)
 		b.freeze(b.instances["a"], func() { time.Sleep(time.Minute) })
 		if _, r := a.Check(lease.FencingEnforced); r != lease.Expired {
-			b.t.Errorf("the old holder may send: %d", r)
+			b.t.Errorf("the old holder may still send: check %d", r)
 		}
 		if !c.Acquire(b.t.Context()) {
 			b.t.Error("the lease did not expire")
 		}
-		if fence, r := c.Check(lease.FencingEnforced); r != lease.Allowed || fence <= old {
-			b.t.Errorf("fence %d after %d, %d", fence, old, r)
+		if fencing, r := c.Check(lease.FencingEnforced); r != lease.Allowed || fencing <= old {
+			b.t.Errorf("fencing number %d after %d, check %d", fencing, old, r)
 		}
 		b.heal()
 		if _, r := a.Check(lease.FencingEnforced); r != lease.NotHolder {
-			b.t.Errorf("the old holder still believes that it holds the lease: %d", r)
+			b.t.Errorf("the old holder still believes that it holds the lease: check %d", r)
 		}
 	}},
 	{"life", "catch up", "leaving", func(b *testbed) {
--- a/router/internal/faultmatrix/publish_test.go
+++ b/router/internal/faultmatrix/publish_test.go
@@ -49,7 +49,7 @@
 	x, y := <-results, <-results
 	codes := x.Outcome.Code + "," + y.Outcome.Code
 	if codes != "accepted,conflict" && codes != "conflict,accepted" {
-		b.t.Errorf("two racing publications: %s", codes)
+		b.t.Errorf("two racing publications: %s, want one accepted and one conflict", codes)
 	}
 	b.recordWithdrawal()
 }
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -124,10 +124,10 @@
 	awaitFault()
 	if c.step == stepDrain {
 		if held := <-b.heldAfterDrain; held > 0 && c.fault != "kill" {
-			b.t.Errorf("a planned stop left %d bills at the instance", held)
+			b.t.Errorf("a planned stop left %d unwritten bills at the instance", held)
 		}
 		if late := b.call(kind, "a", newKey()); late.outcome != outcomeNoAnswer {
-			b.t.Errorf("a stopped instance answered %s", late.outcome)
+			b.t.Errorf("a stopped instance answered: %s", late.outcome)
 		}
 	}
 	b.heal()
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -390,7 +390,7 @@
 		}
 	}
 	if failed < 80 || failed > 120 {
-		t.Errorf("%d of 200 failed", failed)
+		t.Errorf("%d of 200 failed, want 80 to 120", failed)
 	}
 	answer := readPlain(t, chat(t.Context(), s, wire.ChatRequest{Model: "good@1", Messages: user("x")}).Body)
 	text := answer.Choices[0].Message.Content
--- a/router/internal/standin/engine/generate.go
+++ b/router/internal/standin/engine/generate.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// generate calls emit with each token from the job's first on, in its time. It
-// reports false where ctx ended or emit failed.
+// generate calls emit with each token from the job's firstChunk on, at the time
+// of the token. It returns false if ctx ended or emit failed.
 func (s *Server) generate(ctx context.Context, j *job, emit func(i int, token string) bool) bool {
 	generated := 0
 	defer func() { s.updateStats(func(st *Stats) { st.Tokens += generated }) }()
--- a/router/internal/standin/engine/version.go
+++ b/router/internal/standin/engine/version.go
@@ -13,7 +13,8 @@
 	ID string `json:"id"`
 	// Quality (0 to 1) is written into the answers, for the rating stand-in.
 	Quality float64 `json:"quality"`
-	// FirstToken is the time to the first token of a fully cached prompt.
+	// FirstToken is the time to the first token of an empty or fully cached
+	// prompt.
 	FirstToken time.Duration `json:"first_token"`
 	// PerBlock is added to it for each block of the prompt that is not cached.
 	PerBlock time.Duration `json:"per_block"`
--- a/router/internal/standin/listsvc/listsvc_test.go
+++ b/router/internal/standin/listsvc/listsvc_test.go
@@ -61,6 +61,6 @@
 	do(t, s, http.MethodPut, "/servers/a", `{"leaving":true}`, http.StatusNoContent)
 	do(t, s, http.MethodPut, "/servers/c", `{"slot":4}`, http.StatusBadRequest)
 	if got := servers(t, s); len(got) != 2 {
-		t.Errorf("servers %v", got)
+		t.Errorf("servers %v, want 2", got)
 	}
 }
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -34,11 +34,11 @@
 		time.Sleep(40 * time.Minute)
 		appendBlob(t, s, nil)
 		if status, page := read(t, s, "from=0"); status != http.StatusOK || len(page.Entries) != 2 {
-			t.Fatalf("before: %d %+v", status, page)
+			t.Fatalf("before the retention: %d %+v", status, page)
 		}
 		time.Sleep(40 * time.Minute)
 		if status, page := read(t, s, "from=0"); status != http.StatusGone || page.First != 1 || page.Head != 2 {
-			t.Errorf("after: %d %+v", status, page)
+			t.Errorf("after the retention of the first entry: %d %+v", status, page)
 		}
 		time.Sleep(time.Hour)
 		if status, page := read(t, s, "from=2"); status != http.StatusOK || page.First != 2 || page.Head != 2 {
@@ -55,7 +55,7 @@
 	appendBlob(t, s, nil)
 	_, page := read(t, s, "from=0")
 	if page.Entries[1].Time.Before(page.Entries[0].Time) {
-		t.Errorf("times %v then %v", page.Entries[0].Time, page.Entries[1].Time)
+		t.Errorf("times decrease: %v, then %v", page.Entries[0].Time, page.Entries[1].Time)
 	}
 }
 
@@ -68,7 +68,7 @@
 			t.Errorf("%d %+v", status, page)
 		}
 		if waited := time.Since(began); waited != 5*time.Second {
-			t.Errorf("waited %s", waited)
+			t.Errorf("waited %s, want 5s", waited)
 		}
 	})
 }
@@ -84,11 +84,11 @@
 		go appendBlob(t, s, ctx)
 		<-ctx.Done()
 		if _, page := read(t, s, "from=0"); page.Head != 0 {
-			t.Errorf("took effect already: %+v", page)
+			t.Errorf("the append took effect too early: %+v", page)
 		}
 		time.Sleep(10 * time.Second)
 		if _, page := read(t, s, "from=0"); page.Head != 1 {
-			t.Errorf("never took effect: %+v", page)
+			t.Errorf("the append did not take effect: %+v", page)
 		}
 	})
 }
@@ -109,6 +109,6 @@
 		t.Error("a refused body changed the faults")
 	}
 	if reply := appendBlob(t, s, nil); !reply.Aborted {
-		t.Errorf("down: %+v", reply)
+		t.Errorf("append while down: %+v", reply)
 	}
 }
--- a/router/internal/standin/rating/rating_test.go
+++ b/router/internal/standin/rating/rating_test.go
@@ -26,6 +26,6 @@
 		t.Errorf("mean %v, want 0.5", mean)
 	}
 	if got := s.score(wire.RatingRequest{Task: "draft", Answer: "not from the engine"}); got > 0.1 {
-		t.Errorf("unknown text scored %v", got)
+		t.Errorf("unknown text scored %v, want at most 0.1", got)
 	}
 }
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -44,10 +44,10 @@
 				t.Errorf("reply %+v", reply)
 			}
 			if got := reply.Header.Get(wire.HeaderNotRun) == "true"; got != tt.notRun {
-				t.Errorf("not run: %v", got)
+				t.Errorf("header Masticplank-Not-Run set: %v", got)
 			}
 			if nonce := reply.Header.Get(wire.HeaderAttempt); tt.notRun && nonce != "n1" {
-				t.Errorf("refused under nonce %q", nonce)
+				t.Errorf("refused with nonce %q, want n1", nonce)
 			}
 			if got := s.Stats().Runs["k"]; got != tt.runs {
 				t.Errorf("%d runs, want %d", got, tt.runs)
