--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -17,7 +17,8 @@
 	return standintest.Do(s, standintest.Call{Method: http.MethodPost, Path: "/reservations", Body: `{"wool":3}`, Header: header})
 }
 
-// Each fault's effect on the count is what tests of at-most-once rely on.
+// Tests of at-most-once execution rely on the count of runs under each fault: a
+// fault after the effect counts one run, a refusal or a fault before it none.
 func TestRunsAreCountedUnderEveryFault(t *testing.T) {
 	tests := []struct {
 		faults string
@@ -43,10 +44,10 @@
 				t.Errorf("reply %+v", reply)
 			}
 			if got := reply.Header.Get(wire.HeaderNotRun) == "true"; got != tt.notRun {
-				t.Errorf("not run: %v", got)
+				t.Errorf("header Masticplank-Not-Run set: %v", got)
 			}
 			if nonce := reply.Header.Get(wire.HeaderAttempt); tt.notRun && nonce != "n1" {
-				t.Errorf("refused under nonce %q", nonce)
+				t.Errorf("refused with nonce %q, want n1", nonce)
 			}
 			if got := s.Stats().Runs["k"]; got != tt.runs {
 				t.Errorf("%d runs, want %d", got, tt.runs)
