--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// cascadeWorld has a cheap model that is good at 7 of 10 requests, and a dear
-// one that is good at all.
+// cascadeHarness has a cheap model that answers 7 of 10 requests well and a dear
+// one that answers all well.
 func cascadeHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
-	team := teamOf("weavers", 1)
+	team := testTeam("weavers", 1)
 	team.QualityTarget = 0.8
 	h.manifest(1, []Team{team}, smallVersions())
-	h.servers(serversOf(6, 8, weave1, draft1)...)
+	h.servers(testServers(6, 8, weave1, draft1)...)
 	h.rating = func(d Dispatch, r Request) (float64, bool) {
 		if d.Version == weave1 && r.ID%10 < 3 {
 			return 0.2, false
@@ -25,7 +25,8 @@
 	return h
 }
 
-// bill sums the cost of the attempts and the true quality of what was delivered.
+// serveOpen serves n requests one after the other and returns the mean cost of
+// their attempts and the mean quality of the delivered answers.
 func (h *harness) serveOpen(n int, r Request) (cost, quality float64) {
 	last := map[RequestID]Dispatch{}
 	h.onCommand = func(c Command) {
@@ -48,19 +49,21 @@
 	return cost / float64(n), quality / float64(n)
 }
 
+// The cascade must meet the quality target at a clearly lower cost than the dear
+// model alone.
 func TestCascadeCostsLessAtTheTarget(t *testing.T) {
 	open := Request{Team: "weavers", Class: "lookup", MaxTokens: 20, Idempotent: true}
 	h := cascadeHarness(t, DefaultConfig())
 	h.serveOpen(200, open)
 	cost, quality := h.serveOpen(300, open)
 	if quality < 0.79 || cost > 6 {
-		t.Errorf("cost %.2f of 10, quality %.3f", cost, quality)
+		t.Errorf("cost %.2f per request, want at most 6; quality %.3f, want at least 0.79", cost, quality)
 	}
 	h.requireAllAnswered()
 }
 
-// What may not be held goes to the step that meets the target by itself, and
-// nothing is ever held of it.
+// Streamed and non-idempotent requests must never be held: they run on the version
+// that meets the target alone.
 func TestNeverHeld(t *testing.T) {
 	tests := []Request{
 		{Streamed: true, Idempotent: true},
@@ -81,14 +84,14 @@
 				h.run(15 * step)
 			}
 			if held > 0 || h.delivered("") != 100 {
-				t.Errorf("%d held, %d delivered", held, h.delivered(""))
+				t.Errorf("%d answers held, want 0; %d of 100 delivered", held, h.delivered(""))
 			}
 		})
 	}
 }
 
-// A rating service that is late, silent or wrong delays no answer beyond its
-// budget and loses none.
+// A rating service that is late, does not answer or gives wrong ratings must not
+// delay an answer beyond the rating timeout or lose one.
 func TestRatingServiceFaults(t *testing.T) {
 	tests := map[string]func(Dispatch, Request) (float64, bool){
 		"late":      func(Dispatch, Request) (float64, bool) { return 0, true },
@@ -109,15 +112,16 @@
 			if h.delivered("") != 100 {
 				t.Errorf("%d of 100 delivered", h.delivered(""))
 			}
-			// Two attempts of 100 ms, the budget and its grace.
+			// Two attempts of 100 ms, the rating timeout and its grace.
 			if worst := percentile(h.answerTimes("weavers"), 1); worst > 700*time.Millisecond {
-				t.Errorf("the slowest took %v", worst)
+				t.Errorf("slowest answer after %v, want at most 700 ms", worst)
 			}
 		})
 	}
 }
 
-// A second step that fails costs the caller nothing: the held answer is whole.
+// A second step that fails must not cost the caller its answer: the held answer is
+// whole and is delivered.
 func TestFailedEscalationDeliversTheHeldAnswer(t *testing.T) {
 	for _, result := range []AttemptResult{AttemptFailed, AttemptUnknown, AttemptCrashed, AttemptNotRun} {
 		h := cascadeHarness(t, Config{Policy: Policy{Cascade: CascadeFixed}})
@@ -136,17 +140,17 @@
 	}
 }
 
-// When the planned model's queue is too long, another one that meets the target
-// is used.
+// When the queue of the planned model is too long, the request must go to another
+// model that meets the target instead of being refused.
 func TestSpillsToAnotherModel(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.duration = tenMsPerToken
-	h.manifest(1, []Team{teamOf("weavers", 1)}, smallVersions())
-	cheap, dear := serversOf(2, 8, weave1), serversOf(4, 8, draft1)[2:]
+	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	cheap, dear := testServers(2, 8, weave1), testServers(4, 8, draft1)[2:]
 	h.servers(append(cheap, dear...)...)
 	h.tick()
 	rng := rand.New(rand.NewPCG(3, 3))
-	// 120 requests a second for 80 that the cheap pool can take.
+	// 120 requests per second, of which the cheap pool can take 80.
 	offer(h, rng, 10*time.Second, demand{
 		perSecond: 120, deadline: 2 * time.Second,
 		request: Request{Team: "weavers", MaxTokens: 20, Idempotent: true},
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -28,7 +28,7 @@
 
 // freshnessInterval is how often the mode is looked at between reads, so that
 // the decision hears of a lapse soon after it happened.
-const freshnessInterval = 100 * time.Millisecond
+const freshnessCheckInterval = 100 * time.Millisecond
 
 // pollsPerBound is how many long polls fit into the freshness bound: a poll
 // confirms the state as of its start, and one or two may fail without harm.
@@ -42,7 +42,7 @@
 	return platform.NewLogClient(cfg.Platform.LogURL)
 }
 
-func newList(cfg settings.Settings) platform.List {
+func newInstanceLister(cfg settings.Settings) platform.InstanceLister {
 	return platform.NewListClient(cfg.Platform.ListURL)
 }
 
@@ -72,7 +72,7 @@
 			PollWait:     ms(cfg.Freshness.BoundMS) / pollsPerBound,
 		},
 		node.WithObserver(g),
-		node.WithLive(func() int { return max(1, len(dir.Instances())) }),
+		node.WithInstanceCount(func() int { return max(1, len(dir.Instances())) }),
 		node.WithSeed(randomSeed()),
 		node.WithValidator(record.ClassManifest, func(r record.Record, _ *fold.State) error {
 			return manifest.CheckRecord(r)
@@ -85,7 +85,7 @@
 
 // newBills is where bills go: a log of their own where the settings name one,
 // which keeps them out of what every instance reads.
-func newBills(lc fx.Lifecycle, cfg settings.Settings, store node.Store, dir *directory.Directory) ledger.BillLog {
+func newBillLog(lc fx.Lifecycle, cfg settings.Settings, store node.Store, dir *directory.Directory) ledger.BillLog {
 	if cfg.Platform.BillLogURL == "" {
 		return ledger.StoreLog{Store: store}
 	}
@@ -93,7 +93,7 @@
 		Name:   cfg.Instance,
 		Linger: func() time.Duration { return billLinger(cfg, len(dir.Instances())) },
 	})
-	background(lc, w.Run)
+	runInBackground(lc, w.Run)
 	return w
 }
 
@@ -116,7 +116,7 @@
 // read under it.
 func newHolder(d *driver.Driver, r *report.Recorder, log *logging.Logger) *manifest.Holder {
 	return manifest.NewHolder(func(x *manifest.Index) {
-		d.Send(x.Tables())
+		d.Send(x.DecisionEvent())
 		r.SetObjectives(x.Manifest.Generation, x.Manifest.Objectives)
 		log.Emit(context.Background(), logging.EventManifestApplied,
 			slog.Uint64("generation", x.Manifest.Generation),
@@ -124,26 +124,26 @@
 	})
 }
 
-func newDirectory(cfg settings.Settings, list platform.List, d *driver.Driver) *directory.Directory {
+func newDirectory(cfg settings.Settings, list platform.InstanceLister, d *driver.Driver) *directory.Directory {
 	return directory.New(cfg.Instance, list, d, ms(cfg.Platform.ListIntervalMS), ms(cfg.Platform.LoadIntervalMS))
 }
 
-func startDirectory(lc fx.Lifecycle, dir *directory.Directory) { background(lc, dir.Run) }
+func startDirectory(lc fx.Lifecycle, dir *directory.Directory) { runInBackground(lc, dir.Run) }
 
 // startFreshness tells the decision of each change of mode, and looks for the
 // lapse that comes by time alone.
 func startFreshness(lc fx.Lifecycle, g *gate.Gate, d *driver.Driver, dir *directory.Directory, log *logging.Logger) {
 	g.OnChange(func(mode freshness.Mode) {
-		ev := gate.Event(mode)
+		ev := gate.FreshnessEvent(mode)
 		d.Send(ev)
 		log.Emit(context.Background(), logging.EventFreshnessChanged,
 			slog.Bool("fresh", ev.Fresh), slog.Bool("outage", ev.Outage))
 	})
-	background(lc, func(ctx context.Context) {
-		ticker := time.NewTicker(freshnessInterval)
+	runInBackground(lc, func(ctx context.Context) {
+		ticker := time.NewTicker(freshnessCheckInterval)
 		defer ticker.Stop()
 		for {
-			g.Live(names(dir))
+			g.SetLiveInstances(instanceIDs(dir))
 			select {
 			case <-ctx.Done():
 				return
@@ -153,7 +153,7 @@
 	})
 }
 
-func names(dir *directory.Directory) []string {
+func instanceIDs(dir *directory.Directory) []string {
 	var out []string
 	for _, i := range dir.Instances() {
 		out = append(out, i.ID)
--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -24,28 +24,32 @@
 	"masticplank.example/router/internal/settings"
 )
 
-// Platform is what an adapter gives.
+// Platform is the adapter of one platform: its headers, records, store and settings.
 type Platform struct {
 	Headers Headers
 	Records Records
 	Store   Store
-	// ReadyPath is what the balancer asks for readiness.
+	// ReadyPath is the path that the load balancer requests to check readiness.
 	ReadyPath string
-	// Settings reads the settings file; it is read again on SIGHUP and when it changed.
+	// Settings reads the settings file. It is called again on SIGHUP and every
+	// settingsPollInterval.
 	Settings func() (seam.Settings, error)
 }
 
 const (
-	// memoryPart is the part of the memory at which the collector works harder.
+	// memoryLimitFraction is the fraction of the memory at which the garbage collector
+	// works harder.
 	memoryLimitFraction = 0.6
-	// ratioPart is the part of the budget's ratio that is used: requests that are counted
-	// here may be counted in another window there.
+	// retryRatioFraction is the fraction of the retry budget's ratio that is used: a
+	// request counted here may fall into another window of the platform's count.
 	retryRatioFraction = 0.85
-	// settingsEvery is how often the settings file is looked at for a change.
+	// settingsPollInterval is the time between two checks of the settings file.
 	settingsPollInterval = 5 * time.Second
 )
 
-// Run serves until SIGTERM or an interrupt. metrics is the port of the metrics, or "".
+// Run serves until SIGTERM or an interrupt. metrics is the address to serve metrics on, or
+// "" for none. Run returns an error if the settings cannot be read, or if starting or
+// stopping fails.
 func Run(p Platform, metrics string, out io.Writer) error {
 	cfg, err := p.Settings()
 	if err != nil {
@@ -72,23 +76,23 @@
 		fx.StopTimeout(cfg.Bounds.Grace),
 		fx.Supply(p, cfg),
 		fx.Provide(
-			func() *logging.Async { return logging.NewAsync(out) },
+			func() *logging.AsyncWriter { return logging.NewAsyncWriter(out) },
 			NewClock, gometrics.NewRegistry, provideLogger,
 			func(c Clock) *ConfigState { return NewConfigState(c, cfg.Bounds.RevocationDelay) },
-			func(l *logging.Logger, c Clock, k *ConfigState, reg gometrics.Registry) *telemetry {
-				return &telemetry{log: l, clock: c, config: k, registry: reg}
+			func(l *logging.Logger, c Clock, config *ConfigState, reg gometrics.Registry) *telemetry {
+				return &telemetry{log: l, clock: c, config: config, registry: reg}
 			},
-			func(c Clock, k *ConfigState) *restoreGuard { return &restoreGuard{clock: c, config: k} },
-			newDialer, newStartGate, provideSharing, provideDriver, provideObservationStore, provideServerList, provideRollouts, provideEdge, provideServer,
+			func(c Clock, config *ConfigState) *restoreGuard { return &restoreGuard{clock: c, config: config} },
+			newDialer, newStartGate, provideSharing, provideDriver, provideObservationStore, provideServerList, provideRollouts, provideHandler, provideServer,
 		),
-		// The stop runs through these in reverse: the configuration must stay fresh until
-		// the last request has been answered.
+		// Hooks stop in reverse order: the readers outlive the server, because the
+		// configuration must stay fresh until the last request has been answered.
 		fx.Invoke(watchSettings, startReaders,
 			func(lc fx.Lifecycle, s *server, sd fx.Shutdowner) { startServer(lc, s, sd, p.ReadyPath, metrics) }),
 	)
 }
 
-func provideLogger(out *logging.Async, cfg seam.Settings) *logging.Logger {
+func provideLogger(out *logging.AsyncWriter, cfg seam.Settings) *logging.Logger {
 	l := logging.New(out, settings.Log{Level: "info", Format: settings.FormatJSON})
 	return l.With(slog.String(logging.KeyInstance, cfg.Instance))
 }
@@ -103,65 +107,65 @@
 	})
 }
 
-func provideSharing(p Platform, cfg seam.Settings, j *telemetry, c Clock) *sharing {
-	return newSharing(cfg, p.Store, p.Records, j, c)
+func provideSharing(p Platform, cfg seam.Settings, tel *telemetry, c Clock) *sharing {
+	return newSharing(cfg, p.Store, p.Records, tel, c)
 }
 
-func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, k *ConfigState, trust *restoreGuard, j *telemetry, c Clock) *observationStore {
-	b := newObservationStore(cfg.Instance, sh.observations, d, j, c)
-	b.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
-	b.fleetSize = sh.members.Count
-	sh.onHeld = b.wakeUp
+func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, config *ConfigState, guard *restoreGuard, tel *telemetry, c Clock) *observationStore {
+	observations := newObservationStore(cfg.Instance, sh.observations, d, tel, c)
+	observations.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
+	observations.fleetSize = sh.members.FleetSize
+	sh.onHeld = observations.wakeUp
 	sh.onFleetCount = func(n int) { d.Handle(passthrough.FleetSize{Instances: n}) }
 	sh.onPeers = func(names []string) { d.Handle(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
 		out := d.ownReport()
-		out.LostConfig = trust.lostVersion()
+		out.LostConfigVersion = guard.lostVersion()
 		return out
 	}
 	take := func(others relay.Report) {
 		d.applyPeerReport(others)
-		k.ReportLostVersion(others.LostConfig)
+		config.ReportLostVersion(others.LostConfigVersion)
 	}
-	sh.server.Loads = relay.NewLoads(sh.client, own, take)
-	sh.server.Loads.Unreadable = j.logUnreadableLoads
-	d.onObserved, d.onCrash, d.onSlowStart, d.onLimitChanged = b.recordAnswer, b.recordCrash, j.slowStart, j.rateLimitChanged
-	return b
+	sh.server.LoadExchange = relay.NewLoadExchange(sh.client, own, take)
+	sh.server.LoadExchange.OnUnreadable = tel.logUnreadableLoads
+	d.onObservation, d.onCrash, d.onSlowStart, d.onLimitChanged = observations.recordResponse, observations.recordCrash, tel.slowStart, tel.rateLimitChanged
+	return observations
 }
 
-func provideServerList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, j *telemetry, c Clock, st *startGate) *serverList {
-	l := newServerList(p.Records, d, dial, j, c, cfg.Bounds.Drain, st)
+func provideServerList(p Platform, cfg seam.Settings, sh *sharing, d *Driver, dial *dialer, tel *telemetry, c Clock, gate *startGate) *serverList {
+	l := newServerList(p.Records, d, dial, tel, c, cfg.Bounds.Drain, gate)
 	d.requestServerRead = l.requestRead
-	l.readsFromPeer = func() bool { return !sh.servers.Direct() }
-	l.readsAlone = func() bool { return sh.servers.Direct() && !sh.server.Collects() }
+	l.readsFromPeer = func() bool { return !sh.servers.ReadsStore() }
+	l.readsAlone = func() bool { return sh.servers.ReadsStore() && !sh.server.IsCollector() }
 	return l
 }
 
-func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, b *observationStore, j *telemetry, c Clock) *rollouts {
-	m := newRollouts(p.Records, p.Store.Status(), d, l, b, j, c, passthrough.ExposureLimit{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
-	m.writesRegister = sh.status.Direct
+func provideRollouts(p Platform, cfg seam.Settings, sh *sharing, d *Driver, l *serverList, observations *observationStore, tel *telemetry, c Clock) *rollouts {
+	m := newRollouts(p.Records, p.Store.Status(), d, l, observations, tel, c, passthrough.ExposureLimit{Share: cfg.Bounds.CanaryShare, Tolerance: cfg.Bounds.CanaryTolerance})
+	m.writesRegister = sh.status.ReadsStore
 	return m
 }
 
-func provideEdge(p Platform, cfg seam.Settings, k *ConfigState, d *Driver, dial *dialer, c Clock, j *telemetry, st *startGate) *Handler {
-	return &Handler{headers: p.Headers, config: k, driver: d, dialer: dial, clock: c, telemetry: j, startGate: st, shutdown: &shutdown{}, conns: newCallerConns(cfg.MaxFiles)}
+func provideHandler(p Platform, cfg seam.Settings, config *ConfigState, d *Driver, dial *dialer, c Clock, tel *telemetry, gate *startGate) *Handler {
+	return &Handler{headers: p.Headers, config: config, driver: d, dialer: dial, clock: c, telemetry: tel, startGate: gate, shutdown: &shutdown{}, conns: newCallerConns(cfg.MaxFiles)}
 }
 
-func provideServer(cfg seam.Settings, e *Handler, k *ConfigState, d *Driver, j *telemetry, reg gometrics.Registry, out *logging.Async) *server {
-	s := &server{settings: cfg, edge: e, config: k, driver: d, telemetry: j, registry: reg, log: out, onServeError: func(error) {}}
+func provideServer(cfg seam.Settings, handler *Handler, config *ConfigState, d *Driver, tel *telemetry, reg gometrics.Registry, out *logging.AsyncWriter) *server {
+	s := &server{settings: cfg, handler: handler, config: config, driver: d, telemetry: tel, registry: reg, log: out, onServeError: func(error) {}}
 	return s
 }
 
-// startServer opens the listeners, and stops when asked to.
+// startServer opens the listeners on start and drains them on stop.
 func startServer(lc fx.Lifecycle, s *server, sd fx.Shutdowner, readyPath, metrics string) {
-	s.onServeError = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // it fails only where the stop has begun
+	s.onServeError = func(error) { _ = sd.Shutdown(fx.ExitCode(1)) } // fails only if the stop has already begun
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			s.telemetry.emit(logging.EventStart, slog.String("zone", s.settings.Domain))
 			return s.start(readyPath, metrics)
 		},
 		OnStop: func(context.Context) error {
-			s.stop(s.edge.clock.Now())
+			s.stop(s.handler.clock.Now())
 			s.telemetry.emit(logging.EventStop)
 			s.log.Flush()
 			return nil
@@ -169,20 +173,20 @@
 	})
 }
 
-// startReaders follows the store's topics, and carries roll-outs out.
-func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, k *ConfigState, d *Driver, l *serverList, m *rollouts, b *observationStore, trust *restoreGuard, j *telemetry, c Clock, st *startGate) {
+// startReaders starts the readers of the store's topics and the roll-out loop.
+func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, config *ConfigState, d *Driver, l *serverList, m *rollouts, observations *observationStore, guard *restoreGuard, tel *telemetry, c Clock, gate *startGate) {
 	op := &operator{
-		records: p.Records, config: k, driver: d, rollouts: m, telemetry: j, startGate: st,
-		clock: c, restoreGuard: trust,
+		records: p.Records, config: config, driver: d, rollouts: m, telemetry: tel, startGate: gate,
+		clock: c, restoreGuard: guard,
 		drained: map[string]bool{}, drainOrders: map[string]bool{}, keptLogged: map[string]bool{}, domains: cfg.Domains,
-		isCollector: sh.server.Collects, readsStore: sh.operator.Direct,
+		isCollector: sh.server.IsCollector, readsStore: sh.operator.ReadsStore,
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			runs := []func(context.Context){
 				op.reader(sh.operator, c).run, l.reader(sh.servers, c).run,
-				b.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, b.run, m.run, sh.server.Loads.Run,
+				observations.reader(c, m.active).run, m.reader(sh.status).run, sh.reader(ctx).run, sh.runCollector, observations.run, m.run, sh.server.LoadExchange.Run,
 			}
 			go joinAndRun(ctx, sh, cfg.FirstStart, runs)
 			return sh.listen(ctx)
@@ -195,32 +199,32 @@
 	})
 }
 
-// startTogether joins the others and starts the readers: an instance that knows its collector
-// saves its own reads.
-func joinAndRun(ctx context.Context, sh *sharing, first bool, runs []func(context.Context)) {
-	sh.join(ctx, first)
+// joinAndRun joins the other instances before it starts the readers: an instance that knows
+// its collector needs no reads of its own.
+func joinAndRun(ctx context.Context, sh *sharing, firstStart bool, runs []func(context.Context)) {
+	sh.join(ctx, firstStart)
 	for _, run := range runs {
 		go run(ctx)
 	}
 }
 
-// watchSettings reads the settings file again on SIGHUP and when it has changed. Only the
-// bounds are taken over; addresses hold until the next start.
-func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, k *ConfigState, j *telemetry) {
+// watchSettings reads the settings file again on SIGHUP and every settingsPollInterval. Only
+// the revocation bound takes effect at once; addresses stay until the next start.
+func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, config *ConfigState, tel *telemetry) {
 	hup := make(chan os.Signal, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	reload := func() {
 		now, err := p.Settings()
 		if err != nil {
-			j.emit(logging.EventSettingsFaults, slog.String(logging.KeyError, err.Error()))
+			tel.emit(logging.EventSettingsFaults, slog.String(logging.KeyError, err.Error()))
 			return
 		}
 		if reflect.DeepEqual(now, cfg) {
 			return
 		}
 		cfg = now
-		k.SetBound(now.Bounds.RevocationDelay)
-		j.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.RevocationDelay.Milliseconds()))
+		config.SetBound(now.Bounds.RevocationDelay)
+		tel.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.RevocationDelay.Milliseconds()))
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -12,7 +12,7 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// noHeaders reads and writes none.
+// noHeaders reads and writes no headers.
 type noHeaders struct{}
 
 func (noHeaders) ReadCaller(http.Header) seam.Caller                     { return seam.Caller{} }
@@ -21,18 +21,18 @@
 func (noHeaders) ResponseHeaders(h http.Header) http.Header              { return h }
 
 // TestConnectionsAreNotKeptWhereDescriptorsRunOut opens one connection after the other, as
-// callers do who come back after a refusal. Past the limit each is closed with its answer.
+// callers do that retry after a refusal. Past the limit each is closed after its response.
 func TestConnectionsAreNotKeptWhereDescriptorsRunOut(t *testing.T) {
 	clock := newFakeClock()
-	known := NewConfigState(clock, time.Second)
-	st := newStartGate()
-	st.release()
+	config := NewConfigState(clock, time.Second)
+	gate := newStartGate()
+	gate.release()
 	const kept = 10
-	e := &Handler{headers: noHeaders{}, config: known, clock: clock, startGate: st, shutdown: &shutdown{},
+	handler := &Handler{headers: noHeaders{}, config: config, clock: clock, startGate: gate, shutdown: &shutdown{},
 		conns:     newCallerConns(reservedDescriptors + kept/idleConnFraction),
-		telemetry: &telemetry{clock: clock, config: known, registry: metrics.NewRegistry()}}
-	srv := httptest.NewUnstartedServer(e)
-	srv.Config.ConnState = e.conns.track
+		telemetry: &telemetry{clock: clock, config: config, registry: metrics.NewRegistry()}}
+	srv := httptest.NewUnstartedServer(handler)
+	srv.Config.ConnState = handler.conns.track
 	srv.Start()
 	defer srv.Close()
 	closed := 0
@@ -52,9 +52,9 @@
 		defer client.CloseIdleConnections()
 	}
 	if closed < 3*kept-1 {
-		t.Errorf("%d of %d connections closed with their answers", closed, 4*kept)
+		t.Errorf("%d of %d connections closed after their responses", closed, 4*kept)
 	}
-	if n := e.conns.open.Load(); n > kept+2 {
+	if n := handler.conns.open.Load(); n > kept+2 {
 		t.Errorf("%d connections are open, %d may be kept", n, kept)
 	}
 }
--- a/router/internal/passthrough/watch.go
+++ b/router/internal/passthrough/watch.go
@@ -7,44 +7,46 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// watch gives up an attempt at a backend server that is silent.
-type silenceWatch struct {
+// idleWatch closes the connection of an attempt whose backend server has been silent for too
+// long.
+type idleWatch struct {
 	mu    sync.Mutex
 	timer *time.Timer
 	done  bool
 }
 
-// watchEvery is how often an attempt is looked at: a part of the shortest patience, and
-// rare beside the events of a stream.
-const silenceCheckInterval = 200 * time.Millisecond
+// idleCheckInterval is the time between two checks of an attempt: a fraction of the shortest
+// first-byte timeout, and long compared with the events of a stream.
+const idleCheckInterval = 200 * time.Millisecond
 
-// watch starts watching the attempt, if the request may run again elsewhere.
-func (a *attempt) watchSilence() *silenceWatch {
-	wt := &silenceWatch{}
+// watchIdle starts the watch if the request may be retried elsewhere.
+func (a *attempt) watchIdle() *idleWatch {
+	wt := &idleWatch{}
 	if !a.exchange.call.route.Retryable() {
 		return wt
 	}
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
-	wt.timer = time.AfterFunc(silenceCheckInterval, func() { wt.check(a) })
+	wt.timer = time.AfterFunc(idleCheckInterval, func() { wt.check(a) })
 	return wt
 }
 
-func (wt *silenceWatch) check(a *attempt) {
+// check closes the connection of an attempt that has timed out, else schedules the next check.
+func (wt *idleWatch) check(a *attempt) {
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
 	if wt.done {
 		return
 	}
-	if a.exceedsSilence() {
+	if a.hasTimedOut() {
 		a.timedOut.Store(true)
 		_ = a.conn.Close()
 		return
 	}
-	wt.timer.Reset(silenceCheckInterval)
+	wt.timer.Reset(idleCheckInterval)
 }
 
-func (wt *silenceWatch) stop() {
+func (wt *idleWatch) stop() {
 	wt.mu.Lock()
 	defer wt.mu.Unlock()
 	wt.done = true
@@ -53,9 +55,10 @@
 	}
 }
 
-// isSilent asks the decision, by what was heard of the attempt and of its server.
-func (a *attempt) exceedsSilence() bool {
-	now := a.exchange.edge.clock.Now()
+// hasTimedOut asks the decision whether the attempt has timed out, given when bytes last arrived
+// on its connection and from its server.
+func (a *attempt) hasTimedOut() bool {
+	now := a.exchange.handler.clock.Now()
 	s := passthrough.Inactivity{Route: a.exchange.call.route, FirstByteTimeout: a.firstByteTimeout,
 		PromptTokens: a.exchange.call.caller.PromptTokens, Begun: a.conn.lastReceived.Load() != 0}
 	s.AttemptIdle = now.Sub(a.startedAt)
