--- a/router/internal/peer/board.go
+++ b/router/internal/peer/board.go
@@ -14,7 +14,7 @@
 	"masticplank.example/decision"
 )
 
-// HealthKind says what a HealthItem is about.
+// HealthKind is the subject of a HealthItem.
 type HealthKind string
 
 // The kinds of HealthItem.
@@ -27,30 +27,32 @@
 	HealthQuarantine HealthKind = "quarantine"
 )
 
-// HealthItem is one word on health. Times are in ms since 1970.
+// HealthItem is one statement about a version, backend server or request. Times
+// are in ms since 1970.
 type HealthItem struct {
 	Kind HealthKind `json:"kind"`
 	ID   string     `json:"id"`
 	Bad  bool       `json:"bad,omitempty"`
-	// Stamp is when its origin said it; the latest word on an ID counts.
-	Stamp int64 `json:"stamp"`
-	// Until bounds its life. It is set once by the origin, so that passing it
-	// round never makes it live longer.
+	// Timestamp is when the origin stated it; the latest statement on an ID
+	// counts.
+	Timestamp int64 `json:"stamp"`
+	// Until is when the item expires. The origin sets it once, so that passing
+	// the item on never extends its life.
 	Until int64 `json:"until"`
-	// Origin is the instance that said it first.
+	// Origin is the instance that stated it first.
 	Origin string `json:"origin"`
 }
 
 const (
-	// maxItems bounds the board: all versions, and more leaving backend
+	// maxHealthItems leaves room for all versions, and for more leaving backend
 	// servers than a rack has.
-	maxItems = 2048
-	// maxItemLife bounds how long one instance's word can bind the others,
-	// should it be wrong.
-	maxItemLife = 15 * time.Minute
-	// maxSkew is the clock skew allowed between instances.
-	maxSkew = 30 * time.Second
-	maxID   = 128
+	maxHealthItems = 2048
+	// maxItemLifetime bounds how long a wrong statement of one instance can
+	// affect the others.
+	maxItemLifetime = 15 * time.Minute
+	// maxClockSkew is the clock skew allowed between instances.
+	maxClockSkew = 30 * time.Second
+	maxIDBytes   = 128
 )
 
 type itemKey struct {
@@ -58,117 +60,118 @@
 	id   string
 }
 
-// row is an item with its part of the board's hash.
-type row struct {
+// healthEntry is an item with its hash, which is part of the set's hash.
+type healthEntry struct {
 	HealthItem
-	sum uint64
+	itemHash uint64
 }
 
-// board is what this instance knows about health. Equal boards have equal
-// hashes, so peers exchange them only where they differ. Safe for concurrent
-// use.
-type board struct {
-	mu   sync.Mutex
-	rows map[itemKey]row
-	sum  uint64
+// healthSet holds the health items that this instance knows. Equal sets have
+// equal hashes, so that peers exchange them only if they differ. Safe for
+// concurrent use.
+type healthSet struct {
+	mu           sync.Mutex
+	entries      map[itemKey]healthEntry
+	combinedHash uint64
 }
 
-func newBoard() *board { return &board{rows: map[itemKey]row{}} }
+func newHealthSet() *healthSet { return &healthSet{entries: map[itemKey]healthEntry{}} }
 
-// merge takes items in, all or none, and returns those that were news.
-func (b *board) merge(items []HealthItem, now time.Time) ([]HealthItem, error) {
-	if len(items) > maxItems {
+// merge adds all items or, after an error, none, and returns those that were
+// new.
+func (s *healthSet) merge(items []HealthItem, now time.Time) ([]HealthItem, error) {
+	if len(items) > maxHealthItems {
 		return nil, trace.LimitExceeded("%d items", len(items))
 	}
 	for _, it := range items {
-		if err := it.check(now); err != nil {
+		if err := it.validate(now); err != nil {
 			return nil, err
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
-	var news []HealthItem
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire(now)
+	var added []HealthItem
 	for _, it := range items {
-		if b.take(it, now) {
-			news = append(news, it)
+		if s.insertIfNewer(it, now) {
+			added = append(added, it)
 		}
 	}
-	return news, nil
+	return added, nil
 }
 
-// take stores it where it is newer than what is known. A full board drops the
-// item that ends first, which all instances choose alike.
-func (b *board) take(it HealthItem, now time.Time) bool {
+// insertIfNewer adds an item if it is newer than the known one. A full set
+// drops the item that expires first, which is the same one at all instances.
+func (s *healthSet) insertIfNewer(it HealthItem, now time.Time) bool {
 	if it.Until <= now.UnixMilli() {
 		return false
 	}
 	key := itemKey{it.Kind, it.ID}
-	if known, ok := b.rows[key]; ok && !it.supersedes(known.HealthItem) {
+	if known, ok := s.entries[key]; ok && !it.supersedes(known.HealthItem) {
 		return false
 	}
-	b.remove(key)
-	b.insert(key, it)
-	if len(b.rows) <= maxItems {
+	s.remove(key)
+	s.insert(key, it)
+	if len(s.entries) <= maxHealthItems {
 		return true
 	}
-	first := b.first()
-	b.remove(first)
-	return first != key
+	expiring := s.firstToExpire()
+	s.remove(expiring)
+	return expiring != key
 }
 
-func (b *board) insert(key itemKey, it HealthItem) {
-	r := row{HealthItem: it, sum: it.sum()}
-	b.rows[key] = r
-	b.sum ^= r.sum
+func (s *healthSet) insert(key itemKey, it HealthItem) {
+	entry := healthEntry{HealthItem: it, itemHash: it.hash()}
+	s.entries[key] = entry
+	s.combinedHash ^= entry.itemHash
 }
 
-func (b *board) remove(key itemKey) {
-	b.sum ^= b.rows[key].sum // 0 where there is none
-	delete(b.rows, key)
+func (s *healthSet) remove(key itemKey) {
+	s.combinedHash ^= s.entries[key].itemHash // XOR with 0 if there is no such entry
+	delete(s.entries, key)
 }
 
-// first is the item that ends first.
-func (b *board) first() itemKey {
+// firstToExpire returns the item that expires first.
+func (s *healthSet) firstToExpire() itemKey {
 	var key itemKey
-	var least row
-	for k, r := range b.rows {
-		if key.id == "" || r.Until < least.Until || r.Until == least.Until && r.sum < least.sum {
-			key, least = k, r
+	var earliest healthEntry
+	for k, r := range s.entries {
+		if key.id == "" || r.Until < earliest.Until || r.Until == earliest.Until && r.itemHash < earliest.itemHash {
+			key, earliest = k, r
 		}
 	}
 	return key
 }
 
-// sum hashes all of the item.
-func (it HealthItem) sum() uint64 {
+// hash covers all fields of the item.
+func (it HealthItem) hash() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%s\x00%t\x00%d\x00%d\x00%s",
-		it.Kind, it.ID, it.Bad, it.Stamp, it.Until, it.Origin))
+		it.Kind, it.ID, it.Bad, it.Timestamp, it.Until, it.Origin))
 }
 
-// supersedes orders two words on one ID the same at every instance.
+// supersedes orders two items on one ID identically at every instance.
 func (it HealthItem) supersedes(other HealthItem) bool {
-	if it.Stamp != other.Stamp {
-		return it.Stamp > other.Stamp
+	if it.Timestamp != other.Timestamp {
+		return it.Timestamp > other.Timestamp
 	}
-	return it.sum() > other.sum()
+	return it.hash() > other.hash()
 }
 
-// knows says whether an unexpired word on the ID exists.
-func (b *board) knows(kind HealthKind, id string, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r, ok := b.rows[itemKey{kind, id}]
+// has reports whether there is an unexpired item on the ID.
+func (s *healthSet) has(kind HealthKind, id string, now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r, ok := s.entries[itemKey{kind, id}]
 	return ok && r.Until > now.UnixMilli()
 }
 
-// all returns the live items, in a fixed order.
-func (b *board) all(now time.Time) []HealthItem {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
-	out := make([]HealthItem, 0, len(b.rows))
-	for _, r := range b.rows {
+// all returns the unexpired items, in a fixed order.
+func (s *healthSet) all(now time.Time) []HealthItem {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire(now)
+	out := make([]HealthItem, 0, len(s.entries))
+	for _, r := range s.entries {
 		out = append(out, r.HealthItem)
 	}
 	slices.SortFunc(out, func(x, y HealthItem) int {
@@ -177,24 +180,24 @@
 	return out
 }
 
-// hash is the same for boards with the same live items.
-func (b *board) hash(now time.Time) uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
-	return b.sum
+// hash is equal for sets with the same unexpired items.
+func (s *healthSet) hash(now time.Time) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire(now)
+	return s.combinedHash
 }
 
-func (b *board) expire(now time.Time) {
-	for key, r := range b.rows {
+func (s *healthSet) expire(now time.Time) {
+	for key, r := range s.entries {
 		if r.Until <= now.UnixMilli() {
-			b.remove(key)
+			s.remove(key)
 		}
 	}
 }
 
-// check refuses an item that no instance sends.
-func (it HealthItem) check(now time.Time) error {
+// validate rejects an item that no instance sends.
+func (it HealthItem) validate(now time.Time) error {
 	switch it.Kind {
 	case HealthVerdict, HealthLeaving:
 	case HealthQuarantine:
@@ -204,21 +207,21 @@
 	default:
 		return trace.BadParameter("unknown kind")
 	}
-	latest := now.Add(maxSkew).UnixMilli()
+	latest := now.Add(maxClockSkew).UnixMilli()
 	switch {
-	case it.ID == "" || len(it.ID) > maxID:
+	case it.ID == "" || len(it.ID) > maxIDBytes:
 		return trace.BadParameter("id missing or too long")
-	case it.Origin == "" || len(it.Origin) > maxName:
+	case it.Origin == "" || len(it.Origin) > maxNameBytes:
 		return trace.BadParameter("origin missing or too long")
-	case it.Stamp <= 0 || it.Stamp > latest:
+	case it.Timestamp <= 0 || it.Timestamp > latest:
 		return trace.BadParameter("stamp out of range")
-	case it.Until < it.Stamp || it.Until-it.Stamp > maxItemLife.Milliseconds():
+	case it.Until < it.Timestamp || it.Until-it.Timestamp > maxItemLifetime.Milliseconds():
 		return trace.BadParameter("life out of range")
 	}
 	return nil
 }
 
-// event is the item as the decision takes it.
+// event converts the item to an event of the decision.
 func (it HealthItem) event() decision.Event {
 	until := time.UnixMilli(it.Until)
 	switch it.Kind {
@@ -227,7 +230,7 @@
 	case HealthLeaving:
 		return decision.ServerLeaving{Server: decision.ServerID(it.ID)}
 	default:
-		n, _ := strconv.ParseUint(it.ID, 10, 64) // checked when it came in
+		n, _ := strconv.ParseUint(it.ID, 10, 64) // validated by merge
 		return decision.RequestQuarantined{Fingerprint: decision.Fingerprint(n), Until: until}
 	}
 }
--- a/router/internal/peer/chooser.go
+++ b/router/internal/peer/chooser.go
@@ -7,26 +7,27 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Chooser picks the peers of a round. One goroutine calls it.
+// Chooser picks the peers of a round. It is called from one goroutine only.
 type Chooser interface {
-	// Choose picks from live, the platform's list without the own instance.
+	// Choose picks from live, the platform's list without this instance.
 	Choose(live []wire.ListedInstance) []wire.ListedInstance
-	// Failed says that a chosen peer did not answer.
+	// Failed records that a chosen peer did not answer.
 	Failed(id string)
 }
 
 const (
-	// fanout is how many peers a round has. Three spread a word to n instances
-	// in about log3(n) rounds: 2 rounds for 8, 7 for 880.
+	// fanout is the number of peers in a round. With three, information reaches
+	// n instances in about log3(n) rounds: 2 rounds for 8, 7 for 880.
 	fanout = 3
-	// keepRounds is how long a peer is kept. Connecting, with TLS, costs more
-	// bytes than many rounds, so peers change one at a time and slowly.
-	keepRounds = 20
+	// replaceEvery is the number of rounds after which one peer is replaced.
+	// Connecting, with TLS, costs more bytes than many rounds, so peers change
+	// slowly and one at a time.
+	replaceEvery = 20
 )
 
-// stickyChooser keeps its peers and replaces one every keepRounds rounds. At
-// least one is in another failure domain, where there is one, so that a word
-// leaves a failure domain at once.
+// stickyChooser keeps its peers and replaces one every replaceEvery rounds. If
+// there are other failure domains, at least one peer is in one of them, so that
+// information leaves a failure domain at once.
 type stickyChooser struct {
 	domain string
 	rng    *rand.Rand
@@ -56,13 +57,13 @@
 	for _, l := range live {
 		byID[l.ID] = l
 	}
-	c.forget(byID)
+	c.removeStale(byID)
 	order := c.rng.Perm(len(live))
 	c.fill(live, order, func(l wire.ListedInstance) bool { return !c.failed[l.ID] })
-	// Those that failed last time come last, and get their chance where no
-	// others are left: an instance that is back must be heard again.
+	// Peers that failed last time are chosen only if there are no others: an
+	// instance that is back must be heard again.
 	c.fill(live, order, func(wire.ListedInstance) bool { return true })
-	c.reachOut(live, order, byID)
+	c.ensureOtherDomain(live, order, byID)
 	clear(c.failed)
 	out := make([]wire.ListedInstance, len(c.kept))
 	for i, id := range c.kept {
@@ -71,32 +72,33 @@
 	return out
 }
 
-// forget drops peers that the list dropped and, every keepRounds, the oldest.
-func (c *stickyChooser) forget(byID map[string]wire.ListedInstance) {
+// removeStale drops peers that are no longer listed and, every replaceEvery
+// rounds, the oldest one.
+func (c *stickyChooser) removeStale(byID map[string]wire.ListedInstance) {
 	c.kept = slices.DeleteFunc(c.kept, func(id string) bool {
 		_, listed := byID[id]
 		return !listed
 	})
 	c.round++
-	if c.round%keepRounds == 0 && len(c.kept) == fanout {
+	if c.round%replaceEvery == 0 && len(c.kept) == fanout {
 		c.kept = c.kept[1:]
 	}
 }
 
-func (c *stickyChooser) fill(live []wire.ListedInstance, order []int, ok func(wire.ListedInstance) bool) {
+func (c *stickyChooser) fill(live []wire.ListedInstance, order []int, eligible func(wire.ListedInstance) bool) {
 	for _, i := range order {
 		if len(c.kept) == fanout {
 			return
 		}
-		if ok(live[i]) && !slices.Contains(c.kept, live[i].ID) {
+		if eligible(live[i]) && !slices.Contains(c.kept, live[i].ID) {
 			c.kept = append(c.kept, live[i].ID)
 		}
 	}
 }
 
-// reachOut swaps the newest peer for one of another failure domain where all
-// are in the own.
-func (c *stickyChooser) reachOut(live []wire.ListedInstance, order []int, byID map[string]wire.ListedInstance) {
+// ensureOtherDomain replaces the newest peer by one of another failure domain
+// if all are in the instance's own.
+func (c *stickyChooser) ensureOtherDomain(live []wire.ListedInstance, order []int, byID map[string]wire.ListedInstance) {
 	for _, id := range c.kept {
 		if byID[id].Domain != c.domain {
 			return
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -24,41 +24,41 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Vouches takes what peers say of the log's head, as it comes; *gate.Gate is
-// it. Safe for concurrent use.
+// Vouches receives what peers report about the log's head; *gate.Gate
+// implements it. Safe for concurrent use.
 type Vouches interface {
 	Vouched(v freshness.Vouch)
 }
 
-// Events takes what peers say of health; *driver.Driver is it.
+// Events receives health events from peers; *driver.Driver implements it.
 type Events interface{ Send(decision.Event) }
 
-// DialFunc connects to a peer; (*net.Dialer).DialContext is one.
+// DialFunc connects to a peer, as (*net.Dialer).DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Config of a Node.
 type Config struct {
-	// Self is this instance as the list has it.
+	// Self is this instance's entry in the list.
 	Self wire.ListedInstance
-	// TLS is from TLSConfig; nil for plaintext.
+	// TLS comes from TLSConfig; nil for plaintext.
 	TLS *tls.Config
 	// Dial connects to a peer; nil for TCP.
 	Dial DialFunc
-	// Times bound the waits for peers.
-	Times Times
+	// Timeouts bound the waits for peers.
+	Timeouts Timeouts
 	// Interval between exchanges.
 	Interval time.Duration
-	// Seed makes the choice of peers repeatable; it should differ between
+	// Seed makes the choice of peers reproducible; it should differ between
 	// instances.
 	Seed uint64
 }
 
-// Deps are what a Node works with.
+// Deps are the dependencies of a Node.
 type Deps struct {
 	Store node.Store
 	// Bills takes the bills that were held; nil for the Store's log.
 	Bills ledger.BillLog
-	// Instances gives the platform's list; it may hold the own instance.
+	// Instances returns the platform's list; it may include this instance.
 	Instances func() []wire.ListedInstance
 	Vouches   Vouches
 	Events    Events
@@ -71,48 +71,52 @@
 	Now func() time.Time
 }
 
-// Node is this instance among its peers. Its methods are safe for concurrent
-// use, but for Round, which Run calls.
+// Node connects this instance with its peers. Its methods are safe for
+// concurrent use, except for Round, which Run calls.
 type Node struct {
 	Deps
-	self     wire.ListedInstance
-	store    node.Store
-	interval time.Duration
-	times    Times
-	pool     *pool
-	server   *server
-	board    *board
-	held     *ledger.Buffer
-	snaps    *snapshots
-	// warnings and alarms limit log lines that others can cause, or that a
-	// lasting state would repeat in each round.
-	warnings *rate.Limiter
-	alarms   *rate.Limiter
-	// push wakes Run to pass on what is new at once, early to make a round
-	// before the interval has passed; earlyRounds limits what others can cause.
-	push, early chan struct{}
-	earlyRounds *rate.Limiter
+	self        wire.ListedInstance
+	store       node.Store
+	interval    time.Duration
+	timeouts    Timeouts
+	pool        *connPool
+	server      *server
+	healthItems *healthSet
+	heldBills   *ledger.Buffer
+	snapshots   *snapshotCache
+	// rejectionLogs and divergenceLogs limit log lines that others can cause,
+	// or that a lasting condition would repeat in each round.
+	rejectionLogs  *rate.Limiter
+	divergenceLogs *rate.Limiter
+	// pushRequested wakes Run to send new items at once, roundRequested to
+	// start a round before the interval has passed; earlyRoundLimit limits the
+	// rounds that others can cause.
+	pushRequested, roundRequested chan struct{}
+	earlyRoundLimit               *rate.Limiter
 	// transferring and flushing guard work that outlasts a round.
 	transferring, flushing atomic.Bool
 	background             sync.WaitGroup
-	// noTransferBefore is used by the one transfer that runs.
-	noTransferBefore time.Time
+	// nextTransferAt is used only by the one transfer that runs at a time.
+	nextTransferAt time.Time
 
 	mu sync.Mutex
-	// unsent are news for the peers of the next push.
-	unsent []HealthItem
-	// tell says that a manifest won which peers were not told of.
-	tell bool
-	// chosen are the peers of the last round; answered says which answered.
-	chosen   []wire.ListedInstance
-	answered map[string]bool
-	// asked counts on through the list for the wide question of an outage.
-	asked int
+	// pendingItems are the health items for the next push.
+	pendingItems []HealthItem
+	// manifestPending says that the peers have not been notified yet of a
+	// manifest that won.
+	manifestPending bool
+	// roundPeers are the peers of the last round; answered says which ones
+	// answered.
+	roundPeers []wire.ListedInstance
+	answered   map[string]bool
+	// outageCursor is the position in the list up to which outagePeers has
+	// queried.
+	outageCursor int
 }
 
 // New returns a Node; Run starts it.
 func New(cfg Config, deps Deps) *Node {
-	cfg.Times = cfg.Times.withDefaults()
+	cfg.Timeouts = cfg.Timeouts.withDefaults()
 	if deps.Now == nil {
 		deps.Now = time.Now
 	}
@@ -128,35 +132,35 @@
 	in := gometrics.GetOrRegisterCounter("peer.bytes_in", deps.Registry)
 	out := gometrics.GetOrRegisterCounter("peer.bytes_out", deps.Registry)
 	n := &Node{
-		Deps:        deps,
-		self:        cfg.Self,
-		store:       deps.Store,
-		interval:    cfg.Interval,
-		times:       cfg.Times,
-		pool:        newPool(cfg, in, out),
-		board:       newBoard(),
-		snaps:       &snapshots{store: deps.Store},
-		warnings:    rate.NewLimiter(rate.Every(time.Second), 1),
-		alarms:      rate.NewLimiter(rate.Every(time.Minute), 1),
-		push:        make(chan struct{}, 1),
-		early:       make(chan struct{}, 1),
-		earlyRounds: rate.NewLimiter(rate.Every(time.Second), 1),
-		answered:    map[string]bool{},
+		Deps:            deps,
+		self:            cfg.Self,
+		store:           deps.Store,
+		interval:        cfg.Interval,
+		timeouts:        cfg.Timeouts,
+		pool:            newConnPool(cfg, in, out),
+		healthItems:     newHealthSet(),
+		snapshots:       &snapshotCache{store: deps.Store},
+		rejectionLogs:   rate.NewLimiter(rate.Every(time.Second), 1),
+		divergenceLogs:  rate.NewLimiter(rate.Every(time.Minute), 1),
+		pushRequested:   make(chan struct{}, 1),
+		roundRequested:  make(chan struct{}, 1),
+		earlyRoundLimit: rate.NewLimiter(rate.Every(time.Second), 1),
+		answered:        map[string]bool{},
 	}
-	n.held = newHeld(deps.Bills.Put, n.copyOut)
+	n.heldBills = newBillBuffer(deps.Bills.Put, n.sendCopy)
 	n.server = &server{
 		tls:      cfg.TLS,
 		handler:  jsonrpc2.HandlerWithError(n.handle).SuppressErrClosed(),
 		in:       in,
 		out:      out,
-		rejected: n.reject,
+		onReject: n.recordRejection,
 	}
 	return n
 }
 
-// Run serves peers on ln and exchanges with them until ctx ends, or ln fails.
+// Run serves peers on ln and runs rounds until ctx ends or ln fails.
 func (n *Node) Run(ctx context.Context, ln net.Listener) error {
-	stop := n.store.Watch(record.ClassManifest, n.manifestWon)
+	stop := n.store.Watch(record.ClassManifest, n.onManifestChange)
 	defer stop()
 	defer n.pool.close()
 	ctx, cancel := context.WithCancel(ctx)
@@ -164,14 +168,14 @@
 	var wg sync.WaitGroup
 	defer n.background.Wait()
 	defer wg.Wait()
-	wg.Go(func() { n.rounds(ctx) })
-	wg.Go(func() { n.pushes(ctx) })
+	wg.Go(func() { n.runRounds(ctx) })
+	wg.Go(func() { n.runPushes(ctx) })
 	err := n.server.serve(ctx, ln)
 	cancel()
 	return trace.Wrap(err)
 }
 
-func (n *Node) rounds(ctx context.Context) {
+func (n *Node) runRounds(ctx context.Context) {
 	ticker := time.NewTicker(n.interval)
 	defer ticker.Stop()
 	for {
@@ -179,26 +183,27 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-n.early:
+		case <-n.roundRequested:
 		}
 		n.Round(ctx)
 	}
 }
 
-func (n *Node) pushes(ctx context.Context) {
+func (n *Node) runPushes(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.push:
+		case <-n.pushRequested:
 			n.Push(ctx)
 		}
 	}
 }
 
-// unlessBusy runs f beside the rounds, so that a slow transfer does not keep
-// the instance from hearing that it is fresh, and only once at a time.
-func (n *Node) unlessBusy(busy *atomic.Bool, f func()) {
+// runIfIdle runs f concurrently with the rounds, and only once at a time. A
+// slow transfer must not delay the rounds, by which the instance learns that it
+// is fresh.
+func (n *Node) runIfIdle(busy *atomic.Bool, f func()) {
 	if !busy.CompareAndSwap(false, true) {
 		return
 	}
@@ -208,60 +213,62 @@
 	})
 }
 
-// wake makes Run push soon.
-func (n *Node) wake() { signal(n.push) }
+// requestPush makes Run push soon.
+func (n *Node) requestPush() { notify(n.pushRequested) }
 
-// roundEarly makes Run do a round soon.
-func (n *Node) roundEarly() {
-	if n.earlyRounds.Allow() {
-		signal(n.early)
+// requestRound makes Run start a round soon.
+func (n *Node) requestRound() {
+	if n.earlyRoundLimit.Allow() {
+		notify(n.roundRequested)
 	}
 }
 
-func signal(ch chan<- struct{}) {
+func notify(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// manifestWon runs in the fold's goroutine, so it only leaves a note.
-func (n *Node) manifestWon(c fold.Change) {
+// onManifestChange runs in the fold's goroutine, so it only sets a flag.
+func (n *Node) onManifestChange(c fold.Change) {
 	if c.Verdict != fold.VerdictWon {
 		return
 	}
 	n.mu.Lock()
-	n.tell = true
+	n.manifestPending = true
 	n.mu.Unlock()
-	n.wake()
+	n.requestPush()
 }
 
-// state is what this instance says of itself.
-func (n *Node) state() State {
+// ownState returns this instance's state for its peers.
+func (n *Node) ownState() State {
 	d := n.store.Digest()
 	return State{
 		From:       n.self.ID,
-		Next:       d.NextOffset,
+		NextOffset: d.NextOffset,
 		Generation: d.Generation,
 		Hash:       d.Hash,
-		Board:      n.board.hash(n.Now()),
+		HealthHash: n.healthItems.hash(n.Now()),
 	}
 }
 
-// reject notes what came from outside and was not accepted. Log lines are
-// limited, since whoever can connect could cause them.
-func (n *Node) reject(err error) {
+// recordRejection counts and logs input from outside that was not accepted. Log
+// lines are rate limited, since anyone who can connect could cause them.
+func (n *Node) recordRejection(err error) {
 	gometrics.GetOrRegisterCounter("peer.rejected", n.Registry).Inc(1)
-	if n.warnings.Allow() {
+	if n.rejectionLogs.Allow() {
 		n.Log.Emit(context.Background(), logging.EventPeerRejected, logging.Err(err))
 	}
 }
 
-// Held is how many bills wait here for the log, own and other instances'.
-func (n *Node) Held() int { return n.held.Len() }
+// HeldBills is the number of bills that wait here for the log, own and other
+// instances'.
+func (n *Node) HeldBills() int { return n.heldBills.Len() }
 
-// Full says that no more bills can be held, so that new work must be refused.
-// open requests are under way here, and each may yet have to hold its bill.
-func (n *Node) Full(open int) bool { return n.held.FullWithOpen(open) }
+// HeldBillsFull reports whether no more bills can be held, so that new work
+// must be refused. open is the number of requests in progress, each of which
+// may still have to hold its bill.
+func (n *Node) HeldBillsFull(open int) bool { return n.heldBills.FullWithOpen(open) }
 
 func peerAttr(id string) slog.Attr { return slog.String("peer", id) }
--- a/router/internal/peer/server.go
+++ b/router/internal/peer/server.go
@@ -12,23 +12,23 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// server takes the connections of other instances.
+// server accepts the connections of other instances.
 type server struct {
 	tls      *tls.Config
 	handler  jsonrpc2.Handler
 	in, out  gometrics.Counter
-	rejected func(error)
+	onReject func(error)
 	wg       sync.WaitGroup
 }
 
-// serve takes connections until ctx ends or ln fails. It returns once every
+// serve accepts connections until ctx ends or ln fails. It returns once every
 // connection has ended.
 func (s *server) serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
 	defer s.wg.Wait()
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the connections
+	defer cancel() // closes the connections
 	slots := make(chan struct{}, maxConns)
 	for {
 		raw, err := ln.Accept()
@@ -39,10 +39,10 @@
 		case slots <- struct{}{}:
 			s.wg.Go(func() {
 				defer func() { <-slots }()
-				s.handle(ctx, raw)
+				s.serveConn(ctx, raw)
 			})
 		default:
-			s.rejected(trace.LimitExceeded("more than %d connections", maxConns))
+			s.onReject(trace.LimitExceeded("more than %d connections", maxConns))
 			_ = raw.Close()
 		}
 	}
@@ -55,24 +55,24 @@
 	return trace.Wrap(err)
 }
 
-// handle serves one connection. Its requests run one after another, which
-// bounds what one peer can make this instance do at once.
-func (s *server) handle(ctx context.Context, raw net.Conn) {
+// serveConn serves one connection. Its requests run one after another, which
+// bounds the concurrent work that one peer can cause.
+func (s *server) serveConn(ctx context.Context, raw net.Conn) {
 	defer func() { _ = raw.Close() }()
-	conn, err := s.secure(ctx, countedConn{Conn: raw, in: s.in, out: s.out})
+	conn, err := s.handshake(ctx, countingConn{Conn: raw, in: s.in, out: s.out})
 	if err != nil {
-		s.rejected(err)
+		s.onReject(err)
 		return
 	}
-	rpc := jsonrpc2.NewConn(ctx, newStream(conn), s.handler, jsonrpc2.SetLogger(quiet{}))
+	rpc := jsonrpc2.NewConn(ctx, newBoundedStream(conn), s.handler, jsonrpc2.SetLogger(discardLogger{}))
 	<-rpc.DisconnectNotify()
 }
 
-func (s *server) secure(ctx context.Context, raw net.Conn) (net.Conn, error) {
+func (s *server) handshake(ctx context.Context, raw net.Conn) (net.Conn, error) {
 	if s.tls == nil {
 		return raw, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, messageTime)
+	ctx, cancel := context.WithTimeout(ctx, messageTimeout)
 	defer cancel()
 	secure := tls.Server(raw, s.tls)
 	if err := secure.HandshakeContext(ctx); err != nil {
--- a/router/internal/platform/clients_test.go
+++ b/router/internal/platform/clients_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestUnchangedListIsNotSentAgain counts the bytes of lists that were sent.
+// TestUnchangedListIsNotSentAgain counts the whole lists that were sent: an
+// unchanged one must be answered by 304 without a body.
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	svc := listsvc.New(listsvc.Config{List: wire.InstanceList{Servers: []wire.ListedServer{{ID: "e1"}}}})
 	var whole int
@@ -84,7 +85,7 @@
 			svc.Faults.Set(tt.faults)
 			server := httptest.NewServer(svc)
 			defer server.Close()
-			score, err := NewRatingClient(server.URL).Rate(context.Background(), wire.RateRequest{
+			score, err := NewRatingClient(server.URL).Rate(context.Background(), wire.RatingRequest{
 				Version: "m@1",
 				Answer:  "q=0.750 some words",
 			})
--- a/router/internal/platform/list.go
+++ b/router/internal/platform/list.go
@@ -18,27 +18,28 @@
 	maxListBytes = 32 << 20
 )
 
-// ListClient reads the platform's list over HTTP. It implements List and is
-// safe for concurrent use.
+// ListClient fetches the platform's list over HTTP. It implements InstanceLister
+// and is safe for concurrent use.
 type ListClient struct {
 	base   string
 	client *http.Client
 
 	mu   sync.Mutex
-	tag  string
+	etag string
 	last wire.InstanceList
 }
 
-var _ List = (*ListClient)(nil)
+var _ InstanceLister = (*ListClient)(nil)
 
 // NewListClient returns a client of the list service at base, an http URL.
 func NewListClient(base string) *ListClient {
 	return &ListClient{base: strings.TrimRight(base, "/"), client: newClient()}
 }
 
-// Fetch implements List. On an error the caller keeps the list that it has. The
-// request names the list had last by its ETag, so an unchanged one is not sent
-// again: a long list fetched every second would be most of an instance's traffic.
+// Fetch implements InstanceLister. After an error the caller keeps the list that it
+// has. The request carries the ETag of the last list, so that an unchanged list is
+// not sent again: a long list fetched every second would be most of an instance's
+// traffic.
 func (c *ListClient) Fetch(ctx context.Context) (wire.InstanceList, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -46,7 +47,7 @@
 	if err != nil {
 		return wire.InstanceList{}, err
 	}
-	tag, last := c.known()
+	tag, last := c.cached()
 	if tag != "" {
 		req.Header.Set("If-None-Match", tag)
 	}
@@ -69,18 +70,18 @@
 	if err := json.Unmarshal(body, &list); err != nil {
 		return wire.InstanceList{}, fmt.Errorf("platform: malformed list: %w", err)
 	}
-	c.remember(resp.Header.Get("ETag"), list)
+	c.store(resp.Header.Get("ETag"), list)
 	return list, nil
 }
 
-func (c *ListClient) known() (tag string, list wire.InstanceList) {
+func (c *ListClient) cached() (tag string, list wire.InstanceList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tag, c.last
+	return c.etag, c.last
 }
 
-func (c *ListClient) remember(tag string, list wire.InstanceList) {
+func (c *ListClient) store(tag string, list wire.InstanceList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tag, c.last = tag, list
+	c.etag, c.last = tag, list
 }
--- a/router/internal/publish/publish.go
+++ b/router/internal/publish/publish.go
@@ -1,7 +1,7 @@
-// Package publish takes a manifest from an operator's pipeline into the log.
+// Package publish writes manifests from an operator's pipeline to the log.
 //
-// Of two publishers that race from the same parent, the first in the log's
-// order wins at every reader; the other is told the winner's generation.
+// If two publishers race from the same parent, the first in the order of the log
+// wins at every reader; the other gets a conflict with the winner's generation.
 package publish
 
 import (
@@ -17,43 +17,43 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// putTimeout bounds the wait for the own manifest to be read back.
+// putTimeout bounds the wait until a manifest is read back from the log.
 const putTimeout = 5 * time.Second
 
-// retrySoon is when to publish again after the log did not take a manifest.
-const retrySoon = time.Second
+// retryDelay is the Retry-After if the log did not accept a manifest.
+const retryDelay = time.Second
 
-// Gate says whether the instance may act on what it knows.
+// Gate reports whether the instance may act on its folded state.
 type Gate interface {
 	MayRun(idempotent bool) decision.RefusalReason
 }
 
-// Result of publishing.
+// Result is the result of a publication.
 type Result struct {
 	Outcome outcome.Outcome `json:"-"`
-	// Generation that this publication has, or, at a conflict, the one that is
-	// in force.
+	// Generation of this publication or, after a conflict, the generation in
+	// force.
 	Generation uint64 `json:"generation"`
-	// Digest of the manifest in force; the next one's parent.
+	// Digest of the manifest in force, to be stated as the next one's parent.
 	Digest string          `json:"digest,omitempty"`
 	Faults manifest.Faults `json:"faults,omitempty"`
 }
 
-// Publisher is safe for concurrent use.
+// Publisher publishes manifests. It is safe for concurrent use.
 type Publisher struct {
 	store  node.Store
 	holder *manifest.Holder
 	gate   Gate
 }
 
-// New returns a publisher.
+// New returns a Publisher.
 func New(store node.Store, holder *manifest.Holder, gate Gate) *Publisher {
 	return &Publisher{store: store, holder: holder, gate: gate}
 }
 
-// Publish proposes m. With rebase the generation and parent are those of the
-// manifest in force; without, m must state them, so that a pipeline which did
-// not see the newest manifest cannot overwrite it. Publishing the same
+// Publish proposes m. With rebase, Publish sets m's generation and parent so that
+// it follows the manifest in force. Without, m must state them, so that a pipeline
+// that has not seen the newest manifest cannot overwrite it. Publishing the same
 // publication id again is idempotent.
 func (p *Publisher) Publish(ctx context.Context, m manifest.Manifest, rebase bool) Result {
 	if reason := p.gate.MayRun(false); reason != "" {
@@ -63,13 +63,13 @@
 	if current != nil && current.Manifest.Publication == m.Publication {
 		return p.result(outcome.Completed, "already_published", "")
 	}
-	if _, before := p.holder.Accepted(m.Publication); before {
-		// A repetition whose first try was accepted long since must not bring
-		// its old content back over what was published after it.
+	if _, accepted := p.holder.AcceptedGeneration(m.Publication); accepted {
+		// A late retry of an accepted publication must not replace what was
+		// published after it.
 		return p.result(outcome.Conflict, "conflict", "this publication was accepted before, and a later one is in force")
 	}
 	if rebase {
-		m = over(m, current)
+		m = rebased(m, current)
 	}
 	if faults := manifest.Validate(m); len(faults) > 0 {
 		r := p.result(outcome.Refused, "malformed_request", "the manifest is invalid")
@@ -82,8 +82,8 @@
 	return p.propose(ctx, m)
 }
 
-// over makes m follow the manifest in force.
-func over(m manifest.Manifest, current *manifest.Index) manifest.Manifest {
+// rebased returns m with the generation and parent that follow current.
+func rebased(m manifest.Manifest, current *manifest.Index) manifest.Manifest {
 	m.Generation, m.Parent = 1, ""
 	if current != nil {
 		m.Generation = current.Manifest.Generation + 1
@@ -93,7 +93,7 @@
 }
 
 func follows(m manifest.Manifest, current *manifest.Index) bool {
-	want := over(m, current)
+	want := rebased(m, current)
 	return m.Generation == want.Generation && m.Parent == want.Parent
 }
 
@@ -120,25 +120,26 @@
 	case node.OutcomeLost:
 		return p.result(outcome.Conflict, "conflict", "another publication has this generation")
 	case node.OutcomeVoid:
-		return p.notTaken(m)
+		return p.voidResult(m)
 	default:
 		return p.result(outcome.Unknown, "publish_unknown", "the log did not answer in time; publish again with the same publication id")
 	}
 }
 
-// notTaken tells a publication that lost its place from one that the log did not
-// take: the first must be made anew, the second can be sent again as it is.
-func (p *Publisher) notTaken(m manifest.Manifest) Result {
+// voidResult returns the result of a void write. If another publication came
+// first, the manifest must be generated again; if the log did not accept the
+// write, the manifest can be published again as it is.
+func (p *Publisher) voidResult(m manifest.Manifest) Result {
 	if p.holder.Generation() >= m.Generation {
 		return p.result(outcome.Conflict, "conflict", "another publication came first")
 	}
 	r := p.result(outcome.Refused, "publish_not_taken", "the log did not take the manifest; publish again")
-	r.Outcome.RetryAfter = retrySoon
+	r.Outcome.RetryAfter = retryDelay
 	return r
 }
 
-// publicationNonce is the same for each try of one pipeline run, so that a try
-// whose reply was lost and its repetition are one proposal.
+// publicationNonce returns the same nonce for each try of one pipeline run, so that
+// a try whose reply was lost and its retry are one proposal.
 func publicationNonce(publication string) record.Nonce {
 	return record.DeriveNonce("publication", publication)
 }
--- a/router/internal/relay/client_test.go
+++ b/router/internal/relay/client_test.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// TestSilentStoreIsAskedLessAndLess plays an outage of half a minute at a follower whose
-// collectors do not know either: five topics fail at a time.
+// TestSilentStoreIsAskedLessAndLess checks the backoff towards an unreachable store: for half a
+// minute, five topics at a time fail at a follower whose collector does not have the records either.
 func TestSilentStoreIsAskedLessAndLess(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
 	members.Add(Member{Name: "first", Domain: "d", Address: "a:2", Cores: 1})
 	c := NewClient(members, func() time.Time { return now })
 	const topics = 5
-	asked := 0
+	reads := 0
 	for end := now.Add(30 * time.Second); now.Before(end); now = now.Add(200 * time.Millisecond) {
 		for range topics {
-			if c.mayAskStore() {
-				asked++
+			if c.mayReadStore() {
+				reads++
 				c.storeFailed()
 			}
 		}
 	}
-	if asked > topics+30/3 {
-		t.Errorf("asked %d times in 30 s", asked)
+	if reads > topics+30/3 {
+		t.Errorf("read the store %d times in 30 s", reads)
 	}
 	c.storeAnswered()
-	if !c.mayAskStore() {
-		t.Error("the store is left alone though it answered")
+	if !c.mayReadStore() {
+		t.Error("the store is not read although it answered")
 	}
 }
 
-// TestNobodyReadsDirectlyBeforeItsFirstRead holds that an instance which has just started does
-// not take itself for the one of its failure domain that writes.
+// TestNobodyReadsDirectlyBeforeItsFirstRead checks that an instance which has just started does not
+// assume that it is the one of its failure domain that writes.
 func TestNobodyReadsDirectlyBeforeItsFirstRead(t *testing.T) {
-	st := &store{}
+	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Minute)
-	if all[0].log.Direct() || all[1].log.Direct() {
-		t.Error("direct before the first read")
+	if all[0].log.ReadsStore() || all[1].log.ReadsStore() {
+		t.Error("ReadsStore before the first read")
 	}
 	all[0].newest(t)
 	all[1].newest(t)
-	if !all[0].log.Direct() || all[1].log.Direct() {
-		t.Errorf("direct: %v and %v, want the first alone", all[0].log.Direct(), all[1].log.Direct())
+	if !all[0].log.ReadsStore() || all[1].log.ReadsStore() {
+		t.Errorf("ReadsStore: %v and %v, want only the first", all[0].log.ReadsStore(), all[1].log.ReadsStore())
 	}
 }
 
-// TestUrgentTopicIsNotKeptWaiting plays half a minute in which the store gives no answer, and holds
-// that a topic with a bound may ask it every two seconds, whatever the others have asked.
+// TestUrgentTopicIsNotKeptWaiting checks that during half a minute without an answer from the store
+// an urgent topic may be read every two seconds, whatever reads other topics have tried.
 func TestUrgentTopicIsNotKeptWaiting(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
@@ -57,50 +57,50 @@
 	c.storeFailed()
 	last, longest := now, time.Duration(0)
 	for end := now.Add(30 * time.Second); now.Before(end); now = now.Add(100 * time.Millisecond) {
-		if c.mayAskStore() {
-			c.storeFailed() // another topic's question
+		if c.mayReadStore() {
+			c.storeFailed() // a read of another topic
 		}
-		if c.mayAskUrgently() {
+		if c.mayReadStoreUrgently() {
 			longest = max(longest, now.Sub(last))
 			last = now
 		}
 	}
-	if longest > storeQuiet+200*time.Millisecond {
-		t.Errorf("kept waiting for %v", longest)
+	if longest > minStoreBackoff+200*time.Millisecond {
+		t.Errorf("an urgent topic waited for %v", longest)
 	}
 }
 
-// TestInstanceThatKnowsNobodyAsksOneQuestionAtATime plays the start in an outage of ten seconds:
-// five topics are tried by an instance that ranks first, since it has not learnt of any other.
-// The first answer frees all topics at once.
+// TestInstanceThatKnowsNobodyAsksOneQuestionAtATime starts an instance in an outage of ten seconds.
+// It ranks first, since it knows no others, and five topics try the store. The first answer must
+// release all topics at once.
 func TestInstanceThatKnowsNobodyAsksOneQuestionAtATime(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
 	c := NewClient(members, func() time.Time { return now })
 	const topics, tick = 5, 50 * time.Millisecond
-	asked := 0
+	reads := 0
 	last, longest := now, time.Duration(0)
 	for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(tick) {
 		for range topics {
-			if !c.mayAskStore() {
+			if !c.mayReadStore() {
 				continue
 			}
-			asked++
+			reads++
 			longest = max(longest, now.Sub(last))
 			last = now
 			c.storeFailed()
 		}
 	}
-	if most := topics + int(10*time.Second/probeEvery); asked > most {
-		t.Errorf("asked %d times in 10 s", asked)
+	if maxReads := topics + int(10*time.Second/probeInterval); reads > maxReads {
+		t.Errorf("read the store %d times in 10 s", reads)
 	}
-	if longest > probeEvery+tick {
-		t.Errorf("the store's return would be seen after %v only", longest)
+	if longest > probeInterval+tick {
+		t.Errorf("the store's recovery would be noticed only after %v", longest)
 	}
 	c.storeAnswered()
 	for range topics {
-		if !c.mayAskStore() {
-			t.Error("a topic is held back though the store answers")
+		if !c.mayReadStore() {
+			t.Error("a topic may not read the store although it answers")
 		}
 	}
 }
--- a/router/internal/relay/limitrows.go
+++ b/router/internal/relay/limitrows.go
@@ -8,8 +8,8 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// newest is the newest word on each server's limit; rows are in the keys' order.
-func newest(lists ...[]passthrough.PeerLimit) []passthrough.PeerLimit {
+// newestLimits returns the newest statement on each server's limit, ordered by key.
+func newestLimits(lists ...[]passthrough.PeerLimit) []passthrough.PeerLimit {
 	key := func(row passthrough.PeerLimit) uint32 { return row.Key }
 	return mergeRows(lists, key, func(a, b passthrough.PeerLimit) passthrough.PeerLimit {
 		if b.Age < a.Age {
@@ -19,8 +19,8 @@
 	})
 }
 
-// aged are the rows some time later.
-func aged(rows []passthrough.PeerLimit, by time.Duration) []passthrough.PeerLimit {
+// addAge returns the rows with a duration added to their ages.
+func addAge(rows []passthrough.PeerLimit, by time.Duration) []passthrough.PeerLimit {
 	out := slices.Clone(rows)
 	for i := range out {
 		out[i].Age += by
@@ -29,37 +29,37 @@
 }
 
 const (
-	// noLimit stands for a limit that has ended.
-	noLimit = math.MaxUint32
-	// milli is a thousandth of a request a second, in which limits are written.
-	milli = 1000
-	// mostAge bounds a row's age, in milliseconds: an older one is of no use.
-	mostAge = 3_600_000
+	// encodedUnlimited encodes that a limit has ended.
+	encodedUnlimited = math.MaxUint32
+	// limitScale is the number of encoded units per request per second.
+	limitScale = 1000
+	// maxLimitAgeMS bounds a row's age: an older limit is of no use.
+	maxLimitAgeMS = 3_600_000
 )
 
-// packLimits writes rows with their thousandths of a request a second and milliseconds of age.
+// packLimits encodes rows with limits in thousandths of a request per second and ages in ms.
 func packLimits(rows []passthrough.PeerLimit) []byte {
 	var out []byte
 	for _, row := range rows {
-		perSecond := uint64(noLimit)
+		perSecond := uint64(encodedUnlimited)
 		if row.Limit.Limited {
-			perSecond = uint64(min(max(row.Limit.PerSecond*milli, 0), noLimit-1))
+			perSecond = uint64(min(max(row.Limit.PerSecond*limitScale, 0), encodedUnlimited-1))
 		}
 		out = appendRow(out, row.Key, perSecond, uint64(max(row.Age.Milliseconds(), 0)))
 	}
 	return out
 }
 
-// unpackLimits reads what packLimits wrote.
-func unpackLimits(text []byte) ([]passthrough.PeerLimit, error) {
+// unpackLimits decodes what packLimits wrote.
+func unpackLimits(data []byte) ([]passthrough.PeerLimit, error) {
 	var out []passthrough.PeerLimit
-	err := readRows(text, func(key uint32, perSecond, age uint64) error {
-		if perSecond > noLimit {
-			return errRow
+	err := readRows(data, func(key uint32, perSecond, ageMS uint64) error {
+		if perSecond > encodedUnlimited {
+			return errMalformedRow
 		}
-		row := passthrough.PeerLimit{Key: key, Age: time.Duration(min(age, mostAge)) * time.Millisecond}
-		if perSecond != noLimit {
-			row.Limit = passthrough.RateLimit{Limited: true, PerSecond: float64(perSecond) / milli}
+		row := passthrough.PeerLimit{Key: key, Age: time.Duration(min(ageMS, maxLimitAgeMS)) * time.Millisecond}
+		if perSecond != encodedUnlimited {
+			row.Limit = passthrough.RateLimit{Limited: true, PerSecond: float64(perSecond) / limitScale}
 		}
 		out = append(out, row)
 		return nil
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		if _, err := unpackLoads(packLoads(rows[1:2])[:cut]); err == nil {
-			t.Errorf("%d bytes of a row were taken", cut)
+			t.Errorf("%d bytes of a row were accepted", cut)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 		if err != nil {
 			return
 		}
-		for _, row := range plus(rows, rows) {
+		for _, row := range sumLoads(rows, rows) {
 			if row.Requests < 0 || row.PrefillTime < 0 {
 				t.Errorf("row %+v", row)
 			}
@@ -46,22 +46,25 @@
 	})
 }
 
-// loadNode is an instance that exchanges loads.
-type loadNode struct {
-	loads *Loads
+// exchangeInstance is an instance that exchanges load reports.
+type exchangeInstance struct {
+	loads *LoadExchange
 	own   []passthrough.PeerLoad
 	got   []passthrough.PeerLoad
-	// instances is how many those are that got is of.
+	// instances is the number of instances that got covers.
 	instances int
-	// limits are what backend servers told this instance, othersLimits what they told others.
+	// limits are what backend servers stated to this instance, othersLimits what they stated to
+	// others.
 	limits []passthrough.PeerLimit
-	// lost is the version of the configuration that the store lacks, as known here and elsewhere.
+	// lost is the version of the configuration that the store lacks, as known to this instance;
+	// othersLost, as known to others.
 	lost, othersLost uint64
 	othersLimits     []passthrough.PeerLimit
 }
 
-// startLoads starts instances of two failure domains; the first of all ranks first.
-func startLoads(t *testing.T, names ...string) map[string]*loadNode {
+// startExchanges starts instances of several failure domains, given by the first letter of their
+// names. The first of all ranks first.
+func startExchanges(t *testing.T, names ...string) map[string]*exchangeInstance {
 	t.Helper()
 	members := make([]Member, 0, len(names))
 	listeners := map[string]net.Listener{}
@@ -73,19 +76,19 @@
 		listeners[name] = l
 		members = append(members, Member{Name: name, Domain: name[:1], Address: l.Addr().String(), Cores: float64(len(names) - i)})
 	}
-	out := map[string]*loadNode{}
+	out := map[string]*exchangeInstance{}
 	for _, self := range members {
 		known := NewMembers(self, 2, time.Now)
 		for _, m := range members {
 			known.Add(m)
 		}
 		client := NewClient(known, time.Now)
-		n := &loadNode{}
-		n.loads = NewLoads(client, func() Report { return Report{Loads: n.own, Limits: n.limits, LostConfig: n.lost, Instances: 1} }, func(others Report) {
-			n.got, n.instances, n.othersLimits, n.othersLost = others.Loads, others.Instances, others.Limits, others.LostConfig
+		n := &exchangeInstance{}
+		n.loads = NewLoadExchange(client, func() Report { return Report{Loads: n.own, Limits: n.limits, LostConfigVersion: n.lost, Instances: 1} }, func(others Report) {
+			n.got, n.instances, n.othersLimits, n.othersLost = others.Loads, others.Instances, others.Limits, others.LostConfigVersion
 		})
 		srv := NewServer(time.Now, nil, nil, func() int { return len(names) })
-		srv.Loads = n.loads
+		srv.LoadExchange = n.loads
 		ctx, stop := context.WithCancel(t.Context())
 		go srv.Serve(ctx, listeners[self.Name])
 		t.Cleanup(func() { stop(); client.Close() })
@@ -94,24 +97,24 @@
 	return out
 }
 
-// TestAllLearnWhatAllHave plays two failure domains of two: each instance learns the sum of the
-// others, of its own failure domain and beyond, and never its own.
+// TestAllLearnWhatAllHave checks with two failure domains of two instances that each instance
+// learns the sum of the others, in its own failure domain and beyond, and never counts itself.
 func TestAllLearnWhatAllHave(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
-	nodes := startLoads(t, names...)
+	nodes := startExchanges(t, names...)
 	for i, name := range names {
 		nodes[name].own = []passthrough.PeerLoad{loadRow(1, 1<<i, time.Duration(1<<i)*time.Second)}
 	}
-	for range 3 { // up and down again
+	for range 3 { // up to the first collector and down again
 		for _, name := range names {
-			nodes[name].loads.once(t.Context())
+			nodes[name].loads.exchange(t.Context())
 		}
 	}
 	for i, name := range names {
 		want := 1 + 2 + 4 + 8 - 1<<i
 		got := nodes[name].got
 		if nodes[name].instances != len(names)-1 {
-			t.Errorf("%s heard of %d instances", name, nodes[name].instances)
+			t.Errorf("%s got the reports of %d instances", name, nodes[name].instances)
 		}
 		if len(got) != 1 || got[0].Requests != want || got[0].PrefillTime != time.Duration(want)*time.Second {
 			t.Errorf("%s learnt %+v, want %d", name, got, want)
@@ -119,38 +122,39 @@
 	}
 }
 
-// TestLoadsOfThoseThatAreGoneAreForgotten holds that an instance that reports no more has nothing.
+// TestLoadsOfThoseThatAreGoneAreForgotten checks that the load of an instance that stopped
+// reporting expires, and that an unreadable report is rejected.
 func TestLoadsOfThoseThatAreGoneAreForgotten(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "a1", Domain: "a", Address: "x:1"}, 1, func() time.Time { return now })
-	l := NewLoads(NewClient(members, func() time.Time { return now }), func() Report { return Report{Instances: 1} }, func(Report) {})
-	if _, err := l.told(loadsParams{Name: "a2", Rows: packLoads([]passthrough.PeerLoad{loadRow(1, 2, time.Second)})}); err != nil {
+	l := NewLoadExchange(NewClient(members, func() time.Time { return now }), func() Report { return Report{Instances: 1} }, func(Report) {})
+	if _, err := l.handleReport(loadsParams{Name: "a2", Rows: packLoads([]passthrough.PeerLoad{loadRow(1, 2, time.Second)})}); err != nil {
 		t.Fatal(err)
 	}
-	if sum := l.total(l.known("", true)).Loads; len(sum) != 1 || sum[0].Requests != 2 {
+	if sum := l.sum(l.liveReports("", true)).Loads; len(sum) != 1 || sum[0].Requests != 2 {
 		t.Errorf("sum %+v", sum)
 	}
-	now = now.Add(l.life() + time.Millisecond)
-	if sum := l.total(l.known("", true)).Loads; len(sum) != 0 {
-		t.Errorf("sum %+v of an instance that is gone", sum)
+	now = now.Add(l.reportTTL() + time.Millisecond)
+	if sum := l.sum(l.liveReports("", true)).Loads; len(sum) != 0 {
+		t.Errorf("sum %+v with an expired report", sum)
 	}
 	from := ""
-	l.Unreadable = func(name string, _ error) { from = name }
-	if _, err := l.told(loadsParams{Name: "a2", Rows: []byte{1}}); err == nil || from != "a2" {
-		t.Errorf("a report that cannot be read was taken, or not told of: %v, of %q", err, from)
+	l.OnUnreadable = func(name string, _ error) { from = name }
+	if _, err := l.handleReport(loadsParams{Name: "a2", Rows: []byte{1}}); err == nil || from != "a2" {
+		t.Errorf("an unreadable report was accepted, or not passed to OnUnreadable: %v, from %q", err, from)
 	}
 }
 
-// TestNewestLimitReachesAll has instances of two failure domains be told of one server's limit and
-// of its end: all learn what was told last, with its age.
+// TestNewestLimitReachesAll has servers state a limit, and its end, to instances of two failure
+// domains: all must learn the newest statement, with its age.
 func TestNewestLimitReachesAll(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
-	nodes := startLoads(t, names...)
+	nodes := startExchanges(t, names...)
 	nodes["a2"].limits = []passthrough.PeerLimit{{Key: 1, Limit: passthrough.RateLimit{Limited: true, PerSecond: 1.4}, Age: 5 * time.Second}}
 	nodes["b2"].limits = []passthrough.PeerLimit{{Key: 1, Age: time.Second}, {Key: 2, Limit: passthrough.RateLimit{Limited: true}, Age: time.Second}}
-	for range 3 { // up and down again
+	for range 3 { // up to the first collector and down again
 		for _, name := range names {
-			nodes[name].loads.once(t.Context())
+			nodes[name].loads.exchange(t.Context())
 		}
 	}
 	for _, name := range []string{"a1", "a2", "b1"} {
@@ -164,14 +168,15 @@
 	}
 }
 
-// TestLostConfigurationReachesAll holds that all learn of the highest version that the store lacks.
+// TestLostConfigurationReachesAll checks that all instances learn the highest version that the
+// store lacks.
 func TestLostConfigurationReachesAll(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
-	nodes := startLoads(t, names...)
+	nodes := startExchanges(t, names...)
 	nodes["a2"].lost, nodes["b2"].lost = 7, 9
-	for range 3 { // up and down again
+	for range 3 { // up to the first collector and down again
 		for _, name := range names {
-			nodes[name].loads.once(t.Context())
+			nodes[name].loads.exchange(t.Context())
 		}
 	}
 	for name, want := range map[string]uint64{"a1": 9, "a2": 9, "b1": 9, "b2": 7} {
@@ -192,7 +197,7 @@
 	}
 	for cut := 1; cut < len(packLimits(rows[2:])); cut++ {
 		if _, err := unpackLimits(packLimits(rows[2:])[:cut]); err == nil {
-			t.Errorf("%d bytes of a row were taken", cut)
+			t.Errorf("%d bytes of a row were accepted", cut)
 		}
 	}
 }
@@ -205,7 +210,7 @@
 		if err != nil {
 			return
 		}
-		for _, row := range newest(rows, aged(rows, time.Second)) {
+		for _, row := range newestLimits(rows, addAge(rows, time.Second)) {
 			if row.Age < 0 || row.Limit.PerSecond < 0 {
 				t.Errorf("row %+v", row)
 			}
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestFollowersReadByTheCollector(t *testing.T) {
-	st := &store{}
+	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 3, time.Minute)
 	all[0].newest(t)
@@ -18,7 +18,7 @@
 			t.Errorf("snapshot %+v", s)
 		}
 	}
-	if n := st.count(); n != 1 {
+	if n := st.readCount(); n != 1 {
 		t.Errorf("the store was read %d times", n)
 	}
 	st.put("b", "2")
@@ -30,7 +30,7 @@
 		}
 		done <- b
 	}()
-	time.Sleep(20 * time.Millisecond) // the follower's question waits at the collector
+	time.Sleep(20 * time.Millisecond) // the follower's request waits at the collector
 	if _, err := all[0].log.Read(t.Context(), keyedlog.AtOffset(1), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -39,20 +39,20 @@
 	}
 }
 
-// TestAgeIsNeverTooYoung holds that an answer's age covers the time since the collector's
-// own read began, however long the question waited on its way.
+// TestAgeIsNeverTooYoung checks that an answer's age covers the time since the collector's own read
+// began, however long the request was in transit.
 func TestAgeIsNeverTooYoung(t *testing.T) {
 	a := answer{AgeUS: 500_000, TookUS: 200_000}
 	if got := a.age(900 * time.Millisecond); got != 1200*time.Millisecond {
-		t.Errorf("age %v, want the age at the answer and all of the way", got)
+		t.Errorf("age %v, want the age at the answer plus all of the time in transit", got)
 	}
 	if got := a.age(100 * time.Millisecond); got != 500*time.Millisecond {
-		t.Errorf("age %v, by clocks that run unevenly", got)
+		t.Errorf("age %v with a call shorter than the processing at the collector", got)
 	}
 }
 
 func TestFollowersRecordsAreHandedOver(t *testing.T) {
-	st := &store{}
+	st := &fakeStore{}
 	all := startInstances(t, st, 2, time.Minute)
 	all[0].newest(t)
 	if err := all[1].log.Append(t.Context(), keyedlog.AnyPosition, keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil {
@@ -97,10 +97,10 @@
 	}
 }
 
-// TestQuestionsWaitForACollectorThatIsAboutToKnow holds that instances that start together
-// read the store once.
+// TestQuestionsWaitForACollectorThatIsAboutToKnow checks that instances that start together read
+// the store once.
 func TestQuestionsWaitForACollectorThatIsAboutToKnow(t *testing.T) {
-	st := &store{}
+	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 3, time.Minute)
 	got := make(chan int)
@@ -113,35 +113,35 @@
 			got <- len(s.Records)
 		}()
 	}
-	time.Sleep(20 * time.Millisecond) // both questions are at the collector
+	time.Sleep(20 * time.Millisecond) // both requests are at the collector
 	all[0].newest(t)
 	if a, b := <-got, <-got; a != 1 || b != 1 {
 		t.Errorf("the followers read %d and %d records", a, b)
 	}
-	if n := st.count(); n != 1 {
+	if n := st.readCount(); n != 1 {
 		t.Errorf("the store was read %d times", n)
 	}
 }
 
-// TestNewestRecordsMayTakeLong holds that a snapshot which takes longer on its way than a
-// usual call still comes from the collector.
+// TestNewestRecordsMayTakeLong checks that a snapshot which takes longer in transit than a usual
+// call still comes from the collector.
 func TestNewestRecordsMayTakeLong(t *testing.T) {
-	st := &store{}
+	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Minute)
 	all[0].newest(t)
 	first := all[1].members.Collectors()[0]
-	first.Address = slowLink(t, first.Address, callTimeout+200*time.Millisecond)
+	first.Address = startSlowLink(t, first.Address, callTimeout+200*time.Millisecond)
 	all[1].members.Add(first)
-	if s := all[1].newest(t); len(s.Records) != 1 || st.count() != 1 {
-		t.Errorf("%d records, %d reads of the store", len(s.Records), st.count())
+	if s := all[1].newest(t); len(s.Records) != 1 || st.readCount() != 1 {
+		t.Errorf("%d records, %d reads of the store", len(s.Records), st.readCount())
 	}
 }
 
-// TestOneReadsHeartbeatsForAllDomains holds that collectors of other failure domains read a far
-// topic by the first of all, and the store where that gives no answer.
+// TestOneReadsHeartbeatsForAllDomains checks that collectors of other failure domains read a
+// CrossDomain topic from the first of all, and from the store if that one gives no answer.
 func TestOneReadsHeartbeatsForAllDomains(t *testing.T) {
-	st := &store{}
+	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 1, time.Minute)
 	all[0].newest(t)
@@ -149,17 +149,17 @@
 	other := startInstances(t, st, 1, time.Minute)[0]
 	first.Domain, first.Cores = "elsewhere", other.members.self.Cores+1
 	other.members.Add(first)
-	before := st.count()
-	if s := other.newest(t); len(s.Records) != 1 || st.count() != before+1 {
-		t.Errorf("a topic that is not far: %d reads of the store", st.count()-before)
+	before := st.readCount()
+	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 {
+		t.Errorf("a topic that is not CrossDomain: %d reads of the store", st.readCount()-before)
 	}
-	other.log.Far = true
-	before = st.count()
-	if s := other.newest(t); len(s.Records) != 1 || st.count() != before || other.log.Direct() {
-		t.Errorf("%d records, %d reads of the store, direct %v", len(s.Records), st.count()-before, other.log.Direct())
+	other.log.CrossDomain = true
+	before = st.readCount()
+	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before || other.log.ReadsStore() {
+		t.Errorf("%d records, %d reads of the store, ReadsStore %v", len(s.Records), st.readCount()-before, other.log.ReadsStore())
 	}
 	all[0].stop()
-	if s := other.newest(t); len(s.Records) != 1 || st.count() != before+1 || !other.log.Direct() {
-		t.Errorf("the first is gone: %d records, %d reads of the store", len(s.Records), st.count()-before)
+	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 || !other.log.ReadsStore() {
+		t.Errorf("the first is stopped: %d records, %d reads of the store", len(s.Records), st.readCount()-before)
 	}
 }
--- a/router/internal/relay/rows.go
+++ b/router/internal/relay/rows.go
@@ -7,52 +7,52 @@
 	"slices"
 )
 
-// Reports are rows of a backend server's key (4 bytes) and two numbers (varints).
+// Load reports consist of rows: a backend server's key (4 bytes) and two numbers (varints).
 
-// errRow says that a report is cut off or damaged.
-var errRow = errors.New("a row of a report cannot be read")
+// errMalformedRow says that a report is truncated or damaged.
+var errMalformedRow = errors.New("a row of a report cannot be read")
 
 const keyBytes = 4
 
-// appendRow writes one row.
+// appendRow appends one row.
 func appendRow(out []byte, key uint32, first, second uint64) []byte {
 	out = binary.BigEndian.AppendUint32(out, key)
 	out = binary.AppendUvarint(out, first)
 	return binary.AppendUvarint(out, second)
 }
 
-// readRows reads what appendRow wrote; each takes one row.
-func readRows(text []byte, each func(key uint32, first, second uint64) error) error {
-	for len(text) > 0 {
-		if len(text) < keyBytes {
-			return errRow
+// readRows reads what appendRow wrote and calls visit for each row.
+func readRows(data []byte, visit func(key uint32, first, second uint64) error) error {
+	for len(data) > 0 {
+		if len(data) < keyBytes {
+			return errMalformedRow
 		}
-		key := binary.BigEndian.Uint32(text)
-		text = text[keyBytes:]
-		first, n := binary.Uvarint(text)
+		key := binary.BigEndian.Uint32(data)
+		data = data[keyBytes:]
+		first, n := binary.Uvarint(data)
 		if n <= 0 {
-			return errRow
+			return errMalformedRow
 		}
-		text = text[n:]
-		second, n := binary.Uvarint(text)
+		data = data[n:]
+		second, n := binary.Uvarint(data)
 		if n <= 0 {
-			return errRow
+			return errMalformedRow
 		}
-		text = text[n:]
-		if err := each(key, first, second); err != nil {
+		data = data[n:]
+		if err := visit(key, first, second); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// mergeRows joins the rows of several lists by their keys, in the keys' order.
-func mergeRows[T any](lists [][]T, key func(T) uint32, join func(a, b T) T) []T {
+// mergeRows merges the rows of several lists that have the same key. The result is ordered by key.
+func mergeRows[T any](lists [][]T, key func(T) uint32, merge func(a, b T) T) []T {
 	byKey := map[uint32]T{}
 	for _, list := range lists {
 		for _, row := range list {
-			if known, ok := byKey[key(row)]; ok {
-				row = join(known, row)
+			if existing, ok := byKey[key(row)]; ok {
+				row = merge(existing, row)
 			}
 			byKey[key(row)] = row
 		}
--- a/router/internal/report/export_test.go
+++ b/router/internal/report/export_test.go
@@ -1,7 +1,7 @@
 package report
 
-// What the tests of the page, which stand outside this package, need of its own.
+// Fixtures for the tests of package page, which are in package report_test.
 var (
-	Afternoon = afternoon
-	Begin     = begin
+	DegradedFleet = degradedFleet
+	Begin         = begin
 )
--- a/router/internal/report/latency.go
+++ b/router/internal/report/latency.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// latencySpan is what each part of a latency's history covers; the parts
-	// together make an hour.
-	latencySpan  = 5 * time.Minute
-	latencyParts = 12
-	// maxLatencyMS is the longest time told apart; longer ones count as it.
+	// latencySpan is the span of time of one histogram; latencySpanCount of them
+	// cover an hour.
+	latencySpan      = 5 * time.Minute
+	latencySpanCount = 12
+	// maxLatencyMS is the longest time that is distinguished; longer ones count as
+	// this one.
 	maxLatencyMS = 600_000
-	// latencyDigits are the significant digits kept: 1% is finer than any
-	// objective, and a histogram then takes about 12 KB.
+	// latencyDigits are the significant digits kept: a resolution of 1% is finer
+	// than any objective needs, and a histogram then takes about 12 KB.
 	latencyDigits = 2
 )
 
@@ -23,51 +24,52 @@
 	return hdrhistogram.New(1, maxLatencyMS, latencyDigits)
 }
 
-// latency keeps the last hour of a duration: one live histogram, and the ones
-// before it in their encoded form, which is small.
-type latency struct {
-	live   *hdrhistogram.Histogram
-	number int64
-	closed [latencyParts][]byte
-	closes [latencyParts]int64
+// rollingHistogram keeps the distribution of a duration over the last hour: one live
+// histogram, and those of earlier spans encoded, which takes little memory.
+type rollingHistogram struct {
+	live          *hdrhistogram.Histogram
+	liveNumber    int64
+	closed        [latencySpanCount][]byte
+	closedNumbers [latencySpanCount]int64
 }
 
-func partNumber(t time.Time) int64 { return t.UnixNano() / int64(latencySpan) }
+// spanNumber numbers the spans of latencySpan since 1970.
+func spanNumber(t time.Time) int64 { return t.UnixNano() / int64(latencySpan) }
 
-// record counts one duration.
-func (l *latency) record(now time.Time, d time.Duration) {
+// record counts one duration, rounded up to a millisecond.
+func (l *rollingHistogram) record(now time.Time, d time.Duration) {
 	l.roll(now)
 	ms := min(max((d+time.Millisecond-1).Milliseconds(), 1), maxLatencyMS)
-	// The value is within the histogram's range, which is the only error.
+	// The only error is a value outside the histogram's range, which ms is not.
 	_ = l.live.RecordValue(ms)
 }
 
-// roll closes the live histogram when its span is over.
-func (l *latency) roll(now time.Time) {
-	n := partNumber(now)
-	if l.live != nil && l.number == n {
+// roll encodes and resets the live histogram when its span is over.
+func (l *rollingHistogram) roll(now time.Time) {
+	n := spanNumber(now)
+	if l.live != nil && l.liveNumber == n {
 		return
 	}
 	if l.live == nil {
 		l.live = newHistogram()
 	} else if l.live.TotalCount() > 0 {
-		i := int(l.number % latencyParts)
+		i := int(l.liveNumber % latencySpanCount)
 		l.closed[i], _ = l.live.EncodeV2()
-		l.closes[i] = l.number
+		l.closedNumbers[i] = l.liveNumber
 		l.live.Reset()
 	}
-	l.number = n
+	l.liveNumber = n
 }
 
-// encode merges the last hour; nil where nothing was counted.
-func (l *latency) encode(now time.Time) ([]byte, error) {
+// encode merges the histograms of the last hour; nil if nothing was counted.
+func (l *rollingHistogram) encode(now time.Time) ([]byte, error) {
 	if l.live == nil {
 		return nil, nil
 	}
 	l.roll(now)
 	total := l.live.Clone()
 	for i, data := range l.closed {
-		if data == nil || l.closes[i] <= l.number-latencyParts {
+		if data == nil || l.closedNumbers[i] <= l.liveNumber-latencySpanCount {
 			continue
 		}
 		part, err := hdrhistogram.Decode(data)
--- a/router/internal/report/page/html.go
+++ b/router/internal/report/page/html.go
@@ -1,5 +1,5 @@
-// Package page renders the burn report as a page with plots. It stands apart from the
-// recorder, so that instances do not link the plot library and its fonts.
+// Package page renders the burn report as an HTML page with plots. It is separate from
+// package report, so that instances do not link the plot library and its fonts.
 package page
 
 import (
@@ -14,14 +14,14 @@
 )
 
 //go:embed page.html.tmpl
-var pageSource string
+var pageHTML string
 
-var source = template.Must(template.New("page").Funcs(template.FuncMap{
-	"number":  report.Number,
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
+	"number":  report.FormatNumber,
 	"rfc3339": func(t time.Time) string { return t.Format(time.RFC3339) },
-}).Parse(pageSource))
+}).Parse(pageHTML))
 
-// pageData is what the template shows.
+// pageData is the input of the template.
 type pageData struct {
 	report.Report
 	Answered int
@@ -29,15 +29,15 @@
 	Sections []section
 }
 
-// section is one team with its plot.
+// section is one team's levels with their plot, an SVG.
 type section struct {
 	report.TeamReport
 	Plot template.HTML
 }
 
-// WriteHTML writes the report as one page that needs nothing else.
+// WriteHTML writes the report as one self-contained page.
 func WriteHTML(w io.Writer, r report.Report) error {
-	data := pageData{Report: r, Answered: len(r.Instances) - r.Silent(), Windows: report.AlertWindows()}
+	data := pageData{Report: r, Answered: len(r.Instances) - r.UnansweredCount(), Windows: report.AlertWindows()}
 	for _, team := range r.Teams {
 		svg, err := plotBurn(r, team)
 		if err != nil {
@@ -45,5 +45,5 @@
 		}
 		data.Sections = append(data.Sections, section{TeamReport: team, Plot: svg})
 	}
-	return trace.Wrap(source.Execute(w, data))
+	return trace.Wrap(pageTemplate.Execute(w, data))
 }
--- a/router/internal/report/recorder.go
+++ b/router/internal/report/recorder.go
@@ -12,18 +12,19 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// Sample is one ended request.
+// Sample describes one ended request.
 type Sample struct {
 	Team string
-	// Version that ran it; empty for a plain service, or where none did.
+	// Version that ran it; empty for a plain service, or if none did.
 	Version string
-	// Outcome and its code say whether the caller was served.
+	// Outcome and Code say whether the caller was served, and why not.
 	Outcome outcome.Kind
 	Code    string
-	// FirstToken and InterToken (the mean gap) are zero where there is none.
+	// FirstToken is the time to the first token, InterToken the mean time between
+	// tokens; zero if there is none.
 	FirstToken time.Duration
 	InterToken time.Duration
-	// Cost is zero for what is not billed.
+	// Cost in the unit of the manifest's costs; zero if the request is not billed.
 	Cost float64
 }
 
@@ -34,110 +35,113 @@
 	since time.Time
 
 	mu         sync.Mutex
-	teams      map[string]*teamRow
+	teams      map[string]*teamMetrics
 	generation uint64
 	objectives map[string]manifest.Objective
-	// bad are the versions that are judged bad, or were and are not cleared.
-	bad map[string]bool
+	// badVersions are the versions with a bad verdict that has not been cleared.
+	badVersions map[string]bool
 }
 
-// teamRow has a lock of its own: making a snapshot of one team takes some
-// milliseconds, and must not hold up the requests of the others.
-type teamRow struct {
-	mu    sync.Mutex
-	ring  ring
-	first latency
-	inter latency
+// teamMetrics are the counters and histograms of one team. Each has its own lock,
+// because a snapshot of one team takes some milliseconds and must not delay the
+// requests of the others.
+type teamMetrics struct {
+	mu         sync.Mutex
+	ring       slotRing
+	firstToken rollingHistogram
+	interToken rollingHistogram
 }
 
 // NewRecorder returns an empty Recorder; now is the clock.
 func NewRecorder(now func() time.Time) *Recorder {
 	return &Recorder{
-		now:        now,
-		since:      now(),
-		teams:      map[string]*teamRow{},
-		objectives: map[string]manifest.Objective{},
-		bad:        map[string]bool{},
+		now:         now,
+		since:       now(),
+		teams:       map[string]*teamMetrics{},
+		objectives:  map[string]manifest.Objective{},
+		badVersions: map[string]bool{},
 	}
 }
 
-// SetObjectives takes the objectives of the manifest in force. Slow answers are
-// counted against the objective of their time, so that a later change of it
-// does not rewrite the past.
-func (r *Recorder) SetObjectives(generation uint64, rows []manifest.Objective) {
+// SetObjectives sets the objectives of the manifest in force. An answer is counted
+// as slow by the objective at its end, so that a later change of the objective does
+// not change earlier counts.
+func (r *Recorder) SetObjectives(generation uint64, objectives []manifest.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.generation = generation
-	r.objectives = make(map[string]manifest.Objective, len(rows))
-	for _, o := range rows {
+	r.objectives = make(map[string]manifest.Objective, len(objectives))
+	for _, o := range objectives {
 		r.objectives[o.Team] = o
 	}
 }
 
-// SetVerdict takes a verdict on a version, own or a peer's. Requests that ran
-// on it before count as exposed as well.
+// SetVerdict sets the verdict of this instance or of a peer on a version. Requests
+// that ran on a version before it was judged bad count as exposed too. At most
+// maxVersions versions are kept as bad.
 func (r *Recorder) SetVerdict(version string, bad bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case !bad:
-		delete(r.bad, version)
-	case len(r.bad) < maxVersions:
-		r.bad[version] = true
+		delete(r.badVersions, version)
+	case len(r.badVersions) < maxVersions:
+		r.badVersions[version] = true
 	}
 }
 
 // Record counts one ended request.
 func (r *Recorder) Record(s Sample) {
-	row, objective := r.row(s.Team)
+	m, objective := r.metricsOf(s.Team)
 	now := r.now()
-	row.mu.Lock()
-	defer row.mu.Unlock()
-	slot := row.ring.at(now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	slot := m.ring.slotAt(now)
 	countAvailability(slot, s)
 	if s.Version != "" {
-		slot.ran(s.Version, 1)
+		slot.addRuns(s.Version, 1)
 	}
 	if s.Cost > 0 {
 		slot.Cost += s.Cost
 		slot.Billed++
 	}
 	if s.FirstToken > 0 {
-		row.first.record(now, s.FirstToken)
-		slot.First++
-		slot.FirstSlow += over(s.FirstToken, objective.FirstTokenMS)
+		m.firstToken.record(now, s.FirstToken)
+		slot.FirstTokens++
+		slot.SlowFirstTokens += exceedsObjective(s.FirstToken, objective.FirstTokenMS)
 	}
 	if s.InterToken > 0 {
-		row.inter.record(now, s.InterToken)
-		slot.Inter++
-		slot.InterSlow += over(s.InterToken, objective.InterTokenMS)
+		m.interToken.record(now, s.InterToken)
+		slot.InterTokens++
+		slot.SlowInterTokens += exceedsObjective(s.InterToken, objective.InterTokenMS)
 	}
 }
 
-// row finds a team's row and its objective. API keys are checked before, so teams are those of
-// the manifest; the bound is for a manifest with very many.
-func (r *Recorder) row(team string) (*teamRow, manifest.Objective) {
+// metricsOf returns a team's metrics and its objective. API keys have been checked, so teams
+// are those of the manifest; the bound is for a manifest with very many.
+func (r *Recorder) metricsOf(team string) (*teamMetrics, manifest.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	objective := r.objectives[team]
-	row, ok := r.teams[team]
+	m, ok := r.teams[team]
 	if !ok && len(r.teams) >= maxTeams {
 		team = otherTeams
-		row, ok = r.teams[team]
+		m, ok = r.teams[team]
 	}
 	if !ok {
-		row = &teamRow{}
-		r.teams[team] = row
+		m = &teamMetrics{}
+		r.teams[team] = m
 	}
-	return row, objective
+	return m, objective
 }
 
-// codeCancelled is the code of a request that its caller gave up.
+// codeCancelled is the code of a request that its caller cancelled.
 const codeCancelled = "cancelled"
 
-// countAvailability judges by what the caller got. What the caller caused (a
-// wrong model, an expired key, a key used before, a cancel) says nothing about
-// the system; being told to come back later (429, 503) does.
+// countAvailability counts a request as served or unavailable by what the caller
+// got. A failure that the caller caused (a wrong model, an expired key, a key used
+// before, a cancelled request) says nothing about the system and is not counted; a
+// refusal that asks the caller to retry later (429, 503) is.
 func countAvailability(c *Counts, s Sample) {
 	if s.Outcome == outcome.Completed {
 		c.Served++
@@ -150,21 +154,23 @@
 	}
 }
 
-// over is 1 where d is over the objective in ms; 0 is no objective.
-func over(d time.Duration, objectiveMS int) uint64 {
+// exceedsObjective returns 1 if d is over the objective, else 0. An objective of 0
+// means that there is none.
+func exceedsObjective(d time.Duration, objectiveMS int) uint64 {
 	if objectiveMS > 0 && d > time.Duration(objectiveMS)*time.Millisecond {
 		return 1
 	}
 	return 0
 }
 
-// Snapshot is what this instance counted, in a form that merges with others'.
+// Snapshot returns what this instance has counted, in a form that can be merged with
+// other instances' snapshots. It fails only if a histogram cannot be encoded.
 func (r *Recorder) Snapshot(instance string) (Snapshot, error) {
 	now := r.now()
-	out, rows := r.head()
+	out, teams := r.snapshotHeader()
 	out.Instance, out.At = instance, now
-	for name, row := range rows {
-		team, err := row.snapshot(name, now)
+	for name, m := range teams {
+		team, err := m.snapshot(name, now)
 		if err != nil {
 			return Snapshot{}, trace.Wrap(err)
 		}
@@ -174,46 +180,47 @@
 	return out, nil
 }
 
-// head is the part of a snapshot that is not a team's, and the teams' rows.
-func (r *Recorder) head() (Snapshot, map[string]*teamRow) {
+// snapshotHeader returns a snapshot without teams, and the teams' metrics.
+func (r *Recorder) snapshotHeader() (Snapshot, map[string]*teamMetrics) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := Snapshot{Since: r.since, Generation: r.generation}
 	for _, o := range r.objectives {
 		out.Objectives = append(out.Objectives, o)
 	}
-	for v := range r.bad {
-		out.Bad = append(out.Bad, v)
+	for v := range r.badVersions {
+		out.BadVersions = append(out.BadVersions, v)
 	}
 	return out, maps.Clone(r.teams)
 }
 
-func (row *teamRow) snapshot(name string, now time.Time) (TeamSnapshot, error) {
-	row.mu.Lock()
-	defer row.mu.Unlock()
+func (m *teamMetrics) snapshot(name string, now time.Time) (TeamSnapshot, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	out := TeamSnapshot{Team: name, Windows: map[string]Counts{}}
 	for _, w := range Windows() {
-		out.Windows[w.Name] = row.ring.sum(now, w.Span)
+		out.Windows[w.Name] = m.ring.sum(now, w.Span)
 	}
-	out.Points = row.points(now)
+	out.Points = m.points(now)
 	var err error
-	if out.FirstToken, err = row.first.encode(now); err != nil {
+	if out.FirstToken, err = m.firstToken.encode(now); err != nil {
 		return out, trace.Wrap(err)
 	}
-	out.InterToken, err = row.inter.encode(now)
+	out.InterToken, err = m.interToken.encode(now)
 	return out, trace.Wrap(err)
 }
 
-// points are the last 6 h in spans that begin at the same times everywhere, so
-// that those of several instances add up. Empty ones are left out.
-func (row *teamRow) points(now time.Time) []Point {
+// points returns the counts of the last 6 h in spans of pointSpan. They begin at the
+// same times at all instances, so that their counts can be added up. Empty spans are
+// left out.
+func (m *teamMetrics) points(now time.Time) []Point {
 	const slots = int64(pointSpan / slotSpan)
 	last := now.Truncate(pointSpan)
 	var out []Point
 	for i := pointCount - 1; i >= 0; i-- {
 		begin := last.Add(-time.Duration(i) * pointSpan)
 		first := slotNumber(begin)
-		counts := row.ring.between(first, first+slots-1)
+		counts := m.ring.between(first, first+slots-1)
 		if !counts.Empty() {
 			out = append(out, Point{Begin: begin.Unix(), Counts: counts})
 		}
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -11,7 +11,7 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// clock is set by the test.
+// clock is a clock that the test sets.
 type clock struct{ t time.Time }
 
 func (c *clock) now() time.Time { return c.t }
@@ -36,6 +36,8 @@
 	return s
 }
 
+// TestWindowsForgetWhatIsOlder guards against counts and histograms that stay in a
+// window after its span, also when a slot or a span of the ring is used again.
 func TestWindowsForgetWhatIsOlder(t *testing.T) {
 	c := &clock{begin}
 	r := NewRecorder(c.now)
@@ -64,13 +66,15 @@
 			t.Errorf("after %v: histogram kept: %v, want %v", step.after, got, hour)
 		}
 	}
-	// The slot of 6 h ago is the same one now.
+	// The slot for the current time is the one that was used 6 h ago.
 	r.Record(served("ecoles", "m@1", time.Second))
 	if got := snapshot(t, r, "i").Teams[0].Windows["6h"].Served; got != 1 {
 		t.Errorf("a reused slot counts %d", got)
 	}
 }
 
+// TestOnlyTheSystemsFaultsCountAgainstAvailability guards against availability that
+// drops by failures that callers cause, or that misses refusals by the system.
 func TestOnlyTheSystemsFaultsCountAgainstAvailability(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	for _, s := range []struct {
@@ -99,11 +103,13 @@
 		}
 	}
 	r.Record(Sample{Team: "t", Outcome: outcome.Refused, Code: "queue_full"})
-	if got := snapshot(t, r, "i").Teams[0].Windows["5m"]; got.Unavailable != 1 || got.First != 0 || got.Billed != 0 {
+	if got := snapshot(t, r, "i").Teams[0].Windows["5m"]; got.Unavailable != 1 || got.FirstTokens != 0 || got.Billed != 0 {
 		t.Errorf("got %+v", got)
 	}
 }
 
+// TestSlowIsJudgedByTheObjectiveOfItsTime guards against a new objective that changes
+// which earlier answers count as slow.
 func TestSlowIsJudgedByTheObjectiveOfItsTime(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	r.Record(served("ecoles", "", time.Second)) // no objective yet
@@ -113,13 +119,14 @@
 	r.SetObjectives(2, []manifest.Objective{{Team: "ecoles", FirstTokenMS: 100}})
 	r.Record(served("ecoles", "", 101*time.Millisecond))
 	got := snapshot(t, r, "i").Teams[0].Windows["1h"]
-	if got.First != 4 || got.FirstSlow != 2 || got.InterSlow != 0 {
+	if got.FirstTokens != 4 || got.SlowFirstTokens != 2 || got.SlowInterTokens != 0 {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// TestMergedSnapshotsEqualOneRecorder spreads the same requests over one
-// instance and over three; the reports must agree.
+// TestMergedSnapshotsEqualOneRecorder guards against a merge that counts requests
+// twice or drops them: it records the same requests at one instance and spread over
+// three, and compares the reports.
 func TestMergedSnapshotsEqualOneRecorder(t *testing.T) {
 	c := &clock{begin}
 	whole := NewRecorder(c.now)
@@ -167,6 +174,8 @@
 	return out
 }
 
+// TestRecorderIsBounded guards against memory that grows with the number of teams and
+// versions, and against requests beyond the bounds that are not counted.
 func TestRecorderIsBounded(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	for i := range 2 * maxTeams {
@@ -175,8 +184,8 @@
 		r.SetVerdict(fmt.Sprintf("m@%d", i), true)
 	}
 	s := snapshot(t, r, "i")
-	if len(s.Teams) != maxTeams+1 || len(s.Bad) != maxVersions {
-		t.Errorf("%d teams, %d bad versions", len(s.Teams), len(s.Bad))
+	if len(s.Teams) != maxTeams+1 || len(s.BadVersions) != maxVersions {
+		t.Errorf("%d teams, %d bad versions", len(s.Teams), len(s.BadVersions))
 	}
 	for _, team := range s.Teams {
 		if got := len(team.Windows["6h"].Versions); got > maxVersions+1 {
--- a/router/internal/report/report_test.go
+++ b/router/internal/report/report_test.go
@@ -13,9 +13,9 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// afternoon is a fleet of two instances, and one that does not answer, over
-// three hours: a version turns bad in the last half hour.
-func afternoon(t *testing.T) Report {
+// degradedFleet is the report of two instances, and of one that does not answer, after
+// three hours. In the last half hour, a version that is judged bad serves one team.
+func degradedFleet(t *testing.T) Report {
 	t.Helper()
 	c := &clock{begin}
 	a, b := NewRecorder(c.now), NewRecorder(c.now)
@@ -44,7 +44,7 @@
 }
 
 func TestGolden(t *testing.T) {
-	r := afternoon(t)
+	r := degradedFleet(t)
 	g := goldie.New(t, goldie.WithFixtureDir("testdata"))
 	var text bytes.Buffer
 	if err := r.WriteText(&text); err != nil {
@@ -53,10 +53,12 @@
 	g.Assert(t, "burn.txt", text.Bytes())
 	g.AssertJson(t, "burn.json", r)
 	if !strings.Contains(text.String(), "10.62.3.12:8081: no answer from") {
-		t.Error("the instance that did not answer is not named")
+		t.Error("the instance that did not answer is missing")
 	}
 }
 
+// TestJudge checks alertState: both windows of a pair have to reach the rate, a large
+// budget has fixed fractions instead, and cost raises tickets only.
 func TestJudge(t *testing.T) {
 	rates := func(r5m, r1h, r30m, r6h float64) map[string]float64 {
 		return map[string]float64{"5m": r5m, "1h": r1h, "30m": r30m, "6h": r6h}
@@ -82,13 +84,15 @@
 		{"cost over it", LevelCost, rates(1.2, 1.2, 1.2, 1.1), 9, 1, StateTicket},
 		{"cost far over it", LevelCost, rates(50, 50, 50, 50), 9, 1, StateTicket},
 	} {
-		got := judge(Level{Kind: c.kind, Burn: c.burn, Events: c.events}, c.budget)
+		got := alertState(Level{Kind: c.kind, Burn: c.burn, Events: c.events}, c.budget)
 		if got != c.want {
 			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
 		}
 	}
 }
 
+// TestNewestObjectivesCount guards against objectives of an older manifest, from an
+// instance that is behind, in the report. The order of the sources must not matter.
 func TestNewestObjectivesCount(t *testing.T) {
 	old := Snapshot{Instance: "a", Generation: 1, Objectives: agencyObjectives[1:]}
 	newer := Snapshot{Instance: "b", Generation: 2, Objectives: agencyObjectives[:1]}
@@ -100,7 +104,8 @@
 	}
 }
 
-// FuzzBuild takes any answer of an instance.
+// FuzzBuild checks that no response of an instance makes the report fail, for example
+// by a value that cannot be encoded.
 func FuzzBuild(f *testing.F) {
 	f.Add([]byte(`{"objectives":[{"team":"a","cost_per_request":1}],"teams":[{"team":"a","windows":{"6h":{"cost":1,"billed":1}}}]}`))
 	f.Add([]byte(`{"objectives":[{"team":"a","cost_per_request":1e-300}],"teams":[{"team":"a","windows":{"6h":{"cost":1e308,"billed":1}},"points":[{"begin":1788242400,"cost":1e308,"billed":1},{"begin":-9000000000000000000}],"first_token":"AAAA"}]}`))
@@ -122,10 +127,10 @@
 }
 
 func TestStatusGolden(t *testing.T) {
-	lines := []StatusLine{
+	lines := []InstanceStatus{
 		{Address: "10.41.1.11:8081", Status: &StatusReport{
-			Instance: "entry-rimouski-1", Domain: "salle-rimouski", Generation: 41, Mode: "fresh", Open: 12,
-			Offset: 900, Head: 900, LogReachable: true, ShutOff: []string{"patron@4"}, Ejected: []string{"moteur-3", "moteur-7"},
+			Instance: "entry-rimouski-1", Domain: "salle-rimouski", Generation: 41, Mode: "fresh", OpenRequests: 12,
+			Offset: 900, Head: 900, LogReachable: true, BadVersions: []string{"patron@4"}, EjectedServers: []string{"moteur-3", "moteur-7"},
 		}},
 		{Address: "10.41.2.11:8081", Status: &StatusReport{
 			Instance: "entry-matane-1", Domain: "salle-matane", Generation: 40, Mode: "outage",
--- a/router/internal/report/status.go
+++ b/router/internal/report/status.go
@@ -7,57 +7,58 @@
 	"text/tabwriter"
 )
 
-// StatusReport is the body of /status: where one instance stands.
+// StatusReport is the body of /status: the state of one instance.
 type StatusReport struct {
 	Instance string `json:"instance"`
 	Domain   string `json:"domain"`
-	// Generation of the manifest in force here.
+	// Generation of the manifest in force; 0 for none.
 	Generation uint64 `json:"generation"`
 	// Mode is "fresh", "stale" or "outage".
 	Mode string `json:"mode"`
-	// Open requests.
-	Open int `json:"open"`
-	// Offset is the next entry of the log to fold, Head the log's end as last
-	// read, Lag the entries between.
+	// OpenRequests is the number of requests in progress.
+	OpenRequests int `json:"open"`
+	// Offset is that of the next entry of the log to fold, Head the end of the log
+	// when it was last read, Lag the number of entries between them.
 	Offset uint64 `json:"offset"`
 	Head   uint64 `json:"head"`
 	Lag    uint64 `json:"lag"`
 	// LogReachable says whether the last read of the log succeeded.
 	LogReachable bool `json:"log_reachable"`
-	// HeldBills wait here for the log, own and other instances'.
+	// HeldBills is the number of bills, own and other instances', that are held
+	// until they can be appended to the log.
 	HeldBills int `json:"held_bills"`
-	// ShutOff are versions judged bad, Ejected backend servers taken out as
-	// outliers.
-	ShutOff []string `json:"shut_off_versions"`
-	Ejected []string `json:"ejected_servers"`
+	// BadVersions are the versions judged bad, EjectedServers the backend servers
+	// ejected as outliers.
+	BadVersions    []string `json:"shut_off_versions"`
+	EjectedServers []string `json:"ejected_servers"`
 }
 
-// StatusLine is one instance's answer, or that there was none.
-type StatusLine struct {
+// InstanceStatus is one instance's status, or the error of requesting it.
+type InstanceStatus struct {
 	Address string        `json:"address"`
 	Status  *StatusReport `json:"status,omitempty"`
 	Error   string        `json:"error,omitempty"`
 }
 
-// WriteStatusText writes the lines for a terminal, and what is odd between
-// instances.
-func WriteStatusText(w io.Writer, lines []StatusLine) error {
+// WriteStatusText writes the statuses as a table for a terminal, followed by
+// warnings.
+func WriteStatusText(w io.Writer, statuses []InstanceStatus) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "INSTANCE\tADDRESS\tDOMAIN\tGENERATION\tMODE\tOPEN\tOFFSET\tLAG\tLOG\tHELD BILLS\tSHUT OFF\tEJECTED")
-	for _, l := range lines {
+	for _, l := range statuses {
 		if l.Status == nil {
 			fmt.Fprintf(t, "NO ANSWER\t%s\t%s\n", l.Address, l.Error)
 			continue
 		}
 		s := l.Status
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\n",
-			s.Instance, l.Address, s.Domain, s.Generation, s.Mode, s.Open, s.Offset, s.Lag,
-			reachable(s.LogReachable), s.HeldBills, list(s.ShutOff), list(s.Ejected))
+			s.Instance, l.Address, s.Domain, s.Generation, s.Mode, s.OpenRequests, s.Offset, s.Lag,
+			reachability(s.LogReachable), s.HeldBills, joinOrDash(s.BadVersions), joinOrDash(s.EjectedServers))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, note := range statusNotes(lines) {
+	for _, note := range statusWarnings(statuses) {
 		if _, err := fmt.Fprintln(w, note); err != nil {
 			return err
 		}
@@ -65,38 +66,39 @@
 	return nil
 }
 
-// statusNotes says what to look at.
-func statusNotes(lines []StatusLine) []string {
-	var out []string
+// statusWarnings names the instances that are behind the newest generation and those
+// that hold bills.
+func statusWarnings(statuses []InstanceStatus) []string {
+	var warnings []string
 	var newest uint64
-	for _, l := range lines {
+	for _, l := range statuses {
 		if l.Status != nil {
 			newest = max(newest, l.Status.Generation)
 		}
 	}
-	for _, l := range lines {
+	for _, l := range statuses {
 		if l.Status == nil {
 			continue
 		}
 		s := l.Status
 		if s.Generation < newest {
-			out = append(out, fmt.Sprintf("%s is at generation %d, others at %d", s.Instance, s.Generation, newest))
+			warnings = append(warnings, fmt.Sprintf("%s is at generation %d, others at %d", s.Instance, s.Generation, newest))
 		}
 		if s.HeldBills > 0 {
-			out = append(out, fmt.Sprintf("%s holds %d bills for the log: do not stop it and its peers at once", s.Instance, s.HeldBills))
+			warnings = append(warnings, fmt.Sprintf("%s holds %d bills for the log: do not stop it and its peers at once", s.Instance, s.HeldBills))
 		}
 	}
-	return out
+	return warnings
 }
 
-func reachable(ok bool) string {
+func reachability(ok bool) string {
 	if ok {
 		return "reachable"
 	}
 	return "UNREACHABLE"
 }
 
-func list(names []string) string {
+func joinOrDash(names []string) string {
 	if len(names) == 0 {
 		return "-"
 	}
--- a/router/internal/report/text.go
+++ b/router/internal/report/text.go
@@ -24,7 +24,7 @@
 }
 
 func (r Report) writeInstances(b *strings.Builder) {
-	fmt.Fprintf(b, "%d of %d instances answered\n", len(r.Instances)-r.Silent(), len(r.Instances))
+	fmt.Fprintf(b, "%d of %d instances answered\n", len(r.Instances)-r.UnansweredCount(), len(r.Instances))
 	for _, i := range r.Instances {
 		if !i.Answered {
 			fmt.Fprintf(b, "  NO ANSWER  %s: %s\n", i.Address, i.Error)
@@ -41,22 +41,22 @@
 	for _, team := range r.Teams {
 		for _, l := range team.Levels {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n",
-				team.Team, l.Kind, l.State, l.ObjectiveText(), Number(l.Measured), l.Unit, l.Events, l.burnText("\t"))
+				team.Team, l.Kind, l.State, l.ObjectiveText(), FormatNumber(l.Measured), l.Unit, l.Events, l.budgetAndBurnText("\t"))
 		}
 	}
-	// A strings.Builder takes every write.
+	// A write to a strings.Builder never fails.
 	_ = t.Flush()
 }
 
-// ObjectiveText is the objective for people.
+// ObjectiveText formats the objective; "-" for none.
 func (l Level) ObjectiveText() string {
 	if l.State == StateNoObjective {
 		return "-"
 	}
-	return Number(l.Objective)
+	return FormatNumber(l.Objective)
 }
 
-// BudgetText is the budget left, in per cent.
+// BudgetText formats the budget left in per cent; "-" without an objective or data.
 func (l Level) BudgetText() string {
 	if l.State == StateNoObjective || l.State == StateNoData {
 		return "-"
@@ -64,7 +64,8 @@
 	return strconv.FormatFloat(100*l.BudgetLeft, 'f', 1, 64) + "%"
 }
 
-// BurnText is the burn rate over a window.
+// BurnText formats the burn rate over the window with this name; "-" without an
+// objective or data.
 func (l Level) BurnText(window string) string {
 	if l.State == StateNoObjective || l.State == StateNoData {
 		return "-"
@@ -72,9 +73,9 @@
 	return strconv.FormatFloat(l.Burn[window], 'f', 2, 64)
 }
 
-// burnText is the budget and the rates in the order of the heading, in which
-// the windows stand in pairs.
-func (l Level) burnText(sep string) string {
+// budgetAndBurnText joins the budget left and the burn rates in the order of the
+// heading, which is that of AlertWindows.
+func (l Level) budgetAndBurnText(sep string) string {
 	parts := []string{l.BudgetText()}
 	for _, w := range AlertWindows() {
 		parts = append(parts, l.BurnText(w.Name))
@@ -82,9 +83,9 @@
 	return strings.Join(parts, sep)
 }
 
-// pairs lists the windows as they are judged: the fast pair, then the slow one.
-// AlertWindows are the windows of the burn rates, short and long in turn.
+// AlertWindows lists the windows in the pairs that raise a state: the fast pair, then
+// the slow one, each with the short window first.
 func AlertWindows() []Window { return []Window{Window5m, Window1h, Window30m, Window6h} }
 
-// Number formats a figure for people.
-func Number(f float64) string { return strconv.FormatFloat(f, 'g', 6, 64) }
+// FormatNumber formats a number with six significant digits.
+func FormatNumber(f float64) string { return strconv.FormatFloat(f, 'g', 6, 64) }
--- a/router/internal/session/token.go
+++ b/router/internal/session/token.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// MaxTokenBytes bounds a token before anything is parsed; it has room for
-	// MaxPins pins of usual length and stays far under the header limit.
+	// MaxTokenBytes bounds a token before anything is parsed. It leaves room
+	// for MaxPins pins of usual length and is far below the limit on headers.
 	MaxTokenBytes = 16 << 10
 
-	// issuer marks masticplank's tokens, so that a key which is by mistake
-	// shared with another system does not make that one's tokens sessions.
+	// issuer identifies masticplank's tokens: if a key is shared with another
+	// system by mistake, that system's tokens are still not accepted as
+	// sessions.
 	issuer = "masticplank"
-	// headerKeyID is JWT's name for the key's id.
+	// headerKeyID is JWT's header for the key's id.
 	headerKeyID = "kid"
 )
 
 // Tokens issues and verifies session tokens. Safe for concurrent use.
 type Tokens struct {
-	keys   map[string][]byte
-	signer string
-	ttl    time.Duration
-	now    func() time.Time
-	parser *jwt.Parser
+	keys         map[string][]byte
+	signingKeyID string
+	ttl          time.Duration
+	now          func() time.Time
+	parser       *jwt.Parser
 }
 
 // NewTokens takes the key ring of the settings: the first key signs, all
-// verify. To rotate, add the new key at the end everywhere, then move it to
-// the front, and drop the old one a TTL later. now is the clock.
+// verify. To rotate, append the new key at all instances, then move it to the
+// front, and remove the old one after the sessions' TTL has passed. now is the
+// clock.
 func NewTokens(cfg settings.Session, now func() time.Time) (*Tokens, error) {
 	t := &Tokens{
 		keys: make(map[string][]byte, len(cfg.Keys)),
@@ -51,14 +53,14 @@
 	for i, k := range cfg.Keys {
 		secret, err := base64.StdEncoding.DecodeString(k.Secret)
 		if err != nil || len(secret) < settings.MinSecretBytes {
-			return nil, trace.BadParameter("session key %q is no base64 of at least %d bytes", k.ID, settings.MinSecretBytes)
+			return nil, trace.BadParameter("session key %q is not the base64 encoding of at least %d bytes", k.ID, settings.MinSecretBytes)
 		}
 		if _, ok := t.keys[k.ID]; ok {
-			return nil, trace.BadParameter("session key %q is given twice", k.ID)
+			return nil, trace.BadParameter("duplicate session key %q", k.ID)
 		}
 		t.keys[k.ID] = secret
 		if i == 0 {
-			t.signer = k.ID
+			t.signingKeyID = k.ID
 		}
 	}
 	return t, nil
@@ -70,13 +72,13 @@
 	jwt.RegisteredClaims
 }
 
-// Issue signs s and returns the token with the time at which it ends.
+// Issue signs s and returns the token with its expiry time.
 func (t *Tokens) Issue(s Session) (token string, expires time.Time, err error) {
 	if len(t.keys) == 0 {
-		return "", time.Time{}, refuse(ReasonNoKeys, "set session.keys")
+		return "", time.Time{}, newError(ReasonNoKeys, "set session.keys")
 	}
-	if wrong := s.check(); wrong != "" {
-		return "", time.Time{}, refuse(ReasonInvalid, wrong)
+	if violation := s.violation(); violation != "" {
+		return "", time.Time{}, newError(ReasonOutOfBounds, violation)
 	}
 	now := t.now()
 	expires = now.Add(t.ttl).Truncate(time.Second)
@@ -88,40 +90,40 @@
 			ExpiresAt: jwt.NewNumericDate(expires),
 		},
 	})
-	unsigned.Header[headerKeyID] = t.signer
-	token, err = unsigned.SignedString(t.keys[t.signer])
+	unsigned.Header[headerKeyID] = t.signingKeyID
+	token, err = unsigned.SignedString(t.keys[t.signingKeyID])
 	if err != nil {
 		return "", time.Time{}, trace.Wrap(err)
 	}
 	if len(token) > MaxTokenBytes {
-		return "", time.Time{}, refuse(ReasonInvalid, "the token would be too long")
+		return "", time.Time{}, newError(ReasonOutOfBounds, "the token would be too long")
 	}
 	return token, expires, nil
 }
 
-// Verify reads a token that a caller of team sent. The error is an *Error.
+// Verify reads a token sent by a caller of team. The error is an *Error.
 func (t *Tokens) Verify(token, team string) (Session, error) {
 	if len(token) > MaxTokenBytes {
-		return Session{}, refuse(ReasonMalformed, "too long")
+		return Session{}, newError(ReasonMalformed, "too long")
 	}
 	var c claims
 	if _, err := t.parser.ParseWithClaims(token, &c, t.key); err != nil {
-		return Session{}, refuse(reasonOf(err), "")
+		return Session{}, newError(reasonFor(err), "")
 	}
-	if wrong := c.check(); wrong != "" {
-		return Session{}, refuse(ReasonMalformed, wrong)
+	if violation := c.violation(); violation != "" {
+		return Session{}, newError(ReasonMalformed, violation)
 	}
 	if c.Team != team {
-		return Session{}, refuse(ReasonTeam, "")
+		return Session{}, newError(ReasonOtherTeam, "")
 	}
 	return c.Session, nil
 }
 
-// errUnknownKey passes through the parser, which wraps it.
+// errUnknownKey is returned to the parser, which wraps it.
 var errUnknownKey = errors.New("session: unknown key")
 
-// key finds the key that a token names. The parser has checked the algorithm
-// before it asks.
+// key finds the key that a token names. The parser has already checked the
+// algorithm.
 func (t *Tokens) key(token *jwt.Token) (any, error) {
 	id, _ := token.Header[headerKeyID].(string)
 	secret, ok := t.keys[id]
@@ -131,14 +133,14 @@
 	return secret, nil
 }
 
-// reasonOf sorts the parser's errors. The signature is checked before the
-// times, so an expired token was genuine.
-func reasonOf(err error) Reason {
+// reasonFor classifies the parser's errors. The signature is checked before the
+// times, so an expired token had a valid signature.
+func reasonFor(err error) Reason {
 	switch {
 	case errors.Is(err, errUnknownKey):
 		return ReasonUnknownKey
 	case errors.Is(err, jwt.ErrTokenSignatureInvalid):
-		return ReasonSignature
+		return ReasonBadSignature
 	case errors.Is(err, jwt.ErrTokenExpired):
 		return ReasonExpired
 	default:
@@ -147,13 +149,13 @@
 }
 
 // LooksLikeToken tells a token from a session name in the same header: a name
-// may hold dots, but a JWT begins with the base64 of `{"`.
+// may contain dots, but a JWT begins with the base64 of `{"`.
 func LooksLikeToken(header string) bool {
 	const begin = "eyJ"
-	return len(header) > len(begin) && header[:len(begin)] == begin && dots(header) == 2
+	return len(header) > len(begin) && header[:len(begin)] == begin && countDots(header) == 2
 }
 
-func dots(s string) int {
+func countDots(s string) int {
 	n := 0
 	for _, c := range []byte(s) {
 		if c == '.' {
--- a/router/internal/settings/decode.go
+++ b/router/internal/settings/decode.go
@@ -9,14 +9,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder copies a syntax tree into Settings. It goes on after a fault, so
-// that one run reports them all, and remembers where each setting stands.
+// decoder copies a syntax tree into Settings. It continues after a fault, so that
+// all faults are reported together, and records the byte offset of each setting by
+// its path.
 type decoder struct {
-	list    *faultList
+	faults  *faultList
 	offsets map[string]int
 }
 
-// value decodes v into dst, whose setting is path.
+// value decodes v into dst, the setting at path.
 func (d *decoder) value(v hujson.Value, dst reflect.Value, path string) {
 	d.offsets[path] = v.StartOffset
 	switch dst.Kind() {
@@ -32,20 +33,20 @@
 func (d *decoder) object(v hujson.Value, dst reflect.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.list.add(v.StartOffset, path, "want an object, got %s", kindName(v))
+		d.faults.add(v.StartOffset, path, "want an object, got %s", describeValue(v))
 		return
 	}
 	known := fieldsByKey(dst.Type())
 	seen := map[string]bool{}
 	for _, m := range obj.Members {
 		key := m.Name.Value.(hujson.Literal).String()
-		child := join(path, key)
+		child := joinPath(path, key)
 		index, ok := known[key]
 		switch {
 		case !ok:
-			d.list.add(m.Name.StartOffset, child, "unknown key; known here: %s", keyList(dst.Type()))
+			d.faults.add(m.Name.StartOffset, child, "unknown key; known here: %s", keyList(dst.Type()))
 		case seen[key]:
-			d.list.add(m.Name.StartOffset, child, "given twice")
+			d.faults.add(m.Name.StartOffset, child, "given twice")
 		default:
 			d.value(m.Value, dst.Field(index), child)
 		}
@@ -56,7 +57,7 @@
 func (d *decoder) array(v hujson.Value, dst reflect.Value, path string) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.list.add(v.StartOffset, path, "want an array, got %s", kindName(v))
+		d.faults.add(v.StartOffset, path, "want an array, got %s", describeValue(v))
 		return
 	}
 	dst.Set(reflect.MakeSlice(dst.Type(), len(arr.Elements), len(arr.Elements)))
@@ -68,11 +69,11 @@
 func (d *decoder) scalar(v hujson.Value, dst reflect.Value, path string) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok || lit.Kind() == 'n' || json.Unmarshal(lit, dst.Addr().Interface()) != nil {
-		d.list.add(v.StartOffset, path, "want %s, got %s", typeName(dst.Kind()), kindName(v))
+		d.faults.add(v.StartOffset, path, "want %s, got %s", expectedType(dst.Kind()), describeValue(v))
 	}
 }
 
-// fieldsByKey maps the JSON keys of a struct to the indexes of its fields.
+// fieldsByKey maps the JSON keys of a struct type to the indexes of its fields.
 func fieldsByKey(t reflect.Type) map[string]int {
 	out := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
@@ -89,15 +90,15 @@
 	return strings.Join(keys, ", ")
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// typeName names what a Go kind takes, in the words of JSON.
-func typeName(k reflect.Kind) string {
+// expectedType names the JSON type that is decoded into a Go kind.
+func expectedType(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "a string"
@@ -108,8 +109,9 @@
 	}
 }
 
-// kindName names what stands in the file.
-func kindName(v hujson.Value) string {
+// describeValue names the JSON type of a value in the file, with the value for a
+// number.
+func describeValue(v hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
 		return "an object"
--- a/router/internal/settings/doc_table.go
+++ b/router/internal/settings/doc_table.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// DefaultText is the default of f as it would stand in a file; "required" where
-// there is none.
+// DefaultText is the default of f as JSON; "required" if the file must set it, "none"
+// for a setting within the elements of an array.
 func (f Field) DefaultText() string {
 	s := Default()
-	found := places(reflect.ValueOf(&s).Elem(), f.Path)
-	if len(found) == 0 {
+	values := valuesAt(reflect.ValueOf(&s).Elem(), f.Path)
+	if len(values) == 0 {
 		return "none"
 	}
-	v := found[0].value
+	v := values[0].value
 	switch {
 	case v.Kind() == reflect.Slice:
 		return "[]"
@@ -29,13 +29,13 @@
 	return string(text)
 }
 
-// Note is the comment of f in a settings file.
-func (f Field) Note() string {
-	note := fmt.Sprintf("%s Default %s; range %s", f.Text, f.DefaultText(), f.Rule.Range())
+// Comment is the comment for f in a documented settings file.
+func (f Field) Comment() string {
+	comment := fmt.Sprintf("%s Default %s; range %s", f.Text, f.DefaultText(), f.Rule.Range())
 	if f.Unit != "" {
-		note += "; unit " + f.Unit
+		comment += "; unit " + f.Unit
 	}
-	return note + "."
+	return comment + "."
 }
 
 // Table renders the fields as a table in Markdown, for docs/SETTINGS.md.
--- a/router/internal/settings/fault.go
+++ b/router/internal/settings/fault.go
@@ -6,30 +6,30 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	// File is the name given to Parse.
 	File string `json:"file"`
 	// Line and Column count from 1; Column counts bytes.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Path names the setting, such as "limits.max_body_bytes"; empty where the
-	// file is no JSON at all.
+	// Path names the setting, such as "limits.max_body_bytes"; empty for a syntax
+	// error or a fault of the whole file.
 	Path string `json:"path,omitempty"`
-	// Message says what is wrong and what would be right.
+	// Message says what is wrong and what is allowed.
 	Message string `json:"message"`
 }
 
 // String is "file:line:column: path: message".
 func (f Fault) String() string {
-	where := fmt.Sprintf("%s:%d:%d: ", f.File, f.Line, f.Column)
+	prefix := fmt.Sprintf("%s:%d:%d: ", f.File, f.Line, f.Column)
 	if f.Path == "" {
-		return where + f.Message
+		return prefix + f.Message
 	}
-	return where + f.Path + ": " + f.Message
+	return prefix + f.Path + ": " + f.Message
 }
 
-// Faults are all that is wrong in a settings file, in the order of the file.
+// Faults are all errors in a settings file, in the order of the file.
 type Faults []Fault
 
 // Error lists the faults, one a line.
@@ -41,12 +41,13 @@
 	return strings.Join(lines, "\n")
 }
 
-// faultList collects faults by byte offset while a file is read.
+// faultList collects faults by byte offset while a file is read. faulty is the set
+// of paths with a fault.
 type faultList struct {
 	file   string
 	data   []byte
 	found  []offsetFault
-	broken map[string]bool
+	faulty map[string]bool
 }
 
 type offsetFault struct {
@@ -54,26 +55,26 @@
 	path, message string
 }
 
-// add notes a fault of the setting at path, and that its value is not to be
-// judged any further.
+// add records a fault of the setting at path, and marks the path as faulty, so
+// that its value is not checked any further.
 func (l *faultList) add(offset int, path, format string, args ...any) {
-	l.broken[path] = true
+	l.faulty[path] = true
 	l.found = append(l.found, offsetFault{offset, path, fmt.Sprintf(format, args...)})
 }
 
-// faults returns what was found in the order of the file.
-func (l *faultList) faults() Faults {
+// sorted returns the faults in the order of the file.
+func (l *faultList) sorted() Faults {
 	slices.SortStableFunc(l.found, func(a, b offsetFault) int { return a.offset - b.offset })
 	var out Faults
 	for _, f := range l.found {
-		line, column := position(l.data, f.offset)
+		line, column := lineColumn(l.data, f.offset)
 		out = append(out, Fault{File: l.file, Line: line, Column: column, Path: f.path, Message: f.message})
 	}
 	return out
 }
 
-// position turns a byte offset into a line and column, both from 1.
-func position(data []byte, offset int) (line, column int) {
+// lineColumn converts a byte offset into a line and column, both counted from 1.
+func lineColumn(data []byte, offset int) (line, column int) {
 	before := string(data[:min(offset, len(data))])
 	line = 1 + strings.Count(before, "\n")
 	column = len(before) - strings.LastIndexByte(before, '\n')
--- a/router/internal/standin/engine/report.go
+++ b/router/internal/standin/engine/report.go
@@ -9,13 +9,14 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// reporter keeps the last load report until it is as old as the lag.
-type reporter struct {
+// reportCache keeps the last load report until it is as old as ReportLag.
+type reportCache struct {
 	mu   sync.Mutex
 	last wire.LoadReport
 }
 
-// loadReport returns a report between 0 and ReportLag old, without events.
+// loadReport returns a report that is at most ReportLag old, without cache
+// events.
 func (s *Server) loadReport() wire.LoadReport {
 	s.report.mu.Lock()
 	defer s.report.mu.Unlock()
@@ -24,15 +25,15 @@
 		return s.report.last
 	}
 	running, queued := s.slots.load()
-	set := s.Faults.Get()
+	active := s.Faults.Get()
 	s.report.last = wire.LoadReport{
 		Running:  running,
 		Queued:   queued,
 		Slots:    s.cfg.Slots,
 		Versions: s.orders.versions(),
-		Leaving:  set.Leaving && !set.SilentLeaving,
+		Leaving:  active.Leaving && !active.SilentLeaving,
 		At:       now,
-		CacheSeq: s.cache.last(),
+		CacheSeq: s.cache.lastSeq(),
 	}
 	return s.report.last
 }
@@ -48,7 +49,7 @@
 		since = number
 	}
 	report := s.loadReport()
-	report.Cache = s.cache.between(since, report.CacheSeq)
+	report.Cache = s.cache.eventsBetween(since, report.CacheSeq)
 	faults.WriteJSON(w, http.StatusOK, report)
 }
 
--- a/router/internal/standin/logsvc/logsvc.go
+++ b/router/internal/standin/logsvc/logsvc.go
@@ -1,8 +1,8 @@
-// Package logsvc is the stand-in for the platform's append-only log service.
+// Package logsvc is a stand-in for the platform's append-only log service.
 //
-//	POST /append                        body is the blob -> {"offset":N}
-//	GET  /read?from=&limit=&wait_ms=    -> wire.LogPage; 410 where trimmed
-//	POST /trim?before=                  drops older entries now
+//	POST /append                        body is the entry's data -> {"offset":N}
+//	GET  /read?from=&limit=&wait_ms=    -> wire.LogPage; 410 if from is trimmed
+//	POST /trim?before=                  trims the entries before an offset
 //	GET  /faults, PUT /faults           see Faults
 package logsvc
 
@@ -21,21 +21,21 @@
 
 // Limits of one request.
 const (
-	// MaxBlob is the largest append in bytes.
-	MaxBlob = 8 << 20
-	// MaxLimit is the most entries in one answer.
-	MaxLimit = 1000
-	// MaxWait is the longest long poll.
-	MaxWait = 30 * time.Second
+	// MaxAppendBytes is the maximum size of an entry's data in bytes.
+	MaxAppendBytes = 8 << 20
+	// MaxReadEntries is the maximum number of entries in one response.
+	MaxReadEntries = 1000
+	// MaxLongPoll is the maximum wait of a read.
+	MaxLongPoll = 30 * time.Second
 )
 
-// Config of the service. The zero value keeps everything and takes any rate.
+// Config of the service. The zero value has no limits.
 type Config struct {
-	// Retention is how long an entry is kept; 0 is for ever.
+	// Retention is how long an entry is kept; 0 is forever.
 	Retention time.Duration
-	// MaxEntries is how many entries are kept; 0 is all.
+	// MaxEntries is the maximum number of entries kept; 0 is no limit.
 	MaxEntries int
-	// AppendRate is the most appends a second; 0 is no limit.
+	// AppendRate is the maximum number of appends per second; 0 is no limit.
 	AppendRate int
 	// Now is the service's clock; nil is time.Now.
 	Now func() time.Time
@@ -46,20 +46,21 @@
 	faults.Common
 	// RefuseAppends answers appends with 503 and the code not_appended.
 	RefuseAppends bool `json:"refuse_appends,omitempty"`
-	// FailAppends answers appends with a bare 500 after they took effect.
+	// FailAppends answers appends with 500 after they took effect, without the
+	// code not_appended.
 	FailAppends faults.Count `json:"fail_appends,omitempty"`
-	// LostReply cuts the connection after the append took effect.
+	// LostReply aborts the connection after the append took effect.
 	LostReply faults.Count `json:"lost_reply,omitempty"`
-	// LostBefore cuts the connection before the append takes effect.
+	// LostBefore aborts the connection before the append takes effect.
 	LostBefore faults.Count `json:"lost_before,omitempty"`
-	// LateEffectMS delays the effect of an append, also past its caller's
-	// patience: a caller that gave up still finds its entry later.
+	// LateEffectMS delays the effect of an append, in milliseconds, even after
+	// the caller has timed out: its entry then appears later.
 	LateEffectMS int `json:"late_effect_ms,omitempty"`
 }
 
-// Server is the service. It is safe for concurrent use.
+// Server is the service's HTTP handler. It is safe for concurrent use.
 type Server struct {
-	Faults  faults.Board[Faults]
+	Faults  faults.Injector[Faults]
 	store   *store
 	limiter *rate.Limiter
 	handler http.Handler
@@ -83,18 +84,18 @@
 	r.HandleFunc("/append", s.serveAppend).Methods(http.MethodPost)
 	r.HandleFunc("/read", s.serveRead).Methods(http.MethodGet)
 	r.HandleFunc("/trim", s.serveTrim).Methods(http.MethodPost)
-	s.handler = faults.Guard(func() faults.Common { return s.Faults.Get().Common }, r)
+	s.handler = faults.Middleware(func() faults.Common { return s.Faults.Get().Common }, r)
 	return s
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// Trim drops all entries before offset.
-func (s *Server) Trim(offset uint64) { s.store.dropBefore(offset) }
+// Trim removes all entries before offset.
+func (s *Server) Trim(offset uint64) { s.store.trimBefore(offset) }
 
 func (s *Server) serveAppend(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBlob))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxAppendBytes))
 	if err != nil {
 		faults.WriteError(w, http.StatusRequestEntityTooLarge, wire.CodeNotAppended, err.Error())
 		return
@@ -109,13 +110,14 @@
 		return
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostBefore }) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
-	// Not bound to the request: what was sent takes effect in the end.
+	// Not bound to the request's context: an append that was received takes
+	// effect even if the caller has disconnected.
 	time.Sleep(time.Duration(s.Faults.Get().LateEffectMS) * time.Millisecond)
 	offset := s.store.append(data)
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.FailAppends }) {
 		faults.WriteError(w, http.StatusInternalServerError, "internal", "failed after the append")
@@ -133,7 +135,7 @@
 	timer := time.NewTimer(query.wait)
 	defer timer.Stop()
 	for {
-		page, kept, grown := s.store.read(query.from, query.limit)
+		page, kept, appended := s.store.read(query.from, query.limit)
 		if !kept {
 			faults.WriteJSON(w, http.StatusGone, page)
 			return
@@ -143,14 +145,14 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timer.C:
 			query.wait = 0
 		case <-r.Context().Done():
 			return
 		}
 		if s.Faults.Get().Down {
-			faults.Cut()
+			faults.AbortConnection()
 		}
 	}
 }
@@ -165,7 +167,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// readQuery is what a GET /read asks for.
+// readQuery holds the parameters of GET /read.
 type readQuery struct {
 	from  uint64
 	limit int
@@ -178,20 +180,20 @@
 	if err != nil {
 		return readQuery{}, err
 	}
-	query := readQuery{from: from, limit: MaxLimit}
+	query := readQuery{from: from, limit: MaxReadEntries}
 	if text := values.Get("limit"); text != "" {
 		limit, err := strconv.ParseUint(text, 10, 31)
 		if err != nil {
 			return readQuery{}, err
 		}
-		query.limit = min(int(limit), MaxLimit)
+		query.limit = min(int(limit), MaxReadEntries)
 	}
 	if text := values.Get("wait_ms"); text != "" {
 		wait, err := strconv.ParseUint(text, 10, 31)
 		if err != nil {
 			return readQuery{}, err
 		}
-		query.wait = min(time.Duration(wait)*time.Millisecond, MaxWait)
+		query.wait = min(time.Duration(wait)*time.Millisecond, MaxLongPoll)
 	}
 	return query, nil
 }
--- a/router/internal/standin/relay/relay.go
+++ b/router/internal/standin/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is the stand-in for a network line that can be cut: it passes TCP
-// connections on to a target, until it is told not to.
+// Package relay is a TCP proxy that simulates a network connection which can be
+// interrupted: it forwards connections to a target until it is disconnected.
 package relay
 
 import (
@@ -15,12 +15,12 @@
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[net.Conn]bool
+	mu           sync.Mutex
+	disconnected bool
+	conns        map[net.Conn]bool
 }
 
-// New returns a relay to target, which is asked for at each connection only.
+// New returns a relay to target, which is dialed for each connection only.
 func New(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,21 +31,22 @@
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
-	r.SetCut(true)
+	r.SetDisconnected(true)
 }
 
-// SetCut closes what is open and refuses what comes, or ends that.
-func (r *Relay) SetCut(cut bool) {
+// SetDisconnected(true) closes the open connections and then each new one;
+// SetDisconnected(false) lets new connections pass again.
+func (r *Relay) SetDisconnected(disconnected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = cut
-	if !cut {
+	r.disconnected = disconnected
+	if !disconnected {
 		return
 	}
 	for c := range r.conns {
@@ -60,15 +61,16 @@
 		if err != nil {
 			return
 		}
-		go r.pass(in)
+		go r.forward(in)
 	}
 }
 
-// keep notes a connection; false where the line is cut.
-func (r *Relay) keep(c net.Conn) bool {
+// track records a connection. If the relay is disconnected, it closes the
+// connection and returns false.
+func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut {
+	if r.disconnected {
 		c.Close()
 		return false
 	}
@@ -76,23 +78,23 @@
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c.Close()
 	delete(r.conns, c)
 }
 
-func (r *Relay) pass(in net.Conn) {
-	if !r.keep(in) {
+func (r *Relay) forward(in net.Conn) {
+	if !r.track(in) {
 		return
 	}
-	defer r.drop(in)
+	defer r.untrack(in)
 	out, err := net.Dial("tcp", r.target)
-	if err != nil || !r.keep(out) {
+	if err != nil || !r.track(out) {
 		return
 	}
-	defer r.drop(out)
+	defer r.untrack(out)
 	go func() {
 		_, _ = io.Copy(out, in)
 		out.Close()
--- a/router/internal/standin/service/service.go
+++ b/router/internal/standin/service/service.go
@@ -1,7 +1,7 @@
-// Package service is the stand-in for a plain service, such as a shop's stock
-// or a lending record. Every path is served.
+// Package service is a stand-in for a plain service, such as a shop's stock or a
+// lending record. It serves every path.
 //
-//	GET  any path                 idempotent: echoes what was asked for
+//	GET  any path                 idempotent: echoes the request
 //	POST /reservations            runs once per call; not idempotent
 //	any other method and path     likewise counted as a run
 //	GET  /load                    wire.LoadReport
@@ -22,19 +22,20 @@
 )
 
 const (
-	// maxBody bounds a body.
-	maxBody = 16 << 20
-	// DefaultSlots is what the load report names where Config has none.
+	// maxBodyBytes bounds the body of a request.
+	maxBodyBytes = 16 << 20
+	// DefaultSlots is used if Config.Slots is 0.
 	DefaultSlots = 64
 )
 
 // Config of a service.
 type Config struct {
-	// Name stands in its answers.
+	// Name is stated in the responses.
 	Name string
-	// Slots is what the load report names; calls beyond it are refused.
+	// Slots is the maximum number of running calls, as stated in the load
+	// report; calls beyond it are refused. 0 is DefaultSlots.
 	Slots int
-	// Work is how long each call takes.
+	// Work is the service time of each call.
 	Work time.Duration
 	// Now is the service's clock; nil is time.Now.
 	Now func() time.Time
@@ -43,49 +44,51 @@
 // Faults of a service.
 type Faults struct {
 	faults.Common
-	// Leaving refuses new calls with 503, and says so in the load report.
+	// Leaving refuses new calls with 503, and is stated in the load report.
 	Leaving bool `json:"leaving,omitempty"`
 	// Busy refuses calls with 429, as not run.
 	Busy faults.Count `json:"busy,omitempty"`
-	// LostReply cuts the connection after the call took effect.
+	// LostReply aborts the connection after the call took effect.
 	LostReply faults.Count `json:"lost_reply,omitempty"`
 	// FailAfter answers 500 after the call took effect.
 	FailAfter faults.Count `json:"fail_after,omitempty"`
 	// WrongNonce echoes another attempt's nonce.
 	WrongNonce faults.Count `json:"wrong_nonce,omitempty"`
-	// Truncate cuts the answer halfway, after the call took effect.
+	// Truncate aborts the connection in the middle of the response, after the
+	// call took effect.
 	Truncate faults.Count `json:"truncate,omitempty"`
 }
 
-// Stats count calls, for tests.
+// Stats counts calls, for tests.
 type Stats struct {
 	// Runs counts, for each Idempotency-Key, how often a non-idempotent call
-	// took effect. Calls without a key stand under the empty one.
+	// took effect. Calls without a key are counted under "".
 	Runs map[string]int `json:"runs"`
 	// Reads counts idempotent calls.
 	Reads int `json:"reads"`
-	// Refused calls were told that they were not run.
+	// Refused counts the calls refused with wire.HeaderNotRun.
 	Refused int `json:"refused"`
 }
 
-// Answer is the body of an answer.
-type Answer struct {
+// Response is the body of a response.
+type Response struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
-	// Query is the raw query.
+	// Query is the raw query string.
 	Query string `json:"query,omitempty"`
 	// Key is the call's Idempotency-Key.
 	Key string `json:"key,omitempty"`
-	// Run numbers the runs under Key from 1: above 1 it ran twice.
+	// Run is the number of this run under Key, from 1; above 1 the call ran more
+	// than once.
 	Run int `json:"run,omitempty"`
-	// Body is what was sent, so that a caller can tell its own answer.
+	// Body is the request's body, by which a caller recognises its own response.
 	Body string `json:"body,omitempty"`
 }
 
-// Server is the service. It is safe for concurrent use.
+// Server is the service's HTTP handler. It is safe for concurrent use.
 type Server struct {
-	Faults  faults.Board[Faults]
+	Faults  faults.Injector[Faults]
 	cfg     Config
 	handler http.Handler
 
@@ -94,7 +97,7 @@
 	stats   Stats
 }
 
-// New returns a service that nobody has called yet.
+// New returns a service with all counts at 0.
 func New(cfg Config) *Server {
 	if cfg.Slots == 0 {
 		cfg.Slots = DefaultSlots
@@ -108,14 +111,14 @@
 	r.HandleFunc("/load", s.serveLoad).Methods(http.MethodGet)
 	r.HandleFunc("/stats", s.serveStats).Methods(http.MethodGet)
 	r.PathPrefix("/").HandlerFunc(s.serveCall)
-	s.handler = faults.Guard(func() faults.Common { return s.Faults.Get().Common }, r)
+	s.handler = faults.Middleware(func() faults.Common { return s.Faults.Get().Common }, r)
 	return s
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// Stats returns the counts so far.
+// Stats returns a copy of the counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +131,7 @@
 }
 
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		s.refuse(w, r, http.StatusRequestEntityTooLarge, "body_too_large", err.Error())
 		return
@@ -139,21 +142,21 @@
 		return
 	}
 	busy := s.Faults.Take(func(f *Faults) *faults.Count { return &f.Busy })
-	if busy || !s.enter() {
+	if busy || !s.acquireSlot() {
 		s.refuse(w, r, http.StatusTooManyRequests, "busy", "too many calls")
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	if !faults.Sleep(r, s.cfg.Work) {
 		return
 	}
-	answer := s.effect(r, body)
+	answer := s.recordCall(r, body)
 	s.reply(w, r, answer)
 }
 
-// effect counts the call, which is what a reservation changes.
-func (s *Server) effect(r *http.Request, body []byte) Answer {
-	answer := Answer{
+// recordCall counts the call, which is the whole effect of a reservation.
+func (s *Server) recordCall(r *http.Request, body []byte) Response {
+	answer := Response{
 		Service: s.cfg.Name,
 		Method:  r.Method,
 		Path:    r.URL.Path,
@@ -172,10 +175,10 @@
 	return answer
 }
 
-// reply sends the answer, under the faults that strike after the effect.
-func (s *Server) reply(w http.ResponseWriter, r *http.Request, answer Answer) {
+// reply sends the response, subject to the faults that strike after the effect.
+func (s *Server) reply(w http.ResponseWriter, r *http.Request, answer Response) {
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	nonce := r.Header.Get(wire.HeaderAttempt)
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.WrongNonce }) {
@@ -190,7 +193,7 @@
 		w.Header().Set("Content-Length", "1000")
 		_, _ = io.WriteString(w, `{"service":`)
 		_ = http.NewResponseController(w).Flush()
-		faults.Cut()
+		faults.AbortConnection()
 	}
 	status := http.StatusOK
 	if answer.Run > 0 {
@@ -199,7 +202,7 @@
 	faults.WriteJSON(w, status, answer)
 }
 
-// refuse answers a call that was not run, under its own nonce.
+// refuse answers a call that was not run. It echoes the call's own nonce.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, code, message string) {
 	s.mu.Lock()
 	s.stats.Refused++
@@ -209,7 +212,7 @@
 	faults.WriteError(w, status, code, message)
 }
 
-func (s *Server) enter() bool {
+func (s *Server) acquireSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running >= s.cfg.Slots {
@@ -219,7 +222,7 @@
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -10,14 +10,15 @@
 	"masticplank.example/router/internal/wire"
 )
 
-func reserve(s *Server, key string) standintest.Reply {
+func reserve(s *Server, key string) standintest.Response {
 	header := http.Header{}
 	header.Set(wire.HeaderIdempotencyKey, key)
 	header.Set(wire.HeaderAttempt, "n1")
 	return standintest.Do(s, standintest.Call{Method: http.MethodPost, Path: "/reservations", Body: `{"wool":3}`, Header: header})
 }
 
-// Each fault's effect on the count is what tests of at-most-once rely on.
+// Tests of at-most-once execution rely on the count of runs under each fault: a
+// fault after the effect counts one run, a refusal or a fault before it none.
 func TestRunsAreCountedUnderEveryFault(t *testing.T) {
 	tests := []struct {
 		faults string
@@ -39,14 +40,14 @@
 			s := New(Config{})
 			standintest.SetFaults(s, tt.faults)
 			reply := reserve(s, "k")
-			if reply.Cut != tt.cut || (!tt.cut && reply.Status != tt.status) {
+			if reply.Aborted != tt.cut || (!tt.cut && reply.Status != tt.status) {
 				t.Errorf("reply %+v", reply)
 			}
 			if got := reply.Header.Get(wire.HeaderNotRun) == "true"; got != tt.notRun {
-				t.Errorf("not run: %v", got)
+				t.Errorf("header Masticplank-Not-Run set: %v", got)
 			}
 			if nonce := reply.Header.Get(wire.HeaderAttempt); tt.notRun && nonce != "n1" {
-				t.Errorf("refused under nonce %q", nonce)
+				t.Errorf("refused with nonce %q, want n1", nonce)
 			}
 			if got := s.Stats().Runs["k"]; got != tt.runs {
 				t.Errorf("%d runs, want %d", got, tt.runs)
@@ -59,7 +60,7 @@
 	s := New(Config{Name: "shop"})
 	reserve(s, "k")
 	reply := reserve(s, "k")
-	var answer Answer
+	var answer Response
 	if err := json.Unmarshal([]byte(reply.Body), &answer); err != nil {
 		t.Fatal(err)
 	}
