--- a/decision/passthrough/cascade.go
+++ b/decision/passthrough/cascade.go
@@ -28,7 +28,7 @@
 
 // firstByteBaseline is the usual time to the first event of responses like the request's.
 func (w *World) firstByteBaseline(r *request) *baselineTimes {
-	return rowFor(&w.statsOf(r.Route.Name).firstByte, r.model)
+	return entryFor(&w.statsOf(r.Route.Name).firstByte, r.model)
 }
 
 // observeFirstByte applies the begin of a response.
--- a/decision/passthrough/config.go
+++ b/decision/passthrough/config.go
@@ -152,7 +152,7 @@
 
 // PickService chooses a service by weight; at is in [0, 1). It returns "" if no backend has a
 // weight.
-func (r *Route) PickService(at float64) string {
+func (r *Route) PickService(draw float64) string {
 	sum := 0.0
 	for _, b := range r.Backends {
 		sum += max(b.Weight, 0)
@@ -160,17 +160,17 @@
 	if sum <= 0 {
 		return ""
 	}
-	at *= sum
+	draw *= sum
 	last := ""
 	for _, b := range r.Backends {
 		if b.Weight <= 0 {
 			continue
 		}
 		last = b.Service
-		if at < b.Weight {
+		if draw < b.Weight {
 			return last
 		}
-		at -= b.Weight
+		draw -= b.Weight
 	}
 	return last
 }
--- a/decision/passthrough/crashes.go
+++ b/decision/passthrough/crashes.go
@@ -24,36 +24,36 @@
 // Load: a request that crashes each backend server it runs on, and is sent again each
 // time. Harm prevented: all backend servers brought down, one after the other.
 type crashes struct {
-	rows *simplelru.LRU[uint64, crashRow]
+	entries *simplelru.LRU[uint64, crashEntry]
 }
 
-type crashRow struct {
+type crashEntry struct {
 	count int
 	at    time.Time
 }
 
 func newCrashes() crashes {
-	lru, err := simplelru.NewLRU[uint64, crashRow](maxFingerprints, nil)
+	lru, err := simplelru.NewLRU[uint64, crashEntry](maxFingerprints, nil)
 	if err != nil {
 		panic(err) // NewLRU fails only for a size below 1
 	}
-	return crashes{rows: lru}
+	return crashes{entries: lru}
 }
 
 // record adds attempts that lost their connection.
 func (c *crashes) record(fingerprint uint64, count int, now time.Time) {
-	row, _ := c.rows.Get(fingerprint)
-	if now.Sub(row.at) > crashMemory {
-		row.count = 0
+	entry, _ := c.entries.Get(fingerprint)
+	if now.Sub(entry.at) > crashMemory {
+		entry.count = 0
 	}
-	c.rows.Add(fingerprint, crashRow{count: row.count + count, at: now})
+	c.entries.Add(fingerprint, crashEntry{count: entry.count + count, at: now})
 }
 
 // forget drops the count of a request once a backend server has responded to it.
-func (c *crashes) forget(fingerprint uint64) { c.rows.Remove(fingerprint) }
+func (c *crashes) forget(fingerprint uint64) { c.entries.Remove(fingerprint) }
 
 // quarantined says whether the request must not run any more.
 func (c *crashes) quarantined(fingerprint uint64, now time.Time) bool {
-	row, ok := c.rows.Get(fingerprint)
-	return ok && row.count >= crashThreshold && now.Sub(row.at) <= crashMemory
+	entry, ok := c.entries.Get(fingerprint)
+	return ok && entry.count >= crashThreshold && now.Sub(entry.at) <= crashMemory
 }
--- a/decision/passthrough/ended.go
+++ b/decision/passthrough/ended.go
@@ -75,9 +75,9 @@
 	w.observeAttempt(r, s, e)
 }
 
-// maxVainDispatches is how many dispatches a request may have beyond its route's
+// maxUndeliveredDispatches is how many dispatches a request may have beyond its route's
 // MaxAttempts, for those that reached no server.
-const maxVainDispatches = 5
+const maxUndeliveredDispatches = 5
 
 // retry sends the request to another server than the last one, if that is allowed.
 //
@@ -102,7 +102,7 @@
 	switch {
 	case !r.Deadline.After(w.now):
 		return ReasonDeadline
-	case r.attempts >= max(r.Route.MaxAttempts, 1), r.dispatches >= maxVainDispatches+r.Route.MaxAttempts:
+	case r.attempts >= max(r.Route.MaxAttempts, 1), r.dispatches >= maxUndeliveredDispatches+r.Route.MaxAttempts:
 		return ReasonAttempts
 	case w.crashes.quarantined(r.Fingerprint, w.now):
 		return ReasonQuarantined
--- a/decision/passthrough/fill.go
+++ b/decision/passthrough/fill.go
@@ -1,16 +1,16 @@
 package passthrough
 
 // loadRamp reduces the use of the largest model as a measure of load grows: unrestricted up to
-// full-width, never from full on. For each lower priority, down to lowestPriority, both bounds are
+// full-width, never from full on. For each lower priority, down to maxPrioritySteps, both bounds are
 // step lower: if not all requests can have the largest model, the important ones do.
 type loadRamp struct{ full, step, width float64 }
 
-const lowestPriority = 2
+const maxPrioritySteps = 2
 
 // headroom is how freely the largest model may be requested at a priority: 1 without restriction,
 // less as load grows, 0 for never.
 func (l loadRamp) headroom(priority int, load float64) float64 {
-	end := l.full - l.step*float64(min(priority, lowestPriority))
+	end := l.full - l.step*float64(min(priority, maxPrioritySteps))
 	return min(max((end-load)/l.width, 0), 1)
 }
 
--- a/decision/passthrough/level.go
+++ b/decision/passthrough/level.go
@@ -5,13 +5,13 @@
 // less busy. So times are compared only at a similar load.
 
 var (
-	// waitSteps are the numbers of waiting prompts at which the next load level begins: their
+	// waitingSteps are the numbers of waiting prompts at which the next load level begins: their
 	// order of magnitude matters.
-	waitSteps = [...]int{1, 4, 16}
-	// runSteps are the same for the taken slots, as one in so many of all: with an eighth taken
+	waitingSteps = [...]int{1, 4, 16}
+	// runningDivisors are the same for the taken slots, as one in so many of all: with an eighth taken
 	// an engine generates about as fast as an idle one, with half not much faster than a full
 	// one.
-	runSteps = [...]int{8, 2}
+	runningDivisors = [...]int{8, 2}
 )
 
 // loadLevel is the number of steps that a reported load has reached.
@@ -20,12 +20,12 @@
 // loadLevelOf returns the level of a reported load.
 func loadLevelOf(load Load) loadLevel {
 	var l loadLevel
-	for _, step := range waitSteps {
+	for _, step := range waitingSteps {
 		if load.Waiting >= step {
 			l.waiting++
 		}
 	}
-	for _, step := range runSteps {
+	for _, step := range runningDivisors {
 		if step*load.Running >= load.Slots {
 			l.running++
 		}
@@ -37,17 +37,17 @@
 const minBaselineCount = 4
 
 // baselineTimes are the mean logarithms of the old version's times in seconds, by load.
-type baselineTimes [len(waitSteps) + 1][len(runSteps) + 1]movingAverage
+type baselineTimes [len(waitingSteps) + 1][len(runningDivisors) + 1]movingAverage
 
 // add adds a time of the old version.
-func (u *baselineTimes) add(l loadLevel, x float64) { u[l.waiting][l.running].add(x) }
+func (b *baselineTimes) add(l loadLevel, x float64) { b[l.waiting][l.running].add(x) }
 
 // at is the baseline at a load, or at the next higher load with enough responses: that can only
 // make a version look faster than it is, never slower.
-func (u *baselineTimes) at(l loadLevel) (baseline float64, ok bool) {
-	for waiting := l.waiting; waiting < len(u); waiting++ {
-		for running := l.running; running < len(u[waiting]); running++ {
-			if m := u[waiting][running]; m.n >= minBaselineCount {
+func (b *baselineTimes) at(l loadLevel) (baseline float64, ok bool) {
+	for waiting := l.waiting; waiting < len(b); waiting++ {
+		for running := l.running; running < len(b[waiting]); running++ {
+			if m := b[waiting][running]; m.n >= minBaselineCount {
 				return m.value, true
 			}
 		}
--- a/decision/passthrough/pace.go
+++ b/decision/passthrough/pace.go
@@ -32,21 +32,21 @@
 
 // average is the mean event interval of a model in seconds; baseline is the mean logarithm
 // of the old version's, by load.
-func (p *intervalStats) average(model int) *movingAverage { return rowFor(&p.perModel, model) }
+func (p *intervalStats) average(model int) *movingAverage { return entryFor(&p.perModel, model) }
 
-func (p *intervalStats) baseline(model int) *baselineTimes { return rowFor(&p.baselines, model) }
+func (p *intervalStats) baseline(model int) *baselineTimes { return entryFor(&p.baselines, model) }
 
-// rowFor returns the map's row for a model index, and creates it if needed.
-func rowFor[T any](rows *map[int]*T, model int) *T {
-	if *rows == nil {
-		*rows = map[int]*T{}
+// entryFor returns the map's row for a model index, and creates it if needed.
+func entryFor[T any](entries *map[int]*T, model int) *T {
+	if *entries == nil {
+		*entries = map[int]*T{}
 	}
-	row := (*rows)[model]
-	if row == nil {
-		row = new(T)
-		(*rows)[model] = row
+	entry := (*entries)[model]
+	if entry == nil {
+		entry = new(T)
+		(*entries)[model] = entry
 	}
-	return row
+	return entry
 }
 
 // departureMeter measures how many requests per second leave this instance for a service,
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -38,11 +38,11 @@
 const lowPriorityTurn = 8
 
 func (q *queue) push(r *request, cost float64) {
-	rq, flow := q.flow(r)
-	entry := &queueEntry{request: r, class: rq}
+	class, flow := q.flow(r)
+	entry := &queueEntry{request: r, class: class}
 	entry.item.Value, entry.item.Cost = entry, max(cost, 1)
 	r.queueEntry = entry
-	rq.queue.Push(flow, &entry.item)
+	class.queue.Push(flow, &entry.item)
 	q.len++
 }
 
@@ -56,14 +56,14 @@
 		account = q.group.NewAccount(1)
 		q.accounts[r.Team] = account
 	}
-	rq := q.class(r.Priority)
-	flow := rq.flows[r.Team]
+	class := q.class(r.Priority)
+	flow := class.flows[r.Team]
 	if flow == nil {
 		flow = &fair.Flow[*queueEntry]{}
-		rq.queue.AddFlow(flow, account)
-		rq.flows[r.Team] = flow
+		class.queue.AddFlow(flow, account)
+		class.flows[r.Team] = flow
 	}
-	return rq, flow
+	return class, flow
 }
 
 // ahead estimates how many requests would be served before this one.
@@ -74,16 +74,16 @@
 	if q.len == 0 {
 		return 0
 	}
-	rq, flow := q.flow(r)
+	class, flow := q.flow(r)
 	count := 0
 	for _, other := range q.classes {
 		if other.priority < r.Priority {
 			count += other.queue.Len()
 		}
 	}
-	if n := rq.queue.Len(); n > 0 {
-		meanCost := rq.queue.Cost() / float64(n)
-		count += int(rq.queue.CostAhead(flow)/meanCost + 0.5)
+	if n := class.queue.Len(); n > 0 {
+		meanCost := class.queue.Cost() / float64(n)
+		count += int(class.queue.CostAhead(flow)/meanCost + 0.5)
 	}
 	return count
 }
@@ -97,11 +97,11 @@
 	if at < len(q.classes) && q.classes[at].priority == priority {
 		return q.classes[at]
 	}
-	rq := &priorityClass{priority: priority, flows: map[string]*fair.Flow[*queueEntry]{}}
+	class := &priorityClass{priority: priority, flows: map[string]*fair.Flow[*queueEntry]{}}
 	q.classes = append(q.classes, nil)
 	copy(q.classes[at+1:], q.classes[at:])
-	q.classes[at] = rq
-	return rq
+	q.classes[at] = class
+	return class
 }
 
 // next is the request whose turn it is, or nil.
@@ -111,11 +111,11 @@
 	}
 	low := q.turn%lowPriorityTurn == lowPriorityTurn-1
 	for i := range q.classes {
-		rq := q.classes[i]
+		class := q.classes[i]
 		if low {
-			rq = q.classes[len(q.classes)-1-i]
+			class = q.classes[len(q.classes)-1-i]
 		}
-		if it := rq.queue.Peek(); it != nil {
+		if it := class.queue.Peek(); it != nil {
 			return it.Value.request
 		}
 	}
@@ -162,9 +162,9 @@
 // timeLeft is the time from now until the request's target time; once that has passed, a
 // fraction of the time until the deadline.
 func (r *Request) timeLeft(now time.Time) time.Duration {
-	room := min(r.TargetTime.Sub(now), r.Deadline.Sub(now))
-	if room <= 0 {
-		room = time.Duration(lateWaitFraction * float64(r.Deadline.Sub(now)))
+	left := min(r.TargetTime.Sub(now), r.Deadline.Sub(now))
+	if left <= 0 {
+		left = time.Duration(lateWaitFraction * float64(r.Deadline.Sub(now)))
 	}
-	return room
+	return left
 }
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -57,10 +57,10 @@
 
 // limitShareInputs are the values that an instance's part of a limit depends on.
 type limitShareInputs struct {
-	perSecond  float64
-	neighbours int
-	fleetSize  int
-	rotation   uint64
+	perSecond         float64
+	neighboursVersion int
+	fleetSize         int
+	rotation          uint64
 }
 
 // observeLimit applies what the response to a request that was sent at the given time states.
--- a/decision/passthrough/reading.go
+++ b/decision/passthrough/reading.go
@@ -89,12 +89,12 @@
 	if ps.minFirstByte == 0 || x < ps.minFirstByte {
 		ps.minFirstByte = x
 	}
-	rowFor(&ps.perModel, model).add(x-ps.minFirstByte, float64(tokens), prefillMemoryTokens)
+	entryFor(&ps.perModel, model).add(x-ps.minFirstByte, float64(tokens), prefillMemoryTokens)
 }
 
 const (
-	// scaleMemory is how many seconds of forecasts the scale looks back on.
-	scaleMemory = 20.0
+	// forecastMemory is how many seconds of forecasts the scale looks back on.
+	forecastMemory = 20.0
 	// minScale and maxScale bound the scale: forecasts that are off by more are useless.
 	minScale = 0.3
 	maxScale = 2.0
@@ -107,9 +107,9 @@
 		return
 	}
 	took := max(e.After.Seconds()-ps.minFirstByte, 0)
-	ps.ownAccuracy.add(took, r.ownForecast, scaleMemory)
+	ps.ownAccuracy.add(took, r.ownForecast, forecastMemory)
 	if r.usedPeerForecast {
-		ps.peerAccuracy.add(took, r.peerForecast, scaleMemory)
+		ps.peerAccuracy.add(took, r.peerForecast, forecastMemory)
 	}
 	if r.prefillAlone && e.HasLoad && e.Load.Waiting == 0 {
 		ps.learn(r.model, r.PromptTokens, e.After)
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -9,10 +9,10 @@
 // until the server list drops them.
 func (w *World) configure(x *Index) {
 	for _, s := range x.Services {
-		row := w.serviceOf(s.Name)
-		row.engine = s.Slots > 0
-		row.slots = s.Slots
-		w.configureSlowStart(row, s)
+		svc := w.serviceOf(s.Name)
+		svc.engine = s.Slots > 0
+		svc.slots = s.Slots
+		w.configureSlowStart(svc, s)
 	}
 }
 
@@ -31,28 +31,28 @@
 	seen := make(map[string]bool, len(list))
 	for _, s := range list {
 		seen[s.ID] = true
-		row := w.servers[s.ID]
-		if row != nil && row.StartTime == s.StartTime && row.Address == s.Address && row.Service == s.Service {
-			s.Leaving = s.Leaving || row.Leaving
-			changed := s.SlowStartRemaining != row.SlowStartRemaining
-			row.Server = s
+		known := w.servers[s.ID]
+		if known != nil && known.StartTime == s.StartTime && known.Address == s.Address && known.Service == s.Service {
+			s.Leaving = s.Leaving || known.Leaving
+			changed := s.SlowStartRemaining != known.SlowStartRemaining
+			known.Server = s
 			if changed {
-				w.enterSlowStart(row, s.SlowStartRemaining, CauseListed)
+				w.enterSlowStart(known, s.SlowStartRemaining, CauseListed)
 			}
 			continue
 		}
 		added := w.newServer(s)
 		w.servers[s.ID] = added
 		w.enterSlowStart(added, s.SlowStartRemaining, CauseListed)
-		if row != nil {
-			row.gone = true
-			added.slowStart.until = row.slowStart.until
+		if known != nil {
+			known.gone = true
+			added.slowStart.until = known.slowStart.until
 			w.enterSlowStart(added, added.service.slowStart.span, CauseRestarted)
 		}
 	}
-	for id, row := range w.servers {
+	for id, known := range w.servers {
 		if !seen[id] {
-			row.gone = true
+			known.gone = true
 			delete(w.servers, id)
 		}
 	}
@@ -77,9 +77,9 @@
 	}
 	clear(w.serversByKey)
 	for _, s := range list {
-		row := w.servers[s.ID]
-		w.serversByKey[row.peerKey()] = row
-		row.service.servers = append(row.service.servers, row)
+		known := w.servers[s.ID]
+		w.serversByKey[known.peerKey()] = known
+		known.service.servers = append(known.service.servers, known)
 	}
 	for _, s := range w.services {
 		w.markFreed(s)
@@ -126,8 +126,8 @@
 	if s.engine {
 		return engineLoadTTL
 	}
-	answers := seconds(plainLoadResponses * s.intervals.average(noModel).value)
-	return min(max(answers, minPlainLoadTTL), engineLoadTTL)
+	responses := seconds(plainLoadResponses * s.intervals.average(noModel).value)
+	return min(max(responses, minPlainLoadTTL), engineLoadTTL)
 }
 
 // reportedOthers is the load that the server reported, without this instance's requests at
--- a/decision/passthrough/sessions.go
+++ b/decision/passthrough/sessions.go
@@ -6,8 +6,8 @@
 // after its last request: clocks differ, and a response may end late.
 const sessionMargin = 2 * time.Second
 
-// sessionRow is the service and version that a session last ran on.
-type sessionRow struct {
+// sessionEntry is the service and version that a session last ran on.
+type sessionEntry struct {
 	service         string
 	version         string
 	rolloutPosition float64
@@ -40,9 +40,9 @@
 	if ro.CollectingSessions || w.keptOnOldVersion[r.Session] {
 		return false
 	}
-	row, known := w.sessions.Get(r.Session)
-	if known && w.now.Before(row.until) && row.service == r.service.name {
-		return row.version == ro.Target
+	entry, known := w.sessions.Get(r.Session)
+	if known && w.now.Before(entry.until) && entry.service == r.service.name {
+		return entry.version == ro.Target
 	}
 	return r.RolloutPosition < ro.Share
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	until := r.Deadline.Add(w.cfg.SessionTTL + sessionMargin)
-	w.sessions.Add(r.Session, sessionRow{service: r.service.name, version: version, rolloutPosition: r.RolloutPosition, until: until})
+	w.sessions.Add(r.Session, sessionEntry{service: r.service.name, version: version, rolloutPosition: r.RolloutPosition, until: until})
 }
 
 // OpenSessions lists a service's sessions that may be open at another version than
@@ -75,8 +75,8 @@
 func (w *World) OpenSessions(service, target string, share float64) []string {
 	var out []string
 	for _, id := range w.sessions.Keys() {
-		row, ok := w.sessions.Peek(id)
-		if ok && row.service == service && row.version != target && row.rolloutPosition < share && w.now.Before(row.until) {
+		entry, ok := w.sessions.Peek(id)
+		if ok && entry.service == service && entry.version != target && entry.rolloutPosition < share && w.now.Before(entry.until) {
 			out = append(out, id)
 		}
 	}
--- a/decision/passthrough/silence.go
+++ b/decision/passthrough/silence.go
@@ -45,16 +45,16 @@
 // Load: servers that go down or hang, among others that are only busy. Harm prevented: a
 // caller who waits for a dead server; and, if requests are moved away from a busy one,
 // prefill that is repeated just when there is no time for it.
-func (s Inactivity) TimedOut() bool {
-	if s.Route.Kind != KindStream {
-		return s.FirstByteTimeout > 0 && !s.Begun && s.AttemptIdle > s.FirstByteTimeout
+func (in Inactivity) TimedOut() bool {
+	if in.Route.Kind != KindStream {
+		return in.FirstByteTimeout > 0 && !in.Begun && in.AttemptIdle > in.FirstByteTimeout
 	}
-	if s.Begun {
-		return s.AttemptIdle > max(time.Duration(gapFactor*float64(s.Route.TargetGap)), minGap)
+	if in.Begun {
+		return in.AttemptIdle > max(time.Duration(gapFactor*float64(in.Route.TargetGap)), minGap)
 	}
-	prefill := time.Duration(s.PromptTokens) * prefillAllowance
-	if s.ServerIdle > min(time.Duration(serverIdleFraction*float64(s.Route.TargetLatency)), maxServerIdle)+prefill {
+	prefill := time.Duration(in.PromptTokens) * prefillAllowance
+	if in.ServerIdle > min(time.Duration(serverIdleFraction*float64(in.Route.TargetLatency)), maxServerIdle)+prefill {
 		return true
 	}
-	return s.AttemptIdle > firstByteFactor*s.Route.TargetLatency+prefill
+	return in.AttemptIdle > firstByteFactor*in.Route.TargetLatency+prefill
 }
--- a/decision/passthrough/slowstart.go
+++ b/decision/passthrough/slowstart.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// wakeWaiting frees the services whose wakeAt has come.
-func (w *World) wakeWaiting() {
+// wakeDueServices frees the services whose wakeAt has come.
+func (w *World) wakeDueServices() {
 	for _, s := range w.services {
 		if at := s.wakeAt; !at.IsZero() && !w.now.Before(at) {
 			s.wakeAt = time.Time{}
--- a/decision/passthrough/world.go
+++ b/decision/passthrough/world.go
@@ -41,7 +41,7 @@
 	rollouts map[string]*Rollout
 	// revertedVersions are the versions whose roll-out was reverted.
 	revertedVersions map[versionKey]bool
-	sessions         *simplelru.LRU[string, sessionRow]
+	sessions         *simplelru.LRU[string, sessionEntry]
 	// keptOnOldVersion are the sessions that stay at the old version during a roll-out's first
 	// half.
 	keptOnOldVersion map[string]bool
@@ -76,7 +76,7 @@
 // New returns an empty world. It refuses all requests until it has a configuration and a list of
 // backend servers.
 func New(cfg Settings) *World {
-	sessions, err := simplelru.NewLRU[string, sessionRow](maxSessions, nil)
+	sessions, err := simplelru.NewLRU[string, sessionEntry](maxSessions, nil)
 	if err != nil {
 		panic(err) // NewLRU fails only for a size below 1
 	}
@@ -110,7 +110,7 @@
 	for _, e := range in {
 		w.apply(e)
 	}
-	w.wakeWaiting()
+	w.wakeDueServices()
 	w.dispatchQueued()
 	return w.commands
 }
