--- a/decision/passthrough/budget_test.go
+++ b/decision/passthrough/budget_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestInstancesThatGetLittleReplaceWeakAnswers guards against a reserve that instances with
+// TestInstancesWithFewRequestsRetryWeakResponses guards against a reserve that instances with
 // few requests never have: they would keep all weak responses. It simulates instances with 3
 // to 24 requests per window, 44 in 100 of them answered weakly by the smallest model. One weak
 // response in fifty may be kept for lack of budget, and the bound on retries holds in every
 // window.
-func TestInstancesThatGetLittleReplaceWeakAnswers(t *testing.T) {
+func TestInstancesWithFewRequestsRetryWeakResponses(t *testing.T) {
 	const (
 		window, instances = 10 * time.Second, 400
 		ratio, slack      = 0.9, 0.45
--- a/decision/passthrough/canary_test.go
+++ b/decision/passthrough/canary_test.go
@@ -19,7 +19,7 @@
 	return RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.2, FirstHalf: first}}
 }
 
-func TestCanaryGetsItsShareByHash(t *testing.T) {
+func TestCanaryGetsItsShareByRolloutPosition(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.tick(canaryUpdate(true))
 	for i := range 100 {
@@ -133,16 +133,16 @@
 	h.requireRefusal(h.arrive(streamRoute(), nil), ReasonNoServer)
 }
 
-func TestNothingGoesToTheNewVersionBeforeThePhaseIsKnown(t *testing.T) {
+func TestNoRequestGoesToTheNewVersionWithoutAShare(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, FirstHalf: true}})
 	h.requireOldVersion(20)
 }
 
-// TestRequestKeepsItsVersionWhenTheOrderComes guards against a request that changes its
+// TestRequestKeepsItsVersionWhenARolloutIsOrdered guards against a request that changes its
 // version when it is sent again, here to a larger model, after a roll-out was ordered while
 // it ran.
-func TestRequestKeepsItsVersionWhenTheOrderComes(t *testing.T) {
+func TestRequestKeepsItsVersionWhenARolloutIsOrdered(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
 	id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0 })
--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-func TestSmallestModelFirstThenTheLargest(t *testing.T) {
+func TestDroppedResponseEscalatesToLargestModel(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	h.tick(ServersListed{servers("llm", 3, 8)})
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestNothingIsDroppedWithoutBudgetForTheRepeat(t *testing.T) {
+func TestNoDropWithoutRetryBudget(t *testing.T) {
 	h := newHarness(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 1, RetryWindow: 1e9})
 	h.configure(streamRoute())
 	h.tick(ServersListed{servers("llm", 3, 8)})
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestOneAttemptAsksTheLargest(t *testing.T) {
+func TestSingleAttemptUsesLargestModel(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := streamRoute()
 	route.MaxAttempts = 1
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestWhatMayNotRunTwiceAsksTheLargest(t *testing.T) {
+func TestNonRetryableRequestUsesLargestModel(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := streamRoute()
 	route.Resumable = false
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestFullServersAreAskedForTheSmallestModel(t *testing.T) {
+func TestFullServersGetSmallestModel(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := streamRoute()
 	route.MaxAttempts = 1
@@ -80,10 +80,10 @@
 	}
 }
 
-// TestOneCrowdedServerIsNoFullService guards against weak responses while most servers are idle,
+// TestOneCrowdedServerDoesNotLimitTheService guards against weak responses while most servers are idle,
 // if one crowded server counts as a full service: requests with one prefix go to one server, and
 // its last slots, too, use the cascade while the other servers have room.
-func TestOneCrowdedServerIsNoFullService(t *testing.T) {
+func TestOneCrowdedServerDoesNotLimitTheService(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	h.tick(ServersListed{servers("llm", 8, 8)})
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestWhatWasDroppedIsNeverAskedOfTheSmallestAgain guards against a second request to the
+// TestSmallestModelIsNotRetriedAfterADrop guards against a second request to the
 // smallest model on full servers: its confidence would be low again.
-func TestWhatWasDroppedIsNeverAskedOfTheSmallestAgain(t *testing.T) {
+func TestSmallestModelIsNotRetriedAfterADrop(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	h.tick(ServersListed{servers("llm", 2, 8)})
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestTheLargestModelIsKeptForTheFirstRank holds that, as slots fill up, the lowest priority
+// TestLargestModelIsKeptForHighPriority holds that, as slots fill up, the lowest priority
 // loses the largest model first, and that the headroom shrinks gradually.
-func TestTheLargestModelIsKeptForTheFirstRank(t *testing.T) {
+func TestLargestModelIsKeptForHighPriority(t *testing.T) {
 	for _, c := range []struct {
 		priority          int
 		utilization, want float64
@@ -148,11 +148,11 @@
 	return h
 }
 
-// TestTheMiddleModelIsAskedWhereTheSmallestWasNearlySure guards against the largest model's
+// TestMiddleModelIsUsedForConfidenceNearThreshold guards against the largest model's
 // price for requests that are only a little too hard for the smallest one, a fifth of those it
 // has low confidence in. If the middle model has low confidence too, the largest is requested,
 // as it is for all others.
-func TestTheMiddleModelIsAskedWhereTheSmallestWasNearlySure(t *testing.T) {
+func TestMiddleModelIsUsedForConfidenceNearThreshold(t *testing.T) {
 	h := newRoomyHarness(t)
 	nearThreshold, farBelow := h.arrive(streamRoute(), nil), h.arrive(streamRoute(), nil)
 	h.dropResponse(nearThreshold, 0.5)
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestAMiddleModelThatIsNeverSureIsAskedNoMore guards against a middle model that is requested
+// TestUnsuccessfulMiddleModelIsNoLongerUsed guards against a middle model that is requested
 // in vain again and again: its confidence is learned.
-func TestAMiddleModelThatIsNeverSureIsAskedNoMore(t *testing.T) {
+func TestUnsuccessfulMiddleModelIsNoLongerUsed(t *testing.T) {
 	h := newRoomyHarness(t)
 	middle := 0
 	for range 30 {
@@ -204,11 +204,11 @@
 	}
 }
 
-// TestInstanceThatGetsLittleDropsWeakAnswers guards against an instance that keeps all weak
+// TestInstanceWithFewRequestsDropsWeakResponses guards against an instance that keeps all weak
 // responses because it never has the retry budget to replace one. It simulates one of 300
 // instances with a request every four seconds, all answered weakly: half of these may be
 // requested again from a larger model.
-func TestInstanceThatGetsLittleDropsWeakAnswers(t *testing.T) {
+func TestInstanceWithFewRequestsDropsWeakResponses(t *testing.T) {
 	h := newHarness(t, Settings{Seed: 1, RetryRatio: 0.765, RetrySlack: 156, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
 	h.tick(FleetSize{Instances: 300})
 	h.configure(streamRoute())
--- a/decision/passthrough/config_test.go
+++ b/decision/passthrough/config_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestWeights(t *testing.T) {
+func TestPickServiceByWeight(t *testing.T) {
 	r := Route{Backends: []Backend{{"a", 90}, {"none", 0}, {"b", 10}}}
 	for at, want := range map[float64]string{0: "a", 0.89: "a", 0.91: "b", 0.999: "b"} {
 		if got := r.PickService(at); got != want {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestKeysAndRanks(t *testing.T) {
+func TestTeamKeysAndPriorities(t *testing.T) {
 	x := NewIndex(Config{Teams: []Team{{Name: "t", Keys: []string{"k"}, Priority: 3, HasPriority: true}, {Name: "u"}}})
 	if x.Team("k") == nil || x.Team("") != nil || x.Team("x") != nil {
 		t.Error("keys are not matched exactly")
--- a/decision/passthrough/place_test.go
+++ b/decision/passthrough/dispatch_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSharedPromptsGoToOneServerUntilItHasMoreThanItsPart(t *testing.T) {
+func TestPrefixStaysOnOneServerWithinLoadBound(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	h.tick(ServersListed{servers("llm", 6, 8)})
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestDrainingServerGetsNothing(t *testing.T) {
+func TestLeavingServerGetsNoRequests(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	list := servers("shop", 2, 6)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestServerBornAgainBeginsAnew(t *testing.T) {
+func TestRestartedServerIsUsedAgain(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	list := servers("shop", 1, 6)
@@ -75,7 +75,7 @@
 	h.requireDispatch(h.arrive(plainRoute(), nil))
 }
 
-func TestLateEndOfAServerThatIsGoneIsHarmless(t *testing.T) {
+func TestAttemptEndAfterServerRemovalIsHandled(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	h.tick(ServersListed{servers("shop", 1, 6)})
@@ -85,7 +85,7 @@
 	h.requireFinish(id)
 }
 
-func TestFailingServerIsLeftOut(t *testing.T) {
+func TestFailingServerIsEjected(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := plainRoute()
 	h.configure(route)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestSilence(t *testing.T) {
+func TestTimedOut(t *testing.T) {
 	stream, plain := streamRoute(), plainRoute()
 	tests := []struct {
 		name string
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestSlowServerGetsLess(t *testing.T) {
+func TestSlowServerGetsFewerRequests(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := plainRoute()
 	h.configure(route)
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestSickServersAreUsedWhereAllAreSick(t *testing.T) {
+func TestEjectedServersAreUsedIfAllAreEjected(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(onceRoute())
 	h.tick(ServersListed{servers("shop", 1, 6)})
@@ -189,9 +189,9 @@
 	}
 }
 
-// TestRushThatIsOverRefusesNobody guards against refusals by plain servers whose load was
+// TestExpiredLoadReportDoesNotCauseRefusals guards against refusals by plain servers whose load was
 // reported at the height of a burst: calls of 30 ms are done long before the report is old.
-func TestRushThatIsOverRefusesNobody(t *testing.T) {
+func TestExpiredLoadReportDoesNotCauseRefusals(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := plainRoute()
 	h.configure(route)
@@ -248,11 +248,11 @@
 	return float64(stayed) / count
 }
 
-// TestPromptsStayInTheFailureDomainWhileThereIsTime guards against needless traffic between
+// TestPromptsStayLocalWithoutPrefillBacklog guards against needless traffic between
 // failure domains, and against repeated prefill when there is no time for it. While engines
 // have no prefill backlog, no prompt leaves. As they fall behind, first those with long shared
 // prefixes go to the server that has them cached, and finally all do.
-func TestPromptsStayInTheFailureDomainWhileThereIsTime(t *testing.T) {
+func TestPromptsStayLocalWithoutPrefillBacklog(t *testing.T) {
 	const shortPrefix, longPrefix = 900, 6000
 	if got := localShare(t, longPrefix, 0); got < 1 {
 		t.Errorf("no waiting prompts: %.2f stayed in the failure domain, want all", got)
@@ -268,11 +268,11 @@
 	}
 }
 
-// TestLongPromptsOfALargerModelAreReadInOneFailureDomain guards against a larger model's
+// TestLongPromptsOfLargerModelUseOneServer guards against a larger model's
 // prefill of a long prefix in each failure domain. The smallest model's prefill stays local.
 // When its response was dropped, the larger model is requested at the one server that all
 // instances use for the prefix, so that it is cached there. Short prompts stay local for both.
-func TestLongPromptsOfALargerModelAreReadInOneFailureDomain(t *testing.T) {
+func TestLongPromptsOfLargerModelUseOneServer(t *testing.T) {
 	for _, c := range []struct {
 		shared       int
 		singleServer bool
@@ -312,9 +312,9 @@
 	}
 }
 
-// TestPromptsLeaveAFailureDomainThatIsFull guards against keeping prompts in a failure domain
+// TestPromptsLeaveAnOverloadedFailureDomain guards against keeping prompts in a failure domain
 // whose engines have three times the load of the others.
-func TestPromptsLeaveAFailureDomainThatIsFull(t *testing.T) {
+func TestPromptsLeaveAnOverloadedFailureDomain(t *testing.T) {
 	h := newHarness(t, Settings{Seed: 1, Domain: "a", RetryRatio: 1, RetryWindow: time.Second})
 	h.configureLargeEngines()
 	h.tick(ServersListed{threeDomains(4)})
@@ -334,10 +334,10 @@
 	}
 }
 
-// TestPromptsGoWhereTheyAreReadSoon guards against comparing engines by running requests
+// TestPromptsAvoidEnginesWithPrefillBacklog guards against comparing engines by running requests
 // alone: one with few running requests and many waiting prompts must get no more, next to one
 // with more running and none waiting.
-func TestPromptsGoWhereTheyAreReadSoon(t *testing.T) {
+func TestPromptsAvoidEnginesWithPrefillBacklog(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configureLargeEngines()
 	h.tick(ServersListed{servers("llm", 2, 128)})
--- a/decision/passthrough/drained_test.go
+++ b/decision/passthrough/drain_test.go
@@ -13,7 +13,7 @@
 	return list
 }
 
-func TestDrainedDomainGetsNothingNew(t *testing.T) {
+func TestDrainedDomainGetsNoNewRequests(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	list := inDomains(servers("llm", 6, 8), "a", "b", "c")
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestWhatWaitsGoesElsewhere(t *testing.T) {
+func TestQueuedRequestAvoidsDrainedDomain(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	h.tick(ServersListed{inDomains(servers("shop", 2, 1), "a", "b")})
@@ -82,16 +82,16 @@
 	}
 }
 
-func TestOrderForAnUnknownDomainChangesNothing(t *testing.T) {
+func TestDrainingAnUnknownDomainChangesNothing(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	h.tick(ServersListed{servers("shop", 1, 6)}, DomainsDrained{[]string{"moon"}})
 	h.requireDispatch(h.arrive(plainRoute(), nil))
 }
 
-// TestDrainedNewVersionIsNoReasonToRefuse guards against refusals during a roll-out whose new
+// TestDrainedNewVersionDoesNotCauseRefusals guards against refusals during a roll-out whose new
 // servers are all in the drained failure domain.
-func TestDrainedNewVersionIsNoReasonToRefuse(t *testing.T) {
+func TestDrainedNewVersionDoesNotCauseRefusals(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	list := inDomains(servers("llm", 4, 8), "a", "b")
@@ -109,10 +109,10 @@
 	}
 }
 
-// TestDomainTakenBackIsFedSlowly guards against a burst at cold servers: all servers of a
+// TestUndrainedDomainEntersSlowStart guards against a burst at cold servers: all servers of a
 // failure domain enter slow start once it is no longer drained, even before an entry says that
 // they have just started.
-func TestDomainTakenBackIsFedSlowly(t *testing.T) {
+func TestUndrainedDomainEntersSlowStart(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	h.tick(ServersListed{inDomains(servers("llm", 2, 8), "a", "b")}, DomainsDrained{[]string{"a"}})
 	h.tick(DomainsDrained{})
--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -104,7 +104,7 @@
 	testWork    = 30 * time.Millisecond
 )
 
-func TestBurst(t *testing.T) {
+func TestQueueStaysShortInABurst(t *testing.T) {
 	burst := func(at time.Duration) float64 {
 		if at > 2*time.Second && at < 4*time.Second {
 			return 1500
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestLargeTeamDoesNotPushOutSmallOnes(t *testing.T) {
+func TestLargeTeamDoesNotDisplaceSmallOnes(t *testing.T) {
 	callers := []plainCaller{{"large", 0, constantRate(1600)}}
 	for i := range 4 {
 		callers = append(callers, plainCaller{fmt.Sprint("small-", i), 0, constantRate(40)})
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestUrgentWorkGoesFirstAndTheRestIsNotStarved(t *testing.T) {
+func TestHighPriorityGoesFirstWithoutStarvingLowPriority(t *testing.T) {
 	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{
 		{"a", 0, constantRate(420)}, {"b", 2, constantRate(600)},
 	})
@@ -154,17 +154,17 @@
 	}
 }
 
-func TestCalmLoadIsAllServed(t *testing.T) {
+func TestModerateLoadIsFullyServed(t *testing.T) {
 	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{{"a", 0, constantRate(300)}})[0]
 	if got.refused > 0 || got.late > 0 {
 		t.Errorf("%d refused, %d late of %d at half of the capacity", got.refused, got.late, got.sent)
 	}
 }
 
-// TestStreamsThatWouldBeCutAreSentOn guards against streams that are cut off when their
+// TestStreamsThatOutliveTheInstanceAreRefused guards against streams that are cut off when their
 // instance stops: those that cannot end in time, here streams of six seconds, are refused
 // at once with a time to retry after. Plain calls are still served.
-func TestStreamsThatWouldBeCutAreSentOn(t *testing.T) {
+func TestStreamsThatOutliveTheInstanceAreRefused(t *testing.T) {
 	h := newHarness(t, Settings{})
 	stream, plain := streamRoute(), plainRoute()
 	h.configure(stream, plain)
--- a/decision/passthrough/overload_test.go
+++ b/decision/passthrough/overload_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestHotTeamPaysForItsOwnBurst guards against a burst of one team, ten times what the
+// TestBurstOfOneTeamDoesNotDisplaceOthers guards against a burst of one team, ten times what the
 // engines can bear, that displaces four small teams.
-func TestHotTeamPaysForItsOwnBurst(t *testing.T) {
+func TestBurstOfOneTeamDoesNotDisplaceOthers(t *testing.T) {
 	kinds := []simCallerKind{{team: "hot", rate: 10 * simCapacity}}
 	for i := range 4 {
 		kinds = append(kinds, simCallerKind{team: fmt.Sprint("small-", i), rate: simCapacity / 10})
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestUrgentPromptsGoFirst guards against high-priority requests that wait behind those of
+// TestHighPriorityPromptsGoFirst guards against high-priority requests that wait behind those of
 // the lowest priority on full engines, and against starving the latter.
-func TestUrgentPromptsGoFirst(t *testing.T) {
+func TestHighPriorityPromptsGoFirst(t *testing.T) {
 	s := newSim(t, 3, []simCallerKind{{team: "a", priority: 0, rate: 2 * simCapacity}, {team: "b", priority: 2, rate: 10 * simCapacity}})
 	s.play(6*time.Second, 1)
 	urgent, low := s.tallies[0], s.tallies[1]
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestRepeatsAtOnceDoNotCrowdOutFirstTries guards against callers that gain from retrying at
+// TestImmediateRetriesGainNothing guards against callers that gain from retrying at
 // once. Two teams send equal loads, one of which retries each refusal four times at once.
-func TestRepeatsAtOnceDoNotCrowdOutFirstTries(t *testing.T) {
+func TestImmediateRetriesGainNothing(t *testing.T) {
 	s := newSim(t, 3, []simCallerKind{{team: "patient", rate: 4 * simCapacity}, {team: "pushy", rate: 4 * simCapacity, retries: 4}})
 	s.play(6*time.Second, 1)
 	patient, impatient := s.tallies[0], s.tallies[1]
@@ -80,10 +80,10 @@
 	}
 }
 
-// TestLongPromptsAreNotPiledUpAtEngines guards against sending more prompts to an engine than
+// TestLongPromptsDoNotQueueAtEngines guards against sending more prompts to an engine than
 // it can process in time: it has slots for 128 prompts of 12,000 tokens, which take it five
 // seconds. The load is four times what the engines can process with the small model.
-func TestLongPromptsAreNotPiledUpAtEngines(t *testing.T) {
+func TestLongPromptsDoNotQueueAtEngines(t *testing.T) {
 	const capacity = simEngines * 300_000 / 12_000
 	s := newSim(t, 3, []simCallerKind{{team: "a", rate: 4 * capacity}})
 	s.tokens = 12_000
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -186,11 +186,11 @@
 	h.tick(LoadReported{Server: id, Load: load}, AttemptEnded{Request: c.Request, Result: Rejected})
 }
 
-// TestFullPlainServersAreLeftAlone guards against overloading full servers. 100 instances send
+// TestFullPlainServersAreNotOverloaded guards against overloading full servers. 100 instances send
 // up to eight times what five servers can bear, with requests that may run once. One that may
 // have run can only be reported as failed, so requests should be refused here rather than cut
 // off there; and the servers must stay busy.
-func TestFullPlainServersAreLeftAlone(t *testing.T) {
+func TestFullPlainServersAreNotOverloaded(t *testing.T) {
 	for _, factor := range []float64{0.6, 1.5, 3, 8} {
 		route := onceRoute()
 		route.MaxAttempts, route.Timeout = 1, 1200*time.Millisecond
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestRushOfOneTeamLeavesPlacesToOthers guards against one team's burst of five times what the
+// TestBurstOfOneTeamLeavesSlotsToOthers guards against one team's burst of five times what the
 // servers can bear that displaces nine teams, which ask for a third of the capacity together.
-func TestRushOfOneTeamLeavesPlacesToOthers(t *testing.T) {
+func TestBurstOfOneTeamLeavesSlotsToOthers(t *testing.T) {
 	route := onceRoute()
 	route.MaxAttempts, route.Timeout = 1, 1200*time.Millisecond
 	s := newShopSim(t, 20, route)
@@ -227,10 +227,10 @@
 	}
 }
 
-// TestOneServerThatTurnsAwayIsNoReasonToRefuse guards against refusals while servers are free:
+// TestOneRejectingServerDoesNotCauseRefusals guards against refusals while servers are free:
 // one of five servers rejects half of its requests at a usual load, and each of 300 instances
 // sees one request per second.
-func TestOneServerThatTurnsAwayIsNoReasonToRefuse(t *testing.T) {
+func TestOneRejectingServerDoesNotCauseRefusals(t *testing.T) {
 	s := newShopSim(t, 300, plainRoute())
 	s.rejectShare = 0.5
 	s.play(6*time.Second, 0.3)
--- a/decision/passthrough/ratelimit_bound_test.go
+++ b/decision/passthrough/ratelimit_bound_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestLimitHoldsUnderViewsThatDiffer guards against exceeding a limit when instances disagree on
+// TestLimitHoldsWithDifferingNeighbours guards against exceeding a limit when instances disagree on
 // the subset: some do not know all of their neighbours, or still know some that are gone.
-func TestLimitHoldsUnderViewsThatDiffer(t *testing.T) {
+func TestLimitHoldsWithDifferingNeighbours(t *testing.T) {
 	view := func(f *limitFleet, all []string) []string {
 		switch f.rng.IntN(3) {
 		case 0:
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestLimitedServerGetsItsPart guards against limited servers that get too little, and against
+// TestLimitedServerGetsItsShare guards against limited servers that get too little, and against
 // servers that keep getting little after their limit has ended.
-func TestLimitedServerGetsItsPart(t *testing.T) {
+func TestLimitedServerGetsItsShare(t *testing.T) {
 	for _, size := range limitFleets {
 		f := newLimitFleet(t, size.instances, size.servers, 2, nil)
 		load := 3 * usualRate * float64(size.servers)
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestLimitEndsThoughItsSubsetIsGone guards against a limit that never ends because only instances
+// TestLimitEndsAfterItsSubsetIsGone guards against a limit that never ends because only instances
 // that are gone, but still known, may send to the server and find out.
-func TestLimitEndsThoughItsSubsetIsGone(t *testing.T) {
+func TestLimitEndsAfterItsSubsetIsGone(t *testing.T) {
 	f := newLimitFleet(t, 58, 60, 3, nil)
 	load := usualRate * float64(len(f.servers))
 	f.limits[f.servers[0].ID] = 1
--- a/decision/passthrough/ratelimit_refuse_test.go
+++ b/decision/passthrough/ratelimit_refuse_test.go
@@ -21,9 +21,9 @@
 	return h
 }
 
-// TestAllServersLimited guards against requests that wait in vain when the servers' limits leave
+// TestRequestsAreRefusedIfAllServersAreLimited guards against requests that wait in vain when the servers' limits leave
 // no room: they are refused at once, as not run, with a time after which there is room.
-func TestAllServersLimited(t *testing.T) {
+func TestRequestsAreRefusedIfAllServersAreLimited(t *testing.T) {
 	h := newLimitedHarness(t, 0.5, 3)
 	const seconds, perSecond = 20, 10
 	sent, refused, seen := 0, 0, 0
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestInstanceOutsideOfTheSubsetRefusesAtOnce guards against requests that wait for a server to
+// TestInstanceOutsideTheSubsetRefusesAtOnce guards against requests that wait for a server to
 // which this instance may not send.
-func TestInstanceOutsideOfTheSubsetRefusesAtOnce(t *testing.T) {
+func TestInstanceOutsideTheSubsetRefusesAtOnce(t *testing.T) {
 	refused := 0
 	for range 8 {
 		h := newLimitedHarness(t, 1, 1, "i1", "i2", "i3", "i4", "i5", "i6", "i7", "i8", "i9")
@@ -68,9 +68,9 @@
 	t.Logf("%d refused", refused)
 }
 
-// TestNewestStatementOfALimitCounts guards against old reports that override newer ones:
+// TestLatestStatementOfALimitCounts guards against old reports that override newer ones:
 // instances report a limit and its end in any order.
-func TestNewestStatementOfALimitCounts(t *testing.T) {
+func TestLatestStatementOfALimitCounts(t *testing.T) {
 	limit := RateLimit{Limited: true, PerSecond: 1}
 	tests := []struct {
 		name string
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestLimitIsOfOneProcess guards against a limit that outlives its server's process: a server
+// TestRestartEndsALimit guards against a limit that outlives its server's process: a server
 // that restarts under its id states its limit anew.
-func TestLimitIsOfOneProcess(t *testing.T) {
+func TestRestartEndsALimit(t *testing.T) {
 	h := newLimitedHarness(t, 1, 1)
 	restarted := servers("shop", 1, 8)
 	restarted[0].StartTime = 2
@@ -113,10 +113,10 @@
 	}
 }
 
-// TestLimitedCanaryDoesNotHoldUpItsCallers guards against callers in the canary's share that wait
+// TestLimitedCanaryFallsBackToTheOldVersion guards against callers in the canary's share that wait
 // because all servers of the new version are limited: what these may not take now goes to the old
 // version.
-func TestLimitedCanaryDoesNotHoldUpItsCallers(t *testing.T) {
+func TestLimitedCanaryFallsBackToTheOldVersion(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	list := servers("llm", 6, 1000)
--- a/decision/passthrough/ratelimit_test.go
+++ b/decision/passthrough/ratelimit_test.go
@@ -16,9 +16,9 @@
 	return out
 }
 
-// TestLimitEndsWithAnAnswerToALaterRequest guards against ending a limit by a response without one
+// TestOvertakenResponseDoesNotEndALimit guards against ending a limit by a response without one
 // that was overtaken by a response that states it.
-func TestLimitEndsWithAnAnswerToALaterRequest(t *testing.T) {
+func TestOvertakenResponseDoesNotEndALimit(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	h.tick(ServersListed{servers("shop", 1, 8)})
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestStreamStatesTheLimitWithItsHead guards against learning of a limit only when a stream ends.
-func TestStreamStatesTheLimitWithItsHead(t *testing.T) {
+// TestLimitIsLearnedFromStreamHeaders guards against learning of a limit only when a stream ends.
+func TestLimitIsLearnedFromStreamHeaders(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	h.tick(ServersListed{servers("llm", 1, 8)})
--- a/decision/passthrough/requests_test.go
+++ b/decision/passthrough/requests_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestOnceIsNotSentAgainAfterItMayHaveRun(t *testing.T) {
+func TestAtMostOnceIsNotRetriedAfterItMayHaveRun(t *testing.T) {
 	for _, result := range []Result{Failed, Broken} {
 		h := newHarness(t, Settings{})
 		h.configure(onceRoute())
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestOnceIsSentAgainWhenItHasNotRun(t *testing.T) {
+func TestAtMostOnceIsRetriedIfNotRun(t *testing.T) {
 	for _, result := range []Result{NotSent, Rejected} {
 		h := newHarness(t, Settings{})
 		h.configure(onceRoute())
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestAttemptsAreBoundedAndRefusalIsOnlyForWhatHasNotRun(t *testing.T) {
+func TestAttemptsAreBounded(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	h.tick(ServersListed{servers("shop", 5, 6)})
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestNoServerIsRefusedAtOnceWithWhenToComeBack(t *testing.T) {
+func TestNoServerIsRefusedWithRetryAfter(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	id := h.arrive(plainRoute(), nil)
@@ -87,7 +87,7 @@
 	h.requireDispatch(h.arrive(plainRoute(), crashing))
 }
 
-func TestAnswerClearsBrokenConnections(t *testing.T) {
+func TestResponseClearsCrashCount(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	h.tick(ServersListed{servers("shop", 5, 6)})
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestDeadlineAlreadyPassed(t *testing.T) {
+func TestExpiredRequestIsRefused(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
 	h.tick(ServersListed{servers("shop", 1, 1)})
@@ -169,10 +169,10 @@
 	}
 }
 
-// TestWhatMayHaveRun guards against refusing a request as not run that may have run: edge
+// TestResultMayHaveRun guards against refusing a request as not run that may have run: edge
 // and world share this definition, and a response that was dropped for its low confidence
 // has run.
-func TestWhatMayHaveRun(t *testing.T) {
+func TestResultMayHaveRun(t *testing.T) {
 	for result, want := range map[Result]bool{
 		Completed: true, Failed: true, Broken: true, Dropped: true, NotSent: false, Rejected: false,
 	} {
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestPlan(t *testing.T) {
+func TestPlanRollout(t *testing.T) {
 	o := Order{Service: "llm", Target: "v2", Duration: 24 * time.Second}
 	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
 	tests := []struct {
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestExposureStaysInItsLimit guards against giving a version more requests than the limit up to
+// TestExposureStaysWithinLimit guards against giving a version more requests than the limit up to
 // the deadline, for versions that never show a bad response.
-func TestExposureStaysInItsLimit(t *testing.T) {
+func TestExposureStaysWithinLimit(t *testing.T) {
 	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
 	for _, duration := range []time.Duration{12 * time.Second, 16 * time.Second, 24 * time.Second, 60 * time.Second} {
 		for _, perSecond := range []int{20, 50, 200} {
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestIsBad(t *testing.T) {
 	tests := []struct {
 		name                 string
 		newCounts, oldCounts Counts
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestSilenceIsNoEvidenceOnAVersion guards against hiding a bad version behind attempts that time
+// TestTimeoutIsNotCountedAsBad guards against hiding a bad version behind attempts that time
 // out in an overload, which affects every version.
-func TestSilenceIsNoEvidenceOnAVersion(t *testing.T) {
+func TestTimeoutIsNotCountedAsBad(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
 	h.tick(ServersListed{servers("llm", 3, 8)},
@@ -195,9 +195,9 @@
 	}
 }
 
-// TestVersionThatEndsNothingIsFound guards against completing a version whose streams are so slow
+// TestVersionWithoutCompletedStreamsIsJudged guards against completing a version whose streams are so slow
 // that none ends within the roll-out: the intervals of their first events are reported.
-func TestVersionThatEndsNothingIsFound(t *testing.T) {
+func TestVersionWithoutCompletedStreamsIsJudged(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.tick(canaryUpdate(true))
 	var reported Counts
@@ -260,7 +260,7 @@
 	return reported
 }
 
-func TestSlowVersionIsFoundBySpreadTimes(t *testing.T) {
+func TestSlowVersionIsFoundDespiteSpreadTimes(t *testing.T) {
 	tests := []struct {
 		name                string
 		firstByte, interval time.Duration
@@ -279,10 +279,10 @@
 	}
 }
 
-// TestLittleSeenOfABadVersionIsEnoughAtTheEnd guards against completing a version of which little
+// TestFewBadResponsesPreventCompletion guards against completing a version of which little
 // is known: two bad responses of seven stop a completion; one alone, or a usual fraction of many,
 // does not.
-func TestLittleSeenOfABadVersionIsEnoughAtTheEnd(t *testing.T) {
+func TestFewBadResponsesPreventCompletion(t *testing.T) {
 	order, limit := Order{Duration: 8 * time.Second}, ExposureLimit{Share: 0.2, Tolerance: 30}
 	oldCounts := Counts{Good: 115}
 	cases := []struct {
@@ -305,10 +305,10 @@
 	}
 }
 
-// TestVersionInDoubtIsHeld guards against a wrong verdict on a version that looks slow, but not
+// TestDoubtfulVersionIsHeld guards against a wrong verdict on a version that looks slow, but not
 // beyond chance: at the end it is neither completed nor reverted, and it gets no more requests once
 // it may have given all the bad responses that are tolerated.
-func TestVersionInDoubtIsHeld(t *testing.T) {
+func TestDoubtfulVersionIsHeld(t *testing.T) {
 	order, limit := Order{Duration: 20 * time.Second}, ExposureLimit{Share: 0.1, Tolerance: 30}
 	oldCounts := Counts{Good: 4000}
 	// The intervals are e^0.55 = 1.7 times the usual ones in the mean, and spread.
--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -61,10 +61,10 @@
 	}
 }
 
-// TestColdServerUnderViewsThatDiffer guards against overloading a server in slow start when
+// TestSlowStartLimitHoldsWithDifferingNeighbours guards against overloading a server in slow start when
 // instances disagree on the subset: some know neighbours that others do not know yet, or know no
 // more. All instances send a burst.
-func TestColdServerUnderViewsThatDiffer(t *testing.T) {
+func TestSlowStartLimitHoldsWithDifferingNeighbours(t *testing.T) {
 	fleets := []struct{ instances, domains int }{{8, 3}, {58, 3}, {300, 5}, {880, 24}}
 	for _, f := range fleets {
 		for seed := range uint64(4) {
@@ -130,9 +130,9 @@
 	return largest
 }
 
-// TestOtherServersTakeWhatAColdOneMayNot guards against refusals for the sake of one server in
+// TestSlowStartMovesRequestsToOtherServers guards against refusals for the sake of one server in
 // slow start.
-func TestOtherServersTakeWhatAColdOneMayNot(t *testing.T) {
+func TestSlowStartMovesRequestsToOtherServers(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 3, 100)
 	list[0].SlowStartRemaining = testSlowStartDuration
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestAllServersCold guards against requests that are refused or overtaken when all servers of a
+// TestRequestsAreQueuedIfAllServersAreInSlowStart guards against requests that are refused or overtaken when all servers of a
 // service are in slow start: they are dispatched as the quota allows, by priority.
-func TestAllServersCold(t *testing.T) {
+func TestRequestsAreQueuedIfAllServersAreInSlowStart(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	h.tick(ServersListed{inSlowStart(servers("llm", 1, 100))})
 	for range 2 {
@@ -190,9 +190,9 @@
 	unaware.requireRefusal(unaware.arrive(streamRoute(), nil), ReasonSlowStart)
 }
 
-// TestServerIsWarmInTheEnd guards against a slow start that never ends because the same entry is
+// TestSlowStartEnds guards against a slow start that never ends because the same entry is
 // read again and again.
-func TestServerIsWarmInTheEnd(t *testing.T) {
+func TestSlowStartEnds(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	list := inSlowStart(servers("llm", 1, 100))
 	for range 4 {
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestRefusedConnectionCountsAsAStart guards against a burst at a server that has restarted before
+// TestUnreachableServerEntersSlowStart guards against a burst at a server that has restarted before
 // its entry says so: one that could not be reached enters slow start.
-func TestRefusedConnectionCountsAsAStart(t *testing.T) {
+func TestUnreachableServerEntersSlowStart(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	h.tick(ServersListed{servers("llm", 1, 100)})
 	h.tick(AttemptEnded{Request: h.arrive(streamRoute(), nil), Result: NotSent})
@@ -223,9 +223,9 @@
 	}
 }
 
-// TestLostDomainIsFedSlowly guards against a burst at servers of a failure domain that restarts:
+// TestLostDomainEntersSlowStart guards against a burst at servers of a failure domain that restarts:
 // three lost servers stand for all of it, unless others there still respond.
-func TestLostDomainIsFedSlowly(t *testing.T) {
+func TestLostDomainEntersSlowStart(t *testing.T) {
 	for _, othersRespond := range []bool{false, true} {
 		h, _ := newSlowStartHarness(t, "i0", 1)
 		list := inDomains(servers("llm", 12, 1000), "a", "b")
@@ -254,9 +254,9 @@
 	}
 }
 
-// TestRestartUnderTheSameIDIsCold guards against a burst at a server that restarted under its id:
+// TestRestartUnderTheSameIDEntersSlowStart guards against a burst at a server that restarted under its id:
 // an entry with a later start puts it in slow start.
-func TestRestartUnderTheSameIDIsCold(t *testing.T) {
+func TestRestartUnderTheSameIDEntersSlowStart(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 1, 8)
 	h.tick(ServersListed{list})
