--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -139,8 +139,8 @@
 	h.tick(AttemptEnded{Request: id, Result: Dropped, Confidence: confidence})
 }
 
-// newRoomyHarness has engines and a retry budget that impose no limit.
-func newRoomyHarness(t *testing.T) *harness {
+// newUnconstrainedHarness has engines and a retry budget that impose no limit.
+func newUnconstrainedHarness(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t, Settings{Seed: 1, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
 	h.configure(streamRoute())
@@ -153,7 +153,7 @@
 // has low confidence in. If the middle model has low confidence too, the largest is requested,
 // as it is for all others.
 func TestMiddleModelIsUsedForConfidenceNearThreshold(t *testing.T) {
-	h := newRoomyHarness(t)
+	h := newUnconstrainedHarness(t)
 	nearThreshold, farBelow := h.arrive(streamRoute(), nil), h.arrive(streamRoute(), nil)
 	h.dropResponse(nearThreshold, 0.5)
 	h.dropResponse(farBelow, 0.1)
@@ -172,7 +172,7 @@
 // TestUnsuccessfulMiddleModelIsNoLongerUsed guards against a middle model that is requested
 // in vain again and again: its confidence is learned.
 func TestUnsuccessfulMiddleModelIsNoLongerUsed(t *testing.T) {
-	h := newRoomyHarness(t)
+	h := newUnconstrainedHarness(t)
 	middle := 0
 	for range 30 {
 		id := h.arrive(streamRoute(), nil)
--- a/decision/passthrough/dispatch_test.go
+++ b/decision/passthrough/dispatch_test.go
@@ -277,7 +277,7 @@
 		shared       int
 		singleServer bool
 	}{{6000, true}, {600, false}} {
-		h := newRoomyHarness(t)
+		h := newUnconstrainedHarness(t)
 		h.tick(ServersListed{threeDomains(4)})
 		prefillServers := map[string]map[string]bool{}
 		const prompts = 20
--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -41,7 +41,7 @@
 	}
 	var jobs []job
 	seen := 0
-	follow := func() {
+	processCommands := func() {
 		for ; seen < len(h.allCommands); seen++ {
 			switch c := h.allCommands[seen].(type) {
 			case Dispatch:
@@ -55,7 +55,7 @@
 		}
 	}
 	start := h.now
-	owed := make([]float64, len(callers))
+	due := make([]float64, len(callers))
 	for h.now.Sub(start) < length {
 		h.advance(time.Millisecond)
 		jobs = slices.DeleteFunc(jobs, func(j job) bool {
@@ -71,7 +71,7 @@
 			h.tick(AttemptEnded{Request: j.id, Result: Completed, EventInterval: work})
 			return true
 		})
-		follow()
+		processCommands()
 		for id, at := range arrived { // the bound on queue waits, which is a timer of the edge in operation
 			if r := h.world.requests[id]; r != nil && r.queued && h.now.Sub(at) >= MaxQueueWait(&Request{TargetTime: at.Add(route.TargetLatency), Deadline: at.Add(route.Timeout)}, at) {
 				h.tick(QueueWaitExpired{id})
@@ -80,15 +80,15 @@
 				delete(arrived, id)
 			}
 		}
-		follow()
+		processCommands()
 		for i, c := range callers {
-			for owed[i] += c.perSecond(h.now.Sub(start)) / 1000; owed[i] >= 1; owed[i]-- {
+			for due[i] += c.perSecond(h.now.Sub(start)) / 1000; due[i] >= 1; due[i]-- {
 				out[i].sent++
 				kind[h.next+1], arrived[h.next+1] = i, h.now
 				h.arrive(route, func(r *Request) { r.Team, r.Priority = c.team, c.priority })
 			}
 		}
-		follow()
+		processCommands()
 	}
 	return out
 }
--- a/decision/passthrough/overload_test.go
+++ b/decision/passthrough/overload_test.go
@@ -68,10 +68,10 @@
 	s := newSim(t, 3, []simCallerKind{{team: "patient", rate: 4 * simCapacity}, {team: "pushy", rate: 4 * simCapacity, retries: 4}})
 	s.play(6*time.Second, 1)
 	patient, impatient := s.tallies[0], s.tallies[1]
-	first := float64(patient.sent)
+	sent := float64(patient.sent)
 	served := float64(patient.inTarget + patient.late + patient.weak)
-	if served < 0.5*first || served < 0.9*float64(impatient.inTarget+impatient.late+impatient.weak) {
-		t.Errorf("callers that do not retry at once got %.0f responses to %.0f requests, those that do %d", served, first, impatient.inTarget+impatient.late+impatient.weak)
+	if served < 0.5*sent || served < 0.9*float64(impatient.inTarget+impatient.late+impatient.weak) {
+		t.Errorf("callers that do not retry at once got %.0f responses to %.0f requests, those that do %d", served, sent, impatient.inTarget+impatient.late+impatient.weak)
 	}
 	for _, after := range append(patient.retryAfters, impatient.retryAfters...) {
 		if after <= 0 {
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -72,7 +72,7 @@
 
 // play sends factor times what the servers can bear.
 func (s *shopSim) play(length time.Duration, factor float64) {
-	owed := 0.0
+	due := 0.0
 	for until := s.now.Add(length); s.now.Before(until); {
 		s.now = s.now.Add(shopStep)
 		for _, h := range s.instances {
@@ -81,7 +81,7 @@
 		for i := range shopServers {
 			s.serve(s.instances[0].world.services["shop"].servers[i].ID)
 		}
-		for owed += factor * shopCapacity * shopStep.Seconds(); owed >= 1; owed-- {
+		for due += factor * shopCapacity * shopStep.Seconds(); due >= 1; due-- {
 			h := s.instances[s.rng.IntN(len(s.instances))]
 			team := s.team()
 			s.sent++
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -100,7 +100,7 @@
 		step     = 20 * time.Millisecond
 		prefixes = 2000
 	)
-	owed, steps := 0.0, 0
+	due, steps := 0.0, 0
 	for end := f.now().Add(length); f.now().Before(end); steps++ {
 		if steps%reportSteps == 0 {
 			f.report()
@@ -110,7 +110,7 @@
 			h.tick()
 		}
 		f.respond()
-		for owed += rate * step.Seconds(); owed >= 1; owed-- {
+		for due += rate * step.Seconds(); due >= 1; due-- {
 			at := f.rng.IntN(len(f.instances))
 			if f.silent[at] {
 				continue
--- a/decision/passthrough/sim_test.go
+++ b/decision/passthrough/sim_test.go
@@ -135,7 +135,7 @@
 
 // play runs the simulation for a time, at the kinds' rates times factor.
 func (s *sim) play(length time.Duration, factor float64) {
-	owed := make([]float64, len(s.kinds))
+	due := make([]float64, len(s.kinds))
 	for until := s.now.Add(length); s.now.Before(until); {
 		s.now = s.now.Add(simStep)
 		for _, h := range s.instances {
@@ -150,7 +150,7 @@
 			s.rollout.step()
 		}
 		for i, k := range s.kinds {
-			for owed[i] += k.rate * factor * simStep.Seconds(); owed[i] >= 1; owed[i]-- {
+			for due[i] += k.rate * factor * simStep.Seconds(); due[i] >= 1; due[i]-- {
 				s.arrive(i, k.retries, s.rng.IntN(2) == 0)
 			}
 		}
