--- a/decision/passthrough/attempt.go
+++ b/decision/passthrough/attempt.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// recordOutcome records what the end says about the server, and emits an observation
-// for the other instances.
+// recordOutcome records an attempt's outcome for its server, and emits an observation for the
+// other instances.
 func (w *World) recordOutcome(r *request, s *server, e AttemptEnded) {
 	if s == nil || e.Result == Abandoned {
 		return
@@ -76,14 +76,14 @@
 }
 
 // maxUndeliveredDispatches is how many dispatches a request may have beyond its route's
-// MaxAttempts, for those that reached no server.
+// MaxAttempts, as dispatches that reach no server do not count as attempts.
 const maxUndeliveredDispatches = 5
 
 // retry sends the request to another server than the last one, if that is allowed.
 //
 // Load: servers that crash, reject requests or time out. Harm prevented: a response
-// lost where another server could give it, and retries that bring down the servers
-// that are left.
+// lost though another server could give it, and retries that bring down the remaining
+// servers.
 func (w *World) retry(r *request, last *server) {
 	if last != nil {
 		r.tried = append(r.tried, last)
@@ -97,7 +97,8 @@
 	}
 }
 
-// retryRefusal gives the reason why no other attempt may follow; "" if one may.
+// retryRefusal returns the reason for which no other attempt may follow, or "" if one may. In that
+// case it spends a retry of the budget, unless no attempt has reached a server yet.
 func (w *World) retryRefusal(r *request) Reason {
 	switch {
 	case !r.Deadline.After(w.now):
--- a/decision/passthrough/baseline.go
+++ b/decision/passthrough/baseline.go
@@ -5,12 +5,12 @@
 // less busy. So times are compared only at a similar load.
 
 var (
-	// waitingSteps are the numbers of waiting prompts at which the next load level begins: their
-	// order of magnitude matters.
+	// waitingSteps are the numbers of waiting prompts at which the next load level begins, on a
+	// logarithmic scale, as only their order of magnitude matters.
 	waitingSteps = [...]int{1, 4, 16}
-	// runningDivisors are the same for the taken slots, as one in so many of all: with an eighth taken
-	// an engine generates about as fast as an idle one, with half not much faster than a full
-	// one.
+	// runningDivisors are the fractions of the slots taken at which the next level begins, as
+	// divisors: 8 stands for one eighth. With an eighth taken an engine generates about as fast as
+	// an idle one, with half not much faster than a full one.
 	runningDivisors = [...]int{8, 2}
 )
 
--- a/decision/passthrough/budget.go
+++ b/decision/passthrough/budget.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// budgetBuckets is the number of buckets of the budget's window. Requests may count a tenth of the
-// window too long, which the margin of the ratio covers.
+// budgetBuckets is the number of buckets of the budget's window. A bucket leaves
+// the window as a whole, so requests and retries count for up to a tenth less than the window;
+// RetryRatio is configured with a margin for that.
 const budgetBuckets = 10
 
 // RetryBudget bounds the attempts at one service beyond the first of each request.
@@ -21,7 +22,7 @@
 }
 
 // assumedFleetSize is the assumed number of instances that share the slack until they are counted:
-// more than the 880 of the largest planned deployment.
+// more than in the largest planned deployment, which has 880.
 const assumedFleetSize = 1000
 
 // fleetSizeMargin is the fraction by which the fleet may be larger than counted.
@@ -92,14 +93,14 @@
 
 const (
 	// optionalReserve is what must remain in the budget for an optional retry, as retries of
-	// failures come first. For an instance that gets few requests, the reserve is
-	// optionalReserveFraction of its whole budget, as each of its requests brings most of what its
-	// own retry takes.
+	// failures come first. If optionalReserveFraction of the retries that the window allows is
+	// less, that is the reserve instead, but at least one retry. It keeps optional retries possible
+	// for an instance with few requests, each of which adds most of a retry to the budget.
 	optionalReserve         = 3.0
 	optionalReserveFraction = 0.2
 )
 
-// AllowsOptional says whether an optional retry is allowed: one that replaces a response of low
+// AllowsOptional reports whether an optional retry is allowed: one that replaces a response of low
 // confidence, not a failure.
 //
 // Load: hundreds of instances, each with a request every few seconds. Harm prevented: a fixed
--- a/decision/passthrough/budget_test.go
+++ b/decision/passthrough/budget_test.go
@@ -8,7 +8,7 @@
 
 // TestInstancesWithFewRequestsRetryWeakResponses guards against a reserve that instances with
 // few requests never have: they would keep all weak responses. It simulates instances with 3
-// to 24 requests per window, 44 in 100 of them answered weakly by the smallest model. One weak
+// to 24 requests per window, 44 in 100 of them with a weak response of the smallest model. One weak
 // response in fifty may be kept for lack of budget, and the bound on retries holds in every
 // window.
 func TestInstancesWithFewRequestsRetryWeakResponses(t *testing.T) {
@@ -39,7 +39,7 @@
 			}
 		}
 		if part := float64(kept) / float64(weakCount); part > maxKept {
-			t.Errorf("%d requests in the window: %d of %d weak responses kept", count, kept, weakCount)
+			t.Errorf("%d requests per window: %d of %d weak responses were kept for lack of budget", count, kept, weakCount)
 		}
 	}
 }
--- a/decision/passthrough/canary_test.go
+++ b/decision/passthrough/canary_test.go
@@ -19,6 +19,8 @@
 	return RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.2, FirstHalf: first}}
 }
 
+// TestCanaryGetsItsShareByRolloutPosition guards against a canary that gets requests whose
+// rollout position is outside its share, or misses some within it.
 func TestCanaryGetsItsShareByRolloutPosition(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.tick(canaryUpdate(true))
@@ -32,6 +34,8 @@
 	}
 }
 
+// TestSessionsKeepTheirVersionThroughTheFirstHalf guards against open sessions that change
+// their version during the first half of a roll-out, and new ones that change it later.
 func TestSessionsKeepTheirVersionThroughTheFirstHalf(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.advance(20 * time.Second)
@@ -65,6 +69,8 @@
 	}
 }
 
+// TestNoSessionMovesBeforeTheOpenOnesAreKnown guards against sessions that move to the new
+// version while the instances still exchange the open sessions.
 func TestNoSessionMovesBeforeTheOpenOnesAreKnown(t *testing.T) {
 	h := newRolloutHarness(t)
 	update := canaryUpdate(true)
@@ -108,6 +114,7 @@
 	}
 }
 
+// TestRevertedVersionGetsNothing guards against requests that are sent to a reverted version.
 func TestRevertedVersionGetsNothing(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseReverted}})
@@ -133,6 +140,8 @@
 	h.requireRefusal(h.arrive(streamRoute(), nil), ReasonNoServer)
 }
 
+// TestNoRequestGoesToTheNewVersionWithoutAShare guards against requests that are sent to the
+// new version while its share is 0.
 func TestNoRequestGoesToTheNewVersionWithoutAShare(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.tick(RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, FirstHalf: true}})
--- a/decision/passthrough/cascade.go
+++ b/decision/passthrough/cascade.go
@@ -4,7 +4,7 @@
 
 // routeStats are statistics of a route's responses.
 type routeStats struct {
-	// firstByte is the usual time to the first event, by model index.
+	// firstByte is the usual time to the first byte, by model index.
 	firstByte map[int]*baselineTimes
 	// responseTime is the mean time from a request's arrival to the end of its response, in
 	// seconds.
@@ -26,12 +26,12 @@
 	return seconds(factor * w.statsOf(route.Name).responseTime.value)
 }
 
-// firstByteBaseline is the usual time to the first event of responses like the request's.
+// firstByteBaseline is the usual time to the first byte of responses like the request's.
 func (w *World) firstByteBaseline(r *request) *baselineTimes {
 	return entryFor(&w.statsOf(r.Route.Name).firstByte, r.model)
 }
 
-// observeFirstByte applies the begin of a response.
+// observeFirstByte records that an attempt's response has begun.
 func (w *World) observeFirstByte(e FirstByte) {
 	r := w.requests[e.Request]
 	if r == nil || r.server == nil {
@@ -51,21 +51,21 @@
 
 const (
 	// evenConfidence is the confidence at which an engine's response is as likely good as bad
-	// by its own estimate. In measurements with three models and the same load, responses to
-	// requests that a model is too weak for were below it, except for one in twenty.
+	// by its own estimate. If a model is too weak for a request, its confidence is below that in
+	// nineteen of twenty responses.
 	evenConfidence = 0.5
-	// confidenceMargin is added because a weak response loses its whole value, while
-	// replacing a good one costs only a second prefill.
+	// confidenceMargin is added to evenConfidence because a weak response loses its whole value,
+	// while replacing a good one costs only a second prefill.
 	confidenceMargin = 0.04
-	// minConfidence is the confidence from which a response is kept while there is room for a
-	// larger model.
+	// minConfidence is the confidence from which a response is kept while a larger model
+	// may be requested without restriction.
 	minConfidence = evenConfidence + confidenceMargin
 )
 
 // chooseModel returns the index of the model to request.
 //
 // Load: requests of which the smallest model gives a good response to half, and a burst that
-// the largest, ten times as slow, cannot bear. Harm prevented: the largest model's price and
+// the largest, ten times as slow, cannot serve. Harm prevented: the largest model's price and
 // time for all requests, weak responses for the harder half, refusals in a burst. The
 // smallest model is requested first, and its response is dropped if its own confidence is low
 // and nothing was forwarded yet. After that a larger model is requested however full the
@@ -85,8 +85,8 @@
 	return 0
 }
 
-// lastAttempt says that no other attempt may follow the current one, so that a weak response
-// could not be replaced.
+// lastAttempt reports whether no other attempt may follow the current one, in which case a weak
+// response cannot be replaced.
 func (r *request) lastAttempt() bool {
 	return r.attempts >= r.Route.MaxAttempts || !r.Route.Retryable()
 }
@@ -121,7 +121,8 @@
 // model must begin its response, to leave time for the rest of it.
 const escalationFraction = 0.5
 
-// largestInTime says whether the largest model's response would come before the deadline.
+// largestInTime reports whether the largest model's response would begin within escalationFraction
+// of the time to the deadline, after a prefill wait of the given seconds.
 func (w *World) largestInTime(r *request, wait float64) bool {
 	begins := wait + r.service.prefill.perToken(len(r.Route.Models)-1)*float64(r.PromptTokens)
 	return begins < escalationFraction*r.Deadline.Sub(w.now).Seconds()
--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -13,6 +13,9 @@
 	}
 }
 
+// TestDroppedResponseEscalatesToLargestModel guards against a first attempt at a larger model
+// than the smallest, and against a retry after a dropped response that uses the smallest model
+// again or could be dropped too.
 func TestDroppedResponseEscalatesToLargestModel(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
@@ -30,6 +33,8 @@
 	}
 }
 
+// TestNoDropWithoutRetryBudget guards against dropping a response that the retry budget does
+// not allow to replace.
 func TestNoDropWithoutRetryBudget(t *testing.T) {
 	h := newHarness(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 1, RetryWindow: 1e9})
 	h.configure(streamRoute())
@@ -41,6 +46,8 @@
 	}
 }
 
+// TestSingleAttemptUsesLargestModel guards against a weak response to a request that has a
+// single attempt, as it cannot be replaced.
 func TestSingleAttemptUsesLargestModel(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := streamRoute()
@@ -53,6 +60,8 @@
 	}
 }
 
+// TestNonRetryableRequestUsesLargestModel guards against a weak response to a request that may
+// not run twice, as it cannot be replaced.
 func TestNonRetryableRequestUsesLargestModel(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := streamRoute()
@@ -65,6 +74,8 @@
 	}
 }
 
+// TestFullServersGetSmallestModel guards against the largest model's prefill on servers that
+// are nearly full.
 func TestFullServersGetSmallestModel(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := streamRoute()
@@ -80,9 +91,9 @@
 	}
 }
 
-// TestOneCrowdedServerDoesNotLimitTheService guards against weak responses while most servers are idle,
-// if one crowded server counts as a full service: requests with one prefix go to one server, and
-// its last slots, too, use the cascade while the other servers have room.
+// TestOneCrowdedServerDoesNotLimitTheService guards against weak responses while most servers are
+// idle, if one crowded server counts as a full service: requests with one prefix go to one server,
+// and its last slots, too, use the cascade while the other servers have free slots.
 func TestOneCrowdedServerDoesNotLimitTheService(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
@@ -118,7 +129,7 @@
 	}
 }
 
-// TestLargestModelIsKeptForHighPriority holds that, as slots fill up, the lowest priority
+// TestLargestModelIsKeptForHighPriority checks that, as slots fill up, the lowest priority
 // loses the largest model first, and that the headroom shrinks gradually.
 func TestLargestModelIsKeptForHighPriority(t *testing.T) {
 	for _, c := range []struct {
@@ -134,7 +145,7 @@
 	}
 }
 
-// dropResponse ends a response for its low confidence.
+// dropResponse ends the request's attempt as Dropped, with the given confidence.
 func (h *harness) dropResponse(id RequestID, confidence float64) {
 	h.tick(AttemptEnded{Request: id, Result: Dropped, Confidence: confidence})
 }
@@ -169,8 +180,8 @@
 	}
 }
 
-// TestUnsuccessfulMiddleModelIsNoLongerUsed guards against a middle model that is requested
-// in vain again and again: its confidence is learned.
+// TestUnsuccessfulMiddleModelIsNoLongerUsed guards against a middle model that is
+// requested again and again though it never succeeds: its confidence is learned.
 func TestUnsuccessfulMiddleModelIsNoLongerUsed(t *testing.T) {
 	h := newUnconstrainedHarness(t)
 	middle := 0
@@ -184,7 +195,7 @@
 		h.tick(AttemptEnded{Request: id, Result: Completed, Confidence: 0.9})
 	}
 	if middle == 0 || middle > 6 {
-		t.Errorf("the middle model was requested %d times in vain", middle)
+		t.Errorf("the middle model was requested %d times without success, want 1 to 6", middle)
 	}
 }
 
@@ -206,8 +217,8 @@
 
 // TestInstanceWithFewRequestsDropsWeakResponses guards against an instance that keeps all weak
 // responses because it never has the retry budget to replace one. It simulates one of 300
-// instances with a request every four seconds, all answered weakly: half of these may be
-// requested again from a larger model.
+// instances with a request every four seconds, all with weak responses: half of these may be
+// retried at a larger model.
 func TestInstanceWithFewRequestsDropsWeakResponses(t *testing.T) {
 	h := newHarness(t, Settings{Seed: 1, RetryRatio: 0.765, RetrySlack: 156, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
 	h.tick(FleetSize{Instances: 300})
--- a/decision/passthrough/config.go
+++ b/decision/passthrough/config.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind says whether a route's requests may be repeated.
+// Kind is the kind of a route's requests, which determines whether they may run again.
 type Kind uint8
 
 const (
@@ -53,7 +53,7 @@
 	Weight  float64
 }
 
-// Retryable says whether a request of the route may run again after it may have run.
+// Retryable reports whether a request of the route may run again after it may have run.
 func (r *Route) Retryable() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
@@ -139,7 +139,7 @@
 // Team returns the team that owns the key, or nil.
 func (x *Index) Team(key string) *Team { return x.keys[key] }
 
-// NeedsKey says whether the route's requests need an API key.
+// NeedsKey reports whether the route's requests need an API key.
 func (x *Index) NeedsKey(r *Route) bool { return len(x.Teams) > 0 && !r.Public }
 
 // EffectivePriority is the team's priority if it has one, else the route's.
@@ -150,8 +150,8 @@
 	return r.Priority
 }
 
-// PickService chooses a service by weight; at is in [0, 1). It returns "" if no backend has a
-// weight.
+// PickService chooses a service by weight, given a random number draw in [0, 1). It returns "" if
+// no backend has a weight.
 func (r *Route) PickService(draw float64) string {
 	sum := 0.0
 	for _, b := range r.Backends {
--- a/decision/passthrough/config_test.go
+++ b/decision/passthrough/config_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestLongestPrefixOfTheHostWins guards against requests on the route of another host or of a
+// shorter path prefix.
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	x := NewIndex(Config{Routes: []Route{
 		{Name: "root", Host: "a.example", PathPrefix: "/"},
@@ -28,6 +30,8 @@
 	}
 }
 
+// TestPickServiceByWeight guards against services that get another part of the requests than
+// their weights state.
 func TestPickServiceByWeight(t *testing.T) {
 	r := Route{Backends: []Backend{{"a", 90}, {"none", 0}, {"b", 10}}}
 	for at, want := range map[float64]string{0: "a", 0.89: "a", 0.91: "b", 0.999: "b"} {
@@ -40,6 +44,8 @@
 	}
 }
 
+// TestTeamKeysAndPriorities guards against keys that match other keys or none, against wrong
+// requirements for a key, and against a route's priority that overrides the team's.
 func TestTeamKeysAndPriorities(t *testing.T) {
 	x := NewIndex(Config{Teams: []Team{{Name: "t", Keys: []string{"k"}, Priority: 3, HasPriority: true}, {Name: "u"}}})
 	if x.Team("k") == nil || x.Team("") != nil || x.Team("x") != nil {
--- a/decision/passthrough/counts.go
+++ b/decision/passthrough/counts.go
@@ -4,7 +4,8 @@
 type Counts struct {
 	Good int
 	Bad  int
-	// FirstByte and EventInterval compare its times with the old version's.
+	// FirstByte and EventInterval compare the times of its responses with the old version's
+	// baseline.
 	FirstByte     LogRatioStats
 	EventInterval LogRatioStats
 }
--- a/decision/passthrough/crashes.go
+++ b/decision/passthrough/crashes.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// crashThreshold is how many backend servers a request may seem to have crashed
-	// before it is quarantined. One or two lost connections in a row are common where
+	// crashThreshold is how many backend servers a request must seem to have crashed
+	// to be quarantined. One or two lost connections in a row are common where
 	// responses get lost; three of the same request, without a response in between, are
 	// not.
 	crashThreshold = 3
-	// crashMemory is how long a crash counts. A request that crashes servers is sent
-	// again within seconds; one that was merely unlucky must not be refused for long.
+	// crashMemory is how long a crash counts. A request that crashes servers is sent again within
+	// seconds; one whose connections broke for other reasons must not be refused for long.
 	crashMemory = 20 * time.Second
 	// maxFingerprints bounds the table of fingerprints.
 	maxFingerprints = 4096
@@ -21,7 +21,7 @@
 
 // crashes counts, by fingerprint, the consecutive attempts that lost their connection.
 //
-// Load: a request that crashes each backend server it runs on, and is sent again each
+// Load: a request that crashes each backend server it runs on, and is retried each
 // time. Harm prevented: all backend servers brought down, one after the other.
 type crashes struct {
 	entries *simplelru.LRU[uint64, crashEntry]
@@ -52,7 +52,7 @@
 // forget drops the count of a request once a backend server has responded to it.
 func (c *crashes) forget(fingerprint uint64) { c.entries.Remove(fingerprint) }
 
-// quarantined says whether the request must not run any more.
+// quarantined reports whether the request must not run any more.
 func (c *crashes) quarantined(fingerprint uint64, now time.Time) bool {
 	entry, ok := c.entries.Get(fingerprint)
 	return ok && entry.count >= crashThreshold && now.Sub(entry.at) <= crashMemory
--- a/decision/passthrough/dispatch.go
+++ b/decision/passthrough/dispatch.go
@@ -55,7 +55,7 @@
 	// firstByteTimeoutFactor is how many times its target latency a retryable plain
 	// request waits for the first byte before it is tried elsewhere.
 	firstByteTimeoutFactor = 2.5
-	// minFirstByteTimeout is the least such wait: a slow server is not a dead one.
+	// minFirstByteTimeout is the least such wait: a slow server is not one that is down.
 	minFirstByteTimeout = 400 * time.Millisecond
 )
 
--- a/decision/passthrough/dispatch_test.go
+++ b/decision/passthrough/dispatch_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// TestPrefixStaysOnOneServerWithinLoadBound guards against requests with one prefix that
+// spread over all servers, which repeats its prefill, or overload a single one.
 func TestPrefixStaysOnOneServerWithinLoadBound(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
@@ -27,6 +29,8 @@
 	}
 }
 
+// TestAllInstancesChooseTheSameServerForAPrompt guards against instances that send the same
+// prefix to different servers.
 func TestAllInstancesChooseTheSameServerForAPrompt(t *testing.T) {
 	want := ""
 	for seed := range uint64(5) {
@@ -43,6 +47,7 @@
 	}
 }
 
+// TestLeavingServerGetsNoRequests guards against requests to a server that is leaving.
 func TestLeavingServerGetsNoRequests(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -60,6 +65,8 @@
 	}
 }
 
+// TestRestartedServerIsUsedAgain guards against a server that stays excluded as leaving after
+// it has restarted under its id.
 func TestRestartedServerIsUsedAgain(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -75,6 +82,8 @@
 	h.requireDispatch(h.arrive(plainRoute(), nil))
 }
 
+// TestAttemptEndAfterServerRemovalIsHandled guards against a request that never ends because
+// its server was removed from the list before its attempt ended.
 func TestAttemptEndAfterServerRemovalIsHandled(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -85,6 +94,8 @@
 	h.requireFinish(id)
 }
 
+// TestFailingServerIsEjected guards against a failing server that attracts requests because it
+// looks idle.
 func TestFailingServerIsEjected(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := plainRoute()
@@ -115,6 +126,8 @@
 	}
 }
 
+// TestTimedOut guards against giving up on attempts at servers that are only busy, and against
+// waiting for servers that are down.
 func TestTimedOut(t *testing.T) {
 	stream, plain := streamRoute(), plainRoute()
 	tests := []struct {
@@ -140,6 +153,8 @@
 	}
 }
 
+// TestSlowServerGetsFewerRequests guards against a slow server that gets as many requests as
+// the others.
 func TestSlowServerGetsFewerRequests(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := plainRoute()
@@ -178,6 +193,8 @@
 	}
 }
 
+// TestEjectedServersAreUsedIfAllAreEjected guards against refusals because all servers are
+// ejected.
 func TestEjectedServersAreUsedIfAllAreEjected(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(onceRoute())
@@ -189,8 +206,8 @@
 	}
 }
 
-// TestExpiredLoadReportDoesNotCauseRefusals guards against refusals by plain servers whose load was
-// reported at the height of a burst: calls of 30 ms are done long before the report is old.
+// TestExpiredLoadReportDoesNotCauseRefusals guards against refusals at plain servers whose load
+// was reported at the height of a burst: requests of 30 ms end long before the report is old.
 func TestExpiredLoadReportDoesNotCauseRefusals(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := plainRoute()
@@ -223,7 +240,7 @@
 	return list
 }
 
-// localShare places prompts of 9,000 tokens with the given number of shared ones on idle
+// localShare sends prompts of 9,000 tokens with the given number of shared ones to idle
 // engines that each report the given number of waiting prompts. It returns the fraction that
 // stayed in the failure domain.
 func localShare(t *testing.T, prefixTokens, waiting int) float64 {
@@ -268,10 +285,10 @@
 	}
 }
 
-// TestLongPromptsOfLargerModelUseOneServer guards against a larger model's
-// prefill of a long prefix in each failure domain. The smallest model's prefill stays local.
-// When its response was dropped, the larger model is requested at the one server that all
-// instances use for the prefix, so that it is cached there. Short prompts stay local for both.
+// TestLongPromptsOfLargerModelUseOneServer guards against a larger model's prefill of a long prefix
+// in each failure domain. The smallest model's prefill stays local. When its response was dropped,
+// the larger model is requested at the one server that all instances use for the prefix, so that it
+// is cached there. Short prompts stay local for both.
 func TestLongPromptsOfLargerModelUseOneServer(t *testing.T) {
 	for _, c := range []struct {
 		shared       int
@@ -288,7 +305,7 @@
 					r.PrefixHash, r.PrefixTokens, r.PromptTokens = uint64(i+1), c.shared, 2*c.shared
 				})
 				if d := h.requireDispatch(id); d.Server.Domain != domain {
-					t.Fatalf("%d shared tokens: the smallest model is requested in failure domain %s, not in the own one", c.shared, d.Server.Domain)
+					t.Fatalf("%d shared tokens: the smallest model is requested in failure domain %s, want this instance's", c.shared, d.Server.Domain)
 				}
 				h.dropResponse(id, 0.1)
 				d := h.requireDispatch(id)
--- a/decision/passthrough/drain.go
+++ b/decision/passthrough/drain.go
@@ -3,11 +3,11 @@
 import "time"
 
 // setDrained sets the failure domains that get no new requests. When a domain is no longer
-// drained, its servers may all be cold, so they enter slow start.
+// drained, its servers may all have just started, so they enter slow start.
 //
 // Load: a failure domain that is drained for maintenance under full traffic. Harm prevented:
-// requests cut off when it goes down, and a rush of all instances to its idle servers once it
-// is back.
+// requests cut off when it goes down, and a burst from all instances at its idle servers once
+// it is back.
 func (w *World) setDrained(domains []string) {
 	before := w.drained
 	w.drained = map[string]bool{}
--- a/decision/passthrough/drain_test.go
+++ b/decision/passthrough/drain_test.go
@@ -13,6 +13,8 @@
 	return list
 }
 
+// TestDrainedDomainGetsNoNewRequests guards against new requests to a drained failure domain,
+// also to servers that are listed after it was drained.
 func TestDrainedDomainGetsNoNewRequests(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
@@ -27,6 +29,8 @@
 	}
 }
 
+// TestDrainedDomainGetsNoRetry guards against retries and resumed streams in a drained failure
+// domain.
 func TestDrainedDomainGetsNoRetry(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
@@ -39,6 +43,8 @@
 	}
 }
 
+// TestQueuedRequestAvoidsDrainedDomain guards against queued requests that are sent to a
+// failure domain drained meanwhile.
 func TestQueuedRequestAvoidsDrainedDomain(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -67,8 +73,8 @@
 	}
 }
 
-// TestServiceWithoutServersIsRefusedAtOnce guards against callers that wait in vain, or are not
-// told when to retry, if all failure domains of a service are drained.
+// TestServiceWithoutServersIsRefusedAtOnce guards against callers that are queued without a
+// chance, or refused without a retry-after time, if all failure domains of a service are drained.
 func TestServiceWithoutServersIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -82,6 +88,8 @@
 	}
 }
 
+// TestDrainingAnUnknownDomainChangesNothing guards against an unknown drained failure domain
+// that affects others.
 func TestDrainingAnUnknownDomainChangesNothing(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -109,9 +117,9 @@
 	}
 }
 
-// TestUndrainedDomainEntersSlowStart guards against a burst at cold servers: all servers of a
-// failure domain enter slow start once it is no longer drained, even before an entry says that
-// they have just started.
+// TestUndrainedDomainEntersSlowStart guards against a burst at servers that have just started:
+// all servers of a failure domain enter slow start once it is no longer drained, even before an
+// entry states that they have just started.
 func TestUndrainedDomainEntersSlowStart(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	h.tick(ServersListed{inDomains(servers("llm", 2, 8), "a", "b")}, DomainsDrained{[]string{"a"}})
@@ -123,6 +131,6 @@
 		}
 	}
 	if count == 0 || count > 2 {
-		t.Errorf("%d requests at once to a server that may be cold, want 1 or 2", count)
+		t.Errorf("%d requests at once to a server that may have just started, want 1 or 2", count)
 	}
 }
--- a/decision/passthrough/escalation.go
+++ b/decision/passthrough/escalation.go
@@ -16,8 +16,8 @@
 	// escalationPriorWeight is the weight of the prior, in responses.
 	escalationPriorWeight = 6
 	// minMiddleChance is the least chance of success for which the middle model is
-	// requested: it costs half of the largest model's price and a quarter of its time, in
-	// vain if it fails.
+	// requested: it costs half of the largest model's price and a quarter of its time, which
+	// are lost if it fails.
 	minMiddleChance = 0.6
 	// priorAtThreshold is the prior chance that a middle model is confident if the smallest
 	// one's confidence was just below minConfidence; priorSlope is how much the chance falls
@@ -30,8 +30,8 @@
 	return min(max(int(confidence*confidenceBuckets), 0), confidenceBuckets)
 }
 
-// chance is how likely the middle model is confident of a request on which the smallest
-// model had the given confidence.
+// chance is the estimated probability that the middle model is confident of a request on which the
+// smallest model had the given confidence.
 func (n *escalationStats) chance(confidence float64) float64 {
 	at := confidenceBucket(confidence)
 	prior := min(max(priorAtThreshold-priorSlope*(minConfidence-confidence), 0), 1)
@@ -54,7 +54,7 @@
 //
 // Load: requests that are only a little too hard for the smallest model, a fifth of those
 // that it has low confidence in. Harm prevented: the largest model's price and ten times the
-// smallest's prefill time, where a middle model does as well.
+// smallest's prefill time, if a middle model does as well.
 func (w *World) chooseEscalation(r *request, confidence float64) {
 	last := len(r.Route.Models) - 1
 	r.nextModel = last
--- a/decision/passthrough/events.go
+++ b/decision/passthrough/events.go
@@ -11,11 +11,11 @@
 // ServersListed replaces the list of backend servers.
 type ServersListed struct{ Servers []Server }
 
-// RequestArrived hands over a request. One Dispatch or Refuse follows, at once or when the
+// RequestArrived is the arrival of a request. One Dispatch or Refuse follows, at once or when the
 // request's turn comes, unless RequestCancelled comes first.
 type RequestArrived struct{ Request Request }
 
-// RequestCancelled says that the caller no longer waits for the request.
+// RequestCancelled reports that the caller no longer waits for the request.
 type RequestCancelled struct{ Request RequestID }
 
 // AttemptEnded ends a Dispatch. A Dispatch, Refuse or Finish follows, unless the result is
@@ -23,13 +23,13 @@
 type AttemptEnded struct {
 	Request RequestID
 	Result  Result
-	// Begun says that a part of the response was forwarded to the caller.
+	// Begun is true if a part of the response was forwarded to the caller.
 	Begun bool
-	// Misdirected says that another backend server now has the address.
+	// Misdirected is true if another backend server now has the address.
 	Misdirected bool
-	// Leaving says that the backend server is shutting down.
+	// Leaving is true if the backend server is shutting down.
 	Leaving bool
-	// ConnectionLost says that the connection broke, as it does when a backend server crashes.
+	// ConnectionLost is true if the connection broke, as it does when a backend server crashes.
 	ConnectionLost bool
 	// EventInterval is the mean time between the events of a stream, or the response time of a
 	// plain response; 0 if unknown.
@@ -42,7 +42,7 @@
 	Limit *RateLimit
 }
 
-// QueueWaitExpired says that a request has been queued for as long as MaxQueueWait allows.
+// QueueWaitExpired reports that a request has been queued for as long as MaxQueueWait allows.
 type QueueWaitExpired struct{ Request RequestID }
 
 // LoadReported is the load that a backend server reports.
@@ -51,8 +51,8 @@
 	Load   Load
 }
 
-// FirstByte says that an attempt's response began, After its dispatch, with the load and the
-// rate limit that its head states.
+// FirstByte is the start of an attempt's response. After is the time since its dispatch; Load, if
+// HasLoad is set, and Limit are what its headers state.
 type FirstByte struct {
 	Request RequestID
 	After   time.Duration
@@ -91,7 +91,8 @@
 	Names []string
 }
 
-// PeerLoads is the load at the engines of the given number of other instances.
+// PeerLoads is the sum of the loads that other instances have at the engines. Instances is the
+// number of instances in it.
 type PeerLoads struct {
 	Loads     []PeerLoad
 	Instances int
@@ -166,8 +167,8 @@
 	RetryAfter time.Duration
 }
 
-// Finish ends a request with the result of its last attempt: the backend server's failure, or
-// the statement that the request may have run.
+// Finish ends a request that may have run, without another attempt. Its caller gets the last
+// attempt's failure, or an error that leaves open whether the request ran.
 type Finish struct {
 	Request RequestID
 	Reason  Reason
@@ -179,10 +180,10 @@
 	Route   string
 	Version string
 	Bad     bool
-	// ConnectionLost says that the connection broke, as it does when Server crashes.
+	// ConnectionLost is true if the connection broke, as it does when Server crashes.
 	ConnectionLost bool
 	Server         string
-	// TimingOnly says that the response is not counted as good or bad; its times are.
+	// TimingOnly is true if the response is not counted as good or bad; its times are.
 	TimingOnly bool
 	// FirstByte and EventInterval compare the times of the target version's responses with the
 	// old version's.
@@ -190,7 +191,7 @@
 	EventInterval LogRatioStats
 }
 
-// CrashSuspected says that a request seems to have crashed a backend server.
+// CrashSuspected reports that a request seems to have crashed a backend server.
 type CrashSuspected struct {
 	Fingerprint uint64
 }
@@ -199,7 +200,7 @@
 // gone.
 type RefreshServers struct{ Server string }
 
-// SlowStartCause says why servers enter slow start.
+// SlowStartCause is the reason for which servers enter slow start.
 type SlowStartCause string
 
 // The causes of a slow start.
@@ -211,7 +212,7 @@
 	CauseDomainUndrained SlowStartCause = "failure_domain_taken_back"
 )
 
-// SlowStartBegun says that servers enter slow start: one, or all of a failure domain if Server
+// SlowStartBegun reports that servers enter slow start: one, or all of a failure domain if Server
 // is empty.
 type SlowStartBegun struct {
 	Server   string
@@ -221,7 +222,7 @@
 	Cause    SlowStartCause
 }
 
-// RateLimitChanged says that a server's rate limit has changed.
+// RateLimitChanged reports that a server's rate limit has changed.
 type RateLimitChanged struct {
 	Server string
 	Limit  RateLimit
--- a/decision/passthrough/evidence.go
+++ b/decision/passthrough/evidence.go
@@ -28,7 +28,7 @@
 	return VersionCounts{New: c.New.since(o.New), Old: c.Old.since(o.Old)}
 }
 
-// SumRoutes returns the sum over all routes.
+// SumRoutes returns the sum of the counts of all routes.
 func SumRoutes(sums map[string]VersionCounts) VersionCounts {
 	var all VersionCounts
 	for _, p := range sums {
@@ -41,7 +41,7 @@
 // was ordered, and the recent ones alone, so that a good start does not hide a version that
 // turns bad late.
 type Evidence struct {
-	// bad says that the version was judged bad. It gets no requests from then on, so only
+	// bad is true if the version was judged bad. It gets no requests from then on, so only
 	// failures of the old version could make it look good again.
 	bad bool
 	// past are the counts at earlier evaluations, oldest first.
@@ -58,8 +58,8 @@
 // canary, short compared to a good first half of a roll-out.
 const recentWindow = 5 * time.Second
 
-// Evaluate takes in the current counts, which the caller must not change later, and says
-// whether the new version is bad, on any route or over all. That is final.
+// Evaluate records the current counts by route, and reports whether the new version is bad on any
+// route or over all routes. A bad verdict is final. The caller must not change sums afterwards.
 //
 // Load: a fault that cuts off the old version's responses while a bad version is being
 // reverted. Harm prevented: the bad version gets requests again, as the old one then looks no
@@ -89,7 +89,7 @@
 	return out
 }
 
-// anyRouteBad says whether the new version is bad on any route, or over all.
+// anyRouteBad reports whether the new version is bad on any route, or over all routes.
 func anyRouteBad(sums map[string]VersionCounts) bool {
 	for _, p := range sums {
 		if IsBad(p.New, p.Old) {
--- a/decision/passthrough/filter.go
+++ b/decision/passthrough/filter.go
@@ -8,7 +8,7 @@
 
 // candidates lists the servers that may take the request and have a free slot. It leaves
 // out ejected servers and those that the request has already tried, if there are others.
-// If all are ejected, the fault is likely with the requests or the network, and an
+// If all are ejected, the fault is likely in the requests or the network, and an
 // attempt is better than a refusal.
 func (w *World) candidates(r *request, views []serverView) []serverView {
 	fits, maxWait := w.versionFilter(r), r.maxPrefillWait(w.now)
@@ -36,9 +36,9 @@
 	return tried
 }
 
-// hasFreeSlot says whether the server has a free slot. It counts only what is known: if a
-// likely load kept an instance out, it would send the server nothing, and so never learn
-// its load.
+// hasFreeSlot reports whether the server has a free slot. It counts only the known
+// load: an instance kept away by an estimate would send the server nothing, and so never learn
+// its real load.
 func (v serverView) hasFreeSlot() bool {
 	s := v.server
 	slots := s.Slots
--- a/decision/passthrough/harness_test.go
+++ b/decision/passthrough/harness_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// harness drives a world by hand, with its own clock.
+// harness drives a World with a simulated clock and records its commands.
 type harness struct {
 	t     *testing.T
 	world *World
 	now   time.Time
 	next  RequestID
-	// commands by request, in order.
+	// commands are the Dispatch, Refuse and Finish commands by request, in order.
 	commands    map[RequestID][]Command
 	allCommands []Command
 	// dispatchedAt are the times of all dispatches.
@@ -22,6 +22,7 @@
 // testStart is an arbitrary time.
 var testStart = time.Unix(1_000_000, 0)
 
+// newHarness returns a harness. If cfg has no RetryWindow, default settings replace all of it.
 func newHarness(t *testing.T, cfg Settings) *harness {
 	t.Helper()
 	if cfg.RetryWindow == 0 {
@@ -111,6 +112,7 @@
 	return list[len(list)-1]
 }
 
+// requireDispatch fails the test unless the latest command on the request is a Dispatch.
 func (h *harness) requireDispatch(id RequestID) Dispatch {
 	h.t.Helper()
 	d, ok := h.last(id).(Dispatch)
@@ -120,6 +122,8 @@
 	return d
 }
 
+// requireRefusal fails the test unless the latest command on the request is a Refuse with the
+// reason.
 func (h *harness) requireRefusal(id RequestID, want Reason) Refuse {
 	h.t.Helper()
 	r, ok := h.last(id).(Refuse)
@@ -129,6 +133,7 @@
 	return r
 }
 
+// requireFinish fails the test unless the latest command on the request is a Finish.
 func (h *harness) requireFinish(id RequestID) {
 	h.t.Helper()
 	if _, ok := h.last(id).(Finish); !ok {
--- a/decision/passthrough/headroom.go
+++ b/decision/passthrough/headroom.go
@@ -1,10 +1,11 @@
 package passthrough
 
 // loadRamp reduces the use of the largest model as a measure of load grows: unrestricted up to
-// full-width, never from full on. For each lower priority, down to maxPrioritySteps, both bounds are
-// step lower: if not all requests can have the largest model, the important ones do.
+// full-width, never from full on. For each lower priority, up to maxPrioritySteps of them, both
+// bounds are lower by step, so that the largest model is kept for the higher priorities.
 type loadRamp struct{ full, step, width float64 }
 
+// maxPrioritySteps is the number of priority steps that lower the bounds of a loadRamp.
 const maxPrioritySteps = 2
 
 // headroom is how freely the largest model may be requested at a priority: 1 without restriction,
@@ -17,8 +18,8 @@
 var (
 	// utilizationRamp goes by the fraction of a service's slots that are taken: the largest model
 	// is ten times slower, and keeps slots taken for longer than the arrivals allow. The fraction
-	// is over all servers. Requests with the same prefix crowd on few servers, and with a fraction
-	// by server 12 in 100 responses were weak on a day with half of all slots free. It is a ramp
+	// is over all servers: requests with the same prefix crowd on few servers, and with a fraction
+	// by server up to 12 in 100 responses are weak while half of all slots are free. It is a ramp
 	// rather than a step, as an instance knows the load of 90 servers only to within a fifth of
 	// their slots, and with a step all instances would switch at once.
 	utilizationRamp = loadRamp{full: 1, step: 0.12, width: 0.25}
@@ -26,7 +27,7 @@
 	// latency.
 	//
 	// Load: more prompts than the largest model can process, at engines with free slots: an engine
-	// of 128 slots is saturated with prompts when 20 are taken. Harm prevented: prefill for the
+	// of 128 slots is saturated with prompts once 20 are taken. Harm prevented: prefill for the
 	// largest model that delays everything else, so that nearly all responses come late. The
 	// request of a dropped response waits a second time and takes ten times as long: from half of
 	// the target on it would be late.
@@ -52,9 +53,9 @@
 }
 
 // occupancyOf sums up the views of a service's servers, from this instance's own knowledge. That
-// is later and less complete than the peers' load reports, but its errors are the same on all
-// days, and the use of the largest model is tuned to it. With the peers' reports, which change
-// with each prompt, more prompts left their failure domain and more weak responses were kept.
+// is later and less complete than the peers' load reports, but its errors are steady, and the
+// bounds on the use of the largest model allow for them. The peers' reports change with each
+// prompt: with them more prompts leave their failure domain and more weak responses are kept.
 func occupancyOf(s *service, views []serverView) occupancy {
 	if s.slots <= 0 || len(views) == 0 {
 		return occupancy{}
--- a/decision/passthrough/health.go
+++ b/decision/passthrough/health.go
@@ -6,19 +6,19 @@
 	// healthMemory is the number of attempts that a server's failure ratio looks back
 	// on.
 	healthMemory = 12
-	// ejectionRatio is the ratio of failed attempts at which a server is ejected. A
-	// route's own failures, 14 in 100 at one of the sites, must not reach it.
+	// ejectionRatio is the ratio of failed attempts at which a server is ejected. It
+	// is above the failure ratio that a route may have with healthy servers, up to 14 in 100.
 	ejectionRatio = 0.35
 	// minEjectionFailures is the least number of recent failures for an ejection: fewer
-	// happen by chance.
+	// may happen by chance.
 	minEjectionFailures = 3
 	// minEjectionTime is how long a server is ejected before it is tried again. The
 	// time doubles with each further ejection, up to maxEjectionTime.
 	minEjectionTime = 1500 * time.Millisecond
 	maxEjectionTime = 12 * time.Second
-	// rejectedBackoff is how long a server is left out after it rejected a request.
+	// rejectedBackoff is how long a server is not chosen after it rejected a request.
 	rejectedBackoff = 150 * time.Millisecond
-	// unreachableBackoff is how long a server is left out after it could not be
+	// unreachableBackoff is how long a server is not chosen after it could not be
 	// reached: it is down, and a crashed server needs seconds to come back.
 	unreachableBackoff = 700 * time.Millisecond
 )
--- a/decision/passthrough/inactivity.go
+++ b/decision/passthrough/inactivity.go
@@ -6,11 +6,11 @@
 // been idle.
 type Inactivity struct {
 	Route *Route
-	// FirstByteTimeout of the dispatch; 0 for no bound of its own.
+	// FirstByteTimeout is that of the dispatch; 0 for no bound of its own.
 	FirstByteTimeout time.Duration
-	// PromptTokens to be processed before the first byte.
+	// PromptTokens is how many tokens are to be processed before the first byte.
 	PromptTokens int
-	// Begun says that the response began.
+	// Begun is true if the response has begun.
 	Begun bool
 	// AttemptIdle is the time since the attempt's last byte, or since its start.
 	// ServerIdle is the time since the server's last byte on any attempt, at most since
@@ -23,7 +23,7 @@
 	// gapFactor is how many times a stream's TargetGap an attempt may be idle once its
 	// response began: a preempted request pauses for longer than the target.
 	gapFactor = 2.5
-	// minGap is the lower bound of that.
+	// minGap is the least time that such an attempt may be idle.
 	minGap = 1500 * time.Millisecond
 	// serverIdleFraction is the fraction of the target latency, up to maxServerIdle, for
 	// which a server may be idle on all of its attempts before the first byte: a running
@@ -32,19 +32,19 @@
 	maxServerIdle      = 3 * time.Second
 	// prefillAllowance is allowed in addition for each prompt token: a large model
 	// processes 19 tokens per millisecond by itself, and less than half of that among
-	// other prompts. Without the allowance attempts with the largest prompts, of 50,000
-	// tokens, timed out again and again.
+	// other prompts. Without it every attempt with one of the largest prompts, of 50,000
+	// tokens, would time out.
 	prefillAllowance = 120 * time.Microsecond
 	// firstByteFactor is how many times the target latency the first byte may take in any
 	// case.
 	firstByteFactor = 2
 )
 
-// TimedOut says whether to give up on the attempt.
+// TimedOut reports whether to give up on the attempt.
 //
 // Load: servers that go down or hang, among others that are only busy. Harm prevented: a
-// caller who waits for a dead server; and, if requests are moved away from a busy one,
-// prefill that is repeated just when there is no time for it.
+// caller who waits for a server that is down; and, if requests are moved away from a busy one,
+// prefill that is repeated while the servers have no time for it.
 func (in Inactivity) TimedOut() bool {
 	if in.Route.Kind != KindStream {
 		return in.FirstByteTimeout > 0 && !in.Begun && in.AttemptIdle > in.FirstByteTimeout
--- a/decision/passthrough/intervals.go
+++ b/decision/passthrough/intervals.go
@@ -36,7 +36,7 @@
 
 func (p *intervalStats) baseline(model int) *baselineTimes { return entryFor(&p.baselines, model) }
 
-// entryFor returns the map's row for a model index, and creates it if needed.
+// entryFor returns the map's entry for a model index, and creates it if needed.
 func entryFor[T any](entries *map[int]*T, model int) *T {
 	if *entries == nil {
 		*entries = map[int]*T{}
@@ -77,7 +77,7 @@
 }
 
 // maxSlowdown bounds how slow a server is considered to be: enough to keep requests away,
-// but not for good after one stall of many seconds.
+// but not forever after one stall of many seconds.
 const maxSlowdown = 10
 
 // recordInterval records a response's event interval for its server and its service.
--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -72,7 +72,7 @@
 			return true
 		})
 		processCommands()
-		for id, at := range arrived { // the bound on queue waits, which is a timer of the edge in operation
+		for id, at := range arrived { // in operation a timer of the edge ends queue waits
 			if r := h.world.requests[id]; r != nil && r.queued && h.now.Sub(at) >= MaxQueueWait(&Request{TargetTime: at.Add(route.TargetLatency), Deadline: at.Add(route.Timeout)}, at) {
 				h.tick(QueueWaitExpired{id})
 			}
@@ -104,6 +104,8 @@
 	testWork    = 30 * time.Millisecond
 )
 
+// TestQueueStaysShortInABurst guards against a burst that leaves a queue so long that all
+// later responses come late.
 func TestQueueStaysShortInABurst(t *testing.T) {
 	burst := func(at time.Duration) float64 {
 		if at > 2*time.Second && at < 4*time.Second {
@@ -126,6 +128,8 @@
 	}
 }
 
+// TestLargeTeamDoesNotDisplaceSmallOnes guards against a large team's load that displaces
+// small teams.
 func TestLargeTeamDoesNotDisplaceSmallOnes(t *testing.T) {
 	callers := []plainCaller{{"large", 0, constantRate(1600)}}
 	for i := range 4 {
@@ -142,6 +146,8 @@
 	}
 }
 
+// TestHighPriorityGoesFirstWithoutStarvingLowPriority guards against requests of low priority
+// that delay those of high priority, or are starved by them.
 func TestHighPriorityGoesFirstWithoutStarvingLowPriority(t *testing.T) {
 	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{
 		{"a", 0, constantRate(420)}, {"b", 2, constantRate(600)},
@@ -154,6 +160,8 @@
 	}
 }
 
+// TestModerateLoadIsFullyServed guards against refusals and late responses at half of the
+// capacity.
 func TestModerateLoadIsFullyServed(t *testing.T) {
 	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{{"a", 0, constantRate(300)}})[0]
 	if got.refused > 0 || got.late > 0 {
@@ -163,7 +171,7 @@
 
 // TestStreamsThatOutliveTheInstanceAreRefused guards against streams that are cut off when their
 // instance stops: those that cannot end in time, here streams of six seconds, are refused
-// at once with a time to retry after. Plain calls are still served.
+// at once with a retry-after time. Plain requests are still served.
 func TestStreamsThatOutliveTheInstanceAreRefused(t *testing.T) {
 	h := newHarness(t, Settings{})
 	stream, plain := streamRoute(), plainRoute()
--- a/decision/passthrough/overload_test.go
+++ b/decision/passthrough/overload_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestGoodputHoldsUnderOverload guards against goodput that collapses under overload. It asks
-// for one to twelve times what the engines can bear with the large model for every second
-// request; with the small one alone they can bear six times that. The value that callers get
+// TestGoodputHoldsUnderOverload guards against goodput that collapses under overload. It sends
+// one to twelve times what the engines can serve with the large model for every second
+// request; with the small one alone they can serve six times that. The value that callers get
 // per second must not fall by more than a tenth from its peak.
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	peak := 0.0
@@ -33,7 +33,7 @@
 }
 
 // TestBurstOfOneTeamDoesNotDisplaceOthers guards against a burst of one team, ten times what the
-// engines can bear, that displaces four small teams.
+// engines can serve, that displaces four small teams.
 func TestBurstOfOneTeamDoesNotDisplaceOthers(t *testing.T) {
 	kinds := []simCallerKind{{team: "hot", rate: 10 * simCapacity}}
 	for i := range 4 {
@@ -94,7 +94,7 @@
 	inTime := got.inTarget + got.weak
 	t.Logf("%d sent, %d in time, %d late, %d refused, %d failed", got.sent, inTime, got.late, got.refused, got.failed)
 	if float64(inTime) < 0.7*6*capacity {
-		t.Errorf("%d responses in time, of %d that the engines can bear", inTime, 6*capacity)
+		t.Errorf("%d responses in time, of %d that the engines can serve", inTime, 6*capacity)
 	}
 	if got.late+got.failed > inTime/5 {
 		t.Errorf("%d late and %d failed, compared to %d in time", got.late, got.failed, inTime)
--- a/decision/passthrough/peerload.go
+++ b/decision/passthrough/peerload.go
@@ -50,7 +50,7 @@
 // applyPeerLoads applies a load report of all other instances. They have no load at servers that
 // are not in it.
 //
-// Load: dozens of instances with more engines than each of them hears from in a second, and
+// Load: dozens of instances with more engines than each of them gets responses from in a second, and
 // prompts that occupy an engine for most of a second. Harm prevented: two instances that
 // consider an engine idle and both send it such prompts, while other engines are idle.
 func (w *World) applyPeerLoads(e PeerLoads) {
@@ -73,5 +73,5 @@
 	}
 }
 
-// peerLoadsFresh says whether the load report of the other instances still counts.
+// peerLoadsFresh reports whether the load report of the other instances still counts.
 func (w *World) peerLoadsFresh() bool { return elapsedFraction(w.peerLoadsAt, w.now, peerLoadTTL) < 1 }
--- a/decision/passthrough/peerload_test.go
+++ b/decision/passthrough/peerload_test.go
@@ -7,8 +7,8 @@
 
 // TestManyInstancesShareTheirLoads guards against engines that two instances send long prompts to
 // at once because each considers them idle. It simulates forty instances and forty engines at half
-// and at all of what these can bear. Each instance hears from an engine only every few seconds by
-// its own responses, and a prompt of the large model occupies an engine for 0.2 s. With load
+// and at all of what these can serve. Each instance gets a response from an engine only every few
+// seconds, and a prompt of the large model occupies an engine for 0.2 s. With load
 // reports between the instances more responses must be good and in time.
 func TestManyInstancesShareTheirLoads(t *testing.T) {
 	const instances, engines, length = 40, 40, 12 * time.Second
--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -21,7 +21,7 @@
 // instances alike. Harm prevented: prefill that is repeated everywhere, and all instances
 // sending to the server that looked idle. A request goes to the server that its prefix hash
 // selects, which is the same at all instances without coordination, and to the next one by the
-// hash if that has more than its part of the load (consistent hashing with bounded loads).
+// hash if that has more than its share of the load (consistent hashing with bounded loads).
 func (w *World) pickServer(r *request, views []serverView, occ occupancy) (v serverView, ok bool) {
 	list := w.candidates(r, views)
 	if len(list) == 0 {
@@ -36,9 +36,9 @@
 	return w.pickByLoad(list), true
 }
 
-// pickByPrefix prefers the server with the highest hash score among those within the load
-// bound, in the own failure domain if there is time for that. If none is within the bound, it
-// takes the least loaded.
+// pickByPrefix prefers the server with the highest hash score among those within the load bound, in
+// this instance's failure domain if there is time for that. If none is within the bound, it takes
+// the least loaded.
 func (w *World) pickByPrefix(r *request, list []serverView, occ occupancy) serverView {
 	maxWeight, meanWait := loadBound(list), meanPrefillWait(list)
 	keepLocal := staysLocal(r, occ.prefillWait)
@@ -102,10 +102,10 @@
 // repeated in each failure domain to save the traffic of the prompt between domains.
 const maxRepeatedPrefill = 0.1
 
-// staysLocal says whether the request is kept in the own failure domain.
+// staysLocal reports whether the request is kept in this instance's failure domain.
 //
-// Load: prompts of 18 kB, two thirds of which went to another failure domain; that traffic
-// cost a thirtieth of the value of their responses. Harm prevented: that traffic; and, if
+// Load: prompts of 18 kB, two thirds of which would go to another failure domain. Harm
+// prevented: the cost of that traffic, a thirtieth of the value of their responses; and, if
 // engines are behind with prefill, the prefill of each shared prefix repeated in every failure
 // domain. In that case all requests of a prefix go to the server that the hash selects over
 // all domains, which has the prefix cached already, as it is also the one of its own domain.
@@ -123,8 +123,8 @@
 	return sharedFraction*wait < localPrefillWait && wait < maxLocalPrefillWait
 }
 
-// localPreference is the part of a request by which a server in the own failure domain is
-// preferred: that saves 3 ms, and traffic between failure domains.
+// localPreference is subtracted from the weight, in requests, of a server in this instance's
+// failure domain, which saves 3 ms and traffic between failure domains.
 const localPreference = 0.4
 
 // pickByLoad takes the better of two random servers; if there are few it compares all.
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -70,7 +70,7 @@
 	s.smallSent, s.smallServed = 0, 0
 }
 
-// play sends factor times what the servers can bear.
+// play sends factor times what the servers can serve.
 func (s *shopSim) play(length time.Duration, factor float64) {
 	due := 0.0
 	for until := s.now.Add(length); s.now.Before(until); {
@@ -187,9 +187,9 @@
 }
 
 // TestFullPlainServersAreNotOverloaded guards against overloading full servers. 100 instances send
-// up to eight times what five servers can bear, with requests that may run once. One that may
-// have run can only be reported as failed, so requests should be refused here rather than cut
-// off there; and the servers must stay busy.
+// up to eight times what five servers can serve, with requests that may run once. One that may
+// have run can only be reported as failed, so requests should be refused by the instances
+// rather than rejected by the servers; and the servers must stay busy.
 func TestFullPlainServersAreNotOverloaded(t *testing.T) {
 	for _, factor := range []float64{0.6, 1.5, 3, 8} {
 		route := onceRoute()
@@ -212,7 +212,7 @@
 }
 
 // TestBurstOfOneTeamLeavesSlotsToOthers guards against one team's burst of five times what the
-// servers can bear that displaces nine teams, which ask for a third of the capacity together.
+// servers can serve that displaces nine teams, which ask for a third of the capacity together.
 func TestBurstOfOneTeamLeavesSlotsToOthers(t *testing.T) {
 	route := onceRoute()
 	route.MaxAttempts, route.Timeout = 1, 1200*time.Millisecond
--- a/decision/passthrough/prefill.go
+++ b/decision/passthrough/prefill.go
@@ -33,9 +33,9 @@
 	// perModel is the prefill time of idle engines in seconds over prompt tokens, by model index;
 	// noModel stands for models named by callers.
 	perModel map[int]*ratio
-	// minFirstByte is the time to the first event without prefill, in seconds.
+	// minFirstByte is the time to the first byte without prefill, in seconds.
 	minFirstByte float64
-	// ownAccuracy is the ratio of actual to forecast times to the first event, both in seconds, for
+	// ownAccuracy is the ratio of actual to forecast times to the first byte, both in seconds, for
 	// forecasts from this instance's knowledge; peerAccuracy is for those from the peers' load
 	// reports.
 	ownAccuracy  ratio
@@ -81,7 +81,7 @@
 	return speed.value(prior, priorTokens)
 }
 
-// learn records the time to the first event of a response that had its engine for itself.
+// learn records the time to the first byte of a response that had its engine to itself.
 func (ps *prefillStats) learn(model, tokens int, took time.Duration) {
 	const drift = 1.001 // the minimum rises slowly, to forget an outlier
 	x := took.Seconds()
@@ -93,14 +93,14 @@
 }
 
 const (
-	// forecastMemory is how many seconds of forecasts the scale looks back on.
+	// forecastMemory is how many seconds of forecasts forecastScale looks back on.
 	forecastMemory = 20.0
-	// minScale and maxScale bound the scale: forecasts that are off by more are useless.
+	// minScale and maxScale bound forecastScale: forecasts that are off by more are useless.
 	minScale = 0.3
 	maxScale = 2.0
 )
 
-// observeFirstByte records how accurate the forecast of a response's first event was and, if the
+// observeFirstByte records how accurate the forecast of a response's first byte was and, if the
 // engine had no other prompts, how fast its prefill is.
 func (ps *prefillStats) observeFirstByte(r *request, e FirstByte) {
 	if !r.prefilling {
@@ -183,8 +183,8 @@
 // Load: more prompts than the engines can process. Harm prevented: all of them sent at once, so
 // that each waits for all others, including those of high priority and of small teams, and times
 // out at its deadline. Requests in this instance's queue are served by priority and team instead,
-// and can be refused as not run. A request that has run before is not held back: its caller would
-// have waited in vain.
+// and can be refused as not run. A request that may have run is not held back, as it cannot be
+// refused as not run and its caller would have waited for nothing.
 func (r *request) maxPrefillWait(now time.Time) float64 {
 	if !r.service.engine || r.mayHaveRun {
 		return math.Inf(1)
--- a/decision/passthrough/property_test.go
+++ b/decision/passthrough/property_test.go
@@ -165,7 +165,6 @@
 		h.t.Fatalf("request %d was dispatched after its end, or while it runs", c.Request)
 	}
 	if r.ran && !r.route.Retryable() {
-		// Low confidence is the only reason to repeat a request that may run at most once.
 		h.t.Fatalf("request %d of route %s was sent again though it may have run", c.Request, r.route.Name)
 	}
 	r.server = c.Server.ID
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -88,7 +88,8 @@
 	return count
 }
 
-// class returns the requests of a priority; q.classes is sorted by priority.
+// class returns the requests of a priority, which it adds if needed; q.classes is sorted by
+// priority.
 func (q *queue) class(priority int) *priorityClass {
 	at := 0
 	for at < len(q.classes) && q.classes[at].priority < priority {
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An overloaded server states how many requests per second it takes from all instances together. A
+// An overloaded server states how many requests per second it accepts from all instances together. A
 // subset of the instances sends to it, each a fixed part of the limit enforced by a token bucket;
-// the others send nothing. An instance that learns of a limit tells the others in its load reports.
+// the others send nothing. An instance that learns of a limit reports it to the others.
 
 const (
 	// limitUtilization is the fraction of a limit that is used: for a moment the instances may
@@ -27,14 +27,14 @@
 	limitBurstDuration = 500 * time.Millisecond
 	minLimitBurst      = 1.0
 	// limitProbeRate is how many requests per second go to a server whose limit is lower or zero:
-	// only its responses tell that the limit has risen.
+	// only a response can show that the limit has risen.
 	limitProbeRate = 0.05
-	// limitStaleAfter is how long no instance must have heard of a limit for another subset to take
-	// over, plus the time in which each instance of the present subset should have sent
-	// limitStaleSends requests: all of these may be gone.
+	// limitStaleAfter is the time without a statement of a limit to any instance after which another
+	// subset takes over, as all instances of the current one may be gone. The time in which each of
+	// these should have sent limitStaleSends requests is added.
 	limitStaleAfter = 10 * time.Second
 	limitStaleSends = 2
-	// limitProbeAfter is how long no instance must have heard of a limit for the next request to go
+	// limitProbeAfter is the time without a statement of a limit after which the next request goes
 	// to its server, in preference to all others.
 	limitProbeAfter = 5 * time.Second
 	// limitReportPeriod is how long after a server's response its limit, or the end of it, is
@@ -45,8 +45,8 @@
 // serverLimit is a server's rate limit as known to this instance.
 type serverLimit struct {
 	RateLimit
-	// statedAt is when the latest response that states the limit came in, at this instance if own,
-	// else at another one.
+	// statedAt is when the latest response that states the limit, or its end, arrived. own is true
+	// if it arrived at this instance.
 	statedAt time.Time
 	own      bool
 	// share is this instance's part of the limit in requests per second, computed from shareInputs.
@@ -63,7 +63,7 @@
 	rotation          uint64
 }
 
-// observeLimit applies what the response to a request that was sent at the given time states.
+// observeLimit applies the limit stated in a response; sent is when its request was sent.
 // Responses overtake each other: one without a limit ends the limit only if its request was sent
 // after the limit was stated.
 func (w *World) observeLimit(s *server, sent time.Time, stated RateLimit) {
@@ -127,8 +127,8 @@
 // usedLimit is how many requests per second all instances together send to a server with the limit.
 func usedLimit(perSecond float64) float64 { return limitUtilization * max(perSecond, limitProbeRate) }
 
-// limitRotation counts how often the subset has been replaced since any instance heard of the
-// server's limit.
+// limitRotation counts how often the subset has been replaced since the server last stated its
+// limit to any instance.
 func (s *server) limitRotation(now time.Time) uint64 {
 	perInstance := usedLimit(s.limit.PerSecond) / float64(limitSubset(s.limit.PerSecond))
 	period := limitStaleAfter + seconds(limitStaleSends/perInstance)
@@ -162,10 +162,10 @@
 	return used / float64(min(size, max(len(w.neighbours.hashes), 1)))
 }
 
-// allowLimit says whether the server's rate limit lets this instance send to it now. If the bucket
-// is empty, it schedules a wake-up for the next token.
+// allowLimit reports whether the server's rate limit lets this instance send to it now. If the
+// bucket is empty, it schedules a wake-up for the next token.
 //
-// Load: an overloaded server that takes a fifth of its usual requests, from hundreds of instances
+// Load: an overloaded server that accepts a fifth of its usual requests, from hundreds of instances
 // that each send it few. Harm prevented: instances that each keep to the limit by themselves and
 // together exceed it, so that the server does not recover.
 func (w *World) allowLimit(s *server) bool {
@@ -189,10 +189,10 @@
 	}
 }
 
-// pickStaleLimited returns a server whose limit no instance has heard of for limitProbeAfter.
+// pickStaleLimited returns a server that has stated its limit to no instance for limitProbeAfter.
 //
 // Load: many servers, so that the few instances that may send to a limited one hardly ever choose
-// it. Harm prevented: a server that takes everything again and gets nothing for a minute.
+// it. Harm prevented: a server that accepts everything again and gets nothing for a minute.
 func (w *World) pickStaleLimited(list []serverView) (v serverView, ok bool) {
 	if len(w.limitedServers) == 0 {
 		return serverView{}, false
@@ -205,8 +205,8 @@
 	return serverView{}, false
 }
 
-// limitsBlockVersion says whether rate limits keep every server of a version from taking a request
-// of this instance now.
+// limitsBlockVersion reports whether rate limits keep every server of a version from taking a
+// request of this instance now.
 func (w *World) limitsBlockVersion(s *service, version string) bool {
 	limited := false
 	for _, srv := range s.servers {
@@ -272,7 +272,7 @@
 	return min(b.tokens+b.rate*now.Sub(b.at).Seconds(), capacity)
 }
 
-// nextToken refills the bucket. ok says whether it holds a token; if not, at is when it will.
+// nextToken refills the bucket. ok reports whether it holds a token; if not, at is when it will.
 func (b *tokenBucket) nextToken(now time.Time) (at time.Time, ok bool) {
 	const rounding = 1e-9
 	b.tokens, b.at = b.available(now), now
--- a/decision/passthrough/ratelimit_bound_test.go
+++ b/decision/passthrough/ratelimit_bound_test.go
@@ -21,7 +21,7 @@
 		f.play(16*time.Second, load)
 		f.checkLimits(stated)
 		if f.refused > 0 {
-			t.Errorf("%d instances: %d requests refused while other servers had room", size.instances, f.refused)
+			t.Errorf("%d instances: %d requests refused while other servers had free capacity", size.instances, f.refused)
 		}
 	}
 }
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -27,7 +27,7 @@
 	servers   []Server
 	// limits are the limits in force, by server.
 	limits map[string]float64
-	// limitSeenAt is when an instance first got a response that states a limit.
+	// limitSeenAt is when an instance first got a response that states a limit, by server.
 	limitSeenAt map[limitKey]time.Time
 	// arrivals are the requests that each server got.
 	arrivals map[string][]limitArrival
@@ -191,7 +191,7 @@
 	f.carryOut()
 }
 
-// begin sends the head of a response.
+// begin sends the headers of a response.
 func (f *limitFleet) begin(run *limitRun) {
 	run.begun = true
 	h := f.instances[run.instance]
@@ -212,7 +212,7 @@
 }
 
 // maxInWindow is the largest number of requests in a window that begins at from or later, from
-// instances that had been told of the limit by then.
+// instances that had seen the limit limitNotice before.
 func (f *limitFleet) maxInWindow(server string, from time.Time) int {
 	var at []time.Time
 	for _, a := range f.arrivals[server] {
--- a/decision/passthrough/ratelimit_refuse_test.go
+++ b/decision/passthrough/ratelimit_refuse_test.go
@@ -21,8 +21,9 @@
 	return h
 }
 
-// TestRequestsAreRefusedIfAllServersAreLimited guards against requests that wait in vain when the servers' limits leave
-// no room: they are refused at once, as not run, with a time after which there is room.
+// TestRequestsAreRefusedIfAllServersAreLimited guards against requests that are queued without a
+// chance when the servers' limits are used up: they are refused at once, as not run, with a
+// retry-after time.
 func TestRequestsAreRefusedIfAllServersAreLimited(t *testing.T) {
 	h := newLimitedHarness(t, 0.5, 3)
 	const seconds, perSecond = 20, 10
@@ -38,7 +39,7 @@
 			case Refuse:
 				refused++
 				if c.Reason != ReasonLimited || c.RetryAfter < minRetryAfter {
-					t.Fatalf("refused with %+v", c)
+					t.Fatalf("got refusal %+v, want one for a rate limit with a retry-after time", c)
 				}
 			}
 		}
@@ -59,7 +60,7 @@
 		if r, ok := h.last(id).(Refuse); ok {
 			refused++
 			if r.Reason != ReasonLimited || r.RetryAfter <= 0 {
-				t.Errorf("refused with %+v", r)
+				t.Errorf("got refusal %+v, want one for a rate limit with a retry-after time", r)
 			}
 		} else if h.last(id) == nil {
 			t.Error("the request waits, want a refusal or a dispatch")
@@ -113,9 +114,9 @@
 	}
 }
 
-// TestLimitedCanaryFallsBackToTheOldVersion guards against callers in the canary's share that wait
-// because all servers of the new version are limited: what these may not take now goes to the old
-// version.
+// TestLimitedCanaryFallsBackToTheOldVersion guards against callers in the canary's share that
+// wait because all servers of the new version are limited: requests that these may not take now go
+// to the old version.
 func TestLimitedCanaryFallsBackToTheOldVersion(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
--- a/decision/passthrough/ratelimit_test.go
+++ b/decision/passthrough/ratelimit_test.go
@@ -27,7 +27,7 @@
 	h.tick(AttemptEnded{Request: limited, Result: Completed, Limit: &RateLimit{Limited: true, PerSecond: 100}})
 	h.tick(AttemptEnded{Request: early, Result: Completed, Limit: &RateLimit{}})
 	if got := limitChanges(h); len(got) != 1 || got[0].Limit.PerSecond != 100 {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("limit changes: got %+v, want one with 100 per second", got)
 	}
 	h.advance(50 * time.Millisecond)
 	later := h.arrive(plainRoute(), nil)
@@ -36,7 +36,7 @@
 	}
 	h.tick(AttemptEnded{Request: later, Result: Completed, Limit: &RateLimit{}})
 	if got := limitChanges(h); len(got) != 2 || got[1].Limit.Limited {
-		t.Errorf("got %+v", got)
+		t.Errorf("limit changes: got %+v, want a second one that ends the limit", got)
 	}
 }
 
@@ -47,6 +47,6 @@
 	h.tick(ServersListed{servers("llm", 1, 8)})
 	h.tick(FirstByte{Request: h.arrive(streamRoute(), nil), Limit: RateLimit{Limited: true, PerSecond: 1.4}})
 	if got := limitChanges(h); len(got) != 1 || got[0].Limit.PerSecond != 1.4 {
-		t.Errorf("got %+v", got)
+		t.Errorf("limit changes: got %+v, want one with 1.4 per second", got)
 	}
 }
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// arrive admits a request: it dispatches it, queues it, or refuses it with a time to retry after.
+// arrive admits a request: it dispatches it, queues it, or refuses it with a retry-after time.
 func (w *World) arrive(in Request) {
 	r := &request{Request: in, arrived: w.now, model: noModel}
 	r.service = w.serviceOf(in.Service)
@@ -30,15 +30,15 @@
 	w.enqueue(r)
 }
 
-// durationFactor is how many times the mean a response is assumed to take, as half of the
-// responses take longer than the mean.
+// durationFactor is applied to the mean response time as a safety margin, as many responses take
+// longer than the mean.
 const durationFactor = 1.3
 
-// outlivesInstance says whether the response would be cut off as this instance stops.
+// outlivesInstance reports whether the response would be cut off as this instance stops.
 //
-// Load: an instance that is told to stop and still gets requests until the load balancer notices,
-// among them streams as long as its whole grace period. Harm prevented: a stream that is cut
-// midway, where a refusal sends the caller to an instance that stays.
+// Load: an instance that is stopping and still gets requests until the load balancer notices, among
+// them streams as long as its whole grace period. Harm prevented: a stream that is cut off
+// midway, while a refusal sends the caller to an instance that stays.
 func (w *World) outlivesInstance(r *request) bool {
 	if w.endsAt.IsZero() || r.Route.Kind != KindStream {
 		return false
@@ -46,7 +46,7 @@
 	return w.now.Add(w.expectedDuration(r.Route, durationFactor)).After(w.endsAt)
 }
 
-// throttled counts the request, and says whether it is refused because its service rejects too
+// throttled counts the request, and reports whether it is refused because its service rejects too
 // many.
 func (w *World) throttled(r *request) bool {
 	t := &r.service.throttle
@@ -61,7 +61,7 @@
 //
 // Load: demand above capacity. Harm prevented: callers who wait for responses that come too late.
 // The queue is no longer than what drains within the wait that the request can afford; others are
-// refused at once with a time to retry after.
+// refused at once with a retry-after time.
 func (w *World) enqueue(r *request) {
 	s := r.service
 	if reason := w.serverRefusal(r); reason != "" {
@@ -76,8 +76,8 @@
 	s.queue.push(r, w.cost(r))
 }
 
-// waitRefusal gives the reason for a refusal if the request would wait too long in the queue; ""
-// if it would not.
+// waitRefusal returns the reason for a refusal if the request would wait too long in the queue, or
+// "" if it would not.
 func (w *World) waitRefusal(r *request) Reason {
 	maxWait := MaxQueueWait(&r.Request, w.now)
 	if wait, limited := w.limitWait(r); limited {
@@ -92,8 +92,8 @@
 	return ""
 }
 
-// serverRefusal gives the reason for a refusal if no server may take the request, now or once it
-// has a free slot; "" if one may.
+// serverRefusal returns the reason for a refusal if no server may take the request, now or once it
+// has a free slot, or "" if one may.
 func (w *World) serverRefusal(r *request) Reason {
 	fits := w.versionFilter(r)
 	reason := ReasonNoServer
@@ -109,16 +109,16 @@
 	return reason
 }
 
-// cost is the size of a request in the teams' fair shares, in generated tokens. Prompt tokens cost
-// less, as they are processed in parallel.
+// cost returns the request's cost in the teams' fair shares, in units of one generated token.
+// Prompt tokens cost less, as they are processed in parallel.
 func (w *World) cost(r *request) float64 {
-	const promptWeight = 0.1 // of a generated token's cost, as decision.Config.PromptWeight
+	const promptWeight = 0.1 // of a generated token's cost
 	return promptWeight*float64(r.PromptTokens) + float64(r.MaxTokens)
 }
 
 // queueWaitExpired refuses a request that has waited for as long as it may, unless a server has
-// room by now: knowledge about engines ages without an event that would dispatch the request
-// earlier.
+// a free slot by now: load reports of engines expire without an event that would dispatch the
+// request earlier.
 func (w *World) queueWaitExpired(id RequestID) {
 	r := w.requests[id]
 	if r == nil || !r.queued {
@@ -131,7 +131,8 @@
 	}
 }
 
-// cancel removes a request that nobody waits for. The end of its attempt is reported separately.
+// cancel removes a request that its caller no longer waits for. The end of its attempt is reported
+// separately.
 func (w *World) cancel(id RequestID) {
 	r := w.requests[id]
 	if r == nil {
@@ -196,15 +197,15 @@
 	// minRetryAfter and maxRetryAfter bound the retry-after time of a refusal.
 	minRetryAfter = 150 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// retryAfterFraction is the largest fraction of its remaining time that a caller is told to
-	// wait.
+	// retryAfterFraction bounds the retry-after time, before jitter, as a fraction of the time to
+	// the request's deadline.
 	retryAfterFraction = 0.3
-	// retryAfterJitter spreads the times of callers that were refused together, so that they do
-	// not return together.
+	// retryAfterJitter is the largest fraction that is added at random, so that callers that were
+	// refused together do not return together.
 	retryAfterJitter = 0.5
 )
 
-// refuse ends a request that has not run, and tells the caller when to retry.
+// refuse ends a request that has not run, with a retry-after time for its caller.
 func (w *World) refuse(r *request, reason Reason) {
 	retryAfter := r.service.intervals.departures.wait(r.service.queue.ahead(r))
 	switch reason {
--- a/decision/passthrough/requests_test.go
+++ b/decision/passthrough/requests_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// TestAtMostOnceIsNotRetriedAfterItMayHaveRun guards against a second run of a request that
+// may run at most once.
 func TestAtMostOnceIsNotRetriedAfterItMayHaveRun(t *testing.T) {
 	for _, result := range []Result{Failed, Broken} {
 		h := newHarness(t, Settings{})
@@ -17,6 +19,8 @@
 	}
 }
 
+// TestAtMostOnceIsRetriedIfNotRun guards against giving up on a request that may run at most
+// once though it has not run, and against retrying it at the same server.
 func TestAtMostOnceIsRetriedIfNotRun(t *testing.T) {
 	for _, result := range []Result{NotSent, Rejected} {
 		h := newHarness(t, Settings{})
@@ -32,6 +36,8 @@
 	}
 }
 
+// TestAttemptsAreBounded guards against more attempts than the route allows, and against
+// refusing a request as not run that has run.
 func TestAttemptsAreBounded(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -46,6 +52,8 @@
 	h.requireRefusal(never, ReasonAttempts)
 }
 
+// TestUnreachableServersDoNotUseUpAttempts guards against counting dispatches that reach no
+// server as attempts.
 func TestUnreachableServersDoNotUseUpAttempts(t *testing.T) {
 	h := newHarness(t, Settings{})
 	route := onceRoute()
@@ -59,6 +67,8 @@
 	}
 }
 
+// TestNoServerIsRefusedWithRetryAfter guards against requests that wait, or are refused
+// without a useful retry-after time, if the service has no server.
 func TestNoServerIsRefusedWithRetryAfter(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -69,6 +79,8 @@
 	}
 }
 
+// TestCrashingRequestIsRefusedAfterThreeCrashes guards against a request that crashes one
+// server after the other, at several instances.
 func TestCrashingRequestIsRefusedAfterThreeCrashes(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -87,6 +99,8 @@
 	h.requireDispatch(h.arrive(plainRoute(), crashing))
 }
 
+// TestResponseClearsCrashCount guards against quarantining a request for lost connections that
+// a response has followed.
 func TestResponseClearsCrashCount(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -100,6 +114,8 @@
 	h.requireDispatch(h.arrive(plainRoute(), same))
 }
 
+// TestRetryBudgetHoldsInEveryWindow guards against more retries in any window than the budget
+// allows.
 func TestRetryBudgetHoldsInEveryWindow(t *testing.T) {
 	cfg := Settings{Seed: 1, RetryRatio: 0.3, RetrySlack: 2, RetryWindow: 10 * time.Second}
 	h := newHarness(t, cfg)
@@ -137,13 +153,16 @@
 				requests++
 			}
 		}
-		// The error of one bucket of the window is covered by the platform's slack.
+		// Buckets leave the window as a whole, so the limit is wider by two of them and by the
+		// slack.
 		if limit := 0.3*float64(requests)*(1+2.0/budgetBuckets) + 2*cfg.RetrySlack + 1; float64(retries) > limit {
 			t.Fatalf("%d retries for %d requests in the window from arrival %d, want at most %.1f", retries, requests, i, limit)
 		}
 	}
 }
 
+// TestExpiredRequestIsRefused guards against dispatching a request whose deadline has passed
+// on arrival.
 func TestExpiredRequestIsRefused(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(plainRoute())
@@ -152,6 +171,8 @@
 	h.requireRefusal(id, ReasonDeadline)
 }
 
+// TestSlackIsSharedByTheFleet guards against an instance that uses more than its part of the
+// retry budget's slack.
 func TestSlackIsSharedByTheFleet(t *testing.T) {
 	h := newHarness(t, Settings{Seed: 1, RetryRatio: 0, RetrySlack: 23, RetryWindow: 10 * time.Second})
 	h.configure(plainRoute())
@@ -169,8 +190,8 @@
 	}
 }
 
-// TestResultMayHaveRun guards against refusing a request as not run that may have run: edge
-// and world share this definition, and a response that was dropped for its low confidence
+// TestResultMayHaveRun guards against refusing a request as not run that may have run: the
+// edge and World share this definition, and a response that was dropped for its low confidence
 // has run.
 func TestResultMayHaveRun(t *testing.T) {
 	for result, want := range map[Result]bool{
--- a/decision/passthrough/rollout.go
+++ b/decision/passthrough/rollout.go
@@ -15,7 +15,7 @@
 	PhaseReverted
 )
 
-// Ended says whether the roll-out is over.
+// Ended reports whether the roll-out is over.
 func (p Phase) Ended() bool { return p == PhaseCompleted || p == PhaseReverted }
 
 // Order asks to move a service's traffic to the version Target.
@@ -32,17 +32,17 @@
 	Phase Phase
 	// Share is the fraction of the requests that the new version gets.
 	Share float64
-	// FirstHalf says that open sessions still stay at the old version.
+	// FirstHalf is true while open sessions still stay at the old version.
 	FirstHalf bool
 	// CompleteAt is when the roll-out is to be completed; zero if that is not planned. MaxLead
 	// bounds how long before that requests may already go to the new version.
 	CompleteAt time.Time
 	MaxLead    time.Duration
-	// Held says that the roll-out's time is over, but the evidence neither clears the new
-	// version nor shows it to be bad.
+	// Held is true if the roll-out's time is over, but the evidence shows the new version
+	// neither to be good nor to be bad.
 	Held bool
-	// CollectingSessions says that the instances are still telling each other which sessions
-	// are open. The new version gets no requests meanwhile.
+	// CollectingSessions is true while the instances are still reporting to each other which
+	// sessions are open. The new version gets no requests meanwhile.
 	CollectingSessions bool
 }
 
@@ -50,7 +50,7 @@
 	// canaryFraction is the canary's part of the share that the platform allows: most of the
 	// share is needed at the end, when all new requests go to the new version.
 	canaryFraction = 0.3
-	// maxCollectingTime is how long the instances take to tell each other the open sessions: a
+	// maxCollectingTime is how long the instances take to report the open sessions to each other: a
 	// write and a read of each, a second apart.
 	maxCollectingTime = 3 * time.Second
 	// collectingFraction bounds that in short roll-outs, as a fraction of their duration.
@@ -67,8 +67,9 @@
 	// minBadForVerdict is the least number of bad responses for a verdict: single failures
 	// happen to good versions too.
 	minBadForVerdict = 5
-	// minBadAtCompletion is the same at the end, as a completion cannot be undone: two of
-	// eleven responses at most.
+	// minBadAtCompletion is the least number of bad responses that may prevent a completion, which
+	// cannot be undone. For two bad responses to prevent it, they must be among about
+	// eleven or fewer.
 	minBadAtCompletion = 2
 	// badFloor is the ratio of bad responses that any version is allowed; badFactor times the
 	// old version's ratio is added to it, as failing servers and lost responses affect both
@@ -86,7 +87,7 @@
 	oldPriorWeight = 10
 )
 
-// IsBad says whether the new version is bad, by the counts of all instances.
+// IsBad reports whether the new version is bad, by the counts of all instances.
 //
 // Load: a version that fails some of its responses or is slow, at once, later, or on one route
 // only. Harm prevented: callers who get its responses until a person notices. Evidence also
@@ -98,18 +99,18 @@
 	return failsTooOften(newCounts, oldCounts, minBadForVerdict)
 }
 
-// slowTooOften says whether the new version has more slow responses than it is allowed,
+// slowTooOften reports whether the new version has more slow responses than it is allowed,
 // relative to the old one.
 //
 // Load: a version that is slow in part of its responses, in a burst. Harm prevented: it is
-// completed because its mean alone is near the limit, as the other part is fast on servers that
-// have little to do: one that was six times as slow in 60 of 100 responses was completed at 1.7
-// times the usual event interval.
+// completed because its mean is below the limit, as the other part is fast on servers that have
+// little to do: six times as slow in 60 of 100 responses, it may have a mean of only 1.7 times the
+// usual event interval.
 func slowTooOften(newTimes, oldTimes LogRatioStats) bool {
 	return newTimes.slow().exceeds(oldTimes.slow(), minBadForVerdict)
 }
 
-// failsTooOften says whether the new version has at least minBad bad responses and fails more
+// failsTooOften reports whether the new version has at least minBad bad responses and fails more
 // than it is allowed, relative to the old one.
 func failsTooOften(newCounts, oldCounts Counts, minBad int) bool {
 	return newCounts.failed().exceeds(oldCounts.failed(), minBad)
@@ -118,7 +119,7 @@
 // proportion counts the responses of a version that were bad in one way.
 type proportion struct{ bad, total int }
 
-// exceeds says whether the new version has at least minBad bad responses and a larger
+// exceeds reports whether the new version has at least minBad bad responses and a larger
 // proportion of them than it is allowed, relative to the old one.
 func (p proportion) exceeds(old proportion, minBad int) bool {
 	oldRatio := old.smoothed(oldPriorWeight)
@@ -158,12 +159,12 @@
 		r.Phase, r.Share = PhaseReverted, 0
 	case elapsed >= complete && failsTooOften(newCounts, oldCounts, minBadAtCompletion):
 		// Load: a version of which little is known, as instances were killed or disconnected.
-		// Harm prevented: one that failed two of seven responses is completed all the same.
+		// Harm prevented: one that failed two of seven responses is completed.
 		r.Phase, r.Share = PhaseReverted, 0
 	case inDoubt:
 		// Load: a version that looks slow in a burst, without enough responses to be sure. Harm
-		// prevented: the old servers are gone when it turns out to be slow. It is completed late
-		// rather than wrongly.
+		// prevented: the old servers are gone when it turns out to be slow. A late completion is
+		// better than a wrong one.
 		r.Held = elapsed >= complete
 		if newCounts.suspectCount() >= maxSuspects {
 			r.Share = 0
@@ -174,9 +175,9 @@
 	return r
 }
 
-// maxSuspects is how many failed or slow responses a doubtful version may give before it gets
-// no more requests: the platform tolerates 50 of a bad version, and the counts of all instances
-// lag by some ten responses.
+// maxSuspects is how many failed or slow responses a version in doubt may give before it gets no
+// more requests: the platform tolerates 50 of a bad version, and the counts of all instances lag
+// by some ten responses.
 const maxSuspects = 40
 
 // suspectCount is the number of responses that would be bad if the version is.
--- a/decision/passthrough/rollout_load_test.go
+++ b/decision/passthrough/rollout_load_test.go
@@ -23,8 +23,8 @@
 	plannedAt time.Time
 	end       Phase
 	endedAt   time.Time
-	// badAt are the ends of slow responses of the new version. overBound counts the requests that
-	// it got more than simBound after the 50th of them, requests all that it got.
+	// badAt are the times at which slow responses of the new version ended. overBound counts the
+	// requests that it got more than simBound after the 50th of these, requests all that it got.
 	badAt     []time.Time
 	overBound int
 	requests  int
@@ -113,7 +113,7 @@
 	}
 }
 
-// playRollout simulates a roll-out of 20 s under load times what the engines can bear; that load
+// playRollout simulates a roll-out of 20 s under load times what the engines can serve; that load
 // begins a second before the order and lasts for 14 s.
 func playRollout(t *testing.T, seed uint64, load, share, factor float64) *simRollout {
 	s := newSim(t, 3, []simCallerKind{{team: "a", rate: simCapacity}})
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestSlowVersionIsFoundAtTwelveTimesTheLoad is the same at twice what the engines can bear with
+// TestSlowVersionIsFoundAtTwelveTimesTheLoad is the same at twice what the engines can serve with
 // the small model alone: there the canary gives 50 slow responses in less than two seconds.
 func TestSlowVersionIsFoundAtTwelveTimesTheLoad(t *testing.T) {
 	checkSlowVersions(t, 12)
@@ -189,5 +189,5 @@
 	}
 }
 
-// simLoads are the loads during a roll-out, as multiples of what the engines can bear.
+// simLoads are the loads during a roll-out, as multiples of what the engines can serve.
 var simLoads = []float64{0.5, 1.5, 3, 6}
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// TestPlanRollout guards against a phase that does not follow from the time and the verdict,
+// and against a canary with more than its share.
 func TestPlanRollout(t *testing.T) {
 	o := Order{Service: "llm", Target: "v2", Duration: 24 * time.Second}
 	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
@@ -95,6 +97,7 @@
 	}
 }
 
+// TestIsBad guards against wrong verdicts by the counts of good and bad responses.
 func TestIsBad(t *testing.T) {
 	tests := []struct {
 		name                 string
@@ -174,8 +177,8 @@
 }
 
 // TestLongPromptsDoNotMakeAVersionSlow guards against reverting good versions by their times to the
-// first event: eight responses of one route, some with long prompts and a cold cache. The ratios
-// are like those that good versions had.
+// first byte: eight or twelve responses of one route, some with long prompts and a cold cache, with
+// ratios that good versions may have.
 func TestLongPromptsDoNotMakeAVersionSlow(t *testing.T) {
 	for _, ratios := range [][]float64{{2, 3, 9, 2.5, 6, 4, 2, 3}, {1, 12, 8, 2, 9, 1.5, 3, 5, 2, 4, 1, 2}} {
 		var c Counts
@@ -195,8 +198,8 @@
 	}
 }
 
-// TestVersionWithoutCompletedStreamsIsJudged guards against completing a version whose streams are so slow
-// that none ends within the roll-out: the intervals of their first events are reported.
+// TestVersionWithoutCompletedStreamsIsJudged guards against completing a version whose streams are
+// so slow that none ends within the roll-out: the intervals of their first events are reported.
 func TestVersionWithoutCompletedStreamsIsJudged(t *testing.T) {
 	h := newRolloutHarness(t)
 	h.tick(canaryUpdate(true))
@@ -212,7 +215,7 @@
 		id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.9 })
 		collect(h.tick(EventIntervalMeasured{Request: id, EventInterval: 40 * time.Millisecond}))
 		collect(h.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: 40 * time.Millisecond}))
-		if i%4 == 3 { // these never end
+		if i%4 == 3 { // these streams never end
 			id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.1 })
 			collect(h.tick(EventIntervalMeasured{Request: id, EventInterval: 400 * time.Millisecond}))
 		}
@@ -249,7 +252,7 @@
 		}
 	}
 	for i := range 60 {
-		// Times to a first event vary sixfold, with the length of prompts.
+		// Times to the first byte vary sixfold, with the length of prompts.
 		spread := time.Duration(1 + i%6)
 		run(0.9, 50*time.Millisecond*spread, 40*time.Millisecond)
 		if i%4 == 0 {
@@ -260,6 +263,8 @@
 	return reported
 }
 
+// TestSlowVersionIsFoundDespiteSpreadTimes guards against missing a slow version, or reverting
+// a good one, because the times of single responses vary with the length of prompts.
 func TestSlowVersionIsFoundDespiteSpreadTimes(t *testing.T) {
 	tests := []struct {
 		name                string
--- a/decision/passthrough/seam/seam.go
+++ b/decision/passthrough/seam/seam.go
@@ -1,4 +1,4 @@
-// Package seam defines what a platform adapter and the router's edge exchange: plain
+// Package seam is the interface between a platform adapter and the router's edge: plain
 // types that are independent of the platform. An adapter converts between them and the
 // platform's messages, and makes no decisions.
 package seam
@@ -9,13 +9,13 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// Caller is what a caller's request headers say.
+// Caller is what a caller's request headers state.
 type Caller struct {
 	// RequestID is the caller's id of this request.
 	RequestID string
 	// Key is the caller's API key; empty for none.
 	Key string
-	// Timeout is how long the caller waits; 0 if it did not say.
+	// Timeout is how long the caller waits; 0 if not stated.
 	Timeout time.Duration
 	// Session is empty for none.
 	Session string
@@ -27,13 +27,13 @@
 	// PromptTokens and MaxTokens are the size of the request; 0 if unknown.
 	PromptTokens int
 	MaxTokens    int
-	// ChooseModel says that the router chooses the model.
+	// ChooseModel is true if the router chooses the model.
 	ChooseModel bool
 	// LastEventID is the id of the last event that the caller has, -1 for none.
 	LastEventID int64
 }
 
-// Attempt is what the router tells a backend server about a request.
+// Attempt is what the router states to a backend server about a request.
 type Attempt struct {
 	Server string
 	Team   string
@@ -46,19 +46,19 @@
 	LastEventID int64
 }
 
-// Response is what a backend server's response headers say.
+// Response is what a backend server's response headers state.
 type Response struct {
 	// RequestID is the echoed id of the request.
 	RequestID string
-	// Signed says that the server signed the response.
+	// Signed is true if the server signed the response.
 	Signed bool
-	// NotRun says that the server has not run the request.
+	// NotRun is true if the server has not run the request.
 	NotRun bool
-	// Misdirected says that another server now has the address.
+	// Misdirected is true if another server now has the address.
 	Misdirected bool
-	// Leaving says that the server closes the connection.
+	// Leaving is true if the server closes the connection.
 	Leaving bool
-	// Encoded says that the body is not the server's own bytes.
+	// Encoded is true if the body is not the server's own bytes.
 	Encoded bool
 	// Load is the server's load if HasLoad.
 	Load    passthrough.Load
--- a/decision/passthrough/seam/settings.go
+++ b/decision/passthrough/seam/settings.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Settings is what a platform tells a process about itself and its environment.
+// Settings are what a platform provides to a process about itself and its environment.
 type Settings struct {
 	// Instance is the name of this instance.
 	Instance string
-	// FirstStart says that the whole system is starting for the first time.
+	// FirstStart is true if the whole system is starting for the first time.
 	FirstStart bool
 	// Domain is the instance's failure domain.
 	Domain string
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -26,7 +26,7 @@
 }
 
 // setServers applies a list of backend servers. A server that restarted under its id gets
-// a new row, as all that was known is about its previous process.
+// a new entry, as all that was known is about its previous process.
 func (w *World) setServers(list []Server) {
 	seen := make(map[string]bool, len(list))
 	for _, s := range list {
@@ -110,13 +110,13 @@
 }
 
 const (
-	// engineLoadTTL is how long an engine's reported load counts: at 13 requests per
-	// second over 15 servers an instance gets a report of each about once a second.
+	// engineLoadTTL is how long an engine's reported load counts: an instance that sends 13
+	// requests per second to 15 servers gets a report of each about once a second.
 	engineLoadTTL = 3 * time.Second
 	// plainLoadResponses is the same for a plain server, in mean response times, with the
-	// lower bound minPlainLoadTTL. A burst of 30 ms calls is over before another instance
-	// learns of it: with a TTL of seconds each of 81 instances refused a tenth of the
-	// calls while servers were idle.
+	// lower bound minPlainLoadTTL. A burst of requests of 30 ms is over before another
+	// instance learns of it: with a TTL of seconds, each of 81 instances may refuse a tenth
+	// of the requests while servers are idle.
 	plainLoadResponses = 6
 	minPlainLoadTTL    = 60 * time.Millisecond
 )
@@ -136,7 +136,7 @@
 	return float64(s.reported.Running + s.reported.Waiting - s.ownAtReport)
 }
 
-// usable says whether the server may get new requests, ejected or not.
+// usable reports whether the server may get new requests, ejected or not.
 func (s *server) usable(now time.Time) bool {
 	return !s.gone && !s.Leaving && !s.drained && !now.Before(s.backoffUntil)
 }
--- a/decision/passthrough/sessions.go
+++ b/decision/passthrough/sessions.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// sessionMargin is how long a session's version is kept beyond the platform's own bound
-// after its last request: clocks differ, and a response may end late.
+// sessionMargin is how long a session's version is kept beyond SessionTTL after the deadline
+// of its last request: clocks differ, and a response may end late.
 const sessionMargin = 2 * time.Second
 
 // sessionEntry is the service and version that a session last ran on.
@@ -14,12 +14,12 @@
 	until           time.Time
 }
 
-// wantsTarget says whether a request goes to the roll-out's target.
+// wantsTarget reports whether a request goes to the roll-out's target.
 //
 // Load: sessions whose requests come to any instance, during a roll-out. Harm prevented:
 // a session that changes its version midway. Sessions that are open when the roll-out is
 // ordered stay at the old version through the first half: before the canary gets any
-// traffic, the instances tell each other the open sessions in its share, a few each. All
+// traffic, the instances report the open sessions in its share to each other, a few each. All
 // other sessions in the share belong to the new version, by a hash that is the same at
 // all instances, and stay there.
 func (w *World) wantsTarget(r *request, ro *Rollout) bool {
@@ -47,7 +47,7 @@
 	return r.RolloutPosition < ro.Share
 }
 
-// switchesEarly says whether the request goes to the new version because it would still
+// switchesEarly reports whether the request goes to the new version because it would still
 // run at the old one when the roll-out is completed.
 //
 // Load: streams that take many seconds, at old servers that stop at once when the
--- a/decision/passthrough/sim_test.go
+++ b/decision/passthrough/sim_test.go
@@ -10,14 +10,14 @@
 
 // The engines of these tests process one prompt after the other, and generate between its chunks of
 // 4,000 tokens: 300 tokens per millisecond with the small model, 30 with the large one. The small
-// model's response is good for one request in two, and its confidence says so.
+// model's response is good for one request in two, and its confidence shows that.
 const (
 	simEngines = 6
 	simSlots   = 128
 	simStep    = 5 * time.Millisecond
 	simEvents  = 8 // of 15 ms each
 	simTokens  = 2000
-	// simCapacity is how many requests per second the engines can bear with the large model for
+	// simCapacity is how many requests per second the engines can serve with the large model for
 	// every second request: each takes 6.7 ms plus half of 67 ms.
 	simCapacity = 150.0
 )
@@ -27,14 +27,14 @@
 	team     string
 	priority int
 	rate     float64
-	// retries is how often a refused caller retries at once, whatever it is told.
+	// retries is how often a refused caller retries at once, whatever its retry-after time.
 	retries int
 }
 
 // simTally counts the outcomes of a kind's requests.
 type simTally struct {
 	sent, inTarget, late, weak, refused, failed int
-	// hints are the retry-after times of refused callers.
+	// retryAfters are the retry-after times of refused callers.
 	retryAfters []time.Duration
 }
 
@@ -58,7 +58,7 @@
 	// events is the number of events that it generates, from began on.
 	events float64
 	began  time.Time
-	// version of the engine's software; slow says that it is slow with this job.
+	// version is that of the engine's software; slow is true if the engine is slow with this job.
 	version string
 	slow    bool
 }
@@ -95,7 +95,8 @@
 	now    time.Time
 	// tokens is the length of prompts.
 	tokens int
-	// exchangesLoads says that the instances report their loads to each other every exchangeInterval.
+	// exchangesLoads is true if the instances report their loads to each other every
+	// exchangeInterval.
 	exchangesLoads bool
 	exchangedAt    time.Time
 	// rollout is a simulated roll-out, nil for none.
@@ -228,6 +229,7 @@
 	}
 }
 
+// removeJob removes the request's job from all engines.
 func (s *sim) removeJob(h *harness, id RequestID) {
 	keep := func(list []*simJob) []*simJob {
 		out := list[:0]
@@ -316,7 +318,7 @@
 	e.running = kept
 }
 
-// begin sends the head of a response.
+// begin sends the headers of a response.
 func (s *sim) begin(e *simEngine, j *simJob) {
 	r := s.requests[j.instance][j.id]
 	if r == nil {
--- a/decision/passthrough/slowstart.go
+++ b/decision/passthrough/slowstart.go
@@ -8,14 +8,14 @@
 // A server that has just started can take few requests, and may crash if it gets more. That limit
 // holds for all instances together, so a subset of them sends to the server, each a fixed part.
 //
-// Rejected alternatives: a part of the rate for each instance, which 58 instances exceed by one
-// request each; a lease on each server in the store, which responds too late in an outage.
+// A part of the rate for each instance would not do, as 58 instances exceed the limit by one request
+// each; nor would a lease on each server in the store, which responds too late in an outage.
 
 const (
 	// slowStartSubset is how many instances send to a server in slow start: a single one could be
 	// down, and the server would get nothing.
 	slowStartSubset = 3
-	// maxSubsetViews is how many different subsets may send at once, as not all instances learn of
+	// maxSubsetViews is how many differing subsets may send at once, as not all instances learn of
 	// started or stopped instances at the same moment.
 	maxSubsetViews = 2
 	// slowStartWindow is the time in which an instance may send its quota: a second, plus a margin
@@ -30,8 +30,8 @@
 )
 
 // slowStartQuota returns how many instances send to a server in slow start, and how many requests
-// per second each may send. The server takes rate requests per second, and survives at most
-// maxPerSecond in a single second.
+// each may send per slowStartWindow. The server takes rate requests per second, and survives at
+// most maxPerSecond in a single second.
 func slowStartQuota(rate, maxPerSecond float64) (subset, quota int) {
 	total := max(int(min(rate, maxPerSecond/maxSubsetViews)), 1)
 	subset = min(total, slowStartSubset)
@@ -59,13 +59,13 @@
 	until time.Time
 	// recentSends are the times of this instance's latest requests to the server.
 	recentSends []time.Time
-	// inSubset says that this instance may send to the server, as of version subsetVersion of the
+	// inSubset is true if this instance may send to the server, as of version subsetVersion of the
 	// neighbours.
 	inSubset      bool
 	subsetVersion int
 }
 
-// inSlowStart says whether the server may still be starting.
+// inSlowStart reports whether the server may still be starting.
 func (s *server) inSlowStart(now time.Time) bool {
 	return s.service.slowStart.span > 0 && now.Before(s.slowStart.until)
 }
@@ -86,11 +86,11 @@
 	return s.service.slowStart.span + restartReportDelay
 }
 
-// allowSlowStart says whether the slow start of the server lets this instance send to it now. If
+// allowSlowStart reports whether the slow start of the server lets this instance send to it now. If
 // the quota is used up, it schedules a wake-up for when there is quota again.
 //
 // Load: a failure domain whose servers come back together during a burst, and look idle to
-// hundreds of instances. Harm prevented: instances that crash the cold servers again.
+// hundreds of instances. Harm prevented: instances that crash the starting servers again.
 func (w *World) allowSlowStart(s *server) bool {
 	if !s.inSlowStart(w.now) {
 		return true
@@ -114,7 +114,7 @@
 	}
 }
 
-// inSlowStartSubset says whether this instance is one of those that send to the server during its
+// inSlowStartSubset reports whether this instance is one of those that send to the server during its
 // slow start.
 func (w *World) inSlowStartSubset(s *server) bool {
 	if s.slowStart.subsetVersion != w.neighbours.version {
@@ -136,14 +136,15 @@
 	return first
 }
 
-// wakeBy has the service's queue tried again at the given time, if not sooner.
+// wakeBy schedules another try of the service's queue for the given time, unless an earlier one is
+// scheduled.
 func (s *service) wakeBy(at time.Time) {
 	if s.wakeAt.IsZero() || at.Before(s.wakeAt) {
 		s.wakeAt = at
 	}
 }
 
-// wakeDueServices frees the services whose wakeAt has come.
+// wakeDueServices marks the services whose wakeAt has passed, so that their queues are tried again.
 func (w *World) wakeDueServices() {
 	for _, s := range w.services {
 		if at := s.wakeAt; !at.IsZero() && !w.now.Before(at) {
--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -46,6 +46,8 @@
 	return list
 }
 
+// TestSlowStartQuotaKeepsTheBound guards against quotas that exceed what a server in slow
+// start survives, with as many differing subsets as are expected.
 func TestSlowStartQuotaKeepsTheBound(t *testing.T) {
 	for _, rate := range []float64{0, 0.4, 1, 2, 3.3, 6.9, 20, 100} {
 		for _, burst := range []float64{1, 1.5, 3} {
@@ -61,9 +63,9 @@
 	}
 }
 
-// TestSlowStartLimitHoldsWithDifferingNeighbours guards against overloading a server in slow start when
-// instances disagree on the subset: some know neighbours that others do not know yet, or know no
-// more. All instances send a burst.
+// TestSlowStartLimitHoldsWithDifferingNeighbours guards against overloading a server in slow start
+// when instances disagree on the subset: some know neighbours that others do not know yet, or know
+// no more. All instances send a burst.
 func TestSlowStartLimitHoldsWithDifferingNeighbours(t *testing.T) {
 	fleets := []struct{ instances, domains int }{{8, 3}, {58, 3}, {300, 5}, {880, 24}}
 	for _, f := range fleets {
@@ -130,7 +132,7 @@
 	return largest
 }
 
-// TestSlowStartMovesRequestsToOtherServers guards against refusals for the sake of one server in
+// TestSlowStartMovesRequestsToOtherServers guards against refusals because of one server in
 // slow start.
 func TestSlowStartMovesRequestsToOtherServers(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
@@ -142,8 +144,9 @@
 	}
 }
 
-// TestRequestsAreQueuedIfAllServersAreInSlowStart guards against requests that are refused or overtaken when all servers of a
-// service are in slow start: they are dispatched as the quota allows, by priority.
+// TestRequestsAreQueuedIfAllServersAreInSlowStart guards against requests that are refused or
+// overtaken when all servers of a service are in slow start: they are dispatched as the quota
+// allows, by priority.
 func TestRequestsAreQueuedIfAllServersAreInSlowStart(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	h.tick(ServersListed{inSlowStart(servers("llm", 1, 100))})
@@ -162,8 +165,8 @@
 }
 
 // TestSlowStartNeedsKnownNeighbours guards against an instance that sends to servers in slow start
-// without knowing its neighbours, as it may be one of hundreds: it refuses at once with a time to
-// retry after. One that knows them sends to some of the servers only.
+// without knowing its neighbours, as it may be one of hundreds: it refuses at once with a
+// retry-after time. One that knows them sends to some of the servers only.
 func TestSlowStartNeedsKnownNeighbours(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "late", 1)
 	h.tick(Neighbours{Self: "late", Names: []string{"i0", "i1", "i2", "i3", "i4", "i5", "i6", "i7", "late"}})
@@ -177,7 +180,7 @@
 		case Refuse:
 			refused++
 			if c.Reason != ReasonSlowStart || c.RetryAfter <= 0 {
-				t.Fatalf("refused with %+v", c)
+				t.Fatalf("got refusal %+v, want one for a slow start with a retry-after time", c)
 			}
 		}
 	}
@@ -206,7 +209,7 @@
 }
 
 // TestUnreachableServerEntersSlowStart guards against a burst at a server that has restarted before
-// its entry says so: one that could not be reached enters slow start.
+// its entry states it: one that could not be reached enters slow start.
 func TestUnreachableServerEntersSlowStart(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	h.tick(ServersListed{servers("llm", 1, 100)})
@@ -224,7 +227,7 @@
 }
 
 // TestLostDomainEntersSlowStart guards against a burst at servers of a failure domain that restarts:
-// three lost servers stand for all of it, unless others there still respond.
+// three lost servers count as the whole domain, unless others there still respond.
 func TestLostDomainEntersSlowStart(t *testing.T) {
 	for _, othersRespond := range []bool{false, true} {
 		h, _ := newSlowStartHarness(t, "i0", 1)
@@ -254,8 +257,8 @@
 	}
 }
 
-// TestRestartUnderTheSameIDEntersSlowStart guards against a burst at a server that restarted under its id:
-// an entry with a later start puts it in slow start.
+// TestRestartUnderTheSameIDEntersSlowStart guards against a burst at a server that restarted under
+// its id: an entry with a later start puts it in slow start.
 func TestRestartUnderTheSameIDEntersSlowStart(t *testing.T) {
 	h, _ := newSlowStartHarness(t, "i0", 1)
 	list := servers("llm", 1, 8)
--- a/decision/passthrough/subset.go
+++ b/decision/passthrough/subset.go
@@ -7,8 +7,7 @@
 
 // A limit on what a server takes from all instances together can be kept without coordination if
 // few instances send to it, each a fixed part. They are chosen by rendezvous hashing among the
-// instances of one failure domain, so that all instances agree on them as far as they know the same
-// instances.
+// instances of one failure domain, so that instances that know the same neighbours agree on them.
 
 // neighbours are the instances of this one's failure domain, itself included.
 type neighbours struct {
@@ -38,9 +37,9 @@
 	return before
 }
 
-// inSubset says whether this instance is among the size instances that may send to a server of the
-// failure domain, chosen by the key. An instance that does not know its neighbours is in no subset:
-// it may be one of hundreds.
+// inSubset reports whether this instance is among the size instances that may send to a server of
+// the failure domain, chosen by the key. An instance that does not know its neighbours is in no
+// subset: it may be one of hundreds.
 func (w *World) inSubset(domain string, key uint64, size int) bool {
 	return w.neighbours.version > 0 && w.subsetDomain(domain, key) == w.cfg.Domain && w.neighbours.position(key) < size
 }
--- a/decision/passthrough/tables.go
+++ b/decision/passthrough/tables.go
@@ -48,7 +48,7 @@
 	health       health
 	// relativeTime is the server's event interval relative to its service's mean.
 	relativeTime movingAverage
-	// hash of the server's id, for consistent hashing.
+	// hash is that of the server's id, for consistent hashing.
 	hash uint64
 	gone bool
 	// drained is true if the server's failure domain gets no new requests.
@@ -64,7 +64,7 @@
 	Request
 	service *service
 	server  *server
-	// version of the server that the request was last sent to.
+	// version is that of the server that the request was last sent to.
 	version string
 	arrived time.Time
 	sent    time.Time
@@ -78,7 +78,7 @@
 	model      int
 	queued     bool
 	queueEntry *queueEntry
-	// firstByte is the time to the first byte of the current response.
+	// firstByte is the time to the first byte of the current response; 0 before it.
 	firstByte time.Duration
 	// loadLevel is the server's load when the current response began.
 	loadLevel loadLevel
--- a/decision/passthrough/throttle.go
+++ b/decision/passthrough/throttle.go
@@ -9,10 +9,10 @@
 
 // throttle bounds what is sent to a plain service whose servers reject requests.
 //
-// Load: several times what the service's few servers can bear, from hundreds of instances that each
+// Load: several times what the service's few servers can serve, from hundreds of instances that each
 // see too few responses to know how full the servers are. Harm prevented: a full server that resets
 // connections, which leaves open whether the request ran, so that callers of requests that may run
-// at most once get a failure where a refusal would have told them when to retry; and one team's
+// at most once get a failure instead of a refusal with a retry-after time; and one team's
 // burst that takes the slots of all others. Each instance sends little more than what was recently
 // accepted of its own requests. It refuses low priorities first, and the teams that ask for the
 // most.
@@ -87,7 +87,8 @@
 	count.add(now, 1)
 }
 
-// demandAt returns the demand at a priority; q.demands is sorted by priority.
+// demandAt returns the demand at a priority, which it adds if needed; t.demands is sorted by
+// priority.
 func (t *throttle) demandAt(priority int) *demand {
 	at, found := slices.BinarySearchFunc(t.demands, priority, func(a *demand, priority int) int { return cmp.Compare(a.priority, priority) })
 	if !found {
@@ -122,8 +123,8 @@
 	}
 }
 
-// refuses says whether to refuse a team's request, which has been counted; draw is a random number
-// in [0, 1).
+// refuses reports whether to refuse a team's request, which has been counted; draw is a random
+// number in [0, 1).
 func (t *throttle) refuses(priority int, team string, now time.Time, draw float64) bool {
 	if t.rejected.valueAt(now) < throttleThreshold {
 		return false
--- a/decision/passthrough/types.go
+++ b/decision/passthrough/types.go
@@ -8,7 +8,7 @@
 	Address string
 	Service string
 	Domain  string
-	// Version of the server's software, which roll-outs replace.
+	// Version is that of the server's software, which roll-outs replace.
 	Version string
 	// Slots is how many requests the server runs at once; 0 if unknown.
 	Slots int
@@ -22,7 +22,8 @@
 	SlowStartRemaining time.Duration
 }
 
-// Load is the load that a backend server reports of itself, in requests.
+// Load is the load that a backend server reports of itself, in requests. Running counts those that
+// hold a slot, Waiting those that wait for one, and Slots is the number of slots.
 type Load struct {
 	Running int
 	Waiting int
@@ -44,12 +45,12 @@
 // Request is what is known of a request on arrival.
 type Request struct {
 	ID RequestID
-	// Route of the configuration in force at arrival.
+	// Route is that of the configuration in force at arrival.
 	Route *Route
-	// Service chosen by the route's weights.
+	// Service is chosen by the route's weights.
 	Service string
 	Team    string
-	// Priority of the request; 0 is the highest.
+	// Priority is the request's; 0 is the highest.
 	Priority int
 	// Session is empty if the request belongs to none.
 	Session string
@@ -81,7 +82,7 @@
 	Completed Result = iota + 1
 	// NotSent: no byte was written, so the server has not run the request.
 	NotSent
-	// Rejected: the backend server says that it has not run the request.
+	// Rejected: the backend server states that it has not run the request.
 	Rejected
 	// Failed: the backend server ran the request and responded with a failure.
 	Failed
@@ -103,16 +104,17 @@
 	return ""
 }
 
-// MayHaveRun says whether the request may have run at the backend server. All code that
-// refuses a request as not run must ask this method.
+// MayHaveRun reports whether the request may have run at the backend server. All code that
+// refuses a request as not run must use this method.
 func (r Result) MayHaveRun() bool {
 	return r == Completed || r == Failed || r == Broken || r == Dropped
 }
 
-// Reason says why a request was refused. The text is stable, as callers and logs use it.
+// Reason is why a request was refused, or finished without another attempt. The text is stable, as
+// callers and logs use it.
 type Reason string
 
-// The reasons for a refusal.
+// The reasons to refuse or finish a request.
 const (
 	ReasonNoServer    Reason = "no_backend_server"
 	ReasonSlowStart   Reason = "backend_servers_warming_up"
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// LogRatioStats sums up by how much a version's responses were slower than the old version's,
-// as logarithms of the ratios of their times. Their spread tells a mean from chance: single
-// responses tell little, as times to a first event vary tenfold with the length of prompts.
+// LogRatioStats sums up by how much a version's responses were slower than the old version's, as
+// logarithms of the ratios of their times. Their spread distinguishes a mean from chance: a single
+// response tells little, as times to the first byte vary tenfold with the length of prompts.
 type LogRatioStats struct {
 	N       int     `json:"n"`
 	Sum     float64 `json:"sum"`
@@ -17,9 +17,9 @@
 }
 
 // slowRatio is how many times as long as usual a response takes to count as slow by itself.
-// That is beyond the spread of event intervals at a similar load, which 5 to 10 in 100
-// responses of a good version exceed, and below the four to eight times of versions that are
-// slow in part of their responses.
+// That is beyond the usual spread of event intervals at a similar load: 5 to 10 in 100
+// responses of a good version exceed it. It is below the four to eight times of versions that
+// are slow in part of their responses.
 const slowRatio = 2.5
 
 // add adds the logarithm of a ratio.
@@ -48,7 +48,7 @@
 // slow is the proportion of slow responses.
 func (s LogRatioStats) slow() proportion { return proportion{s.Slow, s.N} }
 
-// timingTest says how the ratios of a kind of times are judged.
+// timingTest defines how the ratios of a kind of times are judged.
 type timingTest struct {
 	// minCount is the least number of responses that is judged.
 	minCount int
@@ -63,9 +63,9 @@
 	// intervalTest judges event intervals, which depend on the server alone: good versions are
 	// within a fifth of the old one, slow ones at three and a half times.
 	intervalTest = timingTest{minCount: 5, maxRatio: 1.8, priorVariance: 0.15}
-	// firstByteTest judges the time to the first event. A cold cache makes it up to twice as
-	// long, and a few long prompts ten times: with eight responses of one route good versions
-	// were judged slow in three of six roll-outs.
+	// firstByteTest judges the time to the first byte. A cold cache makes it up to twice as
+	// long, and a few long prompts ten times: with only eight responses of one route, good
+	// versions could be judged slow in three of six roll-outs.
 	firstByteTest = timingTest{minCount: 16, maxRatio: 2.2, priorVariance: 0.5}
 )
 
@@ -73,19 +73,19 @@
 	// verdictStdErrors is how many standard errors the mean must be above the limit for the
 	// version to be bad: it is tested a hundred times in a roll-out, by route and over time.
 	verdictStdErrors = 3
-	// doubtStdErrors is how many standard errors the mean may be below the limit for the
-	// version to be in doubt: a few responses of a good version are off by more in one
-	// roll-out of six, but seldom so far.
+	// doubtStdErrors is how many standard errors below the limit the mean may be for the version
+	// to be in doubt: the mean of a few responses of a good version is off by more in one
+	// roll-out of six, but seldom up to the limit.
 	doubtStdErrors = 1
 )
 
-// exceeds says whether the mean ratio is above the limit, beyond chance.
+// exceeds reports whether the mean ratio is above the limit, beyond chance.
 func (m timingTest) exceeds(s LogRatioStats) bool { return m.meanAbove(s, -verdictStdErrors) }
 
-// mayExceed says whether the mean ratio may be above the limit.
+// mayExceed reports whether the mean ratio may be above the limit.
 func (m timingTest) mayExceed(s LogRatioStats) bool { return m.meanAbove(s, doubtStdErrors) }
 
-// meanAbove says whether the mean ratio, plus the given number of standard errors, is above
+// meanAbove reports whether the mean ratio, plus the given number of standard errors, is above
 // the limit.
 func (m timingTest) meanAbove(s LogRatioStats, stdErrors float64) bool {
 	if s.N < m.minCount {
@@ -97,7 +97,7 @@
 	return mean+stdErrors*math.Sqrt(variance/n) > math.Log(m.maxRatio)
 }
 
-// runsTarget says whether the server has the version that is being rolled out.
+// runsTarget reports whether the server has the version that is being rolled out.
 func (w *World) runsTarget(s *server) bool {
 	ro := w.rollouts[s.Service]
 	return ro != nil && !ro.Phase.Ended() && s.Version == ro.Target
@@ -129,8 +129,8 @@
 // progress.
 //
 // Load: a version so slow that its streams do not end within the roll-out. Harm prevented: it
-// is completed because little is known of it without their first events: in one case 3 of 28
-// responses had ended by then.
+// is completed because little is known of it without their first events, as only 3 of 28
+// responses may have ended by then.
 func (w *World) observeEventInterval(e EventIntervalMeasured) {
 	r := w.requests[e.Request]
 	if r == nil || r.server == nil {
@@ -141,8 +141,9 @@
 		EventInterval: w.compareWithBaseline(r.server, r.service.intervals.baseline(r.model), r.loadLevel, e.EventInterval)})
 }
 
-// compareWithBaseline returns the ratio of a response's time to the old version's at a similar
-// load. If the server has the old version, the time is added to the baseline.
+// compareWithBaseline returns the statistics of one response's time relative to the old version's
+// at a similar load; they are empty without a baseline. If the server has the old version, the time
+// is added to the baseline.
 func (w *World) compareWithBaseline(s *server, baseline *baselineTimes, at loadLevel, took time.Duration) LogRatioStats {
 	var out LogRatioStats
 	if took <= 0 {
--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -38,7 +38,7 @@
 	return atTarget, others
 }
 
-// versionFilter returns a function that says whether a server has the version that the
+// versionFilter returns a function that reports whether a server has the version that the
 // request goes to. A reverted version stays excluded while another one is rolled out, as
 // its servers leave late.
 func (w *World) versionFilter(r *request) func(*server) bool {
@@ -57,9 +57,9 @@
 	}
 }
 
-// minCanaryServers is the least number of servers that a canary uses: with a single one, a
-// slow server cannot be told from a slow version. With one, good versions were reverted on
-// two of twelve calm days, in each run of them.
+// minCanaryServers is the least number of servers that a canary uses: with a single one, a slow
+// server cannot be distinguished from a slow version, and a good version may be reverted in up to
+// two of twelve roll-outs at a usual load.
 const minCanaryServers = 3
 
 // canaryMinHash is the lowest hash of the servers that the canary's share goes to: their
--- a/decision/passthrough/view.go
+++ b/decision/passthrough/view.go
@@ -20,7 +20,7 @@
 	// load is the expected number of requests at the server; known is the part that is known.
 	// This instance's requests are known; the others' are as they or the server reported. As a
 	// server's report ages, it is replaced by the mean of the other servers: a server that
-	// reports nothing because it is busy must not pass for idle.
+	// reports nothing because it is busy must not look idle.
 	load  float64
 	known float64
 	// unscaledWait is how long a prompt waits at the server, in seconds, before it is scaled by
@@ -62,7 +62,7 @@
 	reportTTL            time.Duration
 	meanOthersPrefilling float64
 	ownScale             float64
-	// peersFresh says that the peers' load reports are fresh.
+	// peersFresh is true if the peers' load reports still count.
 	peersFresh bool
 	peerScale  float64
 }
--- a/decision/passthrough/world.go
+++ b/decision/passthrough/world.go
@@ -52,9 +52,9 @@
 	// lostServers are, by failure domain, the servers lost since any server there last responded.
 	lostServers map[string]map[*server]bool
 	neighbours  neighbours
-	// limitedServers are the servers whose rate limit, or its end, peers may have to be told.
+	// limitedServers are the servers whose rate limit, or its end, may have to be reported to peers.
 	limitedServers map[*server]bool
-	// peerLoadsAt is when the last load report of the peers came in; reportedByPeers are the
+	// peerLoadsAt is when the last load report of the peers arrived; reportedByPeers are the
 	// servers in it. serversByKey finds servers by their key in load reports.
 	peerLoadsAt     time.Time
 	reportedByPeers []*server
@@ -115,6 +115,7 @@
 	return w.commands
 }
 
+// apply applies one event to the tables.
 func (w *World) apply(e Event) {
 	switch e := e.(type) {
 	case Configured:
@@ -156,8 +157,11 @@
 	}
 }
 
+// emit adds a command to those that Tick returns.
 func (w *World) emit(c Command) { w.commands = append(w.commands, c) }
 
+// setRollout applies the state of a roll-out. A new order clears the sessions that are kept at the
+// old version, of all services.
 func (w *World) setRollout(r Rollout) {
 	if old := w.rollouts[r.Service]; old == nil || old.Order != r.Order {
 		clear(w.keptOnOldVersion)
