--- a/decision/passthrough/ratelimit_refuse_test.go
+++ b/decision/passthrough/ratelimit_refuse_test.go
@@ -74,10 +74,10 @@
 func TestLatestStatementOfALimitCounts(t *testing.T) {
 	limit := RateLimit{Limited: true, PerSecond: 1}
 	tests := []struct {
-		name string
-		ages []time.Duration
-		said []RateLimit
-		want bool
+		name   string
+		ages   []time.Duration
+		stated []RateLimit
+		want   bool
 	}{
 		{"the end is reported after the limit", []time.Duration{3 * time.Second, time.Second}, []RateLimit{limit, {}}, false},
 		{"the end overtakes the limit", []time.Duration{time.Second, 3 * time.Second}, []RateLimit{{}, limit}, false},
@@ -91,7 +91,7 @@
 		h.tick(ServersListed{servers("shop", 1, 8)})
 		s := h.world.servers["shop-0"]
 		for i, age := range tt.ages {
-			h.tick(PeerLimits{[]PeerLimit{{Key: s.peerKey(), Limit: tt.said[i], Age: age}}})
+			h.tick(PeerLimits{[]PeerLimit{{Key: s.peerKey(), Limit: tt.stated[i], Age: age}}})
 		}
 		if s.limit.Limited != tt.want {
 			t.Errorf("%s: limited %v", tt.name, s.limit.Limited)
