--- a/decision/passthrough/ended.go
+++ b/decision/passthrough/attempt.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// recordOutcome records what the end says about the server, and emits an observation
-// for the other instances.
+// recordOutcome records an attempt's outcome for its server, and emits an observation for the
+// other instances.
 func (w *World) recordOutcome(r *request, s *server, e AttemptEnded) {
 	if s == nil || e.Result == Abandoned {
 		return
@@ -75,15 +75,15 @@
 	w.observeAttempt(r, s, e)
 }
 
-// maxVainDispatches is how many dispatches a request may have beyond its route's
-// MaxAttempts, for those that reached no server.
-const maxVainDispatches = 5
+// maxUndeliveredDispatches is how many dispatches a request may have beyond its route's
+// MaxAttempts, as dispatches that reach no server do not count as attempts.
+const maxUndeliveredDispatches = 5
 
 // retry sends the request to another server than the last one, if that is allowed.
 //
 // Load: servers that crash, reject requests or time out. Harm prevented: a response
-// lost where another server could give it, and retries that bring down the servers
-// that are left.
+// lost though another server could give it, and retries that bring down the remaining
+// servers.
 func (w *World) retry(r *request, last *server) {
 	if last != nil {
 		r.tried = append(r.tried, last)
@@ -97,12 +97,13 @@
 	}
 }
 
-// retryRefusal gives the reason why no other attempt may follow; "" if one may.
+// retryRefusal returns the reason for which no other attempt may follow, or "" if one may. In that
+// case it spends a retry of the budget, unless no attempt has reached a server yet.
 func (w *World) retryRefusal(r *request) Reason {
 	switch {
 	case !r.Deadline.After(w.now):
 		return ReasonDeadline
-	case r.attempts >= max(r.Route.MaxAttempts, 1), r.dispatches >= maxVainDispatches+r.Route.MaxAttempts:
+	case r.attempts >= max(r.Route.MaxAttempts, 1), r.dispatches >= maxUndeliveredDispatches+r.Route.MaxAttempts:
 		return ReasonAttempts
 	case w.crashes.quarantined(r.Fingerprint, w.now):
 		return ReasonQuarantined
--- a/decision/passthrough/overload_test.go
+++ b/decision/passthrough/overload_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestGoodputHoldsUnderOverload guards against goodput that collapses under overload. It asks
-// for one to twelve times what the engines can bear with the large model for every second
-// request; with the small one alone they can bear six times that. The value that callers get
+// TestGoodputHoldsUnderOverload guards against goodput that collapses under overload. It sends
+// one to twelve times what the engines can serve with the large model for every second
+// request; with the small one alone they can serve six times that. The value that callers get
 // per second must not fall by more than a tenth from its peak.
 func TestGoodputHoldsUnderOverload(t *testing.T) {
 	peak := 0.0
@@ -19,12 +19,12 @@
 		s.tallies[0] = simTally{}
 		s.play(length, factor)
 		got := s.tallies[0]
-		credit := got.credit() / length.Seconds()
+		value := got.value() / length.Seconds()
 		t.Logf("x %.1f: %d sent, %d in time, %d late, %d weak, %d refused, %d failed: value %.0f per second",
-			factor, got.sent, got.inTarget, got.late, got.weak, got.refused, got.failed, credit)
-		peak = max(peak, credit)
-		if credit < 0.9*peak {
-			t.Errorf("at %.1f times the load callers get a value of %.0f per second, %.0f at a lower load", factor, credit, peak)
+			factor, got.sent, got.inTarget, got.late, got.weak, got.refused, got.failed, value)
+		peak = max(peak, value)
+		if value < 0.9*peak {
+			t.Errorf("at %.1f times the load callers get a value of %.0f per second, %.0f at a lower load", factor, value, peak)
 		}
 		if got.failed > got.sent/20 {
 			t.Errorf("at %.1f times the load %d of %d requests got no response by their deadline", factor, got.failed, got.sent)
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestHotTeamPaysForItsOwnBurst guards against a burst of one team, ten times what the
-// engines can bear, that displaces four small teams.
-func TestHotTeamPaysForItsOwnBurst(t *testing.T) {
+// TestBurstOfOneTeamDoesNotDisplaceOthers guards against a burst of one team, ten times what the
+// engines can serve, that displaces four small teams.
+func TestBurstOfOneTeamDoesNotDisplaceOthers(t *testing.T) {
 	kinds := []simCallerKind{{team: "hot", rate: 10 * simCapacity}}
 	for i := range 4 {
 		kinds = append(kinds, simCallerKind{team: fmt.Sprint("small-", i), rate: simCapacity / 10})
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestUrgentPromptsGoFirst guards against high-priority requests that wait behind those of
+// TestHighPriorityPromptsGoFirst guards against high-priority requests that wait behind those of
 // the lowest priority on full engines, and against starving the latter.
-func TestUrgentPromptsGoFirst(t *testing.T) {
+func TestHighPriorityPromptsGoFirst(t *testing.T) {
 	s := newSim(t, 3, []simCallerKind{{team: "a", priority: 0, rate: 2 * simCapacity}, {team: "b", priority: 2, rate: 10 * simCapacity}})
 	s.play(6*time.Second, 1)
 	urgent, low := s.tallies[0], s.tallies[1]
@@ -62,16 +62,16 @@
 	}
 }
 
-// TestRepeatsAtOnceDoNotCrowdOutFirstTries guards against callers that gain from retrying at
+// TestImmediateRetriesGainNothing guards against callers that gain from retrying at
 // once. Two teams send equal loads, one of which retries each refusal four times at once.
-func TestRepeatsAtOnceDoNotCrowdOutFirstTries(t *testing.T) {
+func TestImmediateRetriesGainNothing(t *testing.T) {
 	s := newSim(t, 3, []simCallerKind{{team: "patient", rate: 4 * simCapacity}, {team: "pushy", rate: 4 * simCapacity, retries: 4}})
 	s.play(6*time.Second, 1)
 	patient, impatient := s.tallies[0], s.tallies[1]
-	first := float64(patient.sent)
+	sent := float64(patient.sent)
 	served := float64(patient.inTarget + patient.late + patient.weak)
-	if served < 0.5*first || served < 0.9*float64(impatient.inTarget+impatient.late+impatient.weak) {
-		t.Errorf("callers that do not retry at once got %.0f responses to %.0f requests, those that do %d", served, first, impatient.inTarget+impatient.late+impatient.weak)
+	if served < 0.5*sent || served < 0.9*float64(impatient.inTarget+impatient.late+impatient.weak) {
+		t.Errorf("callers that do not retry at once got %.0f responses to %.0f requests, those that do %d", served, sent, impatient.inTarget+impatient.late+impatient.weak)
 	}
 	for _, after := range append(patient.retryAfters, impatient.retryAfters...) {
 		if after <= 0 {
@@ -80,10 +80,10 @@
 	}
 }
 
-// TestLongPromptsAreNotPiledUpAtEngines guards against sending more prompts to an engine than
+// TestLongPromptsDoNotQueueAtEngines guards against sending more prompts to an engine than
 // it can process in time: it has slots for 128 prompts of 12,000 tokens, which take it five
 // seconds. The load is four times what the engines can process with the small model.
-func TestLongPromptsAreNotPiledUpAtEngines(t *testing.T) {
+func TestLongPromptsDoNotQueueAtEngines(t *testing.T) {
 	const capacity = simEngines * 300_000 / 12_000
 	s := newSim(t, 3, []simCallerKind{{team: "a", rate: 4 * capacity}})
 	s.tokens = 12_000
@@ -94,7 +94,7 @@
 	inTime := got.inTarget + got.weak
 	t.Logf("%d sent, %d in time, %d late, %d refused, %d failed", got.sent, inTime, got.late, got.refused, got.failed)
 	if float64(inTime) < 0.7*6*capacity {
-		t.Errorf("%d responses in time, of %d that the engines can bear", inTime, 6*capacity)
+		t.Errorf("%d responses in time, of %d that the engines can serve", inTime, 6*capacity)
 	}
 	if got.late+got.failed > inTime/5 {
 		t.Errorf("%d late and %d failed, compared to %d in time", got.late, got.failed, inTime)
--- a/decision/passthrough/ratelimit_bound_test.go
+++ b/decision/passthrough/ratelimit_bound_test.go
@@ -21,14 +21,14 @@
 		f.play(16*time.Second, load)
 		f.checkLimits(stated)
 		if f.refused > 0 {
-			t.Errorf("%d instances: %d requests refused while other servers had room", size.instances, f.refused)
+			t.Errorf("%d instances: %d requests refused while other servers had free capacity", size.instances, f.refused)
 		}
 	}
 }
 
-// TestLimitHoldsUnderViewsThatDiffer guards against exceeding a limit when instances disagree on
+// TestLimitHoldsWithDifferingNeighbours guards against exceeding a limit when instances disagree on
 // the subset: some do not know all of their neighbours, or still know some that are gone.
-func TestLimitHoldsUnderViewsThatDiffer(t *testing.T) {
+func TestLimitHoldsWithDifferingNeighbours(t *testing.T) {
 	view := func(f *limitFleet, all []string) []string {
 		switch f.rng.IntN(3) {
 		case 0:
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestLimitedServerGetsItsPart guards against limited servers that get too little, and against
+// TestLimitedServerGetsItsShare guards against limited servers that get too little, and against
 // servers that keep getting little after their limit has ended.
-func TestLimitedServerGetsItsPart(t *testing.T) {
+func TestLimitedServerGetsItsShare(t *testing.T) {
 	for _, size := range limitFleets {
 		f := newLimitFleet(t, size.instances, size.servers, 2, nil)
 		load := 3 * usualRate * float64(size.servers)
@@ -83,16 +83,16 @@
 	}
 }
 
-// TestLimitEndsThoughItsSubsetIsGone guards against a limit that never ends because only instances
+// TestLimitEndsAfterItsSubsetIsGone guards against a limit that never ends because only instances
 // that are gone, but still known, may send to the server and find out.
-func TestLimitEndsThoughItsSubsetIsGone(t *testing.T) {
+func TestLimitEndsAfterItsSubsetIsGone(t *testing.T) {
 	f := newLimitFleet(t, 58, 60, 3, nil)
 	load := usualRate * float64(len(f.servers))
 	f.limits[f.servers[0].ID] = 1
 	f.play(2*time.Second, load)
 	f.silent = map[int]bool{}
-	for i, b := range f.instances {
-		if s := b.world.servers[f.servers[0].ID]; b.world.limitShare(s) > 0 {
+	for i, h := range f.instances {
+		if s := h.world.servers[f.servers[0].ID]; h.world.limitShare(s) > 0 {
 			f.silent[i] = true
 		}
 	}
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-func TestPlan(t *testing.T) {
+// TestPlanRollout guards against a phase that does not follow from the time and the verdict,
+// and against a canary with more than its share.
+func TestPlanRollout(t *testing.T) {
 	o := Order{Service: "llm", Target: "v2", Duration: 24 * time.Second}
 	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
 	tests := []struct {
@@ -34,24 +36,24 @@
 	}
 }
 
-// TestExposureStaysInItsLimit guards against giving a version more requests than the limit up to
+// TestExposureStaysWithinLimit guards against giving a version more requests than the limit up to
 // the deadline, for versions that never show a bad response.
-func TestExposureStaysInItsLimit(t *testing.T) {
+func TestExposureStaysWithinLimit(t *testing.T) {
 	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
 	for _, duration := range []time.Duration{12 * time.Second, 16 * time.Second, 24 * time.Second, 60 * time.Second} {
 		for _, perSecond := range []int{20, 50, 200} {
-			b := newRolloutHarness(t)
+			h := newRolloutHarness(t)
 			long, short := streamRoute(), streamRoute()
 			long.Name, short.Name = "long", "short"
-			b.configure(long, short)
+			h.configure(long, short)
 			list := servers("llm", 8, 4000)
 			for i := range 4 {
 				list[i].Version = "v2"
 			}
 			c := Config{Version: 2, Services: []Service{{Name: "llm", Slots: 4000}}}
-			b.tick(Configured{NewIndex(c)}, ServersListed{list})
+			h.tick(Configured{NewIndex(c)}, ServersListed{list})
 			o := Order{Service: "llm", Target: "v2", Duration: duration}
-			start := b.now
+			start := h.now
 			var newCounts, oldCounts Counts
 			type job struct {
 				id    RequestID
@@ -59,30 +61,30 @@
 			}
 			var jobs []job
 			step := time.Second / time.Duration(perSecond)
-			for i := 0; b.now.Sub(start) < duration; i++ {
-				elapsed := b.now.Sub(start)
-				b.tick(RolloutUpdated{PlanRollout(o, b.now, elapsed, limit, newCounts, oldCounts, false)})
+			for i := 0; h.now.Sub(start) < duration; i++ {
+				elapsed := h.now.Sub(start)
+				h.tick(RolloutUpdated{PlanRollout(o, h.now, elapsed, limit, newCounts, oldCounts, false)})
 				keep := jobs[:0]
 				for _, j := range jobs {
-					if j.until.After(b.now) {
+					if j.until.After(h.now) {
 						keep = append(keep, j)
 						continue
 					}
-					b.tick(AttemptEnded{Request: j.id, Result: Completed})
+					h.tick(AttemptEnded{Request: j.id, Result: Completed})
 				}
 				jobs = keep
 				route, took := long, 4*time.Second
 				if i%2 == 0 {
 					route, took = short, 500*time.Millisecond
 				}
-				id := b.arrive(route, func(r *Request) { r.RolloutPosition = float64(i*37%100) / 100 })
-				if b.dispatched(id).Server.Version == "v2" {
+				id := h.arrive(route, func(r *Request) { r.RolloutPosition = float64(i*37%100) / 100 })
+				if h.requireDispatch(id).Server.Version == "v2" {
 					newCounts.Good++
 				} else {
 					oldCounts.Good++
 				}
-				jobs = append(jobs, job{id, b.now.Add(took)})
-				b.advance(step)
+				jobs = append(jobs, job{id, h.now.Add(took)})
+				h.advance(step)
 			}
 			total := float64(newCounts.Total() + oldCounts.Total())
 			if allowed := limit.Share*total + limit.Tolerance; float64(newCounts.Total()) > allowed {
@@ -95,7 +97,8 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
+// TestIsBad guards against wrong verdicts by the counts of good and bad responses.
+func TestIsBad(t *testing.T) {
 	tests := []struct {
 		name                 string
 		newCounts, oldCounts Counts
@@ -147,23 +150,23 @@
 	}
 }
 
-// TestSilenceIsNoEvidenceOnAVersion guards against hiding a bad version behind attempts that time
+// TestTimeoutIsNotCountedAsBad guards against hiding a bad version behind attempts that time
 // out in an overload, which affects every version.
-func TestSilenceIsNoEvidenceOnAVersion(t *testing.T) {
-	b := newHarness(t, Settings{})
-	b.configure(streamRoute())
-	b.tick(ServersListed{servers("llm", 3, 8)},
+func TestTimeoutIsNotCountedAsBad(t *testing.T) {
+	h := newHarness(t, Settings{})
+	h.configure(streamRoute())
+	h.tick(ServersListed{servers("llm", 3, 8)},
 		RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.1}})
-	id := b.arrive(streamRoute(), nil)
-	b.tick(AttemptEnded{Request: id, Result: Broken})
-	for _, c := range b.allCommands {
+	id := h.arrive(streamRoute(), nil)
+	h.tick(AttemptEnded{Request: id, Result: Broken})
+	for _, c := range h.allCommands {
 		if o, ok := c.(Observation); ok && o.Bad {
 			t.Fatalf("a timeout was reported as bad: %+v", o)
 		}
 	}
-	b.tick(AttemptEnded{Request: id, Result: Failed})
+	h.tick(AttemptEnded{Request: id, Result: Failed})
 	bad := 0
-	for _, c := range b.allCommands {
+	for _, c := range h.allCommands {
 		if o, ok := c.(Observation); ok && o.Bad {
 			bad++
 		}
@@ -174,8 +177,8 @@
 }
 
 // TestLongPromptsDoNotMakeAVersionSlow guards against reverting good versions by their times to the
-// first event: eight responses of one route, some with long prompts and a cold cache. The ratios
-// are like those that good versions had.
+// first byte: eight or twelve responses of one route, some with long prompts and a cold cache, with
+// ratios that good versions may have.
 func TestLongPromptsDoNotMakeAVersionSlow(t *testing.T) {
 	for _, ratios := range [][]float64{{2, 3, 9, 2.5, 6, 4, 2, 3}, {1, 12, 8, 2, 9, 1.5, 3, 5, 2, 4, 1, 2}} {
 		var c Counts
@@ -195,11 +198,11 @@
 	}
 }
 
-// TestVersionThatEndsNothingIsFound guards against completing a version whose streams are so slow
-// that none ends within the roll-out: the intervals of their first events are reported.
-func TestVersionThatEndsNothingIsFound(t *testing.T) {
-	b := newRolloutHarness(t)
-	b.tick(canaryUpdate(true))
+// TestVersionWithoutCompletedStreamsIsJudged guards against completing a version whose streams are
+// so slow that none ends within the roll-out: the intervals of their first events are reported.
+func TestVersionWithoutCompletedStreamsIsJudged(t *testing.T) {
+	h := newRolloutHarness(t)
+	h.tick(canaryUpdate(true))
 	var reported Counts
 	collect := func(out []Command) {
 		for _, c := range out {
@@ -209,12 +212,12 @@
 		}
 	}
 	for i := range 24 {
-		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.9 })
-		collect(b.tick(EventIntervalMeasured{Request: id, EventInterval: 40 * time.Millisecond}))
-		collect(b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: 40 * time.Millisecond}))
-		if i%4 == 3 { // these never end
-			id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.1 })
-			collect(b.tick(EventIntervalMeasured{Request: id, EventInterval: 400 * time.Millisecond}))
+		id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.9 })
+		collect(h.tick(EventIntervalMeasured{Request: id, EventInterval: 40 * time.Millisecond}))
+		collect(h.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: 40 * time.Millisecond}))
+		if i%4 == 3 { // these streams never end
+			id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0.1 })
+			collect(h.tick(EventIntervalMeasured{Request: id, EventInterval: 400 * time.Millisecond}))
 		}
 	}
 	if reported.Total() != 0 || reported.EventInterval.N != 6 {
@@ -235,21 +238,21 @@
 // playTimes runs responses of the old and the new version, and returns the counts reported for the
 // new one.
 func playTimes(t *testing.T, newTimes func(i int) (firstByte, interval time.Duration)) Counts {
-	b := newRolloutHarness(t)
-	b.tick(canaryUpdate(true))
+	h := newRolloutHarness(t)
+	h.tick(canaryUpdate(true))
 	var reported Counts
-	run := func(share float64, firstByte, interval time.Duration) {
-		id := b.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = share })
-		b.advance(firstByte)
-		b.tick(FirstByte{Request: id, After: firstByte})
-		for _, c := range b.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: interval}) {
+	run := func(position float64, firstByte, interval time.Duration) {
+		id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = position })
+		h.advance(firstByte)
+		h.tick(FirstByte{Request: id, After: firstByte})
+		for _, c := range h.tick(AttemptEnded{Request: id, Result: Completed, EventInterval: interval}) {
 			if o, ok := c.(Observation); ok && o.Version == "v2" {
 				reported = reported.Add(o)
 			}
 		}
 	}
 	for i := range 60 {
-		// Times to a first event vary sixfold, with the length of prompts.
+		// Times to the first byte vary sixfold, with the length of prompts.
 		spread := time.Duration(1 + i%6)
 		run(0.9, 50*time.Millisecond*spread, 40*time.Millisecond)
 		if i%4 == 0 {
@@ -260,11 +263,13 @@
 	return reported
 }
 
-func TestSlowVersionIsFoundBySpreadTimes(t *testing.T) {
+// TestSlowVersionIsFoundDespiteSpreadTimes guards against missing a slow version, or reverting
+// a good one, because the times of single responses vary with the length of prompts.
+func TestSlowVersionIsFoundDespiteSpreadTimes(t *testing.T) {
 	tests := []struct {
-		name        string
-		first, pace time.Duration
-		want        bool
+		name                string
+		firstByte, interval time.Duration
+		want                bool
 	}{
 		{"like the old version", 50 * time.Millisecond, 40 * time.Millisecond, false},
 		{"cold cache", 90 * time.Millisecond, 45 * time.Millisecond, false},
@@ -272,17 +277,17 @@
 		{"three times the event interval", 50 * time.Millisecond, 120 * time.Millisecond, true},
 	}
 	for _, tt := range tests {
-		reported := playTimes(t, func(int) (time.Duration, time.Duration) { return tt.first, tt.pace })
+		reported := playTimes(t, func(int) (time.Duration, time.Duration) { return tt.firstByte, tt.interval })
 		if got := IsBad(reported, Counts{Good: 60}); got != tt.want {
 			t.Errorf("%s: judged bad %v, want %v: %+v", tt.name, got, tt.want, reported)
 		}
 	}
 }
 
-// TestLittleSeenOfABadVersionIsEnoughAtTheEnd guards against completing a version of which little
+// TestFewBadResponsesPreventCompletion guards against completing a version of which little
 // is known: two bad responses of seven stop a completion; one alone, or a usual fraction of many,
 // does not.
-func TestLittleSeenOfABadVersionIsEnoughAtTheEnd(t *testing.T) {
+func TestFewBadResponsesPreventCompletion(t *testing.T) {
 	order, limit := Order{Duration: 8 * time.Second}, ExposureLimit{Share: 0.2, Tolerance: 30}
 	oldCounts := Counts{Good: 115}
 	cases := []struct {
@@ -305,10 +310,10 @@
 	}
 }
 
-// TestVersionInDoubtIsHeld guards against a wrong verdict on a version that looks slow, but not
+// TestDoubtfulVersionIsHeld guards against a wrong verdict on a version that looks slow, but not
 // beyond chance: at the end it is neither completed nor reverted, and it gets no more requests once
 // it may have given all the bad responses that are tolerated.
-func TestVersionInDoubtIsHeld(t *testing.T) {
+func TestDoubtfulVersionIsHeld(t *testing.T) {
 	order, limit := Order{Duration: 20 * time.Second}, ExposureLimit{Share: 0.1, Tolerance: 30}
 	oldCounts := Counts{Good: 4000}
 	// The intervals are e^0.55 = 1.7 times the usual ones in the mean, and spread.
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -9,10 +9,10 @@
 // until the server list drops them.
 func (w *World) configure(x *Index) {
 	for _, s := range x.Services {
-		row := w.serviceOf(s.Name)
-		row.engine = s.Slots > 0
-		row.slots = s.Slots
-		w.configureSlowStart(row, s)
+		svc := w.serviceOf(s.Name)
+		svc.engine = s.Slots > 0
+		svc.slots = s.Slots
+		w.configureSlowStart(svc, s)
 	}
 }
 
@@ -26,33 +26,33 @@
 }
 
 // setServers applies a list of backend servers. A server that restarted under its id gets
-// a new row, as all that was known is about its previous process.
+// a new entry, as all that was known is about its previous process.
 func (w *World) setServers(list []Server) {
 	seen := make(map[string]bool, len(list))
 	for _, s := range list {
 		seen[s.ID] = true
-		row := w.servers[s.ID]
-		if row != nil && row.StartTime == s.StartTime && row.Address == s.Address && row.Service == s.Service {
-			s.Leaving = s.Leaving || row.Leaving
-			changed := s.SlowStartRemaining != row.SlowStartRemaining
-			row.Server = s
+		known := w.servers[s.ID]
+		if known != nil && known.StartTime == s.StartTime && known.Address == s.Address && known.Service == s.Service {
+			s.Leaving = s.Leaving || known.Leaving
+			changed := s.SlowStartRemaining != known.SlowStartRemaining
+			known.Server = s
 			if changed {
-				w.enterSlowStart(row, s.SlowStartRemaining, CauseListed)
+				w.enterSlowStart(known, s.SlowStartRemaining, CauseListed)
 			}
 			continue
 		}
 		added := w.newServer(s)
 		w.servers[s.ID] = added
 		w.enterSlowStart(added, s.SlowStartRemaining, CauseListed)
-		if row != nil {
-			row.gone = true
-			added.slowStart.until = row.slowStart.until
+		if known != nil {
+			known.gone = true
+			added.slowStart.until = known.slowStart.until
 			w.enterSlowStart(added, added.service.slowStart.span, CauseRestarted)
 		}
 	}
-	for id, row := range w.servers {
+	for id, known := range w.servers {
 		if !seen[id] {
-			row.gone = true
+			known.gone = true
 			delete(w.servers, id)
 		}
 	}
@@ -77,9 +77,9 @@
 	}
 	clear(w.serversByKey)
 	for _, s := range list {
-		row := w.servers[s.ID]
-		w.serversByKey[row.peerKey()] = row
-		row.service.servers = append(row.service.servers, row)
+		known := w.servers[s.ID]
+		w.serversByKey[known.peerKey()] = known
+		known.service.servers = append(known.service.servers, known)
 	}
 	for _, s := range w.services {
 		w.markFreed(s)
@@ -110,13 +110,13 @@
 }
 
 const (
-	// engineLoadTTL is how long an engine's reported load counts: at 13 requests per
-	// second over 15 servers an instance gets a report of each about once a second.
+	// engineLoadTTL is how long an engine's reported load counts: an instance that sends 13
+	// requests per second to 15 servers gets a report of each about once a second.
 	engineLoadTTL = 3 * time.Second
 	// plainLoadResponses is the same for a plain server, in mean response times, with the
-	// lower bound minPlainLoadTTL. A burst of 30 ms calls is over before another instance
-	// learns of it: with a TTL of seconds each of 81 instances refused a tenth of the
-	// calls while servers were idle.
+	// lower bound minPlainLoadTTL. A burst of requests of 30 ms is over before another
+	// instance learns of it: with a TTL of seconds, each of 81 instances may refuse a tenth
+	// of the requests while servers are idle.
 	plainLoadResponses = 6
 	minPlainLoadTTL    = 60 * time.Millisecond
 )
@@ -126,8 +126,8 @@
 	if s.engine {
 		return engineLoadTTL
 	}
-	answers := seconds(plainLoadResponses * s.intervals.average(noModel).value)
-	return min(max(answers, minPlainLoadTTL), engineLoadTTL)
+	responses := seconds(plainLoadResponses * s.intervals.average(noModel).value)
+	return min(max(responses, minPlainLoadTTL), engineLoadTTL)
 }
 
 // reportedOthers is the load that the server reported, without this instance's requests at
@@ -136,7 +136,7 @@
 	return float64(s.reported.Running + s.reported.Waiting - s.ownAtReport)
 }
 
-// usable says whether the server may get new requests, ejected or not.
+// usable reports whether the server may get new requests, ejected or not.
 func (s *server) usable(now time.Time) bool {
 	return !s.gone && !s.Leaving && !s.drained && !now.Before(s.backoffUntil)
 }
--- a/decision/passthrough/sessions.go
+++ b/decision/passthrough/sessions.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// sessionMargin is how long a session's version is kept beyond the platform's own bound
-// after its last request: clocks differ, and a response may end late.
+// sessionMargin is how long a session's version is kept beyond SessionTTL after the deadline
+// of its last request: clocks differ, and a response may end late.
 const sessionMargin = 2 * time.Second
 
-// sessionRow is the service and version that a session last ran on.
-type sessionRow struct {
+// sessionEntry is the service and version that a session last ran on.
+type sessionEntry struct {
 	service         string
 	version         string
 	rolloutPosition float64
 	until           time.Time
 }
 
-// wantsTarget says whether a request goes to the roll-out's target.
+// wantsTarget reports whether a request goes to the roll-out's target.
 //
 // Load: sessions whose requests come to any instance, during a roll-out. Harm prevented:
 // a session that changes its version midway. Sessions that are open when the roll-out is
 // ordered stay at the old version through the first half: before the canary gets any
-// traffic, the instances tell each other the open sessions in its share, a few each. All
+// traffic, the instances report the open sessions in its share to each other, a few each. All
 // other sessions in the share belong to the new version, by a hash that is the same at
 // all instances, and stay there.
 func (w *World) wantsTarget(r *request, ro *Rollout) bool {
@@ -40,14 +40,14 @@
 	if ro.CollectingSessions || w.keptOnOldVersion[r.Session] {
 		return false
 	}
-	row, known := w.sessions.Get(r.Session)
-	if known && w.now.Before(row.until) && row.service == r.service.name {
-		return row.version == ro.Target
+	entry, known := w.sessions.Get(r.Session)
+	if known && w.now.Before(entry.until) && entry.service == r.service.name {
+		return entry.version == ro.Target
 	}
 	return r.RolloutPosition < ro.Share
 }
 
-// switchesEarly says whether the request goes to the new version because it would still
+// switchesEarly reports whether the request goes to the new version because it would still
 // run at the old one when the roll-out is completed.
 //
 // Load: streams that take many seconds, at old servers that stop at once when the
@@ -67,7 +67,7 @@
 		return
 	}
 	until := r.Deadline.Add(w.cfg.SessionTTL + sessionMargin)
-	w.sessions.Add(r.Session, sessionRow{service: r.service.name, version: version, rolloutPosition: r.RolloutPosition, until: until})
+	w.sessions.Add(r.Session, sessionEntry{service: r.service.name, version: version, rolloutPosition: r.RolloutPosition, until: until})
 }
 
 // OpenSessions lists a service's sessions that may be open at another version than
@@ -75,8 +75,8 @@
 func (w *World) OpenSessions(service, target string, share float64) []string {
 	var out []string
 	for _, id := range w.sessions.Keys() {
-		row, ok := w.sessions.Peek(id)
-		if ok && row.service == service && row.version != target && row.rolloutPosition < share && w.now.Before(row.until) {
+		entry, ok := w.sessions.Peek(id)
+		if ok && entry.service == service && entry.version != target && entry.rolloutPosition < share && w.now.Before(entry.until) {
 			out = append(out, id)
 		}
 	}
--- a/decision/passthrough/engine_test.go
+++ b/decision/passthrough/sim_test.go
@@ -10,14 +10,14 @@
 
 // The engines of these tests process one prompt after the other, and generate between its chunks of
 // 4,000 tokens: 300 tokens per millisecond with the small model, 30 with the large one. The small
-// model's response is good for one request in two, and its confidence says so.
+// model's response is good for one request in two, and its confidence shows that.
 const (
 	simEngines = 6
 	simSlots   = 128
 	simStep    = 5 * time.Millisecond
 	simEvents  = 8 // of 15 ms each
 	simTokens  = 2000
-	// simCapacity is how many requests per second the engines can bear with the large model for
+	// simCapacity is how many requests per second the engines can serve with the large model for
 	// every second request: each takes 6.7 ms plus half of 67 ms.
 	simCapacity = 150.0
 )
@@ -27,19 +27,19 @@
 	team     string
 	priority int
 	rate     float64
-	// retries is how often a refused caller retries at once, whatever it is told.
+	// retries is how often a refused caller retries at once, whatever its retry-after time.
 	retries int
 }
 
 // simTally counts the outcomes of a kind's requests.
 type simTally struct {
 	sent, inTarget, late, weak, refused, failed int
-	// hints are the retry-after times of refused callers.
+	// retryAfters are the retry-after times of refused callers.
 	retryAfters []time.Duration
 }
 
-// credit is 1 for a good response in time, half for a late one, a twentieth for a weak one.
-func (t simTally) credit() float64 {
+// value is 1 for a good response in time, half for a late one, a twentieth for a weak one.
+func (t simTally) value() float64 {
 	return float64(t.inTarget) + 0.5*float64(t.late) + 0.05*float64(t.weak)
 }
 
@@ -49,7 +49,7 @@
 
 // simJob is an attempt at an engine.
 type simJob struct {
-	b         *harness
+	instance  *harness
 	id        RequestID
 	model     string
 	sent      time.Time
@@ -58,7 +58,7 @@
 	// events is the number of events that it generates, from began on.
 	events float64
 	began  time.Time
-	// version of the engine's software; slow says that it is slow with this job.
+	// version is that of the engine's software; slow is true if the engine is slow with this job.
 	version string
 	slow    bool
 }
@@ -95,9 +95,10 @@
 	now    time.Time
 	// tokens is the length of prompts.
 	tokens int
-	// sharesLoads says that the instances report their loads to each other every shareEvery.
-	sharesLoads bool
-	sharedAt    time.Time
+	// exchangesLoads is true if the instances report their loads to each other every
+	// exchangeInterval.
+	exchangesLoads bool
+	exchangedAt    time.Time
 	// rollout is a simulated roll-out, nil for none.
 	rollout *simRollout
 }
@@ -119,13 +120,13 @@
 		s.engines[srv.ID] = &simEngine{}
 	}
 	for i := range instances {
-		b := newHarness(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 50, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
-		b.tick(FleetSize{Instances: instances})
+		h := newHarness(t, Settings{Seed: uint64(i), RetryRatio: 0.9, RetrySlack: 50, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
+		h.tick(FleetSize{Instances: instances})
 		c := Config{Version: 1, Services: []Service{{Name: "llm", Slots: simSlots}}, Routes: []Route{*s.route}}
-		b.tick(Configured{NewIndex(c)})
-		b.tick(ServersListed{list})
-		s.instances = append(s.instances, b)
-		s.requests[b] = map[RequestID]*simRequest{}
+		h.tick(Configured{NewIndex(c)})
+		h.tick(ServersListed{list})
+		s.instances = append(s.instances, h)
+		s.requests[h] = map[RequestID]*simRequest{}
 	}
 	return s
 }
@@ -135,104 +136,105 @@
 
 // play runs the simulation for a time, at the kinds' rates times factor.
 func (s *sim) play(length time.Duration, factor float64) {
-	owed := make([]float64, len(s.kinds))
+	due := make([]float64, len(s.kinds))
 	for until := s.now.Add(length); s.now.Before(until); {
 		s.now = s.now.Add(simStep)
-		for _, b := range s.instances {
-			b.now = s.now
+		for _, h := range s.instances {
+			h.now = s.now
 		}
 		for _, srv := range s.instances[0].world.services["llm"].servers {
 			s.stepEngine(s.engines[srv.ID])
 		}
 		s.timers()
-		s.share()
+		s.exchangeLoads()
 		if s.rollout != nil {
 			s.rollout.step()
 		}
 		for i, k := range s.kinds {
-			for owed[i] += k.rate * factor * simStep.Seconds(); owed[i] >= 1; owed[i]-- {
+			for due[i] += k.rate * factor * simStep.Seconds(); due[i] >= 1; due[i]-- {
 				s.arrive(i, k.retries, s.rng.IntN(2) == 0)
 			}
 		}
 	}
 }
 
-// shareEvery is how often the instances report their loads to each other, and the delay of the
+// exchangeInterval is how often the instances report their loads to each other, and the delay of the
 // reports.
-const shareEvery = 150 * time.Millisecond
+const exchangeInterval = 150 * time.Millisecond
 
-// share gives each instance the load of all others at the engines.
-func (s *sim) share() {
-	if !s.sharesLoads || s.now.Sub(s.sharedAt) < shareEvery {
+// exchangeLoads gives each instance the load of all others at the engines.
+func (s *sim) exchangeLoads() {
+	if !s.exchangesLoads || s.now.Sub(s.exchangedAt) < exchangeInterval {
 		return
 	}
-	s.sharedAt = s.now
+	s.exchangedAt = s.now
 	own := make([][]PeerLoad, len(s.instances))
-	for i, b := range s.instances {
-		own[i] = b.world.OwnLoads()
+	for i, h := range s.instances {
+		own[i] = h.world.OwnLoads()
 	}
-	for i, b := range s.instances {
+	for i, h := range s.instances {
 		sums := map[uint32]PeerLoad{}
-		for j, rows := range own {
-			for _, row := range rows {
+		for j, loads := range own {
+			for _, load := range loads {
 				if j != i {
-					sum := sums[row.Key]
-					sums[row.Key] = PeerLoad{Key: row.Key, Requests: sum.Requests + row.Requests, PrefillTime: sum.PrefillTime + row.PrefillTime}
+					sum := sums[load.Key]
+					sums[load.Key] = PeerLoad{Key: load.Key, Requests: sum.Requests + load.Requests, PrefillTime: sum.PrefillTime + load.PrefillTime}
 				}
 			}
 		}
-		b.tick(PeerLoads{Loads: slices.Collect(maps.Values(sums)), Instances: len(s.instances) - 1})
-		s.carryOut(b)
+		h.tick(PeerLoads{Loads: slices.Collect(maps.Values(sums)), Instances: len(s.instances) - 1})
+		s.carryOut(h)
 	}
 }
 
 func (s *sim) arrive(kind, retries int, hard bool) {
-	b := s.instances[s.rng.IntN(len(s.instances))]
+	h := s.instances[s.rng.IntN(len(s.instances))]
 	s.tallies[kind].sent++
 	r := &simRequest{kind: kind, hard: hard, retries: retries, target: s.now.Add(s.route.TargetLatency), deadline: s.now.Add(s.route.Timeout), waiting: true}
 	r.queueDeadline = s.now.Add(MaxQueueWait(&Request{TargetTime: r.target, Deadline: r.deadline}, s.now))
-	s.requests[b][b.next+1] = r
-	b.arrive(s.route, func(q *Request) {
+	s.requests[h][h.next+1] = r
+	h.arrive(s.route, func(q *Request) {
 		q.Team, q.Priority, q.PromptTokens, q.MaxTokens = s.kinds[kind].team, s.kinds[kind].priority, s.tokens, 4*simEvents
 		q.PrefixHash, q.PrefixTokens = uint64(1+s.rng.IntN(200)), s.tokens/10
 		if s.rollout != nil {
 			q.RolloutPosition = s.rng.Float64()
 		}
 	})
-	s.carryOut(b)
+	s.carryOut(h)
 }
 
 // timers ends expired queue waits and requests whose deadline has passed.
 func (s *sim) timers() {
-	for _, b := range s.instances {
-		for s.oldest[b] <= b.next && s.requests[b][s.oldest[b]] == nil {
-			s.oldest[b]++
+	for _, h := range s.instances {
+		for s.oldest[h] <= h.next && s.requests[h][s.oldest[h]] == nil {
+			s.oldest[h]++
 		}
-		for id := s.oldest[b]; id <= b.next; id++ {
-			r := s.requests[b][id]
+		for id := s.oldest[h]; id <= h.next; id++ {
+			r := s.requests[h][id]
 			if r == nil {
 				continue
 			}
 			switch {
 			case !s.now.Before(r.deadline):
 				s.tallies[r.kind].failed++
-				delete(s.requests[b], id)
-				s.drop(b, id)
-				b.tick(RequestCancelled{id})
+				delete(s.requests[h], id)
+				s.removeJob(h, id)
+				h.tick(RequestCancelled{id})
 			case r.waiting && !s.now.Before(r.queueDeadline):
 				r.queueDeadline = r.deadline
-				b.tick(QueueWaitExpired{id})
+				h.tick(QueueWaitExpired{id})
 			}
 		}
-		s.carryOut(b)
+		s.carryOut(h)
 	}
 }
 
-func (s *sim) drop(b *harness, id RequestID) {
+// removeJob removes the request's job from all engines.
+func (s *sim) removeJob(h *harness, id RequestID) {
 	keep := func(list []*simJob) []*simJob {
 		out := list[:0]
 		for _, j := range list {
-			if j.b != b || j.id != id {
+			if j.instance != h || j.id != id {
 				out = append(out, j)
 			}
 		}
@@ -244,19 +246,19 @@
 }
 
 // carryOut carries out an instance's commands.
-func (s *sim) carryOut(b *harness) {
-	for s.handled[b] < len(b.allCommands) {
-		c := b.allCommands[s.handled[b]]
-		s.handled[b]++
+func (s *sim) carryOut(h *harness) {
+	for s.handled[h] < len(h.allCommands) {
+		c := h.allCommands[s.handled[h]]
+		s.handled[h]++
 		switch c := c.(type) {
 		case Dispatch:
-			s.requests[b][c.Request].waiting = false
+			s.requests[h][c.Request].waiting = false
 			perToken := 1.0 / 300
 			if c.Model == "large" {
 				perToken = 1.0 / 30
 			}
 			e := s.engines[c.Server.ID]
-			j := &simJob{b: b, id: c.Request, model: c.Model, sent: s.now, version: c.Server.Version,
+			j := &simJob{instance: h, id: c.Request, model: c.Model, sent: s.now, version: c.Server.Version,
 				prefillMS: float64(s.tokens) * perToken, decodeMS: simEvents * 15 * (0.5 + s.rng.Float64())}
 			j.events = j.decodeMS / 15
 			if s.rollout != nil {
@@ -268,8 +270,8 @@
 				s.rollout.observed(c)
 			}
 		case Refuse:
-			r := s.requests[b][c.Request]
-			delete(s.requests[b], c.Request)
+			r := s.requests[h][c.Request]
+			delete(s.requests[h], c.Request)
 			t := &s.tallies[r.kind]
 			t.refused++
 			t.retryAfters = append(t.retryAfters, c.RetryAfter)
@@ -277,8 +279,8 @@
 				s.arrive(r.kind, r.retries-1, r.hard)
 			}
 		case Finish:
-			r := s.requests[b][c.Request]
-			delete(s.requests[b], c.Request)
+			r := s.requests[h][c.Request]
+			delete(s.requests[h], c.Request)
 			s.tallies[r.kind].failed++
 		}
 	}
@@ -316,22 +318,22 @@
 	e.running = kept
 }
 
-// begin sends the head of a response.
+// begin sends the headers of a response.
 func (s *sim) begin(e *simEngine, j *simJob) {
-	r := s.requests[j.b][j.id]
+	r := s.requests[j.instance][j.id]
 	if r == nil {
 		return
 	}
 	load := Load{Running: len(e.running) + 1, Waiting: len(e.queue), Slots: simSlots}
-	j.b.tick(FirstByte{Request: j.id, After: s.now.Sub(j.sent) + 50*time.Millisecond, Load: load, HasLoad: true})
+	j.instance.tick(FirstByte{Request: j.id, After: s.now.Sub(j.sent) + 50*time.Millisecond, Load: load, HasLoad: true})
 	weak := r.hard && j.model == "small"
 	confidence := 0.6 + 0.3*s.rng.Float64()
 	if weak {
 		confidence -= 0.5
 	}
-	if confidence < j.b.world.ConfidenceThreshold(j.id) {
-		j.b.tick(AttemptEnded{Request: j.id, Result: Dropped})
-		s.carryOut(j.b)
+	if confidence < j.instance.world.ConfidenceThreshold(j.id) {
+		j.instance.tick(AttemptEnded{Request: j.id, Result: Dropped})
+		s.carryOut(j.instance)
 		return
 	}
 	if s.now.After(r.target) {
@@ -339,15 +341,15 @@
 	}
 	j.began = s.now
 	e.running = append(e.running, j)
-	s.carryOut(j.b)
+	s.carryOut(j.instance)
 }
 
 func (s *sim) complete(j *simJob) {
-	r := s.requests[j.b][j.id]
+	r := s.requests[j.instance][j.id]
 	if r == nil {
 		return
 	}
-	delete(s.requests[j.b], j.id)
+	delete(s.requests[j.instance], j.id)
 	t := &s.tallies[r.kind]
 	switch {
 	case r.hard && j.model == "small":
@@ -360,6 +362,6 @@
 	if s.rollout != nil {
 		s.rollout.completed(j)
 	}
-	j.b.tick(AttemptEnded{Request: j.id, Result: Completed, EventInterval: seconds(s.now.Sub(j.began).Seconds() / j.events)})
-	s.carryOut(j.b)
+	j.instance.tick(AttemptEnded{Request: j.id, Result: Completed, EventInterval: seconds(s.now.Sub(j.began).Seconds() / j.events)})
+	s.carryOut(j.instance)
 }
