--- a/decision/admit.go
+++ b/decision/admit.go
@@ -21,16 +21,16 @@
 		return
 	}
 	r.team = w.teams[r.Team]
-	to := w.resolve(r)
-	if to.reason != "" {
-		w.refuseFor(r, to.reason)
+	target := w.resolve(r)
+	if target.reason != "" {
+		w.refuseFor(r, target.reason)
 		return
 	}
 	if reason := w.blockedReason(r); reason != "" {
 		w.refuseFor(r, reason)
 		return
 	}
-	w.assign(r, to)
+	w.assign(r, target)
 	reason := w.capacityReason(r)
 	if reason == ReasonWaitTooLong && w.spillover(r) {
 		reason = ""
@@ -53,7 +53,7 @@
 		// The claim that keeps it from running twice cannot be recorded.
 		return ReasonOutage
 	}
-	if r.Resend && !r.team.retries.spend(w.now, &w.cfg) {
+	if r.Resend && !r.team.retryBudget.spend(w.now, &w.cfg) {
 		return ReasonRetryBudget
 	}
 	return ""
@@ -111,7 +111,7 @@
 // show it: one of eight instances on a saturated pool sees its own queue run empty
 // now and then.
 func (w *World) overloaded(p *pool) bool {
-	return !w.cfg.Policy.NoWaitLimit && p.backlog.part(w.now, w.cfg.BurstDuration) >= overloadThreshold
+	return !w.cfg.Policy.NoWaitLimit && p.backlog.fraction(w.now, w.cfg.BacklogHalfLife) >= overloadThreshold
 }
 
 func (w *World) queueLimit(t *team) int {
--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -19,66 +19,66 @@
 }
 
 func newBenchWorld(servers, slots, queued, blocks int) *benchWorld {
-	b := &benchWorld{w: NewWorld(DefaultConfig()), now: epoch}
+	bw := &benchWorld{w: NewWorld(DefaultConfig()), now: epoch}
 	var teams []Team
 	for i := range 10 {
 		id := TeamID(fmt.Sprintf("team%d", i))
-		b.teams = append(b.teams, id)
+		bw.teams = append(bw.teams, id)
 		t := testTeam(id, 1+i%3)
 		t.QueueLimit = 1 << 20
 		teams = append(teams, t)
 	}
 	for i := range blocks {
-		b.blocks = append(b.blocks, BlockHash(i+1))
+		bw.blocks = append(bw.blocks, BlockHash(i+1))
 	}
-	b.tick(
+	bw.tick(
 		FreshnessChanged{Fresh: true},
-		ManifestApplied{Generation: 1, Teams: teams, Versions: smallVersions()},
+		ManifestApplied{Generation: 1, Teams: teams, Versions: testVersions()},
 		ServersListed{Servers: testServers(servers, slots, weave1, draft1)},
 	)
 	for range servers * slots {
-		b.tick(b.arrival())
+		bw.tick(bw.arrival())
 	}
 	for range queued {
-		b.tick(b.arrival())
+		bw.tick(bw.arrival())
 	}
-	return b
+	return bw
 }
 
-func (b *benchWorld) arrival() Event {
-	b.next++
+func (bw *benchWorld) arrival() Event {
+	bw.next++
 	return RequestArrived{Request: Request{
-		ID: b.next, Team: b.teams[int(b.next)%len(b.teams)], Model: "weave", MaxTokens: 20, PromptTokens: 500,
-		Idempotent: true, Deadline: epoch.Add(1000 * time.Hour), Blocks: b.blocks,
+		ID: bw.next, Team: bw.teams[int(bw.next)%len(bw.teams)], Model: "weave", MaxTokens: 20, PromptTokens: 500,
+		Idempotent: true, Deadline: epoch.Add(1000 * time.Hour), Blocks: bw.blocks,
 	}}
 }
 
-func (b *benchWorld) tick(in ...Event) {
-	b.now = b.now.Add(time.Microsecond)
-	for _, c := range b.w.Tick(b.now, in) {
+func (bw *benchWorld) tick(in ...Event) {
+	bw.now = bw.now.Add(time.Microsecond)
+	for _, c := range bw.w.Tick(bw.now, in) {
 		if d, ok := c.(Dispatch); ok {
-			b.running = append(b.running, attemptKey{d.Request, d.Attempt})
+			bw.running = append(bw.running, attemptKey{d.Request, d.Attempt})
 		}
 	}
 }
 
 // makeDecision makes one decision: an attempt ends, a request arrives, and the freed slot
 // goes to the next queued request (or to the new one, if the queue is empty).
-func (b *benchWorld) makeDecision() {
-	oldest := b.running[0]
-	b.running = b.running[1:]
-	b.tick(AttemptEnded{Request: oldest.request, Attempt: oldest.attempt, Result: AttemptCompleted, Tokens: 20}, b.arrival())
+func (bw *benchWorld) makeDecision() {
+	oldest := bw.running[0]
+	bw.running = bw.running[1:]
+	bw.tick(AttemptEnded{Request: oldest.request, Attempt: oldest.attempt, Result: AttemptCompleted, Tokens: 20}, bw.arrival())
 }
 
 // sizes are numbers of servers and of slots per server. The first is a present
 // deployment, the second a hundred such servers. The others have 10,000 attempts in
 // flight each, so that only the size of the fleet differs.
-var sizes = []struct{ servers, slots int }{{15, 8}, {100, 8}, {100, 100}, {1000, 10}, {10_000, 1}}
+var benchSizes = []struct{ servers, slots int }{{15, 8}, {100, 8}, {100, 100}, {1000, 10}, {10_000, 1}}
 
 // BenchmarkDecision measures one decision: an attempt ends, its answer is
 // delivered, a request arrives and one is dispatched.
 func BenchmarkDecision(b *testing.B) {
-	for _, size := range sizes {
+	for _, size := range benchSizes {
 		for _, queued := range []int{10, 10_000} {
 			name := fmt.Sprintf("servers=%d/inflight=%d/queued=%d", size.servers, size.servers*size.slots, queued)
 			b.Run(name, func(b *testing.B) {
--- a/decision/budget.go
+++ b/decision/budget.go
@@ -10,8 +10,8 @@
 // (Config.RetryRatio); a floor lets a team with little traffic retry at all; a cap
 // limits how much past success counts.
 type retryBudget struct {
-	tokens float64
-	at     time.Time
+	retries    float64
+	lastRefill time.Time
 }
 
 // floorRefillPerSecond is how many retries per second are added below the floor.
@@ -19,20 +19,20 @@
 
 // earn records a success.
 func (b *retryBudget) earn(c *Config) {
-	b.tokens = min(b.tokens+c.RetryRatio, c.RetryCap)
+	b.retries = min(b.retries+c.RetryRatio, c.RetryCap)
 }
 
 // spend takes one retry from the budget and reports whether there was one.
 func (b *retryBudget) spend(now time.Time, c *Config) bool {
-	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
-		b.at = now
-		if b.tokens < c.RetryFloor {
-			b.tokens = min(b.tokens+elapsed*floorRefillPerSecond, c.RetryFloor)
+	if elapsed := now.Sub(b.lastRefill).Seconds(); elapsed > 0 {
+		b.lastRefill = now
+		if b.retries < c.RetryFloor {
+			b.retries = min(b.retries+elapsed*floorRefillPerSecond, c.RetryFloor)
 		}
 	}
-	if b.tokens < 1 {
+	if b.retries < 1 {
 		return false
 	}
-	b.tokens--
+	b.retries--
 	return true
 }
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -10,7 +10,7 @@
 func (s *server) capacity() int { return max(s.Slots, 1) }
 
 // refresh updates whether the server can take a request now.
-func (w *World) refresh(s *server) {
+func (w *World) refreshFree(s *server) {
 	w.setFree(s, w.hasFreeSlot(s))
 }
 
@@ -34,13 +34,13 @@
 	if s.running >= s.capacity() {
 		return false
 	}
-	if s.running+s.otherLoad < s.capacity() {
+	if s.running+s.otherRequests < s.capacity() {
 		return true
 	}
-	if s.running == 0 && s.otherLoad < s.capacity()+w.overcommit(s) {
+	if s.running == 0 && s.otherRequests < s.capacity()+w.overcommit(s) {
 		return true
 	}
-	if !w.reportFresh(s) {
+	if !w.hasRecentReport(s) {
 		return true
 	}
 	w.wakeAt(s, s.reportedAt.Add(w.cfg.LoadReportTTL))
@@ -69,27 +69,27 @@
 	}
 }
 
-func (p *pool) addFree(s *server, member int) {
-	s.memberships[member].pos = len(p.free)
-	p.free = append(p.free, freeSlot{server: s, member: member})
+func (p *pool) addFree(s *server, membershipIndex int) {
+	s.memberships[membershipIndex].pos = len(p.free)
+	p.free = append(p.free, freeServer{server: s, membershipIndex: membershipIndex})
 }
 
 func (p *pool) removeFree(pos int) {
 	last := len(p.free) - 1
 	moved := p.free[last]
 	p.free[pos] = moved
-	moved.server.memberships[moved.member].pos = pos
-	p.free[last] = freeSlot{}
+	moved.server.memberships[moved.membershipIndex].pos = pos
+	p.free[last] = freeServer{}
 	p.free = p.free[:last]
 }
 
 // backOff excludes the server from selection until at.
-func (w *World) backOff(s *server, at time.Time) {
-	if !at.After(s.backoffUntil) {
+func (w *World) backOff(s *server, until time.Time) {
+	if !until.After(s.backoffUntil) {
 		return
 	}
-	s.backoffUntil = at
-	w.refresh(s)
+	s.backoffUntil = until
+	w.refreshFree(s)
 }
 
 // wakeAt schedules a refresh of the server, unless an earlier one is pending.
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -17,7 +17,7 @@
 }
 
 // applyEstimates passes the manifest's quality of each version to the estimates.
-func (w *World) applyEstimates() {
+func (w *World) applyQuality() {
 	quality := make(map[VersionID]float64, len(w.versions))
 	for _, v := range w.versions {
 		if !v.gone {
--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -13,7 +13,7 @@
 	h := newHarness(t, cfg)
 	team := testTeam("weavers", 1)
 	team.QualityTarget = 0.8
-	h.manifest(1, []Team{team}, smallVersions())
+	h.manifest(1, []Team{team}, testVersions())
 	h.servers(testServers(6, 8, weave1, draft1)...)
 	h.rating = func(d Dispatch, r Request) (float64, bool) {
 		if d.Version == weave1 && r.ID%10 < 3 {
@@ -27,7 +27,7 @@
 
 // serveOpen serves n requests one after the other and returns the mean cost of
 // their attempts and the mean quality of the delivered answers.
-func (h *harness) serveOpen(n int, r Request) (cost, quality float64) {
+func (h *harness) serveAnyModel(n int, r Request) (cost, quality float64) {
 	last := map[RequestID]Dispatch{}
 	h.onCommand = func(c Command) {
 		d, ok := c.(Dispatch)
@@ -52,14 +52,14 @@
 // The cascade must meet the quality target at a clearly lower cost than the dear
 // model alone.
 func TestCascadeCostsLessAtTheTarget(t *testing.T) {
-	open := Request{Team: "weavers", Class: "lookup", MaxTokens: 20, Idempotent: true}
+	anyModel := Request{Team: "weavers", Class: "lookup", MaxTokens: 20, Idempotent: true}
 	h := cascadeHarness(t, DefaultConfig())
-	h.serveOpen(200, open)
-	cost, quality := h.serveOpen(300, open)
+	h.serveAnyModel(200, anyModel)
+	cost, quality := h.serveAnyModel(300, anyModel)
 	if quality < 0.79 || cost > 6 {
 		t.Errorf("cost %.2f per request, want at most 6; quality %.3f, want at least 0.79", cost, quality)
 	}
-	h.requireAllAnswered()
+	h.requireAllEnded()
 }
 
 // Streamed and non-idempotent requests must never be held: they run on the version
@@ -108,7 +108,7 @@
 				h.run(5 * step)
 			}
 			h.run(2 * time.Second)
-			h.requireAllAnswered()
+			h.requireAllEnded()
 			if h.delivered("") != 100 {
 				t.Errorf("%d of 100 delivered", h.delivered(""))
 			}
@@ -145,9 +145,9 @@
 func TestSpillsToAnotherModel(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.duration = tenMsPerToken
-	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
-	cheap, dear := testServers(2, 8, weave1), testServers(4, 8, draft1)[2:]
-	h.servers(append(cheap, dear...)...)
+	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
+	cheap, expensive := testServers(2, 8, weave1), testServers(4, 8, draft1)[2:]
+	h.servers(append(cheap, expensive...)...)
 	h.tick()
 	rng := rand.New(rand.NewPCG(3, 3))
 	// 120 requests per second, of which the cheap pool can take 80.
@@ -156,7 +156,7 @@
 		request: Request{Team: "weavers", MaxTokens: 20, Idempotent: true},
 	})
 	h.run(3 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 	if got := h.delivered(""); got < len(h.outcomes)*97/100 {
 		t.Errorf("%d of %d delivered", got, len(h.outcomes))
 	}
--- a/decision/command.go
+++ b/decision/command.go
@@ -17,7 +17,7 @@
 // refuse ends a request that provably did not run. One that may have run fails
 // instead, whatever the reason.
 func (w *World) refuse(r *request, reason RefusalReason, retryAfter time.Duration) {
-	if r.ran {
+	if r.mayHaveRun {
 		w.fail(r, r.lastResult)
 		return
 	}
--- a/decision/config.go
+++ b/decision/config.go
@@ -54,12 +54,12 @@
 	// RatingTimeout is how long a held answer may wait for its rating.
 	RatingTimeout time.Duration
 	// DrainRateHalfLife is the half-life of the measured drain and usage rates.
-	DrainRateHalfLife time.Duration
+	RateHalfLife time.Duration
 	// WaitMargin is the factor applied to the estimated wait at admission.
 	WaitMargin float64
 	// BurstDuration is how long a backlog may last before it counts as overload,
 	// and the half-life of the average that includes earlier backlogs.
-	BurstDuration time.Duration
+	BacklogHalfLife time.Duration
 	// OverloadAdmitWait bounds the estimated wait at admission in overload, as a
 	// fraction of the time to the deadline.
 	OverloadAdmitWait float64
@@ -181,12 +181,12 @@
 		RefusedBackoff: 200 * time.Millisecond,
 		RetryAfterMin:  500 * time.Millisecond,
 		// Less than the time to a first token that callers accept.
-		RatingTimeout:     300 * time.Millisecond,
-		DrainRateHalfLife: 5 * time.Second,
-		WaitMargin:        1.1,
+		RatingTimeout: 300 * time.Millisecond,
+		RateHalfLife:  5 * time.Second,
+		WaitMargin:    1.1,
 		// As long as the burst when a shop opens; a load that lasts longer, such as
 		// at the start of a term, is overload.
-		BurstDuration: 5 * time.Second,
+		BacklogHalfLife: 5 * time.Second,
 		// Enough queue to keep the slots busy, and no more.
 		OverloadAdmitWait: 0.1,
 		// Twice the admission limit, since estimated waits are too short by half.
@@ -233,9 +233,9 @@
 	orDefault(&c.RefusedBackoff, d.RefusedBackoff)
 	orDefault(&c.RetryAfterMin, d.RetryAfterMin)
 	orDefault(&c.RatingTimeout, d.RatingTimeout)
-	orDefault(&c.DrainRateHalfLife, d.DrainRateHalfLife)
+	orDefault(&c.RateHalfLife, d.RateHalfLife)
 	orDefault(&c.WaitMargin, d.WaitMargin)
-	orDefault(&c.BurstDuration, d.BurstDuration)
+	orDefault(&c.BacklogHalfLife, d.BacklogHalfLife)
 	orDefault(&c.OverloadAdmitWait, d.OverloadAdmitWait)
 	orDefault(&c.OverloadWait, d.OverloadWait)
 	orDefault(&c.PromptTokenCost, d.PromptTokenCost)
--- a/decision/crash.go
+++ b/decision/crash.go
@@ -46,7 +46,7 @@
 }
 
 // crashStarted records a dispatch.
-func (w *World) crashStarted(a *attempt) {
+func (w *World) recordAttemptStart(a *attempt) {
 	f := a.request.Fingerprint
 	if f != 0 && w.crashes.Len() > 0 {
 		a.counted = w.crashes.AttemptStarted(f, w.now)
@@ -54,7 +54,7 @@
 }
 
 // crashEnded records an attempt's end and quarantines the request at the limit.
-func (w *World) crashEnded(a *attempt, result AttemptResult) {
+func (w *World) recordAttemptEnd(a *attempt, result AttemptResult) {
 	f := a.request.Fingerprint
 	crashed := result == AttemptCrashed
 	if f == 0 || !crashed && !a.counted {
--- a/decision/drain.go
+++ b/decision/drain.go
@@ -30,15 +30,15 @@
 
 // rate is the drain rate in cost per second. The guess weighs as much as a tenth
 // of the half-life, so that by default half a second of backlog outweighs it.
-func (m *drainMeter) rate(guess float64, halfLife time.Duration) float64 {
-	prior := halfLife.Seconds() / 10
-	if guess == 0 && m.busy < prior {
+func (m *drainMeter) rate(expected float64, halfLife time.Duration) float64 {
+	priorSeconds := halfLife.Seconds() / 10
+	if expected == 0 && m.busy < priorSeconds {
 		return 0
 	}
-	if guess == 0 {
+	if expected == 0 {
 		return m.work / m.busy
 	}
-	return (m.work + guess*prior) / (m.busy + prior)
+	return (m.work + expected*priorSeconds) / (m.busy + priorSeconds)
 }
 
 // biasMeter measures the ratio of actual to estimated waits.
@@ -56,8 +56,8 @@
 // learn records how long a request waited until it got a slot or was ended
 // without one.
 func (m *biasMeter) learn(expected, waited time.Duration) {
-	m.expected = m.expected*decayPerAttempt + expected.Seconds()
-	m.waited = m.waited*decayPerAttempt + waited.Seconds()
+	m.expected = m.expected*decayPerSample + expected.Seconds()
+	m.waited = m.waited*decayPerSample + waited.Seconds()
 }
 
 // Bounds of the correction factor: beyond them the drain rate is wrong, which is
@@ -104,20 +104,20 @@
 
 // decayPerAttempt gives an average over about the last 50 attempts: enough to
 // smooth, few enough to follow a change of load within seconds.
-const decayPerAttempt = 0.98
+const decayPerSample = 0.98
 
 // learn records a completed attempt.
 func (m *serviceTimeMeter) learn(took time.Duration, cost float64) {
 	if expected := m.estimate(cost); expected > 0 {
 		relativeError := math.Abs(took.Seconds()/expected.Seconds() - 1)
-		m.meanError += (min(relativeError, 1) - m.meanError) * (1 - decayPerAttempt)
+		m.meanError += (min(relativeError, 1) - m.meanError) * (1 - decayPerSample)
 	}
-	m.count = m.count*decayPerAttempt + 1
-	m.cost = m.cost*decayPerAttempt + cost
-	m.seconds = m.seconds*decayPerAttempt + took.Seconds()
+	m.count = m.count*decayPerSample + 1
+	m.cost = m.cost*decayPerSample + cost
+	m.seconds = m.seconds*decayPerSample + took.Seconds()
 	size := &m.sizes[sizeClass(cost)]
-	size.cost = size.cost*decayPerAttempt + cost
-	size.seconds = size.seconds*decayPerAttempt + took.Seconds()
+	size.cost = size.cost*decayPerSample + cost
+	size.seconds = size.seconds*decayPerSample + took.Seconds()
 }
 
 // learnTokens records an answer's length relative to the tokens allowed for it.
@@ -125,11 +125,11 @@
 	if allowed <= 0 {
 		return
 	}
-	part := min(tokens/allowed, 1)
+	ratio := min(tokens/allowed, 1)
 	if m.lengthRatio == 0 {
-		m.lengthRatio = part
+		m.lengthRatio = ratio
 	}
-	m.lengthRatio += (part - m.lengthRatio) * (1 - decayPerAttempt)
+	m.lengthRatio += (ratio - m.lengthRatio) * (1 - decayPerSample)
 }
 
 // sizePriorAttempts is the weight of the average over all sizes in the estimate of
@@ -180,24 +180,24 @@
 // backlogMeter measures for which fraction of the recent past a queue was not
 // empty, as an exponentially decaying average.
 type backlogMeter struct {
-	past     float64
-	at       time.Time
-	standing bool
+	decayed    float64
+	updatedAt  time.Time
+	backlogged bool
 }
 
 // set records that the queue is not empty, or empty, from now on.
-func (m *backlogMeter) set(standing bool, now time.Time, halfLife time.Duration) {
-	m.past = m.part(now, halfLife)
-	m.at = now
-	m.standing = standing
+func (m *backlogMeter) set(backlogged bool, now time.Time, halfLife time.Duration) {
+	m.decayed = m.fraction(now, halfLife)
+	m.updatedAt = now
+	m.backlogged = backlogged
 }
 
 // part is 0 for never and 1 for always; after one half-life it has covered half of
 // a lasting change.
-func (m *backlogMeter) part(now time.Time, halfLife time.Duration) float64 {
-	left := m.past * math.Exp2(-now.Sub(m.at).Seconds()/halfLife.Seconds())
-	if !m.standing {
+func (m *backlogMeter) fraction(now time.Time, halfLife time.Duration) float64 {
+	left := m.decayed * math.Exp2(-now.Sub(m.updatedAt).Seconds()/halfLife.Seconds())
+	if !m.backlogged {
 		return left
 	}
-	return left + 1 - math.Exp2(-now.Sub(m.at).Seconds()/halfLife.Seconds())
+	return left + 1 - math.Exp2(-now.Sub(m.updatedAt).Seconds()/halfLife.Seconds())
 }
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -25,16 +25,16 @@
 // learnRating updates the quality estimates. Ratings of second steps are learnt
 // separately, since these answer the harder requests.
 func (w *World) learnRating(e AnswerRated) {
-	key := task{Team: e.Team, Class: e.Class}
-	used := w.estimates.ObserveRating(key, e.Version, e.Score, e.Late, w.now)
-	at := attemptKey{e.Request, e.Attempt}
-	first, second := w.secondSteps.Peek(at)
-	if !second {
+	taskKey := task{Team: e.Team, Class: e.Class}
+	used := w.estimates.ObserveRating(taskKey, e.Version, e.Score, e.Late, w.now)
+	key := attemptKey{e.Request, e.Attempt}
+	firstVersion, isSecond := w.secondSteps.Peek(key)
+	if !isSecond {
 		return
 	}
-	w.secondSteps.Remove(at)
+	w.secondSteps.Remove(key)
 	if used {
-		w.estimates.ObserveEscalatedRating(key, first, e.Version, e.Score)
+		w.estimates.ObserveEscalatedRating(taskKey, firstVersion, e.Version, e.Score)
 	}
 }
 
@@ -57,8 +57,8 @@
 // mayEscalate reports whether the second step may run under the current manifest.
 // A version that the session is pinned to may be draining.
 func (w *World) mayEscalate(r *request, v *version) bool {
-	takes := v.serving() || v.open() && slices.Contains(r.Pins, v.ID)
-	return takes && !r.team.gone && r.team.allowed[v.ID] && v.pool.usableServers > 0 &&
+	available := v.serving() || v.open() && slices.Contains(r.Pins, v.ID)
+	return available && !r.team.gone && r.team.allowed[v.ID] && v.pool.usableServers > 0 &&
 		int(r.attempts) < w.cfg.MaxAttempts && w.fresh
 }
 
--- a/decision/expire.go
+++ b/decision/expire.go
@@ -26,7 +26,7 @@
 			continue // superseded by an earlier wake
 		}
 		next.server.wakeAt = time.Time{}
-		w.refresh(next.server)
+		w.refreshFree(next.server)
 	}
 }
 
@@ -40,7 +40,7 @@
 		w.recordServerTimeout(r.current)
 		w.cancelCurrent(r)
 		w.fail(r, AttemptUnknown)
-	case r.ran:
+	case r.mayHaveRun:
 		w.fail(r, r.lastResult)
 	case w.now.Before(r.deadline):
 		w.recordWait(r)
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -20,10 +20,10 @@
 
 // number is at times not a number, infinite or out of range.
 func (t *byteSource) number() float64 {
-	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 2}
+	special := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 2}
 	b := int(t.next())
-	if b < len(odd) {
-		return odd[b]
+	if b < len(special) {
+		return special[b]
 	}
 	return float64(b) / 255
 }
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -16,7 +16,7 @@
 	team    TeamID
 	command Command
 	at      time.Time
-	waited  time.Duration
+	elapsed time.Duration
 }
 
 // running is an attempt on a fake backend server.
@@ -35,22 +35,22 @@
 // harness drives a World with fake backend servers, checks the invariants at each
 // command and records the outcomes.
 type harness struct {
-	t      reporter
-	w      *World
-	now    time.Time
-	events []Event
-	log    []string
+	t          reporter
+	w          *World
+	now        time.Time
+	events     []Event
+	commandLog []string
 
-	live     map[RequestID]Request
-	arrived  map[RequestID]time.Time
-	outcomes map[RequestID]outcome
-	running  []running
-	slots    map[ServerID]int
-	inFlight map[ServerID]int
-	allowed  map[TeamID]map[VersionID]bool
-	state    map[VersionID]VersionState
-	ran      map[RequestID]int
-	nextID   RequestID
+	live          map[RequestID]Request
+	arrived       map[RequestID]time.Time
+	outcomes      map[RequestID]outcome
+	running       []running
+	slots         map[ServerID]int
+	inFlight      map[ServerID]int
+	allowed       map[TeamID]map[VersionID]bool
+	versionStates map[VersionID]VersionState
+	possibleRuns  map[RequestID]int
+	nextID        RequestID
 
 	// duration is how long an attempt runs, result how it ends.
 	duration func(d Dispatch, r Request) time.Duration
@@ -66,7 +66,7 @@
 		t: t, w: NewWorld(cfg), now: epoch,
 		live: map[RequestID]Request{}, arrived: map[RequestID]time.Time{},
 		outcomes: map[RequestID]outcome{}, slots: map[ServerID]int{},
-		inFlight: map[ServerID]int{}, ran: map[RequestID]int{},
+		inFlight: map[ServerID]int{}, possibleRuns: map[RequestID]int{},
 	}
 	h.duration = func(Dispatch, Request) time.Duration { return 100 * time.Millisecond }
 	h.result = func(Dispatch, Request) AttemptResult { return AttemptCompleted }
@@ -84,9 +84,9 @@
 			h.allowed[t.ID][v] = true
 		}
 	}
-	h.state = map[VersionID]VersionState{}
+	h.versionStates = map[VersionID]VersionState{}
 	for _, v := range versions {
-		h.state[v.ID] = v.State
+		h.versionStates[v.ID] = v.State
 	}
 	h.send(ManifestApplied{Generation: generation, Teams: teams, Versions: versions})
 }
@@ -143,7 +143,7 @@
 	h.inFlight[a.Server]--
 	r := h.live[a.Request]
 	if result == AttemptNotRun {
-		h.ran[a.Request]--
+		h.possibleRuns[a.Request]--
 	}
 	h.send(AttemptEnded{Request: a.Request, Attempt: a.Attempt, Result: result, Tokens: r.MaxTokens})
 	if result == AttemptCompleted && a.NeedsRating && h.rating != nil {
@@ -156,7 +156,7 @@
 }
 
 func (h *harness) command(c Command) {
-	h.log = append(h.log, fmt.Sprintf("%v %T%+v", h.now.Sub(epoch), c, c))
+	h.commandLog = append(h.commandLog, fmt.Sprintf("%v %T%+v", h.now.Sub(epoch), c, c))
 	if h.onCommand != nil {
 		h.onCommand(c)
 	}
@@ -168,7 +168,7 @@
 	case Deliver:
 		h.recordOutcome(c.Request, c)
 	case Refuse:
-		if h.ran[c.Request] > 0 {
+		if h.possibleRuns[c.Request] > 0 {
 			h.t.Errorf("request %d refused as not run, but it ran", c.Request)
 		}
 		h.recordOutcome(c.Request, c)
@@ -186,7 +186,7 @@
 	if d.Version != "" && !h.allowed[r.Team][d.Version] {
 		h.t.Errorf("request %d of team %s dispatched on version %s, which the team may not use", d.Request, r.Team, d.Version)
 	}
-	if d.Version != "" && h.state[d.Version] == VersionWithdrawn {
+	if d.Version != "" && h.versionStates[d.Version] == VersionWithdrawn {
 		h.t.Errorf("request %d dispatched on withdrawn version %s", d.Request, d.Version)
 	}
 	if r.Pinned != "" && d.Version != r.Pinned {
@@ -201,8 +201,8 @@
 	if h.inFlight[d.Server] > h.slots[d.Server] {
 		h.t.Errorf("server %s has %d attempts in flight in %d slots", d.Server, h.inFlight[d.Server], h.slots[d.Server])
 	}
-	h.ran[d.Request]++
-	if h.ran[d.Request] > 1 && !r.Idempotent {
+	h.possibleRuns[d.Request]++
+	if h.possibleRuns[d.Request] > 1 && !r.Idempotent {
 		h.t.Errorf("non-idempotent request %d dispatched again", d.Request)
 	}
 	h.running = append(h.running, running{Dispatch: d, ends: h.now.Add(h.duration(d, r)), result: h.result(d, r)})
@@ -228,7 +228,7 @@
 		h.t.Errorf("request %d answered twice: %+v, then %+v", id, before.command, c)
 	}
 	h.outcomes[id] = outcome{
-		team: h.live[id].Team, command: c, at: h.now, waited: h.now.Sub(h.arrived[id]),
+		team: h.live[id].Team, command: c, at: h.now, elapsed: h.now.Sub(h.arrived[id]),
 	}
 	delete(h.live, id)
 }
@@ -245,7 +245,7 @@
 }
 
 // requireAllAnswered fails the test if a request has not been answered.
-func (h *harness) requireAllAnswered() {
+func (h *harness) requireAllEnded() {
 	h.t.Helper()
 	if len(h.live) > 0 {
 		h.t.Errorf("%d requests without an answer", len(h.live))
@@ -259,7 +259,7 @@
 	draft1 VersionID = "draft@1"
 )
 
-func smallVersions() []Version {
+func testVersions() []Version {
 	return []Version{
 		{ID: weave1, Model: "weave", State: VersionServing, Share: 1, Cost: 1, Quality: 0.6},
 		{ID: draft1, Model: "draft", State: VersionServing, Share: 1, Cost: 10, Quality: 0.9},
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -76,12 +76,12 @@
 		w.staleSince = w.now
 	}
 	if e.Outage && !w.outage {
-		w.recheck = true
+		w.recheckNeeded = true
 	}
 	if w.now.After(w.resumedAt) {
 		// Reported after the pause; a report sent before it says nothing about
 		// the state now.
-		w.holdUntil = time.Time{}
+		w.dispatchFrom = time.Time{}
 	}
 	w.fresh = e.Fresh
 	w.outage = e.Outage
@@ -98,8 +98,8 @@
 	if s.reportedAt.After(w.now) {
 		s.reportedAt = w.now // the server's clock is ahead
 	}
-	s.otherLoad = max(0, e.Running+e.Queued-s.running)
-	w.refresh(s)
+	s.otherRequests = max(0, e.Running+e.Queued-s.running)
+	w.refreshFree(s)
 }
 
 // ingestFirstToken records when an answer began: the time from then on gives the
@@ -112,6 +112,6 @@
 }
 
 // reportFresh reports whether the last load report is recent enough to count.
-func (w *World) reportFresh(s *server) bool {
+func (w *World) hasRecentReport(s *server) bool {
 	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
 }
--- a/decision/ingest_attempt.go
+++ b/decision/ingest_attempt.go
@@ -20,7 +20,7 @@
 	w.learnDuration(a, e)
 	w.recordServerResult(a, e)
 	w.recordVersionResult(a, e)
-	w.crashEnded(a, e.Result)
+	w.recordAttemptEnd(a, e.Result)
 	if e.Result == AttemptCrashed {
 		w.prefixes.Forget(a.server.ID) // the crash lost its cache
 	}
@@ -47,7 +47,7 @@
 	if s.gone && s.running == 0 {
 		delete(w.departed, s.ID)
 	}
-	w.refresh(s)
+	w.refreshFree(s)
 }
 
 // learnDuration updates the pool's estimate of service times and corrects the
@@ -66,8 +66,8 @@
 	if e.Tokens <= 0 || a.pool.service != "" {
 		return
 	}
-	a.pool.serviceTime.learnTokens(float64(e.Tokens), a.cost-a.prompt)
-	actual := a.prompt + float64(e.Tokens)
+	a.pool.serviceTime.learnTokens(float64(e.Tokens), a.cost-a.promptCost)
+	actual := a.promptCost + float64(e.Tokens)
 	a.team.account.CorrectCharge(min(actual-a.cost, a.cost))
 }
 
--- a/decision/ingest_manifest.go
+++ b/decision/ingest_manifest.go
@@ -15,9 +15,9 @@
 	w.generation = e.Generation
 	w.applyVersions(e.Versions)
 	w.applyTeams(e.Teams)
-	w.applyVerdicts()
-	w.applyEstimates()
-	w.recheck = true
+	w.applyVerdictVersions()
+	w.applyQuality()
+	w.recheckNeeded = true
 }
 
 func (w *World) applyVersions(rows []Version) {
@@ -39,7 +39,7 @@
 		w.addToModel(v)
 	}
 	for _, m := range w.models {
-		w.sortRollout(m)
+		w.sortVersions(m)
 	}
 }
 
@@ -53,9 +53,9 @@
 }
 
 // sortRollout orders a model's versions from the newest to the oldest.
-func (w *World) sortRollout(m *model) {
+func (w *World) sortVersions(m *model) {
 	slices.SortFunc(m.versions, func(a, b *version) int {
-		if d := cmp.Compare(w.age(b), w.age(a)); d != 0 {
+		if d := cmp.Compare(w.predecessorCount(b), w.predecessorCount(a)); d != 0 {
 			return d
 		}
 		return cmp.Compare(b.ID, a.ID)
@@ -64,7 +64,7 @@
 
 // age counts a version's predecessors. The count is bounded by the number of
 // versions, so that a cycle of predecessors terminates.
-func (w *World) age(v *version) int {
+func (w *World) predecessorCount(v *version) int {
 	n := 0
 	for n <= len(w.versions) {
 		p := w.versions[v.Predecessor]
@@ -85,8 +85,8 @@
 		t := w.teams[row.ID]
 		if t == nil {
 			t = &team{index: len(w.teams), account: w.fairness.NewAccount(row.Weight)}
-			t.retries.tokens = w.cfg.RetryFloor
-			t.retries.at = w.now
+			t.retryBudget.retries = w.cfg.RetryFloor
+			t.retryBudget.lastRefill = w.now
 			w.teams[row.ID] = t
 		}
 		t.Team = row
--- a/decision/ingest_servers.go
+++ b/decision/ingest_servers.go
@@ -21,8 +21,8 @@
 	}
 	clear(w.serverList[len(kept):])
 	w.serverList = kept
-	w.applyOutliers()
-	w.recheck = true
+	w.applyOutlierServers()
+	w.recheckNeeded = true
 }
 
 func (w *World) listServer(row Server) {
@@ -87,7 +87,7 @@
 	w.leavePools(s)
 	s.leaving = true
 	w.joinPools(s)
-	w.recheck = true
+	w.recheckNeeded = true
 	w.emit(ShareLeaving{Server: id})
 }
 
@@ -108,7 +108,7 @@
 			m.pool.slots += s.capacity()
 		}
 	}
-	w.refresh(s)
+	w.refreshFree(s)
 }
 
 // addMember adds the server to the pool once, even if the list names a version
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -53,7 +53,7 @@
 }
 
 // draftRequest is a request of 20 tokens: 200 ms at 10 ms per token.
-func draftRequest(team TeamID) Request {
+func shortRequest(team TeamID) Request {
 	return Request{Team: team, Model: "weave", MaxTokens: 20, Idempotent: true}
 }
 
@@ -62,7 +62,7 @@
 func loadHarness(t *testing.T, teams ...Team) (*harness, *rand.Rand) {
 	h := newHarness(t, DefaultConfig())
 	h.duration = tenMsPerToken
-	h.manifest(1, teams, smallVersions())
+	h.manifest(1, teams, testVersions())
 	h.servers(testServers(6, 8, weave1, draft1)...)
 	h.tick()
 	return h, rand.New(rand.NewPCG(7, 7))
@@ -74,7 +74,7 @@
 	var list []time.Duration
 	for _, o := range h.outcomes {
 		if _, ok := o.command.(Deliver); ok && o.team == team {
-			list = append(list, o.waited)
+			list = append(list, o.elapsed)
 		}
 	}
 	slices.Sort(list)
@@ -98,7 +98,7 @@
 		if !ok {
 			continue
 		}
-		if o.waited > 2*step {
+		if o.elapsed > 2*step {
 			late++
 		}
 		if r.RetryAfter <= 0 {
@@ -118,16 +118,16 @@
 // answered in time must be refused at once, not at its deadline.
 func TestBurst(t *testing.T) {
 	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
-	steady := demand{perSecond: 60, request: draftRequest("shops"), deadline: 5 * time.Second}
+	steady := demand{perSecond: 60, request: shortRequest("shops"), deadline: 5 * time.Second}
 	offer(h, rng, 2*time.Second, steady)
 	for range 2000 {
-		r := draftRequest("weavers")
+		r := shortRequest("weavers")
 		r.Deadline = h.now.Add(3 * time.Second)
 		h.arrive(r)
 	}
 	offer(h, rng, 6*time.Second, steady)
 	h.run(5 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 	h.requirePromptRefusals()
 	if p99 := percentile(h.answerTimes("shops"), 0.99); p99 > 600*time.Millisecond {
 		t.Errorf("p99 of the steady team: %v, want at most 600 ms", p99)
@@ -144,12 +144,12 @@
 	h, rng := loadHarness(t, testTeam("big", 1), testTeam("a", 1), testTeam("b", 1), testTeam("c", 1))
 	var demands []demand
 	for _, id := range []TeamID{"a", "b", "c"} {
-		demands = append(demands, demand{perSecond: 32, request: draftRequest(id), deadline: 3 * time.Second})
+		demands = append(demands, demand{perSecond: 32, request: shortRequest(id), deadline: 3 * time.Second})
 	}
-	demands = append(demands, demand{perSecond: 384, request: draftRequest("big"), deadline: 3 * time.Second})
+	demands = append(demands, demand{perSecond: 384, request: shortRequest("big"), deadline: 3 * time.Second})
 	offer(h, rng, 10*time.Second, demands...)
 	h.run(5 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 	h.requirePromptRefusals()
 	sent := map[TeamID]int{}
 	for _, o := range h.outcomes {
@@ -173,10 +173,10 @@
 func TestWeights(t *testing.T) {
 	h, rng := loadHarness(t, testTeam("heavy", 3), testTeam("light", 1))
 	offer(h, rng, 10*time.Second,
-		demand{perSecond: 300, request: draftRequest("heavy"), deadline: 2 * time.Second},
-		demand{perSecond: 300, request: draftRequest("light"), deadline: 2 * time.Second})
+		demand{perSecond: 300, request: shortRequest("heavy"), deadline: 2 * time.Second},
+		demand{perSecond: 300, request: shortRequest("light"), deadline: 2 * time.Second})
 	h.run(5 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 	h.requirePromptRefusals()
 	ratio := float64(h.delivered("heavy")) / float64(h.delivered("light"))
 	if ratio < 2.7 || ratio > 3.3 {
@@ -187,18 +187,18 @@
 // At twice and at ten times the saturation load, goodput must be at least 95% of
 // that at saturation: it collapses if slots are used for answers that are too late.
 func TestSaturationGoodput(t *testing.T) {
-	at := func(factor float64) int {
+	goodputAt := func(factor float64) int {
 		h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 		half := 120 * factor
 		offer(h, rng, 15*time.Second,
-			demand{perSecond: half, request: draftRequest("weavers"), deadline: 2 * time.Second},
-			demand{perSecond: half, request: draftRequest("shops"), deadline: 2 * time.Second})
+			demand{perSecond: half, request: shortRequest("weavers"), deadline: 2 * time.Second},
+			demand{perSecond: half, request: shortRequest("shops"), deadline: 2 * time.Second})
 		h.run(4 * time.Second)
-		h.requireAllAnswered()
+		h.requireAllEnded()
 		h.requirePromptRefusals()
 		return h.delivered("")
 	}
-	once, twice, tenfold := at(1), at(2), at(10)
+	once, twice, tenfold := goodputAt(1), goodputAt(2), goodputAt(10)
 	if twice*100 < once*95 || tenfold*100 < once*95 {
 		t.Errorf("goodput %d at saturation, %d at twice and %d at ten times the load, want at least 95%%", once, twice, tenfold)
 	}
@@ -209,15 +209,15 @@
 func TestStandingQueueIsShort(t *testing.T) {
 	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	load := []demand{
-		{perSecond: 240, request: draftRequest("weavers"), deadline: 10 * time.Second},
-		{perSecond: 240, request: draftRequest("shops"), deadline: 10 * time.Second},
+		{perSecond: 240, request: shortRequest("weavers"), deadline: 10 * time.Second},
+		{perSecond: 240, request: shortRequest("shops"), deadline: 10 * time.Second},
 	}
 	offer(h, rng, 15*time.Second, load...)
 	clear(h.outcomes)
 	offer(h, rng, 10*time.Second, load...)
 	answered := h.delivered("")
 	h.run(10 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 	h.requirePromptRefusals()
 	if p95 := percentile(h.answerTimes("shops"), 0.95); p95 > 3*time.Second {
 		t.Errorf("p95 of the answers: %v, want at most 3 s", p95)
@@ -233,9 +233,9 @@
 	long := Request{Team: "long", Model: "weave", MaxTokens: 300, Idempotent: true}
 	offer(h, rng, 15*time.Second,
 		demand{perSecond: 30, request: long, deadline: 12 * time.Second},
-		demand{perSecond: 60, request: draftRequest("short"), deadline: 3 * time.Second})
+		demand{perSecond: 60, request: shortRequest("short"), deadline: 3 * time.Second})
 	h.run(15 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 	short := h.answerTimes("short")
 	if len(short) < 60*15*90/100 {
 		t.Errorf("%d short requests answered, want 90%% of 900", len(short))
@@ -250,11 +250,11 @@
 // it look idle, must not attract requests that then fail or are refused.
 func TestServerDies(t *testing.T) {
 	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
-	booking := draftRequest("shops")
-	booking.Idempotent = false
+	nonIdempotent := shortRequest("shops")
+	nonIdempotent.Idempotent = false
 	load := []demand{
-		{perSecond: 80, request: draftRequest("weavers"), deadline: 5 * time.Second},
-		{perSecond: 40, request: booking, deadline: 5 * time.Second},
+		{perSecond: 80, request: shortRequest("weavers"), deadline: 5 * time.Second},
+		{perSecond: 40, request: nonIdempotent, deadline: 5 * time.Second},
 	}
 	offer(h, rng, 3*time.Second, load...)
 	for i, a := range h.running {
@@ -279,7 +279,7 @@
 	h.servers(testServers(6, 8, weave1, draft1)[1:]...)
 	offer(h, rng, 3*time.Second, load...)
 	h.run(5 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 	total, failed := len(h.outcomes), 0
 	for id, o := range h.outcomes {
 		switch c := o.command.(type) {
@@ -304,7 +304,7 @@
 	cfg := DefaultConfig()
 	cfg.Policy.NoVerdicts = true
 	h := newHarness(t, cfg)
-	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
 	h.servers(testServers(6, 8, weave1)...)
 	refusals := 0
 	h.duration = func(d Dispatch, r Request) time.Duration {
@@ -322,9 +322,9 @@
 	}
 	h.tick()
 	rng := rand.New(rand.NewPCG(11, 11))
-	offer(h, rng, 4*time.Second, demand{perSecond: 120, request: draftRequest("weavers"), deadline: 5 * time.Second})
+	offer(h, rng, 4*time.Second, demand{perSecond: 120, request: shortRequest("weavers"), deadline: 5 * time.Second})
 	h.run(5 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 	// The test lasts 20 backoffs; about two requests are sent before the first is
 	// refused.
 	if refusals > 60 {
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -36,16 +36,16 @@
 		return w.pickLeast(p, r)
 	}
 	w.candidates = w.candidates[:0]
-	w.drawn = w.drawn[:0]
+	w.candidateServers = w.candidateServers[:0]
 	for range drawCount {
 		w.addCandidate(w.drawFree(p, r), p, r)
 	}
 	w.addCachedCandidates(p, r)
 	best := w.picker.Pick(w.candidates)
 	if best != place.None {
-		return w.drawn[best]
+		return w.candidateServers[best]
 	}
-	return w.pickTried(p, r)
+	return w.pickAvoided(p, r)
 }
 
 // addCandidate adds a server to the candidates if it is not among them yet, and
@@ -54,12 +54,12 @@
 	if s == nil {
 		return nil
 	}
-	for i, drawn := range w.drawn {
-		if drawn == s {
+	for i, other := range w.candidateServers {
+		if other == s {
 			return &w.candidates[i]
 		}
 	}
-	w.drawn = append(w.drawn, s)
+	w.candidateServers = append(w.candidateServers, s)
 	w.candidates = append(w.candidates, place.Candidate{
 		Running:       s.running,
 		Slots:         s.capacity(),
@@ -96,7 +96,7 @@
 // one is free: a retry there is better than none. A request that may have crashed a
 // server gets none. One that is not idempotent, and so cannot be retried, gets no
 // server that is ejected and only takes probes.
-func (w *World) pickTried(p *pool, r *request) *server {
+func (w *World) pickAvoided(p *pool, r *request) *server {
 	if r.crashes > 0 {
 		return nil
 	}
@@ -139,10 +139,10 @@
 // weight falls to 0 with its age.
 func (w *World) load(s *server) float64 {
 	load := float64(s.running)
-	if s.otherLoad > 0 {
+	if s.otherRequests > 0 {
 		age := w.now.Sub(s.reportedAt)
 		faded := 1 - float64(age)/float64(w.cfg.LoadReportTTL)
-		load += float64(s.otherLoad) * max(faded, 0)
+		load += float64(s.otherRequests) * max(faded, 0)
 	}
 	return load / float64(s.capacity())
 }
@@ -156,7 +156,7 @@
 			return s
 		}
 	}
-	return w.pickTried(p, r)
+	return w.pickAvoided(p, r)
 }
 
 // pickLeast is the least outstanding baseline: a full scan.
@@ -168,7 +168,7 @@
 		}
 	}
 	if best == nil {
-		return w.pickTried(p, r)
+		return w.pickAvoided(p, r)
 	}
 	return best
 }
--- a/decision/place.go
+++ b/decision/place.go
@@ -11,7 +11,7 @@
 // requests and ends when none of them has a free server: the cost depends on the
 // number of requests placed, not on the size of the fleet or of the queues.
 func (w *World) place() {
-	if !w.fresh || w.now.Before(w.holdUntil) {
+	if !w.fresh || w.now.Before(w.dispatchFrom) {
 		// After a pause of the process the manifest may be outdated: queued
 		// requests wait until the freshness is reported again.
 		return
@@ -63,7 +63,7 @@
 	w.recordDeparture(p, r)
 	w.recordWait(r)
 	p.queue.Pop()
-	w.dequeued(r)
+	w.leftQueue(r)
 	w.dispatch(r, s)
 	return true
 }
@@ -127,14 +127,14 @@
 	r.attempts++
 	a := r.newAttempt()
 	*a = attempt{
-		key:     attemptKey{r.ID, r.attempts},
-		request: r,
-		server:  s,
-		pool:    r.pool,
-		team:    r.team,
-		started: w.now,
-		cost:    r.item.Cost,
-		prompt:  w.promptCost(r),
+		key:        attemptKey{r.ID, r.attempts},
+		request:    r,
+		server:     s,
+		pool:       r.pool,
+		team:       r.team,
+		started:    w.now,
+		cost:       r.item.Cost,
+		promptCost: w.promptCost(r),
 	}
 	cmd := Dispatch{Request: r.ID, Attempt: r.attempts, Server: s.ID}
 	if r.version != nil {
@@ -145,11 +145,11 @@
 	r.current = a
 	r.state = stateRunning
 	s.running++
-	w.crashStarted(a)
+	w.recordAttemptStart(a)
 	if s.ejected {
 		w.outliers.RecordDispatch(s.ID, w.now)
 	}
-	w.refresh(s)
+	w.refreshFree(s)
 	w.recordPrefix(r, s)
 	w.setDue(r, r.deadline)
 	w.emit(cmd)
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -3,11 +3,11 @@
 // versionPool returns the version's pool and creates a missing one: the server
 // list and the manifest may arrive in either order.
 func (w *World) versionPool(id VersionID) *pool {
-	p := w.pools[id]
+	p := w.versionPools[id]
 	if p == nil {
 		p = w.newPool()
 		p.version = id
-		w.pools[id] = p
+		w.versionPools[id] = p
 	}
 	return p
 }
@@ -23,11 +23,11 @@
 
 // servicePool returns the plain service's pool and creates a missing one.
 func (w *World) servicePool(id ServiceID) *pool {
-	p := w.services[id]
+	p := w.servicePools[id]
 	if p == nil {
 		p = w.newPool()
 		p.service = id
-		w.services[id] = p
+		w.servicePools[id] = p
 	}
 	return p
 }
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -92,7 +92,7 @@
 }
 
 // fault sends a random event that may occur at any time.
-func (s *script) fault() {
+func (s *script) otherEvent() {
 	h := s.h
 	id := ServerID("s0")
 	switch rapid.IntRange(0, 6).Draw(s.t, "fault") {
@@ -107,14 +107,14 @@
 	case 4:
 		h.send(CacheChanged{Server: id, Seq: rapid.Uint64Range(0, 5).Draw(s.t, "seq"), Added: []BlockHash{1, 2}})
 	case 5:
-		h.cancelCaller(RequestID(rapid.IntRange(1, 20).Draw(s.t, "cancelled")))
+		h.cancelRequest(RequestID(rapid.IntRange(1, 20).Draw(s.t, "cancelled")))
 	case 6:
 		h.send(FreshnessChanged{Fresh: true})
 	}
 }
 
 // cancelCaller makes a caller cancel its request, which then needs no answer.
-func (h *harness) cancelCaller(id RequestID) {
+func (h *harness) cancelRequest(id RequestID) {
 	if _, live := h.live[id]; !live {
 		return
 	}
@@ -141,12 +141,12 @@
 	s.h.rating = func(d Dispatch, _ Request) (float64, bool) {
 		return float64(d.Request%10) / 10, d.Request%4 == 0
 	}
-	actions := []func(){s.request, s.request, s.request, s.request, s.fault, s.manifest, s.servers, s.h.tick, s.h.tick}
+	actions := []func(){s.request, s.request, s.request, s.request, s.otherEvent, s.manifest, s.servers, s.h.tick, s.h.tick}
 	for range rapid.IntRange(1, 60).Draw(t, "length") {
 		rapid.SampledFrom(actions).Draw(t, "action")()
 	}
 	s.h.run(40 * time.Second)
-	s.h.requireAllAnswered()
+	s.h.requireAllEnded()
 	if len(s.h.w.requests)+len(s.h.w.orphans)+len(s.h.w.due)+len(s.h.w.queuedPools) > 0 {
 		t.Errorf("tables are not empty at the end: %d requests, %d orphaned attempts", len(s.h.w.requests), len(s.h.w.orphans))
 	}
@@ -155,7 +155,7 @@
 			t.Errorf("server %s: %d attempts left running", server.ID, server.running)
 		}
 	}
-	return s.h.log
+	return s.h.commandLog
 }
 
 // For any sequence of events the harness's invariants must hold and the tables must
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -4,9 +4,9 @@
 
 // assign sets the version and pool of the request and its cost and priority in the
 // queue.
-func (w *World) assign(r *request, to choice) {
-	r.version = to.version
-	r.pool = to.pool
+func (w *World) assign(r *request, target choice) {
+	r.version = target.version
+	r.pool = target.pool
 	r.item.Cost = w.costOf(r)
 	r.item.Priority = r.Priority
 	if w.cfg.Policy.FIFO {
@@ -46,7 +46,7 @@
 	if p.queuedPos < 0 {
 		p.queuedPos = len(w.queuedPools)
 		w.queuedPools = append(w.queuedPools, p)
-		p.backlog.set(true, w.now, w.cfg.BurstDuration)
+		p.backlog.set(true, w.now, w.cfg.BacklogHalfLife)
 	}
 }
 
@@ -62,7 +62,7 @@
 func (w *World) latestStart(r *request) time.Time {
 	timeLeft := r.deadline.Sub(w.now)
 	wait := timeLeft - r.pool.serviceTime.upperBound(r.item.Cost)
-	if !r.ran && r.held == 0 && w.overloaded(r.pool) {
+	if !r.mayHaveRun && r.held == 0 && w.overloaded(r.pool) {
 		wait = min(wait, time.Duration(w.cfg.OverloadWait*float64(timeLeft)))
 	}
 	return w.now.Add(max(wait, 0))
@@ -74,11 +74,11 @@
 		return
 	}
 	r.pool.queue.Remove(&r.item)
-	w.dequeued(r)
+	w.leftQueue(r)
 }
 
 // dequeued updates the counts after a request has left its queue.
-func (w *World) dequeued(r *request) {
+func (w *World) leftQueue(r *request) {
 	r.state = stateArrived
 	r.team.queued--
 	if r.pool.queue.Len() == 0 {
@@ -91,7 +91,7 @@
 	if p.queuedPos < 0 {
 		return
 	}
-	p.backlog.set(false, w.now, w.cfg.BurstDuration)
+	p.backlog.set(false, w.now, w.cfg.BacklogHalfLife)
 	last := len(w.queuedPools) - 1
 	moved := w.queuedPools[last]
 	w.queuedPools[p.queuedPos] = moved
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -46,13 +46,13 @@
 		{
 			name: "the team loses the model",
 			change: func(h *harness) {
-				h.manifest(2, []Team{{ID: "weavers", Allowed: []VersionID{draft1}}}, smallVersions())
+				h.manifest(2, []Team{{ID: "weavers", Allowed: []VersionID{draft1}}}, testVersions())
 			},
 			want: Refuse{Request: 5, Reason: ReasonNotAllowed},
 		},
 		{
 			name:   "the team is dropped",
-			change: func(h *harness) { h.manifest(2, nil, smallVersions()) },
+			change: func(h *harness) { h.manifest(2, nil, testVersions()) },
 			want:   Refuse{Request: 5, Reason: ReasonNotAllowed},
 		},
 		{
@@ -62,7 +62,7 @@
 		},
 		{
 			name:   "the caller cancels",
-			change: func(h *harness) { h.cancelCaller(5) },
+			change: func(h *harness) { h.cancelRequest(5) },
 		},
 	}
 	for _, tt := range tests {
@@ -92,7 +92,7 @@
 					t.Errorf("running request %d: %+v", id, h.outcomes[id])
 				}
 			}
-			h.requireAllAnswered()
+			h.requireAllEnded()
 		})
 	}
 }
@@ -105,10 +105,10 @@
 		h.arrive(Request{Team: "weavers", Model: "weave"})
 	}
 	h.run(time.Second)
-	h.cancelCaller(1)
+	h.cancelRequest(1)
 	h.run(time.Second)
-	if h.ran[5] != 1 {
-		t.Errorf("the fifth request ran %d times, want 1", h.ran[5])
+	if h.possibleRuns[5] != 1 {
+		t.Errorf("the fifth request ran %d times, want 1", h.possibleRuns[5])
 	}
 }
 
@@ -117,7 +117,7 @@
 	h := newHarness(t, DefaultConfig())
 	team := testTeam("weavers", 1)
 	team.QueueLimit = 3
-	h.manifest(1, []Team{team}, smallVersions())
+	h.manifest(1, []Team{team}, testVersions())
 	h.servers(testServers(1, 1, weave1)...)
 	h.tick()
 	h.arrive(Request{Team: "weavers", Model: "weave"})
@@ -152,13 +152,13 @@
 				dispatched++
 			}
 		}
-		const requests, rounds = 100, 10
+		const requests, ticksPerRequest = 100, 10
 		for range requests {
 			h.arrive(Request{Team: "weavers", Model: "weave", Idempotent: true})
-			h.run(rounds * step)
+			h.run(ticksPerRequest * step)
 		}
 		h.run(30 * time.Second)
-		h.requireAllAnswered()
+		h.requireAllEnded()
 		// The floor, and one per second for forty seconds.
 		if limit := requests + 3 + 40; dispatched > limit {
 			t.Errorf("result %d: %d attempts of %d requests, want at most %d", result, dispatched, requests, limit)
@@ -184,7 +184,7 @@
 // are sent at once.
 func TestCrashingCopies(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
 	h.servers(testServers(6, 4, weave1)...)
 	h.result = always(AttemptCrashed)
 	first := h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 8})
@@ -196,19 +196,19 @@
 	h.run(5 * time.Second)
 	crashes := 0
 	for id := first; id < other; id++ {
-		crashes += h.ran[id]
+		crashes += h.possibleRuns[id]
 	}
-	if crashes != 2 || h.ran[other] != 1 {
-		t.Errorf("%d servers crashed, want 2; another request ran %d times", crashes, h.ran[other])
+	if crashes != 2 || h.possibleRuns[other] != 1 {
+		t.Errorf("%d servers crashed, want 2; another request ran %d times", crashes, h.possibleRuns[other])
 	}
-	h.requireAllAnswered()
+	h.requireAllEnded()
 }
 
 // A request that crashed one server must wait for another, busy one instead of
 // failing because only the first is free.
 func TestCrashedRequestWaitsForAnotherServer(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
 	h.servers(testServers(2, 1, weave1)...)
 	h.tick()
 	h.duration = func(d Dispatch, r Request) time.Duration {
@@ -227,5 +227,5 @@
 	if got, want := h.outcomes[2].command, (Deliver{Request: 2, Attempt: 2}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	h.requireAllAnswered()
+	h.requireAllEnded()
 }
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -109,13 +109,13 @@
 	if len(list) == 0 {
 		return nil
 	}
-	at := w.shareIndex(tm, position)
-	for i := at; i < len(list); i++ {
+	index := w.shareIndex(tm, position)
+	for i := index; i < len(list); i++ {
 		if takes(list[i]) {
 			return list[i]
 		}
 	}
-	for i := at - 1; i >= 0; i-- {
+	for i := index - 1; i >= 0; i-- {
 		if takes(list[i]) {
 			return list[i]
 		}
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -19,19 +19,19 @@
 	r.lastResult = e.event.Result
 	switch e.event.Result {
 	case AttemptCompleted:
-		r.team.retries.earn(&w.cfg)
-		w.completed(r, e)
+		r.team.retryBudget.earn(&w.cfg)
+		w.handleCompleted(r, e)
 	case AttemptNotRun:
-		w.notRun(r, e)
+		w.handleNotRun(r, e)
 	case AttemptCrashed:
-		w.crashed(r, e)
+		w.handleCrashed(r, e)
 	default:
-		w.mayHaveRun(r, e)
+		w.handleMayHaveRun(r, e)
 	}
 }
 
 // completed delivers the answer or holds it for its rating.
-func (w *World) completed(r *request, e endedAttempt) {
+func (w *World) handleCompleted(r *request, e endedAttempt) {
 	if e.attempt.hold {
 		w.hold(r, e.attempt)
 		return
@@ -42,14 +42,14 @@
 // notRun retries on another server, idempotent or not, since nothing has run. The
 // server that refused is excluded for a short time: one that refuses at once looks
 // idle and would attract all requests.
-func (w *World) notRun(r *request, e endedAttempt) {
+func (w *World) handleNotRun(r *request, e endedAttempt) {
 	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff))
 	r.tried = append(r.tried, e.attempt.server)
 	if int(r.attempts) >= w.cfg.MaxAttempts || e.event.ResponseStarted {
 		w.conclude(r, ReasonNoServer)
 		return
 	}
-	if !e.event.Leaving && !r.team.retries.spend(w.now, &w.cfg) {
+	if !e.event.Leaving && !r.team.retryBudget.spend(w.now, &w.cfg) {
 		w.conclude(r, ReasonRetryBudget)
 		return
 	}
@@ -59,25 +59,25 @@
 // crashed retries a request that crashed a server until it has crashed
 // Config.MaxCrashes servers or is quarantined: a second crash is caused by the
 // request and not by the server.
-func (w *World) crashed(r *request, e endedAttempt) {
+func (w *World) handleCrashed(r *request, e endedAttempt) {
 	r.crashes++
 	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff)) // it is restarting
 	if r.crashes < w.cfg.MaxCrashes && !w.isQuarantined(r.Fingerprint) {
-		w.mayHaveRun(r, e)
+		w.handleMayHaveRun(r, e)
 		return
 	}
-	r.ran = true
+	r.mayHaveRun = true
 	w.failOrHeld(r, AttemptCrashed)
 }
 
 // mayHaveRun retries on another server only if the request is idempotent and the
 // caller has received no part of the answer.
-func (w *World) mayHaveRun(r *request, e endedAttempt) {
-	r.ran = true
+func (w *World) handleMayHaveRun(r *request, e endedAttempt) {
+	r.mayHaveRun = true
 	r.tried = append(r.tried, e.attempt.server)
 	final := !r.Idempotent || e.event.ResponseStarted || e.event.Result == AttemptCancelled ||
 		int(r.attempts) >= w.cfg.MaxAttempts
-	if final || !r.team.retries.spend(w.now, &w.cfg) {
+	if final || !r.team.retryBudget.spend(w.now, &w.cfg) {
 		w.failOrHeld(r, e.event.Result)
 		return
 	}
@@ -91,12 +91,12 @@
 		w.enqueue(r)
 		return
 	}
-	to := w.resolve(r)
-	if to.reason != "" {
-		w.conclude(r, to.reason)
+	target := w.resolve(r)
+	if target.reason != "" {
+		w.conclude(r, target.reason)
 		return
 	}
-	w.assign(r, to)
+	w.assign(r, target)
 	w.enqueue(r)
 }
 
--- a/decision/servers_test.go
+++ b/decision/servers_test.go
@@ -9,7 +9,7 @@
 // requests. Its own report counts against a lagging list until the list has dropped
 // the server.
 func TestLeavingServerGetsNothingNew(t *testing.T) {
-	used := func(h *harness) map[ServerID]int {
+	requestsPerServer := func(h *harness) map[ServerID]int {
 		n := map[ServerID]int{}
 		h.onCommand = func(c Command) {
 			if d, ok := c.(Dispatch); ok {
@@ -28,27 +28,27 @@
 	list := testServers(2, 2, weave1, draft1)
 	h.send(ServerLeaving{Server: "s0"})
 	h.servers(list...) // the list lags
-	if n := used(h); n["s0"] > 0 || n["s1"] != 20 {
+	if n := requestsPerServer(h); n["s0"] > 0 || n["s1"] != 20 {
 		t.Errorf("leaving by its own report: requests per server %v", n)
 	}
 	h.servers(list[1:]...)
 	h.servers(list...)
-	if n := used(h); n["s0"] == 0 {
+	if n := requestsPerServer(h); n["s0"] == 0 {
 		t.Errorf("listed again after the list had dropped it: requests per server %v", n)
 	}
 	list[0].Leaving = true
 	h.servers(list...)
-	if n := used(h); n["s0"] > 0 {
+	if n := requestsPerServer(h); n["s0"] > 0 {
 		t.Errorf("leaving by the list: requests per server %v", n)
 	}
-	h.requireAllAnswered()
+	h.requireAllEnded()
 }
 
 // A server that disappears from the list and returns still runs its attempts. If
 // they were forgotten, its slots would be filled twice.
 func TestRelistedServerKeepsItsSlots(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
 	list := testServers(2, 2, weave1)
 	h.servers(list...)
 	h.duration = func(Dispatch, Request) time.Duration { return 2 * time.Second }
@@ -62,11 +62,11 @@
 	h.servers(list...)
 	h.arrive(Request{Team: "weavers", Model: "weave"})
 	h.run(time.Second) // the harness checks the attempts in flight against the slots
-	if h.ran[5] != 0 {
+	if h.possibleRuns[5] != 0 {
 		t.Error("the fifth request was dispatched to an occupied slot")
 	}
 	h.run(4 * time.Second)
-	h.requireAllAnswered()
+	h.requireAllEnded()
 }
 
 // The load of other instances must count while the report is recent. A first
@@ -88,7 +88,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(t, DefaultConfig())
-			h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+			h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
 			h.servers(testServers(1, 8, weave1)...)
 			h.duration = func(Dispatch, Request) time.Duration { return time.Minute }
 			h.tick()
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -19,8 +19,8 @@
 	if w.cfg.Policy.NoVerdicts {
 		return
 	}
-	if !w.now.Before(w.nextShare) {
-		w.nextShare = w.now.Add(shareInterval)
+	if !w.now.Before(w.nextVerdictsAt) {
+		w.nextVerdictsAt = w.now.Add(shareInterval)
 		w.shareVerdicts()
 	}
 	for _, e := range w.outliers.Sweep(w.now) {
@@ -53,7 +53,7 @@
 }
 
 // applyVerdicts passes the manifest's versions to the version verdicts.
-func (w *World) applyVerdicts() {
+func (w *World) applyVerdictVersions() {
 	var rows []verdict.VersionInfo[VersionID]
 	for _, v := range w.versions {
 		if !v.gone {
@@ -68,7 +68,7 @@
 
 // applyOutliers passes the listed servers to the outlier detection. Servers with
 // the same versions form a group, since only these are comparable.
-func (w *World) applyOutliers() {
+func (w *World) applyOutlierServers() {
 	var list []verdict.Member[ServerID, string]
 	for _, s := range w.serverList {
 		if !s.leaving {
@@ -78,7 +78,7 @@
 	w.outliers.Apply(list)
 	for _, s := range w.serverList {
 		if s.ejected && w.outliers.Admit(s.ID, w.now) == verdict.Allowed {
-			w.eject(s, false) // its group changed, which resets its state
+			w.setEjected(s, false) // its group changed, which resets its state
 		}
 	}
 }
@@ -99,7 +99,7 @@
 
 func (w *World) ingestVerdict(e VersionVerdict) {
 	w.verdicts.ApplyPeerVerdict(verdict.SharedVerdict[VersionID]{Version: e.Version, Bad: e.Bad, Until: e.Until}, w.now)
-	w.recheck = true
+	w.recheckNeeded = true
 }
 
 // recordVersionResult records an attempt's result for the verdict on its version.
@@ -115,14 +115,14 @@
 		ConnectionLost: e.Result == AttemptUnknown || e.Result == AttemptCrashed,
 	}
 	if w.verdicts.ObserveAttempt(a.version, end, w.now) {
-		w.recheck = true
+		w.recheckNeeded = true
 	}
 }
 
 // recordVersionRating records a rating for the verdict on its version.
 func (w *World) recordVersionRating(e AnswerRated) {
 	if w.verdicts.ObserveRating(e.Version, string(e.Class), e.Score, w.now) {
-		w.recheck = true
+		w.recheckNeeded = true
 	}
 }
 
@@ -137,7 +137,7 @@
 		w.applyEjection(change)
 	}
 	if a.server.ejected {
-		w.refresh(a.server) // a probe has ended
+		w.refreshFree(a.server) // a probe has ended
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 	latency := w.now.Sub(a.started)
 	if a.pool.service == "" {
-		latency = w.tokenLatency(a, int(a.pool.serviceTime.lengthRatio*(a.cost-a.prompt)))
+		latency = w.tokenLatency(a, int(a.pool.serviceTime.lengthRatio*(a.cost-a.promptCost)))
 	}
 	if change, ok := w.outliers.ObserveAttempt(a.server.ID, false, latency, w.now); ok {
 		w.applyEjection(change)
@@ -183,18 +183,18 @@
 
 func (w *World) applyEjection(e verdict.Ejection[ServerID]) {
 	if s := w.servers[e.Server]; s != nil {
-		w.eject(s, e.Ejected)
+		w.setEjected(s, e.Ejected)
 	}
 }
 
 // eject excludes a server from selection, or readmits it, and reports a change to
 // the operators.
-func (w *World) eject(s *server, ejected bool) {
+func (w *World) setEjected(s *server, ejected bool) {
 	if s.ejected != ejected {
 		w.emit(ReportEjection{Server: s.ID, Ejected: ejected})
 	}
 	s.ejected = ejected
-	w.refresh(s)
+	w.refreshFree(s)
 }
 
 // probeCheckInterval is how often it is checked whether an ejected server is due a
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -38,7 +38,7 @@
 			h := rolloutHarness(t, DefaultConfig())
 			h.rating = func(Dispatch, Request) (float64, bool) { return 0.8, false }
 			rng := rand.New(rand.NewPCG(5, 5))
-			load := demand{perSecond: 100, request: draftRequest("weavers"), deadline: 5 * time.Second}
+			load := demand{perSecond: 100, request: shortRequest("weavers"), deadline: 5 * time.Second}
 			offer(h, rng, 5*time.Second, load)
 
 			h.rating = tt.rating
@@ -87,12 +87,12 @@
 	h := rolloutHarness(t, DefaultConfig())
 	h.send(VersionVerdict{Version: weave2, Bad: true, Until: h.now.Add(time.Second)})
 	h.tick()
-	at := func() VersionID { return h.w.sessionVersions(SessionOpening{Team: "weavers", RolloutPosition: 0.1})[0] }
-	if got := at(); got != weave1 {
+	sessionVersion := func() VersionID { return h.w.sessionVersions(SessionOpening{Team: "weavers", RolloutPosition: 0.1})[0] }
+	if got := sessionVersion(); got != weave1 {
 		t.Errorf("version %s with the verdict in force, want weave@1", got)
 	}
 	h.run(2 * time.Second)
-	if got := at(); got != weave2 {
+	if got := sessionVersion(); got != weave2 {
 		t.Errorf("version %s after the verdict has expired, want weave@2", got)
 	}
 }
@@ -104,7 +104,7 @@
 		cfg := DefaultConfig()
 		cfg.Policy = policy
 		h := newHarness(t, cfg)
-		h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+		h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
 		h.servers(testServers(6, 8, weave1, draft1)...)
 		h.duration = func(d Dispatch, r Request) time.Duration {
 			if d.Server == "s0" {
@@ -113,12 +113,12 @@
 			return tenMsPerToken(d, r)
 		}
 		rng := rand.New(rand.NewPCG(9, 9))
-		load := demand{perSecond: 120, request: draftRequest("weavers"), deadline: 10 * time.Second}
+		load := demand{perSecond: 120, request: shortRequest("weavers"), deadline: 10 * time.Second}
 		offer(h, rng, 10*time.Second, load)
 		h.outcomes = map[RequestID]outcome{}
 		offer(h, rng, 20*time.Second, load)
 		h.run(10 * time.Second)
-		h.requireAllAnswered()
+		h.requireAllEnded()
 		if got := h.delivered(""); got != len(h.outcomes) {
 			t.Errorf("%d of %d delivered", got, len(h.outcomes))
 		}
@@ -134,29 +134,29 @@
 // loaded.
 func TestPrefixAffinity(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{testTeam("weavers", 1)}, smallVersions())
+	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
 	h.servers(testServers(6, 8, weave1, draft1)...)
-	used := map[ServerID]int{}
+	requestsPerServer := map[ServerID]int{}
 	h.onCommand = func(c Command) {
 		if d, ok := c.(Dispatch); ok {
-			used[d.Server]++
+			requestsPerServer[d.Server]++
 		}
 	}
-	r := draftRequest("weavers")
+	r := shortRequest("weavers")
 	r.PromptTokens, r.Blocks = 2000, []BlockHash{1, 2, 3, 4}
 	for range 30 {
 		h.arrive(r)
 		h.run(12 * step)
 	}
-	if len(used) > 2 {
-		t.Errorf("one request at a time: requests per server %v, want at most 2 servers", used)
+	if len(requestsPerServer) > 2 {
+		t.Errorf("one request at a time: requests per server %v, want at most 2 servers", requestsPerServer)
 	}
-	clear(used)
+	clear(requestsPerServer)
 	for range 40 {
 		h.arrive(r)
 	}
 	h.tick()
-	if len(used) < 5 {
-		t.Errorf("40 requests at once: requests per server %v, want at least 5 servers", used)
+	if len(requestsPerServer) < 5 {
+		t.Errorf("40 requests at once: requests per server %v, want at least 5 servers", requestsPerServer)
 	}
 }
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -15,12 +15,12 @@
 	// fairness holds the teams' accounts.
 	fairness fair.Group
 
-	teams    map[TeamID]*team
-	models   map[ModelID]*model
-	versions map[VersionID]*version
-	servers  map[ServerID]*server
-	pools    map[VersionID]*pool
-	services map[ServiceID]*pool
+	teams        map[TeamID]*team
+	models       map[ModelID]*model
+	versions     map[VersionID]*version
+	servers      map[ServerID]*server
+	versionPools map[VersionID]*pool
+	servicePools map[ServiceID]*pool
 
 	// departed are servers that are no longer listed but still run attempts.
 	departed map[ServerID]*server
@@ -43,15 +43,15 @@
 
 func newTables() tables {
 	return tables{
-		teams:    map[TeamID]*team{},
-		models:   map[ModelID]*model{},
-		versions: map[VersionID]*version{},
-		servers:  map[ServerID]*server{},
-		departed: map[ServerID]*server{},
-		pools:    map[VersionID]*pool{},
-		services: map[ServiceID]*pool{},
-		requests: map[RequestID]*request{},
-		orphans:  map[attemptKey]*attempt{},
+		teams:        map[TeamID]*team{},
+		models:       map[ModelID]*model{},
+		versions:     map[VersionID]*version{},
+		servers:      map[ServerID]*server{},
+		departed:     map[ServerID]*server{},
+		versionPools: map[VersionID]*pool{},
+		servicePools: map[ServiceID]*pool{},
+		requests:     map[RequestID]*request{},
+		orphans:      map[attemptKey]*attempt{},
 	}
 }
 
@@ -67,10 +67,10 @@
 	allowed  map[VersionID]bool
 	services map[ServiceID]bool
 	// models are those with at least one allowed version, in order of ModelID.
-	models  []*teamModel
-	byModel map[ModelID]*teamModel
-	queued  int
-	retries retryBudget
+	models      []*teamModel
+	byModel     map[ModelID]*teamModel
+	queued      int
+	retryBudget retryBudget
 }
 
 // teamModel is what a team may use of a model.
@@ -113,7 +113,7 @@
 	shared *flow
 	// free are the servers that can take a request now. Maintaining the set makes
 	// the saturation check and drawing a random candidate O(1).
-	free []freeSlot
+	free []freeServer
 	// usableServers and slots count the servers that are neither leaving nor gone,
 	// and their slots.
 	usableServers int
@@ -137,10 +137,10 @@
 }
 
 // freeSlot is an entry of pool.free.
-type freeSlot struct {
+type freeServer struct {
 	server *server
 	// member is the index in server.memberships.
-	member int
+	membershipIndex int
 }
 
 // membership is a server's entry in one pool.
@@ -158,12 +158,12 @@
 	running int
 	// otherLoad is the number of requests of other instances by the last load
 	// report.
-	otherLoad    int
-	reportedAt   time.Time
-	leaving      bool
-	gone         bool
-	ejected      bool
-	backoffUntil time.Time
+	otherRequests int
+	reportedAt    time.Time
+	leaving       bool
+	gone          bool
+	ejected       bool
+	backoffUntil  time.Time
 	// wakeAt is the earliest pending wake; zero for none.
 	wakeAt time.Time
 	isFree bool
@@ -199,7 +199,7 @@
 	crashes int
 	// ran is set when a backend server may have run the request; it is then never
 	// refused as not run.
-	ran bool
+	mayHaveRun bool
 	// plan is set by the cascade for a request that names no model.
 	plan       plan
 	lastResult AttemptResult
@@ -242,8 +242,8 @@
 	counted bool
 	// cost is the estimated cost in generated tokens; prompt is the cost of the
 	// prompt, the part of it that is known in advance.
-	cost   float64
-	prompt float64
+	cost       float64
+	promptCost float64
 }
 
 // newRand returns the world's only source of randomness.
--- a/decision/use.go
+++ b/decision/use.go
@@ -67,14 +67,14 @@
 
 // advanceUsage advances the clock of the usage meters.
 func (w *World) advanceUsage() {
-	factor := w.usageClock.advance(w.now, w.cfg.DrainRateHalfLife)
+	factor := w.usageClock.advance(w.now, w.cfg.RateHalfLife)
 	if factor == 1 {
 		return
 	}
-	for _, p := range w.pools {
+	for _, p := range w.versionPools {
 		p.rescaleUsage(factor)
 	}
-	for _, p := range w.services {
+	for _, p := range w.servicePools {
 		p.rescaleUsage(factor)
 	}
 }
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -29,8 +29,8 @@
 	if p == nil || r.team == nil || p.queue.Len() == 0 && len(p.free) > 0 {
 		return 0
 	}
-	window := w.cfg.DrainRateHalfLife
-	rate := p.drain.rate(p.serviceTime.rate(p.slots), window)
+	halfLife := w.cfg.RateHalfLife
+	rate := p.drain.rate(p.serviceTime.rate(p.slots), halfLife)
 	if rate <= 0 {
 		return 0
 	}
@@ -45,36 +45,36 @@
 // queued requests: the other teams are expected to keep using what they used
 // recently, up to their share.
 func (w *World) queuedRate(p *pool, f *flow, rate float64) float64 {
-	window := w.cfg.DrainRateHalfLife
-	queued := f.usage.rate(&w.usageClock, window)
+	halfLife := w.cfg.RateHalfLife
+	queued := f.usage.rate(&w.usageClock, halfLife)
 	for _, other := range p.flows {
 		if other != nil && other != f && other.Len() > 0 {
-			queued += other.usage.rate(&w.usageClock, window)
+			queued += other.usage.rate(&w.usageClock, halfLife)
 		}
 	}
-	idle := p.usage.rate(&w.usageClock, window) - queued
+	unqueued := p.usage.rate(&w.usageClock, halfLife) - queued
 	share := p.queue.ActiveWeight(&f.Flow) / p.queue.Weight()
-	return max(rate*share, rate-idle)
+	return max(rate*share, rate-unqueued)
 }
 
 // ownRate is the flow's part of the pool's rate: what the recent usage of the
 // others leaves of it, and at least its share among the queued flows.
 func (w *World) ownRate(p *pool, f *flow, rate float64) float64 {
-	window := w.cfg.DrainRateHalfLife
-	others := p.usage.rate(&w.usageClock, window) - f.usage.rate(&w.usageClock, window)
+	halfLife := w.cfg.RateHalfLife
+	others := p.usage.rate(&w.usageClock, halfLife) - f.usage.rate(&w.usageClock, halfLife)
 	share := f.Weight() / p.queue.ActiveWeight(&f.Flow)
 	return max(rate*share, rate-others)
 }
 
 // advanceDrains advances the meters of the backlogged pools. Its cost grows with
 // the number of pools with queued requests, at most one per version or service.
-func (w *World) advanceDrains(elapsed time.Duration) {
+func (w *World) advanceMeters(elapsed time.Duration) {
 	w.advanceUsage()
 	if elapsed <= 0 {
 		return
 	}
 	for _, p := range w.queuedPools {
-		p.drain.advance(elapsed, w.cfg.DrainRateHalfLife)
+		p.drain.advance(elapsed, w.cfg.RateHalfLife)
 		p.backlogged = true
 	}
 }
--- a/decision/withdraw.go
+++ b/decision/withdraw.go
@@ -8,15 +8,15 @@
 // Load: a large manifest change while queues are full. Harm prevented: a request
 // starts on a version that was withdrawn or forbidden after its admission. It
 // visits every queued request, but only in ticks with a change.
-func (w *World) withdraw() {
+func (w *World) recheckQueued() {
 	if !w.fresh {
-		w.withdrawStale()
+		w.concludeStale()
 		return
 	}
-	if !w.recheck {
+	if !w.recheckNeeded {
 		return
 	}
-	w.recheck = false
+	w.recheckNeeded = false
 	for _, r := range w.queuedRequests() {
 		w.recheckRequest(r)
 	}
@@ -24,7 +24,7 @@
 
 // withdrawStale refuses queued requests once freshness has been lost for longer
 // than the grace period: they did not run, and another instance can take them.
-func (w *World) withdrawStale() {
+func (w *World) concludeStale() {
 	if len(w.queuedPools)+len(w.parked) == 0 || w.now.Sub(w.staleSince) < w.cfg.FreshnessGrace {
 		return
 	}
@@ -42,16 +42,16 @@
 		w.recheckEscalation(r)
 		return
 	}
-	to := w.resolve(r)
-	if to.reason != "" {
-		w.conclude(r, to.reason)
+	target := w.resolve(r)
+	if target.reason != "" {
+		w.conclude(r, target.reason)
 		return
 	}
-	if to.pool == r.pool {
+	if target.pool == r.pool {
 		return
 	}
 	w.dequeue(r)
-	w.assign(r, to)
+	w.assign(r, target)
 	w.enqueue(r)
 }
 
@@ -70,7 +70,7 @@
 	switch {
 	case r.held != 0:
 		w.deliver(r, r.held)
-	case r.ran:
+	case r.mayHaveRun:
 		w.fail(r, r.lastResult)
 	default:
 		w.refuseFor(r, reason)
--- a/decision/world.go
+++ b/decision/world.go
@@ -42,13 +42,13 @@
 	staleSince time.Time
 	// resumedAt is the last tick after a pause; until holdUntil at the latest
 	// nothing is dispatched after it.
-	resumedAt time.Time
-	holdUntil time.Time
+	resumedAt    time.Time
+	dispatchFrom time.Time
 	// recheck makes the withdraw system re-evaluate every queued request.
-	recheck bool
+	recheckNeeded bool
 	// nextShare is when the verdicts to share with the peers are next collected.
-	nextShare time.Time
-	wakeSeq   uint64
+	nextVerdictsAt time.Time
+	wakeSeq        uint64
 	// roundRobin is the counter of the round robin baseline.
 	roundRobin int
 
@@ -58,12 +58,12 @@
 	ended   []endedAttempt
 	rated   []AnswerRated
 	// Buffers reused between decisions to save allocations.
-	candidates []place.Candidate
-	drawn      []*server
-	pushDue    dueEntry
-	options    []estimate.Option[VersionID]
-	matches    []prefix.Match[ServerID]
-	out        []Command
+	candidates       []place.Candidate
+	candidateServers []*server
+	pushDue          dueEntry
+	options          []estimate.Option[VersionID]
+	matches          []prefix.Match[ServerID]
+	out              []Command
 }
 
 // NewWorld returns an empty world. It refuses every request until events have
@@ -102,7 +102,7 @@
 	w.expire()
 	w.openSessions()
 	w.admit()
-	w.withdraw()
+	w.recheckQueued()
 	w.place()
 	w.shift()
 	return w.out
@@ -123,9 +123,9 @@
 	}
 	if elapsed > w.cfg.PauseThreshold {
 		w.resumedAt = now
-		w.holdUntil = now.Add(w.cfg.ResumeDelay)
+		w.dispatchFrom = now.Add(w.cfg.ResumeDelay)
 	}
-	w.advanceDrains(elapsed)
+	w.advanceMeters(elapsed)
 	w.arrived = w.arrived[:0]
 	w.opening = w.opening[:0]
 	w.ended = w.ended[:0]
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -8,7 +8,7 @@
 // smallHarness has two teams, two models and two servers.
 func smallHarness(t reporter) *harness {
 	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{testTeam("weavers", 1), testTeam("shops", 1)}, smallVersions())
+	h.manifest(1, []Team{testTeam("weavers", 1), testTeam("shops", 1)}, testVersions())
 	h.servers(testServers(2, 2, weave1, draft1)...)
 	h.tick()
 	return h
@@ -33,14 +33,14 @@
 		{
 			name: "not allowed", request: Request{Model: "draft"},
 			setup: func(h *harness) {
-				h.manifest(2, []Team{{ID: "weavers", Allowed: []VersionID{weave1}}}, smallVersions())
+				h.manifest(2, []Team{{ID: "weavers", Allowed: []VersionID{weave1}}}, testVersions())
 			},
 			want: Refuse{Request: 1, Reason: ReasonNotAllowed},
 		},
 		{
 			name: "pinned to withdrawn", request: Request{Pinned: weave1},
 			setup: func(h *harness) {
-				v := smallVersions()
+				v := testVersions()
 				v[0].State = VersionWithdrawn
 				h.manifest(2, []Team{testTeam("weavers", 1)}, v)
 			},
@@ -49,7 +49,7 @@
 		{
 			name: "pinned to draining", request: Request{Pinned: weave1},
 			setup: func(h *harness) {
-				v := smallVersions()
+				v := testVersions()
 				v[0].State = VersionDraining
 				h.manifest(2, []Team{testTeam("weavers", 1)}, v)
 			},
@@ -150,7 +150,7 @@
 			if got != tt.want {
 				t.Errorf("got %T%+v, want %T%+v", got, got, tt.want, tt.want)
 			}
-			h.requireAllAnswered()
+			h.requireAllEnded()
 		})
 	}
 }
@@ -173,8 +173,8 @@
 	h.run(time.Second)
 	second := h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 5, Idempotent: true, Resend: true})
 	h.run(time.Second)
-	if h.ran[first] != 2 || h.ran[second] != 0 {
-		t.Errorf("ran %d and %d times, want 2 and 0", h.ran[first], h.ran[second])
+	if h.possibleRuns[first] != 2 || h.possibleRuns[second] != 0 {
+		t.Errorf("ran %d and %d times, want 2 and 0", h.possibleRuns[first], h.possibleRuns[second])
 	}
 	if len(quarantines) != 1 || quarantines[0].Fingerprint != 5 {
 		t.Errorf("quarantines %v, want one of fingerprint 5", quarantines)
@@ -184,7 +184,7 @@
 // Raising a share must only add requests: none may leave the version whose share
 // grew.
 func TestShareOnlyAdds(t *testing.T) {
-	at := func(share float64) []VersionID {
+	versionsAt := func(share float64) []VersionID {
 		h := newHarness(t, DefaultConfig())
 		h.manifest(1, []Team{testTeam("weavers", 1)}, []Version{
 			{ID: weave1, Model: "weave", State: VersionServing, Share: 1 - share},
@@ -204,7 +204,7 @@
 		}
 		return got
 	}
-	before, after := at(0.2), at(0.5)
+	before, after := versionsAt(0.2), versionsAt(0.5)
 	n := 0
 	for i := range before {
 		if before[i] == weave2 && after[i] != weave2 {
@@ -231,7 +231,7 @@
 	pinned := h.arrive(Request{Team: "weavers", Pinned: weave1})
 	free := h.arrive(Request{Team: "weavers", Model: "weave"})
 	h.tick()
-	v := append(smallVersions(), Version{ID: weave2, Model: "weave", State: VersionServing, Share: 1, Predecessor: weave1})
+	v := append(testVersions(), Version{ID: weave2, Model: "weave", State: VersionServing, Share: 1, Predecessor: weave1})
 	v[0].State = VersionWithdrawn
 	h.manifest(2, []Team{testTeam("weavers", 1)}, v)
 	h.servers(testServers(2, 2, weave1, draft1, weave2)...)
@@ -242,7 +242,7 @@
 	if _, ok := h.outcomes[free].command.(Deliver); !ok {
 		t.Errorf("unpinned request: %+v, want delivered", h.outcomes[free])
 	}
-	h.requireAllAnswered()
+	h.requireAllEnded()
 }
 
 // After a pause of the process no queued request may be dispatched before the
