--- a/decision/admit.go
+++ b/decision/admit.go
@@ -59,14 +59,16 @@
 	return ""
 }
 
-// capacityReason returns why a request cannot be answered in time, or "".
+// capacityReason returns why the request cannot be queued or cannot be answered in
+// time, or "".
 //
 // Load: a burst, or sustained demand over capacity. Harm prevented: requests that
 // wait past their deadline and are then dropped, while their callers could have
 // gone elsewhere. The queue limit only bounds memory; the estimate limits the queue
-// to what can still be answered. It includes the time of the answer itself, since a
-// late answer is worth nothing. Without the margin, the error of the estimate would
-// admit half of the requests at the edge in vain.
+// to what can still be answered. It includes the time of the answer itself, since
+// an answer after the deadline is of no use. Config.WaitMargin covers the error of
+// the estimate: without it, about half of the requests that are expected to end
+// just before their deadline would miss it.
 func (w *World) capacityReason(r *request) RefusalReason {
 	if r.team.queued >= w.queueLimit(r.team) {
 		return ReasonQueueFull
@@ -101,15 +103,17 @@
 	return time.Duration(w.cfg.OverloadAdmitWait * float64(timeLeft))
 }
 
-// overloadThreshold is the fraction of the recent past with a backlog from which a
-// pool counts as overloaded. Below a third, the slots that eight instances leave
-// each other still suffice.
+// overloadThreshold is the fraction, from 0 to 1, of the recent past with a backlog
+// from which a pool counts as overloaded. It is well below 1, since the queue of
+// each instance runs empty now and then on a saturated pool. With a backlog for
+// less than a third of the time, the slots that eight instances leave to each other
+// still suffice.
 const overloadThreshold = 0.3
 
-// overloaded distinguishes sustained demand over capacity from a burst: the pool
-// had a backlog for much of the recent past. The age of the present queue would not
-// show it: one of eight instances on a saturated pool sees its own queue run empty
-// now and then.
+// overloaded reports whether the pool had a backlog for much of the recent past,
+// which distinguishes sustained demand over capacity from a burst. The age of the
+// present queue would not show it: each of eight instances on a saturated pool sees
+// its own queue run empty now and then. It is always false with Policy.NoWaitLimit.
 func (w *World) overloaded(p *pool) bool {
 	return !w.cfg.Policy.NoWaitLimit && p.backlog.fraction(w.now, w.cfg.BacklogHalfLife) >= overloadThreshold
 }
--- a/decision/affinity.go
+++ b/decision/affinity.go
@@ -21,9 +21,9 @@
 //
 // Load: sessions and long common prompts. Harm prevented: the same prefix is
 // computed on many servers while callers wait for their first token. The saving
-// counts as a fraction of the request's whole cost, so that a long prompt with a
-// short answer prefers its prefix more than the reverse; above a load bound the
-// scorer ignores it.
+// counts as a fraction of the request's whole cost, so that a cached prefix counts
+// more for a long prompt with a short answer than for a short prompt with a long
+// one; the scorer ignores it for servers above Config.AffinityMaxLoad.
 func (w *World) addCachedCandidates(p *pool, r *request) {
 	if len(r.Blocks) == 0 || w.cfg.Policy.NoAffinity {
 		return
--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -70,9 +70,9 @@
 	bw.tick(AttemptEnded{Request: oldest.request, Attempt: oldest.attempt, Result: AttemptCompleted, Tokens: 20}, bw.arrival())
 }
 
-// sizes are numbers of servers and of slots per server. The first is a present
-// deployment, the second a hundred such servers. The others have 10,000 attempts in
-// flight each, so that only the size of the fleet differs.
+// benchSizes are a small fleet, a larger one with servers of the same size, and
+// three with 10,000 attempts in flight each, so that only the number of servers
+// differs.
 var benchSizes = []struct{ servers, slots int }{{15, 8}, {100, 8}, {100, 100}, {1000, 10}, {10_000, 1}}
 
 // BenchmarkDecision measures one decision: an attempt ends, its answer is
--- a/decision/budget.go
+++ b/decision/budget.go
@@ -10,7 +10,8 @@
 // (Config.RetryRatio); a floor lets a team with little traffic retry at all; a cap
 // limits how much past success counts.
 type retryBudget struct {
-	retries    float64
+	retries float64
+	// lastRefill is when the floor was last refilled.
 	lastRefill time.Time
 }
 
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -9,7 +9,8 @@
 // no number.
 func (s *server) capacity() int { return max(s.Slots, 1) }
 
-// refresh updates whether the server can take a request now.
+// refreshFree adds the server to the free sets of its pools or removes it,
+// depending on whether it can take a request now.
 func (w *World) refreshFree(s *server) {
 	w.setFree(s, w.hasFreeSlot(s))
 }
@@ -83,7 +84,7 @@
 	p.free = p.free[:last]
 }
 
-// backOff excludes the server from selection until at.
+// backOff excludes the server from selection until the given time.
 func (w *World) backOff(s *server, until time.Time) {
 	if !until.After(s.backoffUntil) {
 		return
@@ -92,7 +93,8 @@
 	w.refreshFree(s)
 }
 
-// wakeAt schedules a refresh of the server, unless an earlier one is pending.
+// wakeAt schedules a call of refreshFree for the server, unless an earlier one is
+// pending.
 func (w *World) wakeAt(s *server, at time.Time) {
 	if !s.wakeAt.IsZero() && !s.wakeAt.After(at) {
 		return
@@ -102,7 +104,8 @@
 	heap.Push(&w.wakes, wake{at: at, seq: w.wakeSeq, server: s})
 }
 
-// reportFresh reports whether the last load report is recent enough to count.
+// hasRecentReport reports whether the server's last load report is recent enough to
+// count.
 func (w *World) hasRecentReport(s *server) bool {
 	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
 }
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -6,7 +6,7 @@
 	"masticplank.example/decision/internal/estimate"
 )
 
-// task is the key by which quality and answer length are learnt.
+// task is the key by which quality and answer length are learned.
 type task = estimate.Task[TeamID, TaskClass]
 
 // plan is the sequence of versions that a request may run on.
@@ -16,7 +16,7 @@
 	return estimate.New[TeamID, TaskClass, VersionID](estimate.DefaultConfig())
 }
 
-// applyEstimates passes the manifest's quality of each version to the estimates.
+// applyQuality passes the manifest's quality of each version to the estimates.
 func (w *World) applyQuality() {
 	quality := make(map[VersionID]float64, len(w.versions))
 	for _, v := range w.versions {
@@ -29,9 +29,10 @@
 
 // resolveAny plans a request that names no model.
 //
-// Load: many easy requests and a few hard ones. Harm prevented: the price of the
-// dearer model for easy requests, or the answer of the cheap model for hard ones.
-// The plan is the cheapest one expected to meet the team's quality target.
+// Load: many easy requests and a few hard ones. Harm prevented: the price of an
+// expensive model for easy requests, or an insufficient answer of a cheap one for
+// hard requests. The plan is the cheapest one expected to meet the team's quality
+// target.
 func (w *World) resolveAny(t *team, r *request) choice {
 	if len(t.models) == 0 {
 		return refused(ReasonNotAllowed)
@@ -81,8 +82,8 @@
 // mayHold reports whether a first answer may be held back and replaced.
 //
 // A streamed answer may not: its caller waits for the first token, so a version
-// that meets the target alone is used instead. Nor may one that may run only once.
-// Two answers and a rating must fit within the deadline.
+// that meets the target on its own is used instead. Nor may one that may run only
+// once. Two answers and a rating must fit within the deadline.
 func (w *World) mayHold(r *request) bool {
 	if r.Streamed || !r.Idempotent {
 		return false
@@ -106,7 +107,7 @@
 	return best
 }
 
-// fixedPlan is the baseline: the cheapest version first, then the best.
+// fixedPlan is the plan of CascadeFixed: the cheapest version first, then the best.
 func (w *World) fixedPlan(t *team, r *request) plan {
 	first := w.options[0]
 	for _, o := range w.options[1:] {
@@ -128,9 +129,10 @@
 // is too long, and reports whether it found one.
 //
 // Load: a surge that fills the cheap pool. Harm prevented: a refusal while a model
-// that the team may use, and that meets its target, is idle. This costs more. A
-// team that has used up its share of the other model is refused all the same,
-// since its wait there is too long as well.
+// that the team may use, and that meets its target, is idle. Requests that name a
+// model, a pinned version or a service have no other one. The other model may cost
+// more. A team that has used up its share of the other model is refused all the
+// same, since its wait there is too long as well.
 func (w *World) spillover(r *request) bool {
 	if r.Model != "" || r.Pinned != "" || r.Service != "" {
 		return false
--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// cascadeHarness has a cheap model that answers 7 of 10 requests well and a dear
-// one that answers all well.
+// cascadeHarness has a cheap model that answers 7 of 10 requests well and an
+// expensive one that answers all well.
 func cascadeHarness(t *testing.T, cfg Config) *harness {
 	h := newHarness(t, cfg)
 	team := testTeam("weavers", 1)
@@ -25,8 +25,9 @@
 	return h
 }
 
-// serveOpen serves n requests one after the other and returns the mean cost of
-// their attempts and the mean quality of the delivered answers.
+// serveAnyModel serves n requests that name no model, one after the other, and
+// returns the mean cost of their attempts and the mean quality of the delivered
+// answers.
 func (h *harness) serveAnyModel(n int, r Request) (cost, quality float64) {
 	last := map[RequestID]Dispatch{}
 	h.onCommand = func(c Command) {
@@ -49,8 +50,8 @@
 	return cost / float64(n), quality / float64(n)
 }
 
-// The cascade must meet the quality target at a clearly lower cost than the dear
-// model alone.
+// The cascade must meet the quality target at a clearly lower cost than the
+// expensive model alone.
 func TestCascadeCostsLessAtTheTarget(t *testing.T) {
 	anyModel := Request{Team: "weavers", Class: "lookup", MaxTokens: 20, Idempotent: true}
 	h := cascadeHarness(t, DefaultConfig())
@@ -63,7 +64,7 @@
 }
 
 // Streamed and non-idempotent requests must never be held: they run on the version
-// that meets the target alone.
+// that meets the target on its own.
 func TestStreamedAndNonIdempotentAnswersAreNotHeld(t *testing.T) {
 	tests := []Request{
 		{Streamed: true, Idempotent: true},
@@ -94,10 +95,10 @@
 // delay an answer beyond the rating timeout or lose one.
 func TestRatingServiceFaults(t *testing.T) {
 	tests := map[string]func(Dispatch, Request) (float64, bool){
-		"late":      func(Dispatch, Request) (float64, bool) { return 0, true },
-		"stuck":     func(Dispatch, Request) (float64, bool) { return 0, false },
-		"nonsense":  func(Dispatch, Request) (float64, bool) { return -3, false },
-		"no answer": nil,
+		"late":         func(Dispatch, Request) (float64, bool) { return 0, true },
+		"always 0":     func(Dispatch, Request) (float64, bool) { return 0, false },
+		"out of range": func(Dispatch, Request) (float64, bool) { return -3, false },
+		"no answer":    nil,
 	}
 	for name, rating := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +122,7 @@
 }
 
 // A second step that fails must not cost the caller its answer: the held answer is
-// whole and is delivered.
+// complete and is delivered.
 func TestFailedEscalationDeliversTheHeldAnswer(t *testing.T) {
 	for _, result := range []AttemptResult{AttemptFailed, AttemptUnknown, AttemptCrashed, AttemptNotRun} {
 		h := cascadeHarness(t, Config{Policy: Policy{Cascade: CascadeFixed}})
--- a/decision/commands.go
+++ b/decision/commands.go
@@ -18,7 +18,8 @@
 	Hold bool
 	// NeedsRating makes the router have the answer rated and send AnswerRated.
 	NeedsRating bool
-	// RatingTimeout is how long a held answer may wait for its rating.
+	// RatingTimeout is how long the router waits for the rating, and so how long a
+	// held answer is delayed at most.
 	RatingTimeout time.Duration
 }
 
@@ -32,11 +33,12 @@
 type Refuse struct {
 	Request RequestID
 	Reason  RefusalReason
-	// RetryAfter is when the caller may retry; 0 where a retry cannot help.
+	// RetryAfter is the time after which the caller may retry; 0 if a retry cannot
+	// help.
 	RetryAfter time.Duration
 }
 
-// Fail ends a request that ran, or may have run, without a whole answer.
+// Fail ends a request that ran, or may have run, without a complete answer.
 type Fail struct {
 	Request RequestID
 	// Result is that of the last attempt.
@@ -69,7 +71,8 @@
 	Ejected bool
 }
 
-// Quarantine records a request that crashes servers, for all instances.
+// Quarantine makes the router announce to all instances that requests with the
+// fingerprint crash servers and must be refused until Until.
 type Quarantine struct {
 	Fingerprint Fingerprint
 	Until       time.Time
--- a/decision/config.go
+++ b/decision/config.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Config sets the limits of the decisions. DefaultConfig gives the default values
-// and their reasons; NewWorld replaces each number and duration that is zero or
-// negative by its default, except Seed.
+// and the reasons for most of them; NewWorld replaces each number and duration that
+// is zero or negative with its default, except Seed.
 type Config struct {
 	// Seed makes every random choice reproducible.
 	Seed uint64
@@ -14,8 +14,7 @@
 	// DefaultDeadline is the time from arrival to deadline of requests without
 	// one.
 	DefaultDeadline time.Duration
-	// QueueLimit bounds a team's queue, in requests, where the manifest sets no
-	// limit.
+	// QueueLimit bounds a team's queue, in requests, if the manifest sets no limit.
 	QueueLimit int
 	// MaxAttempts bounds the attempts of one request, including second steps of
 	// the cascade.
@@ -48,17 +47,18 @@
 	// RefusedBackoff is how long a server is excluded from selection after it
 	// refused an attempt or crashed.
 	RefusedBackoff time.Duration
-	// RetryAfterMin is the minimum RetryAfter of a refusal where a later retry may
-	// succeed.
+	// RetryAfterMin is the minimum RetryAfter of a refusal after which a later
+	// retry may succeed.
 	RetryAfterMin time.Duration
 	// RatingTimeout is how long a held answer may wait for its rating.
 	RatingTimeout time.Duration
-	// DrainRateHalfLife is the half-life of the measured drain and usage rates.
+	// RateHalfLife is the half-life of the measured drain and usage rates.
 	RateHalfLife time.Duration
 	// WaitMargin is the factor applied to the estimated wait at admission.
 	WaitMargin float64
-	// BurstDuration is how long a backlog may last before it counts as overload,
-	// and the half-life of the average that includes earlier backlogs.
+	// BacklogHalfLife is the half-life of the average that measures for which
+	// fraction of the recent past a pool had a backlog. A backlog after an idle
+	// time counts as overload after about half of it; see overloadThreshold.
 	BacklogHalfLife time.Duration
 	// OverloadAdmitWait bounds the estimated wait at admission in overload, as a
 	// fraction of the time to the deadline.
@@ -83,8 +83,8 @@
 	// DomainWeight is the score of a server in the own failure domain, as a
 	// fraction of a request's work.
 	DomainWeight float64
-	// ProbeEvery is the number of requests for a version with a bad verdict of
-	// which one is let through as a probe.
+	// ProbeEvery is n if one in n requests for a version with a bad verdict is let
+	// through as a probe.
 	ProbeEvery int
 	// SlowFactor is the multiple of its peers' time per unit of work from which a
 	// server counts as slow.
@@ -92,7 +92,7 @@
 	// MaxEjected bounds the fraction of a group of servers that is ejected at the
 	// same time.
 	MaxEjected float64
-	// Policy replaces single decisions by simple baselines for measurements. The
+	// Policy replaces single decisions with simple baselines for measurements. The
 	// zero value is for production.
 	Policy Policy
 }
@@ -129,7 +129,7 @@
 type Cascade uint8
 
 const (
-	// CascadeLearned uses the learnt quality and cost; the default.
+	// CascadeLearned uses the learned quality and cost; the default.
 	CascadeLearned Cascade = iota
 	// CascadeBest always uses the model with the highest quality by the manifest.
 	CascadeBest
@@ -138,17 +138,18 @@
 	CascadeFixed
 )
 
-// DefaultConfig returns the defaults, with the reason for each value.
+// DefaultConfig returns the defaults, with the reasons for most of them.
 func DefaultConfig() Config {
 	return Config{
 		Seed: 1,
 		// Enough for an answer of 600 tokens at 47 ms per token.
 		DefaultDeadline: 30 * time.Second,
-		// Ten seconds of one team's peak load at present. It only bounds memory:
-		// the estimated wait leads to refusals long before it is reached.
+		// Ten seconds of a team that sends 100 requests per second. It only bounds
+		// memory: the estimated wait leads to refusals long before it is reached.
 		QueueLimit: 1000,
-		// One attempt and three retries: with 24 failure domains, four independent
-		// picks are unlikely to all fail, and the load is at most four times.
+		// One attempt and three retries: with 24 failure domains, four
+		// independently chosen servers are unlikely to all fail, and the load grows
+		// by at most a factor of four.
 		MaxAttempts: 4,
 		// One crash may be the server's fault, two in a row are caused by the
 		// request.
@@ -160,8 +161,8 @@
 		RetryRatio: 0.1,
 		// A team with few successes can still retry occasionally.
 		RetryFloor: 3,
-		// A minute's worth for a large team; with more, past successes would pay
-		// for a retry storm.
+		// What a team with about 8 successes per second earns in a minute; with
+		// more, past successes would pay for a retry storm.
 		RetryCap: 50,
 		// A short gap between two confirmations of freshness does not justify
 		// refusing a queue; after a longer one callers should move on to a fresh
@@ -175,8 +176,9 @@
 		ResumeDelay: 500 * time.Millisecond,
 		// Four reports at the usual interval of 500 ms.
 		LoadReportTTL: 2 * time.Second,
-		// Enough to let a new instance in; a quarter more requests in an engine's
-		// own queue cost the others a quarter of one service time.
+		// Enough for a new instance to get slots. The excess, up to a quarter of
+		// the slots, waits in the server's own queue and delays the other requests
+		// by at most a quarter of one service time.
 		Overcommit:     0.25,
 		RefusedBackoff: 200 * time.Millisecond,
 		RetryAfterMin:  500 * time.Millisecond,
@@ -184,13 +186,13 @@
 		RatingTimeout: 300 * time.Millisecond,
 		RateHalfLife:  5 * time.Second,
 		WaitMargin:    1.1,
-		// As long as the burst when a shop opens; a load that lasts longer, such as
-		// at the start of a term, is overload.
+		// Typical bursts, such as when a shop opens, last a few seconds; a load
+		// that lasts longer, such as at the start of a term, is overload.
 		BacklogHalfLife: 5 * time.Second,
 		// Enough queue to keep the slots busy, and no more.
 		OverloadAdmitWait: 0.1,
-		// Twice the admission limit, since estimated waits are too short by half.
-		// Only in overload.
+		// Twice OverloadAdmitWait, since in overload requests may wait twice as
+		// long as estimated.
 		OverloadWait:     0.2,
 		PromptTokenCost:  0.1,
 		DefaultMaxTokens: 256,
--- a/decision/crash.go
+++ b/decision/crash.go
@@ -25,8 +25,9 @@
 	w.crashes.ApplyQuarantine(e.Fingerprint, e.Until, w.now)
 }
 
-// crashAdmission reports whether a request with the fingerprint may run now.
-// Nothing is looked up for a zero fingerprint or while no crash is recorded.
+// crashAdmission returns whether a request with the fingerprint may run now, must
+// wait for a running duplicate, or is quarantined. Nothing is looked up for a zero
+// fingerprint or while no crash is recorded.
 func (w *World) crashAdmission(f Fingerprint) verdict.CrashAdmission {
 	if f == 0 || w.crashes.Len() == 0 {
 		return verdict.CrashAllowed
@@ -45,7 +46,7 @@
 	return max(until.Sub(w.now), 0)
 }
 
-// crashStarted records a dispatch.
+// recordAttemptStart records a dispatch.
 func (w *World) recordAttemptStart(a *attempt) {
 	f := a.request.Fingerprint
 	if f != 0 && w.crashes.Len() > 0 {
@@ -53,7 +54,8 @@
 	}
 }
 
-// crashEnded records an attempt's end and quarantines the request at the limit.
+// recordAttemptEnd records an attempt's end and quarantines the request at the
+// limit.
 func (w *World) recordAttemptEnd(a *attempt, result AttemptResult) {
 	f := a.request.Fingerprint
 	crashed := result == AttemptCrashed
@@ -67,9 +69,10 @@
 }
 
 // park takes a request that may not run now out of the queue, so that it does not
-// block those behind it. Either a duplicate that has crashed a server before is
-// running (if both crashed, more servers than the limit would be down), or only
-// servers that must not take the request are free.
+// block those behind it. The request waits for one of two things: for a running
+// duplicate, if the fingerprint has crashed a server (if both crashed one, the
+// limit could be exceeded), or for a server that may take it, if none of the free
+// ones may.
 func (w *World) park(r *request) {
 	w.dequeue(r)
 	r.state = stateParked
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -10,22 +10,24 @@
 // # Layout
 //
 // events.go, commands.go and types.go are the contract with the router, config.go
-// holds the limits and their reasons. World.Tick runs these systems in order, one
-// file each:
+// holds the limits and their reasons. World.Tick runs these systems in order:
 //
-//   - ingest applies events to the tables (ingest*.go, by what they change);
+//   - ingest applies events to the tables (ingest*.go, and beside what they change
+//     in affinity.go, crash.go and shift.go);
 //   - retry handles ended attempts: deliver, hold, retry elsewhere or fail;
 //   - escalate handles the ratings of held answers;
 //   - expire ends requests that have run out of time;
+//   - openSessions answers new sessions with the versions that they are pinned to
+//     (session.go);
 //   - admit queues or refuses arrivals, using resolve (version), cascade (model)
 //     and wait (estimated queueing time);
-//   - withdraw re-evaluates queued requests after a change;
+//   - recheckQueued re-evaluates queued requests after a change (recheck.go);
 //   - place dispatches queued requests to free slots, using pick (server);
 //   - shift shares verdicts on versions and ejects backend servers.
 //
 // Every request ends through end.go. The parts that need no state of the
 // world are packages of their own: internal/fair (queues), internal/place (filters,
-// scorers, picker), internal/estimate (learnt quality), internal/verdict (bad
+// scorers, picker), internal/estimate (learned quality), internal/verdict (bad
 // versions, slow servers, crashing requests), internal/prefix (which server has
 // which prompt prefix cached). docs/design/decision-core.md gives the trade-offs.
 package decision
--- a/decision/end.go
+++ b/decision/end.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Each function here ends a request, or stops an attempt, in exactly one way. A
-// request always ends through end, which removes it from every table; this
-// guarantees that each request is answered exactly once.
+// The functions in this file end requests and cancel attempts. A request always
+// ends through end, which makes it unknown to later events; this guarantees that at
+// most one command ends it.
 
 func (w *World) emit(c Command) { w.out = append(w.out, c) }
 
@@ -25,8 +25,8 @@
 	w.end(r)
 }
 
-// refuseFor refuses with the retry time that fits the reason: 0 where only a
-// different manifest or request would help.
+// refuseFor refuses with the retry time that fits the reason: 0 if only a different
+// manifest or request would help.
 func (w *World) refuseFor(r *request, reason RefusalReason) {
 	switch reason {
 	case ReasonNotAllowed, ReasonUnknownModel, ReasonVersionWithdrawn:
@@ -54,7 +54,8 @@
 	r.current = nil
 }
 
-// end removes a request from all tables.
+// end removes a request from its queue, the timeouts and the requests table. A
+// parked request stays in the list of parked ones until unpark drops it.
 func (w *World) end(r *request) {
 	w.dequeue(r)
 	w.clearDue(r)
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// learnRating updates the quality estimates. Ratings of second steps are learnt
+// learnRating updates the quality estimates. Ratings of second steps are learned
 // separately, since these answer the harder requests.
 func (w *World) learnRating(e AnswerRated) {
 	taskKey := task{Team: e.Team, Class: e.Class}
@@ -55,7 +55,7 @@
 }
 
 // mayEscalate reports whether the second step may run under the current manifest.
-// A version that the session is pinned to may be draining.
+// The version may be draining if the session is pinned to it.
 func (w *World) mayEscalate(r *request, v *version) bool {
 	available := v.serving() || v.open() && slices.Contains(r.Pins, v.ID)
 	return available && !r.team.gone && r.team.allowed[v.ID] && v.pool.usableServers > 0 &&
@@ -66,7 +66,7 @@
 // awaited. The router always sends one; this only bounds the harm of a lost event.
 const ratingGrace = 100 * time.Millisecond
 
-// hold holds a whole answer back until its rating arrives or times out.
+// hold holds a complete answer back until its rating arrives or times out.
 func (w *World) hold(r *request, a *attempt) {
 	r.held = a.key.attempt
 	r.state = stateHeld
--- a/decision/events.go
+++ b/decision/events.go
@@ -6,14 +6,14 @@
 // implementations.
 type Event interface{ event() }
 
-// ManifestApplied replaces teams and versions by those of a newer generation.
+// ManifestApplied replaces teams and versions with those of a newer generation.
 type ManifestApplied struct {
 	Generation uint64
 	Teams      []Team
 	Versions   []Version
 }
 
-// ServersListed replaces the table of backend servers by the platform's list. The
+// ServersListed replaces the table of backend servers with the platform's list. The
 // list lags: a server that was reported as leaving stays so until the list has
 // dropped it.
 type ServersListed struct{ Servers []Server }
@@ -24,7 +24,8 @@
 
 // LoadReported is the load that a backend server reports; it lags.
 type LoadReported struct {
-	Server  ServerID
+	Server ServerID
+	// Running and Queued count the requests of all instances at the server.
 	Running int
 	Queued  int
 	// At is when the server measured the load.
@@ -40,8 +41,8 @@
 	Removed []BlockHash
 }
 
-// RequestArrived passes in a request. It is eventually answered by exactly one of
-// Refuse, Fail and Deliver, unless RequestCancelled comes first.
+// RequestArrived is the arrival of a request. Exactly one of Refuse, Fail and
+// Deliver ends it eventually, unless RequestCancelled comes first.
 type RequestArrived struct{ Request Request }
 
 // SessionOpening asks which versions a new session gets; it is answered by
@@ -49,8 +50,7 @@
 type SessionOpening struct {
 	Session SessionID
 	Team    TeamID
-	// RolloutPosition is the session's position in roll-outs, from 0 up to but
-	// not 1.
+	// RolloutPosition is the session's position in roll-outs, in [0, 1).
 	RolloutPosition float64
 }
 
@@ -70,14 +70,14 @@
 	Result  AttemptResult
 	// Tokens is the number of generated tokens, for the actual cost.
 	Tokens int
-	// ResponseStarted is set if a part of the answer has been sent to the caller,
+	// ResponseStarted is true if a part of the answer has been sent to the caller,
 	// so that no other attempt may follow.
 	ResponseStarted bool
-	// Leaving is set if the backend server refused because it is leaving.
+	// Leaving is true if the backend server refused because it is leaving.
 	Leaving bool
 }
 
-// AnswerRated is the rating of one attempt's answer. Late is set if none arrived
+// AnswerRated is the rating of one attempt's answer. Late is true if none arrived
 // within the rating timeout; Score is then meaningless.
 type AnswerRated struct {
 	Request RequestID
@@ -89,11 +89,12 @@
 	Late    bool
 }
 
-// VersionVerdict is a verdict on a version, by this instance or a peer.
+// VersionVerdict is a verdict on a version: as an event that of a peer, in
+// ShareVerdict that of this instance.
 type VersionVerdict struct {
 	Version VersionID
 	Bad     bool
-	// Until is when a peer's verdict expires.
+	// Until is when the verdict expires at the peers.
 	Until time.Time
 }
 
@@ -104,10 +105,12 @@
 }
 
 // FreshnessChanged reports whether the instance is fresh, without which it starts
-// no new attempts, and whether there is an outage of the log.
+// no new attempts, and whether there is an outage of the log. It may repeat the
+// current state; the first one after a pause of the process ends Config.ResumeDelay
+// early.
 type FreshnessChanged struct {
 	Fresh bool
-	// Outage is set while the log is down for all instances.
+	// Outage is true while the log is down for all instances.
 	Outage bool
 }
 
--- a/decision/expire.go
+++ b/decision/expire.go
@@ -33,7 +33,7 @@
 func (w *World) expireRequest(r *request) {
 	switch {
 	case r.held != 0:
-		// A held answer is whole. Its rating is late, and waiting longer would
+		// A held answer is complete. Its rating is late, and waiting longer would
 		// only delay the caller.
 		w.deliver(r, r.held)
 	case r.state == stateRunning:
@@ -43,6 +43,7 @@
 	case r.mayHaveRun:
 		w.fail(r, r.lastResult)
 	case w.now.Before(r.deadline):
+		// Queued past its latest start; see latestStart.
 		w.recordWait(r)
 		w.conclude(r, ReasonWaitTooLong)
 	default:
@@ -54,6 +55,8 @@
 func (w *World) setDue(r *request, at time.Time) {
 	e := dueEntry{due: at.Sub(w.base), id: r.ID, request: r}
 	if r.duePos < 0 {
+		// Push takes an any: a pointer to a reused entry is converted to it without
+		// an allocation.
 		w.pushDue = e
 		heap.Push(&w.due, &w.pushDue)
 		return
--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -18,7 +18,8 @@
 	return b
 }
 
-// number is at times not a number, infinite or out of range.
+// number returns a value from 0 to 1, or at times NaN, an infinity or a value out
+// of range.
 func (t *byteSource) number() float64 {
 	special := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 2}
 	b := int(t.next())
@@ -116,7 +117,7 @@
 }
 
 // FuzzTick sends arbitrary events, including invalid ones, at arbitrary times. Tick
-// must not panic, must answer no request twice, and no server's count of running
+// must not panic, must end no request twice, and no server's count of running
 // attempts may become negative.
 func FuzzTick(f *testing.F) {
 	seed := make([]byte, 600)
@@ -160,7 +161,7 @@
 			continue
 		}
 		if !live[id] && !cancelledIn(events, id) {
-			t.Fatalf("request %d answered, but it is not live: %+v", id, c)
+			t.Fatalf("request %d ended, but it is not live: %+v", id, c)
 		}
 		if w.requests[id] == nil {
 			delete(live, id)
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
-// outcome is the result that one caller got.
+// outcome is the result that one caller got; elapsed is the time since the arrival.
 type outcome struct {
 	team    TeamID
 	command Command
@@ -223,7 +223,7 @@
 	}
 }
 
-// cancelCaller makes a caller cancel its request, which then needs no answer.
+// cancelRequest cancels a request as its caller, which then needs no answer.
 func (h *harness) cancelRequest(id RequestID) {
 	if _, live := h.live[id]; !live {
 		return
@@ -238,7 +238,7 @@
 
 func (h *harness) recordOutcome(id RequestID, c Command) {
 	if before, twice := h.outcomes[id]; twice {
-		h.t.Errorf("request %d answered twice: %+v, then %+v", id, before.command, c)
+		h.t.Errorf("request %d ended twice: %+v, then %+v", id, before.command, c)
 	}
 	h.outcomes[id] = outcome{
 		team: h.live[id].Team, command: c, at: h.now, elapsed: h.now.Sub(h.arrived[id]),
@@ -257,15 +257,15 @@
 	return n
 }
 
-// requireAllAnswered fails the test if a request has not been answered.
+// requireAllEnded fails the test if a request has not ended.
 func (h *harness) requireAllEnded() {
 	h.t.Helper()
 	if len(h.live) > 0 {
-		h.t.Errorf("%d requests without an answer", len(h.live))
+		h.t.Errorf("%d requests have not ended", len(h.live))
 	}
 }
 
-// Versions of the small manifest that most tests use.
+// Versions of the manifest that most tests use.
 const (
 	weave1 VersionID = "weave@1"
 	weave2 VersionID = "weave@2"
--- a/decision/heaps.go
+++ b/decision/heaps.go
@@ -27,7 +27,7 @@
 	h[j].request.duePos = j
 }
 func (h *dueHeap) Push(x any) {
-	// The pointer saves an allocation; see setDue.
+	// x is World.pushDue, which is reused: copy it.
 	e := *x.(*dueEntry)
 	e.request.duePos = len(*h)
 	*h = append(*h, e)
@@ -41,7 +41,7 @@
 	return r
 }
 
-// wake is when a server's state must be refreshed.
+// wake is a time at which refreshFree must be called for a server.
 type wake struct {
 	at     time.Time
 	seq    uint64
--- a/decision/ingest_attempt.go
+++ b/decision/ingest_attempt.go
@@ -68,6 +68,8 @@
 	}
 	a.pool.serviceTime.learnTokens(float64(e.Tokens), a.cost-a.promptCost)
 	actual := a.promptCost + float64(e.Tokens)
+	// The correction is bounded, so that a wrong token count at most doubles the
+	// charge.
 	a.team.account.CorrectCharge(min(actual-a.cost, a.cost))
 }
 
--- a/decision/ingest_manifest.go
+++ b/decision/ingest_manifest.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ingestManifest replaces teams and versions by those of a newer generation. An
+// ingestManifest replaces teams and versions with those of a newer generation. An
 // older or equal generation is dropped: the manifest in force never reverts, even
 // if an event arrives late.
 func (w *World) ingestManifest(e ManifestApplied) {
@@ -52,7 +52,7 @@
 	m.versions = append(m.versions, v)
 }
 
-// sortRollout orders a model's versions from the newest to the oldest.
+// sortVersions orders a model's versions from the newest to the oldest.
 func (w *World) sortVersions(m *model) {
 	slices.SortFunc(m.versions, func(a, b *version) int {
 		if d := cmp.Compare(w.predecessorCount(b), w.predecessorCount(a)); d != 0 {
@@ -62,8 +62,8 @@
 	})
 }
 
-// age counts a version's predecessors. The count is bounded by the number of
-// versions, so that a cycle of predecessors terminates.
+// predecessorCount counts a version's direct and indirect predecessors. The count
+// is bounded by the number of versions, so that a cycle of predecessors terminates.
 func (w *World) predecessorCount(v *version) int {
 	n := 0
 	for n <= len(w.versions) {
--- a/decision/ingest_servers.go
+++ b/decision/ingest_servers.go
@@ -60,6 +60,7 @@
 	return s
 }
 
+// sameServer reports whether two rows of one server are equal except for Leaving.
 func sameServer(a, b Server) bool {
 	return a.Domain == b.Domain && a.Service == b.Service && a.Slots == b.Slots &&
 		slices.Equal(a.Versions, b.Versions)
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -52,12 +52,12 @@
 	return time.Duration(r.MaxTokens) * 10 * time.Millisecond
 }
 
-// draftRequest is a request of 20 tokens: 200 ms at 10 ms per token.
+// shortRequest is a request for weave of 20 tokens: 200 ms at 10 ms per token.
 func shortRequest(team TeamID) Request {
 	return Request{Team: team, Model: "weave", MaxTokens: 20, Idempotent: true}
 }
 
-// loadHarness has 6 servers with 8 slots each: a capacity of 240 draft requests per
+// loadHarness has 6 servers with 8 slots each: a capacity of 240 short requests per
 // second.
 func loadHarness(t *testing.T, teams ...Team) (*harness, *rand.Rand) {
 	h := newHarness(t, DefaultConfig())
@@ -89,7 +89,8 @@
 }
 
 // requirePromptRefusals fails the test if more than 1% of the requests were refused
-// late, or if any was refused without a retry time or only at its deadline.
+// later than two ticks after their arrival, or if any was refused without a retry
+// time or only at its deadline.
 func (h *harness) requirePromptRefusals() {
 	h.t.Helper()
 	late, noRetryAfter, atDeadline := 0, 0, 0
@@ -110,7 +111,7 @@
 	}
 	total := len(h.outcomes)
 	if late*100 > total || noRetryAfter > 0 || atDeadline > 0 {
-		h.t.Errorf("of %d: %d refused late, %d without RetryAfter, %d only at the deadline", total, late, noRetryAfter, atDeadline)
+		h.t.Errorf("of %d requests: %d refused late, %d without RetryAfter, %d only at the deadline; want at most 1%%, 0 and 0", total, late, noRetryAfter, atDeadline)
 	}
 }
 
@@ -245,9 +246,9 @@
 	}
 }
 
-// One backend server crashes under load and then refuses at once. Idempotent
-// requests that it ran must be retried elsewhere, and its fast refusals, which make
-// it look idle, must not attract requests that then fail or are refused.
+// One backend server loses its connections under load and then refuses at once.
+// Idempotent requests that it ran must be retried elsewhere, and its fast refusals,
+// which make it look idle, must not attract requests that then fail or are refused.
 func TestServerFailsThenRefuses(t *testing.T) {
 	h, rng := loadHarness(t, testTeam("weavers", 1), testTeam("shops", 1))
 	nonIdempotent := shortRequest("shops")
@@ -325,8 +326,8 @@
 	offer(h, rng, 4*time.Second, demand{perSecond: 120, request: shortRequest("weavers"), deadline: 5 * time.Second})
 	h.run(5 * time.Second)
 	h.requireAllEnded()
-	// The test lasts 20 backoffs; about two requests are sent before the first is
-	// refused.
+	// The test lasts 20 backoffs. In each, about two requests, and three at most,
+	// are sent before the first is refused.
 	if refusals > 60 {
 		t.Errorf("the refusing server got %d of %d requests, want at most 60", refusals, len(h.outcomes))
 	}
--- a/decision/meters.go
+++ b/decision/meters.go
@@ -12,8 +12,8 @@
 // the queue while there was a backlog shows this instance's part of the capacity.
 type drainMeter struct {
 	// work is the cost that left the queue, busy the seconds with a backlog. Both
-	// decay by such seconds only: the rate under saturation is the best prediction
-	// for the next saturation.
+	// decay only while there is a backlog, so that the rate measured in one
+	// saturation is kept until the next, for which it is the best prediction.
 	work float64
 	busy float64
 }
@@ -28,8 +28,9 @@
 // add records cost that left a backlogged queue.
 func (m *drainMeter) add(cost float64) { m.work += cost }
 
-// rate is the drain rate in cost per second. The guess weighs as much as a tenth
-// of the half-life, so that by default half a second of backlog outweighs it.
+// rate is the drain rate in cost per second. expected is the rate by the service
+// times, 0 if unknown. It weighs as much as a tenth of the half-life, so that by
+// default half a second of backlog outweighs it.
 func (m *drainMeter) rate(expected float64, halfLife time.Duration) float64 {
 	priorSeconds := halfLife.Seconds() / 10
 	if expected == 0 && m.busy < priorSeconds {
@@ -102,8 +103,8 @@
 
 func sizeClass(cost float64) int { return min(bits.Len(uint(cost)), sizeClasses-1) }
 
-// decayPerAttempt gives an average over about the last 50 attempts: enough to
-// smooth, few enough to follow a change of load within seconds.
+// decayPerSample gives an average over about the last 50 samples: enough to smooth,
+// few enough to follow a change of load within seconds.
 const decayPerSample = 0.98
 
 // learn records a completed attempt.
@@ -170,8 +171,8 @@
 	return float64(slots) * m.cost / m.seconds
 }
 
-// seconds converts a number of seconds to a duration, limited to 0 to 1 day so that
-// no estimate overflows.
+// seconds converts a number of seconds to a duration, clamped to the range from 0
+// to 1 day so that no estimate overflows.
 func seconds(s float64) time.Duration {
 	const day = 24 * 60 * 60
 	return time.Duration(min(max(s, 0), day) * float64(time.Second))
@@ -180,6 +181,7 @@
 // backlogMeter measures for which fraction of the recent past a queue was not
 // empty, as an exponentially decaying average.
 type backlogMeter struct {
+	// decayed is the fraction at updatedAt.
 	decayed    float64
 	updatedAt  time.Time
 	backlogged bool
@@ -192,8 +194,9 @@
 	m.backlogged = backlogged
 }
 
-// part is 0 for never and 1 for always; after one half-life it has covered half of
-// a lasting change.
+// fraction returns the fraction, from 0 to 1, of the recent past in which the queue
+// was not empty. After a lasting change it covers half of the difference in one
+// half-life.
 func (m *backlogMeter) fraction(now time.Time, halfLife time.Duration) float64 {
 	left := m.decayed * math.Exp2(-now.Sub(m.updatedAt).Seconds()/halfLife.Seconds())
 	if !m.backlogged {
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -19,8 +19,9 @@
 }
 
 // drawCount is how many servers are drawn at random. Two give nearly the whole
-// benefit of a full scan: the longest queue falls from log n to log log n. With
-// lagging reports, a full scan would send all instances to the same idle server.
+// benefit of a full scan: with n servers, the length of the longest queue grows
+// with log log n instead of log n. With lagging reports, a full scan would send all
+// instances to the same idle server.
 const drawCount = 2
 
 // pick returns a server with a free slot, or nil if none may take the request.
@@ -63,7 +64,7 @@
 		SameDomain:    s.Domain != "" && s.Domain == w.cfg.Domain,
 		VersionLoaded: s.inPool(p),
 		Leaving:       s.leaving || s.gone,
-		Ejected:       !s.isFree,
+		Ejected:       !s.isFree, // also servers that back off, as place.Candidate defines it
 		Tried:         w.avoids(r, s),
 	})
 	return &w.candidates[len(w.candidates)-1]
@@ -88,8 +89,8 @@
 	return s
 }
 
-// pickTried returns a free server that the request has tried before, when no other
-// one is free: a retry there is better than none. A request that may have crashed a
+// pickAvoided returns a free server although the request avoids it, as no other one
+// is free: a retry there is better than none. A request that may have crashed a
 // server gets none. One that is not idempotent, and so cannot be retried, gets no
 // server that is ejected and only takes probes.
 func (w *World) pickAvoided(p *pool, r *request) *server {
--- a/decision/place.go
+++ b/decision/place.go
@@ -14,7 +14,8 @@
 func (w *World) place() {
 	if !w.fresh || w.now.Before(w.dispatchFrom) {
 		// After a pause of the process the manifest may be outdated: queued
-		// requests wait until the freshness is reported again.
+		// requests wait until the freshness is reported again, at most for
+		// Config.ResumeDelay.
 		return
 	}
 	w.unpark()
@@ -25,6 +26,7 @@
 			if len(p.free) > 0 && w.placeNext(p) {
 				placed = true
 			}
+			// If p's queue became empty, removeQueuedPool has moved another pool to i.
 			if i < len(w.queuedPools) && w.queuedPools[i] == p {
 				i++
 			}
@@ -92,8 +94,8 @@
 }
 
 // forbiddenReason returns why the manifest does not permit the dispatch that is
-// about to be made, or "". The withdraw system has already ensured that it does;
-// the harm of a mistake there justifies a second check.
+// about to be made, or "". The system recheckQueued has already ensured that it
+// does; the harm of a mistake there justifies a second check.
 func (w *World) forbiddenReason(r *request) RefusalReason {
 	v := r.version
 	switch {
@@ -116,8 +118,8 @@
 //
 // Load: saturation, where requests leave the queue close to their deadlines. Harm
 // prevented: a slot is used by a request that ends too late instead of one that
-// would be in time. When half the usual time was enough for a dispatch, a third of
-// the answers were too late.
+// would be in time. If a request were dispatched with half the usual time left, up
+// to a third of the answers would be too late.
 func (w *World) cannotFinish(r *request) bool {
 	need := r.pool.serviceTime.upperBound(r.item.Cost)
 	return w.now.Add(need).After(r.deadline)
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -1,7 +1,7 @@
 package decision
 
-// versionPool returns the version's pool and creates a missing one: the server
-// list and the manifest may arrive in either order.
+// versionPool returns the version's pool and creates it if it does not exist: the
+// server list and the manifest may arrive in either order.
 func (w *World) versionPool(id VersionID) *pool {
 	p := w.versionPools[id]
 	if p == nil {
@@ -12,7 +12,7 @@
 	return p
 }
 
-// servicePool returns the plain service's pool and creates a missing one.
+// servicePool returns the plain service's pool and creates it if it does not exist.
 func (w *World) servicePool(id ServiceID) *pool {
 	p := w.servicePools[id]
 	if p == nil {
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -9,8 +9,8 @@
 )
 
 // script is a random sequence of events. At each command the harness checks server
-// capacity, permission, withdrawal, session pins, that a request is answered once
-// and that a non-idempotent one runs once.
+// capacity, permission, withdrawal, session pins, that a request ends once and that
+// a non-idempotent one runs once.
 type script struct {
 	t *rapid.T
 	h *harness
@@ -91,11 +91,11 @@
 	s.h.arrive(r)
 }
 
-// fault sends a random event that may occur at any time.
+// otherEvent sends a random event that may occur at any time.
 func (s *script) otherEvent() {
 	h := s.h
 	id := ServerID("s0")
-	switch rapid.IntRange(0, 6).Draw(s.t, "fault") {
+	switch rapid.IntRange(0, 6).Draw(s.t, "event") {
 	case 0:
 		h.send(ServerLeaving{Server: id})
 	case 1:
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -54,11 +54,11 @@
 // the answer would usually be too late or, in overload, the request has been queued
 // for the longest time allowed.
 //
-// Load: saturation, where estimated waits are too short by half or more, since
-// other instances take slots that the estimates count on. Harm prevented: a caller
-// that waits until its deadline for an answer that cannot come in time, and a first
-// token after most of the time has passed. A request that may have run cannot be
-// refused any more, so only its deadline applies.
+// Load: saturation, where requests may wait twice as long as estimated or longer,
+// since other instances take slots that the estimates count on. Harm prevented: a
+// caller that waits until its deadline for an answer that cannot come in time, and
+// a first token after most of the time has passed. A request that may have run
+// cannot be refused any more, so only its deadline applies.
 func (w *World) latestStart(r *request) time.Time {
 	timeLeft := r.deadline.Sub(w.now)
 	wait := timeLeft - r.pool.serviceTime.upperBound(r.item.Cost)
@@ -77,7 +77,7 @@
 	w.leftQueue(r)
 }
 
-// dequeued updates the counts after a request has left its queue.
+// leftQueue updates the request's state and the counts after it has left its queue.
 func (w *World) leftQueue(r *request) {
 	r.state = stateArrived
 	r.team.queued--
@@ -102,7 +102,8 @@
 	p.backlogged = false
 }
 
-// flow returns the team's part of the pool's queue and creates a missing one.
+// flow returns the team's part of the pool's queue and creates it if it does not
+// exist.
 func (p *pool) flow(t *team) *flow {
 	if p.shared != nil {
 		return p.shared
--- a/decision/recheck.go
+++ b/decision/recheck.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// withdraw re-evaluates queued requests after a change: a newer manifest, a list
-// without their servers, a bad verdict, lost freshness, a log outage.
+// recheckQueued re-evaluates queued requests after a change: a newer manifest, a
+// list without their servers, a bad verdict, lost freshness, a log outage.
 //
 // Load: a large manifest change while queues are full. Harm prevented: a request
 // starts on a version that was withdrawn or forbidden after its admission. It
@@ -22,8 +22,8 @@
 	}
 }
 
-// withdrawStale refuses queued requests once freshness has been lost for longer
-// than the grace period: they did not run, and another instance can take them.
+// concludeStale ends queued requests once freshness has been lost for longer than
+// the grace period: they did not run, and another instance can take them.
 func (w *World) concludeStale() {
 	if len(w.queuedPools)+len(w.parked) == 0 || w.now.Sub(w.staleSince) < w.cfg.FreshnessGrace {
 		return
@@ -56,7 +56,7 @@
 }
 
 // recheckEscalation drops an escalation that is no longer permitted and delivers
-// the held answer, which is whole and was permitted.
+// the held answer, which is complete and was permitted.
 func (w *World) recheckEscalation(r *request) {
 	if w.mayEscalate(r, r.version) {
 		return
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -85,6 +85,8 @@
 	return w.withServer(v, v.pool)
 }
 
+// withServer returns the version and pool, or a refusal if no server can take
+// requests for it.
 func (w *World) withServer(v *version, p *pool) choice {
 	if p.usableServers == 0 {
 		return refused(ReasonNoServer)
@@ -92,8 +94,8 @@
 	return choice{version: v, pool: p}
 }
 
-// rollout maps a roll-out position, from 0 up to but not 1, to one of the model's
-// allowed serving versions.
+// rollout maps a roll-out position in [0, 1) to one of the model's allowed serving
+// versions.
 //
 // The shares are stacked from the newest version, so that raising its share only
 // adds requests to it and moves none among the others; the remainder belongs to the
@@ -120,8 +122,9 @@
 			return list[i]
 		}
 	}
-	// All have a bad verdict: the verdicts compare the versions with each other
-	// and cannot all be right, and refusing the whole model is the greater harm.
+	// All have a bad verdict: the verdicts compare the versions with each other and
+	// cannot all be right, and to refuse all requests for the model would do more
+	// harm.
 	return list[len(list)-1]
 }
 
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// completed delivers the answer or holds it for its rating.
+// handleCompleted delivers the answer or holds it for its rating.
 func (w *World) handleCompleted(r *request, e endedAttempt) {
 	if e.attempt.hold {
 		w.hold(r, e.attempt)
@@ -39,9 +39,9 @@
 	w.deliver(r, e.attempt.key.attempt)
 }
 
-// notRun retries on another server, idempotent or not, since nothing has run. The
-// server that refused is excluded for a short time: one that refuses at once looks
-// idle and would attract all requests.
+// handleNotRun retries on another server, idempotent or not, since nothing has run.
+// The server that refused is excluded for a short time: one that refuses at once
+// looks idle and would attract all requests.
 func (w *World) handleNotRun(r *request, e endedAttempt) {
 	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff))
 	r.tried = append(r.tried, e.attempt.server)
@@ -56,9 +56,9 @@
 	w.requeue(r)
 }
 
-// crashed retries a request that crashed a server until it has crashed
-// Config.MaxCrashes servers or is quarantined: a second crash is caused by the
-// request and not by the server.
+// handleCrashed retries a request that crashed a server until it has crashed
+// Config.MaxCrashes servers or is quarantined: after that many crashes the request
+// and not the servers is taken for the cause.
 func (w *World) handleCrashed(r *request, e endedAttempt) {
 	r.crashes++
 	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff)) // it is restarting
@@ -70,8 +70,8 @@
 	w.failOrHeld(r, AttemptCrashed)
 }
 
-// mayHaveRun retries on another server only if the request is idempotent and the
-// caller has received no part of the answer.
+// handleMayHaveRun retries on another server only if the request is idempotent and
+// the caller has received no part of the answer.
 func (w *World) handleMayHaveRun(r *request, e endedAttempt) {
 	r.mayHaveRun = true
 	r.tried = append(r.tried, e.attempt.server)
--- a/decision/servers_test.go
+++ b/decision/servers_test.go
@@ -29,17 +29,17 @@
 	h.send(ServerLeaving{Server: "s0"})
 	h.servers(list...) // the list lags
 	if n := requestsPerServer(h); n["s0"] > 0 || n["s1"] != 20 {
-		t.Errorf("leaving by its own report: requests per server %v", n)
+		t.Errorf("leaving by its own report: requests per server %v, want none on s0 and 20 on s1", n)
 	}
 	h.servers(list[1:]...)
 	h.servers(list...)
 	if n := requestsPerServer(h); n["s0"] == 0 {
-		t.Errorf("listed again after the list had dropped it: requests per server %v", n)
+		t.Errorf("listed again after the list had dropped it: requests per server %v, want some on s0", n)
 	}
 	list[0].Leaving = true
 	h.servers(list...)
 	if n := requestsPerServer(h); n["s0"] > 0 {
-		t.Errorf("leaving by the list: requests per server %v", n)
+		t.Errorf("leaving by the list: requests per server %v, want none on s0", n)
 	}
 	h.requireAllEnded()
 }
--- a/decision/session_test.go
+++ b/decision/session_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// sameOutcome compares what the caller of a session would see.
+// sameOutcome reports whether both commands dispatch to the same version or refuse
+// for the same reason.
 func sameOutcome(got, want Command) bool {
 	switch w := want.(type) {
 	case Dispatch:
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -29,8 +29,8 @@
 }
 
 // shareInterval is how often the verdicts to share are collected: a small fraction
-// of the time that a message takes to reach the peers, and seldom enough that a
-// tick with one event does not bear the cost.
+// of the time that a message takes to reach the peers, and long enough that most
+// ticks do not bear the cost.
 const shareInterval = 20 * time.Millisecond
 
 func (w *World) shareVerdicts() {
@@ -52,7 +52,7 @@
 	return verdict.NewOutliers[ServerID, string](c)
 }
 
-// applyVerdicts passes the manifest's versions to the version verdicts.
+// applyVerdictVersions passes the manifest's versions to the version verdicts.
 func (w *World) applyVerdictVersions() {
 	var rows []verdict.VersionInfo[VersionID]
 	for _, v := range w.versions {
@@ -66,8 +66,8 @@
 	w.verdicts.Apply(rows)
 }
 
-// applyOutliers passes the listed servers to the outlier detection. Servers with
-// the same versions form a group, since only these are comparable.
+// applyOutlierServers passes the listed servers to the outlier detection. Servers
+// with the same versions form a group, since only these are comparable.
 func (w *World) applyOutlierServers() {
 	var list []verdict.Member[ServerID, string]
 	for _, s := range w.serverList {
@@ -187,8 +187,8 @@
 	}
 }
 
-// eject excludes a server from selection, or readmits it, and reports a change to
-// the operators.
+// setEjected excludes the server from selection or readmits it, and reports a
+// change to the operators.
 func (w *World) setEjected(s *server, ejected bool) {
 	if s.ejected != ejected {
 		w.emit(ReportEjection{Server: s.ID, Ejected: ejected})
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -62,7 +62,7 @@
 	index int
 	// account is the work that the team was given, over all pools.
 	account *fair.Account
-	// gone is set when the manifest no longer lists the team.
+	// gone is true if the manifest no longer lists the team.
 	gone     bool
 	allowed  map[VersionID]bool
 	services map[ServiceID]bool
@@ -90,12 +90,13 @@
 // version is a row of the versions table.
 type version struct {
 	Version
-	// gone is set when the manifest no longer lists the version.
+	// gone is true if the manifest no longer lists the version.
 	gone bool
 	pool *pool
 }
 
-// open reports whether the version may take any request.
+// open reports whether the version may take requests at all, if only of sessions
+// that are pinned to it.
 func (v *version) open() bool { return !v.gone && v.State != VersionWithdrawn }
 
 // serving reports whether the version may take requests that are not pinned to it.
@@ -123,7 +124,7 @@
 	usage         usageMeter
 	// queuedPos is the index in tables.queuedPools, or -1.
 	queuedPos int
-	// backlogged is set when requests were still queued at the start of the tick;
+	// backlogged is true if requests were still queued at the start of the tick;
 	// backlog measures for which fraction of the recent past some were.
 	backlogged bool
 	backlog    backlogMeter
@@ -136,10 +137,10 @@
 	bias  biasMeter
 }
 
-// freeSlot is an entry of pool.free.
+// freeServer is an entry of pool.free.
 type freeServer struct {
 	server *server
-	// member is the index in server.memberships.
+	// membershipIndex is the index in server.memberships.
 	membershipIndex int
 }
 
@@ -156,7 +157,7 @@
 	memberships []membership
 	// running counts this instance's own attempts at the server.
 	running int
-	// otherLoad is the number of requests of other instances by the last load
+	// otherRequests is the number of requests of other instances by the last load
 	// report.
 	otherRequests int
 	reportedAt    time.Time
@@ -197,8 +198,8 @@
 	// tried are the servers whose attempts ended without an answer.
 	tried   []*server
 	crashes int
-	// ran is set when a backend server may have run the request; it is then never
-	// refused as not run.
+	// mayHaveRun is true if a backend server may have run the request; it is then
+	// never refused as not run.
 	mayHaveRun bool
 	// plan is set by the cascade for a request that names no model.
 	plan       plan
@@ -234,13 +235,13 @@
 	started time.Time
 	// firstToken is zero until the first token is received.
 	firstToken time.Time
-	// hold is set when the answer is held back until it is rated, for at most
+	// hold is true if the answer is held back until it is rated, for at most
 	// ratingTimeout.
 	hold          bool
 	ratingTimeout time.Duration
 	// counted is what verdict.Crashes.AttemptStarted returned for the dispatch.
 	counted bool
-	// cost is the estimated cost in generated tokens; prompt is the cost of the
+	// cost is the estimated cost in generated tokens; promptCost is the cost of the
 	// prompt, the part of it that is known in advance.
 	cost       float64
 	promptCost float64
--- a/decision/types.go
+++ b/decision/types.go
@@ -107,8 +107,8 @@
 	// Service is set for a plain service.
 	Service ServiceID
 	Class   TaskClass
-	// RolloutPosition is the request's position in roll-outs, from 0 up to but
-	// not 1: a hash of its session, or of itself.
+	// RolloutPosition is the request's position in roll-outs, in [0, 1): a hash of
+	// its session, or of itself.
 	RolloutPosition float64
 	Fingerprint     Fingerprint
 	// Blocks are the hashes of the prompt's blocks from its start, for prefix
@@ -119,7 +119,7 @@
 	MaxTokens    int
 	// Priority within the team, higher first.
 	Priority int
-	// Deadline for the whole answer; the zero value means Config.DefaultDeadline
+	// Deadline for the complete answer; the zero value means Config.DefaultDeadline
 	// after the arrival.
 	Deadline time.Time
 	// Idempotent requests may be retried after an attempt that may have run.
@@ -153,7 +153,7 @@
 type AttemptResult uint8
 
 const (
-	// AttemptCompleted: the whole answer was received.
+	// AttemptCompleted: the complete answer was received.
 	AttemptCompleted AttemptResult = iota + 1
 	// AttemptNotRun: it provably did not run (no byte was written, or the backend
 	// server refused it in a way that the protocol defines as not run).
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -41,9 +41,9 @@
 	return seconds(max(ahead, ownQueue))
 }
 
-// queuedRate is the part of the pool's rate that is left for f and the flows with
-// queued requests: the other teams are expected to keep using what they used
-// recently, up to their share.
+// queuedRate is the part of the pool's rate that is left for f and the other flows
+// with queued requests. The flows without any are expected to keep their recent
+// usage, up to their share.
 func (w *World) queuedRate(p *pool, f *flow, rate float64) float64 {
 	halfLife := w.cfg.RateHalfLife
 	queued := f.usage.rate(&w.usageClock, halfLife)
@@ -66,8 +66,9 @@
 	return max(rate*share, rate-others)
 }
 
-// advanceDrains advances the meters of the backlogged pools. Its cost grows with
-// the number of pools with queued requests, at most one per version or service.
+// advanceMeters advances the usage clock and the drain meters of the pools that had
+// queued requests since the last tick. Its cost grows with the number of pools with
+// queued requests, at most one per version or service.
 func (w *World) advanceMeters(elapsed time.Duration) {
 	w.advanceUsage()
 	if elapsed <= 0 {
--- a/decision/world.go
+++ b/decision/world.go
@@ -19,14 +19,14 @@
 	tables
 	rng    *rand.Rand
 	picker place.Picker
-	// State learnt from attempts and ratings.
+	// State learned from attempts and ratings.
 	verdicts *verdict.Versions[VersionID, ServerID]
 	outliers *verdict.Outliers[ServerID, string]
 	crashes  *verdict.Crashes[Fingerprint]
-	// estimates holds the learnt quality and answer length. secondSteps maps the
-	// second steps of cascades whose rating is pending to the version of the
-	// first step.
-	estimates   *estimate.Table[TeamID, TaskClass, VersionID]
+	// estimates holds the learned quality and answer length.
+	estimates *estimate.Table[TeamID, TaskClass, VersionID]
+	// secondSteps maps each second step of a cascade whose rating is pending to the
+	// version of its first step.
 	secondSteps *simplelru.LRU[attemptKey, VersionID]
 	prefixes    *prefix.Index[ServerID, BlockHash]
 
@@ -36,17 +36,19 @@
 	// usageClock is shared by all usage meters.
 	usageClock decayClock
 	fresh      bool
-	// outage is set while the log is down for all instances.
+	// outage is true while the log is down for all instances.
 	outage bool
 	// staleSince is when freshness was lost.
 	staleSince time.Time
-	// resumedAt is the last tick after a pause; until holdUntil at the latest
-	// nothing is dispatched after it.
+	// resumedAt is the time of the first tick after the last pause of the process.
+	// Nothing is dispatched before dispatchFrom, which a freshness report clears.
 	resumedAt    time.Time
 	dispatchFrom time.Time
-	// recheck makes the withdraw system re-evaluate every queued request.
+	// recheckNeeded makes the system recheckQueued re-evaluate every queued
+	// request.
 	recheckNeeded bool
-	// nextShare is when the verdicts to share with the peers are next collected.
+	// nextVerdictsAt is when the verdicts to share with the peers are next
+	// collected.
 	nextVerdictsAt time.Time
 	wakeSeq        uint64
 	// roundRobin is the counter of the round robin baseline.
@@ -88,8 +90,8 @@
 }
 
 // Tick applies the events in order, runs the systems once and returns the commands
-// for the router, in order. A now before that of the last call is replaced by it.
-// The returned commands are valid until the next Tick.
+// for the router, in order. If now is before the time of the last call, that time
+// is used instead. The returned commands are valid until the next Tick.
 //
 // Ended attempts and ratings are handled before deadlines, so that an answer that
 // completes in the tick of its deadline is delivered; escalations are handled
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -25,8 +25,8 @@
 	}{
 		{name: "delivered", request: Request{Model: "weave"}, want: Deliver{Request: 1, Attempt: 1}},
 		{name: "pinned", request: Request{Pinned: weave1}, want: Deliver{Request: 1, Attempt: 1}},
-		{name: "exact", request: Request{Model: "draft@1"}, want: Deliver{Request: 1, Attempt: 1}},
-		{name: "any", request: Request{}, want: Deliver{Request: 1, Attempt: 1}},
+		{name: "exact version", request: Request{Model: "draft@1"}, want: Deliver{Request: 1, Attempt: 1}},
+		{name: "no model", request: Request{}, want: Deliver{Request: 1, Attempt: 1}},
 		{name: "unknown model", request: Request{Model: "none"}, want: Refuse{Request: 1, Reason: ReasonUnknownModel}},
 		{name: "unknown team", request: Request{Team: "none", Model: "weave"}, want: Refuse{Request: 1, Reason: ReasonNotAllowed}},
 		{name: "pin of another model", request: Request{Pinned: weave1, Model: "draft"}, want: Refuse{Request: 1, Reason: ReasonUnknownModel}},
@@ -106,7 +106,7 @@
 			want: Deliver{Request: 1, Attempt: 1},
 		},
 		{
-			name: "all leaving", request: Request{Model: "weave"},
+			name: "all servers leaving", request: Request{Model: "weave"},
 			setup: func(h *harness) { h.send(ServerLeaving{Server: "s0"}, ServerLeaving{Server: "s1"}) },
 			want:  Refuse{Request: 1, Reason: ReasonNoServer},
 		},
@@ -116,7 +116,7 @@
 			want:  Fail{Request: 1, Result: AttemptUnknown},
 		},
 		{
-			name: "unknown result, idempotent, each time", request: Request{Model: "weave", Idempotent: true},
+			name: "unknown result of each attempt, idempotent", request: Request{Model: "weave", Idempotent: true},
 			setup: func(h *harness) { h.result = always(AttemptUnknown) },
 			want:  Fail{Request: 1, Result: AttemptUnknown},
 		},
@@ -198,7 +198,8 @@
 }
 
 // After a pause of the process no queued request may be dispatched before the
-// freshness is reported again, since the manifest may be outdated.
+// freshness is reported again or Config.ResumeDelay has passed, since the manifest
+// may be outdated.
 func TestNothingIsDispatchedRightAfterAPause(t *testing.T) {
 	tests := []struct {
 		name     string
