--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -230,7 +230,7 @@
 	}
 	h.send(RequestCancelled{Request: id})
 	h.tick()
-	if _, answered := h.outcomes[id]; !answered {
+	if _, ended := h.outcomes[id]; !ended {
 		h.outcomes[id] = outcome{team: h.live[id].Team}
 		delete(h.live, id)
 	}
