--- a/decision/admit.go
+++ b/decision/admit.go
@@ -90,8 +90,8 @@
 // waitLimit is the longest estimated wait at which a request is still queued.
 //
 // Load: sustained demand of a team over its share, as opposed to a burst. A burst
-// may use the whole time to the deadline: its queue drains afterwards. A queue that
-// stands for longer adds nothing to the throughput but adds its wait to every
+// may use all of the time to the deadline: its queue drains afterwards. A queue
+// that stands for longer adds nothing to the throughput but adds its wait to every
 // answer. Harm prevented: such a standing queue; it is kept short, and callers are
 // told at once when to retry. A team without a queue waits for the next slot only
 // and is not limited.
--- a/decision/affinity.go
+++ b/decision/affinity.go
@@ -21,7 +21,7 @@
 //
 // Load: sessions and long common prompts. Harm prevented: the same prefix is
 // computed on many servers while callers wait for their first token. The saving
-// counts as a fraction of the request's whole cost, so that a cached prefix counts
+// counts as a fraction of the request's total cost, so that a cached prefix counts
 // more for a long prompt with a short answer than for a short prompt with a long
 // one; the scorer ignores it for servers above Config.AffinityMaxLoad.
 func (w *World) addCachedCandidates(p *pool, r *request) {
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// cancelRequest cancels a request as its caller, which then needs no answer.
+// cancelRequest cancels a request as its caller, which then needs no outcome.
 func (h *harness) cancelRequest(id RequestID) {
 	if _, live := h.live[id]; !live {
 		return
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -45,7 +45,7 @@
 }
 
 // ingestRequest adds a request. An id that is already live is an error of the
-// router: the second request is dropped, since an id can have only one answer.
+// router: the second request is dropped, since an id can end only once.
 func (w *World) ingestRequest(in Request) {
 	if _, live := w.requests[in.ID]; live {
 		return
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -158,9 +158,9 @@
 	}
 }
 
-// unitLatency is the time that a unit of work took at the server: the time per token
-// from the first token on for a model, the whole time for a plain service; 0 if
-// unknown.
+// unitLatency is the time that a unit of work took at the server: the time per
+// token from the first token on for a model, the total time for a plain service; 0
+// if unknown.
 func (w *World) unitLatency(a *attempt, e AttemptEnded) time.Duration {
 	if a.pool.service != "" {
 		return w.now.Sub(a.started)
--- a/decision/world_test.go
+++ b/decision/world_test.go
@@ -14,8 +14,8 @@
 	return h
 }
 
-// A single request must get the answer that its fields, the manifest, the servers
-// and the freshness call for.
+// A single request must end as its fields, the manifest, the servers and the
+// freshness require.
 func TestOneRequest(t *testing.T) {
 	tests := []struct {
 		name    string
