--- a/decision/admit.go
+++ b/decision/admit.go
@@ -21,16 +21,16 @@
 		return
 	}
 	r.team = w.teams[r.Team]
-	to := w.resolve(r)
-	if to.reason != "" {
-		w.refuseFor(r, to.reason)
+	target := w.resolve(r)
+	if target.reason != "" {
+		w.refuseFor(r, target.reason)
 		return
 	}
 	if reason := w.blockedReason(r); reason != "" {
 		w.refuseFor(r, reason)
 		return
 	}
-	w.assign(r, to)
+	w.assign(r, target)
 	reason := w.capacityReason(r)
 	if reason == ReasonWaitTooLong && w.spillover(r) {
 		reason = ""
@@ -53,20 +53,22 @@
 		// The claim that keeps it from running twice cannot be recorded.
 		return ReasonOutage
 	}
-	if r.Resend && !r.team.retries.spend(w.now, &w.cfg) {
+	if r.Resend && !r.team.retryBudget.spend(w.now, &w.cfg) {
 		return ReasonRetryBudget
 	}
 	return ""
 }
 
-// capacityReason returns why a request cannot be answered in time, or "".
+// capacityReason returns why the request cannot be queued or cannot be answered in
+// time, or "".
 //
 // Load: a burst, or sustained demand over capacity. Harm prevented: requests that
 // wait past their deadline and are then dropped, while their callers could have
 // gone elsewhere. The queue limit only bounds memory; the estimate limits the queue
-// to what can still be answered. It includes the time of the answer itself, since a
-// late answer is worth nothing. Without the margin, the error of the estimate would
-// admit half of the requests at the edge in vain.
+// to what can still be answered. It includes the time of the answer itself, since
+// an answer after the deadline is of no use. Config.WaitMargin covers the error of
+// the estimate: without it, about half of the requests that are expected to end
+// just before their deadline would miss it.
 func (w *World) capacityReason(r *request) RefusalReason {
 	if r.team.queued >= w.queueLimit(r.team) {
 		return ReasonQueueFull
@@ -88,8 +90,8 @@
 // waitLimit is the longest estimated wait at which a request is still queued.
 //
 // Load: sustained demand of a team over its share, as opposed to a burst. A burst
-// may use the whole time to the deadline: its queue drains afterwards. A queue that
-// stands for longer adds nothing to the throughput but adds its wait to every
+// may use all of the time to the deadline: its queue drains afterwards. A queue
+// that stands for longer adds nothing to the throughput but adds its wait to every
 // answer. Harm prevented: such a standing queue; it is kept short, and callers are
 // told at once when to retry. A team without a queue waits for the next slot only
 // and is not limited.
@@ -101,17 +103,19 @@
 	return time.Duration(w.cfg.OverloadAdmitWait * float64(timeLeft))
 }
 
-// overloadThreshold is the fraction of the recent past with a backlog from which a
-// pool counts as overloaded. Below a third, the slots that eight instances leave
-// each other still suffice.
+// overloadThreshold is the fraction, from 0 to 1, of the recent past with a backlog
+// from which a pool counts as overloaded. It is well below 1, since the queue of
+// each instance runs empty now and then on a saturated pool. With a backlog for
+// less than a third of the time, the slots that eight instances leave to each other
+// still suffice.
 const overloadThreshold = 0.3
 
-// overloaded distinguishes sustained demand over capacity from a burst: the pool
-// had a backlog for much of the recent past. The age of the present queue would not
-// show it: one of eight instances on a saturated pool sees its own queue run empty
-// now and then.
+// overloaded reports whether the pool had a backlog for much of the recent past,
+// which distinguishes sustained demand over capacity from a burst. The age of the
+// present queue would not show it: each of eight instances on a saturated pool sees
+// its own queue run empty now and then. It is always false with Policy.NoWaitLimit.
 func (w *World) overloaded(p *pool) bool {
-	return !w.cfg.Policy.NoWaitLimit && p.backlog.part(w.now, w.cfg.BurstDuration) >= overloadThreshold
+	return !w.cfg.Policy.NoWaitLimit && p.backlog.fraction(w.now, w.cfg.BacklogHalfLife) >= overloadThreshold
 }
 
 func (w *World) queueLimit(t *team) int {
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -9,8 +9,9 @@
 // no number.
 func (s *server) capacity() int { return max(s.Slots, 1) }
 
-// refresh updates whether the server can take a request now.
-func (w *World) refresh(s *server) {
+// refreshFree adds the server to the free sets of its pools or removes it,
+// depending on whether it can take a request now.
+func (w *World) refreshFree(s *server) {
 	w.setFree(s, w.hasFreeSlot(s))
 }
 
@@ -34,13 +35,13 @@
 	if s.running >= s.capacity() {
 		return false
 	}
-	if s.running+s.otherLoad < s.capacity() {
+	if s.running+s.otherRequests < s.capacity() {
 		return true
 	}
-	if s.running == 0 && s.otherLoad < s.capacity()+w.overcommit(s) {
+	if s.running == 0 && s.otherRequests < s.capacity()+w.overcommit(s) {
 		return true
 	}
-	if !w.reportFresh(s) {
+	if !w.hasRecentReport(s) {
 		return true
 	}
 	w.wakeAt(s, s.reportedAt.Add(w.cfg.LoadReportTTL))
@@ -69,30 +70,31 @@
 	}
 }
 
-func (p *pool) addFree(s *server, member int) {
-	s.memberships[member].pos = len(p.free)
-	p.free = append(p.free, freeSlot{server: s, member: member})
+func (p *pool) addFree(s *server, membershipIndex int) {
+	s.memberships[membershipIndex].pos = len(p.free)
+	p.free = append(p.free, freeServer{server: s, membershipIndex: membershipIndex})
 }
 
 func (p *pool) removeFree(pos int) {
 	last := len(p.free) - 1
 	moved := p.free[last]
 	p.free[pos] = moved
-	moved.server.memberships[moved.member].pos = pos
-	p.free[last] = freeSlot{}
+	moved.server.memberships[moved.membershipIndex].pos = pos
+	p.free[last] = freeServer{}
 	p.free = p.free[:last]
 }
 
-// backOff excludes the server from selection until at.
-func (w *World) backOff(s *server, at time.Time) {
-	if !at.After(s.backoffUntil) {
+// backOff excludes the server from selection until the given time.
+func (w *World) backOff(s *server, until time.Time) {
+	if !until.After(s.backoffUntil) {
 		return
 	}
-	s.backoffUntil = at
-	w.refresh(s)
+	s.backoffUntil = until
+	w.refreshFree(s)
 }
 
-// wakeAt schedules a refresh of the server, unless an earlier one is pending.
+// wakeAt schedules a call of refreshFree for the server, unless an earlier one is
+// pending.
 func (w *World) wakeAt(s *server, at time.Time) {
 	if !s.wakeAt.IsZero() && !s.wakeAt.After(at) {
 		return
@@ -101,3 +103,9 @@
 	w.wakeSeq++
 	heap.Push(&w.wakes, wake{at: at, seq: w.wakeSeq, server: s})
 }
+
+// hasRecentReport reports whether the server's last load report is recent enough to
+// count.
+func (w *World) hasRecentReport(s *server) bool {
+	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
+}
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -22,19 +22,19 @@
 	}
 }
 
-// learnRating updates the quality estimates. Ratings of second steps are learnt
+// learnRating updates the quality estimates. Ratings of second steps are learned
 // separately, since these answer the harder requests.
 func (w *World) learnRating(e AnswerRated) {
-	key := task{Team: e.Team, Class: e.Class}
-	used := w.estimates.ObserveRating(key, e.Version, e.Score, e.Late, w.now)
-	at := attemptKey{e.Request, e.Attempt}
-	first, second := w.secondSteps.Peek(at)
-	if !second {
+	taskKey := task{Team: e.Team, Class: e.Class}
+	used := w.estimates.ObserveRating(taskKey, e.Version, e.Score, e.Late, w.now)
+	key := attemptKey{e.Request, e.Attempt}
+	firstVersion, isSecond := w.secondSteps.Peek(key)
+	if !isSecond {
 		return
 	}
-	w.secondSteps.Remove(at)
+	w.secondSteps.Remove(key)
 	if used {
-		w.estimates.ObserveEscalatedRating(key, first, e.Version, e.Score)
+		w.estimates.ObserveEscalatedRating(taskKey, firstVersion, e.Version, e.Score)
 	}
 }
 
@@ -55,10 +55,10 @@
 }
 
 // mayEscalate reports whether the second step may run under the current manifest.
-// A version that the session is pinned to may be draining.
+// The version may be draining if the session is pinned to it.
 func (w *World) mayEscalate(r *request, v *version) bool {
-	takes := v.serving() || v.open() && slices.Contains(r.Pins, v.ID)
-	return takes && !r.team.gone && r.team.allowed[v.ID] && v.pool.usableServers > 0 &&
+	available := v.serving() || v.open() && slices.Contains(r.Pins, v.ID)
+	return available && !r.team.gone && r.team.allowed[v.ID] && v.pool.usableServers > 0 &&
 		int(r.attempts) < w.cfg.MaxAttempts && w.fresh
 }
 
@@ -66,7 +66,7 @@
 // awaited. The router always sends one; this only bounds the harm of a lost event.
 const ratingGrace = 100 * time.Millisecond
 
-// hold holds a whole answer back until its rating arrives or times out.
+// hold holds a complete answer back until its rating arrives or times out.
 func (w *World) hold(r *request, a *attempt) {
 	r.held = a.key.attempt
 	r.state = stateHeld
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ingest applies the events to the tables in order. Arrivals and ended attempts
-// are only recorded for the later systems, so that these decide with all events of
-// the tick applied.
+// ingest applies the events to the tables in order. Arrivals, opened sessions,
+// ended attempts and ratings are only recorded for the later systems, so that these
+// decide with all events of the tick applied.
 func (w *World) ingest(in []Event) {
 	for _, e := range in {
 		w.apply(e)
@@ -45,7 +45,7 @@
 }
 
 // ingestRequest adds a request. An id that is already live is an error of the
-// router: the second request is dropped, since an id can have only one answer.
+// router: the second request is dropped, since an id can end only once.
 func (w *World) ingestRequest(in Request) {
 	if _, live := w.requests[in.ID]; live {
 		return
@@ -76,12 +76,12 @@
 		w.staleSince = w.now
 	}
 	if e.Outage && !w.outage {
-		w.recheck = true
+		w.recheckNeeded = true
 	}
 	if w.now.After(w.resumedAt) {
 		// Reported after the pause; a report sent before it says nothing about
 		// the state now.
-		w.holdUntil = time.Time{}
+		w.dispatchFrom = time.Time{}
 	}
 	w.fresh = e.Fresh
 	w.outage = e.Outage
@@ -98,8 +98,8 @@
 	if s.reportedAt.After(w.now) {
 		s.reportedAt = w.now // the server's clock is ahead
 	}
-	s.otherLoad = max(0, e.Running+e.Queued-s.running)
-	w.refresh(s)
+	s.otherRequests = max(0, e.Running+e.Queued-s.running)
+	w.refreshFree(s)
 }
 
 // ingestFirstToken records when an answer began: the time from then on gives the
@@ -110,8 +110,3 @@
 		a.firstToken = w.now
 	}
 }
-
-// reportFresh reports whether the last load report is recent enough to count.
-func (w *World) reportFresh(s *server) bool {
-	return w.now.Sub(s.reportedAt) < w.cfg.LoadReportTTL
-}
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -1,10 +1,6 @@
 package decision
 
-import (
-	"time"
-
-	"masticplank.example/decision/internal/place"
-)
+import "masticplank.example/decision/internal/place"
 
 // newPicker returns the picker with its filters and scorers. The filters are needed
 // although drawn servers come from the free set: the prefix index also returns
@@ -23,8 +19,9 @@
 }
 
 // drawCount is how many servers are drawn at random. Two give nearly the whole
-// benefit of a full scan: the longest queue falls from log n to log log n. With
-// lagging reports, a full scan would send all instances to the same idle server.
+// benefit of a full scan: with n servers, the length of the longest queue grows
+// with log log n instead of log n. With lagging reports, a full scan would send all
+// instances to the same idle server.
 const drawCount = 2
 
 // pick returns a server with a free slot, or nil if none may take the request.
@@ -36,16 +33,16 @@
 		return w.pickLeast(p, r)
 	}
 	w.candidates = w.candidates[:0]
-	w.drawn = w.drawn[:0]
+	w.candidateServers = w.candidateServers[:0]
 	for range drawCount {
 		w.addCandidate(w.drawFree(p, r), p, r)
 	}
 	w.addCachedCandidates(p, r)
 	best := w.picker.Pick(w.candidates)
 	if best != place.None {
-		return w.drawn[best]
+		return w.candidateServers[best]
 	}
-	return w.pickTried(p, r)
+	return w.pickAvoided(p, r)
 }
 
 // addCandidate adds a server to the candidates if it is not among them yet, and
@@ -54,12 +51,12 @@
 	if s == nil {
 		return nil
 	}
-	for i, drawn := range w.drawn {
-		if drawn == s {
+	for i, other := range w.candidateServers {
+		if other == s {
 			return &w.candidates[i]
 		}
 	}
-	w.drawn = append(w.drawn, s)
+	w.candidateServers = append(w.candidateServers, s)
 	w.candidates = append(w.candidates, place.Candidate{
 		Running:       s.running,
 		Slots:         s.capacity(),
@@ -67,7 +64,7 @@
 		SameDomain:    s.Domain != "" && s.Domain == w.cfg.Domain,
 		VersionLoaded: s.inPool(p),
 		Leaving:       s.leaving || s.gone,
-		Ejected:       !s.isFree,
+		Ejected:       !s.isFree, // also servers that back off, as place.Candidate defines it
 		Tried:         w.avoids(r, s),
 	})
 	return &w.candidates[len(w.candidates)-1]
@@ -92,11 +89,11 @@
 	return s
 }
 
-// pickTried returns a free server that the request has tried before, when no other
-// one is free: a retry there is better than none. A request that may have crashed a
+// pickAvoided returns a free server although the request avoids it, as no other one
+// is free: a retry there is better than none. A request that may have crashed a
 // server gets none. One that is not idempotent, and so cannot be retried, gets no
 // server that is ejected and only takes probes.
-func (w *World) pickTried(p *pool, r *request) *server {
+func (w *World) pickAvoided(p *pool, r *request) *server {
 	if r.crashes > 0 {
 		return nil
 	}
@@ -139,10 +136,10 @@
 // weight falls to 0 with its age.
 func (w *World) load(s *server) float64 {
 	load := float64(s.running)
-	if s.otherLoad > 0 {
+	if s.otherRequests > 0 {
 		age := w.now.Sub(s.reportedAt)
 		faded := 1 - float64(age)/float64(w.cfg.LoadReportTTL)
-		load += float64(s.otherLoad) * max(faded, 0)
+		load += float64(s.otherRequests) * max(faded, 0)
 	}
 	return load / float64(s.capacity())
 }
@@ -156,7 +153,7 @@
 			return s
 		}
 	}
-	return w.pickTried(p, r)
+	return w.pickAvoided(p, r)
 }
 
 // pickLeast is the least outstanding baseline: a full scan.
@@ -168,12 +165,7 @@
 		}
 	}
 	if best == nil {
-		return w.pickTried(p, r)
+		return w.pickAvoided(p, r)
 	}
 	return best
 }
-
-// ratingTimeout is how long the answer may wait for its rating, at least 1 ms.
-func (w *World) ratingTimeout(r *request) time.Duration {
-	return min(w.cfg.RatingTimeout, max(r.deadline.Sub(w.now), time.Millisecond))
-}
--- a/decision/place.go
+++ b/decision/place.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"masticplank.example/decision/internal/verdict"
 )
@@ -11,9 +12,10 @@
 // requests and ends when none of them has a free server: the cost depends on the
 // number of requests placed, not on the size of the fleet or of the queues.
 func (w *World) place() {
-	if !w.fresh || w.now.Before(w.holdUntil) {
+	if !w.fresh || w.now.Before(w.dispatchFrom) {
 		// After a pause of the process the manifest may be outdated: queued
-		// requests wait until the freshness is reported again.
+		// requests wait until the freshness is reported again, at most for
+		// Config.ResumeDelay.
 		return
 	}
 	w.unpark()
@@ -24,6 +26,7 @@
 			if len(p.free) > 0 && w.placeNext(p) {
 				placed = true
 			}
+			// If p's queue became empty, removeQueuedPool has moved another pool to i.
 			if i < len(w.queuedPools) && w.queuedPools[i] == p {
 				i++
 			}
@@ -63,7 +66,7 @@
 	w.recordDeparture(p, r)
 	w.recordWait(r)
 	p.queue.Pop()
-	w.dequeued(r)
+	w.leftQueue(r)
 	w.dispatch(r, s)
 	return true
 }
@@ -91,8 +94,8 @@
 }
 
 // forbiddenReason returns why the manifest does not permit the dispatch that is
-// about to be made, or "". The withdraw system has already ensured that it does;
-// the harm of a mistake there justifies a second check.
+// about to be made, or "". The system recheckQueued has already ensured that it
+// does; the harm of a mistake there justifies a second check.
 func (w *World) forbiddenReason(r *request) RefusalReason {
 	v := r.version
 	switch {
@@ -115,8 +118,8 @@
 //
 // Load: saturation, where requests leave the queue close to their deadlines. Harm
 // prevented: a slot is used by a request that ends too late instead of one that
-// would be in time. When half the usual time was enough for a dispatch, a third of
-// the answers were too late.
+// would be in time. If a request were dispatched with half the usual time left, up
+// to a third of the answers would be too late.
 func (w *World) cannotFinish(r *request) bool {
 	need := r.pool.serviceTime.upperBound(r.item.Cost)
 	return w.now.Add(need).After(r.deadline)
@@ -127,14 +130,14 @@
 	r.attempts++
 	a := r.newAttempt()
 	*a = attempt{
-		key:     attemptKey{r.ID, r.attempts},
-		request: r,
-		server:  s,
-		pool:    r.pool,
-		team:    r.team,
-		started: w.now,
-		cost:    r.item.Cost,
-		prompt:  w.promptCost(r),
+		key:        attemptKey{r.ID, r.attempts},
+		request:    r,
+		server:     s,
+		pool:       r.pool,
+		team:       r.team,
+		started:    w.now,
+		cost:       r.item.Cost,
+		promptCost: w.promptCost(r),
 	}
 	cmd := Dispatch{Request: r.ID, Attempt: r.attempts, Server: s.ID}
 	if r.version != nil {
@@ -145,11 +148,11 @@
 	r.current = a
 	r.state = stateRunning
 	s.running++
-	w.crashStarted(a)
+	w.recordAttemptStart(a)
 	if s.ejected {
 		w.outliers.RecordDispatch(s.ID, w.now)
 	}
-	w.refresh(s)
+	w.refreshFree(s)
 	w.recordPrefix(r, s)
 	w.setDue(r, r.deadline)
 	w.emit(cmd)
@@ -182,6 +185,11 @@
 	cmd.Hold = a.hold
 }
 
+// ratingTimeout is how long the answer may wait for its rating, at least 1 ms.
+func (w *World) ratingTimeout(r *request) time.Duration {
+	return min(w.cfg.RatingTimeout, max(r.deadline.Sub(w.now), time.Millisecond))
+}
+
 // secondStepFits reports whether a second step could still complete in time after
 // this attempt. If not, holding the answer would only delay it.
 func (w *World) secondStepFits(r *request) bool {
--- a/decision/pool.go
+++ b/decision/pool.go
@@ -1,13 +1,24 @@
 package decision
 
-// versionPool returns the version's pool and creates a missing one: the server
-// list and the manifest may arrive in either order.
+// versionPool returns the version's pool and creates it if it does not exist: the
+// server list and the manifest may arrive in either order.
 func (w *World) versionPool(id VersionID) *pool {
-	p := w.pools[id]
+	p := w.versionPools[id]
 	if p == nil {
 		p = w.newPool()
 		p.version = id
-		w.pools[id] = p
+		w.versionPools[id] = p
+	}
+	return p
+}
+
+// servicePool returns the plain service's pool and creates it if it does not exist.
+func (w *World) servicePool(id ServiceID) *pool {
+	p := w.servicePools[id]
+	if p == nil {
+		p = w.newPool()
+		p.service = id
+		w.servicePools[id] = p
 	}
 	return p
 }
@@ -20,14 +31,3 @@
 	}
 	return p
 }
-
-// servicePool returns the plain service's pool and creates a missing one.
-func (w *World) servicePool(id ServiceID) *pool {
-	p := w.services[id]
-	if p == nil {
-		p = w.newPool()
-		p.service = id
-		w.services[id] = p
-	}
-	return p
-}
--- a/decision/withdraw.go
+++ b/decision/recheck.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// withdraw re-evaluates queued requests after a change: a newer manifest, a list
-// without their servers, a bad verdict, lost freshness, a log outage.
+// recheckQueued re-evaluates queued requests after a change: a newer manifest, a
+// list without their servers, a bad verdict, lost freshness, a log outage.
 //
 // Load: a large manifest change while queues are full. Harm prevented: a request
 // starts on a version that was withdrawn or forbidden after its admission. It
 // visits every queued request, but only in ticks with a change.
-func (w *World) withdraw() {
+func (w *World) recheckQueued() {
 	if !w.fresh {
-		w.withdrawStale()
+		w.concludeStale()
 		return
 	}
-	if !w.recheck {
+	if !w.recheckNeeded {
 		return
 	}
-	w.recheck = false
+	w.recheckNeeded = false
 	for _, r := range w.queuedRequests() {
 		w.recheckRequest(r)
 	}
 }
 
-// withdrawStale refuses queued requests once freshness has been lost for longer
-// than the grace period: they did not run, and another instance can take them.
-func (w *World) withdrawStale() {
+// concludeStale ends queued requests once freshness has been lost for longer than
+// the grace period: they did not run, and another instance can take them.
+func (w *World) concludeStale() {
 	if len(w.queuedPools)+len(w.parked) == 0 || w.now.Sub(w.staleSince) < w.cfg.FreshnessGrace {
 		return
 	}
@@ -42,21 +42,21 @@
 		w.recheckEscalation(r)
 		return
 	}
-	to := w.resolve(r)
-	if to.reason != "" {
-		w.conclude(r, to.reason)
+	target := w.resolve(r)
+	if target.reason != "" {
+		w.conclude(r, target.reason)
 		return
 	}
-	if to.pool == r.pool {
+	if target.pool == r.pool {
 		return
 	}
 	w.dequeue(r)
-	w.assign(r, to)
+	w.assign(r, target)
 	w.enqueue(r)
 }
 
 // recheckEscalation drops an escalation that is no longer permitted and delivers
-// the held answer, which is whole and was permitted.
+// the held answer, which is complete and was permitted.
 func (w *World) recheckEscalation(r *request) {
 	if w.mayEscalate(r, r.version) {
 		return
@@ -70,7 +70,7 @@
 	switch {
 	case r.held != 0:
 		w.deliver(r, r.held)
-	case r.ran:
+	case r.mayHaveRun:
 		w.fail(r, r.lastResult)
 	default:
 		w.refuseFor(r, reason)
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -15,12 +15,12 @@
 	// fairness holds the teams' accounts.
 	fairness fair.Group
 
-	teams    map[TeamID]*team
-	models   map[ModelID]*model
-	versions map[VersionID]*version
-	servers  map[ServerID]*server
-	pools    map[VersionID]*pool
-	services map[ServiceID]*pool
+	teams        map[TeamID]*team
+	models       map[ModelID]*model
+	versions     map[VersionID]*version
+	servers      map[ServerID]*server
+	versionPools map[VersionID]*pool
+	servicePools map[ServiceID]*pool
 
 	// departed are servers that are no longer listed but still run attempts.
 	departed map[ServerID]*server
@@ -43,15 +43,15 @@
 
 func newTables() tables {
 	return tables{
-		teams:    map[TeamID]*team{},
-		models:   map[ModelID]*model{},
-		versions: map[VersionID]*version{},
-		servers:  map[ServerID]*server{},
-		departed: map[ServerID]*server{},
-		pools:    map[VersionID]*pool{},
-		services: map[ServiceID]*pool{},
-		requests: map[RequestID]*request{},
-		orphans:  map[attemptKey]*attempt{},
+		teams:        map[TeamID]*team{},
+		models:       map[ModelID]*model{},
+		versions:     map[VersionID]*version{},
+		servers:      map[ServerID]*server{},
+		departed:     map[ServerID]*server{},
+		versionPools: map[VersionID]*pool{},
+		servicePools: map[ServiceID]*pool{},
+		requests:     map[RequestID]*request{},
+		orphans:      map[attemptKey]*attempt{},
 	}
 }
 
@@ -62,15 +62,15 @@
 	index int
 	// account is the work that the team was given, over all pools.
 	account *fair.Account
-	// gone is set when the manifest no longer lists the team.
+	// gone is true if the manifest no longer lists the team.
 	gone     bool
 	allowed  map[VersionID]bool
 	services map[ServiceID]bool
 	// models are those with at least one allowed version, in order of ModelID.
-	models  []*teamModel
-	byModel map[ModelID]*teamModel
-	queued  int
-	retries retryBudget
+	models      []*teamModel
+	byModel     map[ModelID]*teamModel
+	queued      int
+	retryBudget retryBudget
 }
 
 // teamModel is what a team may use of a model.
@@ -90,12 +90,13 @@
 // version is a row of the versions table.
 type version struct {
 	Version
-	// gone is set when the manifest no longer lists the version.
+	// gone is true if the manifest no longer lists the version.
 	gone bool
 	pool *pool
 }
 
-// open reports whether the version may take any request.
+// open reports whether the version may take requests at all, if only of sessions
+// that are pinned to it.
 func (v *version) open() bool { return !v.gone && v.State != VersionWithdrawn }
 
 // serving reports whether the version may take requests that are not pinned to it.
@@ -113,7 +114,7 @@
 	shared *flow
 	// free are the servers that can take a request now. Maintaining the set makes
 	// the saturation check and drawing a random candidate O(1).
-	free []freeSlot
+	free []freeServer
 	// usableServers and slots count the servers that are neither leaving nor gone,
 	// and their slots.
 	usableServers int
@@ -123,7 +124,7 @@
 	usage         usageMeter
 	// queuedPos is the index in tables.queuedPools, or -1.
 	queuedPos int
-	// backlogged is set when requests were still queued at the start of the tick;
+	// backlogged is true if requests were still queued at the start of the tick;
 	// backlog measures for which fraction of the recent past some were.
 	backlogged bool
 	backlog    backlogMeter
@@ -136,11 +137,11 @@
 	bias  biasMeter
 }
 
-// freeSlot is an entry of pool.free.
-type freeSlot struct {
+// freeServer is an entry of pool.free.
+type freeServer struct {
 	server *server
-	// member is the index in server.memberships.
-	member int
+	// membershipIndex is the index in server.memberships.
+	membershipIndex int
 }
 
 // membership is a server's entry in one pool.
@@ -156,14 +157,14 @@
 	memberships []membership
 	// running counts this instance's own attempts at the server.
 	running int
-	// otherLoad is the number of requests of other instances by the last load
+	// otherRequests is the number of requests of other instances by the last load
 	// report.
-	otherLoad    int
-	reportedAt   time.Time
-	leaving      bool
-	gone         bool
-	ejected      bool
-	backoffUntil time.Time
+	otherRequests int
+	reportedAt    time.Time
+	leaving       bool
+	gone          bool
+	ejected       bool
+	backoffUntil  time.Time
 	// wakeAt is the earliest pending wake; zero for none.
 	wakeAt time.Time
 	isFree bool
@@ -197,9 +198,9 @@
 	// tried are the servers whose attempts ended without an answer.
 	tried   []*server
 	crashes int
-	// ran is set when a backend server may have run the request; it is then never
-	// refused as not run.
-	ran bool
+	// mayHaveRun is true if a backend server may have run the request; it is then
+	// never refused as not run.
+	mayHaveRun bool
 	// plan is set by the cascade for a request that names no model.
 	plan       plan
 	lastResult AttemptResult
@@ -234,16 +235,16 @@
 	started time.Time
 	// firstToken is zero until the first token is received.
 	firstToken time.Time
-	// hold is set when the answer is held back until it is rated, for at most
+	// hold is true if the answer is held back until it is rated, for at most
 	// ratingTimeout.
 	hold          bool
 	ratingTimeout time.Duration
 	// counted is what verdict.Crashes.AttemptStarted returned for the dispatch.
 	counted bool
-	// cost is the estimated cost in generated tokens; prompt is the cost of the
+	// cost is the estimated cost in generated tokens; promptCost is the cost of the
 	// prompt, the part of it that is known in advance.
-	cost   float64
-	prompt float64
+	cost       float64
+	promptCost float64
 }
 
 // newRand returns the world's only source of randomness.
