--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -113,9 +113,9 @@
 
 func provideObservationStore(cfg seam.Settings, sh *sharing, d *Driver, config *ConfigState, guard *restoreGuard, tel *telemetry, c Clock) *observationStore {
 	observations := newObservationStore(cfg.Instance, sh.observations, d, tel, c)
-	observations.followerRecords = func() []keyedlog.Record { return sh.takeHeld(topicObservations) }
+	observations.followerRecords = func() []keyedlog.Record { return sh.takeHeldRecords(topicObservations) }
 	observations.fleetSize = sh.members.FleetSize
-	sh.onHeld = observations.wakeUp
+	sh.onHeldRecords = observations.wakeUp
 	sh.onFleetCount = func(n int) { d.Handle(passthrough.FleetSize{Instances: n}) }
 	sh.onPeers = func(names []string) { d.Handle(passthrough.Neighbours{Self: cfg.Instance, Names: names}) }
 	own := func() relay.Report {
@@ -129,7 +129,7 @@
 	}
 	sh.server.LoadExchange = relay.NewLoadExchange(sh.client, own, take)
 	sh.server.LoadExchange.OnUnreadable = tel.logUnreadableLoads
-	d.onObservation, d.onCrash, d.onSlowStart, d.onLimitChanged = observations.recordResponse, observations.recordCrash, tel.slowStart, tel.rateLimitChanged
+	d.onObservation, d.onCrash, d.onSlowStart, d.onLimitChanged = observations.recordResponse, observations.recordCrash, tel.logSlowStart, tel.logRateLimitChanged
 	return observations
 }
 
@@ -214,17 +214,17 @@
 	hup := make(chan os.Signal, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	reload := func() {
-		now, err := p.Settings()
+		updated, err := p.Settings()
 		if err != nil {
 			tel.emit(logging.EventSettingsFaults, slog.String(logging.KeyError, err.Error()))
 			return
 		}
-		if reflect.DeepEqual(now, cfg) {
+		if reflect.DeepEqual(updated, cfg) {
 			return
 		}
-		cfg = now
-		config.SetBound(now.Bounds.RevocationDelay)
-		tel.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", now.Bounds.RevocationDelay.Milliseconds()))
+		cfg = updated
+		config.SetBound(updated.Bounds.RevocationDelay)
+		tel.emit(logging.EventSettingsReloaded, slog.Int64("revoke_ms", updated.Bounds.RevocationDelay.Milliseconds()))
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -62,11 +62,11 @@
 
 var (
 	errWrongRequest     = errors.New("the response belongs to another request")
-	errUnsigned         = errors.New("the response is a success without a signature or with an altered body")
+	errUnverified       = errors.New("the response is a success without a signature or with an altered body")
 	errMisleadingStatus = errors.New("the status implies that the request did not run, but the backend server does not confirm it")
 	errTimedOut         = errors.New("timed out: the backend server sent nothing for too long")
 	errEventOrder       = errors.New("an event of the stream is missing, repeated or has a malformed id")
-	errTruncatedEvent   = errors.New("the stream has no numbered event, ends within an event, or an event exceeds the size limit")
+	errMalformedStream  = errors.New("the stream has no numbered event, ends within an event, or an event exceeds the size limit")
 )
 
 // run sends the request and reads the response.
@@ -186,7 +186,7 @@
 		return outcome{result: passthrough.Broken, err: errMisleadingStatus}
 	}
 	if resp.StatusCode < http.StatusMultipleChoices && (!meta.Signed || meta.Encoded) {
-		return outcome{result: passthrough.Broken, err: errUnsigned}
+		return outcome{result: passthrough.Broken, err: errUnverified}
 	}
 	if resp.StatusCode == http.StatusOK && isStream(resp.Header) {
 		out := a.relayStream(resp, meta)
--- a/router/internal/passthrough/config_restore.go
+++ b/router/internal/passthrough/config_restore.go
@@ -20,49 +20,49 @@
 	mu sync.Mutex
 	// storedVersion is the highest version read from the store since the last restore.
 	storedVersion uint64
-	// settledAt is when reads confirm again; rewritten says that a configuration was written
+	// confirmsAfter is when reads confirm again; rewritten says that a configuration was written
 	// since the restore.
-	settledAt time.Time
-	rewritten bool
+	confirmsAfter time.Time
+	rewritten     bool
 }
 
-// settleFraction is the fraction of the revocation bound for which reads of a restored store
+// confirmDelayFraction is the fraction of the revocation bound for which reads of a restored store
 // confirm nothing. Together with the configuration's age at the start of the outage it stays
 // below the half at which an instance leaves the rotation.
-const settleFraction = 0.25
+const confirmDelayFraction = 0.25
 
 // onRestore notes that the store was restored.
-func (c *restoreGuard) onRestore() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.storedVersion, c.rewritten = 0, false
-	c.settledAt = c.clock.Now().Add(fractionOf(settleFraction, c.config.Bound()))
+func (g *restoreGuard) onRestore() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.storedVersion, g.rewritten = 0, false
+	g.confirmsAfter = g.clock.Now().Add(fractionOf(confirmDelayFraction, g.config.Bound()))
 }
 
 // noteStored records a version that the store has. written says that it was read as a new record
 // and not as part of a snapshot.
-func (c *restoreGuard) noteStored(version uint64, written bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.storedVersion = max(c.storedVersion, version)
-	c.rewritten = c.rewritten || written
+func (g *restoreGuard) noteStored(version uint64, written bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.storedVersion = max(g.storedVersion, version)
+	g.rewritten = g.rewritten || written
 }
 
 // confirms reports whether a read confirms the configuration in force.
-func (c *restoreGuard) confirms() bool {
-	if c.lostVersion() != 0 {
+func (g *restoreGuard) confirms() bool {
+	if g.lostVersion() != 0 {
 		return false
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.rewritten || !c.clock.Now().Before(c.settledAt)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.rewritten || !g.clock.Now().Before(g.confirmsAfter)
 }
 
 // lostVersion returns the version in force here if the store lacks it, else 0.
-func (c *restoreGuard) lostVersion() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if index := c.config.Index(); index != nil && c.storedVersion < index.Version {
+func (g *restoreGuard) lostVersion() uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if index := g.config.Index(); index != nil && g.storedVersion < index.Version {
 		return index.Version
 	}
 	return 0
--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -8,25 +8,25 @@
 
 // restoredConfig returns an instance that has configuration 9 in force. Its store was restored with
 // version 5 only if lost is set, else with both.
-func restoredConfig(t *testing.T, lost bool) (*parts, *topicReader, *fakeLog, *fakeClock) {
+func restoredConfig(t *testing.T, lost bool) (*testInstance, *topicReader, *fakeLog, *fakeClock) {
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
 	log.add("config", "config 5")
 	log.add("config", "config 9")
-	read(t, reader)
+	mustRead(t, reader)
 	clock.advance(time.Second)
 	if lost {
 		log.restore(1)
 	} else {
 		log.restore(2)
 	}
-	read(t, reader)
+	mustRead(t, reader)
 	return p, reader, log, clock
 }
 
-func read(t *testing.T, reader *topicReader) {
+func mustRead(t *testing.T, reader *topicReader) {
 	t.Helper()
 	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
@@ -43,13 +43,13 @@
 	}
 	for range 4 {
 		clock.advance(time.Second)
-		read(t, reader)
+		mustRead(t, reader)
 	}
 	if p.config.Ready() || p.config.Fresh() {
 		t.Errorf("5 s after the last confirmation: ready %v, fresh %v, want neither", p.config.Ready(), p.config.Fresh())
 	}
 	log.add("config", "config 9")
-	read(t, reader)
+	mustRead(t, reader)
 	if !p.config.Ready() || p.config.Index().Version != 9 {
 		t.Errorf("after version 9 was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
 	}
@@ -62,15 +62,15 @@
 	p, reader, _, clock := restoredConfig(t, false)
 	before := p.config.Age()
 	clock.advance(time.Second)
-	read(t, reader)
+	mustRead(t, reader)
 	if got := p.config.Age(); got != before+time.Second {
 		t.Errorf("a read of the restored store confirmed the configuration: age %v, was %v", got, before)
 	}
-	clock.advance(fractionOf(settleFraction, 5*time.Second) - time.Second)
+	clock.advance(fractionOf(confirmDelayFraction, 5*time.Second) - time.Second)
 	if !p.config.Ready() {
 		t.Errorf("not ready at age %v", p.config.Age())
 	}
-	read(t, reader)
+	mustRead(t, reader)
 	if p.config.Age() != 0 {
 		t.Errorf("age %v after the operator had time to write again, want 0", p.config.Age())
 	}
@@ -82,21 +82,21 @@
 func TestKeyRevokedBeforeARestoreStaysRevoked(t *testing.T) {
 	for keep := 1; keep <= 4; keep++ {
 		clock, log := newFakeClock(), &fakeLog{era: 1}
-		p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+		p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 		reader := p.operator.reader(log, clock)
 		for v := 1; v <= 4; v++ {
 			log.add("config", fmt.Sprint("config ", v))
-			read(t, reader)
+			mustRead(t, reader)
 		}
 		log.restore(keep)
-		read(t, reader)
+		mustRead(t, reader)
 		log.add("config", fmt.Sprint("config ", keep)) // an earlier version is written first
-		read(t, reader)
+		mustRead(t, reader)
 		if v := p.config.Index().Version; v != 4 {
 			t.Errorf("%d records kept: version %d is in force, want 4", keep, v)
 		}
 		log.add("config", "config 4")
-		read(t, reader)
+		mustRead(t, reader)
 		if p.config.Age() != 0 {
 			t.Errorf("%d records kept: version 4 not confirmed after it was written again", keep)
 		}
@@ -107,9 +107,9 @@
 // restored store's configuration accepts no keys while its peers know a later one.
 func TestInstanceThatStartsAfterARestoreWaitsForTheOperator(t *testing.T) {
 	knows, _, log, clock := restoredConfig(t, true)
-	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("late", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
-	read(t, reader)
+	mustRead(t, reader)
 	if !p.config.Fresh() {
 		t.Fatal("not fresh with the only configuration in the store")
 	}
@@ -118,7 +118,7 @@
 		t.Error("fresh or ready with a configuration that a peer knows to be superseded")
 	}
 	log.add("config", "config 9")
-	read(t, reader)
+	mustRead(t, reader)
 	if !p.config.Fresh() || p.config.Index().Version != 9 {
 		t.Error("not fresh with version 9, which was written again")
 	}
@@ -128,8 +128,8 @@
 // a peer reported as superseded does not become fresh again once those reports have expired.
 func TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable(t *testing.T) {
 	_, _, log, clock := restoredConfig(t, true)
-	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
-	read(t, p.operator.reader(log, clock))
+	p := newTestInstance("late", clock, &fakeLog{}, &fakeLog{})
+	mustRead(t, p.operator.reader(log, clock))
 	p.config.ReportLostVersion(9)
 	clock.advance(lostVersionTTL + time.Millisecond)
 	if p.config.Fresh() {
--- a/router/internal/passthrough/conns.go
+++ b/router/internal/passthrough/conns.go
@@ -29,8 +29,8 @@
 
 // newCallerConns returns the counter for a process that may open files descriptors, 0 if that is
 // not known.
-func newCallerConns(files int) *callerConns {
-	return &callerConns{idleLimit: int64(idleConnFraction * float64(max(files-reservedDescriptors, 0)))}
+func newCallerConns(maxFiles int) *callerConns {
+	return &callerConns{idleLimit: int64(idleConnFraction * float64(max(maxFiles-reservedDescriptors, 0)))}
 }
 
 // track counts a connection by its state; it is the server's ConnState hook.
--- a/router/internal/passthrough/crashnotes.go
+++ b/router/internal/passthrough/crashnotes.go
@@ -26,9 +26,9 @@
 	st.wakeUp()
 }
 
-// crashRecords returns a record of each fingerprint whose crashes were not written yet. The lock is
+// takeCrashRecords returns a record of each fingerprint whose crashes were not written yet. The lock is
 // held.
-func (st *observationStore) crashRecords(now time.Time) []keyedlog.Record {
+func (st *observationStore) takeCrashRecords(now time.Time) []keyedlog.Record {
 	var out []keyedlog.Record
 	for fingerprint, times := range st.pendingCrashes {
 		s := &observationSet{Instance: st.instance, CrashFingerprint: fingerprint, CrashCount: times}
--- a/router/internal/passthrough/cuts.go
+++ b/router/internal/passthrough/cuts.go
@@ -43,8 +43,8 @@
 // crashSet holds the keys of the new version's server crashes by route, as seen by all instances.
 type crashSet map[string]map[string]bool
 
-// add merges what one instance saw.
-func (c crashSet) add(seen map[string][]string) {
+// merge merges what one instance saw.
+func (c crashSet) merge(seen map[string][]string) {
 	for route, keys := range seen {
 		if c[route] == nil {
 			c[route] = map[string]bool{}
@@ -55,8 +55,8 @@
 	}
 }
 
-// addTo counts each crash as one bad response of the new version.
-func (c crashSet) addTo(sums map[string]passthrough.VersionCounts) {
+// addToCounts counts each crash as one bad response of the new version.
+func (c crashSet) addToCounts(sums map[string]passthrough.VersionCounts) {
 	for route, keys := range c {
 		pair := sums[route]
 		pair.New.Bad += len(keys)
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/cuts_test.go
@@ -9,25 +9,27 @@
 )
 
 // startRollout returns an instance with a roll-out of the shop to v2 in progress.
-func startRollout(t *testing.T, name string, clock *fakeClock) *parts {
+func startRollout(t *testing.T, name string, clock *fakeClock) *testInstance {
 	t.Helper()
-	p := newParts(name, clock, &fakeLog{}, &fakeLog{})
-	p.rollouts.statusRead = true
+	p := newTestInstance(name, clock, &fakeLog{}, &fakeLog{})
+	p.rollouts.registerRead = true
 	p.rollouts.applyOrder(passthrough.Order{Service: "shop", Target: "v2", Duration: time.Minute}, 1)
 	p.view()
 	return p
 }
 
 // view returns what all instances saw of the roll-out.
-func (p *parts) view() view { return p.observations.view(p.rollouts.open["shop"], p.clock.Now()) }
+func (p *testInstance) view() view {
+	return p.observations.view(p.rollouts.open["shop"], p.clock.Now())
+}
 
-func (p *parts) observe(version string, o passthrough.Observation) {
+func (p *testInstance) observe(version string, o passthrough.Observation) {
 	o.Service, o.Route, o.Version = "shop", "r", version
 	p.observations.recordResponse(o)
 }
 
 // sendTo hands the instance's pending records to another one.
-func (p *parts) sendTo(other *parts) {
+func (p *testInstance) sendTo(other *testInstance) {
 	for _, r := range p.observations.pendingRecords() {
 		other.observations.apply(r)
 	}
@@ -38,7 +40,7 @@
 func TestCrashOfAServerIsOneFailure(t *testing.T) {
 	clock := newFakeClock()
 	a, b := startRollout(t, "a", clock), startRollout(t, "b", clock)
-	for _, p := range []*parts{a, b} {
+	for _, p := range []*testInstance{a, b} {
 		for range 36 {
 			p.observe("v2", passthrough.Observation{})
 			p.observe("v1", passthrough.Observation{})
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -30,9 +30,9 @@
 		slog.Bool("known", slices.Contains(o.domains, domain)))
 }
 
-// keepDrainedFor is how long a failure domain stays drained after a restore if the store lacks its
+// drainKeepTime is how long a failure domain stays drained after a restore if the store lacks its
 // order: the operator writes the order again, unless the drain has ended meanwhile.
-const keepDrainedFor = 5 * time.Second
+const drainKeepTime = 5 * time.Second
 
 // replaceDrainOrders applies a snapshot's drain orders. For a failure domain that is not among them
 // the drain has ended meanwhile, or the order was lost in a restore.
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -12,9 +12,9 @@
 
 func TestDrainOrders(t *testing.T) {
 	cases := []struct {
-		name string
-		play func(o *operator)
-		want []string
+		name  string
+		apply func(o *operator)
+		want  []string
 	}{
 		{"an order", func(o *operator) { o.applyNew(drainOrder("a", "{}", 1)) }, []string{"a"}},
 		{"a malformed value", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
@@ -34,8 +34,8 @@
 		}, []string{"b"}},
 	}
 	for _, c := range cases {
-		p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
-		c.play(p.operator)
+		p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+		c.apply(p.operator)
 		if len(p.operator.drained) != len(c.want) {
 			t.Errorf("%s: drained %v, want %v", c.name, p.operator.drained, c.want)
 		}
@@ -51,7 +51,7 @@
 // domain is drained and sends requests there: requests are admitted once the configuration is in
 // force, so drain orders must be applied first.
 func TestOrderIsKnownBeforeTheConfiguration(t *testing.T) {
-	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	var drainedThen bool
 	p.operator.records = spyRecords{seen: func() { drainedThen = p.operator.drained["a"] }}
 	p.operator.applySnapshot([]keyedlog.Record{{Key: "config", Value: []byte("config 3")}, drainOrder("a", "{}", 1)})
@@ -78,11 +78,11 @@
 // back with a restore counts until the withdrawal is written again.
 func TestDrainOrderOutlivesARestore(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{era: 1}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
 	drained := func(want ...string) {
 		t.Helper()
-		read(t, reader)
+		mustRead(t, reader)
 		if len(p.operator.drained) != len(want) || len(want) > 0 && !p.operator.drained[want[0]] {
 			t.Errorf("drained %v, want %v", p.operator.drained, want)
 		}
@@ -93,10 +93,10 @@
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.advance(keepDrainedFor / 2)
+	clock.advance(drainKeepTime / 2)
 	log.add("drain/a", "{}")
 	drained("a")
-	clock.advance(keepDrainedFor)
+	clock.advance(drainKeepTime)
 	drained("a")
 	log.add("drain/a", "")
 	drained()
@@ -108,6 +108,6 @@
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.advance(keepDrainedFor) // the drain ended during the outage
+	clock.advance(drainKeepTime) // the drain ended during the outage
 	drained()
 }
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -53,7 +53,7 @@
 	t := &ticket{id: d.lastID, commands: make(chan passthrough.Command, ticketBuffer)}
 	d.tickets[t.id] = t
 	r.ID = t.id
-	d.tick(passthrough.RequestArrived{Request: r})
+	d.applyLocked(passthrough.RequestArrived{Request: r})
 	return t
 }
 
@@ -61,7 +61,7 @@
 func (d *Driver) close(t *ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tick(passthrough.RequestCancelled{Request: t.id})
+	d.applyLocked(passthrough.RequestCancelled{Request: t.id})
 	delete(d.tickets, t.id)
 }
 
@@ -69,7 +69,7 @@
 func (d *Driver) Handle(events ...passthrough.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tick(events...)
+	d.applyLocked(events...)
 }
 
 // openSessions lists a service's sessions that fall into the share and may be open at another
@@ -113,8 +113,8 @@
 	return d.world.StreamCount()
 }
 
-// tick applies events and passes on the resulting commands. The lock is held.
-func (d *Driver) tick(events ...passthrough.Event) {
+// applyLocked applies events and passes on the resulting commands. The lock is held.
+func (d *Driver) applyLocked(events ...passthrough.Event) {
 	for _, c := range d.world.Tick(d.clock.Now(), events...) {
 		switch c := c.(type) {
 		case passthrough.Dispatch:
--- a/router/internal/passthrough/edge.go
+++ b/router/internal/passthrough/edge.go
@@ -61,7 +61,7 @@
 const (
 	reasonNoConfig    passthrough.Reason = "no_configuration"
 	reasonNoRoute     passthrough.Reason = "no_such_route"
-	reasonKey         passthrough.Reason = "unknown_key"
+	reasonUnknownKey  passthrough.Reason = "unknown_key"
 	reasonTooLarge    passthrough.Reason = "body_too_large"
 	reasonNoRequestID passthrough.Reason = "attempt_id_missing"
 	reasonMayHaveRun  passthrough.Reason = "may_have_run"
@@ -135,7 +135,7 @@
 		return route, &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
 	}
 	if c.team == nil {
-		return route, h.deny(http.StatusUnauthorized, reasonKey)
+		return route, h.deny(http.StatusUnauthorized, reasonUnknownKey)
 	}
 	return route, nil
 }
@@ -159,7 +159,7 @@
 	case errors.As(err, &tooLarge):
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge}
 	case err != nil:
-		h.telemetry.callerLost(c, err)
+		h.telemetry.logCallerLost(c, err)
 		panic(http.ErrAbortHandler) // the caller has disconnected; there is nobody to respond to
 	}
 	c.body = body
@@ -168,7 +168,7 @@
 
 // refuse responds to a request that did not run.
 func (h *Handler) refuse(w http.ResponseWriter, c *call, refused refusal) {
-	h.telemetry.refused(c, refused)
+	h.telemetry.logRefused(c, refused)
 	header := w.Header()
 	if refused.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -73,7 +73,7 @@
 // expire ends a request whose deadline has passed or whose caller has disconnected.
 func (x *exchange) expire() {
 	if x.call.request.Context().Err() != nil {
-		x.handler.telemetry.callerLost(x.call, x.ctx.Err())
+		x.handler.telemetry.logCallerLost(x.call, x.ctx.Err())
 		panic(http.ErrAbortHandler)
 	}
 	if !x.mayHaveRun {
@@ -98,7 +98,7 @@
 		x.fail(http.StatusBadGateway, reasonMayHaveRun)
 		return
 	}
-	x.handler.telemetry.finished(x.call, x.lastFailure.status, reason)
+	x.handler.telemetry.logFinished(x.call, x.lastFailure.status, reason)
 	x.writeResponse(x.lastFailure)
 }
 
@@ -108,7 +108,7 @@
 	if x.stream.begun {
 		x.abort(reason)
 	}
-	x.handler.telemetry.finished(x.call, status, reason)
+	x.handler.telemetry.logFinished(x.call, status, reason)
 	x.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	x.w.WriteHeader(status)
 	writeAll(x.w, []byte(string(reason)+"\n"))
@@ -116,17 +116,17 @@
 
 // abort breaks the caller's connection, so that a partial response does not look complete.
 func (x *exchange) abort(reason passthrough.Reason) {
-	x.handler.telemetry.finished(x.call, 0, reason)
+	x.handler.telemetry.logFinished(x.call, 0, reason)
 	panic(http.ErrAbortHandler)
 }
 
 // writeResponse writes a complete response to the caller, unchanged.
-func (x *exchange) writeResponse(a *response) {
+func (x *exchange) writeResponse(resp *response) {
 	h := x.w.Header()
-	x.copyHeaders(a.header)
-	h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	x.w.WriteHeader(a.status)
-	writeAll(x.w, a.body)
+	x.copyHeaders(resp.header)
+	h.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	x.w.WriteHeader(resp.status)
+	writeAll(x.w, resp.body)
 }
 
 // copyHeaders copies a backend server's headers. Content-Type and Date are set to nil where the
@@ -156,7 +156,7 @@
 	}
 	a := x.newAttempt(d)
 	out := a.run(x.ctx)
-	x.handler.telemetry.attempted(x.call, d, out)
+	x.handler.telemetry.logAttempt(x.call, d, out)
 	x.mayHaveRun = x.mayHaveRun || out.result.MayHaveRun()
 	if out.load != nil && !out.loadReported {
 		x.handler.driver.Handle(passthrough.LoadReported{Server: d.Server.ID, Load: *out.load})
@@ -192,7 +192,7 @@
 		status = out.response.status
 		x.writeResponse(out.response)
 	}
-	x.handler.telemetry.finished(x.call, status, "")
+	x.handler.telemetry.logFinished(x.call, status, "")
 }
 
 // newAttempt prepares an attempt.
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -183,8 +183,8 @@
 	return keyedlog.Record{Key: "status/" + service, Value: fmt.Appendf(nil, "status %s %d", target, phase)}, nil
 }
 
-// parts is an instance without its listeners and connections.
-type parts struct {
+// testInstance is an instance without its listeners and connections.
+type testInstance struct {
 	clock        *fakeClock
 	config       *ConfigState
 	driver       *Driver
@@ -195,9 +195,9 @@
 	telemetry    *telemetry
 }
 
-// newParts builds an instance on the given logs.
-func newParts(name string, clock *fakeClock, status, observations keyedlog.Log) *parts {
-	p := &parts{clock: clock}
+// newTestInstance builds an instance on the given logs.
+func newTestInstance(name string, clock *fakeClock, status, observations keyedlog.Log) *testInstance {
+	p := &testInstance{clock: clock}
 	p.config = NewConfigState(clock, 5*time.Second)
 	p.telemetry = &telemetry{clock: clock, config: p.config, registry: metrics.NewRegistry()}
 	p.driver = NewDriver(clock, passthrough.Settings{RetryRatio: 0.5, RetrySlack: 3, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
--- a/router/internal/passthrough/gossip.go
+++ b/router/internal/passthrough/gossip.go
@@ -15,7 +15,7 @@
 // progress.
 func (st *observationStore) reader(clock Clock, active func() bool) *topicReader {
 	t := &topicReader{
-		name: topicObservations, log: st.log, clock: clock, telemetry: st.telemetry, maxRetry: slowRetryDelay,
+		name: topicObservations, log: st.log, clock: clock, telemetry: st.telemetry, longestRetryDelay: slowRetryDelay,
 		onRecord:   st.apply,
 		onRead:     func(began time.Time, _ int) { st.markRead(began) },
 		onRecovery: st.onRecovery, onRestore: st.onRestore,
@@ -63,8 +63,8 @@
 	st.wakeUp()
 }
 
-// onPause notes that this process was suspended and may have missed observations of its peers.
-func (st *observationStore) onPause() { st.markIncomplete() }
+// onSuspension notes that this process was suspended and may have missed observations of its peers.
+func (st *observationStore) onSuspension() { st.markIncomplete() }
 
 // markIncomplete notes that peers may have observations that are not known here, for example
 // because this instance could not write its own: the peers may be no better off.
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/histories_test.go
@@ -15,21 +15,21 @@
 // back to an earlier version, and each has the newest one after a read.
 func TestConfigurationHistories(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playConfigurations(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomConfigurations(t, seed) })
 	}
 }
 
-func playConfigurations(t *testing.T, seed uint64) {
+func runRandomConfigurations(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	clock, log := newFakeClock(), &fakeLog{}
 	type instance struct {
-		*parts
+		*testInstance
 		reader  *topicReader
 		version uint64
 	}
 	start := func(i int) *instance {
-		p := newParts(fmt.Sprint("instance-", i), clock, &fakeLog{}, &fakeLog{})
-		return &instance{parts: p, reader: p.operator.reader(log, clock)}
+		p := newTestInstance(fmt.Sprint("instance-", i), clock, &fakeLog{}, &fakeLog{})
+		return &instance{testInstance: p, reader: p.operator.reader(log, clock)}
 	}
 	fleet := []*instance{start(0), start(1), start(2)}
 	newest := uint64(1)
@@ -76,18 +76,18 @@
 // others must not be quarantined.
 func TestQuarantineHistories(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playQuarantine(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomQuarantine(t, seed) })
 	}
 }
 
-func playQuarantine(t *testing.T, seed uint64) {
+func runRandomQuarantine(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	clock, observations := newFakeClock(), &fakeLog{}
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 1, Timeout: time.Second, TargetLatency: time.Second}
-	var fleet []*parts
+	var fleet []*testInstance
 	var readers []*topicReader
 	for i := range 4 {
-		p := newParts(fmt.Sprint("instance-", i), clock, &fakeLog{}, observations)
+		p := newTestInstance(fmt.Sprint("instance-", i), clock, &fakeLog{}, observations)
 		var list []passthrough.Server
 		for n := range 30 {
 			list = append(list, passthrough.Server{ID: fmt.Sprint("s", n), Address: "127.0.0.1:1", Service: "shop", Slots: 50, StartTime: 1})
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/journal.go
@@ -22,15 +22,15 @@
 
 // The log attributes of events about a request.
 const (
-	keyRequest = "request"
-	keyRoute   = "route"
-	keyTeam    = "team"
-	keySession = "session"
-	keyServer  = "server"
-	keyReason  = "reason"
-	keyVersion = "config"
-	keyAge     = "config_age_ms"
-	keyTook    = "took_ms"
+	keyRequest       = "request"
+	keyRoute         = "route"
+	keyTeam          = "team"
+	keySession       = "session"
+	keyServer        = "server"
+	keyReason        = "reason"
+	keyConfigVersion = "config"
+	keyConfigAge     = "config_age_ms"
+	keyTook          = "took_ms"
 )
 
 // requestAttrs returns the attributes of every event about a request, followed by more: its id
@@ -48,7 +48,7 @@
 		out = append(out, slog.String(keySession, c.caller.Session))
 	}
 	if index := t.config.Index(); index != nil {
-		out = append(out, slog.Uint64(keyVersion, index.Version), slog.Int64(keyAge, t.config.Age().Milliseconds()))
+		out = append(out, slog.Uint64(keyConfigVersion, index.Version), slog.Int64(keyConfigAge, t.config.Age().Milliseconds()))
 	}
 	out = append(out, slog.Int64(keyTook, t.clock.Now().Sub(c.arrived).Milliseconds()))
 	return append(out, more...)
@@ -74,8 +74,8 @@
 	h.Update(duration.Milliseconds())
 }
 
-// slowStart logs that servers have entered slow start. The driver calls it, so it must not block.
-func (t *telemetry) slowStart(c passthrough.SlowStartBegun) {
+// logSlowStart logs that servers have entered slow start. The driver calls it, so it must not block.
+func (t *telemetry) logSlowStart(c passthrough.SlowStartBegun) {
 	t.count("cooled." + string(c.Cause))
 	t.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
 		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.Duration.Milliseconds()), slog.String(keyReason, string(c.Cause)))
@@ -87,8 +87,8 @@
 	t.emit(logging.EventStateKept, slog.String("subject", subject), slog.String("key", key), slog.String(keyReason, why))
 }
 
-// rateLimitChanged logs a change of a server's rate limit. The driver calls it, so it must not block.
-func (t *telemetry) rateLimitChanged(c passthrough.RateLimitChanged) {
+// logRateLimitChanged logs a change of a server's rate limit. The driver calls it, so it must not block.
+func (t *telemetry) logRateLimitChanged(c passthrough.RateLimitChanged) {
 	if !c.Limit.Limited {
 		t.count("limit_ended")
 		t.emit(logging.EventServerUnlimited, slog.String(keyServer, c.Server), slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
@@ -104,14 +104,14 @@
 	t.emit(logging.EventRecordRejected, slog.String("from", from), slog.String(logging.KeyError, err.Error()))
 }
 
-func (t *telemetry) refused(c *call, ref refusal) {
+func (t *telemetry) logRefused(c *call, ref refusal) {
 	t.count("refused." + string(ref.reason))
 	t.emit(logging.EventPassthroughRefused, t.requestAttrs(c,
 		slog.Int("status", ref.status), slog.String(keyReason, string(ref.reason)),
 		slog.Int64("retry_after_ms", ref.retryAfter.Milliseconds()))...)
 }
 
-func (t *telemetry) attempted(c *call, d passthrough.Dispatch, out outcome) {
+func (t *telemetry) logAttempt(c *call, d passthrough.Dispatch, out outcome) {
 	t.count("attempt." + out.result.String())
 	if out.firstByte > 0 {
 		t.observeDuration("first_byte_ms", out.firstByte)
@@ -146,7 +146,7 @@
 	t.emit(logging.EventPassthroughAttempt, attrs...)
 }
 
-func (t *telemetry) finished(c *call, status int, reason passthrough.Reason) {
+func (t *telemetry) logFinished(c *call, status int, reason passthrough.Reason) {
 	t.observeDuration("answer_ms", t.clock.Now().Sub(c.arrived))
 	t.count("finished")
 	if reason == "" {
@@ -156,7 +156,7 @@
 	t.emit(logging.EventPassthroughFailed, t.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
 }
 
-func (t *telemetry) callerLost(c *call, err error) {
+func (t *telemetry) logCallerLost(c *call, err error) {
 	t.count("caller_lost")
 	t.emit(logging.EventCallerLost, t.requestAttrs(c, slog.String(logging.KeyError, err.Error()))...)
 }
--- a/router/internal/passthrough/knowledge_test.go
+++ b/router/internal/passthrough/knowledge_test.go
@@ -13,47 +13,47 @@
 // bound: a configuration written while a read is in progress may be missing from its result.
 func TestConfigurationAgeCountsFromTheStartOfItsRead(t *testing.T) {
 	clock := newFakeClock()
-	k := NewConfigState(clock, 5*time.Second)
-	if k.Fresh() || k.Ready() {
+	state := NewConfigState(clock, 5*time.Second)
+	if state.Fresh() || state.Ready() {
 		t.Error("fresh before anything is known")
 	}
-	k.Apply(passthrough.Config{Version: 1})
+	state.Apply(passthrough.Config{Version: 1})
 	began := clock.Now()
 	clock.advance(1400 * time.Millisecond) // duration of the read
-	k.Confirm(began)
-	if got := k.Age(); got != 1400*time.Millisecond || !k.Ready() {
-		t.Errorf("age %v, ready %v", got, k.Ready())
+	state.Confirm(began)
+	if got := state.Age(); got != 1400*time.Millisecond || !state.Ready() {
+		t.Errorf("age %v, ready %v", got, state.Ready())
 	}
 	clock.advance(1200 * time.Millisecond)
-	if k.Ready() || !k.Fresh() {
+	if state.Ready() || !state.Fresh() {
 		t.Error("at 2.6 s, past half of the bound: want not ready, but still fresh")
 	}
 	clock.advance(2 * time.Second)
-	if k.Fresh() {
+	if state.Fresh() {
 		t.Error("fresh at 4.6 s, past nine tenths of the bound")
 	}
-	k.Confirm(began)
-	if k.Fresh() {
+	state.Confirm(began)
+	if state.Fresh() {
 		t.Error("an old read made it fresh again")
 	}
 }
 
 func TestConfigurationNeverGoesBack(t *testing.T) {
-	k := NewConfigState(newFakeClock(), time.Second)
-	k.Apply(passthrough.Config{Version: 7})
+	state := NewConfigState(newFakeClock(), time.Second)
+	state.Apply(passthrough.Config{Version: 7})
 	for _, version := range []uint64{3, 7} {
-		if _, applied := k.Apply(passthrough.Config{Version: version}); applied {
+		if _, applied := state.Apply(passthrough.Config{Version: version}); applied {
 			t.Errorf("version %d is in force after version 7", version)
 		}
 	}
-	if _, applied := k.Apply(passthrough.Config{Version: 9}); !applied || k.Index().Version != 9 {
+	if _, applied := state.Apply(passthrough.Config{Version: 9}); !applied || state.Index().Version != 9 {
 		t.Error("version 9 is not in force after version 7")
 	}
 }
 
 func TestOperatorReaderGoesOnAfterDroppedRecords(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	log.add("config", "config 1")
 	reader := p.operator.reader(log, clock)
 	step := func() error { return reader.readOnce(t.Context()) }
@@ -84,7 +84,7 @@
 // as its configuration, which admits requests.
 func TestOrdersAreKnownBeforeRequestsAreLetIn(t *testing.T) {
 	clock := newFakeClock()
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	seen := false
 	p.operator.applySnapshot([]keyedlog.Record{
 		{Key: "config", Value: []byte("config 1")},
--- a/router/internal/passthrough/list.go
+++ b/router/internal/passthrough/list.go
@@ -184,7 +184,7 @@
 			l.telemetry.count("entry_ignored")
 			l.telemetry.emit(logging.EventEntryIgnored, slog.String(keyServer, r.Key), slog.String(logging.KeyError, err.Error()))
 		}
-		l.drop(r.Key, "unreadable")
+		l.removeNow(r.Key, "unreadable")
 		return
 	}
 	delete(l.unreadable, r.Key)
@@ -221,11 +221,11 @@
 		l.lapsed[id] = l.lapseUntil
 		return
 	}
-	l.drop(id, "removed")
+	l.removeNow(id, "removed")
 }
 
-// drop removes an entry at once and leaves a tombstone. The lock is held.
-func (l *serverList) drop(id, why string) {
+// removeNow removes an entry at once and leaves a tombstone. The lock is held.
+func (l *serverList) removeNow(id, why string) {
 	s, ok := l.entries[id]
 	if !ok {
 		return
@@ -245,7 +245,7 @@
 	l.confirmPending(now)
 	for id, until := range l.lapsed {
 		if !now.Before(until) {
-			l.drop(id, "lapsed")
+			l.removeNow(id, "lapsed")
 		}
 	}
 	if !l.changed {
--- a/router/internal/passthrough/list_restore_test.go
+++ b/router/internal/passthrough/list_restore_test.go
@@ -7,21 +7,21 @@
 
 // restoredList returns an instance whose store was restored without the last records: since the copy
 // one server has left, one is leaving and one has started. One has not changed.
-func restoredList(t *testing.T) (*parts, *topicReader, *fakeLog, *fakeClock) {
+func restoredList(t *testing.T) (*testInstance, *topicReader, *fakeLog, *fakeClock) {
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.servers.reader(log, clock)
 	log.add("stays", "server shop v1 ready")
 	log.add("left", "server shop v1 ready")
 	log.add("leaves", "server shop v1 ready")
-	read(t, reader)
+	mustRead(t, reader)
 	log.add("left", "")
 	log.add("leaves", "server shop v1 draining")
 	log.add("started", "server shop v1 ready")
-	read(t, reader)
+	mustRead(t, reader)
 	log.restore(3)
-	read(t, reader)
+	mustRead(t, reader)
 	return p, reader, log, clock
 }
 
@@ -86,7 +86,7 @@
 	p, reader, log, clock := restoredList(t)
 	log.restore(0)
 	for range 2 {
-		read(t, reader)
+		mustRead(t, reader)
 		clock.advance(unconfirmedDelay)
 	}
 	if p.servers.has("left") {
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/list_test.go
@@ -12,7 +12,7 @@
 func (l *serverList) has(id string) bool { _, ok := l.entries[id]; return ok }
 
 func TestEntryThatCannotBeReadNamesNoServer(t *testing.T) {
-	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.servers.apply(entry("two", "???"))
 	p.servers.apply(entry("one", "???"))
@@ -26,7 +26,7 @@
 }
 
 func TestRemovedEntryIsGoneAtOnce(t *testing.T) {
-	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.servers.apply(entry("one", ""))
 	if p.servers.has("one") {
@@ -38,7 +38,7 @@
 // outage of the store in which their entries expired: they are kept for lapseGrace.
 func TestEntriesThatLapsedInAnOutageAreBelievedForAWhile(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.servers.reader(log, clock)
 	log.add("one", "server shop v1 ready")
 	log.add("two", "server shop v1 ready")
@@ -74,7 +74,7 @@
 // alone one read may fail.
 func TestListIsReadOftenEnough(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
-		p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+		p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 		p.servers.drainTime = drain
 		shared := p.servers.readInterval()
 		p.servers.readsAlone = func() bool { return true }
@@ -91,7 +91,7 @@
 // TestFollowersHearOfChangesAtOnce checks that an instance that reads the list from a peer waits there
 // for changes, and that one that reads the store does not: every heartbeat is a change there.
 func TestFollowersHearOfChangesAtOnce(t *testing.T) {
-	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	if p.servers.wait() != 0 || p.servers.pause() != p.servers.readInterval() {
 		t.Errorf("reading the store: wait %v, pause %v", p.servers.wait(), p.servers.pause())
 	}
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -152,7 +152,7 @@
 // writeFollowers writes the announcements of followers. If the write fails they are lost, and the
 // followers announce themselves again.
 func (s *sharing) writeFollowers(ctx context.Context) {
-	records := s.takeHeld(topicInstances)
+	records := s.takeHeldRecords(topicInstances)
 	if len(records) == 0 {
 		return
 	}
@@ -175,7 +175,7 @@
 func (s *sharing) reader(ctx context.Context) *topicReader {
 	return &topicReader{
 		name: topicInstances, log: s.instances, clock: s.clock, telemetry: s.telemetry,
-		wait: func() time.Duration { return membersReadWait }, maxRetry: slowRetryDelay,
+		wait: func() time.Duration { return membersReadWait }, longestRetryDelay: slowRetryDelay,
 		pause:      func() time.Duration { return time.Second },
 		onRecord:   s.applyMember,
 		onSnapshot: s.applyMembers,
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -81,7 +81,7 @@
 	out := view{elapsed: now.Sub(r.orderedAt)}
 	sums, crashes := map[string]passthrough.VersionCounts{}, crashSet{}
 	add := func(s *observationSet) {
-		crashes.add(s.CrashKeys)
+		crashes.merge(s.CrashKeys)
 		for route, row := range s.Routes {
 			sums[route] = sums[route].Plus(passthrough.VersionCounts(row))
 		}
@@ -91,7 +91,7 @@
 		add(&s)
 		out.elapsed = max(out.elapsed, time.Duration(s.ElapsedMS)*time.Millisecond+now.Sub(s.readAt))
 	}
-	crashes.addTo(sums)
+	crashes.addToCounts(sums)
 	all := passthrough.SumRoutes(sums)
 	out.newCounts, out.oldCounts = all.New, all.Old
 	out.bad = own.evidence.Evaluate(now, sums)
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -155,7 +155,7 @@
 			out = append(out, st.encode(s.key(), s))
 		}
 	}
-	out = append(out, st.crashRecords(now)...)
+	out = append(out, st.takeCrashRecords(now)...)
 	for key, at := range st.deleteAt {
 		if now.After(at) {
 			delete(st.deleteAt, key)
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -12,7 +12,7 @@
 // quarantined at another.
 func TestStoreSharesCrashesWithPeers(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
-	a, b := newParts("a", clock, &fakeLog{}, observations), newParts("b", clock, &fakeLog{}, observations)
+	a, b := newTestInstance("a", clock, &fakeLog{}, observations), newTestInstance("b", clock, &fakeLog{}, observations)
 	reader := b.observations.reader(clock, b.rollouts.active)
 	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 // the verdict on a version that fails later.
 func TestVersionThatTurnsBadLateIsFoundSoon(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, status, &fakeLog{})
+	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
 	r := p.rollouts.open["shop"]
@@ -65,7 +65,7 @@
 // count its record, and that the record is deleted from the store in the end.
 func TestOldNotesOnCrashesDoNotCount(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
-	a := newParts("a", clock, &fakeLog{}, observations)
+	a := newTestInstance("a", clock, &fakeLog{}, observations)
 	for range 3 {
 		a.observations.recordCrash(passthrough.CrashSuspected{Fingerprint: 9})
 	}
@@ -76,7 +76,7 @@
 		}
 	}
 	write()
-	late := newParts("late", clock, &fakeLog{}, observations)
+	late := newTestInstance("late", clock, &fakeLog{}, observations)
 	if err := late.observations.reader(clock, late.rollouts.active).readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -96,13 +96,13 @@
 // count, together with those that it sees after the restart.
 func TestWhatAProcessSawOutlivesIt(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
-	write := func(p *parts) {
+	write := func(p *testInstance) {
 		if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
-	start := func() *parts {
-		p := newParts("a", clock, status, observations)
+	start := func() *testInstance {
+		p := newTestInstance("a", clock, status, observations)
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 		p.observations.applySnapshot(observations.records)
@@ -138,7 +138,7 @@
 // revertTimeout.
 func TestReaderTakesABadVersionBackInTheEnd(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, status, &fakeLog{})
+	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.rollouts.writesRegister = func() bool { return false }
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -97,7 +97,7 @@
 func (o *operator) onRestore() {
 	o.restoreGuard.onRestore()
 	o.rollouts.onRestore()
-	o.keepUntil = o.clock.Now().Add(keepDrainedFor)
+	o.keepUntil = o.clock.Now().Add(drainKeepTime)
 }
 
 // applyNew applies one record that was written since the last read.
@@ -143,7 +143,7 @@
 	}
 	o.driver.Handle(passthrough.Configured{Index: index})
 	o.telemetry.count("config_applied")
-	o.telemetry.emit(logging.EventConfigApplied, slog.Uint64(keyVersion, c.Version),
+	o.telemetry.emit(logging.EventConfigApplied, slog.Uint64(keyConfigVersion, c.Version),
 		slog.Int("routes", len(c.Routes)), slog.Int("teams", len(c.Teams)), slog.Uint64("offset", r.Offset))
 }
 
--- a/router/internal/passthrough/pooling_test.go
+++ b/router/internal/passthrough/pooling_test.go
@@ -9,36 +9,36 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// poolInstance is an instance that shares its observations through its failure domain's collector.
-type poolInstance struct {
-	*parts
-	collector *poolInstance
-	held      []keyedlog.Record
-	next      keyedlog.Position
-	writeAt   time.Time
-	readAt    time.Time
+// sharedInstance is an instance that shares its observations through its failure domain's collector.
+type sharedInstance struct {
+	*testInstance
+	collector   *sharedInstance
+	heldRecords []keyedlog.Record
+	next        keyedlog.Position
+	writeAt     time.Time
+	readAt      time.Time
 }
 
-// poolFleet is 295 instances in five failure domains. The first instance of each reads the store, or
+// sharedFleet is 295 instances in five failure domains. The first instance of each reads the store, or
 // the second where the store rejects the first.
-type poolFleet struct {
+type sharedFleet struct {
 	t         *testing.T
 	clock     *fakeClock
 	log       *fakeLog
-	instances []*poolInstance
-	readers   []*poolInstance
+	instances []*sharedInstance
+	readers   []*sharedInstance
 }
 
-func newPoolFleet(t *testing.T, away func(domain int) bool) *poolFleet {
+func newSharedFleet(t *testing.T, rejectsFirst func(domain int) bool) *sharedFleet {
 	const domains, perDomain = 5, 59
-	f := &poolFleet{t: t, clock: newFakeClock(), log: &fakeLog{}}
+	f := &sharedFleet{t: t, clock: newFakeClock(), log: &fakeLog{}}
 	for d := range domains {
-		var list []*poolInstance
+		var list []*sharedInstance
 		for i := range perDomain {
-			p := &poolInstance{parts: newParts(fmt.Sprint("d", d, "i", i), f.clock, &fakeLog{}, f.log)}
+			p := &sharedInstance{testInstance: newTestInstance(fmt.Sprint("d", d, "i", i), f.clock, &fakeLog{}, f.log)}
 			p.listServers()
 			p.observations.fleetSize = func() int { return domains * perDomain }
-			p.rollouts.statusRead = true
+			p.rollouts.registerRead = true
 			p.rollouts.applyOrder(passthrough.Order{Service: "shop", Target: "v2", Duration: time.Minute}, 1)
 			p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
 			phase := time.Duration((d*perDomain+i)*37%1100) * time.Millisecond
@@ -46,7 +46,7 @@
 			list = append(list, p)
 		}
 		reader := list[0]
-		if away(d) {
+		if rejectsFirst(d) {
 			reader = list[1]
 		}
 		for _, p := range list {
@@ -59,7 +59,7 @@
 }
 
 // step advances the clock and does what the loops of all instances do at that time.
-func (f *poolFleet) step(d time.Duration) {
+func (f *sharedFleet) step(d time.Duration) {
 	f.clock.advance(d)
 	now := f.clock.Now()
 	for _, p := range f.instances {
@@ -70,15 +70,15 @@
 		records := p.observations.pendingRecords()
 		if p != p.collector {
 			if len(records) > 0 {
-				p.collector.held = append(p.collector.held, records...)
+				p.collector.heldRecords = append(p.collector.heldRecords, records...)
 				p.collector.writeAt = minTime(p.collector.writeAt, now.Add(batchDelay))
 			}
 			continue
 		}
-		if err := f.log.Append(f.t.Context(), keyedlog.AnyPosition, append(records, p.held...)...); err != nil {
+		if err := f.log.Append(f.t.Context(), keyedlog.AnyPosition, append(records, p.heldRecords...)...); err != nil {
 			f.t.Fatal(err)
 		}
-		p.held = nil
+		p.heldRecords = nil
 	}
 	for _, p := range f.readers {
 		if now.Before(p.readAt) {
@@ -108,11 +108,11 @@
 // counts, writing the end and distributing it take one of them.
 func TestPooledCountsOf300InstancesAreSoonKnown(t *testing.T) {
 	const oldest = 4 * time.Second
-	for name, away := range map[string]func(int) bool{
+	for name, rejectsFirst := range map[string]func(int) bool{
 		"the store serves all readers":  func(int) bool { return false },
 		"the store rejects two readers": func(domain int) bool { return domain < 2 },
 	} {
-		f := newPoolFleet(t, away)
+		f := newSharedFleet(t, rejectsFirst)
 		for range 60 {
 			f.step(50 * time.Millisecond)
 		}
@@ -139,7 +139,7 @@
 }
 
 // allCount reports whether all readers count at least so many bad responses.
-func (f *poolFleet) allCount(count int) bool {
+func (f *sharedFleet) allCount(count int) bool {
 	for _, p := range f.readers {
 		if p.observations.view(p.rollouts.open["shop"], f.clock.Now()).newCounts.Bad < count {
 			return false
--- a/router/internal/passthrough/register.go
+++ b/router/internal/passthrough/register.go
@@ -19,10 +19,10 @@
 
 // knownState returns what was read of the roll-out from the register's topic, and whether the topic
 // was read at all.
-func (m *rollouts) knownState(r *rollout) (phase passthrough.Phase, announced, known bool) {
+func (m *rollouts) knownState(r *rollout) (phase passthrough.Phase, registered, registerRead bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return r.readPhase, r.announced, m.statusRead
+	return r.readPhase, r.registered, m.registerRead
 }
 
 // reader returns a reader of the register's topic, by which all instances learn of an end at
@@ -30,26 +30,26 @@
 func (m *rollouts) reader(log keyedlog.Log) *topicReader {
 	t := &topicReader{
 		name: topicStatus, log: log, clock: m.clock, telemetry: m.telemetry,
-		wait: func() time.Duration { return idleReadWait }, maxRetry: slowRetryDelay,
+		wait: func() time.Duration { return idleReadWait }, longestRetryDelay: slowRetryDelay,
 		pause:    func() time.Duration { return maxRetryDelay },
-		onRecord: m.applyStatus,
+		onRecord: m.applyRegisterRecord,
 	}
 	t.onRestore = m.onRestore
 	t.onSnapshot = func(list []keyedlog.Record) {
 		for _, rec := range list {
-			m.applyStatus(rec)
+			m.applyRegisterRecord(rec)
 		}
 	}
 	t.onRead = func(time.Time, int) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.statusRead = true
+		m.registerRead = true
 	}
 	return t
 }
 
-// applyStatus applies one record of the register's topic. The first end of a roll-out holds.
-func (m *rollouts) applyStatus(rec keyedlog.Record) {
+// applyRegisterRecord applies one record of the register's topic. The first end of a roll-out holds.
+func (m *rollouts) applyRegisterRecord(rec keyedlog.Record) {
 	service, target, phase, ok, err := m.records.Status(rec)
 	if err != nil {
 		m.telemetry.emit(logging.EventRecordRejected, slog.String("key", rec.Key), slog.String(logging.KeyError, err.Error()))
@@ -61,7 +61,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.predatesKnownEnd(service, target, phase) {
-		m.states[service] = registerState{target, phase}
+		m.registerStates[service] = registerState{target, phase}
 	}
 	if r := m.open[service]; r != nil && r.Target == target {
 		m.applyState(r, phase)
@@ -71,13 +71,13 @@
 // predatesKnownEnd reports whether a state is one from before the known end, as a restored store may
 // have it. The lock is held.
 func (m *rollouts) predatesKnownEnd(service, target string, phase passthrough.Phase) bool {
-	known := m.states[service]
+	known := m.registerStates[service]
 	return m.restoredRecently() && known.target == target && known.phase.Ended() && !phase.Ended()
 }
 
 // applyState notes what the register holds of a roll-out. The lock is held.
 func (m *rollouts) applyState(r *rollout, phase passthrough.Phase) {
-	r.announced = true
+	r.registered = true
 	if phase.Ended() && !r.readPhase.Ended() {
 		r.readPhase = phase
 	}
@@ -90,12 +90,12 @@
 // instance wrote in between is never overwritten. If an append's result is unknown, the next
 // call reads the register before it writes anything.
 func (m *rollouts) commitPlan(ctx context.Context, r *rollout, plan passthrough.Rollout, seen view) passthrough.Rollout {
-	stored, end, err := m.readStored(ctx, r)
+	stored, end, err := m.readRegister(ctx, r)
 	if err != nil {
 		return withoutCompletion(plan)
 	}
 	if stored != 0 {
-		m.markAnnounced(r)
+		m.markRegistered(r)
 	}
 	switch {
 	case stored.Ended():
@@ -107,17 +107,17 @@
 	case !m.writePhase(ctx, r, plan.Phase, end):
 		return withoutCompletion(plan)
 	}
-	m.markAnnounced(r)
+	m.markRegistered(r)
 	if plan.Phase.Ended() {
 		m.end(r, plan.Phase, seen, "written")
 	}
 	return plan
 }
 
-// readStored returns the phase that the register holds of the roll-out, 0 for none, and the end of its
+// readRegister returns the phase that the register holds of the roll-out, 0 for none, and the end of its
 // topic.
-func (m *rollouts) readStored(ctx context.Context, r *rollout) (phase passthrough.Phase, end keyedlog.Position, err error) {
-	snap, err := m.statusLog.Newest(ctx)
+func (m *rollouts) readRegister(ctx context.Context, r *rollout) (phase passthrough.Phase, end keyedlog.Position, err error) {
+	snap, err := m.register.Newest(ctx)
 	if err != nil {
 		return 0, end, err
 	}
@@ -134,7 +134,7 @@
 func (m *rollouts) writePhase(ctx context.Context, r *rollout, phase passthrough.Phase, end keyedlog.Position) bool {
 	rec, err := m.records.StatusRecord(r.Service, r.Target, phase)
 	if err == nil {
-		err = m.statusLog.Append(ctx, end, rec)
+		err = m.register.Append(ctx, end, rec)
 	}
 	if err != nil && !errors.Is(err, keyedlog.ErrConflict) {
 		m.logUnwritten(r, err.Error())
@@ -147,11 +147,11 @@
 	m.telemetry.emit(logging.EventRolloutUnwritten, slog.String("service", r.Service), slog.String(logging.KeyError, why))
 }
 
-// markAnnounced notes that the register holds the roll-out.
-func (m *rollouts) markAnnounced(r *rollout) {
+// markRegistered notes that the register holds the roll-out.
+func (m *rollouts) markRegistered(r *rollout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r.announced = true
+	r.registered = true
 }
 
 // withoutCompletion returns the plan to follow while the register does not hold the planned end: a
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -14,8 +14,8 @@
 // the register and its write.
 func TestRegisterHoldsOneEnd(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	a, b := newParts("a", clock, status, &fakeLog{}), newParts("b", clock, status, &fakeLog{})
-	for _, p := range []*parts{a, b} {
+	a, b := newTestInstance("a", clock, status, &fakeLog{}), newTestInstance("b", clock, status, &fakeLog{})
+	for _, p := range []*testInstance{a, b} {
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 		p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
@@ -39,7 +39,7 @@
 // result was lost: the register is read before anything is written again.
 func TestLostAnswerOfTheEndIsReadBack(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, status, &fakeLog{})
+	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
 	r := p.rollouts.open["shop"]
@@ -62,16 +62,16 @@
 // holds another, and a version that was reported to fail is never completed.
 func TestRegisterHistories(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRegister(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomRegister(t, seed) })
 	}
 }
 
-func playRegister(t *testing.T, seed uint64) {
+func runRandomRegister(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	bad := seed%2 == 0
-	start := func(i int) *parts {
-		p := newParts(fmt.Sprint("instance-", i), clock, status, observations)
+	start := func(i int) *testInstance {
+		p := newTestInstance(fmt.Sprint("instance-", i), clock, status, observations)
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 		if err := p.observations.reader(clock, p.rollouts.active).readOnce(t.Context()); err != nil {
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 	}
-	var fleet []*parts
+	var fleet []*testInstance
 	for i := range 3 {
 		fleet = append(fleet, start(i))
 	}
--- a/router/internal/passthrough/restore_model_test.go
+++ b/router/internal/passthrough/restore_model_test.go
@@ -33,7 +33,7 @@
 
 // modelInstance is an instance of the model with what the invariants need to know of it.
 type modelInstance struct {
-	*parts
+	*testInstance
 	operatorReader, listReader *topicReader
 	disconnected               bool
 	// highestVersion is the highest that was in force in this process, startedAt when it began to read.
@@ -64,8 +64,8 @@
 }
 
 func (m *restoreModel) start(name string) *modelInstance {
-	p := newParts(name, m.clock, &fakeLog{}, &fakeLog{})
-	return &modelInstance{parts: p, operatorReader: p.operator.reader(m.operator, m.clock), listReader: p.servers.reader(m.servers, m.clock), startedAt: m.clock.Now(), listedServers: map[string]bool{}, goneServers: map[string]bool{}}
+	p := newTestInstance(name, m.clock, &fakeLog{}, &fakeLog{})
+	return &modelInstance{testInstance: p, operatorReader: p.operator.reader(m.operator, m.clock), listReader: p.servers.reader(m.servers, m.clock), startedAt: m.clock.Now(), listedServers: map[string]bool{}, goneServers: map[string]bool{}}
 }
 
 func (m *restoreModel) writeConfig(version int) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// pass advances the clock: all connected instances read, and report to each other what the store lost.
-func (m *restoreModel) pass(d time.Duration) {
+// advance advances the clock: all connected instances read, and report to each other what the store lost.
+func (m *restoreModel) advance(d time.Duration) {
 	m.clock.advance(d)
 	if !m.rewriteAt.IsZero() && !m.clock.Now().Before(m.rewriteAt) {
 		m.rewriteAt = time.Time{}
@@ -93,7 +93,7 @@
 		}
 	}
 	lost := uint64(0)
-	reportable := m.operatorSettled() || m.countKnowing() > 0
+	reportable := m.operatorSettled() || m.countInformed() > 0
 	for _, i := range m.instances {
 		if i.disconnected {
 			continue
@@ -161,30 +161,30 @@
 }
 
 // drawDuration draws a duration up to so many milliseconds.
-func drawDuration(t *rapid.T, most int) time.Duration {
-	return time.Duration(rapid.IntRange(0, most).Draw(t, "ms")) * time.Millisecond
+func drawDuration(t *rapid.T, maxMS int) time.Duration {
+	return time.Duration(rapid.IntRange(0, maxMS).Draw(t, "ms")) * time.Millisecond
 }
 
-// countKnowing counts the connected instances that know the operator's last version and can report it.
-func (m *restoreModel) countKnowing() int {
+// countInformed counts the connected instances that know the operator's last version and can report it.
+func (m *restoreModel) countInformed() int {
 	n := 0
 	for _, i := range m.instances {
-		if m.knows(i) {
+		if m.isInformed(i) {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *restoreModel) knows(i *modelInstance) bool {
+func (m *restoreModel) isInformed(i *modelInstance) bool {
 	index := i.config.Index()
 	return !i.disconnected && index != nil && int(index.Version) == m.version
 }
 
-// mayLose reports whether the instance may be killed or disconnected: some other instance must know
+// mayDisconnect reports whether the instance may be killed or disconnected: some other instance must know
 // what the store lost if the operator is slow to write it again.
-func (m *restoreModel) mayLose(i *modelInstance) bool {
-	return m.operatorSettled() || !m.slowRewrite || !m.knows(i) || m.countKnowing() > 1
+func (m *restoreModel) mayDisconnect(i *modelInstance) bool {
+	return m.operatorSettled() || !m.slowRewrite || !m.isInformed(i) || m.countInformed() > 1
 }
 
 // operatorSettled reports whether the operator has nothing to write again.
@@ -196,20 +196,20 @@
 func TestRestoresInAnyOrder(t *testing.T) {
 	const rounds = 40 // of 100 schedules, or as many as -rapid.checks says
 	for range rounds {
-		rapid.Check(t, playRestores)
+		rapid.Check(t, runRandomRestores)
 	}
 }
 
-func playRestores(t *rapid.T) {
+func runRandomRestores(t *rapid.T) {
 	m := newRestoreModel(t)
 	pick := func() *modelInstance { return m.instances[rapid.IntRange(0, len(m.instances)-1).Draw(t, "instance")] }
 	t.Repeat(map[string]func(*rapid.T){
 		"pass": func(t *rapid.T) {
-			m.pass(drawDuration(t, 700))
+			m.advance(drawDuration(t, 700))
 		},
 		"wait": func(t *rapid.T) {
 			for range 4 {
-				m.pass(600 * time.Millisecond)
+				m.advance(600 * time.Millisecond)
 				m.check()
 			}
 		},
@@ -220,7 +220,7 @@
 		},
 		"restore": func(t *rapid.T) { m.restore(t, maxRewriteDelay) },
 		"slow restore": func(t *rapid.T) {
-			if m.countKnowing() == len(m.instances) {
+			if m.countInformed() == len(m.instances) {
 				m.restore(t, maxSlowRewriteDelay)
 			}
 		},
@@ -231,21 +231,21 @@
 			}
 			i.disconnected = true
 			m.writeConfig(m.version + 1)
-			m.pass(drawDuration(t, 700))
+			m.advance(drawDuration(t, 700))
 			m.restore(t, maxRewriteDelay)
 			i.disconnected = false
-			m.pass(drawDuration(t, 700))
+			m.advance(drawDuration(t, 700))
 			i.disconnected = true
 		},
 		"cut": func(*rapid.T) {
 			i := pick()
-			if i.disconnected || m.mayLose(i) {
+			if i.disconnected || m.mayDisconnect(i) {
 				i.disconnected = !i.disconnected
 			}
 		},
 		"kill": func(t *rapid.T) {
 			n := rapid.IntRange(0, len(m.instances)-1).Draw(t, "instance")
-			if m.mayLose(m.instances[n]) {
+			if m.mayDisconnect(m.instances[n]) {
 				m.instances[n] = m.start(fmt.Sprint("i", n))
 			}
 		},
@@ -268,13 +268,13 @@
 		i.disconnected = false
 	}
 	for !m.operatorSettled() {
-		m.pass(250 * time.Millisecond)
+		m.advance(250 * time.Millisecond)
 	}
 	for range 30 {
-		m.pass(250 * time.Millisecond)
+		m.advance(250 * time.Millisecond)
 	}
 	for n, i := range m.instances {
-		if !m.knows(i) || !i.config.Ready() {
+		if !m.isInformed(i) || !i.config.Ready() {
 			t.Fatalf("instance %d: %+v of version %d, ready %v", n, i.config.Index(), m.version, i.config.Ready())
 		}
 		for id := range m.alive {
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -16,7 +16,7 @@
 // the first instance that gets there.
 type rollouts struct {
 	records      Records
-	statusLog    keyedlog.Log
+	register     keyedlog.Log
 	driver       *Driver
 	servers      *serverList
 	observations *observationStore
@@ -30,11 +30,11 @@
 
 	mu   sync.Mutex
 	open map[string]*rollout
-	// states are the newest states of roll-outs by service; statusRead says that the
+	// registerStates are the newest states of roll-outs by service; registerRead says that the
 	// register's topic was read.
-	states     map[string]registerState
-	statusRead bool
-	wake       chan struct{}
+	registerStates map[string]registerState
+	registerRead   bool
+	wake           chan struct{}
 	// lastRunAt is when open roll-outs were advanced last, zero while there are none.
 	lastRunAt time.Time
 	// restoredAt is when the last restore of the store was noticed, zero for never.
@@ -63,8 +63,8 @@
 	// finishAt is when it ends after the version was found good.
 	held     bool
 	finishAt time.Time
-	// announced says that the register holds the roll-out.
-	announced bool
+	// registered says that the register holds the roll-out.
+	registered bool
 }
 
 // rolloutInterval is the time between two evaluations of open roll-outs: a bad version must be
@@ -73,8 +73,8 @@
 
 func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, observations *observationStore, tel *telemetry, clock Clock, limit passthrough.ExposureLimit) *rollouts {
 	return &rollouts{
-		records: records, statusLog: topic, driver: driver, servers: l, observations: observations, telemetry: tel, clock: clock,
-		exposure: limit, writesRegister: func() bool { return true }, open: map[string]*rollout{}, states: map[string]registerState{}, wake: make(chan struct{}, 1),
+		records: records, register: topic, driver: driver, servers: l, observations: observations, telemetry: tel, clock: clock,
+		exposure: limit, writesRegister: func() bool { return true }, open: map[string]*rollout{}, registerStates: map[string]registerState{}, wake: make(chan struct{}, 1),
 	}
 }
 
@@ -90,7 +90,7 @@
 	// in the middle of a roll-out knows neither its phase nor the open sessions.
 	r.plan = passthrough.Rollout{Order: o, Phase: passthrough.PhaseCanary, FirstHalf: true, CollectingSessions: true}
 	m.open[o.Service] = r
-	if st, ok := m.states[o.Service]; ok && st.target == o.Target {
+	if st, ok := m.registerStates[o.Service]; ok && st.target == o.Target {
 		m.applyState(r, st.phase)
 	}
 	m.driver.Handle(passthrough.RolloutUpdated{Rollout: r.plan})
@@ -127,7 +127,7 @@
 // advanceAll advances the open roll-outs and writes lost ends again. It reports whether there were any.
 func (m *rollouts) advanceAll(ctx context.Context) bool {
 	open, lost := m.openRollouts(), m.lostEnds()
-	m.detectPause(len(open) > 0)
+	m.detectSuspension(len(open) > 0)
 	for _, r := range open {
 		m.advance(ctx, r)
 	}
@@ -137,15 +137,15 @@
 	return len(open)+len(lost) > 0
 }
 
-// detectPause finds out whether this process was suspended since the last run.
+// detectSuspension finds out whether this process was suspended since the last run.
 //
 // Load: an instance is suspended for the second half of a roll-out, and does not notice an outage
 // of the store in that time, which keeps its peers from reporting what they saw. Harm prevented:
 // the instance, which knows of no failure, completes a bad version before its peers can report it.
-func (m *rollouts) detectPause(open bool) {
+func (m *rollouts) detectSuspension(open bool) {
 	now := m.clock.Now()
 	if !m.lastRunAt.IsZero() && now.Sub(m.lastRunAt) > propagationTime {
-		m.observations.onPause()
+		m.observations.onSuspension()
 	}
 	m.lastRunAt = time.Time{}
 	if open {
@@ -172,7 +172,7 @@
 	seen := m.observations.view(r, now)
 	elapsed := max(now.Sub(r.orderedAt), seen.elapsed)
 	plan := passthrough.PlanRollout(r.Order, now, elapsed, m.exposure, seen.newCounts, seen.oldCounts, seen.bad)
-	stored, announced, statusRead := m.knownState(r)
+	stored, registered, registerRead := m.knownState(r)
 	if stored.Ended() {
 		plan.Phase = stored
 		m.end(r, stored, seen, "read")
@@ -187,9 +187,9 @@
 		plan.Phase = passthrough.PhaseCanary
 	}
 	switch {
-	case (m.writesRegister() || r.revertOverdue(plan, now)) && (plan.Phase.Ended() || !announced):
+	case (m.writesRegister() || r.revertOverdue(plan, now)) && (plan.Phase.Ended() || !registered):
 		plan = m.commitPlan(ctx, r, plan, seen)
-	case !statusRead && !plan.Phase.Ended():
+	case !registerRead && !plan.Phase.Ended():
 		return // the roll-out may have ended long ago
 	default:
 		plan = withoutCompletion(plan)
@@ -239,8 +239,8 @@
 // mayComplete reports whether the new version has enough servers for all traffic: the old ones are
 // stopped at once when it completes.
 func (m *rollouts) mayComplete(r *rollout) bool {
-	current, old := m.servers.countServers(r.Service, r.Target)
-	return current > 0 && 2*current >= old
+	newServers, oldServers := m.servers.countServers(r.Service, r.Target)
+	return newServers > 0 && 2*newServers >= oldServers
 }
 
 // end notes and logs the end of a roll-out. how is "written" if this instance wrote it to the
--- a/router/internal/passthrough/rollouts_restore.go
+++ b/router/internal/passthrough/rollouts_restore.go
@@ -23,8 +23,8 @@
 	now := m.clock.Now()
 	m.restoredAt = now
 	for _, r := range m.open {
-		r.announced = r.knownEnd().Ended()
-		if r.announced {
+		r.registered = r.knownEnd().Ended()
+		if r.registered {
 			r.rewriteUntil = now.Add(endRewriteWindow)
 		}
 	}
@@ -79,7 +79,7 @@
 	if !m.writesRegister() {
 		return
 	}
-	stored, end, err := m.readStored(ctx, r)
+	stored, end, err := m.readRegister(ctx, r)
 	if err != nil {
 		return // tried again in the next run
 	}
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -19,7 +19,7 @@
 }
 
 type restoredInstance struct {
-	*parts
+	*testInstance
 	operatorReader, statusReader, observationsReader *topicReader
 }
 
@@ -35,9 +35,9 @@
 }
 
 func (f *restoredFleet) start(name string) *restoredInstance {
-	p := newParts(name, f.clock, f.status, f.observations)
+	p := newTestInstance(name, f.clock, f.status, f.observations)
 	p.listServers()
-	i := &restoredInstance{parts: p, operatorReader: p.operator.reader(f.operator, f.clock),
+	i := &restoredInstance{testInstance: p, operatorReader: p.operator.reader(f.operator, f.clock),
 		statusReader: p.rollouts.reader(f.status), observationsReader: p.observations.reader(f.clock, p.rollouts.active)}
 	f.instances = append(f.instances, i)
 	return i
@@ -48,7 +48,7 @@
 	f.t.Helper()
 	for _, i := range f.instances {
 		for _, reader := range []*topicReader{i.operatorReader, i.statusReader, i.observationsReader} {
-			read(f.t, reader)
+			mustRead(f.t, reader)
 		}
 	}
 	for _, i := range f.instances {
@@ -153,7 +153,7 @@
 	f.step()
 	f.step()
 	f.observations.restore(copied)
-	read(t, f.instances[1].observationsReader)
+	mustRead(t, f.instances[1].observationsReader)
 	if seen := f.instances[1].observations.view(f.instances[1].rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
 		t.Errorf("%d bad responses are counted, want 4", seen.newCounts.Bad)
 	}
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -23,12 +23,12 @@
 
 var testOrder = passthrough.Order{Service: "shop", Target: "v2", Duration: 20 * time.Second}
 
-func (p *parts) listServers() {
+func (p *testInstance) listServers() {
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.servers.apply(entry("two", "server shop v2 ready"))
 }
 
-func (p *parts) observeMany(version string, bad bool, count int) {
+func (p *testInstance) observeMany(version string, bad bool, count int) {
 	for range count {
 		p.observations.recordResponse(passthrough.Observation{Service: "shop", Route: "r", Version: version, Bad: bad})
 	}
@@ -38,7 +38,7 @@
 // roll-out takes the elapsed time and the counts from its peers and completes it in time.
 func TestRestartedInstanceCarriesTheRolloutOn(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
-	a := newParts("a", clock, status, observations)
+	a := newTestInstance("a", clock, status, observations)
 	a.listServers()
 	a.rollouts.applyOrder(testOrder, 1)
 	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
@@ -49,7 +49,7 @@
 	if err := observations.Append(t.Context(), keyedlog.AnyPosition, a.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
 	}
-	b := newParts("b", clock, status, observations)
+	b := newTestInstance("b", clock, status, observations)
 	b.listServers()
 	b.rollouts.applyOrder(testOrder, 1)
 	reader := b.observations.reader(clock, b.rollouts.active)
@@ -67,7 +67,7 @@
 // old ones are stopped at completion.
 func TestNoCompletionWithoutTheNewServers(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, status, &fakeLog{})
+	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.rollouts.applyOrder(testOrder, 1)
 	clock.advance(19500 * time.Millisecond)
@@ -81,10 +81,10 @@
 // applies an end from its topic, although its own observations would not lead to it.
 func TestEndReachesInstancesThatDoNotWrite(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	writer, follower := newParts("a", clock, status, &fakeLog{}), newParts("b", clock, status, &fakeLog{})
+	writer, follower := newTestInstance("a", clock, status, &fakeLog{}), newTestInstance("b", clock, status, &fakeLog{})
 	follower.rollouts.writesRegister = func() bool { return false }
 	reader := follower.rollouts.reader(status)
-	for _, p := range []*parts{writer, follower} {
+	for _, p := range []*testInstance{writer, follower} {
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 	}
@@ -117,8 +117,8 @@
 		want      passthrough.Phase
 	}{{2, 1, 0}, {0, 0, 0}, {minCleanResponses, 0, passthrough.PhaseCompleted}} {
 		clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
-		a, b := newParts("a", clock, status, observations), newParts("b", clock, status, observations)
-		for _, p := range []*parts{a, b} {
+		a, b := newTestInstance("a", clock, status, observations), newTestInstance("b", clock, status, observations)
+		for _, p := range []*testInstance{a, b} {
 			p.listServers()
 			p.rollouts.applyOrder(testOrder, 1)
 			p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
@@ -151,8 +151,8 @@
 // while its peers could not write their observations, waits for these before it completes a version.
 func TestNoCompletionRightAfterAPause(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
-	a, b := newParts("a", clock, status, observations), newParts("b", clock, status, observations)
-	for _, p := range []*parts{a, b} {
+	a, b := newTestInstance("a", clock, status, observations), newTestInstance("b", clock, status, observations)
+	for _, p := range []*testInstance{a, b} {
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 		p.rollouts.advanceAll(t.Context())
@@ -181,7 +181,7 @@
 // treats what it knows of its peers' observations as incomplete.
 func TestNoCompletionWhileNothingCanBeWritten(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
-	p := newParts("a", clock, status, observations)
+	p := newTestInstance("a", clock, status, observations)
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
 	r := p.rollouts.open["shop"]
@@ -207,36 +207,36 @@
 // servers are stopped.
 func TestHeldRolloutEndsOnceItsVersionIsCleared(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, status, &fakeLog{})
+	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
-	p.rollouts.statusRead = true // as after a read of the status topic
+	p.rollouts.registerRead = true // as after a read of the status topic
 	r := p.rollouts.open["shop"]
-	paced := func(count int, x float64) {
+	observeIntervals := func(count int, x float64) {
 		for range count {
 			s := passthrough.LogRatioStats{N: 1, Sum: x, Squares: x * x}
 			p.observations.recordResponse(passthrough.Observation{Service: "shop", Route: "r", Version: "v2", EventInterval: s})
 		}
 	}
-	look := func() passthrough.Phase {
+	step := func() passthrough.Phase {
 		p.observations.markRead(clock.Now())
 		p.rollouts.advance(t.Context(), r)
 		return r.ended
 	}
-	look()
-	paced(15, 0.05)
-	paced(15, 1.05)
+	step()
+	observeIntervals(15, 0.05)
+	observeIntervals(15, 1.05)
 	clock.advance(19500 * time.Millisecond)
-	if got := look(); got != 0 || !r.plan.Held {
+	if got := step(); got != 0 || !r.plan.Held {
 		t.Fatalf("without a verdict: ended as %v, plan %+v, want held", got, r.plan)
 	}
-	paced(60, 0)
+	observeIntervals(60, 0)
 	clock.advance(6 * time.Second)
-	if got := look(); got != 0 || r.plan.CompleteAt.IsZero() || r.plan.Held {
+	if got := step(); got != 0 || r.plan.CompleteAt.IsZero() || r.plan.Held {
 		t.Fatalf("found good: ended as %v, plan %+v, want an end in heldRolloutLead", got, r.plan)
 	}
 	clock.advance(heldRolloutLead)
-	if got := look(); got != passthrough.PhaseCompleted {
+	if got := step(); got != passthrough.PhaseCompleted {
 		t.Errorf("after heldRolloutLead: ended as %v, want completed", got)
 	}
 }
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -106,7 +106,7 @@
 		if ready {
 			ev = logging.EventReady
 		}
-		s.telemetry.emit(ev, slog.Int64(keyAge, s.config.Age().Milliseconds()), slog.Bool("stopping", stopping))
+		s.telemetry.emit(ev, slog.Int64(keyConfigAge, s.config.Age().Milliseconds()), slog.Bool("stopping", stopping))
 	}
 	if !ready {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -32,9 +32,9 @@
 	instances    *relay.Log
 
 	mu sync.Mutex
-	// held are records of followers, by topic, that are to be written with the own.
-	held   map[string][]keyedlog.Record
-	onHeld func()
+	// heldRecords are records of followers, by topic, that are to be written with the own.
+	heldRecords   map[string][]keyedlog.Record
+	onHeldRecords func()
 	// onFleetCount is called with the number of instances when it changes, reportedCount is
 	// the last one.
 	onFleetCount  func(int)
@@ -75,7 +75,7 @@
 func newSharing(cfg seam.Settings, store Store, records Records, tel *telemetry, clock Clock) *sharing {
 	s := &sharing{
 		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Domain, Address: cfg.PeerAddr, Cores: cfg.Cores},
-		store: store, telemetry: tel, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
+		store: store, telemetry: tel, clock: clock, heldRecords: map[string][]keyedlog.Record{}, onHeldRecords: func() {}, onFleetCount: func(int) {},
 		onPeers: func([]string) {},
 	}
 	for _, domain := range cfg.Domains {
@@ -117,9 +117,9 @@
 // nothing that is used: most entries are heartbeats.
 func equalServers(records Records) func(a, b keyedlog.Record) bool {
 	return func(a, b keyedlog.Record) bool {
-		serverA, errX := records.Server(a)
-		serverB, errY := records.Server(b)
-		return errX == nil && errY == nil && serverA == serverB
+		serverA, errA := records.Server(a)
+		serverB, errB := records.Server(b)
+		return errA == nil && errB == nil && serverA == serverB
 	}
 }
 
@@ -134,22 +134,22 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.held[topic])+len(records) > maxHeldRecords {
+	if len(s.heldRecords[topic])+len(records) > maxHeldRecords {
 		return keyedlog.ErrNotApplied
 	}
-	s.held[topic] = append(s.held[topic], records...)
+	s.heldRecords[topic] = append(s.heldRecords[topic], records...)
 	if topic == topicObservations {
-		s.onHeld()
+		s.onHeldRecords()
 	}
 	return nil
 }
 
-// takeHeld returns and removes the held records of a topic.
-func (s *sharing) takeHeld(topic string) []keyedlog.Record {
+// takeHeldRecords returns and removes the held records of a topic.
+func (s *sharing) takeHeldRecords(topic string) []keyedlog.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.held[topic]
-	delete(s.held, topic)
+	out := s.heldRecords[topic]
+	delete(s.heldRecords, topic)
 	return out
 }
 
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -112,7 +112,7 @@
 	collector.join(t.Context(), false)
 	sh := startPeer(t, st, clock, "small", 0.2)
 	sh.join(t.Context(), false)
-	collector.takeHeld(topicInstances) // the announcement is lost
+	collector.takeHeldRecords(topicInstances) // the announcement is lost
 	clock.advance(reannounceAfter + time.Second)
 	sh.reannounceIfMissing(t.Context())
 	collector.writeFollowers(t.Context())
@@ -130,11 +130,11 @@
 	sh := startPeer(t, st, clock, "strong", 0.8)
 	reader := sh.reader(t.Context())
 	sh.join(t.Context(), false)
-	read(t, reader)
+	mustRead(t, reader)
 	for _, keep := range []int{1, 0} {
 		before := own.appends
 		own.restore(keep)
-		read(t, reader)
+		mustRead(t, reader)
 		if announced := own.appends - before; announced != 1-keep || len(own.records) != 1 {
 			t.Errorf("%d records kept: announced %d times, %d records", keep, announced, len(own.records))
 		}
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -59,7 +59,7 @@
 		if n > 0 {
 			pending = append(pending, buf[:n]...)
 			whole, partial := splitEvents(pending)
-			count, orderErr := x.checkOrder(whole)
+			count, orderErr := x.advanceEventID(whole)
 			if orderErr == nil && len(whole) > 0 {
 				x.writeHead(resp)
 				x.writeEvents(whole)
@@ -80,11 +80,11 @@
 		case errors.Is(err, io.EOF) && len(pending) == 0 && events > 0:
 			return outcome{result: passthrough.Completed, eventInterval: eventInterval(x.handler.clock.Now().Sub(began), events)}
 		case errors.Is(err, io.EOF):
-			return outcome{result: passthrough.Broken, err: errTruncatedEvent}
+			return outcome{result: passthrough.Broken, err: errMalformedStream}
 		case err != nil:
 			return a.brokenOutcome(err)
 		default:
-			return outcome{result: passthrough.Broken, err: errTruncatedEvent}
+			return outcome{result: passthrough.Broken, err: errMalformedStream}
 		}
 	}
 }
@@ -126,7 +126,7 @@
 func (x *exchange) writeEvents(events []byte) {
 	writeAll(x.w, events)
 	if err := http.NewResponseController(x.w).Flush(); err != nil {
-		x.handler.telemetry.callerLost(x.call, err)
+		x.handler.telemetry.logCallerLost(x.call, err)
 	}
 }
 
@@ -141,10 +141,10 @@
 	return text[:end], text[end:]
 }
 
-// checkOrder checks that the events' ids continue those that the caller has, and counts the events
+// advanceEventID checks that the events' ids continue those that the caller has, and counts the events
 // with an id. Events without an id are not checked. It returns errEventOrder for a gap, a repetition
 // or a malformed id.
-func (x *exchange) checkOrder(events []byte) (count int, err error) {
+func (x *exchange) advanceEventID(events []byte) (count int, err error) {
 	lastID := x.stream.lastEventID
 	for line := range bytes.Lines(events) {
 		text, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:"))
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -31,9 +31,9 @@
 	// wait is how long a read waits for a record, pause the time between two reads.
 	wait  func() time.Duration
 	pause func() time.Duration
-	// maxRetry is the longest delay between two tries of a topic that does not answer,
+	// longestRetryDelay is the longest delay between two tries of a topic that does not answer,
 	// retryGrowth times the first one; 0 for maxRetryDelay.
-	maxRetry time.Duration
+	longestRetryDelay time.Duration
 	// wake ends a pause early; nil for none.
 	wake chan struct{}
 	// onSnapshot gets the newest record of each key, and onRecord each record that follows;
@@ -54,13 +54,13 @@
 
 // run follows the topic until ctx ends.
 func (t *topicReader) run(ctx context.Context) {
-	minDelay := max(minRetryDelay, t.maxRetry/retryGrowth)
+	minDelay := max(minRetryDelay, t.longestRetryDelay/retryGrowth)
 	delay := minDelay
 	for ctx.Err() == nil {
 		if err := t.readOnce(ctx); err != nil {
 			t.noteOutage(ctx, err)
 			sleep(ctx, delay, nil)
-			delay = min(2*delay, max(t.maxRetry, maxRetryDelay))
+			delay = min(2*delay, max(t.longestRetryDelay, maxRetryDelay))
 			continue
 		}
 		delay = minDelay
@@ -157,12 +157,12 @@
 }
 
 // sleep waits for d, for a value on wake or for the end of ctx.
-func sleep(ctx context.Context, d time.Duration, nudge <-chan struct{}) {
+func sleep(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-nudge:
+	case <-wake:
 	case <-ctx.Done():
 	}
 }
