--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks checks that an instance whose configuration
+// TestRestoredStoreDoesNotConfirmNewerConfiguration checks that an instance whose configuration
 // is newer than the restored store's leaves the rotation, then refuses keys, and returns once the
 // operator has written the configuration again.
-func TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks(t *testing.T) {
+func TestRestoredStoreDoesNotConfirmNewerConfiguration(t *testing.T) {
 	p, reader, log, clock := restoredConfig(t, true)
 	if v := p.config.Index().Version; v != 9 {
 		t.Fatalf("version %d is in force, want 9", v)
@@ -55,10 +55,10 @@
 	}
 }
 
-// TestReadsOfACopyConfirmAfterAWhile checks that a configuration which the restored store still has
+// TestRestoredStoreConfirmsAfterDelay checks that a configuration which the restored store still has
 // stays unconfirmed only until the operator has had time to write a newer one again, and that no
 // instance leaves the rotation meanwhile.
-func TestReadsOfACopyConfirmAfterAWhile(t *testing.T) {
+func TestRestoredStoreConfirmsAfterDelay(t *testing.T) {
 	p, reader, _, clock := restoredConfig(t, false)
 	before := p.config.Age()
 	clock.advance(time.Second)
--- a/router/internal/passthrough/knowledge_test.go
+++ b/router/internal/passthrough/configstate_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestOperatorReaderGoesOnAfterDroppedRecords(t *testing.T) {
+func TestOperatorReaderContinuesAfterTrim(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	log.add("config", "config 1")
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestOrdersAreKnownBeforeRequestsAreLetIn checks that a snapshot's roll-out orders are applied as well
+// TestSnapshotAppliesOrdersAndConfiguration checks that a snapshot's roll-out orders are applied as well
 // as its configuration, which admits requests.
-func TestOrdersAreKnownBeforeRequestsAreLetIn(t *testing.T) {
+func TestSnapshotAppliesOrdersAndConfiguration(t *testing.T) {
 	clock := newFakeClock()
 	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	seen := false
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -20,9 +20,9 @@
 func (noHeaders) ReadResponse(int, http.Header) seam.Response            { return seam.Response{} }
 func (noHeaders) ResponseHeaders(h http.Header) http.Header              { return h }
 
-// TestConnectionsAreNotKeptWhereDescriptorsRunOut opens one connection after the other, as
+// TestIdleConnectionsAreClosedPastTheLimit opens one connection after the other, as
 // callers do that retry after a refusal. Past the limit each is closed after its response.
-func TestConnectionsAreNotKeptWhereDescriptorsRunOut(t *testing.T) {
+func TestIdleConnectionsAreClosedPastTheLimit(t *testing.T) {
 	clock := newFakeClock()
 	config := NewConfigState(clock, time.Second)
 	gate := newStartGate()
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/crashkeys_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestVersionThatCutsAnswersOffIsBad checks that a version is found bad whose servers keep running
+// TestVersionThatTruncatesResponsesIsBad checks that a version is found bad whose servers keep running
 // and truncate a third of all responses.
-func TestVersionThatCutsAnswersOffIsBad(t *testing.T) {
+func TestVersionThatTruncatesResponsesIsBad(t *testing.T) {
 	clock := newFakeClock()
 	a := startRollout(t, "a", clock)
 	for i := range 30 {
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// TestOrderIsKnownBeforeTheConfiguration guards against an instance that starts while a failure
+// TestDrainOrderIsAppliedBeforeTheConfiguration guards against an instance that starts while a failure
 // domain is drained and sends requests there: requests are admitted once the configuration is in
 // force, so drain orders must be applied first.
-func TestOrderIsKnownBeforeTheConfiguration(t *testing.T) {
+func TestDrainOrderIsAppliedBeforeTheConfiguration(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	var drainedThen bool
 	p.operator.records = spyRecords{seen: func() { drainedThen = p.operator.drained["a"] }}
--- a/router/internal/passthrough/pooling_test.go
+++ b/router/internal/passthrough/observation_delay_test.go
@@ -103,10 +103,10 @@
 	return b
 }
 
-// TestPooledCountsOf300InstancesAreSoonKnown bounds the age of the pooled counts at the instances that
+// TestObservationsReachAllWritersInTime bounds the age of the pooled counts at the instances that
 // write verdicts: a bad version must be out within 5 s of its 50th bad response, and evaluating the
 // counts, writing the end and distributing it take one of them.
-func TestPooledCountsOf300InstancesAreSoonKnown(t *testing.T) {
+func TestObservationsReachAllWritersInTime(t *testing.T) {
 	const oldest = 4 * time.Second
 	for name, rejectsFirst := range map[string]func(int) bool{
 		"the store serves all readers":  func(int) bool { return false },
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestOldNotesOnCrashesDoNotCount checks that an instance which starts after a crash does not
+// TestOldCrashRecordsAreIgnored checks that an instance which starts after a crash does not
 // count its record, and that the record is deleted from the store in the end.
-func TestOldNotesOnCrashesDoNotCount(t *testing.T) {
+func TestOldCrashRecordsAreIgnored(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
 	a := newTestInstance("a", clock, &fakeLog{}, observations)
 	for range 3 {
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestWhatAProcessSawOutlivesIt kills an instance after it saw bad responses: they still
+// TestObservationsSurviveARestart kills an instance after it saw bad responses: they still
 // count, together with those that it sees after the restart.
-func TestWhatAProcessSawOutlivesIt(t *testing.T) {
+func TestObservationsSurviveARestart(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	write := func(p *testInstance) {
 		if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
@@ -133,10 +133,10 @@
 	}
 }
 
-// TestReaderTakesABadVersionBackInTheEnd guards against a bad version that stays because only an
+// TestNonWriterRevertsBadVersionAfterTimeout guards against a bad version that stays because only an
 // instance that does not write the register sees it fail: that instance reverts it after
 // revertTimeout.
-func TestReaderTakesABadVersionBackInTheEnd(t *testing.T) {
+func TestNonWriterRevertsBadVersionAfterTimeout(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.rollouts.writesRegister = func() bool { return false }
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/random_test.go
@@ -10,10 +10,10 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// TestConfigurationHistories runs seeded histories of an operator and of instances that read
+// TestRandomConfigurations runs seeded histories of an operator and of instances that read
 // in any order, find the store unavailable or records dropped, and restart: no instance goes
 // back to an earlier version, and each has the newest one after a read.
-func TestConfigurationHistories(t *testing.T) {
+func TestRandomConfigurations(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomConfigurations(t, seed) })
 	}
@@ -70,11 +70,11 @@
 	}
 }
 
-// TestQuarantineHistories runs seeded histories of a request that crashes each server that
+// TestRandomQuarantine runs seeded histories of a request that crashes each server that
 // runs it and is retried at any instance, among requests that crash a server only now and
 // then. Once three crashes are known to all instances the first must not run again, and the
 // others must not be quarantined.
-func TestQuarantineHistories(t *testing.T) {
+func TestRandomQuarantine(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomQuarantine(t, seed) })
 	}
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestLostAnswerOfTheEndIsReadBack guards against a second end where a write took effect but its
+// TestUnknownWriteResultIsReadBack guards against a second end where a write took effect but its
 // result was lost: the register is read before anything is written again.
-func TestLostAnswerOfTheEndIsReadBack(t *testing.T) {
+func TestUnknownWriteResultIsReadBack(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
@@ -57,10 +57,10 @@
 	}
 }
 
-// TestRegisterHistories runs seeded histories of instances that plan, lose results of writes,
+// TestRandomRegisterWrites runs seeded histories of instances that plan, lose results of writes,
 // find the store unavailable, and restart, in any order: one end is written, no instance
 // holds another, and a version that was reported to fail is never completed.
-func TestRegisterHistories(t *testing.T) {
+func TestRandomRegisterWrites(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomRegister(t, seed) })
 	}
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestCountsOfACopyDoNotReplaceLaterOnes checks that earlier counts in a restored store do not replace
+// TestRestoredCountsDoNotReplaceLaterOnes checks that earlier counts in a restored store do not replace
 // the later ones that an instance has read from its peers, before they write again.
-func TestCountsOfACopyDoNotReplaceLaterOnes(t *testing.T) {
+func TestRestoredCountsDoNotReplaceLaterOnes(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
 	f.operator.add("order/shop", orderValue)
 	f.step()
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestRestartedInstanceCarriesTheRolloutOn checks that an instance which starts in the middle of a
+// TestLateInstanceCompletesRolloutInTime checks that an instance which starts in the middle of a
 // roll-out takes the elapsed time and the counts from its peers and completes it in time.
-func TestRestartedInstanceCarriesTheRolloutOn(t *testing.T) {
+func TestLateInstanceCompletesRolloutInTime(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	a := newTestInstance("a", clock, status, observations)
 	a.listServers()
@@ -108,10 +108,10 @@
 	}
 }
 
-// TestNoCompletionBeforeTheOthersCanTell guards against the completion of a bad version right after
+// TestNoCompletionBeforePeersReport guards against the completion of a bad version right after
 // an outage of the store at the end of a roll-out: an instance that saw few responses of the new
 // version waits for the observations of its peers.
-func TestNoCompletionBeforeTheOthersCanTell(t *testing.T) {
+func TestNoCompletionBeforePeersReport(t *testing.T) {
 	for _, c := range []struct {
 		good, bad int
 		want      passthrough.Phase
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestNoCompletionRightAfterAPause checks that an instance which was suspended for most of a roll-out,
+// TestNoCompletionRightAfterSuspension checks that an instance which was suspended for most of a roll-out,
 // while its peers could not write their observations, waits for these before it completes a version.
-func TestNoCompletionRightAfterAPause(t *testing.T) {
+func TestNoCompletionRightAfterSuspension(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	a, b := newTestInstance("a", clock, status, observations), newTestInstance("b", clock, status, observations)
 	for _, p := range []*testInstance{a, b} {
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestNoCompletionWhileNothingCanBeWritten checks that an instance which cannot write its own set
+// TestNoCompletionWhileObservationsCannotBeWritten checks that an instance which cannot write its own set
 // treats what it knows of its peers' observations as incomplete.
-func TestNoCompletionWhileNothingCanBeWritten(t *testing.T) {
+func TestNoCompletionWhileObservationsCannotBeWritten(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	p := newTestInstance("a", clock, status, observations)
 	p.listServers()
@@ -202,10 +202,10 @@
 	}
 }
 
-// TestHeldRolloutEndsOnceItsVersionIsCleared holds a roll-out past its time while there is no verdict
+// TestHeldRolloutEndsAfterLead holds a roll-out past its time while there is no verdict
 // on its version. Once that is found good it gets all new work for heldRolloutLead before the old
 // servers are stopped.
-func TestHeldRolloutEndsOnceItsVersionIsCleared(t *testing.T) {
+func TestHeldRolloutEndsAfterLead(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
--- a/router/internal/passthrough/list_restore_test.go
+++ b/router/internal/passthrough/serverlist_restore_test.go
@@ -25,9 +25,9 @@
 	return p, reader, log, clock
 }
 
-// TestServersThatACopyLacksStayForAWhile guards against dropping a server that started since the copy:
+// TestServersMissingAfterRestoreAreKept guards against dropping a server that started since the copy:
 // it stays for lapseGrace, within which a live one writes again.
-func TestServersThatACopyLacksStayForAWhile(t *testing.T) {
+func TestServersMissingAfterRestoreAreKept(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if !p.servers.has("started") || !p.servers.has("stays") {
 		t.Fatalf("entries %v", p.servers.entries)
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestServersThatLeftDoNotComeBackWithACopy guards against calls to a server that left since the copy,
+// TestServersThatLeftStayGoneAfterRestore guards against calls to a server that left since the copy,
 // whose address may belong to another one by now.
-func TestServersThatLeftDoNotComeBackWithACopy(t *testing.T) {
+func TestServersThatLeftStayGoneAfterRestore(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if p.servers.has("left") {
 		t.Fatal("a server that had left is back")
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestServerThatWritesAgainIsBelieved checks that a live server which counted as gone is used once it
+// TestServerThatWritesAgainIsUsed checks that a live server which counted as gone is used once it
 // writes again, and also after unconfirmedDelay where the collector does not pass on its heartbeats.
-func TestServerThatWritesAgainIsBelieved(t *testing.T) {
+func TestServerThatWritesAgainIsUsed(t *testing.T) {
 	p, reader, log, _ := restoredList(t)
 	log.add("left", "server shop v1 ready")
 	if err := reader.readOnce(t.Context()); err != nil || !p.servers.has("left") {
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/serverlist_test.go
@@ -11,7 +11,7 @@
 
 func (l *serverList) has(id string) bool { _, ok := l.entries[id]; return ok }
 
-func TestEntryThatCannotBeReadNamesNoServer(t *testing.T) {
+func TestMalformedEntryRemovesServer(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.servers.apply(entry("two", "???"))
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestEntriesThatLapsedInAnOutageAreBelievedForAWhile guards against dropping live servers after an
+// TestEntriesThatExpiredInAnOutageAreKept guards against dropping live servers after an
 // outage of the store in which their entries expired: they are kept for lapseGrace.
-func TestEntriesThatLapsedInAnOutageAreBelievedForAWhile(t *testing.T) {
+func TestEntriesThatExpiredInAnOutageAreKept(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.servers.reader(log, clock)
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestFollowersHearOfChangesAtOnce checks that an instance that reads the list from a peer waits there
+// TestFollowerReadsWaitForChanges checks that an instance that reads the list from a peer waits there
 // for changes, and that one that reads the store does not: every heartbeat is a change there.
-func TestFollowersHearOfChangesAtOnce(t *testing.T) {
+func TestFollowerReadsWaitForChanges(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	if p.servers.wait() != 0 || p.servers.pause() != p.servers.readInterval() {
 		t.Errorf("reading the store: wait %v, pause %v", p.servers.wait(), p.servers.pause())
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -74,10 +74,10 @@
 	return sh
 }
 
-// TestFollowersAreEnlistedTogether checks that a collector announces the small instances that start
+// TestFollowersAreAnnouncedInOneCall checks that a collector announces the small instances that start
 // after it with one call for all of them, and that each reads only the list of its own failure
 // domain.
-func TestFollowersAreEnlistedTogether(t *testing.T) {
+func TestFollowersAreAnnouncedInOneCall(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestInstanceIsToldAgainWhereItsCollectorLostIt checks that an instance announces itself again if
+// TestInstanceReannouncesIfCollectorLostIt checks that an instance announces itself again if
 // its collector ends before it has written the announcement.
-func TestInstanceIsToldAgainWhereItsCollectorLostIt(t *testing.T) {
+func TestInstanceReannouncesIfCollectorLostIt(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestInstanceThatACopyLacksIsToldAgain checks that an instance announces itself again after a restore
+// TestInstanceReannouncesAfterRestore checks that an instance announces itself again after a restore
 // that lost its entry, and does not if the entry is still there.
-func TestInstanceThatACopyLacksIsToldAgain(t *testing.T) {
+func TestInstanceReannouncesAfterRestore(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	own := st.domain("a")
 	own.era = 1
--- a/router/internal/passthrough/starting_test.go
+++ b/router/internal/passthrough/startgate_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestCallersWaitUntilTheProcessKnows guards against refusals right after a start: requests are held
+// TestRequestsWaitForPrerequisites guards against refusals right after a start: requests are held
 // until all prerequisites are loaded.
-func TestCallersWaitUntilTheProcessKnows(t *testing.T) {
+func TestRequestsWaitForPrerequisites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartGate()
 		began := time.Now()
@@ -32,9 +32,9 @@
 	})
 }
 
-// TestCallersAreNotHeldForLong checks that requests are held for startTimeout at most where a
+// TestRequestsAreNotHeldPastStartTimeout checks that requests are held for startTimeout at most where a
 // prerequisite is missing, and not after their caller has disconnected.
-func TestCallersAreNotHeldForLong(t *testing.T) {
+func TestRequestsAreNotHeldPastStartTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStartGate()
 		began := time.Now()
