--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -37,11 +37,12 @@
 }
 
 const (
-	// memoryLimitFraction is the fraction of the memory at which the garbage collector
-	// works harder.
+	// memoryLimitFraction times Settings.MemoryBytes is the soft memory limit of the Go
+	// runtime, near which the garbage collector runs more often.
 	memoryLimitFraction = 0.6
-	// retryRatioFraction is the fraction of the retry budget's ratio that is used: a
-	// request counted here may fall into another window of the platform's count.
+	// retryRatioFraction times the platform's retry ratio is the ratio applied here. The
+	// margin is needed because the platform may count a request in another window than this
+	// instance does.
 	retryRatioFraction = 0.85
 	// settingsPollInterval is the time between two checks of the settings file.
 	settingsPollInterval = 5 * time.Second
@@ -199,8 +200,8 @@
 	})
 }
 
-// joinAndRun joins the other instances before it starts the readers: an instance that knows
-// its collector needs no reads of its own.
+// joinAndRun joins the other instances before it starts the readers, so that they read from
+// this instance's collector, if it has one, instead of from the store.
 func joinAndRun(ctx context.Context, sh *sharing, firstStart bool, runs []func(context.Context)) {
 	sh.join(ctx, firstStart)
 	for _, run := range runs {
@@ -208,8 +209,8 @@
 	}
 }
 
-// watchSettings reads the settings file again on SIGHUP and every settingsPollInterval. Only
-// the revocation bound takes effect at once; addresses stay until the next start.
+// watchSettings reads the settings file again on SIGHUP and every settingsPollInterval. Only a
+// changed revocation bound takes effect; other changes need a restart.
 func watchSettings(lc fx.Lifecycle, p Platform, cfg seam.Settings, config *ConfigState, tel *telemetry) {
 	hup := make(chan os.Signal, 1)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -16,8 +16,8 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// attempt is one try of a request at one backend server. It uses a connection of its own:
-// when a reused connection breaks, nothing tells whether the request ran.
+// attempt sends a request once to one backend server. It uses a connection of its own: if a
+// reused connection breaks, it is unknown whether the request ran.
 type attempt struct {
 	exchange         *exchange
 	server           passthrough.Server
@@ -26,7 +26,7 @@
 	firstByteTimeout time.Duration
 
 	conn *conn
-	// timedOut is set when the idle watch has closed the connection.
+	// timedOut is true if the idle watch has closed the connection.
 	timedOut atomic.Bool
 	// firstByte is the time from startedAt to the response head.
 	firstByte time.Duration
@@ -43,30 +43,32 @@
 type outcome struct {
 	result   passthrough.Result
 	response *response
-	// load and limit are from the response head, nil if absent. loadReported says that the
-	// decision got them when the head arrived, as for streams.
+	// load and limit are from the response head, nil if absent. loadReported is true if they
+	// were already passed to the decision when the head arrived, as for streams.
 	load           *passthrough.Load
 	limit          *passthrough.RateLimit
 	loadReported   bool
 	misdirected    bool
 	leaving        bool
 	connectionLost bool
-	eventInterval  time.Duration
-	firstByte      time.Duration
-	// confidence is the one that the backend server states, -1 for none;
-	// confidenceThreshold is the one below which the response is dropped.
+	// eventInterval is the mean time between the events of a stream, 0 for fewer than two.
+	// For a plain response it is the time from startedAt to the end of the response.
+	eventInterval time.Duration
+	firstByte     time.Duration
+	// confidence is the confidence that the backend server states, -1 for none. A response
+	// whose confidence is below confidenceThreshold is dropped.
 	confidence          float64
 	confidenceThreshold float64
 	err                 error
 }
 
 var (
-	errWrongRequest     = errors.New("the response belongs to another request")
-	errUnverified       = errors.New("the response is a success without a signature or with an altered body")
+	errWrongRequest     = errors.New("the response belongs to another request, or is a plain response to a request that continues a stream")
+	errUnverified       = errors.New("the response is a success without a signature, or its body is not the bytes that the backend server sent")
 	errMisleadingStatus = errors.New("the status implies that the request did not run, but the backend server does not confirm it")
 	errTimedOut         = errors.New("timed out: the backend server sent nothing for too long")
 	errEventOrder       = errors.New("an event of the stream is missing, repeated or has a malformed id")
-	errMalformedStream  = errors.New("the stream has no numbered event, ends within an event, or an event exceeds the size limit")
+	errMalformedStream  = errors.New("the stream ended without a numbered event or within an event, or an event exceeds the size limit")
 )
 
 // run sends the request and reads the response.
@@ -166,7 +168,8 @@
 }
 
 // reportsLimit reports whether a response states the server's rate limit, or that it has none. Only
-// a success states that there is none: whatever writes a refusal or a failure may not know.
+// a success states that there is none: a refusal or failure may come from a component that does not
+// know the limit.
 func reportsLimit(status int, meta seam.Response) bool {
 	if meta.Misdirected {
 		return false
@@ -196,7 +199,7 @@
 	return a.readWhole(resp)
 }
 
-// impliesNotRun reports whether callers read the status as a promise that the request did not run.
+// impliesNotRun reports whether callers infer from the status that the request did not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
@@ -212,7 +215,7 @@
 	return err == nil && mediaType == "text/event-stream"
 }
 
-// maxResponseBytes bounds the body of a plain response.
+// maxResponseBytes is the size at which the body of a plain response is cut off.
 const maxResponseBytes = 16 << 20
 
 // readWhole reads a plain response to its end before any of it goes to the caller.
--- a/router/internal/passthrough/config_restore.go
+++ b/router/internal/passthrough/config_restore.go
@@ -7,12 +7,13 @@
 
 // restoreGuard decides whether a read of the operator's records confirms the configuration in
 // force. After a restore of the store, reads confirm it only once the operator has had time to
-// write again what the copy lacks.
+// write again what the restored store lacks.
 //
 // Load: a configuration that revokes a key is acknowledged and then lost in the restore. Harm
-// prevented: every read of the copy says that nothing newer exists, and the key is accepted for
-// longer than the revocation bound. While no read confirms, the configuration ages as in an
-// outage of the store: the instance first leaves the rotation, then refuses requests with keys.
+// prevented: every read of the restored store implies that nothing newer exists, and the key is
+// accepted for longer than the revocation bound. While no read confirms the configuration, it ages
+// as in an outage of the store: the instance first leaves the rotation, then refuses requests with
+// keys.
 type restoreGuard struct {
 	clock  Clock
 	config *ConfigState
@@ -20,18 +21,18 @@
 	mu sync.Mutex
 	// storedVersion is the highest version read from the store since the last restore.
 	storedVersion uint64
-	// confirmsAfter is when reads confirm again; rewritten says that a configuration was written
-	// since the restore.
+	// confirmsAfter is when reads confirm again; rewritten is true if a configuration was
+	// written since the restore, in which case they confirm at once.
 	confirmsAfter time.Time
 	rewritten     bool
 }
 
 // confirmDelayFraction is the fraction of the revocation bound for which reads of a restored store
-// confirm nothing. Together with the configuration's age at the start of the outage it stays
-// below the half at which an instance leaves the rotation.
+// confirm nothing. Added to the configuration's age at the start of the outage, the delay must stay
+// below unreadyFraction, at which an instance leaves the rotation.
 const confirmDelayFraction = 0.25
 
-// onRestore notes that the store was restored.
+// onRestore starts the delay in which reads of the restored store confirm nothing.
 func (g *restoreGuard) onRestore() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -39,8 +40,8 @@
 	g.confirmsAfter = g.clock.Now().Add(fractionOf(confirmDelayFraction, g.config.Bound()))
 }
 
-// noteStored records a version that the store has. written says that it was read as a new record
-// and not as part of a snapshot.
+// noteStored records a version that the store has. written is true if it was read as a new record,
+// false if as part of a snapshot.
 func (g *restoreGuard) noteStored(version uint64, written bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// restoredConfig returns an instance that has configuration 9 in force. Its store was restored with
-// version 5 only if lost is set, else with both.
+// restoredConfig returns an instance that has configuration 9 in force. Its store was then restored
+// from a backup that has only configuration 5 if lost is true, and configurations 5 and 9 if not.
 func restoredConfig(t *testing.T, lost bool) (*testInstance, *topicReader, *fakeLog, *fakeClock) {
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestRestoredStoreDoesNotConfirmNewerConfiguration checks that an instance whose configuration
-// is newer than the restored store's leaves the rotation, then refuses keys, and returns once the
-// operator has written the configuration again.
+// TestRestoredStoreDoesNotConfirmNewerConfiguration guards against accepting a key that a lost
+// configuration revoked: an instance whose configuration is newer than the restored store's leaves
+// the rotation, then refuses keys, and returns once the operator has written the configuration again.
 func TestRestoredStoreDoesNotConfirmNewerConfiguration(t *testing.T) {
 	p, reader, log, clock := restoredConfig(t, true)
 	if v := p.config.Index().Version; v != 9 {
@@ -56,8 +56,8 @@
 }
 
 // TestRestoredStoreConfirmsAfterDelay checks that a configuration which the restored store still has
-// stays unconfirmed only until the operator has had time to write a newer one again, and that no
-// instance leaves the rotation meanwhile.
+// is confirmed again after confirmDelayFraction of the revocation bound, the operator's time to write
+// a newer one again, and that the instance stays in the rotation meanwhile.
 func TestRestoredStoreConfirmsAfterDelay(t *testing.T) {
 	p, reader, _, clock := restoredConfig(t, false)
 	before := p.config.Age()
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestKeyRevokedBeforeARestoreStaysRevoked restores the store to each earlier version after a
-// configuration that revokes a key: the version in force never goes back, and is confirmed once it has
-// been written again.
+// TestKeyRevokedBeforeARestoreStaysRevoked guards against accepting a revoked key after a restore: for
+// each number of records that the backup has, the version in force does not decrease, and is confirmed
+// once it is written again.
 func TestKeyRevokedBeforeARestoreStaysRevoked(t *testing.T) {
 	for keep := 1; keep <= 4; keep++ {
 		clock, log := newFakeClock(), &fakeLog{era: 1}
@@ -125,7 +125,7 @@
 }
 
 // TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable checks that a configuration which
-// a peer reported as superseded does not become fresh again once those reports have expired.
+// a peer reported as superseded does not become fresh again when the report expires.
 func TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable(t *testing.T) {
 	_, _, log, clock := restoredConfig(t, true)
 	p := newTestInstance("late", clock, &fakeLog{}, &fakeLog{})
--- a/router/internal/passthrough/configstate.go
+++ b/router/internal/passthrough/configstate.go
@@ -19,19 +19,20 @@
 	// confirmedAt is the start of the last read that confirmed it, in Unix nanoseconds; 0 for
 	// never.
 	confirmedAt atomic.Int64
-	// lostVersion is a version that a peer knows and the store lacks, reported at
-	// lostReportedAt (Unix nanoseconds).
+	// lostVersion is the highest version that a peer knows and a restored store lacks, reported
+	// at lostReportedAt (Unix nanoseconds).
 	lostVersion    atomic.Uint64
 	lostReportedAt atomic.Int64
 }
 
 // Fractions of the revocation bound.
 const (
-	// refuseFraction is the age from which requests with keys are refused: the remainder
-	// covers the way to the backend server and clock drift.
+	// refuseFraction is the age from which requests with keys are refused. The remainder of the
+	// bound covers the time to reach the backend server and clock drift.
 	refuseFraction = 0.9
 	// unreadyFraction is the age from which readiness fails, so that the load balancer,
-	// which needs two seconds to notice, moves callers elsewhere before they are refused.
+	// which needs two seconds to notice, sends callers to other instances before they are
+	// refused.
 	unreadyFraction = 0.5
 )
 
@@ -64,7 +65,7 @@
 	return x, true
 }
 
-// Confirm notes that a read which started at began found the configuration in force current.
+// Confirm records that a read which started at began found the configuration in force to be current.
 // It has no effect while a peer reports a later version.
 func (s *ConfigState) Confirm(began time.Time) {
 	if s.isSuperseded() {
@@ -91,7 +92,7 @@
 
 // ReportLostVersion records the highest version that a peer knows and a restored store lacks; 0 for
 // none. If that version is later than the one in force, earlier confirmations by the restored store
-// are dropped and stay so when the report expires.
+// are discarded; they do not become valid again when the report expires.
 func (s *ConfigState) ReportLostVersion(version uint64) {
 	if version == 0 {
 		return
@@ -105,15 +106,15 @@
 
 // isSuperseded reports whether a peer knows a later configuration, which the store has lost.
 //
-// Load: an instance starts right after a restore. Harm prevented: it accepts revoked keys by the
-// restored configuration.
+// Load: an instance starts right after a restore. Harm prevented: it accepts keys that the lost
+// configuration revoked.
 func (s *ConfigState) isSuperseded() bool {
 	reportedAt := time.Unix(0, s.lostReportedAt.Load())
 	index := s.index.Load()
 	return index != nil && index.Version < s.lostVersion.Load() && s.clock.Now().Sub(reportedAt) < lostVersionTTL
 }
 
-// Fresh reports whether the configuration is recent enough to accept keys by it.
+// Fresh reports whether the configuration was confirmed recently enough to accept keys by it.
 func (s *ConfigState) Fresh() bool { return s.ageWithin(refuseFraction) }
 
 // Ready reports whether the load balancer should send callers here.
--- a/router/internal/passthrough/configstate_test.go
+++ b/router/internal/passthrough/configstate_test.go
@@ -9,7 +9,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// TestConfigurationAgeCountsFromTheStartOfItsRead guards against keys that are accepted past the
+// TestConfigurationAgeCountsFromTheStartOfItsRead guards against accepting keys past the revocation
 // bound: a configuration written while a read is in progress may be missing from its result.
 func TestConfigurationAgeCountsFromTheStartOfItsRead(t *testing.T) {
 	clock := newFakeClock()
@@ -38,6 +38,8 @@
 	}
 }
 
+// TestConfigurationNeverGoesBack guards against replacing the configuration in force by an older or
+// equal version.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	state := NewConfigState(newFakeClock(), time.Second)
 	state.Apply(passthrough.Config{Version: 7})
@@ -51,6 +53,8 @@
 	}
 }
 
+// TestOperatorReaderContinuesAfterTrim guards against losing the configuration if records are
+// malformed, out of order or trimmed before they are read, and against confirming it by a failed read.
 func TestOperatorReaderContinuesAfterTrim(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
@@ -58,30 +62,30 @@
 	reader := p.operator.reader(log, clock)
 	step := func() error { return reader.readOnce(t.Context()) }
 	if err := step(); err != nil || p.config.Index().Version != 1 {
-		t.Fatalf("%v", err)
+		t.Fatalf("first read: error %v, want none and version 1 in force", err)
 	}
 	log.add("config", "config 2")
 	log.add("order/x", "nonsense")
 	log.add("config", "config 5")
 	log.add("config", "config 4")
 	if err := step(); err != nil || p.config.Index().Version != 5 {
-		t.Fatalf("version %d, %v", p.config.Index().Version, err)
+		t.Fatalf("after malformed and unordered records: version %d, error %v", p.config.Index().Version, err)
 	}
 	log.add("config", "config 8")
 	log.firstKept = uint64(len(log.records))
 	if err := step(); err != nil || p.config.Index().Version != 8 {
-		t.Fatalf("after records were dropped: version %d, error %v", p.config.Index().Version, err)
+		t.Fatalf("after records were trimmed: version %d, error %v", p.config.Index().Version, err)
 	}
 	log.readErrs = []error{keyedlog.ErrUnknown}
 	clock.advance(time.Second)
 	age := p.config.Age()
 	if err := step(); !errors.Is(err, keyedlog.ErrUnknown) || p.config.Age() != age {
-		t.Error("a read without an answer confirmed the configuration")
+		t.Error("a failed read confirmed the configuration")
 	}
 }
 
-// TestSnapshotAppliesOrdersAndConfiguration checks that a snapshot's roll-out orders are applied as well
-// as its configuration, which admits requests.
+// TestSnapshotAppliesOrdersAndConfiguration guards against admitting requests without the roll-outs in
+// progress: a snapshot's roll-out orders are applied as well as its configuration, which admits requests.
 func TestSnapshotAppliesOrdersAndConfiguration(t *testing.T) {
 	clock := newFakeClock()
 	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
--- a/router/internal/passthrough/conns.go
+++ b/router/internal/passthrough/conns.go
@@ -11,7 +11,8 @@
 // Load: callers that are refused retry on a new connection each time, while the earlier ones
 // stay open for the idle timeout. Harm prevented: the process runs out of file descriptors, can
 // neither accept connections nor dial backend servers, and callers wait in vain until their
-// deadline: 1,800 of 38,000 tries did, with 4,000 descriptors used up in ten seconds.
+// deadline. 4,000 descriptors can be used up within ten seconds, and up to 5 in 100 requests then
+// wait in vain (1,800 of 38,000).
 type callerConns struct {
 	open atomic.Int64
 	// idleLimit is how many may stay open between requests, 0 for no limit.
@@ -19,16 +20,16 @@
 }
 
 const (
-	// idleConnFraction is the fraction of the descriptors that callers' idle connections may
-	// take: requests in progress need as many again, and so do their connections to backend
-	// servers.
+	// idleConnFraction is the fraction of the unreserved descriptors that idle connections of
+	// callers may use. Requests in progress need as many, and so do their connections to
+	// backend servers; the rest is a margin.
 	idleConnFraction = 0.25
 	// reservedDescriptors is how many descriptors are kept for files, the store and peers.
 	reservedDescriptors = 200
 )
 
-// newCallerConns returns the counter for a process that may open files descriptors, 0 if that is
-// not known.
+// newCallerConns returns a counter for a process that may open at most maxFiles file descriptors;
+// 0 means unknown, and sets no limit.
 func newCallerConns(maxFiles int) *callerConns {
 	return &callerConns{idleLimit: int64(idleConnFraction * float64(max(maxFiles-reservedDescriptors, 0)))}
 }
--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -20,8 +20,9 @@
 func (noHeaders) ReadResponse(int, http.Header) seam.Response            { return seam.Response{} }
 func (noHeaders) ResponseHeaders(h http.Header) http.Header              { return h }
 
-// TestIdleConnectionsAreClosedPastTheLimit opens one connection after the other, as
-// callers do that retry after a refusal. Past the limit each is closed after its response.
+// TestIdleConnectionsAreClosedPastTheLimit guards against running out of file descriptors: with
+// callers that open a new connection for each retry, each connection past the limit is closed after
+// its response.
 func TestIdleConnectionsAreClosedPastTheLimit(t *testing.T) {
 	clock := newFakeClock()
 	config := NewConfigState(clock, time.Second)
--- a/router/internal/passthrough/crashkeys.go
+++ b/router/internal/passthrough/crashkeys.go
@@ -8,15 +8,17 @@
 )
 
 const (
-	// crashWindowMS is the window, in milliseconds since the roll-out order, within which
-	// responses that one server truncates count as one crash: the instances know the time
-	// since the order to some tenths of a second.
+	// crashWindowMS is the length, in milliseconds, of the windows into which the time since
+	// the roll-out order is divided. Responses that one server truncates within one window
+	// count as one crash. The window is long compared with the differences between the
+	// instances, which know the time since the order to some tenths of a second.
 	crashWindowMS = 2000
-	// maxCrashKeys bounds the crashes that a set lists for a route: more than a verdict needs.
+	// maxCrashKeys is the maximum number of crashes that a set lists for a route; a verdict
+	// needs fewer.
 	maxCrashKeys = 64
 )
 
-// crashKey names a crash of a server. All instances derive the same key.
+// crashKey returns the key that identifies a crash of a server. All instances compute the same key.
 func crashKey(server string, elapsedMS int64) string {
 	return fmt.Sprintf("%08x/%d", uint32(hashOf(server)), elapsedMS/crashWindowMS)
 }
@@ -24,10 +26,10 @@
 // addCrash records that a server of the new version truncated a response.
 //
 // Load: a canary of few servers, of which some crash as old ones do, each with a dozen responses in
-// progress. Harm prevented: a good version is reverted, since eight responses that broke with three
-// servers, counted one by one, were eight failures of eighty. All that one server truncates at
-// about the same time counts as one failure, whichever instances saw it. A version that truncates
-// responses again and again is still found.
+// progress. Harm prevented: a good version is reverted because one crash counts as many failures:
+// eight responses truncated by the crashes of three servers would be eight failures among eighty
+// responses. All responses that a server truncates within crashWindowMS count as one failure,
+// whichever instances saw them. A version that truncates responses repeatedly is still found bad.
 func (s *observationSet) addCrash(o passthrough.Observation) {
 	key := crashKey(o.Server, s.ElapsedMS)
 	list := s.CrashKeys[o.Route]
@@ -43,7 +45,7 @@
 // crashSet holds the keys of the new version's server crashes by route, as seen by all instances.
 type crashSet map[string]map[string]bool
 
-// merge merges what one instance saw.
+// merge adds the crashes that one instance saw.
 func (c crashSet) merge(seen map[string][]string) {
 	for route, keys := range seen {
 		if c[route] == nil {
@@ -55,7 +57,7 @@
 	}
 }
 
-// addToCounts counts each crash as one bad response of the new version.
+// addToCounts adds each crash to sums as one bad response of the new version.
 func (c crashSet) addToCounts(sums map[string]passthrough.VersionCounts) {
 	for route, keys := range c {
 		pair := sums[route]
--- a/router/internal/passthrough/crashkeys_test.go
+++ b/router/internal/passthrough/crashkeys_test.go
@@ -18,7 +18,7 @@
 	return p
 }
 
-// view returns what all instances saw of the roll-out.
+// view returns the sum of the observations of all instances.
 func (p *testInstance) view() view {
 	return p.observations.view(p.rollouts.open["shop"], p.clock.Now())
 }
@@ -28,15 +28,15 @@
 	p.observations.recordResponse(o)
 }
 
-// sendTo hands the instance's pending records to another one.
+// sendTo passes the instance's pending records to another one.
 func (p *testInstance) sendTo(other *testInstance) {
 	for _, r := range p.observations.pendingRecords() {
 		other.observations.apply(r)
 	}
 }
 
-// TestCrashOfAServerIsOneFailure guards against reverting a good version for crashes of its
-// servers: three servers crash, each with responses to several instances in progress.
+// TestCrashOfAServerIsOneFailure guards against reverting a good version because one crash counts
+// as many failures: three servers crash, each with responses to several instances in progress.
 func TestCrashOfAServerIsOneFailure(t *testing.T) {
 	clock := newFakeClock()
 	a, b := startRollout(t, "a", clock), startRollout(t, "b", clock)
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestVersionThatTruncatesResponsesIsBad checks that a version is found bad whose servers keep running
-// and truncate a third of all responses.
+// TestVersionThatTruncatesResponsesIsBad checks that a version whose servers keep running but truncate
+// a third of all responses is found bad.
 func TestVersionThatTruncatesResponsesIsBad(t *testing.T) {
 	clock := newFakeClock()
 	a := startRollout(t, "a", clock)
--- a/router/internal/passthrough/crashrecords.go
+++ b/router/internal/passthrough/crashrecords.go
@@ -11,8 +11,8 @@
 const (
 	// crashKeyPrefix starts the keys of crash records.
 	crashKeyPrefix = "crash/"
-	// maxPendingCrashes bounds the fingerprints that wait to be written; more than that at
-	// once come from a fault of another kind.
+	// maxPendingCrashes is the maximum number of fingerprints that wait to be written. More at
+	// once are not caused by requests that crash servers, but by a fault of another kind.
 	maxPendingCrashes = 256
 )
 
@@ -26,8 +26,8 @@
 	st.wakeUp()
 }
 
-// takeCrashRecords returns a record of each fingerprint whose crashes were not written yet. The lock is
-// held.
+// takeCrashRecords removes the pending crashes and returns a record of each fingerprint, which is to be
+// deleted after recordLifetime. The lock is held.
 func (st *observationStore) takeCrashRecords(now time.Time) []keyedlog.Record {
 	var out []keyedlog.Record
 	for fingerprint, times := range st.pendingCrashes {
--- a/router/internal/passthrough/dialer.go
+++ b/router/internal/passthrough/dialer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// connectTimeout bounds the dial of a backend server. 1 to 3 ms are usual; a lost SYN is sent
-// again only after a second, by when another server can have answered.
+// connectTimeout is the timeout for connecting to a backend server, which usually takes 1 to 3 ms.
+// A lost SYN is sent again only after a second; another server can respond before that.
 const connectTimeout = 350 * time.Millisecond
 
 // dialer opens connections to backend servers, one for each attempt, and records when bytes
@@ -26,8 +26,8 @@
 	return &dialer{clock: clock, net: net.Dialer{Timeout: connectTimeout, KeepAlive: -1}, lastReceived: map[string]*atomic.Int64{}}
 }
 
-// lastReceivedFrom returns the time at which bytes last arrived from the server, in Unix
-// nanoseconds of the clock; 0 for never.
+// lastReceivedFrom returns the shared variable that holds when bytes last arrived from the server, in
+// Unix nanoseconds of the clock; 0 for never. It creates the variable if there is none.
 func (d *dialer) lastReceivedFrom(server string) *atomic.Int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -39,7 +39,7 @@
 	return p
 }
 
-// retain forgets the servers for which keep returns false.
+// retain removes the servers for which keep returns false.
 func (d *dialer) retain(keep func(server string) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,12 +59,14 @@
 	return &conn{Conn: c, clock: d.clock, serverLastReceived: d.lastReceivedFrom(server)}, nil
 }
 
-// conn records when bytes arrive.
+// conn is a connection to a backend server. It records when bytes arrive, for itself and for the
+// server.
 type conn struct {
 	net.Conn
 	clock              Clock
 	serverLastReceived *atomic.Int64
-	// lastReceived is when bytes last arrived, in Unix nanoseconds; 0 before the first.
+	// lastReceived is when bytes last arrived, in Unix nanoseconds of the clock; 0 before the
+	// first.
 	lastReceived atomic.Int64
 }
 
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -11,8 +11,8 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// setDrained starts or ends the drain of a failure domain, which gets no new work meanwhile. The
-// order is in force here when setDrained returns, for queued requests too.
+// setDrained starts or ends the drain of a failure domain, which gets no new work while drained. When
+// setDrained returns, this instance applies the change, also to queued requests.
 func (o *operator) setDrained(domain string, drained bool, offset uint64) {
 	if o.drained[domain] == drained {
 		return
@@ -30,15 +30,15 @@
 		slog.Bool("known", slices.Contains(o.domains, domain)))
 }
 
-// drainKeepTime is how long a failure domain stays drained after a restore if the store lacks its
-// order: the operator writes the order again, unless the drain has ended meanwhile.
+// drainKeepTime is how long a failure domain stays drained after a restore if the store has no drain
+// order for it: within that time the operator writes a lost order again.
 const drainKeepTime = 5 * time.Second
 
-// replaceDrainOrders applies a snapshot's drain orders. For a failure domain that is not among them
-// the drain has ended meanwhile, or the order was lost in a restore.
+// replaceDrainOrders applies a snapshot's drain orders. If it has none for a drained failure domain,
+// either the drain has ended or the order was lost in a restore; reconcileDrained decides which.
 //
-// Load: a drain order that was acknowledged and is not in the restored store. Harm prevented: the
-// drain ends, and all instances send to a failure domain that is about to lose power.
+// Load: a drain order that was acknowledged is missing in the restored store. Harm prevented: the
+// drain ends, and all instances send requests to a failure domain that is about to lose power.
 func (o *operator) replaceDrainOrders(list []keyedlog.Record) {
 	clear(o.drainOrders)
 	for _, r := range list {
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -10,24 +10,26 @@
 	return keyedlog.Record{Key: "drain/" + domain, Value: []byte(value), Offset: offset}
 }
 
+// TestDrainOrders guards against sending work to a failure domain that the operator drains, also if
+// the order's value is malformed or the domain is unknown.
 func TestDrainOrders(t *testing.T) {
 	cases := []struct {
 		name  string
 		apply func(o *operator)
 		want  []string
 	}{
-		{"an order", func(o *operator) { o.applyNew(drainOrder("a", "{}", 1)) }, []string{"a"}},
-		{"a malformed value", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
-		{"an unknown domain", func(o *operator) { o.applyNew(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
-		{"two domains", func(o *operator) {
+		{"order drains its domain", func(o *operator) { o.applyNew(drainOrder("a", "{}", 1)) }, []string{"a"}},
+		{"order with a malformed value drains too", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
+		{"order for an unknown domain is applied", func(o *operator) { o.applyNew(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
+		{"orders drain two domains", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("b", "{}", 2))
 		}, []string{"a", "b"}},
-		{"drain ended", func(o *operator) {
+		{"empty value ends the drain", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("a", "", 2))
 		}, nil},
-		{"drain ended by a record that is no longer kept", func(o *operator) {
+		{"snapshot without the order ends the drain", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("b", "{}", 2))
 			o.applySnapshot([]keyedlog.Record{drainOrder("b", "{}", 2)})
@@ -47,9 +49,9 @@
 	}
 }
 
-// TestDrainOrderIsAppliedBeforeTheConfiguration guards against an instance that starts while a failure
-// domain is drained and sends requests there: requests are admitted once the configuration is in
-// force, so drain orders must be applied first.
+// TestDrainOrderIsAppliedBeforeTheConfiguration guards against sending requests to a drained failure
+// domain right after a start: requests are admitted once the configuration is in force, so drain
+// orders must be applied first.
 func TestDrainOrderIsAppliedBeforeTheConfiguration(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	var drainedThen bool
@@ -73,9 +75,9 @@
 	return s.fakeRecords.DrainedDomain(r)
 }
 
-// TestDrainOrderOutlivesARestore checks that a failure domain stays drained after a restore that lost
-// the order, until the operator has had time to write it again. An order that was withdrawn and comes
-// back with a restore counts until the withdrawal is written again.
+// TestDrainOrderOutlivesARestore guards against ending a drain because a restore lost its order: the
+// failure domain stays drained until the operator has had time to write the order again. An order
+// that was withdrawn and is restored applies until the withdrawal is written again.
 func TestDrainOrderOutlivesARestore(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{era: 1}
 	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -7,14 +7,15 @@
 	"masticplank.example/router/internal/relay"
 )
 
-// Driver owns the decision's state, a passthrough.World. It accepts events from many goroutines
-// and passes the resulting commands on. It is safe for concurrent use.
+// Driver holds the decision's state, a passthrough.World. It applies events to it and passes on the
+// resulting commands. It is safe for concurrent use.
 type Driver struct {
 	clock Clock
-	// requestServerRead asks for the list of backend servers to be read at once.
+	// requestServerRead requests an immediate read of the list of backend servers. It is called
+	// with the lock held and must not block.
 	requestServerRead func()
-	// onObserved and onCrash inform the other instances; onSlowStart and onLimitChanged
-	// write to the log. They run with the lock held and must not block.
+	// onObservation and onCrash inform the other instances; onSlowStart and onLimitChanged
+	// write to the log. All four are called with the lock held and must not block.
 	onObservation  func(passthrough.Observation)
 	onCrash        func(passthrough.CrashSuspected)
 	onSlowStart    func(passthrough.SlowStartBegun)
@@ -32,8 +33,8 @@
 	commands chan passthrough.Command
 }
 
-// ticketBuffer exceeds the number of commands that can be pending for a request: each command
-// answers an event of that request.
+// ticketBuffer is more than the number of commands that can be pending for a request: each command
+// is the response to an event of that request. So send never blocks.
 const ticketBuffer = 4
 
 // NewDriver returns a driver with a new passthrough.World.
@@ -72,8 +73,8 @@
 	d.applyLocked(events...)
 }
 
-// openSessions lists a service's sessions that fall into the share and may be open at another
-// version than the target.
+// openSessions returns a service's sessions whose roll-out position is within the share and that may
+// be open at another version than the target.
 func (d *Driver) openSessions(service, target string, share float64) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,7 +138,7 @@
 	}
 }
 
-// send passes a command to its request, unless that was closed. The lock is held.
+// send passes a command to its request, unless the request was closed. The lock is held.
 func (d *Driver) send(id passthrough.RequestID, c passthrough.Command) {
 	if t := d.tickets[id]; t != nil {
 		t.commands <- c
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -10,21 +10,22 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// exchange carries one request from its admission to its final response.
+// exchange executes one request from its admission to its final response.
 type exchange struct {
 	handler *Handler
 	call    *call
 	ticket  *ticket
 	w       http.ResponseWriter
 	ctx     context.Context
-	// lastFailure is the last complete response of a failed attempt, kept for the caller; nil
-	// for none.
+	// lastFailure is the last complete response of a failed attempt, nil for none. The caller
+	// gets it if no later attempt succeeds.
 	lastFailure *response
-	// mayHaveRun says that some attempt may have run the request.
+	// mayHaveRun is true if some attempt may have run the request.
 	mayHaveRun bool
-	// stream is what the caller has of a stream.
+	// stream is the progress of the streamed response to the caller.
 	stream stream
-	// queueTimer ends the wait in the queue, at arrival and after each attempt.
+	// queueTimer ends the request's wait in the queue. It is started on arrival and again after
+	// each attempt.
 	queueTimer *time.Timer
 }
 
@@ -86,13 +87,13 @@
 // refuse ends a request that did not run.
 func (x *exchange) refuse(refused refusal) {
 	if x.stream.begun {
-		x.abort(refused.reason)
+		x.abort(refused.reason) // panics
 	}
 	x.handler.refuse(x.w, x.call, refused)
 }
 
-// finish ends a request that ran or may have run. It responds with the backend server's own
-// failure, if there is one.
+// finish ends a request that ran or may have run. The caller gets the backend server's response to
+// the last failed attempt, if there is one.
 func (x *exchange) finish(reason passthrough.Reason) {
 	if x.lastFailure == nil || x.stream.begun {
 		x.fail(http.StatusBadGateway, reasonMayHaveRun)
@@ -106,7 +107,7 @@
 // did not run.
 func (x *exchange) fail(status int, reason passthrough.Reason) {
 	if x.stream.begun {
-		x.abort(reason)
+		x.abort(reason) // panics
 	}
 	x.handler.telemetry.logFinished(x.call, status, reason)
 	x.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -114,7 +115,8 @@
 	writeAll(x.w, []byte(string(reason)+"\n"))
 }
 
-// abort breaks the caller's connection, so that a partial response does not look complete.
+// abort closes the caller's connection, so that a partial response does not look complete. It does
+// not return: it panics with http.ErrAbortHandler.
 func (x *exchange) abort(reason passthrough.Reason) {
 	x.handler.telemetry.logFinished(x.call, 0, reason)
 	panic(http.ErrAbortHandler)
@@ -129,8 +131,8 @@
 	writeAll(x.w, resp.body)
 }
 
-// copyHeaders copies a backend server's headers. Content-Type and Date are set to nil where the
-// server sent none, since net/http would add its own.
+// copyHeaders copies a backend server's headers. Content-Type and Date are set to nil if the server
+// sent none, since net/http would add its own.
 func (x *exchange) copyHeaders(from http.Header) {
 	h := x.w.Header()
 	for name, values := range x.handler.headers.ResponseHeaders(from) {
@@ -185,7 +187,7 @@
 	return true
 }
 
-// complete ends a request that succeeded; a plain response is written here, a stream already was.
+// complete ends a request that succeeded. It writes a plain response; a stream was already written.
 func (x *exchange) complete(out outcome) {
 	status := http.StatusOK
 	if out.response != nil {
--- a/router/internal/passthrough/fakes_test.go
+++ b/router/internal/passthrough/fakes_test.go
@@ -121,7 +121,7 @@
 	return keyedlog.Position{Era: l.era, Offset: uint64(len(l.records))}
 }
 
-// restore restores the topic from a copy with only its first records, and starts a new era.
+// restore restores the topic from a backup that has only the first records, and starts a new era.
 func (l *fakeLog) restore(records int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +183,7 @@
 	return keyedlog.Record{Key: "status/" + service, Value: fmt.Appendf(nil, "status %s %d", target, phase)}, nil
 }
 
-// testInstance is an instance without its listeners and connections.
+// testInstance is an instance without listeners and connections.
 type testInstance struct {
 	clock        *fakeClock
 	config       *ConfigState
@@ -195,7 +195,7 @@
 	telemetry    *telemetry
 }
 
-// newTestInstance builds an instance on the given logs.
+// newTestInstance returns an instance that uses the given status and observations topics.
 func newTestInstance(name string, clock *fakeClock, status, observations keyedlog.Log) *testInstance {
 	p := &testInstance{clock: clock}
 	p.config = NewConfigState(clock, 5*time.Second)
--- a/router/internal/passthrough/handler.go
+++ b/router/internal/passthrough/handler.go
@@ -22,9 +22,9 @@
 	dialer    *dialer
 	clock     Clock
 	telemetry *telemetry
-	// startGate holds requests back until the process has what it needs to serve.
+	// startGate delays requests until the process has read what it needs to serve them.
 	startGate *startGate
-	// shutdown is the progress of the process's shutdown.
+	// shutdown decides what happens to new requests while the process stops.
 	shutdown *shutdown
 	// conns counts callers' connections.
 	conns *callerConns
@@ -34,22 +34,23 @@
 type call struct {
 	request *http.Request
 	caller  seam.Caller
-	// uri is the request target as the caller wrote it, path its path.
+	// uri is the request target as the caller sent it, path its path.
 	uri  string
 	path string
 	body []byte
-	// maxBody bounds the body's bytes.
+	// maxBody is the maximum size of the body in bytes.
 	maxBody int64
-	// route is the one found at arrival; team is by the newest configuration.
+	// route is the route found on arrival; team is the team by the newest configuration, nil for
+	// none.
 	route *passthrough.Route
 	team  *passthrough.Team
-	// arrived is when the request arrived, deadline when the caller must have a final
-	// response.
+	// arrived is when the request arrived, deadline when the final response to the caller is
+	// due.
 	arrived  time.Time
 	deadline time.Time
 }
 
-// refusal is a response of the router's own to a request that did not run.
+// refusal is the router's own response to a request that did not run.
 type refusal struct {
 	status int
 	reason passthrough.Reason
@@ -57,7 +58,7 @@
 	retryAfter time.Duration
 }
 
-// The reasons that do not come from the decision.
+// The reasons that the router gives itself; all others come from the decision.
 const (
 	reasonNoConfig    passthrough.Reason = "no_configuration"
 	reasonNoRoute     passthrough.Reason = "no_such_route"
@@ -65,11 +66,12 @@
 	reasonTooLarge    passthrough.Reason = "body_too_large"
 	reasonNoRequestID passthrough.Reason = "attempt_id_missing"
 	reasonMayHaveRun  passthrough.Reason = "may_have_run"
-	reasonTimeout     passthrough.Reason = "timeout"
+	// reasonTimeout: the deadline passed and the request may have run.
+	reasonTimeout passthrough.Reason = "timeout"
 )
 
-// retryElsewhereAfter is the Retry-After of refusals where another instance can take the request
-// now.
+// retryElsewhereAfter is the Retry-After of refusals by this instance of requests that another
+// instance may serve at once.
 const retryElsewhereAfter = 200 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
@@ -95,8 +97,8 @@
 	h.run(w, c)
 }
 
-// admit sets the call's route, team and deadline by the configuration in force, or says why the
-// request is refused.
+// admit sets the call's route, team and deadline by the configuration in force. It returns the
+// refusal if the request is refused, else nil.
 func (h *Handler) admit(c *call) *refusal {
 	route, denied := h.resolve(c)
 	c.route = route
@@ -114,9 +116,9 @@
 	return nil
 }
 
-// resolve finds the route and the team by the configuration in force, and says why the
-// request must not run, if so. It is called at arrival and before each dispatch. While the
-// configuration is too old, it refuses nothing permanently.
+// resolve sets the call's team and body limit by the configuration in force and returns the route,
+// and a refusal if the request must not run. It is called on arrival and before each dispatch. While
+// the configuration is too old, it refuses nothing permanently.
 func (h *Handler) resolve(c *call) (*passthrough.Route, *refusal) {
 	index := h.config.Index()
 	if index == nil {
@@ -140,7 +142,7 @@
 	return route, nil
 }
 
-// deny refuses permanently, unless the configuration may be outdated.
+// deny returns a permanent refusal, or a temporary one while the configuration may be outdated.
 func (h *Handler) deny(status int, reason passthrough.Reason) *refusal {
 	if !h.config.Fresh() {
 		return &refusal{http.StatusServiceUnavailable, passthrough.ReasonNotFresh, retryElsewhereAfter}
@@ -148,7 +150,8 @@
 	return &refusal{status: status, reason: reason}
 }
 
-// readBody reads the whole body: it is needed again for a retry.
+// readBody reads the whole body, since a retry needs it again. It returns the refusal if the body is
+// too large or the request has no id, else nil.
 func (h *Handler) readBody(w http.ResponseWriter, c *call) *refusal {
 	if c.caller.RequestID == "" {
 		return &refusal{status: http.StatusBadRequest, reason: reasonNoRequestID}
@@ -160,7 +163,7 @@
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: reasonTooLarge}
 	case err != nil:
 		h.telemetry.logCallerLost(c, err)
-		panic(http.ErrAbortHandler) // the caller has disconnected; there is nobody to respond to
+		panic(http.ErrAbortHandler) // the caller has disconnected, so no response is possible
 	}
 	c.body = body
 	return nil
@@ -185,12 +188,14 @@
 // disconnected caller too, and nothing more can be sent to it.
 func writeAll(w io.Writer, text []byte) { _, _ = w.Write(text) }
 
-// hashFraction hashes a text to a number in [0, 1) that is the same at all instances.
+// hashFraction hashes a text to a number in [0, 1), the same at all instances.
 func hashFraction(text string) float64 {
 	const bits = 53
 	return float64(hashOf(text)>>(64-bits)) / (1 << bits)
 }
 
+// hashOf hashes texts to 64 bits: FNV-1a with a final mix. All instances must compute the same value,
+// also across versions of the router.
 func hashOf(texts ...string) uint64 {
 	h := fnv.New64a()
 	for _, t := range texts {
--- a/router/internal/passthrough/idlewatch.go
+++ b/router/internal/passthrough/idlewatch.go
@@ -7,8 +7,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// idleWatch closes the connection of an attempt whose backend server has been silent for too
-// long.
+// idleWatch closes the connection of an attempt whose backend server has sent nothing for too long.
 type idleWatch struct {
 	mu    sync.Mutex
 	timer *time.Timer
@@ -16,7 +15,7 @@
 }
 
 // idleCheckInterval is the time between two checks of an attempt: a fraction of the shortest
-// first-byte timeout, and long compared with the events of a stream.
+// first-byte timeout, and long compared with the event interval of a stream.
 const idleCheckInterval = 200 * time.Millisecond
 
 // watchIdle starts the watch if the request may be retried elsewhere.
@@ -55,8 +54,8 @@
 	}
 }
 
-// hasTimedOut asks the decision whether the attempt has timed out, given when bytes last arrived
-// on its connection and from its server.
+// hasTimedOut reports whether the attempt has timed out. The decision computes it from when bytes last
+// arrived on the attempt's connection and from its server.
 func (a *attempt) hasTimedOut() bool {
 	now := a.exchange.handler.clock.Now()
 	s := passthrough.Inactivity{Route: a.exchange.call.route, FirstByteTimeout: a.firstByteTimeout,
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -12,13 +12,15 @@
 )
 
 // firstStartSpread is the time over which the instances announce themselves when the whole system
-// starts for the first time, where all processes start within 0.3 s. Future collectors go first, so
-// that the others find them and need no call of their own. No caller is served yet.
+// starts for the first time and all processes start within 0.3 s. Future collectors announce
+// themselves first, so that the others find them and need no call to the store. No caller is served
+// yet.
 const firstStartSpread = 1200 * time.Millisecond
 
 // joinTimeout bounds the read of the list of instances. The store answers in 4 ms, and in half a
-// second when hundreds of small instances start at once. An instance that gets no answer reads all
-// topics itself: with 100 ms half of 295 did, with five calls each, and were ready after 1.5 s.
+// second if hundreds of small instances start at once. An instance that gets no answer in time reads
+// all topics from the store itself. With a timeout of 100 ms, half of 295 instances do so, with five
+// calls each, and are ready only after 1.5 s.
 const joinTimeout = 700 * time.Millisecond
 
 // join reads the list of instances in this failure domain and announces this one. On the first
@@ -74,7 +76,7 @@
 // again.
 const reannounceAfter = 5 * time.Second
 
-// reannounceIfMissing announces this instance again if the store does not list it: the others
+// reannounceIfMissing announces this instance again if the store does not list it, since the others
 // would count too small a fleet.
 func (s *sharing) reannounceIfMissing(ctx context.Context) {
 	if !s.listed.Load() && s.clock.Now().Sub(s.announcedAt) > reannounceAfter {
@@ -106,7 +108,8 @@
 	}
 }
 
-// reportCounts reports a changed number of instances, and changed peers in this failure domain.
+// reportCounts calls onFleetCount if the number of instances has changed, and onPeers if their number
+// in this failure domain has.
 func (s *sharing) reportCounts() {
 	if near := int64(s.members.DomainSize()); s.reportedPeers.Swap(near) != near {
 		s.onPeers(s.members.DomainNames())
@@ -121,8 +124,8 @@
 // shared retry budget tolerates a fleet that is larger than counted by a sixth.
 const fleetCountInterval = 30 * time.Second
 
-// runCollector does a collector's work for its followers until ctx ends: it writes their
-// announcements and counts the fleet.
+// runCollector writes the followers' announcements and counts the fleet, if this instance is to do
+// so, until ctx ends.
 func (s *sharing) runCollector(ctx context.Context) {
 	counted := time.Time{}
 	for ctx.Err() == nil {
@@ -135,9 +138,9 @@
 	}
 }
 
-// countFleet counts the instances of all failure domains; the followers get the sum. Each failure
-// domain has a list of its own: with one list, 295 instances that start together would read 20 MB
-// from the store.
+// countFleet counts the instances of all failure domains; the server passes the sum on to the
+// followers. Each failure domain has a list of its own to keep the reads at a simultaneous start
+// small: with one list, 295 instances would read 20 MB from the store.
 func (s *sharing) countFleet(ctx context.Context) {
 	for _, domain := range s.otherDomains {
 		s.readMembers(ctx, domain)
@@ -146,7 +149,7 @@
 }
 
 // followerWriteInterval is the time between two writes of the followers' announcements. They need
-// not be listed sooner: other instances ask those that were listed before.
+// not be listed sooner: other instances read from those that were listed before.
 const followerWriteInterval = time.Second
 
 // writeFollowers writes the announcements of followers. If the write fails they are lost, and the
@@ -162,7 +165,7 @@
 }
 
 // countsFleet reports whether this instance counts the fleet: it does if it reads the store itself
-// and either collects for others or is the first in rank. In an outage of the store all instances
+// and either is a collector or ranks first among the members. In an outage of the store all instances
 // read it themselves, but must not all count.
 func (s *sharing) countsFleet() bool {
 	return s.instances.ReadsStore() && (s.members.RanksFirst() || s.server.IsCollector())
@@ -180,7 +183,8 @@
 		onRecord:   s.applyMember,
 		onSnapshot: s.applyMembers,
 		onRestore: func() {
-			// The restored store may lack this instance: it announces itself at once unless listed.
+			// The restored store may lack this instance's entry. Unless the snapshot has it, the
+			// instance announces itself at once.
 			s.listed.Store(false)
 			s.announcedAt = time.Time{}
 		},
--- a/router/internal/passthrough/observation_delay_test.go
+++ b/router/internal/passthrough/observation_delay_test.go
@@ -9,7 +9,8 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// sharedInstance is an instance that shares its observations through its failure domain's collector.
+// sharedInstance is an instance that shares its observations through its failure domain's collector,
+// which is the instance itself if it is the collector.
 type sharedInstance struct {
 	*testInstance
 	collector   *sharedInstance
@@ -19,8 +20,8 @@
 	readAt      time.Time
 }
 
-// sharedFleet is 295 instances in five failure domains. The first instance of each reads the store, or
-// the second where the store rejects the first.
+// sharedFleet is 295 instances in five failure domains. The collector of each domain, the only instance
+// that reads the store, is the first one, or the second if the store rejects the first.
 type sharedFleet struct {
 	t         *testing.T
 	clock     *fakeClock
@@ -58,7 +59,7 @@
 	return f
 }
 
-// step advances the clock and does what the loops of all instances do at that time.
+// step advances the clock and executes the reads and writes of all instances that are due.
 func (f *sharedFleet) step(d time.Duration) {
 	f.clock.advance(d)
 	now := f.clock.Now()
@@ -103,9 +104,9 @@
 	return b
 }
 
-// TestObservationsReachAllWritersInTime bounds the age of the pooled counts at the instances that
-// write verdicts: a bad version must be out within 5 s of its 50th bad response, and evaluating the
-// counts, writing the end and distributing it take one of them.
+// TestObservationsReachAllWritersInTime bounds the time in which observations reach the instances that
+// write the ends of roll-outs. A bad version must be reverted within 5 s of its 50th bad response, of
+// which 1 s is for evaluating the counts, and for writing the end and distributing it.
 func TestObservationsReachAllWritersInTime(t *testing.T) {
 	const oldest = 4 * time.Second
 	for name, rejectsFirst := range map[string]func(int) bool{
@@ -138,7 +139,7 @@
 	}
 }
 
-// allCount reports whether all readers count at least so many bad responses.
+// allCount reports whether all readers count at least count bad responses.
 func (f *sharedFleet) allCount(count int) bool {
 	for _, p := range f.readers {
 		if p.observations.view(p.rollouts.open["shop"], f.clock.Now()).newCounts.Bad < count {
--- a/router/internal/passthrough/observationreader.go
+++ b/router/internal/passthrough/observationreader.go
@@ -11,7 +11,7 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// reader returns a reader of the peers' observations. active says whether a roll-out is in
+// reader returns a reader of the peers' observations. active reports whether a roll-out is in
 // progress.
 func (st *observationStore) reader(clock Clock, active func() bool) *topicReader {
 	t := &topicReader{
@@ -36,18 +36,19 @@
 	return t
 }
 
-// propagationTime is how long an observation takes to reach the other instances: each writes
-// and reads once per observationInterval, and a write waits for batchDelay before.
+// propagationTime is the maximum time for an observation to reach the other instances: one
+// observationInterval until it is written, batchDelay, and one observationInterval until it is read,
+// plus a margin.
 const propagationTime = 2500 * time.Millisecond
 
-// markRead notes that the peers' observations were read, as of the given time.
+// markRead records that the peers' observations were read as of the given time.
 func (st *observationStore) markRead(at time.Time) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.lastReadAt = at
 }
 
-// onRecovery notes the end of an outage of the topic, in which no instance could share its
+// onRecovery records the end of an outage of the topic, in which no instance could share its
 // observations.
 func (st *observationStore) onRecovery(lost time.Duration) {
 	st.mu.Lock()
@@ -57,17 +58,17 @@
 	}
 }
 
-// onRestore makes this instance write its observations again: the restored store may lack some.
+// onRestore makes this instance write its observations again, since the restored store may lack some.
 func (st *observationStore) onRestore() {
 	st.markDirty()
 	st.wakeUp()
 }
 
-// onSuspension notes that this process was suspended and may have missed observations of its peers.
+// onSuspension records that this process was suspended and may have missed observations of its peers.
 func (st *observationStore) onSuspension() { st.markIncomplete() }
 
-// markIncomplete notes that peers may have observations that are not known here, for example
-// because this instance could not write its own: the peers may be no better off.
+// markIncomplete records that peers may have observations that are not known here, for example
+// because this instance could not write its own, which suggests that the peers could not either.
 func (st *observationStore) markIncomplete() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -114,7 +115,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if known, ok := st.others[r.Key]; ok && known.responseCount() > s.responseCount() {
-		return // an earlier one, from a restored store
+		return // from a restored store: older than the set already known
 	}
 	s.readAt = st.clock.Now()
 	st.others[r.Key] = s
--- a/router/internal/passthrough/observationrow.go
+++ b/router/internal/passthrough/observationrow.go
@@ -10,11 +10,12 @@
 )
 
 // observationRow is a route's counts as written in an observation set: the numbers that a verdict
-// uses, as integers in a fixed order. Each of hundreds of instances reads the observations of all: with
-// field names and all digits those of 295 instances took 0.6 MB, one second of a collector's link.
+// uses, as integers in a fixed order. The compact form matters because each of hundreds of instances
+// reads the observations of all: with field names and all digits, those of 295 instances take 0.6 MB,
+// which occupies a collector's link for one second.
 type observationRow passthrough.VersionCounts
 
-// rowScale is the precision of a sum of logarithms in a row: units of 1/rowScale.
+// rowScale is the number of units per 1 in a row's sums of logarithms.
 const rowScale = 1000
 
 // rowLength is the number of integers in a row.
--- a/router/internal/passthrough/observationrow_test.go
+++ b/router/internal/passthrough/observationrow_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestObservationRowKeepsWhatVerdictsUse checks that encoding keeps counts exactly and sums to the
-// precision of a row, and that malformed rows are rejected.
+// TestObservationRowKeepsWhatVerdictsUse checks that encoding preserves counts exactly and sums to
+// within 1/rowScale, and that malformed rows are rejected.
 func TestObservationRowKeepsWhatVerdictsUse(t *testing.T) {
 	in := busyRow()
 	text, err := json.Marshal(in)
@@ -45,10 +45,11 @@
 	}
 }
 
-// TestObservationSetsOfAFleetAreSmall bounds the size of an observation set on a roll-out with five
-// routes: with 4 KB/s for control data, the fleet writes 25 sets a second at most.
+// TestObservationSetsOfAFleetAreSmall guards against observation sets that exceed the budget of 4 KB/s
+// for control data: it bounds the size of a set of a roll-out with five routes. The fleet writes at
+// most 25 sets a second.
 func TestObservationSetsOfAFleetAreSmall(t *testing.T) {
-	const most = 4096 / 6 // bytes: a sixth of a second's budget, beside heartbeats and configurations
+	const most = 4096 / 6 // bytes: a sixth of the budget per second, which heartbeats and configurations need too
 	s := observationSet{Instance: "edge-salle-trois-pistoles-120", ProcessStart: 1 << 60, Service: "model-engines", Target: "v2", Order: 1 << 20,
 		ElapsedMS: 23_500, Routes: map[string]observationRow{}}
 	for i := range 5 {
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -12,12 +12,11 @@
 // as JSON.
 type observationSet struct {
 	Instance string `json:"instance"`
-	// ProcessStart distinguishes the instance's processes: it is the start time on the
-	// instance's clock in nanoseconds. A restarted process counts from zero, and its
-	// predecessor's counts remain valid.
+	// ProcessStart is the start time of the process in nanoseconds of the instance's clock. A
+	// restarted process counts from zero in a new set; the old set remains valid.
 	ProcessStart uint64 `json:"life,omitempty"`
 	Service      string `json:"service"`
-	// Target is the new version, Order the offset of the roll-out order.
+	// Target is the new version, Order the offset of the roll-out order in the operator's topic.
 	Target string `json:"target"`
 	Order  uint64 `json:"order"`
 	// ElapsedMS is the time since the order in milliseconds, as known to the instance when it
@@ -25,21 +24,22 @@
 	ElapsedMS int64 `json:"elapsed_ms"`
 	// Routes are the counts by route.
 	Routes map[string]observationRow `json:"routes"`
-	// CrashKeys name the crashes of the new version's servers that truncated responses, by
+	// CrashKeys identify the crashes of the new version's servers that truncated responses, by
 	// route.
 	CrashKeys map[string][]string `json:"cuts,omitempty"`
-	// Sessions are those in the canary's share that were open at the old version when the
-	// order arrived.
+	// Sessions are the sessions within the canary's share that were open at the old version
+	// when the order arrived.
 	Sessions []string `json:"sessions,omitempty"`
-	// CrashFingerprint and CrashCount are set in a record on a request that crashes servers.
+	// CrashFingerprint and CrashCount are set only in a record of a request that crashes servers:
+	// the request's fingerprint and the number of crashes.
 	CrashFingerprint uint64 `json:"crash,omitempty"`
 	CrashCount       int    `json:"times,omitempty"`
 
-	// readAt is when another instance's set was read; dirty says that the own set has changes
-	// to be written.
+	// readAt is when another instance's set was read; dirty is true if this instance's set has
+	// changes to be written.
 	readAt time.Time
 	dirty  bool
-	// evidence computes the verdict from the sums of all instances.
+	// evidence computes the verdict from the sums over all instances.
 	evidence passthrough.Evidence
 }
 
@@ -48,27 +48,26 @@
 	return fmt.Sprintf("%s/%s/%d/%s/%x", s.Service, s.Target, s.Order, s.Instance, s.ProcessStart)
 }
 
-// view is the sum of what all instances saw of one roll-out.
+// view is the sum of all instances' observations of one roll-out, with the verdict on it.
 type view struct {
 	elapsed              time.Duration
 	newCounts, oldCounts passthrough.Counts
 	bad                  bool
 }
 
-// minCleanResponses is how many good responses of the new version, without a bad one, let an
-// instance complete a roll-out by its own counts alone. If a version fails three requests in ten,
-// one instance in seventy still sees twelve good responses and no bad one. With five, a version that
-// failed half of its requests was completed once in 30 runs.
+// minCleanResponses is the number of good responses of the new version, with no bad one, from which a
+// roll-out is completed although peers' observations may be missing. An instance sees so many good
+// responses of a version that fails 30% of its requests with a probability of 1/70. If five were
+// enough, a version that fails half of its requests would be completed in about 1 of 30 roll-outs.
 const minCleanResponses = 12
 
 // clean reports whether this view suffices to complete the new version.
 //
-// Load: the store comes back at the end of a roll-out, most of which fell into the outage. Harm
+// Load: an outage of the store covers most of a roll-out and ends when the roll-out does. Harm
 // prevented: a version that other instances saw fail is completed before they can report it.
 func (v view) clean() bool { return v.newCounts.Bad == 0 && v.newCounts.Good >= minCleanResponses }
 
-// view sums up what all instances saw of the roll-out. It starts this instance's own set if there is
-// none.
+// view sums all instances' observations of the roll-out. It starts this instance's set if there is none.
 func (st *observationStore) view(r *rollout, now time.Time) view {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -100,7 +99,7 @@
 }
 
 // setOrderOffset moves this instance's set to the offset at which the order was written again, and
-// has its record under the old key deleted.
+// schedules the deletion of its record under the old key.
 func (st *observationStore) setOrderOffset(service string, offset uint64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -113,7 +112,8 @@
 	s.dirty = true
 }
 
-// responseCount returns the number of responses that a set counts. A process's counts only grow.
+// responseCount returns the number of responses in a set. It never decreases for a process, so the set
+// with the higher number is the newer one.
 func (s *observationSet) responseCount() int {
 	n := 0
 	for _, row := range s.Routes {
@@ -130,8 +130,8 @@
 	return s.Order == r.offset || slices.Contains(r.earlierOffsets, s.Order)
 }
 
-// latest returns the newest set of each other process on a roll-out. A process writes under another
-// key once the order was written again. The lock is held.
+// latest returns the newest set of each other process for a roll-out. A process may have several, since
+// it writes under another key once the order was written again. The lock is held.
 func (st *observationStore) latest(r *rollout) map[processID]observationSet {
 	out := map[processID]observationSet{}
 	for _, s := range st.others {
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -14,9 +14,9 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// observationStore shares observations between instances through one topic: the responses that each
-// saw in a roll-out, and requests that crash backend servers. Each instance writes its complete counts
-// under a key of its own, so that a record lost or written twice does no harm.
+// observationStore shares observations between instances through one topic: counts of the responses
+// that each saw in a roll-out, and requests that crash backend servers. Each instance writes its complete
+// counts under a key of its own, so that a record that is lost or written twice does no harm.
 type observationStore struct {
 	instance string
 	// processStart distinguishes this process from earlier ones of the instance.
@@ -28,42 +28,45 @@
 
 	// fleetSize returns the number of instances that share the topic.
 	fleetSize func() int
-	// followerRecords returns records of followers that are to be written with the own.
+	// followerRecords returns the followers' records that are to be written together with this
+	// instance's records.
 	followerRecords func() []keyedlog.Record
 
 	mu sync.Mutex
-	// own are this instance's sets by service, others those of other processes by key.
-	own            map[string]*observationSet
-	others         map[string]observationSet
+	// own are this process's sets by service, others those of other processes by key.
+	own    map[string]*observationSet
+	others map[string]observationSet
+	// pendingCrashes are the crashes by fingerprint that are to be written.
 	pendingCrashes map[uint64]int
 	wake           chan struct{}
-	// nextIdleWrite is when sets are written next that have no news of the new version.
+	// nextIdleWrite is the time of the next write of sets without changes of the new version's
+	// counts.
 	nextIdleWrite time.Time
-	// lastReadAt is the last time as of which the peers' observations were read, completeSince
+	// lastReadAt is the time as of which the peers' observations were last read, completeSince
 	// the end of the last period in which observations may have been missed.
 	lastReadAt    time.Time
 	completeSince time.Time
-	// deleteAt has the keys of this instance's that are to be deleted, with the time.
+	// deleteAt holds this instance's keys that are to be deleted, with the time of the deletion.
 	deleteAt map[string]time.Time
 }
 
 const (
-	// observationInterval is the time between two writes of the own set while a roll-out is
-	// in progress and the counts of its new version change.
+	// observationInterval is the time between two writes of this instance's set while a
+	// roll-out is in progress and the counts of its new version change.
 	observationInterval = 1100 * time.Millisecond
-	// idleWriteInterval is the same while only counts of the old version change.
-	// idleWritePerInstance times the fleet size is its minimum: each instance reads what all
-	// write, and 25 sets a second report the number of responses precisely enough.
+	// idleWriteInterval is the mean time between two writes while only counts of the old version
+	// change; it is at least idleWritePerInstance times the fleet size. Each instance reads what
+	// all write, and 25 sets a second report the number of responses precisely enough.
 	idleWriteInterval    = 6 * time.Second
 	idleWritePerInstance = 40 * time.Millisecond
-	// batchDelay is how long a write waits for more records, so that simultaneous ones go out
-	// in one call.
+	// batchDelay is how long a write waits for more records, so that simultaneous ones are
+	// written in one call.
 	batchDelay = 150 * time.Millisecond
 	// idleReadWait is how long a read waits for a record while no roll-out is in progress.
 	idleReadWait = 8 * time.Second
 	// recordLifetime is how long a crash record, or a set of a roll-out that has ended, stays
-	// in the store: by then all running instances have counted it, and one that starts later
-	// must not.
+	// in the store: by then all running instances have counted it, and an instance that starts
+	// later must not count it.
 	recordLifetime = 30 * time.Second
 )
 
@@ -98,7 +101,7 @@
 	}
 }
 
-// addOpenSessions adds sessions that are open here to the own set.
+// addOpenSessions adds sessions that are open at this instance to its set for the service.
 func (st *observationStore) addOpenSessions(service string, sessions []string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -134,7 +137,7 @@
 	}
 }
 
-// inRollout reports whether this instance keeps a set.
+// inRollout reports whether this instance has a set for a roll-out in progress.
 func (st *observationStore) inRollout() bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -165,15 +168,16 @@
 	return out
 }
 
-// idleWriteDelay returns a random time to the next write of a set without news. All instances get
-// an order at the same moment: 295 sets written at once delayed the reads that must be fresh, so that
-// hundreds of instances turned to the store themselves.
+// idleWriteDelay returns a random time to the next write of a set without changes of the new version's
+// counts. It is random because all instances get an order at the same moment: if 295 sets are written
+// at once, they delay the reads that must be fresh, and hundreds of instances read the store
+// themselves.
 func (st *observationStore) idleWriteDelay() time.Duration {
 	interval := max(idleWriteInterval, time.Duration(st.fleetSize())*idleWritePerInstance)
 	return interval/2 + rand.N(interval)
 }
 
-// markDirty marks the own sets as not written.
+// markDirty marks this instance's sets as not written.
 func (st *observationStore) markDirty() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -190,9 +194,9 @@
 	return keyedlog.Record{Key: key, Value: text}
 }
 
-// endRollout drops the observations of a roll-out that has ended, here at once and in the store
-// after recordLifetime, when the others have read them: the store keeps the newest record of a key
-// until it is deleted.
+// endRollout removes the observations of a roll-out that has ended: from memory at once, and from the
+// store after recordLifetime, when the other instances have read them. The store keeps the newest
+// record of a key until it is deleted.
 func (st *observationStore) endRollout(service string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -29,12 +29,12 @@
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, TargetLatency: time.Second}
 	tk := b.driver.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: 9, Deadline: clock.Now().Add(time.Second), TargetTime: clock.Now().Add(time.Second)})
 	if c, ok := (<-tk.commands).(passthrough.Refuse); !ok || c.Reason != passthrough.ReasonQuarantined {
-		t.Errorf("got %+v", c)
+		t.Errorf("command %+v, want a refusal as quarantined", c)
 	}
 }
 
-// TestVersionThatTurnsBadLateIsFoundSoon checks that many good responses at the start do not delay
-// the verdict on a version that fails later.
+// TestVersionThatTurnsBadLateIsFoundSoon guards against a late verdict on a version that begins to fail
+// after many good responses.
 func TestVersionThatTurnsBadLateIsFoundSoon(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, status, &fakeLog{})
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestOldCrashRecordsAreIgnored checks that an instance which starts after a crash does not
-// count its record, and that the record is deleted from the store in the end.
+// TestOldCrashRecordsAreIgnored checks that an instance which starts after a crash does not count its
+// record, and that the record is deleted from the store after recordLifetime.
 func TestOldCrashRecordsAreIgnored(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
 	a := newTestInstance("a", clock, &fakeLog{}, observations)
@@ -83,7 +83,7 @@
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, TargetLatency: time.Second}
 	tk := late.driver.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: 9, Deadline: clock.Now().Add(time.Second), TargetTime: clock.Now().Add(time.Second)})
 	if c, ok := (<-tk.commands).(passthrough.Refuse); !ok || c.Reason == passthrough.ReasonQuarantined {
-		t.Errorf("got %+v", c)
+		t.Errorf("command %+v, want a refusal for another reason than quarantine", c)
 	}
 	clock.advance(recordLifetime + time.Second)
 	write()
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestObservationsSurviveARestart kills an instance after it saw bad responses: they still
-// count, together with those that it sees after the restart.
+// TestObservationsSurviveARestart guards against losing an instance's observations if it is killed: the
+// bad responses that it saw before count together with those that it sees after the restart.
 func TestObservationsSurviveARestart(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	write := func(p *testInstance) {
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestNonWriterRevertsBadVersionAfterTimeout guards against a bad version that stays because only an
-// instance that does not write the register sees it fail: that instance reverts it after
+// TestNonWriterRevertsBadVersionAfterTimeout guards against a bad version that is not reverted because
+// only an instance that does not write the register sees it fail: that instance reverts it after
 // revertTimeout.
 func TestNonWriterRevertsBadVersionAfterTimeout(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -20,23 +20,24 @@
 	telemetry *telemetry
 	startGate *startGate
 	clock     Clock
-	// restoreGuard says whether reads confirm the configuration.
+	// restoreGuard decides whether reads confirm the configuration.
 	restoreGuard *restoreGuard
 	// drained are the failure domains that get no new work. drainOrders are those for which the
-	// store has an order; others in drained are kept until keepUntil.
+	// store has an order; the others in drained stay drained until keepUntil.
 	drained     map[string]bool
 	drainOrders map[string]bool
 	keepUntil   time.Time
-	// keptLogged are those whose being kept was logged. domains are all failure domains.
+	// keptLogged are the failure domains for which it was logged that they stay drained. domains
+	// are all failure domains.
 	keptLogged map[string]bool
 	domains    []string
-	// isCollector says whether others read from this instance, readsStore whether it reads
-	// from the store itself.
+	// isCollector reports whether other instances read from this one, readsStore whether it
+	// reads from the store itself.
 	isCollector func() bool
 	readsStore  func() bool
 }
 
-// wait is how long a read of the operator's records waits for a new one.
+// wait returns how long a read of the operator's records waits for a new one.
 func (o *operator) wait() time.Duration {
 	fraction := readWaitFraction
 	switch {
@@ -50,13 +51,13 @@
 
 const (
 	// readWaitFraction is the fraction of the revocation bound for which a read of the
-	// operator's records waits for one. The data is up to twice as old, and its age must stay
-	// below the half of the bound at which readiness fails: 2.2 s of 5 s.
+	// operator's records waits for a new one. The configuration's age reaches twice the wait,
+	// 2.2 s with a bound of 5 s, and must stay below unreadyFraction of the bound.
 	readWaitFraction = 0.22
 	// collectorWaitFraction and followerWaitFraction are the same for a collector and for an
-	// instance that reads from one. The collector's data is up to twice its wait old, and the
-	// follower's own wait is added: 2.1 s of 5 s. With a fifth instead of a tenth for
-	// followers, instances left the rotation whenever a collector changed.
+	// instance that reads from one. At a follower, the configuration's age reaches twice the
+	// collector's wait plus the follower's own, 2.1 s with a bound of 5 s. With 0.2 for
+	// followers, instances leave the rotation whenever a collector changes.
 	collectorWaitFraction = 0.16
 	followerWaitFraction  = 0.1
 )
@@ -80,8 +81,8 @@
 	}
 }
 
-// applySnapshot applies the newest records, the configuration last: once it is in force requests
-// are admitted, and the roll-outs must be known by then.
+// applySnapshot applies the newest records, the configuration last: once it is in force, requests are
+// admitted, and by then the roll-outs and drain orders must be known.
 func (o *operator) applySnapshot(list []keyedlog.Record) {
 	o.replaceDrainOrders(list)
 	for _, config := range []bool{false, true} {
@@ -93,7 +94,7 @@
 	}
 }
 
-// onRestore notes that the store was restored.
+// onRestore starts the periods in which the restored store may lack the operator's records.
 func (o *operator) onRestore() {
 	o.restoreGuard.onRestore()
 	o.rollouts.onRestore()
@@ -103,8 +104,8 @@
 // applyNew applies one record that was written since the last read.
 func (o *operator) applyNew(r keyedlog.Record) { o.applyRecord(r, true) }
 
-// applyRecord applies one record. written says that it is new and not part of a snapshot. A
-// malformed record changes nothing.
+// applyRecord applies one record. written is true if the record is new, false if it is part of a
+// snapshot. A malformed record changes nothing.
 func (o *operator) applyRecord(r keyedlog.Record, written bool) {
 	if domain, ok := o.records.DrainedDomain(r); ok {
 		o.drainOrders[domain] = len(r.Value) > 0
--- a/router/internal/passthrough/ports.go
+++ b/router/internal/passthrough/ports.go
@@ -17,7 +17,8 @@
 	WriteAttempt(caller http.Header, a seam.Attempt) http.Header
 	// ReadResponse decodes the status and headers of a backend server's response.
 	ReadResponse(status int, h http.Header) seam.Response
-	// ResponseHeaders returns those of a backend server's response headers that go to the caller.
+	// ResponseHeaders returns the headers of a backend server's response that are passed on to
+	// the caller.
 	ResponseHeaders(h http.Header) http.Header
 }
 
@@ -28,8 +29,8 @@
 	Config(r keyedlog.Record) (c passthrough.Config, ok bool, err error)
 	// Order decodes a roll-out order; ok is false for a record of another kind.
 	Order(r keyedlog.Record) (o passthrough.Order, ok bool, err error)
-	// DrainedDomain decodes a drain order: the failure domain to drain, or whose drain ends
-	// where the record's value is empty; ok is false for a record of another kind.
+	// DrainedDomain decodes a drain order: the failure domain to drain or, if the record's value
+	// is empty, the one whose drain ends; ok is false for a record of another kind.
 	DrainedDomain(r keyedlog.Record) (domain string, ok bool)
 	// Server decodes a backend server's entry.
 	Server(r keyedlog.Record) (passthrough.Server, error)
@@ -46,9 +47,9 @@
 	Operator() keyedlog.Log
 	// Servers holds the backend servers' entries.
 	Servers() keyedlog.Log
-	// Status holds the phases of roll-outs.
+	// Status holds the phases of roll-outs. This topic is called the register in this package.
 	Status() keyedlog.Log
-	// Observations holds what instances share about responses and crashes.
+	// Observations holds the instances' observation sets and crash records.
 	Observations() keyedlog.Log
 	// Instances holds the entries of a failure domain's instances, by which they find each
 	// other.
--- a/router/internal/passthrough/random_test.go
+++ b/router/internal/passthrough/random_test.go
@@ -10,9 +10,9 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// TestRandomConfigurations runs seeded histories of an operator and of instances that read
-// in any order, find the store unavailable or records dropped, and restart: no instance goes
-// back to an earlier version, and each has the newest one after a read.
+// TestRandomConfigurations guards against instances that go back to an earlier configuration or miss
+// the newest one. Seeded random sequences: an operator writes configurations, and instances read in
+// any order, cannot read the store, find records trimmed, and restart.
 func TestRandomConfigurations(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomConfigurations(t, seed) })
@@ -48,7 +48,7 @@
 		case 2:
 			log.readErrs = append(log.readErrs, keyedlog.ErrUnknown)
 		case 3:
-			log.firstKept = uint64(len(log.records)) // all records before this point are dropped
+			log.firstKept = uint64(len(log.records)) // all records before this point are trimmed
 		case 4:
 			if rng.IntN(4) == 0 {
 				fleet[i] = start(i)
@@ -70,10 +70,10 @@
 	}
 }
 
-// TestRandomQuarantine runs seeded histories of a request that crashes each server that
-// runs it and is retried at any instance, among requests that crash a server only now and
-// then. Once three crashes are known to all instances the first must not run again, and the
-// others must not be quarantined.
+// TestRandomQuarantine guards against a request that crashes servers again and again. Seeded random
+// sequences: one request crashes each server that runs it and is retried at any instance, among
+// requests that crash a server only occasionally. Once three crashes are known to all instances the
+// first must not run again, and an unrelated request must not be refused.
 func TestRandomQuarantine(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomQuarantine(t, seed) })
@@ -99,7 +99,8 @@
 		}
 		fleet, readers = append(fleet, p), append(readers, reader)
 	}
-	// send sends a request through some instance and ends it as given; it reports whether it ran.
+	// send sends a request through a random instance and ends its attempt as given. It reports
+	// whether the request ran.
 	send := func(fingerprint uint64, end passthrough.AttemptEnded) bool {
 		d := fleet[rng.IntN(len(fleet))].driver
 		tk := d.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: fingerprint,
--- a/router/internal/passthrough/register.go
+++ b/router/internal/passthrough/register.go
@@ -11,22 +11,22 @@
 	"masticplank.example/router/internal/logging"
 )
 
-// registerState is the register's state of a service's newest roll-out.
+// registerState is the newest state of a service's roll-out in the register, the status topic
+// (Store.Status).
 type registerState struct {
 	target string
 	phase  passthrough.Phase
 }
 
-// knownState returns what was read of the roll-out from the register's topic, and whether the topic
-// was read at all.
+// knownState returns the end of the roll-out that was read from the register (0 for none), whether the
+// register holds the roll-out, and whether the register was read at all.
 func (m *rollouts) knownState(r *rollout) (phase passthrough.Phase, registered, registerRead bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return r.readPhase, r.registered, m.registerRead
 }
 
-// reader returns a reader of the register's topic, by which all instances learn of an end at
-// once.
+// reader returns a reader of the register, from which all instances learn of an end at once.
 func (m *rollouts) reader(log keyedlog.Log) *topicReader {
 	t := &topicReader{
 		name: topicStatus, log: log, clock: m.clock, telemetry: m.telemetry,
@@ -48,7 +48,7 @@
 	return t
 }
 
-// applyRegisterRecord applies one record of the register's topic. The first end of a roll-out holds.
+// applyRegisterRecord applies one record of the register. An open roll-out keeps the first end read.
 func (m *rollouts) applyRegisterRecord(rec keyedlog.Record) {
 	service, target, phase, ok, err := m.records.Status(rec)
 	if err != nil {
@@ -68,14 +68,14 @@
 	}
 }
 
-// predatesKnownEnd reports whether a state is one from before the known end, as a restored store may
-// have it. The lock is held.
+// predatesKnownEnd reports whether a state is older than the known end, as after a restore of the store.
+// The lock is held.
 func (m *rollouts) predatesKnownEnd(service, target string, phase passthrough.Phase) bool {
 	known := m.registerStates[service]
 	return m.restoredRecently() && known.target == target && known.phase.Ended() && !phase.Ended()
 }
 
-// applyState notes what the register holds of a roll-out. The lock is held.
+// applyState records the phase that the register holds of a roll-out. The lock is held.
 func (m *rollouts) applyState(r *rollout, phase passthrough.Phase) {
 	r.registered = true
 	if phase.Ended() && !r.readPhase.Ended() {
@@ -83,12 +83,12 @@
 	}
 }
 
-// commitPlan reads the register and, if it holds no end yet, writes the plan's phase. It
-// returns the plan that is in force.
+// commitPlan reads the register and, if it holds no end yet, writes the plan's phase. A phase that is
+// not an end is written only if the register holds none. commitPlan returns the plan to follow.
 //
-// The append fails unless the topic still ends where it was read, so an end that another
-// instance wrote in between is never overwritten. If an append's result is unknown, the next
-// call reads the register before it writes anything.
+// The append fails unless the register still ends where it was read, so an end that another instance
+// wrote in between is never overwritten. If the result of an append is unknown, the next call reads
+// the register before it writes anything.
 func (m *rollouts) commitPlan(ctx context.Context, r *rollout, plan passthrough.Rollout, seen view) passthrough.Rollout {
 	stored, end, err := m.readRegister(ctx, r)
 	if err != nil {
@@ -114,8 +114,8 @@
 	return plan
 }
 
-// readRegister returns the phase that the register holds of the roll-out, 0 for none, and the end of its
-// topic.
+// readRegister returns the phase that the register holds of the roll-out, 0 for none, and the position
+// after the register's last record.
 func (m *rollouts) readRegister(ctx context.Context, r *rollout) (phase passthrough.Phase, end keyedlog.Position, err error) {
 	snap, err := m.register.Newest(ctx)
 	if err != nil {
@@ -130,7 +130,8 @@
 	return 0, snap.Next, nil
 }
 
-// writePhase writes a phase of the roll-out if the topic still ends at end, and reports whether it did.
+// writePhase writes a phase of the roll-out if the register still ends at end. It reports whether the
+// phase was written.
 func (m *rollouts) writePhase(ctx context.Context, r *rollout, phase passthrough.Phase, end keyedlog.Position) bool {
 	rec, err := m.records.StatusRecord(r.Service, r.Target, phase)
 	if err == nil {
@@ -142,12 +143,12 @@
 	return err == nil
 }
 
-// logUnwritten logs why a roll-out's state is not in the register.
+// logUnwritten logs why a roll-out's phase was not written to the register.
 func (m *rollouts) logUnwritten(r *rollout, why string) {
 	m.telemetry.emit(logging.EventRolloutUnwritten, slog.String("service", r.Service), slog.String(logging.KeyError, why))
 }
 
-// markRegistered notes that the register holds the roll-out.
+// markRegistered records that the register holds the roll-out.
 func (m *rollouts) markRegistered(r *rollout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,7 +156,7 @@
 }
 
 // withoutCompletion returns the plan to follow while the register does not hold the planned end: a
-// bad version already gets nothing, a good one is not completed yet.
+// reverted version gets no requests at once, but a completion waits until the register holds it.
 func withoutCompletion(plan passthrough.Rollout) passthrough.Rollout {
 	if plan.Phase == passthrough.PhaseCompleted {
 		plan.Phase = passthrough.PhaseCanary
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestUnknownWriteResultIsReadBack guards against a second end where a write took effect but its
-// result was lost: the register is read before anything is written again.
+// TestUnknownWriteResultIsReadBack guards against a second end if a write took effect but its result
+// was lost: the register is read before anything is written again.
 func TestUnknownWriteResultIsReadBack(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, status, &fakeLog{})
@@ -57,9 +57,10 @@
 	}
 }
 
-// TestRandomRegisterWrites runs seeded histories of instances that plan, lose results of writes,
-// find the store unavailable, and restart, in any order: one end is written, no instance
-// holds another, and a version that was reported to fail is never completed.
+// TestRandomRegisterWrites guards against two ends of one roll-out, an instance that applies another end
+// than the register holds, and the completion of a version that was reported to fail. Seeded random
+// sequences: instances plan, lose results of writes, cannot read the register, and restart, in any
+// order.
 func TestRandomRegisterWrites(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomRegister(t, seed) })
@@ -79,7 +80,7 @@
 		}
 		return p
 	}
-	if bad { // what an earlier instance saw and shared
+	if bad { // an earlier instance saw bad responses and shared its counts
 		first := start(9)
 		first.rollouts.advance(t.Context(), first.rollouts.open["shop"])
 		first.observeMany("v2", true, 10)
--- a/router/internal/passthrough/restore_model_test.go
+++ b/router/internal/passthrough/restore_model_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// restoreModel is a set of instances and a store that is restored from copies, with an operator who
+// restoreModel is a set of instances and a store that is restored from backups, with an operator who
 // writes again what was lost.
 type restoreModel struct {
 	t         *rapid.T
@@ -16,41 +16,42 @@
 	operator  *fakeLog
 	servers   *fakeLog
 	instances []*modelInstance
-	// version is the last that the operator wrote, revokedAt when each version was acknowledged:
-	// each revokes a key.
+	// version is the last version that the operator wrote, revokedAt when each version was
+	// acknowledged. Each version revokes a key.
 	version   int
 	revokedAt map[int]time.Time
 	// rewriteAt is when the operator writes again what the store lost, zero if nothing was lost.
 	rewriteAt time.Time
-	// slowRewrite says that this takes up to maxSlowRewriteDelay.
+	// slowRewrite is true if the operator takes up to maxSlowRewriteDelay for this.
 	slowRewrite bool
 	// entriesAt is when the servers' entries are correct again.
 	entriesAt time.Time
-	// alive are the servers that write entries, left those that have left.
+	// alive are the servers that write entries, left the servers that have left.
 	alive map[string]bool
 	left  map[string]bool
 }
 
-// modelInstance is an instance of the model with what the invariants need to know of it.
+// modelInstance is an instance of the model with the data that the invariants need.
 type modelInstance struct {
 	*testInstance
 	operatorReader, listReader *topicReader
 	disconnected               bool
-	// highestVersion is the highest that was in force in this process, startedAt when it began to read.
+	// highestVersion is the highest version that was in force in this process, startedAt when the process
+	// began the read that found its first configuration.
 	highestVersion uint64
 	startedAt      time.Time
 	// knowableVersion is the highest version that it read or that a peer could have reported.
 	knowableVersion int
-	// listedServers are the servers that it has listed, goneServers those of them that it has dropped since
+	// listedServers are the servers that it has listed, goneServers those of them that it has removed after
 	// they left.
 	listedServers, goneServers map[string]bool
 }
 
-// maxRewriteDelay is how long after a restore the operator has written again at the latest; it lies
-// within the time for which reads of the restored store confirm nothing.
+// maxRewriteDelay is the maximum time from a restore until the operator has written again what was lost.
+// It is shorter than the time for which reads of the restored store confirm nothing.
 const maxRewriteDelay = time.Second
 
-// maxSlowRewriteDelay is the same for a slow operator.
+// maxSlowRewriteDelay is the same for a slow operator. It is longer than that time.
 const maxSlowRewriteDelay = 12 * time.Second
 
 func newRestoreModel(t *rapid.T) *restoreModel {
@@ -76,7 +77,8 @@
 	}
 }
 
-// advance advances the clock: all connected instances read, and report to each other what the store lost.
+// advance advances the clock, writes what is due, and makes all connected instances read and report to
+// each other the version that the store lost.
 func (m *restoreModel) advance(d time.Duration) {
 	m.clock.advance(d)
 	if !m.rewriteAt.IsZero() && !m.clock.Now().Before(m.rewriteAt) {
@@ -132,7 +134,7 @@
 		i.highestVersion = index.Version
 		next, written := m.revokedAt[int(index.Version)+1]
 		late := written && now.Sub(next) > i.config.Bound()
-		// An instance that started since cannot know what the store lost until a peer can report it.
+		// An instance that started after that cannot know what the store lost until a peer can report it.
 		uninformed := i.startedAt.After(next) && i.knowableVersion <= int(index.Version)
 		if late && i.config.Fresh() && !uninformed {
 			m.t.Fatalf("instance %d accepts keys by version %d, %v after version %d was acknowledged", n, index.Version, now.Sub(next), index.Version+1)
@@ -147,7 +149,7 @@
 	}
 }
 
-// restore restores the store from a copy, and lets the operator write again within the given time.
+// restore restores the store from a backup, and makes the operator write again within the given time.
 func (m *restoreModel) restore(t *rapid.T, within time.Duration) {
 	m.operator.restore(rapid.IntRange(0, len(m.operator.records)).Draw(t, "records"))
 	m.servers.restore(rapid.IntRange(0, len(m.servers.records)).Draw(t, "entries"))
@@ -160,7 +162,7 @@
 	}
 }
 
-// drawDuration draws a duration up to so many milliseconds.
+// drawDuration draws a duration of 0 to maxMS milliseconds.
 func drawDuration(t *rapid.T, maxMS int) time.Duration {
 	return time.Duration(rapid.IntRange(0, maxMS).Draw(t, "ms")) * time.Millisecond
 }
@@ -190,11 +192,11 @@
 // operatorSettled reports whether the operator has nothing to write again.
 func (m *restoreModel) operatorSettled() bool { return m.rewriteAt.IsZero() }
 
-// TestRestoresInAnyOrder plays random schedules of writes, restores, disconnections, kills and starts:
-// no key is accepted past its bound, no version goes back, no server that left is used again, and all
-// instances agree soon after the end.
+// TestRestoresInAnyOrder runs random schedules of writes, restores, disconnections, kills and starts. It
+// guards against accepting a key past the revocation bound, against going back to an earlier version and
+// against using a server again that has left; soon after the end all instances must agree.
 func TestRestoresInAnyOrder(t *testing.T) {
-	const rounds = 40 // of 100 schedules, or as many as -rapid.checks says
+	const rounds = 40 // of 100 schedules each, or of the number given by -rapid.checks
 	for range rounds {
 		rapid.Check(t, runRandomRestores)
 	}
@@ -204,7 +206,7 @@
 	m := newRestoreModel(t)
 	pick := func() *modelInstance { return m.instances[rapid.IntRange(0, len(m.instances)-1).Draw(t, "instance")] }
 	t.Repeat(map[string]func(*rapid.T){
-		"pass": func(t *rapid.T) {
+		"advance": func(t *rapid.T) {
 			m.advance(drawDuration(t, 700))
 		},
 		"wait": func(t *rapid.T) {
@@ -224,7 +226,7 @@
 				m.restore(t, maxSlowRewriteDelay)
 			}
 		},
-		"miss": func(t *rapid.T) { // an instance misses a version that the store then loses
+		"miss a version": func(t *rapid.T) { // an instance misses a version that the store then loses
 			i := pick()
 			if !m.operatorSettled() {
 				return
@@ -237,7 +239,7 @@
 			m.advance(drawDuration(t, 700))
 			i.disconnected = true
 		},
-		"cut": func(*rapid.T) {
+		"toggle connection": func(*rapid.T) {
 			i := pick()
 			if i.disconnected || m.mayDisconnect(i) {
 				i.disconnected = !i.disconnected
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -12,8 +12,8 @@
 )
 
 // rollouts executes the operator's roll-out orders. Each instance plans by itself, from the time
-// since the order and from what all instances saw. The end is written to the register once, by
-// the first instance that gets there.
+// since the order and from the observations of all instances. The end is written to the register
+// once, by the first instance whose plan ends.
 type rollouts struct {
 	records      Records
 	register     keyedlog.Log
@@ -22,53 +22,53 @@
 	observations *observationStore
 	telemetry    *telemetry
 	clock        Clock
-	// exposure bounds the requests that a bad version may get.
+	// exposure limits the requests that a bad version may get.
 	exposure passthrough.ExposureLimit
-	// writesRegister says whether this instance writes the register; the others of its failure
-	// domain only read it, which keeps the number of calls low in a large fleet.
+	// writesRegister reports whether this instance writes the register. The other instances of its
+	// failure domain only read it, to limit the number of calls to the store in a large fleet.
 	writesRegister func() bool
 
 	mu   sync.Mutex
 	open map[string]*rollout
-	// registerStates are the newest states of roll-outs by service; registerRead says that the
-	// register's topic was read.
+	// registerStates are the newest states of roll-outs in the register by service; registerRead
+	// is true if the register was read.
 	registerStates map[string]registerState
 	registerRead   bool
 	wake           chan struct{}
-	// lastRunAt is when open roll-outs were advanced last, zero while there are none.
+	// lastRunAt is when open roll-outs were last advanced, zero while there are none.
 	lastRunAt time.Time
-	// restoredAt is when the last restore of the store was noticed, zero for never.
+	// restoredAt is when the last restore of the store was noticed, zero if there was none.
 	restoredAt time.Time
 }
 
-// rollout is one roll-out order with what this instance knows of its progress.
+// rollout is a roll-out order with the state of its execution at this instance.
 type rollout struct {
 	passthrough.Order
 	offset uint64
 	// earlierOffsets are the offsets of the order before it was written again.
 	earlierOffsets []uint64
-	// rewriteUntil is until when an end that the store lacks is written again; zero if it need
-	// not be.
+	// rewriteUntil is the time until which an end that the store lacks is written again; zero if
+	// it need not be.
 	rewriteUntil time.Time
 	// orderedAt is when this instance read the order.
 	orderedAt time.Time
 	plan      passthrough.Rollout
-	// ended is the end that this instance has applied, 0 for none yet; readPhase is the end
-	// that was read from the register's topic.
+	// ended is the end that this instance has applied, readPhase the end that was read from the
+	// register; 0 for none yet.
 	ended     passthrough.Phase
 	readPhase passthrough.Phase
-	// badSince is when this instance found the version bad, zero if it does not.
+	// badSince is since when this instance finds the version bad, zero if it does not.
 	badSince time.Time
-	// held says that the roll-out's time passed before a verdict on its version was possible;
-	// finishAt is when it ends after the version was found good.
+	// held is true if the roll-out's time passed before a verdict on its version was possible;
+	// finishAt is when the held roll-out completes once the version was found good.
 	held     bool
 	finishAt time.Time
-	// registered says that the register holds the roll-out.
+	// registered is true if the register holds the roll-out.
 	registered bool
 }
 
 // rolloutInterval is the time between two evaluations of open roll-outs: a bad version must be
-// out within seconds of its 50th bad response.
+// reverted within seconds of its 50th bad response.
 const rolloutInterval = 400 * time.Millisecond
 
 func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, observations *observationStore, tel *telemetry, clock Clock, limit passthrough.ExposureLimit) *rollouts {
@@ -78,7 +78,7 @@
 	}
 }
 
-// applyOrder applies a roll-out order. One that is already known changes nothing.
+// applyOrder applies a roll-out order. An order that is already known changes nothing.
 func (m *rollouts) applyOrder(o passthrough.Order, offset uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,8 +86,8 @@
 		return
 	}
 	r := &rollout{Order: o, offset: offset, orderedAt: m.clock.Now()}
-	// Until the register's topic was read, the new version gets nothing: an instance that starts
-	// in the middle of a roll-out knows neither its phase nor the open sessions.
+	// Until the register was read, the new version gets no requests: an instance that starts in
+	// the middle of a roll-out knows neither its phase nor the open sessions.
 	r.plan = passthrough.Rollout{Order: o, Phase: passthrough.PhaseCanary, FirstHalf: true, CollectingSessions: true}
 	m.open[o.Service] = r
 	if st, ok := m.registerStates[o.Service]; ok && st.target == o.Target {
@@ -99,7 +99,7 @@
 	m.wakeUp()
 }
 
-// wakeUp makes run evaluate the roll-outs now.
+// wakeUp makes run evaluate the roll-outs if it waits for one to open.
 func (m *rollouts) wakeUp() {
 	select {
 	case m.wake <- struct{}{}:
@@ -110,7 +110,7 @@
 // active reports whether some roll-out has not ended.
 func (m *rollouts) active() bool { return len(m.openRollouts()) > 0 }
 
-// run advances the open roll-outs until ctx ends; while there are none it sleeps.
+// run advances the open roll-outs until ctx ends. While there are none, it waits for wakeUp.
 func (m *rollouts) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !m.advanceAll(ctx) {
@@ -137,11 +137,12 @@
 	return len(open)+len(lost) > 0
 }
 
-// detectSuspension finds out whether this process was suspended since the last run.
+// detectSuspension detects whether this process was suspended since the last run, and then marks the
+// observations as incomplete. open is true if there are open roll-outs.
 //
 // Load: an instance is suspended for the second half of a roll-out, and does not notice an outage
-// of the store in that time, which keeps its peers from reporting what they saw. Harm prevented:
-// the instance, which knows of no failure, completes a bad version before its peers can report it.
+// of the store in that time, in which its peers cannot report their observations. Harm prevented: the
+// instance, which knows of no failure, completes a bad version before its peers can report it.
 func (m *rollouts) detectSuspension(open bool) {
 	now := m.clock.Now()
 	if !m.lastRunAt.IsZero() && now.Sub(m.lastRunAt) > propagationTime {
@@ -197,12 +198,12 @@
 	m.applyPlan(r, plan, seen)
 }
 
-// heldRolloutLead is how long the new version gets all new work before a held roll-out ends: the old
-// servers are stopped at the end, and streams of some seconds may still run there.
+// heldRolloutLead is how long the new version gets all new work before a held roll-out completes: the
+// old servers are stopped then, and streams of some seconds may still run there.
 const heldRolloutLead = 5 * time.Second
 
-// delayHeldEnd delays the end of a roll-out that was held by heldRolloutLead, in which the new version
-// gets all new work, as it would have before an end in time.
+// delayHeldEnd delays the completion of a held roll-out by heldRolloutLead. In that time the new version
+// gets all new work, as it does before the completion of a roll-out that was not held.
 func (r *rollout) delayHeldEnd(plan passthrough.Rollout, now time.Time) passthrough.Rollout {
 	if plan.Held {
 		r.held, r.finishAt = true, time.Time{}
@@ -220,10 +221,10 @@
 }
 
 // revertTimeout is how long an instance that does not write the register waits for others to revert
-// a bad version: they evaluate every 0.4 s, and learn what it saw within a second.
+// a bad version: they evaluate every 0.4 s, and get this instance's observations within a second.
 const revertTimeout = 2 * time.Second
 
-// revertOverdue reports whether this instance should revert a bad version itself: the instances
+// revertOverdue reports whether this instance should revert a bad version itself, since the instances
 // that write the register may have lost the observations or may never get them.
 func (r *rollout) revertOverdue(plan passthrough.Rollout, now time.Time) bool {
 	if plan.Phase != passthrough.PhaseReverted {
@@ -236,15 +237,15 @@
 	return now.Sub(r.badSince) >= revertTimeout
 }
 
-// mayComplete reports whether the new version has enough servers for all traffic: the old ones are
-// stopped at once when it completes.
+// mayComplete reports whether the new version has enough servers for all traffic: at least one, and at
+// least half as many as all other versions. The old servers are stopped at once on completion.
 func (m *rollouts) mayComplete(r *rollout) bool {
 	newServers, oldServers := m.servers.countServers(r.Service, r.Target)
 	return newServers > 0 && 2*newServers >= oldServers
 }
 
-// end notes and logs the end of a roll-out. how is "written" if this instance wrote it to the
-// register, else "read".
+// end applies and logs the end of a roll-out. how is "written" if this instance wrote the end to the
+// register, "read" if it read it there.
 func (m *rollouts) end(r *rollout, phase passthrough.Phase, seen view, how string) {
 	m.mu.Lock()
 	r.ended = phase
@@ -257,7 +258,8 @@
 		slog.Int("old_good", seen.oldCounts.Good), slog.Int("old_bad", seen.oldCounts.Bad))
 }
 
-// applyPlan hands a changed plan to the decision and logs each step.
+// applyPlan passes a changed plan to the decision and logs each step, that is any change other than of a
+// time or from one share above 0 to another.
 func (m *rollouts) applyPlan(r *rollout, plan passthrough.Rollout, seen view) {
 	if plan == r.plan {
 		return
--- a/router/internal/passthrough/rollouts_restore.go
+++ b/router/internal/passthrough/rollouts_restore.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// orderRewriteWindow is how long after a restore an order that equals the known one is taken
-	// for that one, written again by the operator.
+	// orderRewriteWindow is how long after a restore an order that equals the known one is treated
+	// as the same order, written again by the operator.
 	orderRewriteWindow = 10 * time.Second
 	// endRewriteWindow is how long after a restore an end that the store lacks is written again.
 	endRewriteWindow = 30 * time.Second
 )
 
-// onRestore notes that the store was restored: the ends that this instance knows, and the states of
-// roll-outs in progress, may have to be written again.
+// onRestore prepares for writing again, after a restore of the store, the ends that this instance knows
+// and the states of roll-outs in progress.
 func (m *rollouts) onRestore() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -31,7 +31,7 @@
 	m.wakeUp()
 }
 
-// restoredRecently reports whether what a restore lost may still be written again. The lock is held.
+// restoredRecently reports whether the last restore is less than orderRewriteWindow ago. The lock is held.
 func (m *rollouts) restoredRecently() bool {
 	return !m.restoredAt.IsZero() && m.clock.Now().Sub(m.restoredAt) < orderRewriteWindow
 }
@@ -45,10 +45,10 @@
 }
 
 // isRewrittenOrder reports whether an order at another offset is the known one, written again after
-// a restore, and then adopts the offset. The lock is held.
+// a restore. If so, it adopts the new offset. The lock is held.
 //
-// Load: the store is restored in the middle of a roll-out. Harm prevented: the roll-out starts
-// again, and grants a full exposure to a version of which much was seen already.
+// Load: the store is restored in the middle of a roll-out. Harm prevented: the roll-out starts again,
+// and a version that was already exposed to requests gets the full exposure once more.
 func (m *rollouts) isRewrittenOrder(r *rollout, o passthrough.Order, offset uint64) bool {
 	if r.Order != o || !m.restoredRecently() {
 		return false
@@ -81,7 +81,7 @@
 	}
 	stored, end, err := m.readRegister(ctx, r)
 	if err != nil {
-		return // tried again in the next run
+		return // the next run retries
 	}
 	m.mu.Lock()
 	phase := r.knownEnd()
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -10,7 +10,7 @@
 
 const orderValue = "order shop v2 20"
 
-// restoredFleet is a set of instances on logs that can be restored from a copy.
+// restoredFleet is a set of instances on topics that can be restored from a backup.
 type restoredFleet struct {
 	t                              *testing.T
 	clock                          *fakeClock
@@ -60,9 +60,9 @@
 	f.clock.advance(400 * time.Millisecond)
 }
 
-// TestOrderWrittenAgainIsTheSameRollout checks that an order which the operator writes again after a
-// restore, at another offset, does not start the roll-out again: its time continues, and earlier
-// observations count, also at an instance that knows only the new offset.
+// TestOrderWrittenAgainIsTheSameRollout guards against starting a roll-out again because the operator
+// writes its order again after a restore, at another offset: its time continues, and earlier observations
+// count, also at an instance that knows only the new offset.
 func TestOrderWrittenAgainIsTheSameRollout(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
 	copied := len(f.operator.records)
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestRestoredCountsDoNotReplaceLaterOnes checks that earlier counts in a restored store do not replace
-// the later ones that an instance has read from its peers, before they write again.
+// TestRestoredCountsDoNotReplaceLaterOnes checks that the earlier counts in a restored store do not replace
+// the later counts that an instance has read from its peers, even before the peers write again.
 func TestRestoredCountsDoNotReplaceLaterOnes(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
 	f.operator.add("order/shop", orderValue)
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -8,7 +8,7 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// storedEnds returns the ends in the status topic, in order.
+// storedEnds returns the ends in the register, in order.
 func storedEnds(l *fakeLog) []passthrough.Phase {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,8 +34,9 @@
 	}
 }
 
-// TestLateInstanceCompletesRolloutInTime checks that an instance which starts in the middle of a
-// roll-out takes the elapsed time and the counts from its peers and completes it in time.
+// TestLateInstanceCompletesRolloutInTime guards against a roll-out that starts over at an instance that
+// starts in the middle of it: the instance uses the elapsed time and the counts of its peers and completes
+// the roll-out in time.
 func TestLateInstanceCompletesRolloutInTime(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	a := newTestInstance("a", clock, status, observations)
@@ -78,7 +79,7 @@
 }
 
 // TestEndReachesInstancesThatDoNotWrite checks that an instance which does not write the register
-// applies an end from its topic, although its own observations would not lead to it.
+// applies an end that it reads there, although its own observations would not lead to that end.
 func TestEndReachesInstancesThatDoNotWrite(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	writer, follower := newTestInstance("a", clock, status, &fakeLog{}), newTestInstance("b", clock, status, &fakeLog{})
@@ -147,8 +148,9 @@
 	}
 }
 
-// TestNoCompletionRightAfterSuspension checks that an instance which was suspended for most of a roll-out,
-// while its peers could not write their observations, waits for these before it completes a version.
+// TestNoCompletionRightAfterSuspension guards against the completion of a bad version by an instance that
+// was suspended for most of a roll-out, while its peers could not write their observations: it waits for
+// these.
 func TestNoCompletionRightAfterSuspension(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	a, b := newTestInstance("a", clock, status, observations), newTestInstance("b", clock, status, observations)
@@ -163,7 +165,7 @@
 	a.rollouts.advanceAll(t.Context())
 	r := a.rollouts.open["shop"]
 	if r.ended != 0 {
-		t.Fatalf("ended as %v right after the pause", r.ended)
+		t.Fatalf("ended as %v right after the suspension", r.ended)
 	}
 	if err := observations.Append(t.Context(), keyedlog.AnyPosition, b.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
@@ -177,8 +179,8 @@
 	}
 }
 
-// TestNoCompletionWhileObservationsCannotBeWritten checks that an instance which cannot write its own set
-// treats what it knows of its peers' observations as incomplete.
+// TestNoCompletionWhileObservationsCannotBeWritten checks that an instance which cannot write its own
+// observations treats those of its peers as incomplete.
 func TestNoCompletionWhileObservationsCannotBeWritten(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	p := newTestInstance("a", clock, status, observations)
@@ -202,15 +204,14 @@
 	}
 }
 
-// TestHeldRolloutEndsAfterLead holds a roll-out past its time while there is no verdict
-// on its version. Once that is found good it gets all new work for heldRolloutLead before the old
-// servers are stopped.
+// TestHeldRolloutEndsAfterLead guards against stopping the old servers right when the version of a held
+// roll-out is found good: it must get all new work for heldRolloutLead first.
 func TestHeldRolloutEndsAfterLead(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
-	p.rollouts.registerRead = true // as after a read of the status topic
+	p.rollouts.registerRead = true // as after a read of the register
 	r := p.rollouts.open["shop"]
 	observeIntervals := func(count int, x float64) {
 		for range count {
--- a/router/internal/passthrough/server.go
+++ b/router/internal/passthrough/server.go
@@ -19,19 +19,20 @@
 )
 
 const (
-	// idleTimeout is how long a connection stays open without a request. It far exceeds the
-	// 15 s for which operators' configurations let callers reuse one: a request that is on its
-	// way when the connection closes gets no response.
+	// idleTimeout is how long a connection stays open without a request. It is much longer than
+	// the 15 s for which operators' configurations let callers reuse a connection, since a
+	// request that is on its way when the connection is closed gets no response.
 	idleTimeout = 2 * time.Minute
-	// readHeaderTimeout bounds the reading of a request's head; configurations allow 3 s.
+	// readHeaderTimeout is the timeout for reading a request's head; configurations allow 3 s.
 	readHeaderTimeout = 5 * time.Second
 	// rotationDelay is how long after SIGTERM new requests are still served: the load balancer
 	// checks readiness once a second and needs two failed checks, or three if one gets lost.
 	rotationDelay = 3 * time.Second
-	// closeMargin is the end of the grace period that is reserved for closing down.
+	// closeMargin is the part of the grace period, at its end, that is reserved for closing
+	// connections.
 	closeMargin = 600 * time.Millisecond
-	// responseMargin is how long before that plain calls that arrived late have their final
-	// responses.
+	// responseMargin is how long before the start of closeMargin the last response must be
+	// complete.
 	responseMargin = 200 * time.Millisecond
 )
 
@@ -117,8 +118,8 @@
 //
 // Load: all instances are replaced, one after the other, while they are busy. Harm prevented:
 // responses are truncated, and requests find a closed port. So new requests are served until
-// the load balancer has noticed, and plain calls for as long as streams run; then each
-// connection is closed after a response.
+// the load balancer has noticed. After that, plain requests are served for as long as streams run,
+// and each connection is closed after a response.
 func (s *server) stop(began time.Time) {
 	grace := s.settings.Bounds.Grace - closeMargin
 	respondBy := began.Add(grace - responseMargin)
@@ -136,7 +137,7 @@
 	s.handler.shutdown.enter(phaseClosing)
 	s.waitIdle(ctx)
 	_, running = s.driver.Load()
-	_ = s.callers.Close() // connections still open have had the whole grace period
+	_ = s.callers.Close() // requests still in progress have had the whole grace period
 	for _, srv := range s.auxServers {
 		_ = srv.Close()
 	}
@@ -147,8 +148,8 @@
 	}
 }
 
-// waitStreams waits until no stream is in progress, or until end, the end of the time for new
-// calls.
+// waitStreams waits until no stream is in progress, or until end, after which new requests could not
+// get a response in time.
 func (s *server) waitStreams(ctx context.Context, end time.Time) {
 	for s.driver.Streams() > 0 && s.handler.clock.Now().Before(end) && ctx.Err() == nil {
 		sleep(ctx, drainPollInterval, nil)
@@ -158,8 +159,8 @@
 // drainPollInterval is the time between two checks for requests in progress.
 const drainPollInterval = 50 * time.Millisecond
 
-// waitIdle waits until no request is in progress for some checks in a row, so that requests which
-// were already on their way are answered.
+// waitIdle waits until no request was in progress at quietPolls checks in a row, so that requests that
+// were already on their way get a response.
 func (s *server) waitIdle(ctx context.Context) {
 	const quietPolls = 6
 	for idle := 0; idle < quietPolls && ctx.Err() == nil; {
--- a/router/internal/passthrough/serverlist.go
+++ b/router/internal/passthrough/serverlist.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// readIntervalFraction times the period for which a leaving server may still get requests
-	// is the interval between two reads of the list: one read may fail. Each read is a call to
-	// the store, so the interval is at least minReadInterval. What passes through a collector
-	// is read twice, so the interval is at most maxReadInterval, except at an instance that
-	// reads only for itself because it cannot reach its peers.
+	// readIntervalFraction times drainTime is the interval between two reads of the store, so
+	// that a server's leaving is read in time even if one read fails. The interval is at least
+	// minReadInterval, to limit the load on the store, and at most maxReadInterval, since
+	// entries that pass through a collector are read twice. The maximum does not apply to an
+	// instance that reads only for itself because it cannot reach its peers.
 	readIntervalFraction = 0.37
 	minReadInterval      = 300 * time.Millisecond
 	maxReadInterval      = 750 * time.Millisecond
-	// followerPause is the time between two reads of a follower, which batches changes: a
-	// server that leaves or is in slow start must be known within a second, but not with one
-	// read per heartbeat.
+	// followerPause is the time between two reads of a follower. It batches changes, so that
+	// there is not one read per heartbeat. A server that leaves or is in slow start must be
+	// known within a second.
 	followerPause = 100 * time.Millisecond
 	// followerWait is how long a follower's read waits for a change. The data may have passed
-	// through two other instances, and the waits add up to its age.
+	// through two other instances, and the waits of all three add to its age.
 	followerWait = 350 * time.Millisecond
-	// lapseGrace is how long an entry that expired in an outage of the store is still used once
-	// the store is back: a live server writes it again within two seconds.
+	// lapseGrace is how long an entry that expired in an outage of the store is still used after
+	// the outage. A live server writes its entry again within two seconds.
 	lapseGrace = 1500 * time.Millisecond
 	// minLapseOutage is the shortest outage in which entries may have expired.
 	minLapseOutage = 800 * time.Millisecond
 )
 
-// serverList follows the list of backend servers and hands it to the decision.
+// serverList follows the list of backend servers and passes it to the decision.
 type serverList struct {
 	records   Records
 	driver    *Driver
@@ -47,27 +47,27 @@
 	wake      chan struct{}
 	// startGate is informed when the list has been read.
 	startGate *startGate
-	// readsAlone says whether this instance reads the store, and only for itself;
-	// readsFromPeer whether it reads from another instance.
+	// readsAlone reports whether this instance reads the store only for itself; readsFromPeer
+	// reports whether it reads from another instance.
 	readsAlone    func() bool
 	readsFromPeer func() bool
 
 	mu      sync.Mutex
 	entries map[string]passthrough.Server
-	// lapsed are entries that were removed in or right after an outage, with the time until
-	// which they are still used.
+	// lapsed are entries that were removed right after an outage, with the time until which they
+	// are still used.
 	lapsed map[string]time.Time
 	// lapseUntil is the end of the period after an outage in which a removed entry may have
 	// expired only because of the outage.
 	lapseUntil time.Time
 	changed    bool
-	// tombstones are of servers that have left; unconfirmed are entries of a restored store
+	// tombstones record the servers that have left; unconfirmed are entries of a restored store
 	// that are not used yet.
 	tombstones  map[string]tombstone
 	unconfirmed map[string]unconfirmedEntry
-	// snapshotRestored says that the next snapshot is of a restored store.
+	// snapshotRestored is true if the next snapshot is of a restored store.
 	snapshotRestored bool
-	// unreadable are the entries that were logged as malformed.
+	// unreadable are the keys of entries that were logged as malformed.
 	unreadable map[string]bool
 }
 
@@ -110,8 +110,8 @@
 	return t
 }
 
-// wait is how long a read waits for a change: not at all in the store, where each heartbeat is
-// a change, but for a while at a peer, which passes on relevant changes only.
+// wait returns how long a read waits for a change: not at all at the store, where each heartbeat is
+// a change, but up to followerWait at a peer, which passes on relevant changes only.
 func (l *serverList) wait() time.Duration {
 	if l.readsFromPeer() {
 		return min(followerWait, l.readInterval())
@@ -119,7 +119,7 @@
 	return 0
 }
 
-// pause is the time between two reads.
+// pause returns the time between two reads.
 func (l *serverList) pause() time.Duration {
 	if l.readsFromPeer() {
 		return followerPause
@@ -127,7 +127,7 @@
 	return l.readInterval()
 }
 
-// readInterval is the time between two reads of the store.
+// readInterval returns the time between two reads of the store.
 func (l *serverList) readInterval() time.Duration {
 	interval := max(time.Duration(readIntervalFraction*float64(l.drainTime)), minReadInterval)
 	if l.readsAlone() {
@@ -136,7 +136,7 @@
 	return min(interval, maxReadInterval)
 }
 
-// outageEnded starts the period in which removed entries may only have expired in the outage.
+// outageEnded starts the period in which a removed entry may have expired only because of the outage.
 func (l *serverList) outageEnded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,7 +211,7 @@
 		slog.String("software", s.Version), slog.Bool("draining", s.Leaving), slog.Uint64("offset", offset))
 }
 
-// remove drops an entry, at once or, after an outage, after a grace period. The lock is held.
+// remove removes an entry: at once, or at lapseUntil in the period after an outage. The lock is held.
 func (l *serverList) remove(id string) {
 	delete(l.unconfirmed, id)
 	if _, ok := l.entries[id]; !ok {
@@ -224,7 +224,7 @@
 	l.removeNow(id, "removed")
 }
 
-// removeNow removes an entry at once and leaves a tombstone. The lock is held.
+// removeNow removes an entry at once and adds a tombstone. The lock is held.
 func (l *serverList) removeNow(id, why string) {
 	s, ok := l.entries[id]
 	if !ok {
@@ -237,7 +237,7 @@
 	l.telemetry.emit(logging.EventServerGone, slog.String(keyServer, id), slog.String(keyReason, why))
 }
 
-// publish hands a changed list to the decision.
+// publish passes a changed list to the decision.
 func (l *serverList) publish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -261,7 +261,7 @@
 	l.dialer.retain(func(id string) bool { _, ok := l.entries[id]; return ok })
 }
 
-// countServers counts a service's servers that are not leaving, at the version and at others.
+// countServers counts a service's servers that are not leaving, at the given version and at others.
 func (l *serverList) countServers(service, version string) (at, others int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/router/internal/passthrough/serverlist_restore.go
+++ b/router/internal/passthrough/serverlist_restore.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// unconfirmedDelay is how long a restored store's entry of a server that had left is not used:
-	// the entry of a server that is gone is removed after three missed heartbeats.
+	// unconfirmedDelay is how long a restored store's entry of a server that had left is not used.
+	// If the server is gone, the store removes the entry within that time, after three missed
+	// heartbeats.
 	unconfirmedDelay = 5 * time.Second
-	// tombstoneTTL is how long a tombstone is kept; the store is restored from copies that are
+	// tombstoneTTL is how long a tombstone is kept; the store is restored from backups that are
 	// some seconds old.
 	tombstoneTTL = 2 * time.Minute
 )
@@ -28,7 +29,7 @@
 	until  time.Time
 }
 
-// addTombstone records that a server has left and drops old tombstones. The lock is held.
+// addTombstone records that a server has left and removes expired tombstones. The lock is held.
 func (l *serverList) addTombstone(s passthrough.Server) {
 	now := l.clock.Now()
 	for id, t := range l.tombstones {
@@ -39,11 +40,12 @@
 	l.tombstones[s.ID] = tombstone{s.StartTime, now}
 }
 
-// onRestore notes that the store was restored.
+// onRestore prepares for the first snapshot of a restored store.
 //
-// Load: a restored store lacks what servers wrote in the last seconds before, while addresses are
-// given to other servers. Harm prevented: servers that started in those seconds are dropped until
-// they write again, and servers that left are called at an address that another server has by now.
+// Load: a restored store lacks what servers wrote in the last seconds before the restore, while
+// addresses are reused by other servers. Harm prevented: servers that started in those seconds are
+// removed until they write again, and requests to servers that left are sent to an address that
+// another server uses by now.
 func (l *serverList) onRestore() {
 	l.outageEnded()
 	l.mu.Lock()
@@ -52,8 +54,8 @@
 }
 
 // reconcile merges a restored store's entry with what is known of the server. A server that was
-// leaving still is. For one that had left ok is false, and the entry stays unconfirmed until the server
-// writes again or unconfirmedDelay has passed. The lock is held.
+// leaving is still leaving. For a server that had left, ok is false, and the entry stays unconfirmed
+// until the server writes again or unconfirmedDelay has passed. The lock is held.
 func (l *serverList) reconcile(s passthrough.Server, offset uint64) (out passthrough.Server, ok bool) {
 	if old, known := l.entries[s.ID]; known && old.StartTime == s.StartTime {
 		s.Leaving = s.Leaving || old.Leaving
--- a/router/internal/passthrough/serverlist_restore_test.go
+++ b/router/internal/passthrough/serverlist_restore_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// restoredList returns an instance whose store was restored without the last records: since the copy
-// one server has left, one is leaving and one has started. One has not changed.
+// restoredList returns an instance whose store was restored without the last records: after the backup
+// was taken, one server left, one began to leave and one started. One has not changed.
 func restoredList(t *testing.T) (*testInstance, *topicReader, *fakeLog, *fakeClock) {
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
@@ -25,8 +25,8 @@
 	return p, reader, log, clock
 }
 
-// TestServersMissingAfterRestoreAreKept guards against dropping a server that started since the copy:
-// it stays for lapseGrace, within which a live one writes again.
+// TestServersMissingAfterRestoreAreKept guards against removing a server that started after the backup
+// was taken: its entry is kept for lapseGrace, within which a live server writes again.
 func TestServersMissingAfterRestoreAreKept(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if !p.servers.has("started") || !p.servers.has("stays") {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestServersThatLeftStayGoneAfterRestore guards against calls to a server that left since the copy,
-// whose address may belong to another one by now.
+// TestServersThatLeftStayGoneAfterRestore guards against requests to a server that left after the
+// backup was taken, whose address another server may use by now.
 func TestServersThatLeftStayGoneAfterRestore(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if p.servers.has("left") {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestServerThatWritesAgainIsUsed checks that a live server which counted as gone is used once it
-// writes again, and also after unconfirmedDelay where the collector does not pass on its heartbeats.
+// TestServerThatWritesAgainIsUsed checks that a live server that was taken for gone is used once it
+// writes again, and after unconfirmedDelay if the collector does not pass on its heartbeats.
 func TestServerThatWritesAgainIsUsed(t *testing.T) {
 	p, reader, log, _ := restoredList(t)
 	log.add("left", "server shop v1 ready")
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestUnconfirmedEntryIsDroppedAfterASecondRestore checks that an unconfirmed entry which a second
-// restore loses is not used later.
+// TestUnconfirmedEntryIsDroppedAfterASecondRestore checks that an unconfirmed entry that is missing
+// after a second restore is not used later.
 func TestUnconfirmedEntryIsDroppedAfterASecondRestore(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	log.restore(0)
--- a/router/internal/passthrough/serverlist_test.go
+++ b/router/internal/passthrough/serverlist_test.go
@@ -11,6 +11,7 @@
 
 func (l *serverList) has(id string) bool { _, ok := l.entries[id]; return ok }
 
+// TestMalformedEntryRemovesServer guards against sending requests by an entry that cannot be decoded.
 func TestMalformedEntryRemovesServer(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
@@ -25,6 +26,7 @@
 	}
 }
 
+// TestRemovedEntryIsGoneAtOnce guards against sending requests to a server whose entry was removed.
 func TestRemovedEntryIsGoneAtOnce(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
@@ -34,8 +36,8 @@
 	}
 }
 
-// TestEntriesThatExpiredInAnOutageAreKept guards against dropping live servers after an
-// outage of the store in which their entries expired: they are kept for lapseGrace.
+// TestEntriesThatExpiredInAnOutageAreKept guards against removing live servers after an outage of the
+// store in which their entries expired: they are kept for lapseGrace.
 func TestEntriesThatExpiredInAnOutageAreKept(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
 	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
@@ -71,7 +73,7 @@
 
 // TestListIsReadOftenEnough guards against requests to a server that has left because the list was
 // read too late: data that passes through a collector is read twice, and at an instance that reads
-// alone one read may fail.
+// only for itself one read may fail.
 func TestListIsReadOftenEnough(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
 		p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
@@ -88,8 +90,8 @@
 	}
 }
 
-// TestFollowerReadsWaitForChanges checks that an instance that reads the list from a peer waits there
-// for changes, and that one that reads the store does not: every heartbeat is a change there.
+// TestFollowerReadsWaitForChanges checks that reads of the list from a peer wait for changes, and that
+// reads from the store do not, since every heartbeat is a change there.
 func TestFollowerReadsWaitForChanges(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	if p.servers.wait() != 0 || p.servers.pause() != p.servers.readInterval() {
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -15,7 +15,7 @@
 )
 
 // sharing lets the instances of a failure domain share their reads of the store: a collector reads
-// and its followers read from it.
+// the store, and its followers read from the collector.
 type sharing struct {
 	self      relay.Member
 	store     Store
@@ -32,21 +32,22 @@
 	instances    *relay.Log
 
 	mu sync.Mutex
-	// heldRecords are records of followers, by topic, that are to be written with the own.
+	// heldRecords are records of followers, by topic, that are to be written together with this
+	// instance's records. onHeldRecords is called when observations were added to them.
 	heldRecords   map[string][]keyedlog.Record
 	onHeldRecords func()
-	// onFleetCount is called with the number of instances when it changes, reportedCount is
-	// the last one.
+	// onFleetCount is called with the number of instances when it changes; reportedCount is the
+	// last number.
 	onFleetCount  func(int)
 	reportedCount atomic.Int64
 	// onPeers is called with the names of this failure domain's instances when their number
-	// changes, reportedPeers is the last number.
+	// changes; reportedPeers is the last number.
 	onPeers       func([]string)
 	reportedPeers atomic.Int64
 	// otherDomains are the other failure domains.
 	otherDomains []string
-	// listed says that the store has this instance's current entry, announcedAt when it was
-	// last written.
+	// listed is true if the store has this instance's current entry; announcedAt is when the
+	// entry was last written.
 	listed      atomic.Bool
 	announcedAt time.Time
 }
@@ -68,7 +69,8 @@
 	// maxServersAgeFraction is the same for the server list, as a fraction of the time for
 	// which a leaving server may still get requests.
 	maxServersAgeFraction = 0.65
-	// maxOtherAge is for the other topics, which pass on what they have at once.
+	// maxOtherAge is the same for the other topics. It is practically no limit, since a collector
+	// passes on their records at once.
 	maxOtherAge = time.Hour
 )
 
@@ -108,13 +110,13 @@
 	return s
 }
 
-// fractionOf returns the fraction p of a bound.
+// fractionOf returns the fraction f of a bound.
 func fractionOf(f float64, bound time.Duration) time.Duration {
 	return time.Duration(f * float64(bound))
 }
 
-// equalServers returns a function that reports whether two entries of a backend server differ in
-// nothing that is used: most entries are heartbeats.
+// equalServers returns a function that reports whether two entries of a backend server are equal in all
+// fields that are used. Most entries are heartbeats, which change no such field.
 func equalServers(records Records) func(a, b keyedlog.Record) bool {
 	return func(a, b keyedlog.Record) bool {
 		serverA, errA := records.Server(a)
@@ -123,11 +125,11 @@
 	}
 }
 
-// maxHeldRecords bounds the records per topic that are held for followers.
+// maxHeldRecords is the maximum number of records per topic that are held for followers.
 const maxHeldRecords = 1000
 
 // holdRecords accepts a follower's records to be written later. It returns keyedlog.ErrRejected for
-// a topic that followers do not write, and keyedlog.ErrNotDone past maxHeldRecords.
+// a topic that followers do not write, and keyedlog.ErrNotApplied past maxHeldRecords.
 func (s *sharing) holdRecords(topic string, records []keyedlog.Record) error {
 	if topic != topicObservations && topic != topicInstances {
 		return keyedlog.ErrRejected // followers write to no other topic
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -74,9 +74,9 @@
 	return sh
 }
 
-// TestFollowersAreAnnouncedInOneCall checks that a collector announces the small instances that start
-// after it with one call for all of them, and that each reads only the list of its own failure
-// domain.
+// TestFollowersAreAnnouncedInOneCall guards against overloading the store when many instances start: a
+// collector announces the small instances that start after it in one call, and each reads only the list
+// of its own failure domain.
 func TestFollowersAreAnnouncedInOneCall(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	collector := startPeer(t, st, clock, "strong", 0.8)
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestInstanceReannouncesIfCollectorLostIt checks that an instance announces itself again if
-// its collector ends before it has written the announcement.
+// TestInstanceReannouncesIfCollectorLostIt checks that an instance announces itself again if its
+// collector ends before it writes the announcement.
 func TestInstanceReannouncesIfCollectorLostIt(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	collector := startPeer(t, st, clock, "strong", 0.8)
--- a/router/internal/passthrough/shutdown.go
+++ b/router/internal/passthrough/shutdown.go
@@ -13,10 +13,11 @@
 const (
 	// phaseServing: the process was not asked to stop.
 	phaseServing shutdownPhase = iota
-	// phaseLeaving: it is no longer ready, but the load balancer may not have noticed yet.
+	// phaseLeaving: the process is no longer ready, but the load balancer may not have noticed
+	// yet.
 	phaseLeaving
 	// phaseFinishing: the load balancer has noticed; streams in progress continue, and plain
-	// calls are still accepted.
+	// requests are still accepted.
 	phaseFinishing
 	// phaseClosing: no new request is accepted.
 	phaseClosing
@@ -25,9 +26,10 @@
 // shutdown decides what happens to new requests while the process stops.
 //
 // Load: all instances are stopped in turn, each while it still finishes streams of seconds, and
-// for some time none is left in rotation. Harm prevented: plain calls of a tenth of a second are
-// refused everywhere, although there is time for them. So they are accepted meanwhile. Streams
-// are refused once the load balancer has noticed: one that is truncated at the end would be lost.
+// for some time none is left in rotation. Harm prevented: plain requests, which take a tenth of a
+// second, are refused everywhere, although there is time for them. So they are accepted until
+// phaseClosing. Streams are refused once the load balancer has noticed: a stream that is truncated at
+// the end of the grace period would be lost.
 type shutdown struct {
 	phase atomic.Int32
 	// end is when the last response must be complete, in Unix nanoseconds; set by begin.
--- a/router/internal/passthrough/startgate.go
+++ b/router/internal/passthrough/startgate.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// startTimeout is how long after the start of the process requests are held at most: the
-// configuration and the list of backend servers are read in 0.05 to 0.2 s, also when all
-// instances start at once. After that a request that cannot be served is refused.
+// startTimeout is the time from the start of the process after which requests are no longer held. The
+// configuration and the list of backend servers are read in 0.05 to 0.2 s, also if all instances start
+// at once. After startTimeout, a request that cannot be served is refused.
 const startTimeout = 500 * time.Millisecond
 
-// startGate holds requests back until a process that has just started has read what it needs.
+// startGate holds requests until a process that has just started has read what it needs.
 //
 // Load: all instances are killed at once, and callers retry the moment the ports are open
-// again. Harm prevented: a refusal uses up a caller's last try, a tenth of a second before
+// again. Harm prevented: a refusal uses up a caller's last attempt, a tenth of a second before
 // the request could be served.
 type startGate struct {
 	mu      sync.Mutex
@@ -39,7 +39,7 @@
 	return s
 }
 
-// loaded notes that a prerequisite was read.
+// loaded records that a prerequisite was read, and releases the requests if it was the last.
 func (s *startGate) loaded(what prerequisite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/internal/passthrough/startgate_test.go
+++ b/router/internal/passthrough/startgate_test.go
@@ -32,7 +32,7 @@
 	})
 }
 
-// TestRequestsAreNotHeldPastStartTimeout checks that requests are held for startTimeout at most where a
+// TestRequestsAreNotHeldPastStartTimeout checks that requests are held for startTimeout at most if a
 // prerequisite is missing, and not after their caller has disconnected.
 func TestRequestsAreNotHeldPastStartTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -12,26 +12,27 @@
 	"masticplank.example/decision/passthrough/seam"
 )
 
-// stream is what the caller has of a stream.
+// stream is the progress of a streamed response to the caller.
 type stream struct {
-	// begun says that the head was sent.
+	// begun is true if the head was sent.
 	begun bool
-	// lastEventID is the id of the last event that the caller has, -1 for none.
+	// lastEventID is the id of the last event that was sent to the caller, -1 for none.
 	lastEventID int64
 }
 
 const (
-	// streamBufferSize is the size of the read buffer in bytes; an event has tens to hundreds.
+	// streamBufferSize is the size of the read buffer in bytes. An event has tens to hundreds of
+	// bytes.
 	streamBufferSize = 4 << 10
-	// intervalEvents is the number of events over which a stream's event interval is measured:
-	// enough to average out a pause for another request's prompt, and at a version that is
-	// eight times slower they take two seconds.
+	// intervalEvents is the number of events over which a stream's event interval is measured.
+	// It is large enough to average out a pause for the prefill of another request's prompt, and
+	// small enough that a version that is eight times slower sends so many in two seconds.
 	intervalEvents = 6
-	// maxEventBytes bounds the size of one event.
+	// maxEventBytes is the maximum size of an event.
 	maxEventBytes = 1 << 20
 )
 
-// relayStream relays a stream to the caller, unless its confidence is below the threshold.
+// relayStream relays a stream to the caller, unless its confidence is below the confidence threshold.
 func (a *attempt) relayStream(resp *http.Response, meta seam.Response) outcome {
 	x := a.exchange
 	a.reportFirstByte(meta)
@@ -47,7 +48,7 @@
 	return out
 }
 
-// relayEvents relays events to the caller as they arrive, and only whole ones.
+// relayEvents relays events to the caller as they arrive. It relays whole events only.
 func (a *attempt) relayEvents(resp *http.Response) outcome {
 	x := a.exchange
 	var pending []byte
@@ -92,9 +93,9 @@
 // reportFirstByte reports to the decision that the response has begun, with the server's load and
 // rate limit from its head.
 //
-// Load: streams last many seconds, at servers whose load changes within tenths of one. Harm
-// prevented: a load reported at the end of the stream is as old as the stream, and is taken for
-// the server's load at that time.
+// Load: streams last many seconds, at servers whose load changes within tenths of a second. Harm
+// prevented: the load from the head is reported at the end of the stream, when it is as old as the
+// stream, and is taken for the server's current load.
 func (a *attempt) reportFirstByte(meta seam.Response) {
 	x := a.exchange
 	x.handler.driver.Handle(passthrough.FirstByte{
@@ -111,8 +112,8 @@
 	return elapsed / time.Duration(events-1)
 }
 
-// writeHead sends the first backend server's head to the caller. A stream that continues from
-// another server keeps it.
+// writeHead sends the first backend server's response head to the caller. If another server continues the
+// stream, its head is not sent.
 func (x *exchange) writeHead(resp *http.Response) {
 	if x.stream.begun {
 		return
@@ -130,7 +131,7 @@
 	}
 }
 
-// splitEvents splits what was read into whole events and the beginning of the next.
+// splitEvents splits a text into whole events and the beginning of the next one.
 func splitEvents(text []byte) (ready, rest []byte) {
 	end := 0
 	for _, mark := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -141,9 +142,9 @@
 	return text[:end], text[end:]
 }
 
-// advanceEventID checks that the events' ids continue those that the caller has, and counts the events
-// with an id. Events without an id are not checked. It returns errEventOrder for a gap, a repetition
-// or a malformed id.
+// advanceEventID checks that the events' ids continue those sent to the caller, and counts the events with
+// an id. Events without an id are not checked. It returns errEventOrder for a gap, a repetition or a
+// malformed id, and else sets stream.lastEventID to the last id, before the events are written.
 func (x *exchange) advanceEventID(events []byte) (count int, err error) {
 	lastID := x.stream.lastEventID
 	for line := range bytes.Lines(events) {
--- a/router/internal/passthrough/telemetry.go
+++ b/router/internal/passthrough/telemetry.go
@@ -74,20 +74,22 @@
 	h.Update(duration.Milliseconds())
 }
 
-// logSlowStart logs that servers have entered slow start. The driver calls it, so it must not block.
+// logSlowStart counts and logs that servers have entered slow start. The driver calls it, so it must
+// not block.
 func (t *telemetry) logSlowStart(c passthrough.SlowStartBegun) {
 	t.count("cooled." + string(c.Cause))
 	t.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
 		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.Duration.Milliseconds()), slog.String(keyReason, string(c.Cause)))
 }
 
-// logStateKept logs state that is kept although a restored store lacks or contradicts it.
+// logStateKept counts and logs state that is kept although a restored store lacks or contradicts it.
 func (t *telemetry) logStateKept(subject, key, why string) {
 	t.count("restore.kept." + subject)
 	t.emit(logging.EventStateKept, slog.String("subject", subject), slog.String("key", key), slog.String(keyReason, why))
 }
 
-// logRateLimitChanged logs a change of a server's rate limit. The driver calls it, so it must not block.
+// logRateLimitChanged counts and logs a change of a server's rate limit. The driver calls it, so it
+// must not block.
 func (t *telemetry) logRateLimitChanged(c passthrough.RateLimitChanged) {
 	if !c.Limit.Limited {
 		t.count("limit_ended")
@@ -104,6 +106,7 @@
 	t.emit(logging.EventRecordRejected, slog.String("from", from), slog.String(logging.KeyError, err.Error()))
 }
 
+// logRefused counts and logs a refused request.
 func (t *telemetry) logRefused(c *call, ref refusal) {
 	t.count("refused." + string(ref.reason))
 	t.emit(logging.EventPassthroughRefused, t.requestAttrs(c,
@@ -111,6 +114,7 @@
 		slog.Int64("retry_after_ms", ref.retryAfter.Milliseconds()))...)
 }
 
+// logAttempt counts and logs an attempt that has ended.
 func (t *telemetry) logAttempt(c *call, d passthrough.Dispatch, out outcome) {
 	t.count("attempt." + out.result.String())
 	if out.firstByte > 0 {
@@ -146,6 +150,8 @@
 	t.emit(logging.EventPassthroughAttempt, attrs...)
 }
 
+// logFinished counts a request that has ended, and logs it if it failed; reason is empty for a
+// success.
 func (t *telemetry) logFinished(c *call, status int, reason passthrough.Reason) {
 	t.observeDuration("answer_ms", t.clock.Now().Sub(c.arrived))
 	t.count("finished")
@@ -156,6 +162,7 @@
 	t.emit(logging.EventPassthroughFailed, t.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
 }
 
+// logCallerLost counts and logs a caller that has disconnected.
 func (t *telemetry) logCallerLost(c *call, err error) {
 	t.count("caller_lost")
 	t.emit(logging.EventCallerLost, t.requestAttrs(c, slog.String(logging.KeyError, err.Error()))...)
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// minRetryDelay and maxRetryDelay are the first and the longest delay between two tries to
-	// read a topic that does not answer: short at first, since configurations must be in force
-	// within 2 s, then long enough that a fleet does not overload a store that recovers.
+	// minRetryDelay and maxRetryDelay are the first and the longest delay between two failed reads
+	// of a topic: short at first, since configurations must be in force within 2 s, then long
+	// enough that a fleet does not overload a store that recovers.
 	minRetryDelay = 60 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
 	// slowRetryDelay is the longest delay for topics without a bound on their age.
 	slowRetryDelay = 1500 * time.Millisecond
-	// retryGrowth is the ratio of the longest to the first delay.
+	// retryGrowth is the ratio of topicReader.longestRetryDelay, if that is set, to the first
+	// delay.
 	retryGrowth = 4
 )
 
@@ -31,22 +32,26 @@
 	// wait is how long a read waits for a record, pause the time between two reads.
 	wait  func() time.Duration
 	pause func() time.Duration
-	// longestRetryDelay is the longest delay between two tries of a topic that does not answer,
-	// retryGrowth times the first one; 0 for maxRetryDelay.
+	// longestRetryDelay is the longest delay between two failed reads; it is at least
+	// maxRetryDelay, also if it is 0. The first delay is longestRetryDelay divided by
+	// retryGrowth, at least minRetryDelay.
 	longestRetryDelay time.Duration
 	// wake ends a pause early; nil for none.
 	wake chan struct{}
-	// onSnapshot gets the newest record of each key, and onRecord each record that follows;
-	// onRead is called after every read with the time as of which the log was read.
+	// onSnapshot is called with the newest record of each key, and onRecord with each record
+	// that follows; onRead is called after every read with the time as of which the topic was
+	// read and the number of records.
 	onSnapshot func([]keyedlog.Record)
 	onRecord   func(keyedlog.Record)
 	onRead     func(began time.Time, records int)
-	// onRestore is called before onSnapshot gets the records of a restored log; nil for none.
+	// onRestore is called before onSnapshot gets the records of a restored topic; nil for none.
 	onRestore func()
 	// onRecovery is called with the length of an outage before the first records after it; nil
 	// for none.
 	onRecovery func(lost time.Duration)
 
+	// next is where the next read starts, valid if positioned is true; its era is kept to detect
+	// a restore. lostSince is the start of the current outage, zero for none.
 	next       keyedlog.Position
 	positioned bool
 	lostSince  time.Time
@@ -70,7 +75,7 @@
 	}
 }
 
-// readOnce reads once. It returns an error if the topic does not answer.
+// readOnce reads the topic once. It returns an error if the read fails.
 func (t *topicReader) readOnce(ctx context.Context) error {
 	began := t.clock.Now()
 	if !t.positioned {
@@ -78,7 +83,7 @@
 	}
 	wait := time.Duration(0)
 	if t.wait != nil && t.lostSince.IsZero() {
-		wait = t.wait() // after a failure the first result matters, not the next record
+		wait = t.wait() // not after a failed read: then any result is needed soon, not the next record
 	}
 	batch, err := t.log.Read(ctx, t.next, wait)
 	if errors.Is(err, keyedlog.ErrTrimmed) {
@@ -113,8 +118,8 @@
 	return nil
 }
 
-// noteRestore logs that the log was restored from an earlier state, and may lack records that were
-// read before.
+// noteRestore logs that the topic was restored from an earlier state and may lack records that were read
+// before, and calls onRestore.
 func (t *topicReader) noteRestore(era uint64) {
 	t.telemetry.count("store_restored")
 	t.telemetry.gauge("store_era", int(era))
@@ -125,8 +130,8 @@
 	}
 }
 
-// asOf returns the time as of which the log was read: the start of the read, unless the log
-// states the age of its result.
+// asOf returns the time as of which the topic was read: the start of the read, unless the result states
+// its age.
 func (t *topicReader) asOf(began time.Time, age time.Duration) time.Time {
 	if age == 0 {
 		return began
@@ -134,7 +139,7 @@
 	return t.clock.Now().Add(-age)
 }
 
-// noteOutage notes and logs the start of an outage.
+// noteOutage records and logs the start of an outage.
 func (t *topicReader) noteOutage(ctx context.Context, err error) {
 	if ctx.Err() != nil || !t.lostSince.IsZero() {
 		return
@@ -143,7 +148,7 @@
 	t.telemetry.emit(logging.EventStoreLost, slog.String("topic", t.name), slog.String(logging.KeyError, err.Error()))
 }
 
-// noteRecovery notes and logs the end of an outage.
+// noteRecovery records and logs the end of an outage, and calls onRecovery.
 func (t *topicReader) noteRecovery() {
 	if t.lostSince.IsZero() {
 		return
@@ -156,7 +161,7 @@
 	t.lostSince = time.Time{}
 }
 
-// sleep waits for d, for a value on wake or for the end of ctx.
+// sleep waits for d, for a value on wake (nil for none) or for the end of ctx.
 func sleep(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
