--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -6,97 +6,97 @@
 	"time"
 )
 
-// restoredConfig returns an instance that has configuration 9 in force. Its store was restored with
-// version 5 only if lost is set, else with both.
-func restoredConfig(t *testing.T, lost bool) (*parts, *topicReader, *fakeLog, *fakeClock) {
+// restoredConfig returns an instance that has configuration 9 in force. Its store was then restored
+// from a backup that has only configuration 5 if lost is true, and configurations 5 and 9 if not.
+func restoredConfig(t *testing.T, lost bool) (*testInstance, *topicReader, *fakeLog, *fakeClock) {
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
 	log.add("config", "config 5")
 	log.add("config", "config 9")
-	read(t, reader)
+	mustRead(t, reader)
 	clock.advance(time.Second)
 	if lost {
 		log.restore(1)
 	} else {
 		log.restore(2)
 	}
-	read(t, reader)
+	mustRead(t, reader)
 	return p, reader, log, clock
 }
 
-func read(t *testing.T, reader *topicReader) {
+func mustRead(t *testing.T, reader *topicReader) {
 	t.Helper()
 	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks checks that an instance whose configuration
-// is newer than the restored store's leaves the rotation, then refuses keys, and returns once the
-// operator has written the configuration again.
-func TestReadsOfACopyDoNotConfirmAConfigurationThatItLacks(t *testing.T) {
+// TestRestoredStoreDoesNotConfirmNewerConfiguration guards against accepting a key that a lost
+// configuration revoked: an instance whose configuration is newer than the restored store's leaves
+// the rotation, then refuses keys, and returns once the operator has written the configuration again.
+func TestRestoredStoreDoesNotConfirmNewerConfiguration(t *testing.T) {
 	p, reader, log, clock := restoredConfig(t, true)
 	if v := p.config.Index().Version; v != 9 {
 		t.Fatalf("version %d is in force, want 9", v)
 	}
 	for range 4 {
 		clock.advance(time.Second)
-		read(t, reader)
+		mustRead(t, reader)
 	}
 	if p.config.Ready() || p.config.Fresh() {
 		t.Errorf("5 s after the last confirmation: ready %v, fresh %v, want neither", p.config.Ready(), p.config.Fresh())
 	}
 	log.add("config", "config 9")
-	read(t, reader)
+	mustRead(t, reader)
 	if !p.config.Ready() || p.config.Index().Version != 9 {
 		t.Errorf("after version 9 was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
 	}
 }
 
-// TestReadsOfACopyConfirmAfterAWhile checks that a configuration which the restored store still has
-// stays unconfirmed only until the operator has had time to write a newer one again, and that no
-// instance leaves the rotation meanwhile.
-func TestReadsOfACopyConfirmAfterAWhile(t *testing.T) {
+// TestRestoredStoreConfirmsAfterDelay checks that a configuration which the restored store still has
+// is confirmed again after confirmDelayFraction of the revocation bound, the operator's time to write
+// a newer one again, and that the instance stays in the rotation meanwhile.
+func TestRestoredStoreConfirmsAfterDelay(t *testing.T) {
 	p, reader, _, clock := restoredConfig(t, false)
 	before := p.config.Age()
 	clock.advance(time.Second)
-	read(t, reader)
+	mustRead(t, reader)
 	if got := p.config.Age(); got != before+time.Second {
 		t.Errorf("a read of the restored store confirmed the configuration: age %v, was %v", got, before)
 	}
-	clock.advance(fractionOf(settleFraction, 5*time.Second) - time.Second)
+	clock.advance(fractionOf(confirmDelayFraction, 5*time.Second) - time.Second)
 	if !p.config.Ready() {
 		t.Errorf("not ready at age %v", p.config.Age())
 	}
-	read(t, reader)
+	mustRead(t, reader)
 	if p.config.Age() != 0 {
 		t.Errorf("age %v after the operator had time to write again, want 0", p.config.Age())
 	}
 }
 
-// TestKeyRevokedBeforeARestoreStaysRevoked restores the store to each earlier version after a
-// configuration that revokes a key: the version in force never goes back, and is confirmed once it has
-// been written again.
+// TestKeyRevokedBeforeARestoreStaysRevoked guards against accepting a revoked key after a restore: for
+// each number of records that the backup has, the version in force does not decrease, and is confirmed
+// once it is written again.
 func TestKeyRevokedBeforeARestoreStaysRevoked(t *testing.T) {
 	for keep := 1; keep <= 4; keep++ {
 		clock, log := newFakeClock(), &fakeLog{era: 1}
-		p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+		p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 		reader := p.operator.reader(log, clock)
 		for v := 1; v <= 4; v++ {
 			log.add("config", fmt.Sprint("config ", v))
-			read(t, reader)
+			mustRead(t, reader)
 		}
 		log.restore(keep)
-		read(t, reader)
+		mustRead(t, reader)
 		log.add("config", fmt.Sprint("config ", keep)) // an earlier version is written first
-		read(t, reader)
+		mustRead(t, reader)
 		if v := p.config.Index().Version; v != 4 {
 			t.Errorf("%d records kept: version %d is in force, want 4", keep, v)
 		}
 		log.add("config", "config 4")
-		read(t, reader)
+		mustRead(t, reader)
 		if p.config.Age() != 0 {
 			t.Errorf("%d records kept: version 4 not confirmed after it was written again", keep)
 		}
@@ -107,9 +107,9 @@
 // restored store's configuration accepts no keys while its peers know a later one.
 func TestInstanceThatStartsAfterARestoreWaitsForTheOperator(t *testing.T) {
 	knows, _, log, clock := restoredConfig(t, true)
-	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("late", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
-	read(t, reader)
+	mustRead(t, reader)
 	if !p.config.Fresh() {
 		t.Fatal("not fresh with the only configuration in the store")
 	}
@@ -118,18 +118,18 @@
 		t.Error("fresh or ready with a configuration that a peer knows to be superseded")
 	}
 	log.add("config", "config 9")
-	read(t, reader)
+	mustRead(t, reader)
 	if !p.config.Fresh() || p.config.Index().Version != 9 {
 		t.Error("not fresh with version 9, which was written again")
 	}
 }
 
 // TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable checks that a configuration which
-// a peer reported as superseded does not become fresh again once those reports have expired.
+// a peer reported as superseded does not become fresh again when the report expires.
 func TestSupersededConfigurationStaysUnconfirmedOncePeersAreUnreachable(t *testing.T) {
 	_, _, log, clock := restoredConfig(t, true)
-	p := newParts("late", clock, &fakeLog{}, &fakeLog{})
-	read(t, p.operator.reader(log, clock))
+	p := newTestInstance("late", clock, &fakeLog{}, &fakeLog{})
+	mustRead(t, p.operator.reader(log, clock))
 	p.config.ReportLostVersion(9)
 	clock.advance(lostVersionTTL + time.Millisecond)
 	if p.config.Fresh() {
--- a/router/internal/passthrough/cuts_test.go
+++ b/router/internal/passthrough/crashkeys_test.go
@@ -9,36 +9,38 @@
 )
 
 // startRollout returns an instance with a roll-out of the shop to v2 in progress.
-func startRollout(t *testing.T, name string, clock *fakeClock) *parts {
+func startRollout(t *testing.T, name string, clock *fakeClock) *testInstance {
 	t.Helper()
-	p := newParts(name, clock, &fakeLog{}, &fakeLog{})
-	p.rollouts.statusRead = true
+	p := newTestInstance(name, clock, &fakeLog{}, &fakeLog{})
+	p.rollouts.registerRead = true
 	p.rollouts.applyOrder(passthrough.Order{Service: "shop", Target: "v2", Duration: time.Minute}, 1)
 	p.view()
 	return p
 }
 
-// view returns what all instances saw of the roll-out.
-func (p *parts) view() view { return p.observations.view(p.rollouts.open["shop"], p.clock.Now()) }
+// view returns the sum of the observations of all instances.
+func (p *testInstance) view() view {
+	return p.observations.view(p.rollouts.open["shop"], p.clock.Now())
+}
 
-func (p *parts) observe(version string, o passthrough.Observation) {
+func (p *testInstance) observe(version string, o passthrough.Observation) {
 	o.Service, o.Route, o.Version = "shop", "r", version
 	p.observations.recordResponse(o)
 }
 
-// sendTo hands the instance's pending records to another one.
-func (p *parts) sendTo(other *parts) {
+// sendTo passes the instance's pending records to another one.
+func (p *testInstance) sendTo(other *testInstance) {
 	for _, r := range p.observations.pendingRecords() {
 		other.observations.apply(r)
 	}
 }
 
-// TestCrashOfAServerIsOneFailure guards against reverting a good version for crashes of its
-// servers: three servers crash, each with responses to several instances in progress.
+// TestCrashOfAServerIsOneFailure guards against reverting a good version because one crash counts
+// as many failures: three servers crash, each with responses to several instances in progress.
 func TestCrashOfAServerIsOneFailure(t *testing.T) {
 	clock := newFakeClock()
 	a, b := startRollout(t, "a", clock), startRollout(t, "b", clock)
-	for _, p := range []*parts{a, b} {
+	for _, p := range []*testInstance{a, b} {
 		for range 36 {
 			p.observe("v2", passthrough.Observation{})
 			p.observe("v1", passthrough.Observation{})
@@ -55,9 +57,9 @@
 	}
 }
 
-// TestVersionThatCutsAnswersOffIsBad checks that a version is found bad whose servers keep running
-// and truncate a third of all responses.
-func TestVersionThatCutsAnswersOffIsBad(t *testing.T) {
+// TestVersionThatTruncatesResponsesIsBad checks that a version whose servers keep running but truncate
+// a third of all responses is found bad.
+func TestVersionThatTruncatesResponsesIsBad(t *testing.T) {
 	clock := newFakeClock()
 	a := startRollout(t, "a", clock)
 	for i := range 30 {
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -10,32 +10,34 @@
 	return keyedlog.Record{Key: "drain/" + domain, Value: []byte(value), Offset: offset}
 }
 
+// TestDrainOrders guards against sending work to a failure domain that the operator drains, also if
+// the order's value is malformed or the domain is unknown.
 func TestDrainOrders(t *testing.T) {
 	cases := []struct {
-		name string
-		play func(o *operator)
-		want []string
+		name  string
+		apply func(o *operator)
+		want  []string
 	}{
-		{"an order", func(o *operator) { o.applyNew(drainOrder("a", "{}", 1)) }, []string{"a"}},
-		{"a malformed value", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
-		{"an unknown domain", func(o *operator) { o.applyNew(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
-		{"two domains", func(o *operator) {
+		{"order drains its domain", func(o *operator) { o.applyNew(drainOrder("a", "{}", 1)) }, []string{"a"}},
+		{"order with a malformed value drains too", func(o *operator) { o.applyNew(drainOrder("a", "\xff{", 1)) }, []string{"a"}},
+		{"order for an unknown domain is applied", func(o *operator) { o.applyNew(drainOrder("moon", "{}", 1)) }, []string{"moon"}},
+		{"orders drain two domains", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("b", "{}", 2))
 		}, []string{"a", "b"}},
-		{"drain ended", func(o *operator) {
+		{"empty value ends the drain", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("a", "", 2))
 		}, nil},
-		{"drain ended by a record that is no longer kept", func(o *operator) {
+		{"snapshot without the order ends the drain", func(o *operator) {
 			o.applyNew(drainOrder("a", "{}", 1))
 			o.applyNew(drainOrder("b", "{}", 2))
 			o.applySnapshot([]keyedlog.Record{drainOrder("b", "{}", 2)})
 		}, []string{"b"}},
 	}
 	for _, c := range cases {
-		p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
-		c.play(p.operator)
+		p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+		c.apply(p.operator)
 		if len(p.operator.drained) != len(c.want) {
 			t.Errorf("%s: drained %v, want %v", c.name, p.operator.drained, c.want)
 		}
@@ -47,11 +49,11 @@
 	}
 }
 
-// TestOrderIsKnownBeforeTheConfiguration guards against an instance that starts while a failure
-// domain is drained and sends requests there: requests are admitted once the configuration is in
-// force, so drain orders must be applied first.
-func TestOrderIsKnownBeforeTheConfiguration(t *testing.T) {
-	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+// TestDrainOrderIsAppliedBeforeTheConfiguration guards against sending requests to a drained failure
+// domain right after a start: requests are admitted once the configuration is in force, so drain
+// orders must be applied first.
+func TestDrainOrderIsAppliedBeforeTheConfiguration(t *testing.T) {
+	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	var drainedThen bool
 	p.operator.records = spyRecords{seen: func() { drainedThen = p.operator.drained["a"] }}
 	p.operator.applySnapshot([]keyedlog.Record{{Key: "config", Value: []byte("config 3")}, drainOrder("a", "{}", 1)})
@@ -73,16 +75,16 @@
 	return s.fakeRecords.DrainedDomain(r)
 }
 
-// TestDrainOrderOutlivesARestore checks that a failure domain stays drained after a restore that lost
-// the order, until the operator has had time to write it again. An order that was withdrawn and comes
-// back with a restore counts until the withdrawal is written again.
+// TestDrainOrderOutlivesARestore guards against ending a drain because a restore lost its order: the
+// failure domain stays drained until the operator has had time to write the order again. An order
+// that was withdrawn and is restored applies until the withdrawal is written again.
 func TestDrainOrderOutlivesARestore(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{era: 1}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
 	drained := func(want ...string) {
 		t.Helper()
-		read(t, reader)
+		mustRead(t, reader)
 		if len(p.operator.drained) != len(want) || len(want) > 0 && !p.operator.drained[want[0]] {
 			t.Errorf("drained %v, want %v", p.operator.drained, want)
 		}
@@ -93,10 +95,10 @@
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.advance(keepDrainedFor / 2)
+	clock.advance(drainKeepTime / 2)
 	log.add("drain/a", "{}")
 	drained("a")
-	clock.advance(keepDrainedFor)
+	clock.advance(drainKeepTime)
 	drained("a")
 	log.add("drain/a", "")
 	drained()
@@ -108,6 +110,6 @@
 	drained("a")
 	log.restore(1)
 	drained("a")
-	clock.advance(keepDrainedFor) // the drain ended during the outage
+	clock.advance(drainKeepTime) // the drain ended during the outage
 	drained()
 }
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -12,7 +12,7 @@
 // quarantined at another.
 func TestStoreSharesCrashesWithPeers(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
-	a, b := newParts("a", clock, &fakeLog{}, observations), newParts("b", clock, &fakeLog{}, observations)
+	a, b := newTestInstance("a", clock, &fakeLog{}, observations), newTestInstance("b", clock, &fakeLog{}, observations)
 	reader := b.observations.reader(clock, b.rollouts.active)
 	if err := reader.readOnce(t.Context()); err != nil {
 		t.Fatal(err)
@@ -29,15 +29,15 @@
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, TargetLatency: time.Second}
 	tk := b.driver.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: 9, Deadline: clock.Now().Add(time.Second), TargetTime: clock.Now().Add(time.Second)})
 	if c, ok := (<-tk.commands).(passthrough.Refuse); !ok || c.Reason != passthrough.ReasonQuarantined {
-		t.Errorf("got %+v", c)
+		t.Errorf("command %+v, want a refusal as quarantined", c)
 	}
 }
 
-// TestVersionThatTurnsBadLateIsFoundSoon checks that many good responses at the start do not delay
-// the verdict on a version that fails later.
+// TestVersionThatTurnsBadLateIsFoundSoon guards against a late verdict on a version that begins to fail
+// after many good responses.
 func TestVersionThatTurnsBadLateIsFoundSoon(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, status, &fakeLog{})
+	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
 	r := p.rollouts.open["shop"]
@@ -61,11 +61,11 @@
 	}
 }
 
-// TestOldNotesOnCrashesDoNotCount checks that an instance which starts after a crash does not
-// count its record, and that the record is deleted from the store in the end.
-func TestOldNotesOnCrashesDoNotCount(t *testing.T) {
+// TestOldCrashRecordsAreIgnored checks that an instance which starts after a crash does not count its
+// record, and that the record is deleted from the store after recordLifetime.
+func TestOldCrashRecordsAreIgnored(t *testing.T) {
 	clock, observations := newFakeClock(), &fakeLog{}
-	a := newParts("a", clock, &fakeLog{}, observations)
+	a := newTestInstance("a", clock, &fakeLog{}, observations)
 	for range 3 {
 		a.observations.recordCrash(passthrough.CrashSuspected{Fingerprint: 9})
 	}
@@ -76,14 +76,14 @@
 		}
 	}
 	write()
-	late := newParts("late", clock, &fakeLog{}, observations)
+	late := newTestInstance("late", clock, &fakeLog{}, observations)
 	if err := late.observations.reader(clock, late.rollouts.active).readOnce(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 2, Timeout: time.Second, TargetLatency: time.Second}
 	tk := late.driver.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: 9, Deadline: clock.Now().Add(time.Second), TargetTime: clock.Now().Add(time.Second)})
 	if c, ok := (<-tk.commands).(passthrough.Refuse); !ok || c.Reason == passthrough.ReasonQuarantined {
-		t.Errorf("got %+v", c)
+		t.Errorf("command %+v, want a refusal for another reason than quarantine", c)
 	}
 	clock.advance(recordLifetime + time.Second)
 	write()
@@ -92,17 +92,17 @@
 	}
 }
 
-// TestWhatAProcessSawOutlivesIt kills an instance after it saw bad responses: they still
-// count, together with those that it sees after the restart.
-func TestWhatAProcessSawOutlivesIt(t *testing.T) {
+// TestObservationsSurviveARestart guards against losing an instance's observations if it is killed: the
+// bad responses that it saw before count together with those that it sees after the restart.
+func TestObservationsSurviveARestart(t *testing.T) {
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
-	write := func(p *parts) {
+	write := func(p *testInstance) {
 		if err := observations.Append(t.Context(), keyedlog.AnyPosition, p.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
 		}
 	}
-	start := func() *parts {
-		p := newParts("a", clock, status, observations)
+	start := func() *testInstance {
+		p := newTestInstance("a", clock, status, observations)
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 		p.observations.applySnapshot(observations.records)
@@ -133,12 +133,12 @@
 	}
 }
 
-// TestReaderTakesABadVersionBackInTheEnd guards against a bad version that stays because only an
-// instance that does not write the register sees it fail: that instance reverts it after
+// TestNonWriterRevertsBadVersionAfterTimeout guards against a bad version that is not reverted because
+// only an instance that does not write the register sees it fail: that instance reverts it after
 // revertTimeout.
-func TestReaderTakesABadVersionBackInTheEnd(t *testing.T) {
+func TestNonWriterRevertsBadVersionAfterTimeout(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, status, &fakeLog{})
+	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.rollouts.writesRegister = func() bool { return false }
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
--- a/router/internal/passthrough/histories_test.go
+++ b/router/internal/passthrough/random_test.go
@@ -10,26 +10,26 @@
 	"masticplank.example/decision/passthrough"
 )
 
-// TestConfigurationHistories runs seeded histories of an operator and of instances that read
-// in any order, find the store unavailable or records dropped, and restart: no instance goes
-// back to an earlier version, and each has the newest one after a read.
-func TestConfigurationHistories(t *testing.T) {
+// TestRandomConfigurations guards against instances that go back to an earlier configuration or miss
+// the newest one. Seeded random sequences: an operator writes configurations, and instances read in
+// any order, cannot read the store, find records trimmed, and restart.
+func TestRandomConfigurations(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playConfigurations(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomConfigurations(t, seed) })
 	}
 }
 
-func playConfigurations(t *testing.T, seed uint64) {
+func runRandomConfigurations(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	clock, log := newFakeClock(), &fakeLog{}
 	type instance struct {
-		*parts
+		*testInstance
 		reader  *topicReader
 		version uint64
 	}
 	start := func(i int) *instance {
-		p := newParts(fmt.Sprint("instance-", i), clock, &fakeLog{}, &fakeLog{})
-		return &instance{parts: p, reader: p.operator.reader(log, clock)}
+		p := newTestInstance(fmt.Sprint("instance-", i), clock, &fakeLog{}, &fakeLog{})
+		return &instance{testInstance: p, reader: p.operator.reader(log, clock)}
 	}
 	fleet := []*instance{start(0), start(1), start(2)}
 	newest := uint64(1)
@@ -48,7 +48,7 @@
 		case 2:
 			log.readErrs = append(log.readErrs, keyedlog.ErrUnknown)
 		case 3:
-			log.firstKept = uint64(len(log.records)) // all records before this point are dropped
+			log.firstKept = uint64(len(log.records)) // all records before this point are trimmed
 		case 4:
 			if rng.IntN(4) == 0 {
 				fleet[i] = start(i)
@@ -70,24 +70,24 @@
 	}
 }
 
-// TestQuarantineHistories runs seeded histories of a request that crashes each server that
-// runs it and is retried at any instance, among requests that crash a server only now and
-// then. Once three crashes are known to all instances the first must not run again, and the
-// others must not be quarantined.
-func TestQuarantineHistories(t *testing.T) {
+// TestRandomQuarantine guards against a request that crashes servers again and again. Seeded random
+// sequences: one request crashes each server that runs it and is retried at any instance, among
+// requests that crash a server only occasionally. Once three crashes are known to all instances the
+// first must not run again, and an unrelated request must not be refused.
+func TestRandomQuarantine(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playQuarantine(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomQuarantine(t, seed) })
 	}
 }
 
-func playQuarantine(t *testing.T, seed uint64) {
+func runRandomQuarantine(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	clock, observations := newFakeClock(), &fakeLog{}
 	route := &passthrough.Route{Name: "r", Kind: passthrough.KindIdempotent, MaxAttempts: 1, Timeout: time.Second, TargetLatency: time.Second}
-	var fleet []*parts
+	var fleet []*testInstance
 	var readers []*topicReader
 	for i := range 4 {
-		p := newParts(fmt.Sprint("instance-", i), clock, &fakeLog{}, observations)
+		p := newTestInstance(fmt.Sprint("instance-", i), clock, &fakeLog{}, observations)
 		var list []passthrough.Server
 		for n := range 30 {
 			list = append(list, passthrough.Server{ID: fmt.Sprint("s", n), Address: "127.0.0.1:1", Service: "shop", Slots: 50, StartTime: 1})
@@ -99,7 +99,8 @@
 		}
 		fleet, readers = append(fleet, p), append(readers, reader)
 	}
-	// send sends a request through some instance and ends it as given; it reports whether it ran.
+	// send sends a request through a random instance and ends its attempt as given. It reports
+	// whether the request ran.
 	send := func(fingerprint uint64, end passthrough.AttemptEnded) bool {
 		d := fleet[rng.IntN(len(fleet))].driver
 		tk := d.open(passthrough.Request{Route: route, Service: "shop", Fingerprint: fingerprint,
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -14,8 +14,8 @@
 // the register and its write.
 func TestRegisterHoldsOneEnd(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	a, b := newParts("a", clock, status, &fakeLog{}), newParts("b", clock, status, &fakeLog{})
-	for _, p := range []*parts{a, b} {
+	a, b := newTestInstance("a", clock, status, &fakeLog{}), newTestInstance("b", clock, status, &fakeLog{})
+	for _, p := range []*testInstance{a, b} {
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 		p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
@@ -35,11 +35,11 @@
 	}
 }
 
-// TestLostAnswerOfTheEndIsReadBack guards against a second end where a write took effect but its
-// result was lost: the register is read before anything is written again.
-func TestLostAnswerOfTheEndIsReadBack(t *testing.T) {
+// TestUnknownWriteResultIsReadBack guards against a second end if a write took effect but its result
+// was lost: the register is read before anything is written again.
+func TestUnknownWriteResultIsReadBack(t *testing.T) {
 	clock, status := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, status, &fakeLog{})
+	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
 	r := p.rollouts.open["shop"]
@@ -57,21 +57,22 @@
 	}
 }
 
-// TestRegisterHistories runs seeded histories of instances that plan, lose results of writes,
-// find the store unavailable, and restart, in any order: one end is written, no instance
-// holds another, and a version that was reported to fail is never completed.
-func TestRegisterHistories(t *testing.T) {
+// TestRandomRegisterWrites guards against two ends of one roll-out, an instance that applies another end
+// than the register holds, and the completion of a version that was reported to fail. Seeded random
+// sequences: instances plan, lose results of writes, cannot read the register, and restart, in any
+// order.
+func TestRandomRegisterWrites(t *testing.T) {
 	for seed := range uint64(300) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRegister(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomRegister(t, seed) })
 	}
 }
 
-func playRegister(t *testing.T, seed uint64) {
+func runRandomRegister(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	clock, status, observations := newFakeClock(), &fakeLog{}, &fakeLog{}
 	bad := seed%2 == 0
-	start := func(i int) *parts {
-		p := newParts(fmt.Sprint("instance-", i), clock, status, observations)
+	start := func(i int) *testInstance {
+		p := newTestInstance(fmt.Sprint("instance-", i), clock, status, observations)
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 		if err := p.observations.reader(clock, p.rollouts.active).readOnce(t.Context()); err != nil {
@@ -79,7 +80,7 @@
 		}
 		return p
 	}
-	if bad { // what an earlier instance saw and shared
+	if bad { // an earlier instance saw bad responses and shared its counts
 		first := start(9)
 		first.rollouts.advance(t.Context(), first.rollouts.open["shop"])
 		first.observeMany("v2", true, 10)
@@ -87,7 +88,7 @@
 			t.Fatal(err)
 		}
 	}
-	var fleet []*parts
+	var fleet []*testInstance
 	for i := range 3 {
 		fleet = append(fleet, start(i))
 	}
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -10,7 +10,7 @@
 
 const orderValue = "order shop v2 20"
 
-// restoredFleet is a set of instances on logs that can be restored from a copy.
+// restoredFleet is a set of instances on topics that can be restored from a backup.
 type restoredFleet struct {
 	t                              *testing.T
 	clock                          *fakeClock
@@ -19,7 +19,7 @@
 }
 
 type restoredInstance struct {
-	*parts
+	*testInstance
 	operatorReader, statusReader, observationsReader *topicReader
 }
 
@@ -35,9 +35,9 @@
 }
 
 func (f *restoredFleet) start(name string) *restoredInstance {
-	p := newParts(name, f.clock, f.status, f.observations)
+	p := newTestInstance(name, f.clock, f.status, f.observations)
 	p.listServers()
-	i := &restoredInstance{parts: p, operatorReader: p.operator.reader(f.operator, f.clock),
+	i := &restoredInstance{testInstance: p, operatorReader: p.operator.reader(f.operator, f.clock),
 		statusReader: p.rollouts.reader(f.status), observationsReader: p.observations.reader(f.clock, p.rollouts.active)}
 	f.instances = append(f.instances, i)
 	return i
@@ -48,7 +48,7 @@
 	f.t.Helper()
 	for _, i := range f.instances {
 		for _, reader := range []*topicReader{i.operatorReader, i.statusReader, i.observationsReader} {
-			read(f.t, reader)
+			mustRead(f.t, reader)
 		}
 	}
 	for _, i := range f.instances {
@@ -60,9 +60,9 @@
 	f.clock.advance(400 * time.Millisecond)
 }
 
-// TestOrderWrittenAgainIsTheSameRollout checks that an order which the operator writes again after a
-// restore, at another offset, does not start the roll-out again: its time continues, and earlier
-// observations count, also at an instance that knows only the new offset.
+// TestOrderWrittenAgainIsTheSameRollout guards against starting a roll-out again because the operator
+// writes its order again after a restore, at another offset: its time continues, and earlier observations
+// count, also at an instance that knows only the new offset.
 func TestOrderWrittenAgainIsTheSameRollout(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
 	copied := len(f.operator.records)
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestCountsOfACopyDoNotReplaceLaterOnes checks that earlier counts in a restored store do not replace
-// the later ones that an instance has read from its peers, before they write again.
-func TestCountsOfACopyDoNotReplaceLaterOnes(t *testing.T) {
+// TestRestoredCountsDoNotReplaceLaterOnes checks that the earlier counts in a restored store do not replace
+// the later counts that an instance has read from its peers, even before the peers write again.
+func TestRestoredCountsDoNotReplaceLaterOnes(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
 	f.operator.add("order/shop", orderValue)
 	f.step()
@@ -153,7 +153,7 @@
 	f.step()
 	f.step()
 	f.observations.restore(copied)
-	read(t, f.instances[1].observationsReader)
+	mustRead(t, f.instances[1].observationsReader)
 	if seen := f.instances[1].observations.view(f.instances[1].rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
 		t.Errorf("%d bad responses are counted, want 4", seen.newCounts.Bad)
 	}
--- a/router/internal/passthrough/list_restore_test.go
+++ b/router/internal/passthrough/serverlist_restore_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// restoredList returns an instance whose store was restored without the last records: since the copy
-// one server has left, one is leaving and one has started. One has not changed.
-func restoredList(t *testing.T) (*parts, *topicReader, *fakeLog, *fakeClock) {
+// restoredList returns an instance whose store was restored without the last records: after the backup
+// was taken, one server left, one began to leave and one started. One has not changed.
+func restoredList(t *testing.T) (*testInstance, *topicReader, *fakeLog, *fakeClock) {
 	t.Helper()
 	clock, log := newFakeClock(), &fakeLog{era: 1}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.servers.reader(log, clock)
 	log.add("stays", "server shop v1 ready")
 	log.add("left", "server shop v1 ready")
 	log.add("leaves", "server shop v1 ready")
-	read(t, reader)
+	mustRead(t, reader)
 	log.add("left", "")
 	log.add("leaves", "server shop v1 draining")
 	log.add("started", "server shop v1 ready")
-	read(t, reader)
+	mustRead(t, reader)
 	log.restore(3)
-	read(t, reader)
+	mustRead(t, reader)
 	return p, reader, log, clock
 }
 
-// TestServersThatACopyLacksStayForAWhile guards against dropping a server that started since the copy:
-// it stays for lapseGrace, within which a live one writes again.
-func TestServersThatACopyLacksStayForAWhile(t *testing.T) {
+// TestServersMissingAfterRestoreAreKept guards against removing a server that started after the backup
+// was taken: its entry is kept for lapseGrace, within which a live server writes again.
+func TestServersMissingAfterRestoreAreKept(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if !p.servers.has("started") || !p.servers.has("stays") {
 		t.Fatalf("entries %v", p.servers.entries)
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestServersThatLeftDoNotComeBackWithACopy guards against calls to a server that left since the copy,
-// whose address may belong to another one by now.
-func TestServersThatLeftDoNotComeBackWithACopy(t *testing.T) {
+// TestServersThatLeftStayGoneAfterRestore guards against requests to a server that left after the
+// backup was taken, whose address another server may use by now.
+func TestServersThatLeftStayGoneAfterRestore(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if p.servers.has("left") {
 		t.Fatal("a server that had left is back")
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestServerThatWritesAgainIsBelieved checks that a live server which counted as gone is used once it
-// writes again, and also after unconfirmedDelay where the collector does not pass on its heartbeats.
-func TestServerThatWritesAgainIsBelieved(t *testing.T) {
+// TestServerThatWritesAgainIsUsed checks that a live server that was taken for gone is used once it
+// writes again, and after unconfirmedDelay if the collector does not pass on its heartbeats.
+func TestServerThatWritesAgainIsUsed(t *testing.T) {
 	p, reader, log, _ := restoredList(t)
 	log.add("left", "server shop v1 ready")
 	if err := reader.readOnce(t.Context()); err != nil || !p.servers.has("left") {
@@ -80,13 +80,13 @@
 	}
 }
 
-// TestUnconfirmedEntryIsDroppedAfterASecondRestore checks that an unconfirmed entry which a second
-// restore loses is not used later.
+// TestUnconfirmedEntryIsDroppedAfterASecondRestore checks that an unconfirmed entry that is missing
+// after a second restore is not used later.
 func TestUnconfirmedEntryIsDroppedAfterASecondRestore(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	log.restore(0)
 	for range 2 {
-		read(t, reader)
+		mustRead(t, reader)
 		clock.advance(unconfirmedDelay)
 	}
 	if p.servers.has("left") {
--- a/router/internal/passthrough/list_test.go
+++ b/router/internal/passthrough/serverlist_test.go
@@ -11,8 +11,9 @@
 
 func (l *serverList) has(id string) bool { _, ok := l.entries[id]; return ok }
 
-func TestEntryThatCannotBeReadNamesNoServer(t *testing.T) {
-	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+// TestMalformedEntryRemovesServer guards against sending requests by an entry that cannot be decoded.
+func TestMalformedEntryRemovesServer(t *testing.T) {
+	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.servers.apply(entry("two", "???"))
 	p.servers.apply(entry("one", "???"))
@@ -25,8 +26,9 @@
 	}
 }
 
+// TestRemovedEntryIsGoneAtOnce guards against sending requests to a server whose entry was removed.
 func TestRemovedEntryIsGoneAtOnce(t *testing.T) {
-	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.servers.apply(entry("one", ""))
 	if p.servers.has("one") {
@@ -34,11 +36,11 @@
 	}
 }
 
-// TestEntriesThatLapsedInAnOutageAreBelievedForAWhile guards against dropping live servers after an
-// outage of the store in which their entries expired: they are kept for lapseGrace.
-func TestEntriesThatLapsedInAnOutageAreBelievedForAWhile(t *testing.T) {
+// TestEntriesThatExpiredInAnOutageAreKept guards against removing live servers after an outage of the
+// store in which their entries expired: they are kept for lapseGrace.
+func TestEntriesThatExpiredInAnOutageAreKept(t *testing.T) {
 	clock, log := newFakeClock(), &fakeLog{}
-	p := newParts("a", clock, &fakeLog{}, &fakeLog{})
+	p := newTestInstance("a", clock, &fakeLog{}, &fakeLog{})
 	reader := p.servers.reader(log, clock)
 	log.add("one", "server shop v1 ready")
 	log.add("two", "server shop v1 ready")
@@ -71,10 +73,10 @@
 
 // TestListIsReadOftenEnough guards against requests to a server that has left because the list was
 // read too late: data that passes through a collector is read twice, and at an instance that reads
-// alone one read may fail.
+// only for itself one read may fail.
 func TestListIsReadOftenEnough(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
-		p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+		p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 		p.servers.drainTime = drain
 		shared := p.servers.readInterval()
 		p.servers.readsAlone = func() bool { return true }
@@ -88,10 +90,10 @@
 	}
 }
 
-// TestFollowersHearOfChangesAtOnce checks that an instance that reads the list from a peer waits there
-// for changes, and that one that reads the store does not: every heartbeat is a change there.
-func TestFollowersHearOfChangesAtOnce(t *testing.T) {
-	p := newParts("a", newFakeClock(), &fakeLog{}, &fakeLog{})
+// TestFollowerReadsWaitForChanges checks that reads of the list from a peer wait for changes, and that
+// reads from the store do not, since every heartbeat is a change there.
+func TestFollowerReadsWaitForChanges(t *testing.T) {
+	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	if p.servers.wait() != 0 || p.servers.pause() != p.servers.readInterval() {
 		t.Errorf("reading the store: wait %v, pause %v", p.servers.wait(), p.servers.pause())
 	}
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -15,7 +15,7 @@
 )
 
 // sharing lets the instances of a failure domain share their reads of the store: a collector reads
-// and its followers read from it.
+// the store, and its followers read from the collector.
 type sharing struct {
 	self      relay.Member
 	store     Store
@@ -32,21 +32,22 @@
 	instances    *relay.Log
 
 	mu sync.Mutex
-	// held are records of followers, by topic, that are to be written with the own.
-	held   map[string][]keyedlog.Record
-	onHeld func()
-	// onFleetCount is called with the number of instances when it changes, reportedCount is
-	// the last one.
+	// heldRecords are records of followers, by topic, that are to be written together with this
+	// instance's records. onHeldRecords is called when observations were added to them.
+	heldRecords   map[string][]keyedlog.Record
+	onHeldRecords func()
+	// onFleetCount is called with the number of instances when it changes; reportedCount is the
+	// last number.
 	onFleetCount  func(int)
 	reportedCount atomic.Int64
 	// onPeers is called with the names of this failure domain's instances when their number
-	// changes, reportedPeers is the last number.
+	// changes; reportedPeers is the last number.
 	onPeers       func([]string)
 	reportedPeers atomic.Int64
 	// otherDomains are the other failure domains.
 	otherDomains []string
-	// listed says that the store has this instance's current entry, announcedAt when it was
-	// last written.
+	// listed is true if the store has this instance's current entry; announcedAt is when the
+	// entry was last written.
 	listed      atomic.Bool
 	announcedAt time.Time
 }
@@ -68,14 +69,15 @@
 	// maxServersAgeFraction is the same for the server list, as a fraction of the time for
 	// which a leaving server may still get requests.
 	maxServersAgeFraction = 0.65
-	// maxOtherAge is for the other topics, which pass on what they have at once.
+	// maxOtherAge is the same for the other topics. It is practically no limit, since a collector
+	// passes on their records at once.
 	maxOtherAge = time.Hour
 )
 
 func newSharing(cfg seam.Settings, store Store, records Records, tel *telemetry, clock Clock) *sharing {
 	s := &sharing{
 		self:  relay.Member{Name: cfg.Instance, Domain: cfg.Domain, Address: cfg.PeerAddr, Cores: cfg.Cores},
-		store: store, telemetry: tel, clock: clock, held: map[string][]keyedlog.Record{}, onHeld: func() {}, onFleetCount: func(int) {},
+		store: store, telemetry: tel, clock: clock, heldRecords: map[string][]keyedlog.Record{}, onHeldRecords: func() {}, onFleetCount: func(int) {},
 		onPeers: func([]string) {},
 	}
 	for _, domain := range cfg.Domains {
@@ -108,48 +110,48 @@
 	return s
 }
 
-// fractionOf returns the fraction p of a bound.
+// fractionOf returns the fraction f of a bound.
 func fractionOf(f float64, bound time.Duration) time.Duration {
 	return time.Duration(f * float64(bound))
 }
 
-// equalServers returns a function that reports whether two entries of a backend server differ in
-// nothing that is used: most entries are heartbeats.
+// equalServers returns a function that reports whether two entries of a backend server are equal in all
+// fields that are used. Most entries are heartbeats, which change no such field.
 func equalServers(records Records) func(a, b keyedlog.Record) bool {
 	return func(a, b keyedlog.Record) bool {
-		serverA, errX := records.Server(a)
-		serverB, errY := records.Server(b)
-		return errX == nil && errY == nil && serverA == serverB
+		serverA, errA := records.Server(a)
+		serverB, errB := records.Server(b)
+		return errA == nil && errB == nil && serverA == serverB
 	}
 }
 
-// maxHeldRecords bounds the records per topic that are held for followers.
+// maxHeldRecords is the maximum number of records per topic that are held for followers.
 const maxHeldRecords = 1000
 
 // holdRecords accepts a follower's records to be written later. It returns keyedlog.ErrRejected for
-// a topic that followers do not write, and keyedlog.ErrNotDone past maxHeldRecords.
+// a topic that followers do not write, and keyedlog.ErrNotApplied past maxHeldRecords.
 func (s *sharing) holdRecords(topic string, records []keyedlog.Record) error {
 	if topic != topicObservations && topic != topicInstances {
 		return keyedlog.ErrRejected // followers write to no other topic
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.held[topic])+len(records) > maxHeldRecords {
+	if len(s.heldRecords[topic])+len(records) > maxHeldRecords {
 		return keyedlog.ErrNotApplied
 	}
-	s.held[topic] = append(s.held[topic], records...)
+	s.heldRecords[topic] = append(s.heldRecords[topic], records...)
 	if topic == topicObservations {
-		s.onHeld()
+		s.onHeldRecords()
 	}
 	return nil
 }
 
-// takeHeld returns and removes the held records of a topic.
-func (s *sharing) takeHeld(topic string) []keyedlog.Record {
+// takeHeldRecords returns and removes the held records of a topic.
+func (s *sharing) takeHeldRecords(topic string) []keyedlog.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.held[topic]
-	delete(s.held, topic)
+	out := s.heldRecords[topic]
+	delete(s.heldRecords, topic)
 	return out
 }
 
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -74,10 +74,10 @@
 	return sh
 }
 
-// TestFollowersAreEnlistedTogether checks that a collector announces the small instances that start
-// after it with one call for all of them, and that each reads only the list of its own failure
-// domain.
-func TestFollowersAreEnlistedTogether(t *testing.T) {
+// TestFollowersAreAnnouncedInOneCall guards against overloading the store when many instances start: a
+// collector announces the small instances that start after it in one call, and each reads only the list
+// of its own failure domain.
+func TestFollowersAreAnnouncedInOneCall(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
@@ -104,15 +104,15 @@
 	}
 }
 
-// TestInstanceIsToldAgainWhereItsCollectorLostIt checks that an instance announces itself again if
-// its collector ends before it has written the announcement.
-func TestInstanceIsToldAgainWhereItsCollectorLostIt(t *testing.T) {
+// TestInstanceReannouncesIfCollectorLostIt checks that an instance announces itself again if its
+// collector ends before it writes the announcement.
+func TestInstanceReannouncesIfCollectorLostIt(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	collector := startPeer(t, st, clock, "strong", 0.8)
 	collector.join(t.Context(), false)
 	sh := startPeer(t, st, clock, "small", 0.2)
 	sh.join(t.Context(), false)
-	collector.takeHeld(topicInstances) // the announcement is lost
+	collector.takeHeldRecords(topicInstances) // the announcement is lost
 	clock.advance(reannounceAfter + time.Second)
 	sh.reannounceIfMissing(t.Context())
 	collector.writeFollowers(t.Context())
@@ -121,20 +121,20 @@
 	}
 }
 
-// TestInstanceThatACopyLacksIsToldAgain checks that an instance announces itself again after a restore
+// TestInstanceReannouncesAfterRestore checks that an instance announces itself again after a restore
 // that lost its entry, and does not if the entry is still there.
-func TestInstanceThatACopyLacksIsToldAgain(t *testing.T) {
+func TestInstanceReannouncesAfterRestore(t *testing.T) {
 	st, clock := &fakeStore{}, newFakeClock()
 	own := st.domain("a")
 	own.era = 1
 	sh := startPeer(t, st, clock, "strong", 0.8)
 	reader := sh.reader(t.Context())
 	sh.join(t.Context(), false)
-	read(t, reader)
+	mustRead(t, reader)
 	for _, keep := range []int{1, 0} {
 		before := own.appends
 		own.restore(keep)
-		read(t, reader)
+		mustRead(t, reader)
 		if announced := own.appends - before; announced != 1-keep || len(own.records) != 1 {
 			t.Errorf("%d records kept: announced %d times, %d records", keep, announced, len(own.records))
 		}
--- a/router/internal/passthrough/journal.go
+++ b/router/internal/passthrough/telemetry.go
@@ -22,15 +22,15 @@
 
 // The log attributes of events about a request.
 const (
-	keyRequest = "request"
-	keyRoute   = "route"
-	keyTeam    = "team"
-	keySession = "session"
-	keyServer  = "server"
-	keyReason  = "reason"
-	keyVersion = "config"
-	keyAge     = "config_age_ms"
-	keyTook    = "took_ms"
+	keyRequest       = "request"
+	keyRoute         = "route"
+	keyTeam          = "team"
+	keySession       = "session"
+	keyServer        = "server"
+	keyReason        = "reason"
+	keyConfigVersion = "config"
+	keyConfigAge     = "config_age_ms"
+	keyTook          = "took_ms"
 )
 
 // requestAttrs returns the attributes of every event about a request, followed by more: its id
@@ -48,7 +48,7 @@
 		out = append(out, slog.String(keySession, c.caller.Session))
 	}
 	if index := t.config.Index(); index != nil {
-		out = append(out, slog.Uint64(keyVersion, index.Version), slog.Int64(keyAge, t.config.Age().Milliseconds()))
+		out = append(out, slog.Uint64(keyConfigVersion, index.Version), slog.Int64(keyConfigAge, t.config.Age().Milliseconds()))
 	}
 	out = append(out, slog.Int64(keyTook, t.clock.Now().Sub(c.arrived).Milliseconds()))
 	return append(out, more...)
@@ -74,21 +74,23 @@
 	h.Update(duration.Milliseconds())
 }
 
-// slowStart logs that servers have entered slow start. The driver calls it, so it must not block.
-func (t *telemetry) slowStart(c passthrough.SlowStartBegun) {
+// logSlowStart counts and logs that servers have entered slow start. The driver calls it, so it must
+// not block.
+func (t *telemetry) logSlowStart(c passthrough.SlowStartBegun) {
 	t.count("cooled." + string(c.Cause))
 	t.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
 		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.Duration.Milliseconds()), slog.String(keyReason, string(c.Cause)))
 }
 
-// logStateKept logs state that is kept although a restored store lacks or contradicts it.
+// logStateKept counts and logs state that is kept although a restored store lacks or contradicts it.
 func (t *telemetry) logStateKept(subject, key, why string) {
 	t.count("restore.kept." + subject)
 	t.emit(logging.EventStateKept, slog.String("subject", subject), slog.String("key", key), slog.String(keyReason, why))
 }
 
-// rateLimitChanged logs a change of a server's rate limit. The driver calls it, so it must not block.
-func (t *telemetry) rateLimitChanged(c passthrough.RateLimitChanged) {
+// logRateLimitChanged counts and logs a change of a server's rate limit. The driver calls it, so it
+// must not block.
+func (t *telemetry) logRateLimitChanged(c passthrough.RateLimitChanged) {
 	if !c.Limit.Limited {
 		t.count("limit_ended")
 		t.emit(logging.EventServerUnlimited, slog.String(keyServer, c.Server), slog.Bool("own", c.Own), slog.Int64("age_ms", c.Age.Milliseconds()))
@@ -104,14 +106,16 @@
 	t.emit(logging.EventRecordRejected, slog.String("from", from), slog.String(logging.KeyError, err.Error()))
 }
 
-func (t *telemetry) refused(c *call, ref refusal) {
+// logRefused counts and logs a refused request.
+func (t *telemetry) logRefused(c *call, ref refusal) {
 	t.count("refused." + string(ref.reason))
 	t.emit(logging.EventPassthroughRefused, t.requestAttrs(c,
 		slog.Int("status", ref.status), slog.String(keyReason, string(ref.reason)),
 		slog.Int64("retry_after_ms", ref.retryAfter.Milliseconds()))...)
 }
 
-func (t *telemetry) attempted(c *call, d passthrough.Dispatch, out outcome) {
+// logAttempt counts and logs an attempt that has ended.
+func (t *telemetry) logAttempt(c *call, d passthrough.Dispatch, out outcome) {
 	t.count("attempt." + out.result.String())
 	if out.firstByte > 0 {
 		t.observeDuration("first_byte_ms", out.firstByte)
@@ -146,7 +150,9 @@
 	t.emit(logging.EventPassthroughAttempt, attrs...)
 }
 
-func (t *telemetry) finished(c *call, status int, reason passthrough.Reason) {
+// logFinished counts a request that has ended, and logs it if it failed; reason is empty for a
+// success.
+func (t *telemetry) logFinished(c *call, status int, reason passthrough.Reason) {
 	t.observeDuration("answer_ms", t.clock.Now().Sub(c.arrived))
 	t.count("finished")
 	if reason == "" {
@@ -156,7 +162,8 @@
 	t.emit(logging.EventPassthroughFailed, t.requestAttrs(c, slog.Int("status", status), slog.String(keyReason, string(reason)))...)
 }
 
-func (t *telemetry) callerLost(c *call, err error) {
+// logCallerLost counts and logs a caller that has disconnected.
+func (t *telemetry) logCallerLost(c *call, err error) {
 	t.count("caller_lost")
 	t.emit(logging.EventCallerLost, t.requestAttrs(c, slog.String(logging.KeyError, err.Error()))...)
 }
