--- a/router/internal/peer/bench_test.go
+++ b/router/internal/peer/bench_test.go
@@ -29,26 +29,26 @@
 
 func benchIdle(b *testing.B, n int, tlsOf func(int) *tls.Config) {
 	instances := newFleet(b, n, tlsOf)
-	for _, i := range instances {
+	for _, inst := range instances {
 		// Offsets as long as after a year of operation.
-		i.store.set(func(s *fakeStore) {
+		inst.store.set(func(s *fakeStore) {
 			s.digest = fold.Digest{NextOffset: 6_000_000_000, Generation: 24_000_000, Hash: math.MaxUint64}
 			s.status.Head = 6_000_000_000
 		})
 	}
 	var in, out int64
 	count := func(sign int64) {
-		for _, i := range instances {
-			in += sign * i.server.in.Count()
-			out += sign * i.server.out.Count()
+		for _, inst := range instances {
+			in += sign * inst.server.in.Count()
+			out += sign * inst.server.out.Count()
 		}
 	}
 	count(-1)
 	before := processorTime(b)
 	for b.Loop() {
 		var wg sync.WaitGroup
-		for _, i := range instances {
-			wg.Go(func() { i.Round(context.Background()) })
+		for _, inst := range instances {
+			wg.Go(func() { inst.Round(context.Background()) })
 		}
 		wg.Wait()
 	}
--- a/router/internal/peer/bills.go
+++ b/router/internal/peer/bills.go
@@ -23,8 +23,8 @@
 	maxHeldBills = 32_768
 	// maxHeldBytes bounds the memory of the bills held.
 	maxHeldBytes = 16 << 20
-	// maxHoldMessageBytes bounds the message that carries one bill.
-	maxHoldMessageBytes = 4 * (record.MaxKeyBytes + ledger.MaxBillBytes)
+	// maxHoldBatchBytes bounds the message that carries one bill.
+	maxHoldBatchBytes = 4 * (record.MaxKeyBytes + ledger.MaxBillBytes)
 	// maxCopyPeers is how many peers are asked in turn to keep a copy.
 	maxCopyPeers = 3
 )
--- a/router/internal/peer/board.go
+++ b/router/internal/peer/board.go
@@ -135,9 +135,9 @@
 func (s *healthSet) firstToExpire() itemKey {
 	var key itemKey
 	var earliest healthEntry
-	for k, r := range s.entries {
-		if key.id == "" || r.Until < earliest.Until || r.Until == earliest.Until && r.itemHash < earliest.itemHash {
-			key, earliest = k, r
+	for k, e := range s.entries {
+		if key.id == "" || e.Until < earliest.Until || e.Until == earliest.Until && e.itemHash < earliest.itemHash {
+			key, earliest = k, e
 		}
 	}
 	return key
@@ -161,8 +161,8 @@
 func (s *healthSet) has(kind HealthKind, id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r, ok := s.entries[itemKey{kind, id}]
-	return ok && r.Until > now.UnixMilli()
+	e, ok := s.entries[itemKey{kind, id}]
+	return ok && e.Until > now.UnixMilli()
 }
 
 // all returns the unexpired items, in a fixed order.
@@ -171,8 +171,8 @@
 	defer s.mu.Unlock()
 	s.expire(now)
 	out := make([]HealthItem, 0, len(s.entries))
-	for _, r := range s.entries {
-		out = append(out, r.HealthItem)
+	for _, e := range s.entries {
+		out = append(out, e.HealthItem)
 	}
 	slices.SortFunc(out, func(x, y HealthItem) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.ID, y.ID))
@@ -189,8 +189,8 @@
 }
 
 func (s *healthSet) expire(now time.Time) {
-	for key, r := range s.entries {
-		if r.Until <= now.UnixMilli() {
+	for key, e := range s.entries {
+		if e.Until <= now.UnixMilli() {
 			s.remove(key)
 		}
 	}
--- a/router/internal/peer/chooser.go
+++ b/router/internal/peer/chooser.go
@@ -9,8 +9,8 @@
 
 // Chooser picks the peers of a round. It is called from one goroutine only.
 type Chooser interface {
-	// Choose picks from live, the platform's list without this instance.
-	Choose(live []wire.ListedInstance) []wire.ListedInstance
+	// Choose picks from others, the platform's list without this instance.
+	Choose(others []wire.ListedInstance) []wire.ListedInstance
 	// Failed records that a chosen peer did not answer.
 	Failed(id string)
 }
@@ -52,18 +52,18 @@
 }
 
 // Choose returns up to fanout peers.
-func (c *stickyChooser) Choose(live []wire.ListedInstance) []wire.ListedInstance {
-	byID := make(map[string]wire.ListedInstance, len(live))
-	for _, l := range live {
+func (c *stickyChooser) Choose(others []wire.ListedInstance) []wire.ListedInstance {
+	byID := make(map[string]wire.ListedInstance, len(others))
+	for _, l := range others {
 		byID[l.ID] = l
 	}
 	c.removeStale(byID)
-	order := c.rng.Perm(len(live))
-	c.fill(live, order, func(l wire.ListedInstance) bool { return !c.failed[l.ID] })
+	order := c.rng.Perm(len(others))
+	c.fill(others, order, func(l wire.ListedInstance) bool { return !c.failed[l.ID] })
 	// Peers that failed last time are chosen only if there are no others: an
 	// instance that is back must be heard again.
-	c.fill(live, order, func(wire.ListedInstance) bool { return true })
-	c.ensureOtherDomain(live, order, byID)
+	c.fill(others, order, func(wire.ListedInstance) bool { return true })
+	c.ensureOtherDomain(others, order, byID)
 	clear(c.failed)
 	out := make([]wire.ListedInstance, len(c.kept))
 	for i, id := range c.kept {
@@ -85,28 +85,28 @@
 	}
 }
 
-func (c *stickyChooser) fill(live []wire.ListedInstance, order []int, eligible func(wire.ListedInstance) bool) {
+func (c *stickyChooser) fill(others []wire.ListedInstance, order []int, eligible func(wire.ListedInstance) bool) {
 	for _, i := range order {
 		if len(c.kept) == fanout {
 			return
 		}
-		if eligible(live[i]) && !slices.Contains(c.kept, live[i].ID) {
-			c.kept = append(c.kept, live[i].ID)
+		if eligible(others[i]) && !slices.Contains(c.kept, others[i].ID) {
+			c.kept = append(c.kept, others[i].ID)
 		}
 	}
 }
 
 // ensureOtherDomain replaces the newest peer by one of another failure domain
 // if all are in the instance's own.
-func (c *stickyChooser) ensureOtherDomain(live []wire.ListedInstance, order []int, byID map[string]wire.ListedInstance) {
+func (c *stickyChooser) ensureOtherDomain(others []wire.ListedInstance, order []int, byID map[string]wire.ListedInstance) {
 	for _, id := range c.kept {
 		if byID[id].Domain != c.domain {
 			return
 		}
 	}
 	for _, i := range order {
-		if live[i].Domain != c.domain && !c.failed[live[i].ID] && len(c.kept) > 0 {
-			c.kept[len(c.kept)-1] = live[i].ID
+		if others[i].Domain != c.domain && !c.failed[others[i].ID] && len(c.kept) > 0 {
+			c.kept[len(c.kept)-1] = others[i].ID
 			return
 		}
 	}
--- a/router/internal/peer/chooser_test.go
+++ b/router/internal/peer/chooser_test.go
@@ -18,22 +18,22 @@
 func TestChooserKeepsPeersAndReachesOut(t *testing.T) {
 	for seed := range uint64(50) {
 		c := NewChooser(domains[0], seed)
-		changes, last := 0, map[string]bool{}
+		changes, previous := 0, map[string]bool{}
 		chosen := map[string]bool{}
 		const rounds = 10 * replaceEvery
 		for range rounds {
-			now, outside := map[string]bool{}, false
+			current, otherDomain := map[string]bool{}, false
 			for _, l := range c.Choose(testInstances(24)) {
-				now[l.ID], chosen[l.ID] = true, true
-				outside = outside || l.Domain != domains[0]
-				if !last[l.ID] {
+				current[l.ID], chosen[l.ID] = true, true
+				otherDomain = otherDomain || l.Domain != domains[0]
+				if !previous[l.ID] {
 					changes++
 				}
 			}
-			if len(now) != fanout || !outside {
-				t.Fatalf("seed %d: chose %v", seed, now)
+			if len(current) != fanout || !otherDomain {
+				t.Fatalf("seed %d: chose %v", seed, current)
 			}
-			last = now
+			previous = current
 		}
 		if changes > fanout+2*rounds/replaceEvery {
 			t.Errorf("seed %d: %d changes in %d rounds", seed, changes, rounds)
@@ -56,9 +56,9 @@
 		}
 	}
 	c := NewChooser(domains[0], 1)
-	for _, live := range []int{0, 1, 2, 3, 5} {
-		if got := c.Choose(testInstances(live)); len(got) != min(live, fanout) {
-			t.Errorf("%d of %d chosen", len(got), live)
+	for _, count := range []int{0, 1, 2, 3, 5} {
+		if got := c.Choose(testInstances(count)); len(got) != min(count, fanout) {
+			t.Errorf("%d of %d chosen", len(got), count)
 		}
 	}
 	for _, l := range testInstances(2) {
--- a/router/internal/peer/client.go
+++ b/router/internal/peer/client.go
@@ -44,8 +44,8 @@
 		return trace.Wrap(err)
 	}
 	err = conn.Call(ctx, method, params, result)
-	var answered *jsonrpc2.Error
-	if err != nil && !errors.As(err, &answered) {
+	var rpcErr *jsonrpc2.Error
+	if err != nil && !errors.As(err, &rpcErr) {
 		p.drop(addr, conn)
 	}
 	return trace.Wrap(err)
--- a/router/internal/peer/fixture_test.go
+++ b/router/internal/peer/fixture_test.go
@@ -96,23 +96,23 @@
 	clock time.Time
 }
 
-func (i *testInstance) now() time.Time { i.mu.Lock(); defer i.mu.Unlock(); return i.clock }
+func (inst *testInstance) now() time.Time { inst.mu.Lock(); defer inst.mu.Unlock(); return inst.clock }
 
 // advance moves the instance's clock forward.
-func (i *testInstance) advance(d time.Duration) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.clock = i.clock.Add(d)
+func (inst *testInstance) advance(d time.Duration) {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
+	inst.clock = inst.clock.Add(d)
 }
 
-func (i *testInstance) Vouched(v freshness.Vouch) {
+func (inst *testInstance) Vouched(v freshness.Vouch) {
 	select {
-	case i.vouches <- v:
+	case inst.vouches <- v:
 	default: // a test that counts them drains the channel
 	}
 }
 
-func (i *testInstance) Send(ev decision.Event) { i.events <- ev }
+func (inst *testInstance) Send(ev decision.Event) { inst.events <- ev }
 
 var domains = []string{"nyarugenge", "gasabo", "kicukiro"}
 
@@ -182,9 +182,9 @@
 }
 
 // runRound runs one round and waits for the background work that it starts.
-func (i *testInstance) runRound() {
-	i.Round(context.Background())
-	i.background.Wait()
+func (inst *testInstance) runRound() {
+	inst.Round(context.Background())
+	inst.background.Wait()
 }
 
 func testBill(n byte) record.Record {
@@ -197,11 +197,11 @@
 }
 
 // fillBills reserves all space for bills; the function returned frees it.
-func (i *testInstance) fillBills(t *testing.T) (empty func()) {
+func (inst *testInstance) fillBills(t *testing.T) (release func()) {
 	t.Helper()
 	var reservations []*ledger.Reservation
-	for !i.HeldBillsFull(0) {
-		reservation, err := i.heldBills.Reserve()
+	for !inst.HeldBillsFull(0) {
+		reservation, err := inst.heldBills.Reserve()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/router/internal/peer/handler.go
+++ b/router/internal/peer/handler.go
@@ -16,13 +16,13 @@
 // changes.
 func (n *Node) handle(_ context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	result, err := n.dispatch(req)
-	var coded *jsonrpc2.Error
+	var rpcErr *jsonrpc2.Error
 	switch {
 	case err == nil:
 		return result, nil
-	case errors.As(err, &coded):
+	case errors.As(err, &rpcErr):
 		n.recordRejection(trace.Wrap(err, "%q", truncate(req.Method)))
-		return nil, coded
+		return nil, rpcErr
 	default:
 		return nil, rpcError(CodeFailed, err.Error())
 	}
@@ -59,7 +59,7 @@
 
 // decodeAndHandle decodes strictly: an unknown key may have a meaning that must
 // not be ignored.
-func decodeAndHandle[P sender](req *jsonrpc2.Request, answer func(P) (any, error)) (any, error) {
+func decodeAndHandle[P sender](req *jsonrpc2.Request, handle func(P) (any, error)) (any, error) {
 	if req.Params == nil {
 		return nil, invalidParams("parameters missing")
 	}
@@ -72,7 +72,7 @@
 	if from := p.sentBy(); from == "" || len(from) > maxNameBytes {
 		return nil, invalidParams("sender missing or too long")
 	}
-	return answer(p)
+	return handle(p)
 }
 
 // handleDigest answers with this instance's status. The asker's state is not
@@ -119,7 +119,7 @@
 
 // handleHold keeps a second copy of another instance's bill.
 func (n *Node) handleHold(p HoldParams) (any, error) {
-	if len(p.Batch) > maxHoldMessageBytes {
+	if len(p.Batch) > maxHoldBatchBytes {
 		return nil, invalidParams("bill too long")
 	}
 	batch, err := record.Decode(p.Batch)
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -57,24 +57,24 @@
 }
 
 // assertUnchanged fails the test if a message changed the instance's state.
-func assertUnchanged(t *testing.T, i *testInstance, name string) {
+func assertUnchanged(t *testing.T, inst *testInstance, name string) {
 	t.Helper()
-	if i.HeldBills() != 0 || i.healthItems.hash(testTime) != 0 || i.store.restored != nil ||
-		len(i.store.puts) != 0 || len(i.events) != 0 || len(i.vouches) != 0 {
+	if inst.HeldBills() != 0 || inst.healthItems.hash(testTime) != 0 || inst.store.restored != nil ||
+		len(inst.store.puts) != 0 || len(inst.events) != 0 || len(inst.vouches) != 0 {
 		t.Errorf("%s: state changed", name)
 	}
 }
 
 func TestHostileMessagesGetAnErrorAndChangeNothing(t *testing.T) {
-	i := newFleet(t, 1, nil)[0]
+	inst := newFleet(t, 1, nil)[0]
 	manifest := record.Record{Kind: record.KindPut, Key: "manifest/1", Nonce: record.Nonce{1}, Value: []byte("x")}
 	release := record.Record{Kind: record.KindRelease, Key: "bill/t/r", Nonce: record.Nonce{1}}
-	large := testBill(1)
-	large.Value = make([]byte, maxHoldMessageBytes+1)
-	junk, moved, long := testBill(1), testBill(1), testBill(1)
-	junk.Value = []byte(`{"cost":1}`)
-	moved.Key = testBill(2).Key
-	long.Value = make([]byte, ledger.MaxBillBytes+1)
+	longBatch := testBill(1)
+	longBatch.Value = make([]byte, maxHoldBatchBytes+1)
+	notABill, keyOfAnother, longValue := testBill(1), testBill(1), testBill(1)
+	notABill.Value = []byte(`{"cost":1}`)
+	keyOfAnother.Key = testBill(2).Key
+	longValue.Value = make([]byte, ledger.MaxBillBytes+1)
 	for name, c := range map[string]struct {
 		raw  []byte
 		code int
@@ -97,18 +97,18 @@
 		"hold a manifest":   {rpcRequest(MethodHold, holdParams(t, manifest)), jsonrpc2.CodeInvalidParams},
 		"hold a release":    {rpcRequest(MethodHold, holdParams(t, release)), jsonrpc2.CodeInvalidParams},
 		"hold two":          {rpcRequest(MethodHold, holdParams(t, testBill(1), testBill(2))), jsonrpc2.CodeInvalidParams},
-		"hold a large one":  {rpcRequest(MethodHold, holdParams(t, large)), jsonrpc2.CodeInvalidParams},
-		"hold no bill":      {rpcRequest(MethodHold, holdParams(t, junk)), jsonrpc2.CodeInvalidParams},
-		"hold another's":    {rpcRequest(MethodHold, holdParams(t, moved)), jsonrpc2.CodeInvalidParams},
-		"hold a long value": {rpcRequest(MethodHold, holdParams(t, long)), jsonrpc2.CodeInvalidParams},
+		"hold a large one":  {rpcRequest(MethodHold, holdParams(t, longBatch)), jsonrpc2.CodeInvalidParams},
+		"hold no bill":      {rpcRequest(MethodHold, holdParams(t, notABill)), jsonrpc2.CodeInvalidParams},
+		"hold another's":    {rpcRequest(MethodHold, holdParams(t, keyOfAnother)), jsonrpc2.CodeInvalidParams},
+		"hold a long value": {rpcRequest(MethodHold, holdParams(t, longValue)), jsonrpc2.CodeInvalidParams},
 	} {
-		answer := sendRaw(t, i.self.Peer, c.raw)
+		answer := sendRaw(t, inst.self.Peer, c.raw)
 		if !strings.Contains(answer, fmt.Sprintf(`"code":%d`, c.code)) {
 			t.Errorf("%s: got %s, want code %d", name, answer, c.code)
 		}
-		assertUnchanged(t, i, name)
+		assertUnchanged(t, inst, name)
 	}
-	if answer := sendRaw(t, i.self.Peer, rpcRequest(MethodVouch, `{"from":"x"}`)); !strings.Contains(answer, `"result"`) {
+	if answer := sendRaw(t, inst.self.Peer, rpcRequest(MethodVouch, `{"from":"x"}`)); !strings.Contains(answer, `"result"`) {
 		t.Errorf("a good message afterwards got %s", answer)
 	}
 }
@@ -140,13 +140,13 @@
 			_, _ = conn.Write(reply)
 			_ = jsonrpc2.VarintObjectCodec{}.ReadObject(r, &m) // until the instance closes the connection or rejects the request
 		}()
-		i := newFleet(t, 2, nil)[0]
-		peer := i.self
+		inst := newFleet(t, 2, nil)[0]
+		peer := inst.self
 		peer.ID, peer.Peer = "evil", ln.Addr().String()
-		if a := i.query(context.Background(), peer, MethodDigest); a.ok {
+		if a := inst.query(context.Background(), peer, MethodDigest); a.ok {
 			t.Errorf("%s: accepted as an answer", name)
 		}
-		assertUnchanged(t, i, name)
+		assertUnchanged(t, inst, name)
 		_ = ln.Close()
 		<-done
 	}
@@ -163,13 +163,13 @@
 	f.Add(MethodHold, []byte(holdParams(f, testBill(1))))
 	f.Fuzz(func(t *testing.T, method string, params []byte) {
 		store := &fakeStore{snapshot: []byte("good")}
-		one := &testInstance{store: store}
+		inst := &testInstance{store: store}
 		n := New(Config{}, Deps{Store: store, Events: discardEvents{}})
 		raw := json.RawMessage(params)
 		_, err := n.handle(context.Background(), nil, &jsonrpc2.Request{Method: method, Params: &raw})
-		one.Node = n
+		inst.Node = n
 		if err != nil {
-			assertUnchanged(t, one, method)
+			assertUnchanged(t, inst, method)
 		}
 		for _, r := range n.heldBills.Bills() {
 			if r.Key.Class() != record.ClassBill {
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -84,10 +84,10 @@
 	healthItems *healthSet
 	heldBills   *ledger.Buffer
 	snapshots   *snapshotCache
-	// rejectionLogs and divergenceLogs limit log lines that others can cause,
+	// rejectionLogLimit and divergenceLogLimit limit log lines that others can cause,
 	// or that a lasting condition would repeat in each round.
-	rejectionLogs  *rate.Limiter
-	divergenceLogs *rate.Limiter
+	rejectionLogLimit  *rate.Limiter
+	divergenceLogLimit *rate.Limiter
 	// pushRequested wakes Run to send new items at once, roundRequested to
 	// start a round before the interval has passed; earlyRoundLimit limits the
 	// rounds that others can cause.
@@ -132,20 +132,20 @@
 	in := gometrics.GetOrRegisterCounter("peer.bytes_in", deps.Registry)
 	out := gometrics.GetOrRegisterCounter("peer.bytes_out", deps.Registry)
 	n := &Node{
-		Deps:            deps,
-		self:            cfg.Self,
-		store:           deps.Store,
-		interval:        cfg.Interval,
-		timeouts:        cfg.Timeouts,
-		pool:            newConnPool(cfg, in, out),
-		healthItems:     newHealthSet(),
-		snapshots:       &snapshotCache{store: deps.Store},
-		rejectionLogs:   rate.NewLimiter(rate.Every(time.Second), 1),
-		divergenceLogs:  rate.NewLimiter(rate.Every(time.Minute), 1),
-		pushRequested:   make(chan struct{}, 1),
-		roundRequested:  make(chan struct{}, 1),
-		earlyRoundLimit: rate.NewLimiter(rate.Every(time.Second), 1),
-		answered:        map[string]bool{},
+		Deps:               deps,
+		self:               cfg.Self,
+		store:              deps.Store,
+		interval:           cfg.Interval,
+		timeouts:           cfg.Timeouts,
+		pool:               newConnPool(cfg, in, out),
+		healthItems:        newHealthSet(),
+		snapshots:          &snapshotCache{store: deps.Store},
+		rejectionLogLimit:  rate.NewLimiter(rate.Every(time.Second), 1),
+		divergenceLogLimit: rate.NewLimiter(rate.Every(time.Minute), 1),
+		pushRequested:      make(chan struct{}, 1),
+		roundRequested:     make(chan struct{}, 1),
+		earlyRoundLimit:    rate.NewLimiter(rate.Every(time.Second), 1),
+		answered:           map[string]bool{},
 	}
 	n.heldBills = newBillBuffer(deps.Bills.Put, n.sendCopy)
 	n.server = &server{
@@ -257,7 +257,7 @@
 // lines are rate limited, since anyone who can connect could cause them.
 func (n *Node) recordRejection(err error) {
 	gometrics.GetOrRegisterCounter("peer.rejected", n.Registry).Inc(1)
-	if n.rejectionLogs.Allow() {
+	if n.rejectionLogLimit.Allow() {
 		n.Log.Emit(context.Background(), logging.EventPeerRejected, logging.Err(err))
 	}
 }
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -19,15 +19,15 @@
 )
 
 func TestRoundBringsWordsOnTheHead(t *testing.T) {
-	f := newFleet(t, 3, nil)
-	f[1].store.set(func(s *fakeStore) { s.status.Head, s.status.LastHeadRead = 70, testTime.Add(-time.Second) })
-	f[2].store.set(func(s *fakeStore) { s.status.LogReachable, s.status.LastHeadRead = false, time.Time{} })
-	f[0].runRound()
-	if len(f[0].vouches) != 2 {
-		t.Fatalf("%d reports, want 2", len(f[0].vouches))
+	fleet := newFleet(t, 3, nil)
+	fleet[1].store.set(func(s *fakeStore) { s.status.Head, s.status.LastHeadRead = 70, testTime.Add(-time.Second) })
+	fleet[2].store.set(func(s *fakeStore) { s.status.LogReachable, s.status.LastHeadRead = false, time.Time{} })
+	fleet[0].runRound()
+	if len(fleet[0].vouches) != 2 {
+		t.Fatalf("%d reports, want 2", len(fleet[0].vouches))
 	}
 	for range 2 {
-		v := <-f[0].vouches
+		v := <-fleet[0].vouches
 		switch v.Peer {
 		case "i1":
 			if v.Head != 70 || v.HeadAge != time.Second || !v.LogReachable {
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	if len(f[1].vouches)+len(f[2].vouches) != 0 {
+	if len(fleet[1].vouches)+len(fleet[2].vouches) != 0 {
 		t.Error("a request was taken for a report of the head")
 	}
 }
@@ -58,11 +58,11 @@
 }
 
 func TestAnswerUnderAnotherNameIsNoWord(t *testing.T) {
-	f := newFleet(t, 2, nil)
-	stale := []wire.ListedInstance{{ID: "gone", Peer: f[1].self.Peer}}
-	f[0].Instances = func() []wire.ListedInstance { return stale }
-	f[0].runRound()
-	if len(f[0].vouches) != 0 || f[0].answered["gone"] {
+	fleet := newFleet(t, 2, nil)
+	stale := []wire.ListedInstance{{ID: "gone", Peer: fleet[1].self.Peer}}
+	fleet[0].Instances = func() []wire.ListedInstance { return stale }
+	fleet[0].runRound()
+	if len(fleet[0].vouches) != 0 || fleet[0].answered["gone"] {
 		t.Error("accepted a report from an instance that is not listed at that address")
 	}
 }
@@ -79,17 +79,17 @@
 		{"log reachable", true, state, nil},
 		{"bad state", false, []byte("evil"), nil},
 	} {
-		f := newFleet(t, 3, nil)
-		f[0].store.set(func(s *fakeStore) { s.status.LogReachable = c.reachable; s.digest.NextOffset = 5 })
-		f[1].store.set(func(s *fakeStore) { s.digest.NextOffset = 8 })
-		f[2].store.set(func(s *fakeStore) {
+		fleet := newFleet(t, 3, nil)
+		fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = c.reachable; s.digest.NextOffset = 5 })
+		fleet[1].store.set(func(s *fakeStore) { s.digest.NextOffset = 8 })
+		fleet[2].store.set(func(s *fakeStore) {
 			s.digest, s.snapshot = fold.Digest{NextOffset: 9, Generation: 1}, c.snapshot
 		})
-		f[0].runRound()
-		if !bytes.Equal(f[0].store.restored, c.want) {
-			t.Errorf("%s: restored %d bytes, want %d", c.name, len(f[0].store.restored), len(c.want))
+		fleet[0].runRound()
+		if !bytes.Equal(fleet[0].store.restored, c.want) {
+			t.Errorf("%s: restored %d bytes, want %d", c.name, len(fleet[0].store.restored), len(c.want))
 		}
-		if f[1].store.restored != nil || f[2].store.restored != nil {
+		if fleet[1].store.restored != nil || fleet[2].store.restored != nil {
 			t.Errorf("%s: a peer took over an older state", c.name)
 		}
 	}
@@ -98,31 +98,31 @@
 // An instance that alone cannot reach the log must not fetch the whole state of
 // a peer in each round.
 func TestTransfersOfALargeStateAreApart(t *testing.T) {
-	f := newFleet(t, 2, nil)
-	f[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
-	f[1].store.set(func(s *fakeStore) {
+	fleet := newFleet(t, 2, nil)
+	fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
+	fleet[1].store.set(func(s *fakeStore) {
 		s.digest.NextOffset, s.snapshot = 9, append([]byte("good"), make([]byte, maxTransferRate/2)...)
 	})
 	for i, c := range []struct {
-		pass time.Duration
-		want bool
+		elapsed time.Duration
+		want    bool
 	}{{0, true}, {250 * time.Millisecond, false}, {240 * time.Millisecond, false}, {20 * time.Millisecond, true}} {
-		f[0].store.set(func(s *fakeStore) { s.restored = nil })
-		f[0].advance(c.pass)
-		f[0].runRound()
-		if got := f[0].store.restored != nil; got != c.want {
+		fleet[0].store.set(func(s *fakeStore) { s.restored = nil })
+		fleet[0].advance(c.elapsed)
+		fleet[0].runRound()
+		if got := fleet[0].store.restored != nil; got != c.want {
 			t.Errorf("round %d: taken over: %v, want %v", i, got, c.want)
 		}
 	}
 }
 
 func TestAllAreAskedWhileTheLogIsDown(t *testing.T) {
-	f := newFleet(t, 8, nil)
-	f[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
-	f[0].runRound()
+	fleet := newFleet(t, 8, nil)
+	fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
+	fleet[0].runRound()
 	reporting := map[string]bool{}
-	for range len(f[0].vouches) {
-		reporting[(<-f[0].vouches).Peer] = true
+	for range len(fleet[0].vouches) {
+		reporting[(<-fleet[0].vouches).Peer] = true
 	}
 	if len(reporting) != 7 {
 		t.Errorf("got reports of %v, want all 7", reporting)
@@ -139,20 +139,20 @@
 		{"elsewhere", fold.Digest{NextOffset: 6, Hash: 2}, 0},
 		{"unlike", fold.Digest{NextOffset: 5, Hash: 2}, 1},
 	} {
-		f := newFleet(t, 2, nil)
+		fleet := newFleet(t, 2, nil)
 		var out bytes.Buffer
-		f[0].Log = logging.New(&out, settings.Default().Log)
-		f[0].store.set(func(s *fakeStore) { s.digest = fold.Digest{NextOffset: 5, Hash: 1} })
-		f[1].store.set(func(s *fakeStore) { s.digest = c.other })
+		fleet[0].Log = logging.New(&out, settings.Default().Log)
+		fleet[0].store.set(func(s *fakeStore) { s.digest = fold.Digest{NextOffset: 5, Hash: 1} })
+		fleet[1].store.set(func(s *fakeStore) { s.digest = c.other })
 		for range 3 {
-			f[0].runRound()
+			fleet[0].runRound()
 		}
 		if got := strings.Count(out.String(), logging.EventStateDiverged.Name); got != c.want {
 			t.Errorf("%s: %d alarms, want %d: %s", c.name, got, c.want, out.String())
 		}
-		f[0].Instances = func() []wire.ListedInstance { return nil }
-		f[0].runRound()
-		if len(f[0].answered) != 0 {
+		fleet[0].Instances = func() []wire.ListedInstance { return nil }
+		fleet[0].runRound()
+		if len(fleet[0].answered) != 0 {
 			t.Errorf("%s: keeps peers that are no longer listed", c.name)
 		}
 	}
@@ -200,19 +200,19 @@
 // An instance that cannot reach the log takes the state over from a peer; one
 // that reads the log waits for the log.
 func TestManifestWonIsPushed(t *testing.T) {
-	f := newFleet(t, 3, nil)
-	f[0].runRound() // chooses the peers
-	disconnected, reader := f[1].store, f[2].store
+	fleet := newFleet(t, 3, nil)
+	fleet[0].runRound() // chooses the peers
+	disconnected, connected := fleet[1].store, fleet[2].store
 	disconnected.set(func(s *fakeStore) { s.status.LogReachable, s.onRestore = false, make(chan struct{}, 1) })
-	f[0].store.set(func(s *fakeStore) {
+	fleet[0].store.set(func(s *fakeStore) {
 		s.digest, s.snapshot = fold.Digest{NextOffset: 9, Generation: 3}, []byte("good")
 	})
-	f[0].store.watch(fold.Change{Verdict: fold.VerdictLost})
-	f[0].store.watch(fold.Change{Verdict: fold.VerdictWon})
+	fleet[0].store.watch(fold.Change{Verdict: fold.VerdictLost})
+	fleet[0].store.watch(fold.Change{Verdict: fold.VerdictWon})
 	<-disconnected.onRestore
-	f[0].Push(context.Background()) // returns once both have answered
-	reader.set(func(s *fakeStore) {
-		if s.restored != nil || len(f[2].roundRequested) != 0 {
+	fleet[0].Push(context.Background()) // returns once both have answered
+	connected.set(func(s *fakeStore) {
+		if s.restored != nil || len(fleet[2].roundRequested) != 0 {
 			t.Error("a push affected an instance that reads the log")
 		}
 	})
@@ -237,40 +237,40 @@
 }
 
 func TestVerdictReachesEveryInstanceOnce(t *testing.T) {
-	f := newFleet(t, 8, nil)
-	for _, i := range f {
-		i.runRound()
+	fleet := newFleet(t, 8, nil)
+	for _, inst := range fleet {
+		inst.runRound()
 	}
 	want := decision.VersionVerdict{Version: "résumé@7", Bad: true, Until: testTime.Add(time.Minute)}
-	f[0].ShareVerdict(want)
-	for _, i := range f[1:] {
-		got, ok := (<-i.events).(decision.VersionVerdict)
+	fleet[0].ShareVerdict(want)
+	for _, inst := range fleet[1:] {
+		got, ok := (<-inst.events).(decision.VersionVerdict)
 		if !ok || got.Version != want.Version || !got.Bad || !got.Until.Equal(want.Until) {
-			t.Errorf("%s: got %+v", i.self.ID, got)
+			t.Errorf("%s: got %+v", inst.self.ID, got)
 		}
 	}
-	for _, i := range f {
-		i.runRound()
-		if len(i.events) != 0 {
-			t.Errorf("%s got the verdict again, or its own", i.self.ID)
+	for _, inst := range fleet {
+		inst.runRound()
+		if len(inst.events) != 0 {
+			t.Errorf("%s got the verdict again, or its own", inst.self.ID)
 		}
 	}
 }
 
 func TestBoardsThatDifferAreSwappedInARound(t *testing.T) {
-	f := newFleet(t, 2, nil)
+	fleet := newFleet(t, 2, nil)
 	// The instances have no peers yet, so nothing is pushed.
-	f[0].ShareLeaving("moteur-3")
-	f[0].ShareLeaving("moteur-3")
-	f[1].ShareQuarantine(decision.Quarantine{Fingerprint: 77, Until: testTime.Add(time.Minute)})
-	f[0].runRound()
-	if got := <-f[1].events; got != (decision.ServerLeaving{Server: "moteur-3"}) {
+	fleet[0].ShareLeaving("moteur-3")
+	fleet[0].ShareLeaving("moteur-3")
+	fleet[1].ShareQuarantine(decision.Quarantine{Fingerprint: 77, Until: testTime.Add(time.Minute)})
+	fleet[0].runRound()
+	if got := <-fleet[1].events; got != (decision.ServerLeaving{Server: "moteur-3"}) {
 		t.Errorf("got %+v", got)
 	}
-	if got, ok := (<-f[0].events).(decision.RequestQuarantined); !ok || got.Fingerprint != 77 {
+	if got, ok := (<-fleet[0].events).(decision.RequestQuarantined); !ok || got.Fingerprint != 77 {
 		t.Errorf("got %+v", got)
 	}
-	if f[0].healthItems.hash(testTime) != f[1].healthItems.hash(testTime) {
+	if fleet[0].healthItems.hash(testTime) != fleet[1].healthItems.hash(testTime) {
 		t.Error("health items still differ")
 	}
 }
@@ -330,45 +330,45 @@
 }
 
 func TestBillIsHeldInTwoFailureDomainsAndFlushedByBoth(t *testing.T) {
-	f := newFleet(t, 8, nil)
-	f[0].runRound() // learns who answers
+	fleet := newFleet(t, 8, nil)
+	fleet[0].runRound() // learns who answers
 	var all []record.Record
 	for n := range byte(20) {
 		all = append(all, testBill(n))
-		if err := f[0].Hold(context.Background(), testBill(n)); err != nil {
+		if err := fleet[0].Hold(context.Background(), testBill(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := f[0].HeldBills(); got != 20 {
+	if got := fleet[0].HeldBills(); got != 20 {
 		t.Errorf("%d held, want 20", got)
 	}
 	copies := 0
-	for _, i := range f[1:] {
-		copies += i.HeldBills()
-		if i.self.Domain == f[0].self.Domain && i.HeldBills() > 0 {
-			t.Errorf("%s in the same failure domain holds a copy", i.self.ID)
+	for _, inst := range fleet[1:] {
+		copies += inst.HeldBills()
+		if inst.self.Domain == fleet[0].self.Domain && inst.HeldBills() > 0 {
+			t.Errorf("%s in the same failure domain holds a copy", inst.self.ID)
 		}
 	}
 	if copies != 20 {
 		t.Errorf("%d copies, want 20", copies)
 	}
-	f[0].store.set(func(s *fakeStore) { s.outcome = node.OutcomeUnknown })
-	f[0].runRound()
-	if f[0].HeldBills() != 20 {
+	fleet[0].store.set(func(s *fakeStore) { s.outcome = node.OutcomeUnknown })
+	fleet[0].runRound()
+	if fleet[0].HeldBills() != 20 {
 		t.Error("bills with an unknown outcome were dropped")
 	}
 	total := 0
-	for _, i := range f {
-		i.store.set(func(s *fakeStore) { s.outcome = node.OutcomeLost })
-		i.runRound()
-		total += i.HeldBills()
+	for _, inst := range fleet {
+		inst.store.set(func(s *fakeStore) { s.outcome = node.OutcomeLost })
+		inst.runRound()
+		total += inst.HeldBills()
 	}
 	if total != 0 {
 		t.Errorf("%d bills left after the flush", total)
 	}
 	// The first flush stopped at an unknown outcome. The second put all bills,
 	// the first one again under the same nonce.
-	puts := f[0].store.puts
+	puts := fleet[0].store.puts
 	if len(puts) != 21 || !sameBills(puts[1:], all) || !sameBills(puts[:1], []record.Record{secondPut(puts)}) {
 		t.Errorf("%d puts; a retry did not put the same record", len(puts))
 	}
@@ -394,34 +394,34 @@
 }
 
 func TestHoldFailsWithoutASecondCopy(t *testing.T) {
-	f := newFleet(t, 2, nil)
+	fleet := newFleet(t, 2, nil)
 	for name, list := range map[string][]wire.ListedInstance{
-		"no peers":       {f[0].self},
-		"peer not there": {f[0].self, {ID: "dead", Peer: "127.0.0.1:1", Domain: "gasabo"}},
+		"no peers":       {fleet[0].self},
+		"peer not there": {fleet[0].self, {ID: "dead", Peer: "127.0.0.1:1", Domain: "gasabo"}},
 	} {
-		f[0].Instances = func() []wire.ListedInstance { return list }
-		if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[0].HeldBills() != 0 {
-			t.Errorf("%s: got %v with %d held", name, err, f[0].HeldBills())
+		fleet[0].Instances = func() []wire.ListedInstance { return list }
+		if err := fleet[0].Hold(context.Background(), testBill(1)); err == nil || fleet[0].HeldBills() != 0 {
+			t.Errorf("%s: got %v with %d held", name, err, fleet[0].HeldBills())
 		}
 	}
-	f[0].Instances = func() []wire.ListedInstance { return []wire.ListedInstance{f[0].self, f[1].self} }
-	empty := f[1].fillBills(t)
-	if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[0].HeldBills() != 0 {
-		t.Errorf("full peer: got %v with %d held", err, f[0].HeldBills())
+	fleet[0].Instances = func() []wire.ListedInstance { return []wire.ListedInstance{fleet[0].self, fleet[1].self} }
+	release := fleet[1].fillBills(t)
+	if err := fleet[0].Hold(context.Background(), testBill(1)); err == nil || fleet[0].HeldBills() != 0 {
+		t.Errorf("full peer: got %v with %d held", err, fleet[0].HeldBills())
 	}
-	empty()
-	if f[0].HeldBillsFull(0) {
+	release()
+	if fleet[0].HeldBillsFull(0) {
 		t.Error("full with no bill held")
 	}
-	if !f[0].HeldBillsFull(maxHeldBills) {
+	if !fleet[0].HeldBillsFull(maxHeldBills) {
 		t.Error("not full, with space for fewer bills than there are open requests")
 	}
-	f[0].fillBills(t)
-	if !f[0].HeldBillsFull(0) {
+	fleet[0].fillBills(t)
+	if !fleet[0].HeldBillsFull(0) {
 		t.Error("not full with all space reserved")
 	}
-	if err := f[0].Hold(context.Background(), testBill(1)); err == nil || f[1].HeldBills() != 0 {
-		t.Errorf("full here: got %v with %d copies", err, f[1].HeldBills())
+	if err := fleet[0].Hold(context.Background(), testBill(1)); err == nil || fleet[1].HeldBills() != 0 {
+		t.Errorf("full here: got %v with %d copies", err, fleet[1].HeldBills())
 	}
 }
 
@@ -429,27 +429,27 @@
 // try's bill. If its failed Hold dropped that copy, the request would stay
 // unbilled when the first instance dies.
 func TestFailedHoldKeepsThePeersCopy(t *testing.T) {
-	f := newFleet(t, 2, nil)
-	if err := f[0].Hold(context.Background(), testBill(1)); err != nil {
+	fleet := newFleet(t, 2, nil)
+	if err := fleet[0].Hold(context.Background(), testBill(1)); err != nil {
 		t.Fatal(err)
 	}
-	f[1].Instances = func() []wire.ListedInstance { return nil }
-	if err := f[1].Hold(context.Background(), testBill(1)); err == nil || f[1].HeldBills() != 1 {
-		t.Errorf("got %v with %d held, want an error and the copy kept", err, f[1].HeldBills())
+	fleet[1].Instances = func() []wire.ListedInstance { return nil }
+	if err := fleet[1].Hold(context.Background(), testBill(1)); err == nil || fleet[1].HeldBills() != 1 {
+		t.Errorf("got %v with %d held, want an error and the copy kept", err, fleet[1].HeldBills())
 	}
 }
 
 func TestDrainLeavesNoBillBehind(t *testing.T) {
 	for name, reachable := range map[string]bool{"into the log": true, "to a peer": false} {
-		f := newFleet(t, 2, nil)
-		if err := f[0].heldBills.AcceptCopy(testBill(1)); err != nil {
+		fleet := newFleet(t, 2, nil)
+		if err := fleet[0].heldBills.AcceptCopy(testBill(1)); err != nil {
 			t.Fatal(err)
 		}
-		f[0].store.set(func(s *fakeStore) { s.status.LogReachable = reachable })
-		if left := f[0].Drain(context.Background()); left != 0 {
+		fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = reachable })
+		if left := fleet[0].Drain(context.Background()); left != 0 {
 			t.Errorf("%s: %d left", name, left)
 		}
-		if got := len(f[0].store.puts) + f[1].HeldBills(); got != 1 {
+		if got := len(fleet[0].store.puts) + fleet[1].HeldBills(); got != 1 {
 			t.Errorf("%s: %d copies went out, want 1", name, got)
 		}
 	}
--- a/router/internal/peer/real_test.go
+++ b/router/internal/peer/real_test.go
@@ -17,9 +17,9 @@
 	bills chan fold.Change
 }
 
-func (w *nodeObserver) HeadRead(time.Time, uint64) {
+func (o *nodeObserver) HeadRead(time.Time, uint64) {
 	select {
-	case w.reads <- struct{}{}:
+	case o.reads <- struct{}{}:
 	default:
 	}
 }
@@ -29,12 +29,12 @@
 // realNode starts a node that follows log until the test ends.
 func realNode(t *testing.T, log *logtest.Log, name string) (*node.Node, *nodeObserver) {
 	t.Helper()
-	w := &nodeObserver{reads: make(chan struct{}, 1), bills: make(chan fold.Change, 100)}
-	n, err := node.New(log.Client(name), node.Config{Name: name, Linger: time.Millisecond}, node.WithObserver(w))
+	observer := &nodeObserver{reads: make(chan struct{}, 1), bills: make(chan fold.Change, 100)}
+	n, err := node.New(log.Client(name), node.Config{Name: name, Linger: time.Millisecond}, node.WithObserver(observer))
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop := n.Watch(record.ClassBill, func(c fold.Change) { w.bills <- c })
+	stop := n.Watch(record.ClassBill, func(c fold.Change) { observer.bills <- c })
 	if err := n.Start(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -45,19 +45,19 @@
 		stop()
 	})
 	<-n.Ready()
-	return n, w
+	return n, observer
 }
 
-// realFleet is a fleet whose instances follow log; nodes and seen are by
+// realFleet is a fleet whose instances follow log; nodes and observers are by
 // instance.
-func realFleet(t *testing.T, log *logtest.Log, n int) (f []*testInstance, nodes []*node.Node, seen []*nodeObserver) {
+func realFleet(t *testing.T, log *logtest.Log, count int) (fleet []*testInstance, nodes []*node.Node, observers []*nodeObserver) {
 	t.Helper()
-	f = newFleetWithStores(t, n, nil, func(name string) node.Store {
-		one, w := realNode(t, log, name)
-		nodes, seen = append(nodes, one), append(seen, w)
-		return one
+	fleet = newFleetWithStores(t, count, nil, func(name string) node.Store {
+		n, observer := realNode(t, log, name)
+		nodes, observers = append(nodes, n), append(observers, observer)
+		return n
 	})
-	return f, nodes, seen
+	return fleet, nodes, observers
 }
 
 // TestBillOutlivesItsInstance checks that a bill held while the log is
@@ -65,14 +65,14 @@
 // made it does nothing more.
 func TestBillOutlivesItsInstance(t *testing.T) {
 	log := logtest.New()
-	f, _, seen := realFleet(t, log, 2)
+	fleet, _, observers := realFleet(t, log, 2)
 	log.SetDown(true)
-	if err := f[0].Hold(context.Background(), testBill(1)); err != nil {
+	if err := fleet[0].Hold(context.Background(), testBill(1)); err != nil {
 		t.Fatal(err)
 	}
 	log.SetDown(false)
-	f[1].runUntilFlushed(seen[1])
-	if c := <-seen[1].bills; c.Verdict != fold.VerdictWon || c.Register.Nonce != testBill(1).Nonce {
+	fleet[1].runUntilFlushed(observers[1])
+	if c := <-observers[1].bills; c.Verdict != fold.VerdictWon || c.Register.Nonce != testBill(1).Nonce {
 		t.Errorf("got %+v", c)
 	}
 }
@@ -80,31 +80,31 @@
 // TestBothCopiesMakeOneBill flushes both copies of a bill, one of them twice.
 // Only one bill may result.
 func TestBothCopiesMakeOneBill(t *testing.T) {
-	f, nodes, seen := realFleet(t, logtest.New(), 2)
-	if err := f[0].Hold(context.Background(), testBill(1)); err != nil {
+	fleet, nodes, observers := realFleet(t, logtest.New(), 2)
+	if err := fleet[0].Hold(context.Background(), testBill(1)); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if err := f[0].heldBills.AcceptCopy(testBill(1)); err != nil {
+		if err := fleet[0].heldBills.AcceptCopy(testBill(1)); err != nil {
 			t.Fatal(err)
 		}
-		if left := f[0].heldBills.Flush(context.Background()); left != 0 {
+		if left := fleet[0].heldBills.Flush(context.Background()); left != 0 {
 			t.Error("a bill that is in the log already was not settled")
 		}
 	}
-	for i := range f {
-		f[i].runUntilFlushed(seen[i])
+	for i := range fleet {
+		fleet[i].runUntilFlushed(observers[i])
 		if got := nodes[i].Registers(record.ClassBill); len(got) != 1 {
-			t.Errorf("%s: %d bills, want 1", f[i].self.ID, len(got))
+			t.Errorf("%s: %d bills, want 1", fleet[i].self.ID, len(got))
 		}
 	}
 }
 
 // runUntilFlushed runs rounds, each after a read of the log, until no bill is
 // held.
-func (i *testInstance) runUntilFlushed(seen *nodeObserver) {
-	for i.HeldBills() > 0 {
-		<-seen.reads
-		i.runRound()
+func (inst *testInstance) runUntilFlushed(observer *nodeObserver) {
+	for inst.HeldBills() > 0 {
+		<-observer.reads
+		inst.runRound()
 	}
 }
--- a/router/internal/peer/round.go
+++ b/router/internal/peer/round.go
@@ -29,10 +29,10 @@
 // Round exchanges digests with the chosen peers and acts on the differences. It
 // must be called from one goroutine only.
 func (n *Node) Round(ctx context.Context) {
-	live := n.others()
-	chosen := n.Chooser.Choose(live)
-	listed := make(map[string]bool, len(live))
-	for _, l := range live {
+	others := n.others()
+	chosen := n.Chooser.Choose(others)
+	listed := make(map[string]bool, len(others))
+	for _, l := range others {
 		listed[l.ID] = true
 	}
 	n.mu.Lock()
@@ -42,7 +42,7 @@
 	reachable := n.store.Status().LogReachable
 	var wg sync.WaitGroup
 	if !reachable {
-		extra := n.outagePeers(live, chosen)
+		extra := n.outagePeers(others, chosen)
 		wg.Go(func() { n.queryAll(ctx, extra, MethodVouch) })
 	}
 	answers := n.queryAll(ctx, chosen, MethodDigest)
@@ -75,14 +75,14 @@
 
 // outagePeers picks instances in turn, so that every one is reached after some
 // rounds.
-func (n *Node) outagePeers(live, chosen []wire.ListedInstance) []wire.ListedInstance {
+func (n *Node) outagePeers(others, chosen []wire.ListedInstance) []wire.ListedInstance {
 	alreadyChosen := map[string]bool{}
 	for _, c := range chosen {
 		alreadyChosen[c.ID] = true
 	}
 	var out []wire.ListedInstance
-	for range live {
-		next := live[n.outageCursor%len(live)]
+	for range others {
+		next := others[n.outageCursor%len(others)]
 		n.outageCursor++
 		if !alreadyChosen[next.ID] {
 			out = append(out, next)
@@ -181,7 +181,7 @@
 // right: an operator has to look.
 func (n *Node) reportDivergence(ctx context.Context, id string) {
 	gometrics.GetOrRegisterCounter("peer.diverged", n.Registry).Inc(1)
-	if n.divergenceLogs.Allow() {
+	if n.divergenceLogLimit.Allow() {
 		n.Log.Emit(ctx, logging.EventStateDiverged, peerAttr(id))
 	}
 }
--- a/router/internal/peer/tls_test.go
+++ b/router/internal/peer/tls_test.go
@@ -97,10 +97,10 @@
 
 func TestPeersWithCertificatesOfOneAuthorityTalk(t *testing.T) {
 	ca := newAuthority(t)
-	f := newFleet(t, 3, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })
-	f[0].runRound()
-	if len(f[0].vouches) != 2 {
-		t.Errorf("%d reports over TLS, want 2", len(f[0].vouches))
+	fleet := newFleet(t, 3, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })
+	fleet[0].runRound()
+	if len(fleet[0].vouches) != 2 {
+		t.Errorf("%d reports over TLS, want 2", len(fleet[0].vouches))
 	}
 }
 
--- a/router/internal/relay/cache.go
+++ b/router/internal/relay/cache.go
@@ -49,7 +49,7 @@
 func (c *Cache) Replace(s keyedlog.Snapshot, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isOfLaterEra(s.Next) {
+	if c.hasLaterEraThanLocked(s.Next) {
 		return
 	}
 	c.loaded = true
@@ -63,8 +63,8 @@
 	c.confirm(at)
 }
 
-// isOfLaterEra reports whether the cache has a later era than a position. The lock must be held.
-func (c *Cache) isOfLaterEra(p keyedlog.Position) bool {
+// hasLaterEraThanLocked reports whether the cache has a later era than a position. The lock must be held.
+func (c *Cache) hasLaterEraThanLocked(p keyedlog.Position) bool {
 	return !p.MatchesEra(c.next.Era) && p.Era < c.next.Era
 }
 
@@ -72,7 +72,7 @@
 func (c *Cache) hasLaterEraThan(p keyedlog.Position) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.isOfLaterEra(p)
+	return c.hasLaterEraThanLocked(p)
 }
 
 // Add appends a batch that was read from the cache's end and was current at the given time. A batch
@@ -112,16 +112,16 @@
 	c.changed = make(chan struct{})
 }
 
-// maxLoadWait is how long a request waits for a cache that does not have the requested state yet.
+// maxFillWait is how long a request waits for a cache that does not have the requested state yet.
 // All instances start at once, and a collector reads the store in a few milliseconds, or in a few
 // hundred with 1,000 backend servers: without this wait, 81 instances made 450 calls instead of a
 // few.
-const maxLoadWait = 500 * time.Millisecond
+const maxFillWait = 500 * time.Millisecond
 
 // Read returns the records from the position on. It waits up to wait for a record.
 func (c *Cache) Read(ctx context.Context, from keyedlog.Position, wait time.Duration) (keyedlog.Batch, error) {
 	upToDate := func() bool { return c.loaded && !c.isBehind(from) }
-	if err := c.waitUntil(ctx, maxLoadWait, upToDate); err != nil {
+	if err := c.waitUntil(ctx, maxFillWait, upToDate); err != nil {
 		return keyedlog.Batch{}, err
 	}
 	decided := func() bool { return !upToDate() || c.lacks(from) || len(c.recordsFrom(from.Offset)) > 0 }
@@ -202,7 +202,7 @@
 // prevented: a collector that writes a megabyte to each of a hundred followers takes many seconds,
 // in which no caller is served.
 func (c *Cache) newestAnswer(ctx context.Context) (answer, error) {
-	if err := c.waitUntil(ctx, maxLoadWait, func() bool { return c.loaded }); err != nil {
+	if err := c.waitUntil(ctx, maxFillWait, func() bool { return c.loaded }); err != nil {
 		return answer{}, err
 	}
 	c.mu.Lock()
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -74,11 +74,11 @@
 		start := c.now()
 		out, err := c.callMember(ctx, m, method, params(wait), wait+callTimeout)
 		age := out.age(c.now().Sub(start))
-		var answered *jsonrpc2.Error
+		var rpcErr *jsonrpc2.Error
 		switch {
-		case errors.As(err, &answered) && answered.Code == codeTrimmed:
+		case errors.As(err, &rpcErr) && rpcErr.Code == codeTrimmed:
 			return collectorAnswer{collector: m.Name}, keyedlog.ErrTrimmed
-		case errors.As(err, &answered): // it does not know yet
+		case errors.As(err, &rpcErr): // it does not know yet
 		case err != nil && ctx.Err() != nil:
 			return collectorAnswer{}, ctx.Err()
 		case err != nil:
@@ -138,13 +138,13 @@
 // Load: instances that start during an outage of the store, know no others, and try five topics
 // each. Harm prevented: five calls instead of one to a store that is recovering.
 func (c *Client) mayReadStore() bool {
-	first := c.members.RanksFirst()
+	ranksFirst := c.members.RanksFirst()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.storeUnreachable {
 		return true
 	}
-	if first {
+	if ranksFirst {
 		return c.mayProbe()
 	}
 	if c.now().Before(c.storeBackoffUntil) {
--- a/router/internal/relay/fixture_test.go
+++ b/router/internal/relay/fixture_test.go
@@ -17,16 +17,16 @@
 	mu          sync.Mutex
 	records     []keyedlog.Record
 	reads       int
-	newestCount int // reads of the newest records
+	newestReads int // reads of the newest records
 	err         error
 	era         uint64
 }
 
-// newestReads is the number of reads of the newest records.
-func (s *fakeStore) newestReads() int {
+// newestReadCount is the number of reads of the newest records.
+func (s *fakeStore) newestReadCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.newestCount
+	return s.newestReads
 }
 
 // end is the position at the end of the topic. The lock must be held.
@@ -59,7 +59,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	s.newestCount++
+	s.newestReads++
 	if s.err != nil {
 		return keyedlog.Snapshot{}, s.err
 	}
@@ -90,13 +90,13 @@
 
 // testInstance has a collector's server and a follower's log.
 type testInstance struct {
-	members *Members
-	client  *Client
-	cache   *Cache
-	log     *Log
-	stop    context.CancelFunc
-	taken   []keyedlog.Record
-	fleet   int
+	members   *Members
+	client    *Client
+	cache     *Cache
+	log       *Log
+	stop      context.CancelFunc
+	appended  []keyedlog.Record
+	fleetSize int
 }
 
 // startInstances starts instances of one failure domain on a shared store. They rank in order, by
@@ -123,9 +123,9 @@
 		in.cache = NewCache(time.Now, nil)
 		in.log = NewLog(testTopic, st, in.client, in.cache, maxAge, func(string, string) {})
 		srv := NewServer(time.Now, map[string]*Cache{testTopic: in.cache}, func(_ string, r []keyedlog.Record) error {
-			in.taken = append(in.taken, r...)
+			in.appended = append(in.appended, r...)
 			return nil
-		}, func() int { return in.fleet })
+		}, func() int { return in.fleetSize })
 		ctx, stop := context.WithCancel(context.Background())
 		in.stop = stop
 		go srv.Serve(ctx, listeners[i])
--- a/router/internal/relay/limitrows.go
+++ b/router/internal/relay/limitrows.go
@@ -41,11 +41,11 @@
 func packLimits(rows []passthrough.PeerLimit) []byte {
 	var out []byte
 	for _, row := range rows {
-		perSecond := uint64(encodedUnlimited)
+		encodedLimit := uint64(encodedUnlimited)
 		if row.Limit.Limited {
-			perSecond = uint64(min(max(row.Limit.PerSecond*limitScale, 0), encodedUnlimited-1))
+			encodedLimit = uint64(min(max(row.Limit.PerSecond*limitScale, 0), encodedUnlimited-1))
 		}
-		out = appendRow(out, row.Key, perSecond, uint64(max(row.Age.Milliseconds(), 0)))
+		out = appendRow(out, row.Key, encodedLimit, uint64(max(row.Age.Milliseconds(), 0)))
 	}
 	return out
 }
@@ -53,13 +53,13 @@
 // unpackLimits decodes what packLimits wrote.
 func unpackLimits(data []byte) ([]passthrough.PeerLimit, error) {
 	var out []passthrough.PeerLimit
-	err := readRows(data, func(key uint32, perSecond, ageMS uint64) error {
-		if perSecond > encodedUnlimited {
+	err := readRows(data, func(key uint32, encodedLimit, ageMS uint64) error {
+		if encodedLimit > encodedUnlimited {
 			return errMalformedRow
 		}
 		row := passthrough.PeerLimit{Key: key, Age: time.Duration(min(ageMS, maxLimitAgeMS)) * time.Millisecond}
-		if perSecond != encodedUnlimited {
-			row.Limit = passthrough.RateLimit{Limited: true, PerSecond: float64(perSecond) / limitScale}
+		if encodedLimit != encodedUnlimited {
+			row.Limit = passthrough.RateLimit{Limited: true, PerSecond: float64(encodedLimit) / limitScale}
 		}
 		out = append(out, row)
 		return nil
--- a/router/internal/relay/loads.go
+++ b/router/internal/relay/loads.go
@@ -95,32 +95,32 @@
 
 // exchange sends what is known here to the collector, and applies what it knows beyond that.
 func (l *LoadExchange) exchange(ctx context.Context) {
-	to := l.client.members.Collectors()
-	if len(to) == 0 {
-		to = l.client.members.RemoteCollectors()
+	collectors := l.client.members.Collectors()
+	if len(collectors) == 0 {
+		collectors = l.client.members.RemoteCollectors()
 	}
-	if len(to) > 0 {
-		l.sendReport(ctx, to[0])
+	if len(collectors) > 0 {
+		l.sendReport(ctx, collectors[0])
 	}
 	l.apply(l.sum(l.liveReports("", true)))
 }
 
 // sendReport sends a report to a collector, and keeps its answer. Errors are ignored: a collector
 // that does not answer is detected by the reads of the topics.
-func (l *LoadExchange) sendReport(ctx context.Context, to Member) {
+func (l *LoadExchange) sendReport(ctx context.Context, collector Member) {
 	askedAt := l.now()
 	packed := packReport(l.sum(append(l.liveReports("", false), l.currentReport())))
 	params := loadsParams{
 		Name: l.client.members.self.Name, Rows: packed.loads, Limits: packed.limits,
 		LostConfigVersion: packed.lostConfigVersion, Instances: packed.instances,
 	}
-	out, err := l.client.callMember(ctx, to, methodLoads, params, reportTimeout)
+	out, err := l.client.callMember(ctx, collector, methodLoads, params, reportTimeout)
 	if err != nil {
 		return
 	}
 	// The ages of limits refer to the time of the request, so that a delayed answer does not look
 	// new.
-	others, err := l.unpack(to.Name, packedReport{out.Loads, out.Limits, out.LostConfigVersion, out.Instances}, askedAt)
+	others, err := l.unpackReport(collector.Name, packedReport{out.Loads, out.Limits, out.LostConfigVersion, out.Instances}, askedAt)
 	if err != nil {
 		return
 	}
@@ -140,8 +140,8 @@
 	return packedReport{packLoads(r.Loads), packLimits(r.Limits), r.LostConfigVersion, r.Instances}
 }
 
-// unpack decodes another instance's report; the ages in it refer to the given time.
-func (l *LoadExchange) unpack(from string, p packedReport, at time.Time) (timedReport, error) {
+// unpackReport decodes another instance's report; the ages in it refer to the given time.
+func (l *LoadExchange) unpackReport(from string, p packedReport, at time.Time) (timedReport, error) {
 	out := timedReport{asOf: at, receivedAt: l.now()}
 	out.LostConfigVersion, out.Instances = p.lostConfigVersion, p.instances
 	var err error
@@ -156,7 +156,7 @@
 
 // handleReport stores a follower's report and answers with the sum of all others.
 func (l *LoadExchange) handleReport(p loadsParams) (answer, error) {
-	in, err := l.unpack(p.Name, packedReport{p.Rows, p.Limits, p.LostConfigVersion, p.Instances}, l.now())
+	in, err := l.unpackReport(p.Name, packedReport{p.Rows, p.Limits, p.LostConfigVersion, p.Instances}, l.now())
 	if err != nil {
 		return answer{}, err
 	}
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -10,8 +10,8 @@
 	"masticplank.example/decision/passthrough"
 )
 
-func loadRow(key uint32, requests int, reading time.Duration) passthrough.PeerLoad {
-	return passthrough.PeerLoad{Key: key, Requests: requests, PrefillTime: reading}
+func loadRow(key uint32, requests int, prefill time.Duration) passthrough.PeerLoad {
+	return passthrough.PeerLoad{Key: key, Requests: requests, PrefillTime: prefill}
 }
 
 func TestLoadsArePackedAndUnpacked(t *testing.T) {
@@ -33,8 +33,8 @@
 func FuzzUnpackLoads(f *testing.F) {
 	f.Add(packLoads([]passthrough.PeerLoad{loadRow(7, 300, time.Second)}))
 	f.Add([]byte{1, 2, 3, 4, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		rows, err := unpackLoads(text)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		rows, err := unpackLoads(data)
 		if err != nil {
 			return
 		}
@@ -205,8 +205,8 @@
 func FuzzUnpackLimits(f *testing.F) {
 	f.Add(packLimits([]passthrough.PeerLimit{{Key: 7, Limit: passthrough.RateLimit{Limited: true, PerSecond: 2}, Age: time.Second}}))
 	f.Add([]byte{1, 2, 3, 4, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		rows, err := unpackLimits(text)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		rows, err := unpackLimits(data)
 		if err != nil {
 			return
 		}
--- a/router/internal/relay/members.go
+++ b/router/internal/relay/members.go
@@ -141,19 +141,19 @@
 	defer m.mu.Unlock()
 	now := m.now()
 	var out []Member
-	counted := 0
+	considered := 0
 	for _, x := range m.ranked {
 		backoff := m.backoffs[x.Name]
-		skipped := now.Before(backoff.until)
+		inBackoff := now.Before(backoff.until)
 		switch {
-		case x.Name == m.self.Name, counted == maxCandidates:
+		case x.Name == m.self.Name, considered == maxCandidates:
 			return out
-		case !skipped:
+		case !inBackoff:
 			out = append(out, x)
 		case backoff.duration == maxMemberBackoff:
 			continue // gone for good
 		}
-		counted++
+		considered++
 	}
 	return out
 }
--- a/router/internal/relay/members_test.go
+++ b/router/internal/relay/members_test.go
@@ -12,7 +12,7 @@
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 3, time.Minute)
-	all[0].fleet = 295
+	all[0].fleetSize = 295
 	all[0].newest(t)
 	all[1].newest(t)
 	if n := all[1].members.FleetSize(); n != 295 {
--- a/router/internal/relay/messages.go
+++ b/router/internal/relay/messages.go
@@ -78,8 +78,8 @@
 // age is the answer's maximum age on arrival, given the duration of the whole call: the time in
 // transit may have passed entirely before or after the answer was made.
 func (a answer) age(callDuration time.Duration) time.Duration {
-	waited := time.Duration(a.TookUS) * time.Microsecond
-	return time.Duration(a.AgeUS)*time.Microsecond + max(callDuration-waited, 0)
+	processed := time.Duration(a.TookUS) * time.Microsecond
+	return time.Duration(a.AgeUS)*time.Microsecond + max(callDuration-processed, 0)
 }
 
 // Error codes, in addition to those of JSON-RPC.
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -58,8 +58,8 @@
 	if err := all[1].log.Append(t.Context(), keyedlog.AnyPosition, keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil {
 		t.Fatal(err)
 	}
-	if len(all[0].taken) != 1 || len(st.records) != 0 {
-		t.Errorf("the collector took %v", all[0].taken)
+	if len(all[0].appended) != 1 || len(st.records) != 0 {
+		t.Errorf("the collector took %v", all[0].appended)
 	}
 	if err := all[1].log.Append(t.Context(), keyedlog.AtOffset(0), keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil || len(st.records) != 1 {
 		t.Errorf("an append with a condition did not go to the store: %v", err)
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -116,7 +116,7 @@
 		for i, in := range all {
 			positions[i] = in.newest(t).Next
 		}
-		before := st.newestReads()
+		before := st.newestReadCount()
 		st.restore(entries / 2)
 		start := time.Now()
 		var done sync.WaitGroup
@@ -134,7 +134,7 @@
 			})
 		}
 		done.Wait()
-		took, reads := time.Since(start), st.newestReads()-before
+		took, reads := time.Since(start), st.newestReadCount()-before
 		t.Logf("%d instances: %v, %d reads of the store's newest records", count, took.Round(time.Millisecond), reads)
 		if took > maxTime || reads > maxReads {
 			t.Errorf("%d instances have the restored state after %v, by %d reads of the store", count, took, reads)
--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -92,7 +92,7 @@
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	start := s.now()
 	s.lastRequest.Store(start.UnixNano())
-	out, err := s.answer(ctx, req)
+	out, err := s.dispatch(ctx, req)
 	if err != nil {
 		return nil, toRPCError(err)
 	}
@@ -104,7 +104,7 @@
 // maxWait bounds how long a request is kept waiting.
 const maxWait = 10 * time.Second
 
-func (s *Server) answer(ctx context.Context, req *jsonrpc2.Request) (answer, error) {
+func (s *Server) dispatch(ctx context.Context, req *jsonrpc2.Request) (answer, error) {
 	switch req.Method {
 	case methodRead:
 		var p readParams
@@ -173,10 +173,10 @@
 
 // toRPCError converts the log's errors to error codes.
 func toRPCError(err error) error {
-	var known *jsonrpc2.Error
+	var rpcErr *jsonrpc2.Error
 	switch {
-	case errors.As(err, &known):
-		return known
+	case errors.As(err, &rpcErr):
+		return rpcErr
 	case errors.Is(err, keyedlog.ErrTrimmed):
 		return &jsonrpc2.Error{Code: codeTrimmed, Message: err.Error()}
 	}
