--- a/router/internal/peer/chooser_test.go
+++ b/router/internal/peer/chooser_test.go
@@ -15,7 +15,7 @@
 	return out
 }
 
-func TestChooserKeepsPeersAndReachesOut(t *testing.T) {
+func TestChooserChangesPeersSlowly(t *testing.T) {
 	for seed := range uint64(50) {
 		c := NewChooser(domains[0], seed)
 		changes, previous := 0, map[string]bool{}
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestChooserLeavesThoseThatDoNotAnswer(t *testing.T) {
+func TestChooserAvoidsFailedPeers(t *testing.T) {
 	for seed := range uint64(50) {
 		c := NewChooser(domains[0], seed)
 		first := c.Choose(testInstances(8))[0].ID
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestHostileMessagesGetAnErrorAndChangeNothing(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	inst := newFleet(t, 1, nil)[0]
 	manifest := record.Record{Kind: record.KindPut, Key: "manifest/1", Nonce: record.Nonce{1}, Value: []byte("x")}
 	release := record.Record{Kind: record.KindRelease, Key: "bill/t/r", Nonce: record.Nonce{1}}
@@ -115,7 +115,7 @@
 
 // A peer must neither send requests over a connection that was opened to it,
 // nor answer with more than a message may contain.
-func TestHostileAnswersEndTheConnection(t *testing.T) {
+func TestInvalidAnswersAreRejected(t *testing.T) {
 	for name, reply := range map[string][]byte{
 		"garbage":   frame("garbage"),
 		"too long":  binary.AppendUvarint(nil, 1<<40),
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -18,7 +18,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-func TestRoundBringsWordsOnTheHead(t *testing.T) {
+func TestRoundReportsHeadsOfPeers(t *testing.T) {
 	fleet := newFleet(t, 3, nil)
 	fleet[1].store.set(func(s *fakeStore) { s.status.Head, s.status.LastHeadRead = 70, testTime.Add(-time.Second) })
 	fleet[2].store.set(func(s *fakeStore) { s.status.LogReachable, s.status.LastHeadRead = false, time.Time{} })
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestTimeOfTheCallCountsAsAge(t *testing.T) {
+func TestCallDurationAddsToHeadAge(t *testing.T) {
 	v := StatusReport{HeadAgeMS: 400}.vouch(300 * time.Millisecond)
 	if v.HeadAge != 700*time.Millisecond {
 		t.Errorf("got %v", v.HeadAge)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAnswerUnderAnotherNameIsNoWord(t *testing.T) {
+func TestAnswerFromAnotherInstanceIsRejected(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	stale := []wire.ListedInstance{{ID: "gone", Peer: fleet[1].self.Peer}}
 	fleet[0].Instances = func() []wire.ListedInstance { return stale }
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestStateComesFromThePeerThatIsFurthestAheadWhileTheLogIsDown(t *testing.T) {
+func TestStateIsRestoredFromPeerFurthestAhead(t *testing.T) {
 	state := append([]byte("good"), bytes.Repeat([]byte("s"), 2*maxPieceBytes)...)
 	for _, c := range []struct {
 		name      string
@@ -97,7 +97,7 @@
 
 // An instance that alone cannot reach the log must not fetch the whole state of
 // a peer in each round.
-func TestTransfersOfALargeStateAreApart(t *testing.T) {
+func TestLargeTransfersAreRateLimited(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
 	fleet[1].store.set(func(s *fakeStore) {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestAllAreAskedWhileTheLogIsDown(t *testing.T) {
+func TestAllPeersAreQueriedWhileLogIsUnreachable(t *testing.T) {
 	fleet := newFleet(t, 8, nil)
 	fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
 	fleet[0].runRound()
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestUnlikeStatesAtOneOffsetRaiseAnAlarm(t *testing.T) {
+func TestDivergedStateIsLoggedOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		other fold.Digest
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestPiecesOfASnapshotBelongTogether(t *testing.T) {
+func TestSnapshotPiecesAreConsistent(t *testing.T) {
 	store := &fakeStore{digest: fold.Digest{NextOffset: 4}, snapshot: make([]byte, maxPieceBytes+1)}
 	s := &snapshotCache{store: store}
 	first, err := s.piece(FetchParams{After: 3}, testTime)
@@ -220,7 +220,7 @@
 
 // A peer that keeps announcing new manifests may cause at most one round a
 // second.
-func TestPushesCauseFewRounds(t *testing.T) {
+func TestManifestAnnouncementsAreRateLimited(t *testing.T) {
 	store := &fakeStore{}
 	n := New(Config{}, Deps{Store: store, Events: discardEvents{}})
 	for i := range 5 {
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestBoardsThatDifferAreSwappedInARound(t *testing.T) {
+func TestRoundExchangesHealthItems(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	// The instances have no peers yet, so nothing is pushed.
 	fleet[0].ShareLeaving("moteur-3")
@@ -275,7 +275,7 @@
 	}
 }
 
-func TestBoardTakesTheLatestWordAndNothingHostile(t *testing.T) {
+func TestHealthSetKeepsLatestAndRejectsInvalid(t *testing.T) {
 	item := func(stamp, life time.Duration, bad bool) HealthItem {
 		at := testTime.Add(stamp)
 		return HealthItem{Kind: HealthVerdict, ID: "m@2", Bad: bad, Timestamp: at.UnixMilli(), Until: at.Add(life).UnixMilli(), Origin: "i9"}
@@ -309,7 +309,7 @@
 	}
 }
 
-func TestFullBoardsConverge(t *testing.T) {
+func TestFullHealthSetsConverge(t *testing.T) {
 	var items []HealthItem
 	for i := range maxHealthItems + 50 {
 		at := testTime.UnixMilli() - int64(i)
--- a/router/internal/peer/tls_test.go
+++ b/router/internal/peer/tls_test.go
@@ -95,7 +95,7 @@
 	return cfg
 }
 
-func TestPeersWithCertificatesOfOneAuthorityTalk(t *testing.T) {
+func TestInstancesExchangeReportsOverTLS(t *testing.T) {
 	ca := newAuthority(t)
 	fleet := newFleet(t, 3, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })
 	fleet[0].runRound()
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestUntrustedConnectionsAreRejected(t *testing.T) {
 	ca, other := newAuthority(t), newAuthority(t)
 	server := newFleet(t, 1, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })[0]
 	// A client with the server's authority but no certificate of its own.
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestTLSConfigNamesWhatIsWrong(t *testing.T) {
+func TestTLSConfigRejectsBadFiles(t *testing.T) {
 	good := newAuthority(t).settings(t, "127.0.0.1")
 	if cfg, err := TLSConfig(settings.Peer{}); cfg != nil || err != nil {
 		t.Errorf("no files: got %v, %v", cfg, err)
--- a/router/internal/relay/client_test.go
+++ b/router/internal/relay/client_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestSilentStoreIsAskedLessAndLess checks the backoff towards an unreachable store: for half a
+// TestFollowerBacksOffFromUnreachableStore checks the backoff towards an unreachable store: for half a
 // minute, five topics at a time fail at a follower whose collector does not have the records either.
-func TestSilentStoreIsAskedLessAndLess(t *testing.T) {
+func TestFollowerBacksOffFromUnreachableStore(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
 	members.Add(Member{Name: "first", Domain: "d", Address: "a:2", Cores: 1})
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestNobodyReadsDirectlyBeforeItsFirstRead checks that an instance which has just started does not
+// TestReadsStoreIsFalseBeforeFirstRead checks that an instance which has just started does not
 // assume that it is the one of its failure domain that writes.
-func TestNobodyReadsDirectlyBeforeItsFirstRead(t *testing.T) {
+func TestReadsStoreIsFalseBeforeFirstRead(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Minute)
@@ -70,10 +70,10 @@
 	}
 }
 
-// TestInstanceThatKnowsNobodyAsksOneQuestionAtATime starts an instance in an outage of ten seconds.
+// TestLoneInstanceProbesWithOneTopic starts an instance in an outage of ten seconds.
 // It ranks first, since it knows no others, and five topics try the store. The first answer must
 // release all topics at once.
-func TestInstanceThatKnowsNobodyAsksOneQuestionAtATime(t *testing.T) {
+func TestLoneInstanceProbesWithOneTopic(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
 	c := NewClient(members, func() time.Time { return now })
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -97,9 +97,9 @@
 	return out
 }
 
-// TestAllLearnWhatAllHave checks with two failure domains of two instances that each instance
+// TestLoadsReachAllInstances checks with two failure domains of two instances that each instance
 // learns the sum of the others, in its own failure domain and beyond, and never counts itself.
-func TestAllLearnWhatAllHave(t *testing.T) {
+func TestLoadsReachAllInstances(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
 	nodes := startExchanges(t, names...)
 	for i, name := range names {
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestLoadsOfThoseThatAreGoneAreForgotten checks that the load of an instance that stopped
+// TestReportsExpire checks that the load of an instance that stopped
 // reporting expires, and that an unreadable report is rejected.
-func TestLoadsOfThoseThatAreGoneAreForgotten(t *testing.T) {
+func TestReportsExpire(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "a1", Domain: "a", Address: "x:1"}, 1, func() time.Time { return now })
 	l := NewLoadExchange(NewClient(members, func() time.Time { return now }), func() Report { return Report{Instances: 1} }, func(Report) {})
--- a/router/internal/relay/members_test.go
+++ b/router/internal/relay/members_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestFollowersLearnTheFleet checks that a follower, which reads the list of its own failure domain
+// TestFollowersLearnFleetSize checks that a follower, which reads the list of its own failure domain
 // only, counts the instances of all failure domains as its collector does.
-func TestFollowersLearnTheFleet(t *testing.T) {
+func TestFollowersLearnFleetSize(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 3, time.Minute)
@@ -20,9 +20,9 @@
 	}
 }
 
-// TestUncountedDomainsAreThoughtAlike checks that the count is not too low before the other failure
+// TestUnknownDomainsCountAsLargeAsOwn checks that the count is not too low before the other failure
 // domains are counted, since the retry budget's slack is divided by it.
-func TestUncountedDomainsAreThoughtAlike(t *testing.T) {
+func TestUnknownDomainsCountAsLargeAsOwn(t *testing.T) {
 	m := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 5, time.Now)
 	for i := range 9 {
 		m.Add(Member{Name: fmt.Sprint("i", i), Domain: "d", Address: "a:2"})
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestStrongInstancesTakeTheFirstTurns checks that the instances which become collectors are known
+// TestStrongInstancesAnnounceFirst checks that the instances which become collectors are known
 // before the weak ones look for them.
-func TestStrongInstancesTakeTheFirstTurns(t *testing.T) {
+func TestStrongInstancesAnnounceFirst(t *testing.T) {
 	lastStrong, firstWeak := 0.0, 1.0
 	for i := range 60 {
 		strong := Member{Name: fmt.Sprint("strong", i), Cores: 0.8}.AnnounceOrder()
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestTheFirstOfAllReadsForAll checks whom the first of each failure domain asks: the first of
+// TestRemoteCollectorIsFirstRanked checks whom the first of each failure domain asks: the first of
 // those that rank before it, or nobody if there is none.
-func TestTheFirstOfAllReadsForAll(t *testing.T) {
+func TestRemoteCollectorIsFirstRanked(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := []Member{
 		{Name: "a1", Domain: "a", Address: "x:1", Cores: 0.8}, {Name: "a2", Domain: "a", Address: "x:2", Cores: 0.2},
--- a/router/internal/relay/outage_test.go
+++ b/router/internal/relay/outage_test.go
@@ -8,7 +8,7 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-func TestDeadCollectorCostsOneTimeOut(t *testing.T) {
+func TestDeadCollectorIsReplaced(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 4, time.Minute)
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestOldAnswerIsNotTaken(t *testing.T) {
+func TestOldAnswerIsRejected(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, 30*time.Millisecond)
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestOutageOfTheStoreIsNotMadeWorse checks that followers back off from a store that does not
+// TestFollowersBackOffInStoreOutage checks that followers back off from a store that does not
 // answer, and learn from their collector when it is back.
-func TestOutageOfTheStoreIsNotMadeWorse(t *testing.T) {
+func TestFollowersBackOffInStoreOutage(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, 30*time.Millisecond)
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestInstanceWithoutAnAddressReadsByItself(t *testing.T) {
+func TestInstanceWithoutAddressReadsStore(t *testing.T) {
 	st := &fakeStore{err: keyedlog.ErrUnknown}
 	members := NewMembers(Member{Name: "alone", Domain: "d"}, 1, time.Now)
 	client := NewClient(members, time.Now)
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestNobodyReadsDirectlyFromASilentStore checks that an instance which reaches neither the others
+// TestReadsStoreIsFalseWhileStoreIsUnreachable checks that an instance which reaches neither the others
 // nor the store does not assume that it is the one that writes.
-func TestNobodyReadsDirectlyFromASilentStore(t *testing.T) {
+func TestReadsStoreIsFalseWhileStoreIsUnreachable(t *testing.T) {
 	st := &fakeStore{err: keyedlog.ErrUnknown}
 	all := startInstances(t, st, 1, time.Minute)
 	if _, err := all[0].log.Newest(t.Context()); err == nil || all[0].log.ReadsStore() {
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestOneOutageCountsOnce checks that a member which all topics find dead at once is in backoff
+// TestSimultaneousFailuresCountOnce checks that a member which all topics find dead at once is in backoff
 // only as long as for one failure.
-func TestOneOutageCountsOnce(t *testing.T) {
+func TestSimultaneousFailuresCountOnce(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
 	m.Add(Member{Name: "first", Domain: "d", Address: "a:2", Cores: 1})
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestTurnedAwayInstancesReadByThoseThatAreServed checks that an instance which the store rejects
+// TestRejectedInstancesReadFromOthers checks that an instance which the store rejects
 // learns from one that the store serves, even if the first in rank is rejected too.
-func TestTurnedAwayInstancesReadByThoseThatAreServed(t *testing.T) {
+func TestRejectedInstancesReadFromOthers(t *testing.T) {
 	st, rejecting := &fakeStore{}, &fakeStore{err: keyedlog.ErrUnknown}
 	st.put("a", "1")
 	all := startInstances(t, st, 4, 50*time.Millisecond)
@@ -165,10 +165,10 @@
 	}
 }
 
-// TestQuestionThatFindsTheStoreDoesNotWait checks that the one read that is tried while the store
+// TestProbeDoesNotWaitForRecord checks that the one read that is tried while the store
 // is unreachable does not wait for a record, since all topics wait for its answer. A read that
 // waited for eight seconds kept the configuration from an instance for five.
-func TestQuestionThatFindsTheStoreDoesNotWait(t *testing.T) {
+func TestProbeDoesNotWaitForRecord(t *testing.T) {
 	st := &waitingStore{fakeStore: &fakeStore{}}
 	st.put("a", "1")
 	in := startInstances(t, st.fakeStore, 1, time.Minute)[0]
--- a/router/internal/relay/pack_test.go
+++ b/router/internal/relay/pack_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestSpoiltPackIsAnError(t *testing.T) {
+func TestDamagedPackIsRejected(t *testing.T) {
 	packed, err := pack(serverEntries(40))
 	if err != nil {
 		t.Fatal(err)
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestManyAskersShareOneSnapshot checks that a snapshot is packed once for instances that start
+// TestSnapshotIsPackedOnceForManyRequests checks that a snapshot is packed once for instances that start
 // together, states its true age, and is renewed after its TTL.
-func TestManyAskersShareOneSnapshot(t *testing.T) {
+func TestSnapshotIsPackedOnceForManyRequests(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := NewCache(func() time.Time { return now }, nil)
 	c.Replace(keyedlog.Snapshot{Records: serverEntries(100), Next: keyedlog.AtOffset(100)}, now)
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -8,7 +8,7 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-func TestFollowersReadByTheCollector(t *testing.T) {
+func TestFollowersReadFromCollector(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 3, time.Minute)
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestFollowersRecordsAreHandedOver(t *testing.T) {
+func TestUnconditionalAppendsGoToCollector(t *testing.T) {
 	st := &fakeStore{}
 	all := startInstances(t, st, 2, time.Minute)
 	all[0].newest(t)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestCache(t *testing.T) {
+func TestCacheReads(t *testing.T) {
 	now := time.Unix(100, 0)
 	same := func(a, b keyedlog.Record) bool { return string(a.Value) == string(b.Value) }
 	c := NewCache(func() time.Time { return now }, same)
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestQuestionsWaitForACollectorThatIsAboutToKnow checks that instances that start together read
+// TestRequestsWaitForFirstRead checks that instances that start together read
 // the store once.
-func TestQuestionsWaitForACollectorThatIsAboutToKnow(t *testing.T) {
+func TestRequestsWaitForFirstRead(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 3, time.Minute)
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestNewestRecordsMayTakeLong checks that a snapshot which takes longer in transit than a usual
+// TestSlowSnapshotComesFromCollector checks that a snapshot which takes longer in transit than a usual
 // call still comes from the collector.
-func TestNewestRecordsMayTakeLong(t *testing.T) {
+func TestSlowSnapshotComesFromCollector(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Minute)
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestOneReadsHeartbeatsForAllDomains checks that collectors of other failure domains read a
+// TestCrossDomainTopicIsReadFromFirstCollector checks that collectors of other failure domains read a
 // CrossDomain topic from the first of all, and from the store if that one gives no answer.
-func TestOneReadsHeartbeatsForAllDomains(t *testing.T) {
+func TestCrossDomainTopicIsReadFromFirstCollector(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 1, time.Minute)
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// TestLaterEraStands checks that a cache keeps the state of the later era, in whichever order the
+// TestCacheKeepsLaterEra checks that a cache keeps the state of the later era, in whichever order the
 // answers arrive.
-func TestLaterEraStands(t *testing.T) {
+func TestCacheKeepsLaterEra(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := NewCache(func() time.Time { return now }, nil)
 	c.Replace(eraSnapshot(1, 9, "before"), now)
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestFollowersLearnOfARestoreByTheirCollector checks that followers do not read the store to learn
+// TestFollowersLearnOfRestoreFromCollector checks that followers do not read the store to learn
 // of a restore.
-func TestFollowersLearnOfARestoreByTheirCollector(t *testing.T) {
+func TestFollowersLearnOfRestoreFromCollector(t *testing.T) {
 	st := &fakeStore{era: 1}
 	st.put("a", "1")
 	all := startInstances(t, st, 4, time.Hour)
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestCollectorThatHasNotNoticedIsPassedOver checks that an instance which knows of a restore does
+// TestCollectorOfEarlierEraIsSkipped checks that an instance which knows of a restore does
 // not return to the state before it.
-func TestCollectorThatHasNotNoticedIsPassedOver(t *testing.T) {
+func TestCollectorOfEarlierEraIsSkipped(t *testing.T) {
 	st := &fakeStore{era: 1}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Hour)
@@ -95,10 +95,10 @@
 	}
 }
 
-// TestRestoreReachesAllByTheirCollectors checks that all instances of a failure domain have the
+// TestRestoreReachesAllInstances checks that all instances of a failure domain have the
 // restored state within two seconds, and that only the instances that read the store before read
 // it. It logs the time and the number of reads.
-func TestRestoreReachesAllByTheirCollectors(t *testing.T) {
+func TestRestoreReachesAllInstances(t *testing.T) {
 	const (
 		entries  = 150
 		pause    = 100 * time.Millisecond
