--- a/router/internal/peer/bills.go
+++ b/router/internal/peer/bills.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// maxHeldBills bounds the bills held, own and other instances'. At 200
-	// requests a second for one instance, that is nearly a minute and a half of
-	// outage for both. Beyond it new work is refused, since unbilled answers
-	// would do more harm.
+	// maxHeldBills bounds the bills held: own ones and copies of other
+	// instances'. At 200 requests/s per instance, with as many copies as own
+	// bills, it suffices for an outage of 80 s. Beyond it new work is refused,
+	// since unbilled answers would do more harm.
 	maxHeldBills = 32_768
 	// maxHeldBytes bounds the memory of the bills held.
 	maxHeldBytes = 16 << 20
-	// maxHoldBatchBytes bounds the message that carries one bill.
+	// maxHoldBatchBytes bounds the encoded batch of one bill, with room for its
+	// encoding.
 	maxHoldBatchBytes = 4 * (record.MaxKeyBytes + ledger.MaxBillBytes)
 	// maxCopyPeers is how many peers are asked in turn to keep a copy.
 	maxCopyPeers = 3
@@ -35,9 +36,9 @@
 
 // Hold keeps a bill here and at one peer until the log takes it. A nil error
 // means that both copies exist. After an error the answer must not be completed
-// as if it had been billed. If a peer's answer was lost, the peer may still
-// hold its copy; the caller's next try with the same key then yields the same
-// bill.
+// as if it had been billed. If only the peer's answer was lost, the peer still
+// holds its copy; when the caller repeats the request with the same key, it
+// results in the same bill.
 func (n *Node) Hold(ctx context.Context, r record.Record) error {
 	if err := n.holdWithCopy(ctx, r); err != nil {
 		n.Log.Emit(ctx, logging.EventBillRefused, logging.Err(err))
@@ -95,9 +96,9 @@
 
 // copyCandidates orders peers for a copy: those of another failure domain
 // first, since a failure domain fails as a whole, and those that answered
-// before the others. The own failure domain is the last resort: a copy there
-// still outlives this instance. Peers of equal rank are shuffled to spread the
-// load.
+// before the others. This instance's own failure domain comes last: a copy
+// there at least survives a failure of this instance. Peers of equal rank are
+// shuffled to spread the load.
 func (n *Node) copyCandidates() []wire.ListedInstance {
 	out := n.others()
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
--- a/router/internal/peer/chooser.go
+++ b/router/internal/peer/chooser.go
@@ -60,8 +60,8 @@
 	c.removeStale(byID)
 	order := c.rng.Perm(len(others))
 	c.fill(others, order, func(l wire.ListedInstance) bool { return !c.failed[l.ID] })
-	// Peers that failed last time are chosen only if there are no others: an
-	// instance that is back must be heard again.
+	// Peers that failed in the last round are chosen only if there are too few
+	// others. They are not excluded for longer, since they may have recovered.
 	c.fill(others, order, func(wire.ListedInstance) bool { return true })
 	c.ensureOtherDomain(others, order, byID)
 	clear(c.failed)
@@ -73,7 +73,7 @@
 }
 
 // removeStale drops peers that are no longer listed and, every replaceEvery
-// rounds, the oldest one.
+// rounds, the one kept longest.
 func (c *stickyChooser) removeStale(byID map[string]wire.ListedInstance) {
 	c.kept = slices.DeleteFunc(c.kept, func(id string) bool {
 		_, listed := byID[id]
@@ -96,8 +96,8 @@
 	}
 }
 
-// ensureOtherDomain replaces the newest peer by one of another failure domain
-// if all are in the instance's own.
+// ensureOtherDomain replaces the peer added last with one of another failure
+// domain if all are in the instance's own.
 func (c *stickyChooser) ensureOtherDomain(others []wire.ListedInstance, order []int, byID map[string]wire.ListedInstance) {
 	for _, id := range c.kept {
 		if byID[id].Domain != c.domain {
--- a/router/internal/peer/chooser_test.go
+++ b/router/internal/peer/chooser_test.go
@@ -15,6 +15,9 @@
 	return out
 }
 
+// TestChooserChangesPeersSlowly checks that peers change one at a time, that in
+// the long run others are chosen too, and that one is always in another failure
+// domain.
 func TestChooserChangesPeersSlowly(t *testing.T) {
 	for seed := range uint64(50) {
 		c := NewChooser(domains[0], seed)
@@ -31,7 +34,7 @@
 				}
 			}
 			if len(current) != fanout || !otherDomain {
-				t.Fatalf("seed %d: chose %v", seed, current)
+				t.Fatalf("seed %d: chose %v, want fanout peers, one of them in another failure domain", seed, current)
 			}
 			previous = current
 		}
@@ -44,6 +47,8 @@
 	}
 }
 
+// TestChooserAvoidsFailedPeers checks that a failed peer is not chosen again at
+// once, unless there are too few others.
 func TestChooserAvoidsFailedPeers(t *testing.T) {
 	for seed := range uint64(50) {
 		c := NewChooser(domains[0], seed)
--- a/router/internal/peer/client.go
+++ b/router/internal/peer/client.go
@@ -85,8 +85,8 @@
 	return conn, nil
 }
 
-// removeOnClose returns when the connection has ended, which idleTimeout
-// enforces at the latest.
+// removeOnClose waits until the connection has ended, and removes it from the
+// pool. idleTimeout bounds the wait for an unused connection.
 func (p *connPool) removeOnClose(addr string, conn *jsonrpc2.Conn) {
 	<-conn.DisconnectNotify()
 	p.mu.Lock()
--- a/router/internal/peer/fixture_test.go
+++ b/router/internal/peer/fixture_test.go
@@ -116,8 +116,8 @@
 
 var domains = []string{"nyarugenge", "gasabo", "kicukiro"}
 
-// newFleet starts n instances on loopback that list each other. The test runs
-// their rounds.
+// newFleet starts n instances on loopback that list each other. They run no
+// regular rounds; the test calls runRound.
 func newFleet(t testing.TB, n int, tlsOf func(int) *tls.Config) []*testInstance {
 	t.Helper()
 	return newFleetWithStores(t, n, tlsOf, nil)
@@ -196,7 +196,7 @@
 	return r
 }
 
-// fillBills reserves all space for bills; the function returned frees it.
+// fillBills reserves all space for bills; release frees it.
 func (inst *testInstance) fillBills(t *testing.T) (release func()) {
 	t.Helper()
 	var reservations []*ledger.Reservation
--- a/router/internal/peer/handler.go
+++ b/router/internal/peer/handler.go
@@ -21,7 +21,7 @@
 	case err == nil:
 		return result, nil
 	case errors.As(err, &rpcErr):
-		n.recordRejection(trace.Wrap(err, "%q", truncate(req.Method)))
+		n.recordRejection(trace.Wrap(err, "request %q", truncate(req.Method)))
 		return nil, rpcErr
 	default:
 		return nil, rpcError(CodeFailed, err.Error())
@@ -47,7 +47,8 @@
 	}
 }
 
-// sender returns the sender, which every parameter type states.
+// sender is implemented by the parameters of all methods; sentBy returns the
+// name of the sending instance.
 type sender interface{ sentBy() string }
 
 func (p DigestParams) sentBy() string   { return p.From }
@@ -57,8 +58,8 @@
 func (p HealthParams) sentBy() string   { return p.From }
 func (p HoldParams) sentBy() string     { return p.From }
 
-// decodeAndHandle decodes strictly: an unknown key may have a meaning that must
-// not be ignored.
+// decodeAndHandle decodes the parameters and calls handle. It decodes strictly:
+// an unknown key may have a meaning that must not be ignored.
 func decodeAndHandle[P sender](req *jsonrpc2.Request, handle func(P) (any, error)) (any, error) {
 	if req.Params == nil {
 		return nil, invalidParams("parameters missing")
@@ -75,9 +76,9 @@
 	return handle(p)
 }
 
-// handleDigest answers with this instance's status. The asker's state is not
-// used: it may be old in an unsolicited message, and the next round queries the
-// peers anyway.
+// handleDigest answers with this instance's status. The asker's state is
+// ignored: the delay of a request is unknown, so its state may be old, and the
+// next round queries the peers anyway.
 func (n *Node) handleDigest(DigestParams) (any, error) { return n.statusReport(), nil }
 
 func (n *Node) handleVouch(VouchParams) (any, error) { return n.statusReport(), nil }
@@ -94,10 +95,10 @@
 	return result, err
 }
 
-// handleManifest is notified that a generation is in the log. If the log is
-// reachable, the pending long poll delivers it. Otherwise an immediate round
-// takes the state over from a peer, so that an instance that cannot read the
-// log does not wait for the interval.
+// handleManifest handles the announcement that a generation is in the log. If
+// the log is reachable, the pending long poll delivers it. Otherwise an early
+// round restores the state from a peer, so that an instance that cannot read
+// the log does not wait for the interval.
 func (n *Node) handleManifest(p ManifestParams) (any, error) {
 	ahead := p.Generation > n.store.Digest().Generation
 	if ahead && !n.store.Status().LogReachable {
@@ -132,7 +133,7 @@
 	return Empty{}, nil
 }
 
-// truncate keeps log lines short.
+// truncate bounds the length of a peer's text in a log line.
 func truncate(s string) string {
 	const maxBytes = 32
 	return s[:min(len(s), maxBytes)]
--- a/router/internal/peer/health.go
+++ b/router/internal/peer/health.go
@@ -56,15 +56,15 @@
 	it.Origin = n.self.ID
 	added, err := n.healthItems.merge([]HealthItem{it}, now)
 	if err != nil {
-		n.recordRejection(trace.Wrap(err, "own health item"))
+		n.recordRejection(trace.Wrap(err, "own health item is invalid"))
 		return
 	}
 	n.enqueue(added)
 }
 
 // enqueue queues new items for the next push. Each instance passes an item on
-// once, when it is new to it, so that an item crosses the fleet in a few steps
-// and then stops.
+// once, when it is new to it, so that an item reaches all instances in a few
+// pushes and is not sent again after that.
 func (n *Node) enqueue(items []HealthItem) {
 	if len(items) == 0 {
 		return
--- a/router/internal/peer/healthset.go
+++ b/router/internal/peer/healthset.go
@@ -131,7 +131,8 @@
 	delete(s.entries, key)
 }
 
-// firstToExpire returns the item that expires first.
+// firstToExpire returns the key of the item that expires first; ties are broken
+// by hash, so that all instances choose the same one.
 func (s *healthSet) firstToExpire() itemKey {
 	var key itemKey
 	var earliest healthEntry
@@ -143,13 +144,14 @@
 	return key
 }
 
-// hash covers all fields of the item.
+// hash returns a hash of all fields of the item.
 func (it HealthItem) hash() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%s\x00%t\x00%d\x00%d\x00%s",
 		it.Kind, it.ID, it.Bad, it.Timestamp, it.Until, it.Origin))
 }
 
-// supersedes orders two items on one ID identically at every instance.
+// supersedes reports whether the item replaces other, which has the same kind
+// and ID. All instances decide alike.
 func (it HealthItem) supersedes(other HealthItem) bool {
 	if it.Timestamp != other.Timestamp {
 		return it.Timestamp > other.Timestamp
@@ -180,7 +182,7 @@
 	return out
 }
 
-// hash is equal for sets with the same unexpired items.
+// hash returns a hash that is equal for sets with the same unexpired items.
 func (s *healthSet) hash(now time.Time) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +198,7 @@
 	}
 }
 
-// validate rejects an item that no instance sends.
+// validate rejects an item that a correct instance never sends.
 func (it HealthItem) validate(now time.Time) error {
 	switch it.Kind {
 	case HealthVerdict, HealthLeaving:
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -65,6 +65,9 @@
 	}
 }
 
+// TestInvalidRequestsAreRejected checks that an invalid request is answered
+// with the right error code, changes nothing, and does not affect later
+// requests.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	inst := newFleet(t, 1, nil)[0]
 	manifest := record.Record{Kind: record.KindPut, Key: "manifest/1", Nonce: record.Nonce{1}, Value: []byte("x")}
@@ -79,28 +82,28 @@
 		raw  []byte
 		code int
 	}{
-		"not JSON":          {frame("hello"), jsonrpc2.CodeParseError},
-		"no message":        {frame(`[]`), jsonrpc2.CodeParseError},
-		"too long":          {binary.AppendUvarint(nil, maxMessageBytes+1), jsonrpc2.CodeInvalidRequest},
-		"unknown method":    {rpcRequest("state.erase", "{}"), jsonrpc2.CodeMethodNotFound},
-		"no parameters":     {frame(`{"jsonrpc":"2.0","id":1,"method":"bill.hold"}`), jsonrpc2.CodeInvalidParams},
-		"null parameters":   {rpcRequest(MethodVouch, "null"), jsonrpc2.CodeInvalidParams},
-		"wrong type":        {rpcRequest(MethodDigest, `{"from":"x","next":"y"}`), jsonrpc2.CodeInvalidParams},
-		"negative":          {rpcRequest(MethodDigest, `{"from":"x","next":-1}`), jsonrpc2.CodeInvalidParams},
-		"unknown key":       {rpcRequest(MethodVouch, `{"from":"x","root":1}`), jsonrpc2.CodeInvalidParams},
-		"no sender":         {rpcRequest(MethodVouch, `{}`), jsonrpc2.CodeInvalidParams},
-		"long sender":       {rpcRequest(MethodVouch, `{"from":"`+strings.Repeat("x", maxNameBytes+1)+`"}`), jsonrpc2.CodeInvalidParams},
-		"fetch of nothing":  {rpcRequest(MethodFetch, `{"from":"x","offset":9}`), CodeSnapshotGone},
-		"fetch before":      {rpcRequest(MethodFetch, `{"from":"x","offset":-9}`), CodeSnapshotGone},
-		"health of unknown": {rpcRequest(MethodHealth, `{"from":"x","items":[{"kind":"root","id":"a","stamp":1,"until":2,"origin":"o"}]}`), jsonrpc2.CodeInvalidParams},
-		"hold garbage":      {rpcRequest(MethodHold, `{"from":"x","batch":"AAAA"}`), jsonrpc2.CodeInvalidParams},
-		"hold a manifest":   {rpcRequest(MethodHold, holdParams(t, manifest)), jsonrpc2.CodeInvalidParams},
-		"hold a release":    {rpcRequest(MethodHold, holdParams(t, release)), jsonrpc2.CodeInvalidParams},
-		"hold two":          {rpcRequest(MethodHold, holdParams(t, testBill(1), testBill(2))), jsonrpc2.CodeInvalidParams},
-		"hold a large one":  {rpcRequest(MethodHold, holdParams(t, longBatch)), jsonrpc2.CodeInvalidParams},
-		"hold no bill":      {rpcRequest(MethodHold, holdParams(t, notABill)), jsonrpc2.CodeInvalidParams},
-		"hold another's":    {rpcRequest(MethodHold, holdParams(t, keyOfAnother)), jsonrpc2.CodeInvalidParams},
-		"hold a long value": {rpcRequest(MethodHold, holdParams(t, longValue)), jsonrpc2.CodeInvalidParams},
+		"not JSON":                    {frame("hello"), jsonrpc2.CodeParseError},
+		"not an object":               {frame(`[]`), jsonrpc2.CodeParseError},
+		"too long":                    {binary.AppendUvarint(nil, maxMessageBytes+1), jsonrpc2.CodeInvalidRequest},
+		"unknown method":              {rpcRequest("state.erase", "{}"), jsonrpc2.CodeMethodNotFound},
+		"parameters missing":          {frame(`{"jsonrpc":"2.0","id":1,"method":"bill.hold"}`), jsonrpc2.CodeInvalidParams},
+		"null parameters":             {rpcRequest(MethodVouch, "null"), jsonrpc2.CodeInvalidParams},
+		"wrong type":                  {rpcRequest(MethodDigest, `{"from":"x","next":"y"}`), jsonrpc2.CodeInvalidParams},
+		"negative offset":             {rpcRequest(MethodDigest, `{"from":"x","next":-1}`), jsonrpc2.CodeInvalidParams},
+		"unknown key":                 {rpcRequest(MethodVouch, `{"from":"x","root":1}`), jsonrpc2.CodeInvalidParams},
+		"sender missing":              {rpcRequest(MethodVouch, `{}`), jsonrpc2.CodeInvalidParams},
+		"sender too long":             {rpcRequest(MethodVouch, `{"from":"`+strings.Repeat("x", maxNameBytes+1)+`"}`), jsonrpc2.CodeInvalidParams},
+		"fetch beyond the end":        {rpcRequest(MethodFetch, `{"from":"x","offset":9}`), CodeSnapshotGone},
+		"fetch at a negative offset":  {rpcRequest(MethodFetch, `{"from":"x","offset":-9}`), CodeSnapshotGone},
+		"unknown health kind":         {rpcRequest(MethodHealth, `{"from":"x","items":[{"kind":"root","id":"a","stamp":1,"until":2,"origin":"o"}]}`), jsonrpc2.CodeInvalidParams},
+		"malformed batch":             {rpcRequest(MethodHold, `{"from":"x","batch":"AAAA"}`), jsonrpc2.CodeInvalidParams},
+		"manifest in place of a bill": {rpcRequest(MethodHold, holdParams(t, manifest)), jsonrpc2.CodeInvalidParams},
+		"release in place of a bill":  {rpcRequest(MethodHold, holdParams(t, release)), jsonrpc2.CodeInvalidParams},
+		"two records":                 {rpcRequest(MethodHold, holdParams(t, testBill(1), testBill(2))), jsonrpc2.CodeInvalidParams},
+		"batch too long":              {rpcRequest(MethodHold, holdParams(t, longBatch)), jsonrpc2.CodeInvalidParams},
+		"value is not a bill":         {rpcRequest(MethodHold, holdParams(t, notABill)), jsonrpc2.CodeInvalidParams},
+		"key of another bill":         {rpcRequest(MethodHold, holdParams(t, keyOfAnother)), jsonrpc2.CodeInvalidParams},
+		"value too long":              {rpcRequest(MethodHold, holdParams(t, longValue)), jsonrpc2.CodeInvalidParams},
 	} {
 		answer := sendRaw(t, inst.self.Peer, c.raw)
 		if !strings.Contains(answer, fmt.Sprintf(`"code":%d`, c.code)) {
@@ -109,18 +112,19 @@
 		assertUnchanged(t, inst, name)
 	}
 	if answer := sendRaw(t, inst.self.Peer, rpcRequest(MethodVouch, `{"from":"x"}`)); !strings.Contains(answer, `"result"`) {
-		t.Errorf("a good message afterwards got %s", answer)
+		t.Errorf("a valid request afterwards: got %s", answer)
 	}
 }
 
-// A peer must neither send requests over a connection that was opened to it,
-// nor answer with more than a message may contain.
+// TestInvalidAnswersAreRejected checks that an invalid answer, or a request on
+// a connection that this instance opened, counts as no answer and changes
+// nothing.
 func TestInvalidAnswersAreRejected(t *testing.T) {
 	for name, reply := range map[string][]byte{
-		"garbage":   frame("garbage"),
-		"too long":  binary.AppendUvarint(nil, 1<<40),
-		"asks back": rpcRequest(MethodHold, holdParams(t, testBill(1))),
-		"no object": frame(`{"jsonrpc":"2.0","id":0,"result":7}`),
+		"not JSON":                     frame("garbage"),
+		"too long":                     binary.AppendUvarint(nil, 1<<40),
+		"request instead of an answer": rpcRequest(MethodHold, holdParams(t, testBill(1))),
+		"result is not an object":      frame(`{"jsonrpc":"2.0","id":0,"result":7}`),
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/router/internal/peer/limits.go
+++ b/router/internal/peer/limits.go
@@ -16,8 +16,8 @@
 	// maxPieceBytes bounds the part of a snapshot in one answer.
 	maxPieceBytes = 512 << 10
 	// maxConns bounds the open incoming connections: in a fleet of hundreds,
-	// any number of instances may happen to choose this one as one of their
-	// three peers, and that must not exhaust the memory of a small instance.
+	// many instances may choose this one as one of their three peers at the
+	// same time, which must not exhaust the memory of a small instance.
 	maxConns = 256
 	// messageTimeout bounds the reading or writing of one message once it has
 	// begun, so that a slow sender cannot occupy a connection.
--- a/router/internal/peer/messages.go
+++ b/router/internal/peer/messages.go
@@ -49,11 +49,12 @@
 	// HeadAgeMS is the time since the sender read that head itself, in ms,
 	// rounded up.
 	HeadAgeMS int64 `json:"age"`
-	// LogReachable says that the sender's last read of the log succeeded.
+	// LogReachable is true if the sender's last read of the log succeeded.
 	LogReachable bool `json:"log"`
 }
 
-// maxAge stands for "never", and bounds the age that a peer may state.
+// maxAge bounds the stated age of a head; it is also stated if the log was
+// never read.
 const maxAge = 24 * time.Hour
 
 // newStatusReport builds a report from a store's status.
@@ -66,8 +67,8 @@
 	return StatusReport{State: state, Head: st.Head, HeadAgeMS: ageMS, LogReachable: st.LogReachable}
 }
 
-// vouch converts the report for the freshness tracker; callDuration is the time
-// that the whole call took.
+// vouch converts the report for the freshness tracker; callDuration is the
+// duration of the whole call.
 func (r StatusReport) vouch(callDuration time.Duration) freshness.Vouch {
 	age := time.Duration(min(max(r.HeadAgeMS, 0), maxAge.Milliseconds())) * time.Millisecond
 	return freshness.Vouch{
@@ -102,9 +103,12 @@
 
 // FetchResult is one piece, at most maxPieceBytes long.
 type FetchResult struct {
+	// Snapshot is the snapshot's next offset.
 	Snapshot uint64 `json:"snapshot"`
-	Total    int64  `json:"total"`
-	Data     []byte `json:"data"`
+	// Total is the snapshot's size in bytes.
+	Total int64 `json:"total"`
+	// Data is the piece.
+	Data []byte `json:"data"`
 }
 
 // ManifestParams announce that a generation is in the log. It is only a hint to
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -56,7 +56,7 @@
 // Deps are the dependencies of a Node.
 type Deps struct {
 	Store node.Store
-	// Bills takes the bills that were held; nil for the Store's log.
+	// Bills is the log that held bills are written to; nil for the Store's log.
 	Bills ledger.BillLog
 	// Instances returns the platform's list; it may include this instance.
 	Instances func() []wire.ListedInstance
@@ -102,11 +102,11 @@
 	mu sync.Mutex
 	// pendingItems are the health items for the next push.
 	pendingItems []HealthItem
-	// manifestPending says that the peers have not been notified yet of a
-	// manifest that won.
+	// manifestPending is true if a manifest won and the next push must announce
+	// it.
 	manifestPending bool
-	// roundPeers are the peers of the last round; answered says which ones
-	// answered.
+	// roundPeers are the peers of the last round; answered is true for the IDs
+	// of those that answered.
 	roundPeers []wire.ListedInstance
 	answered   map[string]bool
 	// outageCursor is the position in the list up to which outagePeers has
@@ -201,8 +201,7 @@
 }
 
 // runIfIdle runs f concurrently with the rounds, and only once at a time. A
-// slow transfer must not delay the rounds, by which the instance learns that it
-// is fresh.
+// slow transfer must not delay the rounds, which keep the instance fresh.
 func (n *Node) runIfIdle(busy *atomic.Bool, f func()) {
 	if !busy.CompareAndSwap(false, true) {
 		return
@@ -253,8 +252,9 @@
 	}
 }
 
-// recordRejection counts and logs input from outside that was not accepted. Log
-// lines are rate limited, since anyone who can connect could cause them.
+// recordRejection counts and logs a rejected message, connection, item or
+// state. Log lines are rate limited, since anyone who can connect could cause
+// them.
 func (n *Node) recordRejection(err error) {
 	gometrics.GetOrRegisterCounter("peer.rejected", n.Registry).Inc(1)
 	if n.rejectionLogLimit.Allow() {
@@ -262,8 +262,8 @@
 	}
 }
 
-// HeldBills is the number of bills that wait here for the log, own and other
-// instances'.
+// HeldBills returns the number of bills that wait here for the log, own and
+// other instances'.
 func (n *Node) HeldBills() int { return n.heldBills.Len() }
 
 // HeldBillsFull reports whether no more bills can be held, so that new work
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -18,6 +18,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
+// TestRoundReportsHeadsOfPeers checks that a round passes on the head reported
+// by each peer, and that a request does not count as a report.
 func TestRoundReportsHeadsOfPeers(t *testing.T) {
 	fleet := newFleet(t, 3, nil)
 	fleet[1].store.set(func(s *fakeStore) { s.status.Head, s.status.LastHeadRead = 70, testTime.Add(-time.Second) })
@@ -44,6 +46,8 @@
 	}
 }
 
+// TestCallDurationAddsToHeadAge checks that a delayed answer does not make a
+// head look too recent.
 func TestCallDurationAddsToHeadAge(t *testing.T) {
 	v := StatusReport{HeadAgeMS: 400}.vouch(300 * time.Millisecond)
 	if v.HeadAge != 700*time.Millisecond {
@@ -57,6 +61,8 @@
 	}
 }
 
+// TestAnswerFromAnotherInstanceIsRejected checks that an instance at a reused
+// address does not vouch for the instance that is listed there.
 func TestAnswerFromAnotherInstanceIsRejected(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	stale := []wire.ListedInstance{{ID: "gone", Peer: fleet[1].self.Peer}}
@@ -67,6 +73,8 @@
 	}
 }
 
+// TestStateIsRestoredFromPeerFurthestAhead checks that an instance restores a
+// peer's state only while it cannot read the log, and only a valid one.
 func TestStateIsRestoredFromPeerFurthestAhead(t *testing.T) {
 	state := append([]byte("good"), bytes.Repeat([]byte("s"), 2*maxPieceBytes)...)
 	for _, c := range []struct {
@@ -75,9 +83,9 @@
 		snapshot  []byte
 		want      []byte
 	}{
-		{"log down", false, state, state},
+		{"log unreachable", false, state, state},
 		{"log reachable", true, state, nil},
-		{"bad state", false, []byte("evil"), nil},
+		{"invalid state", false, []byte("evil"), nil},
 	} {
 		fleet := newFleet(t, 3, nil)
 		fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = c.reachable; s.digest.NextOffset = 5 })
@@ -90,13 +98,13 @@
 			t.Errorf("%s: restored %d bytes, want %d", c.name, len(fleet[0].store.restored), len(c.want))
 		}
 		if fleet[1].store.restored != nil || fleet[2].store.restored != nil {
-			t.Errorf("%s: a peer took over an older state", c.name)
+			t.Errorf("%s: a peer restored an older state", c.name)
 		}
 	}
 }
 
-// An instance that alone cannot reach the log must not fetch the whole state of
-// a peer in each round.
+// TestLargeTransfersAreRateLimited checks that an instance that alone cannot
+// reach the log does not fetch the whole state of a peer in each round.
 func TestLargeTransfersAreRateLimited(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
@@ -111,11 +119,13 @@
 		fleet[0].advance(c.elapsed)
 		fleet[0].runRound()
 		if got := fleet[0].store.restored != nil; got != c.want {
-			t.Errorf("round %d: taken over: %v, want %v", i, got, c.want)
+			t.Errorf("round %d: restored %v, want %v", i, got, c.want)
 		}
 	}
 }
 
+// TestAllPeersAreQueriedWhileLogIsUnreachable checks that an instance that
+// cannot read the log queries more peers than the chosen ones.
 func TestAllPeersAreQueriedWhileLogIsUnreachable(t *testing.T) {
 	fleet := newFleet(t, 8, nil)
 	fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = false })
@@ -129,15 +139,18 @@
 	}
 }
 
+// TestDivergedStateIsLoggedOnce checks that different states at one offset are
+// logged, once for all rounds, and that peers that are no longer listed are
+// forgotten.
 func TestDivergedStateIsLoggedOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		other fold.Digest
 		want  int
 	}{
-		{"alike", fold.Digest{NextOffset: 5, Hash: 1}, 0},
-		{"elsewhere", fold.Digest{NextOffset: 6, Hash: 2}, 0},
-		{"unlike", fold.Digest{NextOffset: 5, Hash: 2}, 1},
+		{"equal", fold.Digest{NextOffset: 5, Hash: 1}, 0},
+		{"other offset", fold.Digest{NextOffset: 6, Hash: 2}, 0},
+		{"other hash", fold.Digest{NextOffset: 5, Hash: 2}, 1},
 	} {
 		fleet := newFleet(t, 2, nil)
 		var out bytes.Buffer
@@ -148,7 +161,7 @@
 			fleet[0].runRound()
 		}
 		if got := strings.Count(out.String(), logging.EventStateDiverged.Name); got != c.want {
-			t.Errorf("%s: %d alarms, want %d: %s", c.name, got, c.want, out.String())
+			t.Errorf("%s: logged %d times, want %d: %s", c.name, got, c.want, out.String())
 		}
 		fleet[0].Instances = func() []wire.ListedInstance { return nil }
 		fleet[0].runRound()
@@ -158,6 +171,8 @@
 	}
 }
 
+// TestSnapshotPiecesAreConsistent checks that the pieces of a transfer come
+// from one snapshot, and that impossible pieces are rejected.
 func TestSnapshotPiecesAreConsistent(t *testing.T) {
 	store := &fakeStore{digest: fold.Digest{NextOffset: 4}, snapshot: make([]byte, maxPieceBytes+1)}
 	s := &snapshotCache{store: store}
@@ -185,10 +200,10 @@
 		t.Error("snapshot kept after its TTL")
 	}
 	for name, got := range map[string]FetchResult{
-		"endless":     {Total: 1 << 60, Data: []byte("x")},
-		"empty piece": {Total: 5},
-		"too much":    {Total: 1, Data: []byte("xx")},
-		"swapped":     {Snapshot: 2, Total: 9, Data: []byte("x")},
+		"total too large":     {Total: 1 << 60, Data: []byte("x")},
+		"empty piece":         {Total: 5},
+		"more than the total": {Total: 1, Data: []byte("xx")},
+		"other snapshot":      {Snapshot: 2, Total: 9, Data: []byte("x")},
 	} {
 		if checkPiece(FetchParams{Snapshot: 1, Offset: 1}, got) == nil {
 			t.Errorf("%s: accepted", name)
@@ -196,9 +211,10 @@
 	}
 }
 
-// The interval of these instances is an hour, so all messages here are pushed.
-// An instance that cannot reach the log takes the state over from a peer; one
-// that reads the log waits for the log.
+// TestManifestWonIsPushed checks that a manifest that won is announced at once:
+// an instance that cannot reach the log restores the state from a peer, one
+// that reads the log does nothing. The interval is an hour, so no regular round
+// runs.
 func TestManifestWonIsPushed(t *testing.T) {
 	fleet := newFleet(t, 3, nil)
 	fleet[0].runRound() // chooses the peers
@@ -218,8 +234,8 @@
 	})
 }
 
-// A peer that keeps announcing new manifests may cause at most one round a
-// second.
+// TestManifestAnnouncementsAreRateLimited checks that a peer that keeps
+// announcing new manifests causes at most one round a second.
 func TestManifestAnnouncementsAreRateLimited(t *testing.T) {
 	store := &fakeStore{}
 	n := New(Config{}, Deps{Store: store, Events: discardEvents{}})
@@ -236,6 +252,8 @@
 	}
 }
 
+// TestVerdictReachesEveryInstanceOnce checks that a verdict is pushed to all
+// instances, and that none gets it twice or gets its own.
 func TestVerdictReachesEveryInstanceOnce(t *testing.T) {
 	fleet := newFleet(t, 8, nil)
 	for _, inst := range fleet {
@@ -257,6 +275,8 @@
 	}
 }
 
+// TestRoundExchangesHealthItems checks that peers with different items have the
+// same ones after a round, even if nothing was pushed.
 func TestRoundExchangesHealthItems(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	// The instances have no peers yet, so nothing is pushed.
@@ -275,6 +295,9 @@
 	}
 }
 
+// TestHealthSetKeepsLatestAndRejectsInvalid checks that the latest item on an
+// ID counts, that a batch with an invalid item is rejected as a whole, and that
+// items expire.
 func TestHealthSetKeepsLatestAndRejectsInvalid(t *testing.T) {
 	item := func(stamp, life time.Duration, bad bool) HealthItem {
 		at := testTime.Add(stamp)
@@ -292,16 +315,16 @@
 	}
 	before := set.hash(testTime)
 	for name, bad := range map[string]HealthItem{
-		"from the future": item(time.Hour, time.Minute, true),
-		"for ever":        item(0, maxItemLifetime+time.Second, true),
-		"unknown kind":    {Kind: "root", ID: "x", Timestamp: 1, Until: 2, Origin: "i"},
-		"no id":           {Kind: HealthLeaving, Timestamp: 1, Until: 2, Origin: "i"},
-		"no origin":       {Kind: HealthLeaving, ID: "x", Timestamp: 1, Until: 2},
-		"no fingerprint":  {Kind: HealthQuarantine, ID: "x", Timestamp: 1, Until: 2, Origin: "i"},
+		"timestamp in the future": item(time.Hour, time.Minute, true),
+		"lifetime too long":       item(0, maxItemLifetime+time.Second, true),
+		"unknown kind":            {Kind: "root", ID: "x", Timestamp: 1, Until: 2, Origin: "i"},
+		"no id":                   {Kind: HealthLeaving, Timestamp: 1, Until: 2, Origin: "i"},
+		"no origin":               {Kind: HealthLeaving, ID: "x", Timestamp: 1, Until: 2},
+		"invalid fingerprint":     {Kind: HealthQuarantine, ID: "x", Timestamp: 1, Until: 2, Origin: "i"},
 	} {
 		good := item(0, time.Minute, true)
 		if _, err := set.merge([]HealthItem{good, bad}, testTime); err == nil || set.hash(testTime) != before {
-			t.Errorf("%s: got %v, or some items were taken", name, err)
+			t.Errorf("%s: got error %v, or a part of the items was added", name, err)
 		}
 	}
 	if len(set.all(testTime.Add(2*time.Minute))) != 0 || set.hash(testTime) != 0 {
@@ -309,6 +332,9 @@
 	}
 }
 
+// TestFullHealthSetsConverge checks that full sets keep the same items whatever
+// the order of arrival. Otherwise peers would exchange all items in every
+// round.
 func TestFullHealthSetsConverge(t *testing.T) {
 	var items []HealthItem
 	for i := range maxHealthItems + 50 {
@@ -329,6 +355,9 @@
 	}
 }
 
+// TestBillIsHeldInTwoFailureDomainsAndFlushedByBoth checks that a copy is kept
+// in another failure domain, that no bill with an unknown outcome is dropped,
+// and that retries put the same record.
 func TestBillIsHeldInTwoFailureDomainsAndFlushedByBoth(t *testing.T) {
 	fleet := newFleet(t, 8, nil)
 	fleet[0].runRound() // learns who answers
@@ -393,11 +422,14 @@
 	return len(a) == len(b)
 }
 
+// TestHoldFailsWithoutASecondCopy checks that a bill is not held if no peer
+// keeps a copy or this instance has no space. It also checks when HeldBillsFull
+// is true.
 func TestHoldFailsWithoutASecondCopy(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	for name, list := range map[string][]wire.ListedInstance{
-		"no peers":       {fleet[0].self},
-		"peer not there": {fleet[0].self, {ID: "dead", Peer: "127.0.0.1:1", Domain: "gasabo"}},
+		"no peers":         {fleet[0].self},
+		"unreachable peer": {fleet[0].self, {ID: "dead", Peer: "127.0.0.1:1", Domain: "gasabo"}},
 	} {
 		fleet[0].Instances = func() []wire.ListedInstance { return list }
 		if err := fleet[0].Hold(context.Background(), testBill(1)); err == nil || fleet[0].HeldBills() != 0 {
@@ -425,9 +457,10 @@
 	}
 }
 
-// The caller's second try reaches the instance that keeps the copy of the first
-// try's bill. If its failed Hold dropped that copy, the request would stay
-// unbilled when the first instance dies.
+// TestFailedHoldKeepsThePeersCopy checks that an instance that keeps the copy
+// of a bill does not drop it when the caller's second try reaches that instance
+// and its own Hold fails. Otherwise the request would stay unbilled if the
+// first instance dies.
 func TestFailedHoldKeepsThePeersCopy(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	if err := fleet[0].Hold(context.Background(), testBill(1)); err != nil {
@@ -439,6 +472,8 @@
 	}
 }
 
+// TestDrainLeavesNoBillBehind checks that a stopping instance passes each bill
+// on, once, to the log or to a peer.
 func TestDrainLeavesNoBillBehind(t *testing.T) {
 	for name, reachable := range map[string]bool{"into the log": true, "to a peer": false} {
 		fleet := newFleet(t, 2, nil)
@@ -450,7 +485,7 @@
 			t.Errorf("%s: %d left", name, left)
 		}
 		if got := len(fleet[0].store.puts) + fleet[1].HeldBills(); got != 1 {
-			t.Errorf("%s: %d copies went out, want 1", name, got)
+			t.Errorf("%s: bill passed on %d times, want 1", name, got)
 		}
 	}
 }
--- a/router/internal/peer/realnode_test.go
+++ b/router/internal/peer/realnode_test.go
@@ -11,7 +11,7 @@
 	"masticplank.example/coordination/record"
 )
 
-// nodeObserver passes on to a test what a real node reads.
+// nodeObserver signals a real node's reads and the bills in its log to a test.
 type nodeObserver struct {
 	reads chan struct{}
 	bills chan fold.Change
--- a/router/internal/peer/round.go
+++ b/router/internal/peer/round.go
@@ -13,10 +13,10 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// outageFanout is how many more instances are queried in a round while this
-// instance cannot read the log. Only the answers of a majority distinguish a
-// general outage of the log from a failure of this instance's own link. At 8
-// instances one round queries them all.
+// outageFanout is how many instances a round queries in addition to the chosen
+// ones while this instance cannot read the log. Only the answers of a majority
+// distinguish a general outage of the log from a failure of this instance's own
+// link. In a fleet of up to 20 instances, one round queries all others.
 const outageFanout = 16
 
 // answer is one peer's answer in a round.
@@ -156,7 +156,7 @@
 		return
 	}
 	if err := n.fetchState(ctx, furthest.peer.Peer); err != nil {
-		n.recordRejection(trace.Wrap(err, "restoring the state of %s", furthest.peer.ID))
+		n.recordRejection(trace.Wrap(err, "restoring state from peer %s", furthest.peer.ID))
 		return
 	}
 	n.Log.Emit(ctx, logging.EventStateRestored, peerAttr(furthest.peer.ID))
@@ -178,7 +178,7 @@
 
 // reportDivergence reports two different states at one offset, which must never
 // happen. Nothing is repaired automatically, since it is unknown which side is
-// right: an operator has to look.
+// right: an operator must decide.
 func (n *Node) reportDivergence(ctx context.Context, id string) {
 	gometrics.GetOrRegisterCounter("peer.diverged", n.Registry).Inc(1)
 	if n.divergenceLogLimit.Allow() {
--- a/router/internal/peer/stream.go
+++ b/router/internal/peer/stream.go
@@ -31,7 +31,8 @@
 }
 
 // ReadObject waits for the next message and decodes it into v. A message that
-// is not JSON is answered with a parse error before the connection is closed.
+// is too long or malformed is answered with an error; the connection is closed
+// after that.
 func (s *boundedStream) ReadObject(v any) error {
 	if err := s.awaitMessage(); err != nil {
 		return err
@@ -76,8 +77,8 @@
 	Error   *jsonrpc2.Error `json:"error"`
 }
 
-// sendError tries to report what was wrong. The connection is closed in any
-// case.
+// sendError sends an error response. A failure is ignored, since the connection
+// is closed next.
 func (s *boundedStream) sendError(code int64, text string) {
 	_ = s.WriteObject(errorResponse{Version: "2.0", Error: rpcError(code, text)})
 }
--- a/router/internal/peer/tls.go
+++ b/router/internal/peer/tls.go
@@ -12,8 +12,9 @@
 
 // TLSConfig reads the certificates named in the settings; nil if none are
 // named, which the settings allow on loopback only. Both sides present a
-// certificate of the same authority, and the dialled IP must be in the other's.
-// The files are read once: to rotate the certificates, replace the instances.
+// certificate of the same authority, and the server's must contain the IP that
+// was dialled. The files are read once: to rotate the certificates, replace the
+// instances.
 func TLSConfig(cfg settings.Peer) (*tls.Config, error) {
 	if cfg.CertFile == "" {
 		return nil, nil
@@ -28,7 +29,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, trace.BadParameter("peer.ca_file %s has no certificate in PEM", cfg.CAFile)
+		return nil, trace.BadParameter("peer.ca_file %s contains no PEM certificate", cfg.CAFile)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/router/internal/peer/tls_test.go
+++ b/router/internal/peer/tls_test.go
@@ -95,6 +95,8 @@
 	return cfg
 }
 
+// TestInstancesExchangeReportsOverTLS checks that instances with certificates
+// of one authority accept each other.
 func TestInstancesExchangeReportsOverTLS(t *testing.T) {
 	ca := newAuthority(t)
 	fleet := newFleet(t, 3, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })
@@ -104,6 +106,9 @@
 	}
 }
 
+// TestUntrustedConnectionsAreRejected checks that a client without a
+// certificate of the server's authority gets no answer and changes nothing, and
+// that a client rejects a server whose certificate is for another IP.
 func TestUntrustedConnectionsAreRejected(t *testing.T) {
 	ca, other := newAuthority(t), newAuthority(t)
 	server := newFleet(t, 1, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })[0]
@@ -133,6 +138,8 @@
 	}
 }
 
+// TestTLSConfigRejectsBadFiles checks that a missing or invalid file is an
+// error, and that settings without files mean plaintext.
 func TestTLSConfigRejectsBadFiles(t *testing.T) {
 	good := newAuthority(t).settings(t, "127.0.0.1")
 	if cfg, err := TLSConfig(settings.Peer{}); cfg != nil || err != nil {
--- a/router/internal/peer/transfer.go
+++ b/router/internal/peer/transfer.go
@@ -48,7 +48,8 @@
 	return FetchResult{Snapshot: s.nextOffset, Total: int64(len(s.data)), Data: s.data[p.Offset:end]}, nil
 }
 
-// refresh creates a snapshot ahead of after, unless the kept one is.
+// refresh creates a new snapshot, unless the kept one is recent and its next
+// offset is beyond after.
 func (s *snapshotCache) refresh(after uint64, now time.Time) error {
 	reusable := s.data != nil && now.Sub(s.createdAt) < snapshotTTL
 	if reusable && s.nextOffset > after {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// expire frees a snapshot that has not been renewed for snapshotTTL.
+// expire frees the snapshot snapshotTTL after it was created.
 func (s *snapshotCache) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,20 +76,21 @@
 	}
 }
 
-// maxTransferRate bounds, in bytes/s, the state that an instance takes from its
-// peers while it alone cannot reach the log. The others' state advances with
-// each bill, so it would fetch all of it in each round. With a large state it
-// becomes stale instead and refuses new work, as it should in that situation.
+// maxTransferRate bounds, in bytes/s, how fast an instance fetches state. If it
+// alone cannot reach the log, the others' state advances with each bill, and
+// without a bound it would fetch the whole state in each round. With a large
+// state it becomes stale between transfers and refuses new work, which is
+// intended.
 const maxTransferRate = 1 << 20
 
-// transferPause is how long to wait after the transfer of a state of this size
-// in bytes.
+// transferPause returns how long to wait after the transfer of a state of this
+// size in bytes.
 func transferPause(size int) time.Duration {
 	return time.Duration(size) * time.Second / maxTransferRate
 }
 
-// fetchState takes over a peer's state. Restore rejects a state that is
-// malformed or not ahead, so a bad transfer changes nothing.
+// fetchState fetches a peer's state and restores it. Restore rejects a state
+// that is malformed or not ahead, so a bad transfer changes nothing.
 func (n *Node) fetchState(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -112,8 +114,8 @@
 	}
 }
 
-// checkPiece rejects pieces that would never complete, or that do not fit
-// together.
+// checkPiece rejects a piece of impossible size, or of another snapshot than
+// the one requested.
 func checkPiece(asked FetchParams, got FetchResult) error {
 	switch {
 	case got.Total <= 0 || got.Total > fold.MaxSnapshotBytes:
--- a/router/internal/relay/cache.go
+++ b/router/internal/relay/cache.go
@@ -9,8 +9,8 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-// maxCachedRecords bounds the records kept per topic: enough for almost a minute of 75 heartbeats a
-// second, from 90 backend servers.
+// maxCachedRecords bounds the records kept per topic: enough for almost a minute of the heartbeats
+// of 90 backend servers, which are 75 a second.
 const maxCachedRecords = 4096
 
 // Cache holds a topic's latest records for the instances that ask this one.
@@ -34,9 +34,9 @@
 }
 
 // NewCache returns an empty cache. now is a clock that advances while the machine is suspended.
-// equivalent reports whether two records of a key have the same meaning, and may be nil. Without
-// it, heartbeats of 90 backend servers passed on to 29 instances fill the link of a small
-// collector, 10 Mbit/s.
+// equivalent reports whether two records of a key have the same meaning, and may be nil. It keeps
+// heartbeats from filling a collector's link to its followers: all those of 90 backend servers, for
+// 29 followers, fill a link of 10 Mbit/s.
 func NewCache(now func() time.Time, equivalent func(a, b keyedlog.Record) bool) *Cache {
 	if equivalent == nil {
 		equivalent = func(a, b keyedlog.Record) bool { return false }
@@ -103,7 +103,7 @@
 	c.confirm(at)
 }
 
-// confirm records the time and wakes the waiting reads.
+// confirm records the time and wakes the waiting reads. The lock must be held.
 func (c *Cache) confirm(at time.Time) {
 	if at.After(c.confirmedAt) {
 		c.confirmedAt = at
@@ -113,9 +113,9 @@
 }
 
 // maxFillWait is how long a request waits for a cache that does not have the requested state yet.
-// All instances start at once, and a collector reads the store in a few milliseconds, or in a few
-// hundred with 1,000 backend servers: without this wait, 81 instances made 450 calls instead of a
-// few.
+// All instances start at once, and the collector's first read of the store takes a few
+// milliseconds, or a few hundred with 1,000 backend servers. Without the wait each instance would
+// read the store: a fleet of 81 instances makes up to 450 calls instead of a few.
 const maxFillWait = 500 * time.Millisecond
 
 // Read returns the records from the position on. It waits up to wait for a record.
@@ -153,14 +153,14 @@
 	}
 }
 
-// recordsFrom returns the cached records from the offset on.
+// recordsFrom returns the cached records from the offset on. The lock must be held.
 func (c *Cache) recordsFrom(offset uint64) []keyedlog.Record {
 	at := sort.Search(len(c.records), func(i int) bool { return c.records[i].Offset >= offset })
 	return c.records[at:]
 }
 
 // isBehind reports whether the reader at a position knows more than the cache: a later era, or
-// later records of the cache's era.
+// later records of the cache's era. The lock must be held.
 func (c *Cache) isBehind(from keyedlog.Position) bool {
 	if from.MatchesEra(c.next.Era) {
 		return from.Offset > c.next.Offset
@@ -169,7 +169,7 @@
 }
 
 // lacks reports whether records from the position on are no longer cached, given that the cache is
-// not behind it: the position has an earlier era, or is too far back.
+// not behind it: the position has an earlier era, or is too far back. The lock must be held.
 func (c *Cache) lacks(from keyedlog.Position) bool {
 	return !from.MatchesEra(c.next.Era) || from.Offset < c.firstOffset
 }
@@ -179,7 +179,7 @@
 	defer c.mu.Unlock()
 	switch {
 	case !c.loaded, c.isBehind(from):
-		return keyedlog.Batch{}, keyedlog.ErrNotApplied // the reader knows more
+		return keyedlog.Batch{}, keyedlog.ErrNotApplied // the requested state is not cached yet
 	case c.lacks(from):
 		return keyedlog.Batch{}, keyedlog.ErrTrimmed
 	}
@@ -188,7 +188,7 @@
 	return out, nil
 }
 
-// Age is the time since the cached state was last confirmed.
+// Age returns the time since the cached state was last confirmed.
 func (c *Cache) Age() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -18,7 +18,7 @@
 	callTimeout = 400 * time.Millisecond
 )
 
-// Client calls the collector of this instance's failure domain.
+// Client calls collectors, and limits this instance's reads of the store while that is unreachable.
 type Client struct {
 	members *Members
 	now     func() time.Time
@@ -27,14 +27,14 @@
 	mu sync.Mutex
 	// conns are the open connections by the member's address.
 	conns map[string]*jsonrpc2.Conn
-	// storeUnreachable says that the store did not answer this instance; it is not read before
-	// storeBackoffUntil.
+	// storeUnreachable is true if the store did not answer this instance; it is then not read
+	// before storeBackoffUntil.
 	storeUnreachable  bool
 	storeBackoffUntil time.Time
 	// nextUrgentAt is when a read of an urgent topic may go to the store again.
 	nextUrgentAt time.Time
-	// probes counts the reads that an instance that ranks first has tried in the outage; the next
-	// one is allowed at nextProbeAt.
+	// probes is the number of reads of the store in this outage, if this instance ranks first.
+	// After immediateProbes of them, the next one is allowed at nextProbeAt.
 	probes      int
 	nextProbeAt time.Time
 	// storeBackoff is the current backoff after a failure.
@@ -49,9 +49,9 @@
 	}
 }
 
-// errNoCollector says that no collector answered in time, so that this instance has to read the
-// store itself.
-var errNoCollector = errors.New("no collector to ask")
+// errNoCollector means that no collector gave an answer that is recent enough, so that this
+// instance has to read the store itself.
+var errNoCollector = errors.New("no collector gave an answer that is recent enough")
 
 // collectorAnswer is a collector's answer, its maximum age on arrival, and the collector's name.
 type collectorAnswer struct {
@@ -60,10 +60,10 @@
 	collector string
 }
 
-// call asks the collector and, if it gives no answer or one older than maxAge, the next ones in
-// rank: the store is read only if no other instance knows. Only the first may delay its answer
-// until there is a record, since that uses up the waiting time. params makes the parameters for a
-// given wait.
+// call asks the collectors in order of rank until one gives an answer no older than maxAge, so that
+// the store is read only if no other instance has the records. Only the first one may wait for a
+// record, since that uses up the waiting time; the others answer at once. params returns the
+// parameters with the given wait.
 func (c *Client) call(ctx context.Context, method string, params func(wait time.Duration) any, wait, maxAge time.Duration) (collectorAnswer, error) {
 	return c.callMembers(ctx, c.members.Collectors(), method, params, wait, maxAge)
 }
@@ -78,7 +78,7 @@
 		switch {
 		case errors.As(err, &rpcErr) && rpcErr.Code == codeTrimmed:
 			return collectorAnswer{collector: m.Name}, keyedlog.ErrTrimmed
-		case errors.As(err, &rpcErr): // it does not know yet
+		case errors.As(err, &rpcErr): // it does not have the records yet
 		case err != nil && ctx.Err() != nil:
 			return collectorAnswer{}, ctx.Err()
 		case err != nil:
@@ -94,17 +94,16 @@
 	return collectorAnswer{}, errNoCollector
 }
 
-// minStoreBackoff is how long an instance that has a collector does not read a store that gave no
-// answer, and maxStoreBackoff the same after several failures: the collector keeps trying, and its
-// followers learn from it at once when the store is back. Without backoff, 81 instances made 8,000
-// calls in an outage of 8 s.
+// minStoreBackoff and maxStoreBackoff bound how long an instance that has a collector does not read
+// an unreachable store. The collector keeps probing, and its followers read from it as soon as the
+// store is back. Without backoff, 81 instances make up to 8,000 calls in an outage of 8 s.
 const (
 	minStoreBackoff = 2 * time.Second
 	maxStoreBackoff = 4 * time.Second
 )
 
-// storeFailed records that the store did not answer this instance either. Failures of the
-// collectors are cleared, since they are then as good a source as any.
+// storeFailed records that the store did not answer. It clears the backoffs of all members: one of
+// them may still reach the store, and none is a worse source than the store itself.
 func (c *Client) storeFailed() {
 	c.members.ClearFailures()
 	c.mu.Lock()
@@ -125,15 +124,17 @@
 }
 
 // probeInterval is the time between reads of a store that gave no answer, by an instance that ranks
-// first or does not know others yet. It is the interval at which a single topic is tried.
+// first or does not know others yet. It is about the longest delay between two tries of one topic,
+// so that the probes for all topics are hardly more frequent than the reads of one.
 const probeInterval = 350 * time.Millisecond
 
-// immediateProbes is the number of reads tried without a pause at first, so that a call that was
-// reset by chance is retried at once.
+// immediateProbes is the number of reads tried without a pause at first, so that a call whose
+// connection was reset is retried at once.
 const immediateProbes = 4
 
-// mayReadStore reports whether this instance may read the store now. While the store is
-// unreachable, one topic's read serves as a probe for all of them.
+// mayReadStore reports whether this instance may read the store now. If so, the caller must then
+// read it, since in an outage the read is counted here. While the store is unreachable, one topic's
+// read serves as a probe for all of them.
 //
 // Load: instances that start during an outage of the store, know no others, and try five topics
 // each. Harm prevented: five calls instead of one to a store that is recovering.
@@ -155,8 +156,8 @@
 	return true
 }
 
-// mayProbe reports whether an instance that ranks first may try the next read. The lock must be
-// held.
+// mayProbe reports whether an instance that ranks first may try the next read. If so, the read is
+// counted, and the caller must make it. The lock must be held.
 func (c *Client) mayProbe() bool {
 	if c.probes >= immediateProbes && c.now().Before(c.nextProbeAt) {
 		return false
@@ -166,8 +167,8 @@
 	return true
 }
 
-// mayReadStoreUrgently reports the same for a topic whose records must be in force soon after the
-// store is back: it does not wait longer than minStoreBackoff.
+// mayReadStoreUrgently does the same as mayReadStore for a topic whose records must be in force
+// soon after the store is back: it does not wait longer than minStoreBackoff.
 func (c *Client) mayReadStoreUrgently() bool {
 	c.mu.Lock()
 	if c.storeUnreachable && !c.now().Before(c.nextUrgentAt) {
--- a/router/internal/relay/client_test.go
+++ b/router/internal/relay/client_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestFollowerBacksOffFromUnreachableStore checks the backoff towards an unreachable store: for half a
-// minute, five topics at a time fail at a follower whose collector does not have the records either.
+// TestFollowerBacksOffFromUnreachableStore checks the backoff towards an unreachable store: for
+// half a minute, five topics at a time fail at a follower whose collector does not have the records
+// either.
 func TestFollowerBacksOffFromUnreachableStore(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
@@ -70,9 +71,10 @@
 	}
 }
 
-// TestLoneInstanceProbesWithOneTopic starts an instance in an outage of ten seconds.
-// It ranks first, since it knows no others, and five topics try the store. The first answer must
-// release all topics at once.
+// TestLoneInstanceProbesWithOneTopic checks that an instance that knows no others, and so ranks
+// first, makes about one read per probeInterval for its five topics in an outage of ten seconds, so
+// that it notices the recovery that soon, and that all topics may be read as soon as the store
+// answers.
 func TestLoneInstanceProbesWithOneTopic(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
--- a/router/internal/relay/doc.go
+++ b/router/internal/relay/doc.go
@@ -4,8 +4,8 @@
 // on freshness are as strict as with reads from the store itself.
 //
 // There is no election. All instances of a failure domain rank each other in the same order, by
-// their share of a core and then by a hash of their names, and ask the first one that answers;
-// the first one itself reads the store. An instance that gets no answer, or one that is too
+// their CPU cores and then by a hash of their names, and ask the first one that answers; the
+// first-ranked instance reads the store itself. An instance that gets no answer, or one that is too
 // old, reads the store, so that a collector that is dead, frozen or disconnected costs its
 // followers one timeout.
 package relay
--- a/router/internal/relay/fixture_test.go
+++ b/router/internal/relay/fixture_test.go
@@ -22,14 +22,14 @@
 	era         uint64
 }
 
-// newestReadCount is the number of reads of the newest records.
+// newestReadCount returns the number of reads of the newest records.
 func (s *fakeStore) newestReadCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newestReads
 }
 
-// end is the position at the end of the topic. The lock must be held.
+// end returns the position at the end of the topic. The lock must be held.
 func (s *fakeStore) end() keyedlog.Position {
 	return keyedlog.Position{Era: s.era, Offset: uint64(len(s.records))}
 }
--- a/router/internal/relay/limitrows.go
+++ b/router/internal/relay/limitrows.go
@@ -29,7 +29,7 @@
 }
 
 const (
-	// encodedUnlimited encodes that a limit has ended.
+	// encodedUnlimited stands for no limit: the server has ended its limit.
 	encodedUnlimited = math.MaxUint32
 	// limitScale is the number of encoded units per request per second.
 	limitScale = 1000
--- a/router/internal/relay/loadrows.go
+++ b/router/internal/relay/loadrows.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	// maxPrefillMS and maxRequests bound a row: larger values are errors, and sums must not
-	// overflow.
+	// maxPrefillMS and maxRequests are the largest values of a row. Larger ones are clamped, so
+	// that sums cannot overflow.
 	maxPrefillMS = 3_600_000 // milliseconds
 	maxRequests  = 1_000_000
 )
--- a/router/internal/relay/loads.go
+++ b/router/internal/relay/loads.go
@@ -10,7 +10,7 @@
 
 // Report is what one or several instances report to the others.
 type Report struct {
-	// Loads is their load at the engines.
+	// Loads is their load at the backend servers.
 	Loads []passthrough.PeerLoad
 	// Limits are the rate limits that backend servers stated to them in responses.
 	Limits []passthrough.PeerLimit
@@ -21,10 +21,10 @@
 	Instances int
 }
 
-// LoadExchange exchanges the instances' loads at the engines, and the rate limits that these state.
-// Each instance sends a report to its collector, and gets the sum of all others. A collector does
-// the same with the first-ranked collector of all failure domains, so that each sum covers all
-// instances.
+// LoadExchange exchanges the instances' loads at the backend servers, and the rate limits that
+// backend servers stated. Each instance sends a report to its collector, and gets the sum of all
+// others. A collector does the same with the first-ranked collector of all failure domains, so that
+// each sum covers all instances.
 type LoadExchange struct {
 	client *Client
 	now    func() time.Time
@@ -37,7 +37,7 @@
 
 	mu sync.Mutex
 	// followerReports are the reports of the instances that ask this one, by name. collectorReport
-	// is what the collector knows in addition to this instance's report.
+	// is the collector's answer to the last report: the sum of all others.
 	followerReports map[string]timedReport
 	collectorReport timedReport
 }
@@ -52,8 +52,8 @@
 }
 
 const (
-	// minReportInterval is the shortest time between two reports: a prompt occupies an engine for
-	// some tenths of a second, and a report takes about 50 us of a collector's CPU time.
+	// minReportInterval is the shortest time between two reports: a prompt occupies a backend
+	// server for some tenths of a second, and a report takes about 50 us of a collector's CPU time.
 	minReportInterval = 150 * time.Millisecond
 	// reportIntervalPerInstance lengthens the interval with the size of the failure domain, to
 	// bound the collector's CPU time for its followers' reports.
@@ -70,12 +70,12 @@
 	return &LoadExchange{client: client, now: client.now, ownReport: ownReport, apply: apply, followerReports: map[string]timedReport{}}
 }
 
-// interval is the time between two reports, which depends on the size of the failure domain.
+// interval returns the time between two reports, which depends on the size of the failure domain.
 func (l *LoadExchange) interval() time.Duration {
 	return max(minReportInterval, time.Duration(l.client.members.DomainSize())*reportIntervalPerInstance)
 }
 
-// reportTTL is how long a report counts.
+// reportTTL returns how long a report counts.
 func (l *LoadExchange) reportTTL() time.Duration { return reportTTLIntervals * l.interval() }
 
 // Run exchanges reports until ctx ends.
@@ -93,7 +93,8 @@
 	}
 }
 
-// exchange sends what is known here to the collector, and applies what it knows beyond that.
+// exchange sends this instance's report and its followers' to the collector, and applies the sum of
+// all others' reports.
 func (l *LoadExchange) exchange(ctx context.Context) {
 	collectors := l.client.members.Collectors()
 	if len(collectors) == 0 {
@@ -167,7 +168,7 @@
 	return answer{Loads: out.loads, Limits: out.limits, LostConfigVersion: out.lostConfigVersion, Instances: out.instances}, nil
 }
 
-// currentReport is this instance's report as of now.
+// currentReport returns this instance's report as of now.
 func (l *LoadExchange) currentReport() timedReport {
 	return timedReport{Report: l.ownReport(), asOf: l.now()}
 }
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -97,8 +97,9 @@
 	return out
 }
 
-// TestLoadsReachAllInstances checks with two failure domains of two instances that each instance
-// learns the sum of the others, in its own failure domain and beyond, and never counts itself.
+// TestLoadsReachAllInstances checks with two failure domains of two instances each that every
+// instance gets the sum of the others' loads, from its own failure domain and the other one, and
+// never counts its own.
 func TestLoadsReachAllInstances(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
 	nodes := startExchanges(t, names...)
--- a/router/internal/relay/log.go
+++ b/router/internal/relay/log.go
@@ -17,27 +17,28 @@
 	client *Client
 	cache  *Cache
 	now    func() time.Time
-	// maxAge is the age past which a collector's answer is not taken, and the store is read
+	// maxAge is the age past which a collector's answer is not accepted, and the store is read
 	// instead.
 	maxAge time.Duration
-	// onCollectorChange is called when another collector answers, or none: "".
+	// onCollectorChange is called when the collector that answers changes; name is "" if none does.
 	onCollectorChange func(topic, name string)
-	// CrossDomain says that a collector reads the topic from a collector of another failure domain
+	// CrossDomain is true if a collector reads the topic from a collector of another failure domain
 	// if it can, and not from the store. It is meant for a topic that makes up most of the store's
 	// traffic.
 	CrossDomain bool
-	// Urgent says that the topic's records must be in force soon after an outage of the store.
+	// Urgent is true if the topic's records must be in force soon after an outage of the store.
 	Urgent bool
 
 	mu sync.Mutex
-	// collector is the one that answered last, "" for none. lastReadFromStore says that the last
+	// collector is the one that answered last, "" for none. lastReadFromStore is true if the last
 	// read went to the store, which answered.
 	collector         string
 	lastReadFromStore bool
 }
 
 // NewLog returns a reader of the topic, whose reads fill cache. A collector's answer older than
-// maxAge is not taken. onCollectorChange is called when another collector answers, or none: "".
+// maxAge is not accepted. onCollectorChange is called when the collector that answers changes; name
+// is "" if none does.
 func NewLog(topic string, store keyedlog.Log, client *Client, cache *Cache, maxAge time.Duration, onCollectorChange func(topic, name string)) *Log {
 	return &Log{topic: topic, store: store, client: client, cache: cache, now: client.now, maxAge: maxAge, onCollectorChange: onCollectorChange}
 }
@@ -79,7 +80,8 @@
 
 // newestExtraTime is the time allowed for the newest records in addition to callTimeout. For 1,000
 // backend servers these are 0.4 MB, a third of a second on a link of 10 Mbit/s. With a shorter
-// timeout, three collectors in turn timed out, and the records came from the store after 1.5 s.
+// timeout, the calls of up to three collectors time out one after another, and the records come
+// from the store after 1.5 s.
 const newestExtraTime = 1100 * time.Millisecond
 
 // Newest implements keyedlog.Log.
@@ -131,7 +133,8 @@
 	return l.client.mayReadStore()
 }
 
-// noteStoreResult records whether the store answered, unless the read was cancelled here.
+// noteStoreResult records the result of a read of the store. A read that was cancelled here does
+// not count as a failure of the store.
 func (l *Log) noteStoreResult(ctx context.Context, err error) {
 	l.mu.Lock()
 	l.lastReadFromStore = err == nil || errors.Is(err, keyedlog.ErrTrimmed)
--- a/router/internal/relay/members.go
+++ b/router/internal/relay/members.go
@@ -16,13 +16,15 @@
 	Name    string `json:"name"`
 	Domain  string `json:"domain"`
 	Address string `json:"address"`
-	// Cores is the share of a core that the instance has: the strong ones become collectors first.
+	// Cores is the number of CPU cores that the instance may use; those with more become collectors
+	// first.
 	Cores float64 `json:"cores"`
 }
 
-// AnnounceOrder is the point, from 0 to 1, at which the member announces itself among others that
-// start at the same time: strong members early, since they become collectors, the others in an
-// order that a hash of their names gives.
+// AnnounceOrder returns when the member announces itself after a common start, as a fraction from 0
+// to 1 of the time over which the announcements are spread: the more cores a member has, up to one,
+// the earlier it comes, since it becomes a collector sooner; a hash of its name spreads members
+// with equal cores.
 func (m Member) AnnounceOrder() float64 {
 	const strongWeight = 3 // out of four parts, so that a strong instance precedes every weak one
 	weak := 1 - min(max(m.Cores, 0), 1)
@@ -35,9 +37,10 @@
 	// instance takes to restart. It doubles up to maxMemberBackoff for one that is gone for good.
 	minMemberBackoff = time.Second
 	maxMemberBackoff = time.Minute
-	// maxCandidates is how many ranks are tried before the store is read. A third of the instances
-	// may be cut off from the store at once: with two tries, every ninth failure domain then had no
-	// collector, and all its instances read the store.
+	// maxCandidates is how many members are considered before the store is read, including those in
+	// backoff, except at maxMemberBackoff. If a third of the instances is cut off from the store,
+	// two candidates are both cut off in one of nine failure domains, where all instances would
+	// then read the store.
 	maxCandidates = 3
 	// maxRemoteCandidates is the same for collectors of other failure domains: a network partition
 	// between two failure domains must not delay what the store could answer at once.
@@ -98,7 +101,7 @@
 	slices.SortFunc(m.ranked, compareRank)
 }
 
-// compareRank orders members: strong ones first, then by a hash of their names.
+// compareRank orders members by their cores, most first, then by a hash of their names.
 func compareRank(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.Cores, a.Cores), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)), cmp.Compare(a.Name, b.Name))
 }
@@ -115,8 +118,8 @@
 	m.remote[in.Domain] = candidates[:min(len(candidates), maxRemotePerDomain)]
 }
 
-// RemoteCollectors are the instances of other failure domains, in order, that an instance asks
-// which reads the store for its own failure domain: those that rank before it and are not in
+// RemoteCollectors returns the instances of other failure domains, in order, that an instance asks
+// before it reads the store for its own failure domain: those that rank before it and are not in
 // backoff. There are none if this instance ranks before all, or does not know the others yet.
 func (m *Members) RemoteCollectors() []Member {
 	m.mu.Lock()
@@ -134,7 +137,7 @@
 	return out[:min(len(out), maxRemoteCandidates)]
 }
 
-// Collectors are the instances to ask, in order: those that rank before this one and are not in
+// Collectors returns the instances to ask, in order: those that rank before this one and are not in
 // backoff. There are none if this one reads the store itself.
 func (m *Members) Collectors() []Member {
 	m.mu.Lock()
@@ -193,8 +196,8 @@
 	return len(m.ranked) == 0 || m.ranked[0].Name == m.self.Name
 }
 
-// FleetSize is the number of instances of all failure domains that were ever known, here or to a
-// collector: an upper bound, except for instances that have just started. Until they are counted,
+// FleetSize returns the number of instances of all failure domains that were ever known, here or to
+// a collector: an upper bound, except for instances that have just started. Until they are counted,
 // the other failure domains are assumed to be as large as this one.
 func (m *Members) FleetSize() int {
 	m.mu.Lock()
@@ -217,7 +220,7 @@
 	return slices.Sorted(maps.Keys(m.local))
 }
 
-// DomainSize is the number of instances of this failure domain that were ever known.
+// DomainSize returns the number of instances of this failure domain that were ever known.
 func (m *Members) DomainSize() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/router/internal/relay/members_test.go
+++ b/router/internal/relay/members_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFollowersLearnFleetSize checks that a follower, which reads the list of its own failure domain
-// only, counts the instances of all failure domains as its collector does.
+// TestFollowersLearnFleetSize checks that a follower, which reads the list of its own failure
+// domain only, counts the instances of all failure domains as its collector does.
 func TestFollowersLearnFleetSize(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestUnknownDomainsCountAsLargeAsOwn checks that the count is not too low before the other failure
-// domains are counted, since the retry budget's slack is divided by it.
+// TestUnknownDomainsCountAsLargeAsOwn checks that the fleet size is not too low before the other
+// failure domains are counted, since the retry budget's slack is divided by it.
 func TestUnknownDomainsCountAsLargeAsOwn(t *testing.T) {
 	m := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 5, time.Now)
 	for i := range 9 {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRemoteCollectorIsFirstRanked checks whom the first of each failure domain asks: the first of
-// those that rank before it, or nobody if there is none.
+// TestRemoteCollectorIsFirstRanked checks whom the first-ranked instance of each failure domain
+// asks: the first of those that rank before it, or nobody if there is none.
 func TestRemoteCollectorIsFirstRanked(t *testing.T) {
 	now := time.Unix(100, 0)
 	all := []Member{
--- a/router/internal/relay/messages.go
+++ b/router/internal/relay/messages.go
@@ -17,11 +17,12 @@
 // readParams requests the records of a topic from an offset on. An era of 0 means that the asker
 // does not know it.
 type readParams struct {
-	Topic  string `json:"topic"`
-	From   uint64 `json:"from"`
-	Era    uint64 `json:"era,omitempty"`
-	WaitMS int64  `json:"wait_ms"`
-	// MaxAgeMS is the age past which an answer is of no use to the asker, and is given without
+	Topic string `json:"topic"`
+	From  uint64 `json:"from"`
+	Era   uint64 `json:"era,omitempty"`
+	// WaitMS is how long to wait for a record, in ms.
+	WaitMS int64 `json:"wait_ms"`
+	// MaxAgeMS is the largest age that the asker accepts, in ms. An older state is returned without
 	// waiting.
 	MaxAgeMS int64 `json:"oldest_ms"`
 }
@@ -62,7 +63,8 @@
 	AgeUS int64 `json:"age_us"`
 	// TookUS is how long the request was processed at the collector, in microseconds.
 	TookUS int64 `json:"took_us"`
-	// Loads is the known load of other instances at the engines, Instances the number of these.
+	// Loads is the known load of other instances at the backend servers, Instances the number of
+	// these instances.
 	Loads  []byte `json:"loads,omitempty"`
 	Limits []byte `json:"limits,omitempty"`
 	// LostConfigVersion is as in loadsParams.
@@ -72,11 +74,11 @@
 	Fleet int `json:"fleet,omitempty"`
 }
 
-// position is where the next read continues.
+// position returns where the next read continues.
 func (a answer) position() keyedlog.Position { return keyedlog.Position{Era: a.Era, Offset: a.Next} }
 
-// age is the answer's maximum age on arrival, given the duration of the whole call: the time in
-// transit may have passed entirely before or after the answer was made.
+// age returns the answer's maximum age on arrival, given the duration of the whole call: the time
+// in transit may have passed entirely before or after the answer was made.
 func (a answer) age(callDuration time.Duration) time.Duration {
 	processed := time.Duration(a.TookUS) * time.Microsecond
 	return time.Duration(a.AgeUS)*time.Microsecond + max(callDuration-processed, 0)
@@ -84,6 +86,8 @@
 
 // Error codes, in addition to those of JSON-RPC.
 const (
+	// codeNotApplied: the collector does not have the requested state, or failed.
 	codeNotApplied = 1
-	codeTrimmed    = 2
+	// codeTrimmed: the requested records are no longer kept.
+	codeTrimmed = 2
 )
--- a/router/internal/relay/outage_test.go
+++ b/router/internal/relay/outage_test.go
@@ -8,6 +8,8 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
+// TestDeadCollectorIsReplaced checks that after a collector's death the next instance in rank takes
+// its place, and that two followers read the store at most twice in all.
 func TestDeadCollectorIsReplaced(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -30,6 +32,8 @@
 	}
 }
 
+// TestOldAnswerIsRejected checks that a follower reads the store if its collector's state is too
+// old.
 func TestOldAnswerIsRejected(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -46,7 +50,7 @@
 }
 
 // TestFollowersBackOffInStoreOutage checks that followers back off from a store that does not
-// answer, and learn from their collector when it is back.
+// answer, and read from their collector when it is back.
 func TestFollowersBackOffInStoreOutage(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -74,6 +78,8 @@
 	}
 }
 
+// TestInstanceWithoutAddressReadsStore checks that an instance without an address ranks first and
+// reads the store itself.
 func TestInstanceWithoutAddressReadsStore(t *testing.T) {
 	st := &fakeStore{err: keyedlog.ErrUnknown}
 	members := NewMembers(Member{Name: "alone", Domain: "d"}, 1, time.Now)
@@ -90,7 +96,7 @@
 }
 
 // TestTheNextInRankIsAskedBeforeTheStore checks that a read whose collector gives no answer, or one
-// that is too old, is answered by the next instance that knows.
+// that is too old, is answered by the next instance that has the records.
 func TestTheNextInRankIsAskedBeforeTheStore(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -127,8 +133,8 @@
 	}
 }
 
-// TestSimultaneousFailuresCountOnce checks that a member which all topics find dead at once is in backoff
-// only as long as for one failure.
+// TestSimultaneousFailuresCountOnce checks that a member which all topics find dead at once is in
+// backoff only as long as for one failure.
 func TestSimultaneousFailuresCountOnce(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := NewMembers(Member{Name: "self", Domain: "d", Address: "a:1"}, 1, func() time.Time { return now })
@@ -147,8 +153,8 @@
 	}
 }
 
-// TestRejectedInstancesReadFromOthers checks that an instance which the store rejects
-// learns from one that the store serves, even if the first in rank is rejected too.
+// TestRejectedInstancesReadFromOthers checks that an instance which the store rejects reads from
+// one that the store serves, even if the first in rank is rejected too.
 func TestRejectedInstancesReadFromOthers(t *testing.T) {
 	st, rejecting := &fakeStore{}, &fakeStore{err: keyedlog.ErrUnknown}
 	st.put("a", "1")
@@ -165,9 +171,9 @@
 	}
 }
 
-// TestProbeDoesNotWaitForRecord checks that the one read that is tried while the store
-// is unreachable does not wait for a record, since all topics wait for its answer. A read that
-// waited for eight seconds kept the configuration from an instance for five.
+// TestProbeDoesNotWaitForRecord checks that the one read that is tried while the store is
+// unreachable does not wait for a record, since all topics wait for its answer: a read that waits
+// for eight seconds can keep the configuration from an instance for five.
 func TestProbeDoesNotWaitForRecord(t *testing.T) {
 	st := &waitingStore{fakeStore: &fakeStore{}}
 	st.put("a", "1")
--- a/router/internal/relay/pack.go
+++ b/router/internal/relay/pack.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// minPackedRecords is the number of records from which on an answer is compressed: fewer gain
-	// nothing.
+	// minPackedRecords is the smallest number of records that is compressed; with fewer,
+	// compression saves little.
 	minPackedRecords = 32
 	// maxUnpackedBytes bounds the size of an unpacked answer.
 	maxUnpackedBytes = 64 << 20
-	// packedSnapshotTTL is how long a packed snapshot is reused although there are newer records:
-	// the asker reads these from the end of the snapshot on. It is renewed earlier if they are no
-	// longer cached.
+	// packedSnapshotTTL is how long a packed snapshot is reused although newer records exist, which
+	// the asker then reads separately. It is packed again earlier if those are no longer cached.
 	packedSnapshotTTL = 250 * time.Millisecond
 )
 
-// pack compresses records. The entries of backend servers are very similar.
+// pack compresses records. The entries of backend servers are very similar, so the fastest level
+// suffices.
 func pack(records []keyedlog.Record) ([]byte, error) {
 	var out bytes.Buffer
 	gz, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -52,7 +52,7 @@
 	return out, nil
 }
 
-// packedSnapshot is a snapshot that is sent to many askers.
+// packedSnapshot is a packed snapshot that is sent to many instances.
 type packedSnapshot struct {
 	answer answer
 	// confirmedAt is when the log was in the snapshot's state, packedAt when the snapshot was
--- a/router/internal/relay/pack_test.go
+++ b/router/internal/relay/pack_test.go
@@ -24,6 +24,8 @@
 	return out
 }
 
+// TestPackedRecordsAreTheSame checks that records are the same after packing and unpacking, and
+// that many of them are packed.
 func TestPackedRecordsAreTheSame(t *testing.T) {
 	for _, n := range []int{0, 1, minPackedRecords, 3000} {
 		var a answer
@@ -60,6 +62,7 @@
 	}
 }
 
+// TestDamagedPackIsRejected checks that truncated or invalid packed records are an error.
 func TestDamagedPackIsRejected(t *testing.T) {
 	packed, err := pack(serverEntries(40))
 	if err != nil {
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -8,6 +8,8 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
+// TestFollowersReadFromCollector checks that followers read snapshots and new records from their
+// collector, and only the collector reads the store.
 func TestFollowersReadFromCollector(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -51,6 +53,8 @@
 	}
 }
 
+// TestUnconditionalAppendsGoToCollector checks that a follower sends unconditional appends to its
+// collector, and conditional ones to the store.
 func TestUnconditionalAppendsGoToCollector(t *testing.T) {
 	st := &fakeStore{}
 	all := startInstances(t, st, 2, time.Minute)
@@ -66,6 +70,8 @@
 	}
 }
 
+// TestCacheReads checks which reads a cache answers: it rejects positions before its first record
+// or after its end, leaves out equivalent records, and states the age of its state.
 func TestCacheReads(t *testing.T) {
 	now := time.Unix(100, 0)
 	same := func(a, b keyedlog.Record) bool { return string(a.Value) == string(b.Value) }
@@ -97,8 +103,8 @@
 	}
 }
 
-// TestRequestsWaitForFirstRead checks that instances that start together read
-// the store once.
+// TestRequestsWaitForFirstRead checks that instances that start together read the store once, since
+// the collector lets requests wait for its first read.
 func TestRequestsWaitForFirstRead(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
@@ -138,8 +144,9 @@
 	}
 }
 
-// TestCrossDomainTopicIsReadFromFirstCollector checks that collectors of other failure domains read a
-// CrossDomain topic from the first of all, and from the store if that one gives no answer.
+// TestCrossDomainTopicIsReadFromFirstCollector checks that collectors of other failure domains read
+// a CrossDomain topic from the first-ranked collector, and from the store if that one gives no
+// answer.
 func TestCrossDomainTopicIsReadFromFirstCollector(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestFollowersLearnOfRestoreFromCollector checks that followers do not read the store to learn
-// of a restore.
+// TestFollowersLearnOfRestoreFromCollector checks that followers learn of a restore from their
+// collector and do not read the store.
 func TestFollowersLearnOfRestoreFromCollector(t *testing.T) {
 	st := &fakeStore{era: 1}
 	st.put("a", "1")
--- a/router/internal/relay/rows.go
+++ b/router/internal/relay/rows.go
@@ -7,14 +7,13 @@
 	"slices"
 )
 
-// Load reports consist of rows: a backend server's key (4 bytes) and two numbers (varints).
-
-// errMalformedRow says that a report is truncated or damaged.
+// errMalformedRow means that a report is truncated or damaged.
 var errMalformedRow = errors.New("a row of a report cannot be read")
 
 const keyBytes = 4
 
-// appendRow appends one row.
+// appendRow appends one row of a report: a backend server's key (4 bytes, big endian) and two
+// numbers (varints).
 func appendRow(out []byte, key uint32, first, second uint64) []byte {
 	out = binary.BigEndian.AppendUint32(out, key)
 	out = binary.AppendUvarint(out, first)
--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -18,13 +18,14 @@
 type Server struct {
 	now    func() time.Time
 	caches map[string]*Cache
-	// appendRecords takes followers' records.
+	// appendRecords appends records received from followers.
 	appendRecords func(topic string, records []keyedlog.Record) error
 	// fleetSize returns the number of instances.
 	fleetSize func() int
 	// LoadExchange handles load reports; nil to reject them.
 	LoadExchange *LoadExchange
-	lastRequest  atomic.Int64
+	// lastRequest is the time of the last request, in Unix nanoseconds; 0 for none.
+	lastRequest atomic.Int64
 
 	mu    sync.Mutex
 	conns map[*jsonrpc2.Conn]bool
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// toRPCError converts the log's errors to error codes.
+// toRPCError converts an error to a JSON-RPC error; an unknown one becomes codeNotApplied.
 func toRPCError(err error) error {
 	var rpcErr *jsonrpc2.Error
 	switch {
