--- a/router/internal/peer/board.go
+++ b/router/internal/peer/healthset.go
@@ -131,25 +131,27 @@
 	delete(s.entries, key)
 }
 
-// firstToExpire returns the item that expires first.
+// firstToExpire returns the key of the item that expires first; ties are broken
+// by hash, so that all instances choose the same one.
 func (s *healthSet) firstToExpire() itemKey {
 	var key itemKey
 	var earliest healthEntry
-	for k, r := range s.entries {
-		if key.id == "" || r.Until < earliest.Until || r.Until == earliest.Until && r.itemHash < earliest.itemHash {
-			key, earliest = k, r
+	for k, e := range s.entries {
+		if key.id == "" || e.Until < earliest.Until || e.Until == earliest.Until && e.itemHash < earliest.itemHash {
+			key, earliest = k, e
 		}
 	}
 	return key
 }
 
-// hash covers all fields of the item.
+// hash returns a hash of all fields of the item.
 func (it HealthItem) hash() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%s\x00%t\x00%d\x00%d\x00%s",
 		it.Kind, it.ID, it.Bad, it.Timestamp, it.Until, it.Origin))
 }
 
-// supersedes orders two items on one ID identically at every instance.
+// supersedes reports whether the item replaces other, which has the same kind
+// and ID. All instances decide alike.
 func (it HealthItem) supersedes(other HealthItem) bool {
 	if it.Timestamp != other.Timestamp {
 		return it.Timestamp > other.Timestamp
@@ -161,8 +163,8 @@
 func (s *healthSet) has(kind HealthKind, id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r, ok := s.entries[itemKey{kind, id}]
-	return ok && r.Until > now.UnixMilli()
+	e, ok := s.entries[itemKey{kind, id}]
+	return ok && e.Until > now.UnixMilli()
 }
 
 // all returns the unexpired items, in a fixed order.
@@ -171,8 +173,8 @@
 	defer s.mu.Unlock()
 	s.expire(now)
 	out := make([]HealthItem, 0, len(s.entries))
-	for _, r := range s.entries {
-		out = append(out, r.HealthItem)
+	for _, e := range s.entries {
+		out = append(out, e.HealthItem)
 	}
 	slices.SortFunc(out, func(x, y HealthItem) int {
 		return cmp.Or(cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.ID, y.ID))
@@ -180,7 +182,7 @@
 	return out
 }
 
-// hash is equal for sets with the same unexpired items.
+// hash returns a hash that is equal for sets with the same unexpired items.
 func (s *healthSet) hash(now time.Time) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,14 +191,14 @@
 }
 
 func (s *healthSet) expire(now time.Time) {
-	for key, r := range s.entries {
-		if r.Until <= now.UnixMilli() {
+	for key, e := range s.entries {
+		if e.Until <= now.UnixMilli() {
 			s.remove(key)
 		}
 	}
 }
 
-// validate rejects an item that no instance sends.
+// validate rejects an item that a correct instance never sends.
 func (it HealthItem) validate(now time.Time) error {
 	switch it.Kind {
 	case HealthVerdict, HealthLeaving:
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -57,70 +57,74 @@
 }
 
 // assertUnchanged fails the test if a message changed the instance's state.
-func assertUnchanged(t *testing.T, i *testInstance, name string) {
+func assertUnchanged(t *testing.T, inst *testInstance, name string) {
 	t.Helper()
-	if i.HeldBills() != 0 || i.healthItems.hash(testTime) != 0 || i.store.restored != nil ||
-		len(i.store.puts) != 0 || len(i.events) != 0 || len(i.vouches) != 0 {
+	if inst.HeldBills() != 0 || inst.healthItems.hash(testTime) != 0 || inst.store.restored != nil ||
+		len(inst.store.puts) != 0 || len(inst.events) != 0 || len(inst.vouches) != 0 {
 		t.Errorf("%s: state changed", name)
 	}
 }
 
-func TestHostileMessagesGetAnErrorAndChangeNothing(t *testing.T) {
-	i := newFleet(t, 1, nil)[0]
+// TestInvalidRequestsAreRejected checks that an invalid request is answered
+// with the right error code, changes nothing, and does not affect later
+// requests.
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	inst := newFleet(t, 1, nil)[0]
 	manifest := record.Record{Kind: record.KindPut, Key: "manifest/1", Nonce: record.Nonce{1}, Value: []byte("x")}
 	release := record.Record{Kind: record.KindRelease, Key: "bill/t/r", Nonce: record.Nonce{1}}
-	large := testBill(1)
-	large.Value = make([]byte, maxHoldMessageBytes+1)
-	junk, moved, long := testBill(1), testBill(1), testBill(1)
-	junk.Value = []byte(`{"cost":1}`)
-	moved.Key = testBill(2).Key
-	long.Value = make([]byte, ledger.MaxBillBytes+1)
+	longBatch := testBill(1)
+	longBatch.Value = make([]byte, maxHoldBatchBytes+1)
+	notABill, keyOfAnother, longValue := testBill(1), testBill(1), testBill(1)
+	notABill.Value = []byte(`{"cost":1}`)
+	keyOfAnother.Key = testBill(2).Key
+	longValue.Value = make([]byte, ledger.MaxBillBytes+1)
 	for name, c := range map[string]struct {
 		raw  []byte
 		code int
 	}{
-		"not JSON":          {frame("hello"), jsonrpc2.CodeParseError},
-		"no message":        {frame(`[]`), jsonrpc2.CodeParseError},
-		"too long":          {binary.AppendUvarint(nil, maxMessageBytes+1), jsonrpc2.CodeInvalidRequest},
-		"unknown method":    {rpcRequest("state.erase", "{}"), jsonrpc2.CodeMethodNotFound},
-		"no parameters":     {frame(`{"jsonrpc":"2.0","id":1,"method":"bill.hold"}`), jsonrpc2.CodeInvalidParams},
-		"null parameters":   {rpcRequest(MethodVouch, "null"), jsonrpc2.CodeInvalidParams},
-		"wrong type":        {rpcRequest(MethodDigest, `{"from":"x","next":"y"}`), jsonrpc2.CodeInvalidParams},
-		"negative":          {rpcRequest(MethodDigest, `{"from":"x","next":-1}`), jsonrpc2.CodeInvalidParams},
-		"unknown key":       {rpcRequest(MethodVouch, `{"from":"x","root":1}`), jsonrpc2.CodeInvalidParams},
-		"no sender":         {rpcRequest(MethodVouch, `{}`), jsonrpc2.CodeInvalidParams},
-		"long sender":       {rpcRequest(MethodVouch, `{"from":"`+strings.Repeat("x", maxNameBytes+1)+`"}`), jsonrpc2.CodeInvalidParams},
-		"fetch of nothing":  {rpcRequest(MethodFetch, `{"from":"x","offset":9}`), CodeSnapshotGone},
-		"fetch before":      {rpcRequest(MethodFetch, `{"from":"x","offset":-9}`), CodeSnapshotGone},
-		"health of unknown": {rpcRequest(MethodHealth, `{"from":"x","items":[{"kind":"root","id":"a","stamp":1,"until":2,"origin":"o"}]}`), jsonrpc2.CodeInvalidParams},
-		"hold garbage":      {rpcRequest(MethodHold, `{"from":"x","batch":"AAAA"}`), jsonrpc2.CodeInvalidParams},
-		"hold a manifest":   {rpcRequest(MethodHold, holdParams(t, manifest)), jsonrpc2.CodeInvalidParams},
-		"hold a release":    {rpcRequest(MethodHold, holdParams(t, release)), jsonrpc2.CodeInvalidParams},
-		"hold two":          {rpcRequest(MethodHold, holdParams(t, testBill(1), testBill(2))), jsonrpc2.CodeInvalidParams},
-		"hold a large one":  {rpcRequest(MethodHold, holdParams(t, large)), jsonrpc2.CodeInvalidParams},
-		"hold no bill":      {rpcRequest(MethodHold, holdParams(t, junk)), jsonrpc2.CodeInvalidParams},
-		"hold another's":    {rpcRequest(MethodHold, holdParams(t, moved)), jsonrpc2.CodeInvalidParams},
-		"hold a long value": {rpcRequest(MethodHold, holdParams(t, long)), jsonrpc2.CodeInvalidParams},
+		"not JSON":                    {frame("hello"), jsonrpc2.CodeParseError},
+		"not an object":               {frame(`[]`), jsonrpc2.CodeParseError},
+		"too long":                    {binary.AppendUvarint(nil, maxMessageBytes+1), jsonrpc2.CodeInvalidRequest},
+		"unknown method":              {rpcRequest("state.erase", "{}"), jsonrpc2.CodeMethodNotFound},
+		"parameters missing":          {frame(`{"jsonrpc":"2.0","id":1,"method":"bill.hold"}`), jsonrpc2.CodeInvalidParams},
+		"null parameters":             {rpcRequest(MethodVouch, "null"), jsonrpc2.CodeInvalidParams},
+		"wrong type":                  {rpcRequest(MethodDigest, `{"from":"x","next":"y"}`), jsonrpc2.CodeInvalidParams},
+		"negative offset":             {rpcRequest(MethodDigest, `{"from":"x","next":-1}`), jsonrpc2.CodeInvalidParams},
+		"unknown key":                 {rpcRequest(MethodVouch, `{"from":"x","root":1}`), jsonrpc2.CodeInvalidParams},
+		"sender missing":              {rpcRequest(MethodVouch, `{}`), jsonrpc2.CodeInvalidParams},
+		"sender too long":             {rpcRequest(MethodVouch, `{"from":"`+strings.Repeat("x", maxNameBytes+1)+`"}`), jsonrpc2.CodeInvalidParams},
+		"fetch beyond the end":        {rpcRequest(MethodFetch, `{"from":"x","offset":9}`), CodeSnapshotGone},
+		"fetch at a negative offset":  {rpcRequest(MethodFetch, `{"from":"x","offset":-9}`), CodeSnapshotGone},
+		"unknown health kind":         {rpcRequest(MethodHealth, `{"from":"x","items":[{"kind":"root","id":"a","stamp":1,"until":2,"origin":"o"}]}`), jsonrpc2.CodeInvalidParams},
+		"malformed batch":             {rpcRequest(MethodHold, `{"from":"x","batch":"AAAA"}`), jsonrpc2.CodeInvalidParams},
+		"manifest in place of a bill": {rpcRequest(MethodHold, holdParams(t, manifest)), jsonrpc2.CodeInvalidParams},
+		"release in place of a bill":  {rpcRequest(MethodHold, holdParams(t, release)), jsonrpc2.CodeInvalidParams},
+		"two records":                 {rpcRequest(MethodHold, holdParams(t, testBill(1), testBill(2))), jsonrpc2.CodeInvalidParams},
+		"batch too long":              {rpcRequest(MethodHold, holdParams(t, longBatch)), jsonrpc2.CodeInvalidParams},
+		"value is not a bill":         {rpcRequest(MethodHold, holdParams(t, notABill)), jsonrpc2.CodeInvalidParams},
+		"key of another bill":         {rpcRequest(MethodHold, holdParams(t, keyOfAnother)), jsonrpc2.CodeInvalidParams},
+		"value too long":              {rpcRequest(MethodHold, holdParams(t, longValue)), jsonrpc2.CodeInvalidParams},
 	} {
-		answer := sendRaw(t, i.self.Peer, c.raw)
+		answer := sendRaw(t, inst.self.Peer, c.raw)
 		if !strings.Contains(answer, fmt.Sprintf(`"code":%d`, c.code)) {
 			t.Errorf("%s: got %s, want code %d", name, answer, c.code)
 		}
-		assertUnchanged(t, i, name)
+		assertUnchanged(t, inst, name)
 	}
-	if answer := sendRaw(t, i.self.Peer, rpcRequest(MethodVouch, `{"from":"x"}`)); !strings.Contains(answer, `"result"`) {
-		t.Errorf("a good message afterwards got %s", answer)
+	if answer := sendRaw(t, inst.self.Peer, rpcRequest(MethodVouch, `{"from":"x"}`)); !strings.Contains(answer, `"result"`) {
+		t.Errorf("a valid request afterwards: got %s", answer)
 	}
 }
 
-// A peer must neither send requests over a connection that was opened to it,
-// nor answer with more than a message may contain.
-func TestHostileAnswersEndTheConnection(t *testing.T) {
+// TestInvalidAnswersAreRejected checks that an invalid answer, or a request on
+// a connection that this instance opened, counts as no answer and changes
+// nothing.
+func TestInvalidAnswersAreRejected(t *testing.T) {
 	for name, reply := range map[string][]byte{
-		"garbage":   frame("garbage"),
-		"too long":  binary.AppendUvarint(nil, 1<<40),
-		"asks back": rpcRequest(MethodHold, holdParams(t, testBill(1))),
-		"no object": frame(`{"jsonrpc":"2.0","id":0,"result":7}`),
+		"not JSON":                     frame("garbage"),
+		"too long":                     binary.AppendUvarint(nil, 1<<40),
+		"request instead of an answer": rpcRequest(MethodHold, holdParams(t, testBill(1))),
+		"result is not an object":      frame(`{"jsonrpc":"2.0","id":0,"result":7}`),
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -140,13 +144,13 @@
 			_, _ = conn.Write(reply)
 			_ = jsonrpc2.VarintObjectCodec{}.ReadObject(r, &m) // until the instance closes the connection or rejects the request
 		}()
-		i := newFleet(t, 2, nil)[0]
-		peer := i.self
+		inst := newFleet(t, 2, nil)[0]
+		peer := inst.self
 		peer.ID, peer.Peer = "evil", ln.Addr().String()
-		if a := i.query(context.Background(), peer, MethodDigest); a.ok {
+		if a := inst.query(context.Background(), peer, MethodDigest); a.ok {
 			t.Errorf("%s: accepted as an answer", name)
 		}
-		assertUnchanged(t, i, name)
+		assertUnchanged(t, inst, name)
 		_ = ln.Close()
 		<-done
 	}
@@ -163,13 +167,13 @@
 	f.Add(MethodHold, []byte(holdParams(f, testBill(1))))
 	f.Fuzz(func(t *testing.T, method string, params []byte) {
 		store := &fakeStore{snapshot: []byte("good")}
-		one := &testInstance{store: store}
+		inst := &testInstance{store: store}
 		n := New(Config{}, Deps{Store: store, Events: discardEvents{}})
 		raw := json.RawMessage(params)
 		_, err := n.handle(context.Background(), nil, &jsonrpc2.Request{Method: method, Params: &raw})
-		one.Node = n
+		inst.Node = n
 		if err != nil {
-			assertUnchanged(t, one, method)
+			assertUnchanged(t, inst, method)
 		}
 		for _, r := range n.heldBills.Bills() {
 			if r.Key.Class() != record.ClassBill {
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -56,7 +56,7 @@
 // Deps are the dependencies of a Node.
 type Deps struct {
 	Store node.Store
-	// Bills takes the bills that were held; nil for the Store's log.
+	// Bills is the log that held bills are written to; nil for the Store's log.
 	Bills ledger.BillLog
 	// Instances returns the platform's list; it may include this instance.
 	Instances func() []wire.ListedInstance
@@ -84,10 +84,10 @@
 	healthItems *healthSet
 	heldBills   *ledger.Buffer
 	snapshots   *snapshotCache
-	// rejectionLogs and divergenceLogs limit log lines that others can cause,
+	// rejectionLogLimit and divergenceLogLimit limit log lines that others can cause,
 	// or that a lasting condition would repeat in each round.
-	rejectionLogs  *rate.Limiter
-	divergenceLogs *rate.Limiter
+	rejectionLogLimit  *rate.Limiter
+	divergenceLogLimit *rate.Limiter
 	// pushRequested wakes Run to send new items at once, roundRequested to
 	// start a round before the interval has passed; earlyRoundLimit limits the
 	// rounds that others can cause.
@@ -102,11 +102,11 @@
 	mu sync.Mutex
 	// pendingItems are the health items for the next push.
 	pendingItems []HealthItem
-	// manifestPending says that the peers have not been notified yet of a
-	// manifest that won.
+	// manifestPending is true if a manifest won and the next push must announce
+	// it.
 	manifestPending bool
-	// roundPeers are the peers of the last round; answered says which ones
-	// answered.
+	// roundPeers are the peers of the last round; answered is true for the IDs
+	// of those that answered.
 	roundPeers []wire.ListedInstance
 	answered   map[string]bool
 	// outageCursor is the position in the list up to which outagePeers has
@@ -132,20 +132,20 @@
 	in := gometrics.GetOrRegisterCounter("peer.bytes_in", deps.Registry)
 	out := gometrics.GetOrRegisterCounter("peer.bytes_out", deps.Registry)
 	n := &Node{
-		Deps:            deps,
-		self:            cfg.Self,
-		store:           deps.Store,
-		interval:        cfg.Interval,
-		timeouts:        cfg.Timeouts,
-		pool:            newConnPool(cfg, in, out),
-		healthItems:     newHealthSet(),
-		snapshots:       &snapshotCache{store: deps.Store},
-		rejectionLogs:   rate.NewLimiter(rate.Every(time.Second), 1),
-		divergenceLogs:  rate.NewLimiter(rate.Every(time.Minute), 1),
-		pushRequested:   make(chan struct{}, 1),
-		roundRequested:  make(chan struct{}, 1),
-		earlyRoundLimit: rate.NewLimiter(rate.Every(time.Second), 1),
-		answered:        map[string]bool{},
+		Deps:               deps,
+		self:               cfg.Self,
+		store:              deps.Store,
+		interval:           cfg.Interval,
+		timeouts:           cfg.Timeouts,
+		pool:               newConnPool(cfg, in, out),
+		healthItems:        newHealthSet(),
+		snapshots:          &snapshotCache{store: deps.Store},
+		rejectionLogLimit:  rate.NewLimiter(rate.Every(time.Second), 1),
+		divergenceLogLimit: rate.NewLimiter(rate.Every(time.Minute), 1),
+		pushRequested:      make(chan struct{}, 1),
+		roundRequested:     make(chan struct{}, 1),
+		earlyRoundLimit:    rate.NewLimiter(rate.Every(time.Second), 1),
+		answered:           map[string]bool{},
 	}
 	n.heldBills = newBillBuffer(deps.Bills.Put, n.sendCopy)
 	n.server = &server{
@@ -201,8 +201,7 @@
 }
 
 // runIfIdle runs f concurrently with the rounds, and only once at a time. A
-// slow transfer must not delay the rounds, by which the instance learns that it
-// is fresh.
+// slow transfer must not delay the rounds, which keep the instance fresh.
 func (n *Node) runIfIdle(busy *atomic.Bool, f func()) {
 	if !busy.CompareAndSwap(false, true) {
 		return
@@ -253,17 +252,18 @@
 	}
 }
 
-// recordRejection counts and logs input from outside that was not accepted. Log
-// lines are rate limited, since anyone who can connect could cause them.
+// recordRejection counts and logs a rejected message, connection, item or
+// state. Log lines are rate limited, since anyone who can connect could cause
+// them.
 func (n *Node) recordRejection(err error) {
 	gometrics.GetOrRegisterCounter("peer.rejected", n.Registry).Inc(1)
-	if n.rejectionLogs.Allow() {
+	if n.rejectionLogLimit.Allow() {
 		n.Log.Emit(context.Background(), logging.EventPeerRejected, logging.Err(err))
 	}
 }
 
-// HeldBills is the number of bills that wait here for the log, own and other
-// instances'.
+// HeldBills returns the number of bills that wait here for the log, own and
+// other instances'.
 func (n *Node) HeldBills() int { return n.heldBills.Len() }
 
 // HeldBillsFull reports whether no more bills can be held, so that new work
--- a/router/internal/peer/tls_test.go
+++ b/router/internal/peer/tls_test.go
@@ -95,16 +95,21 @@
 	return cfg
 }
 
-func TestPeersWithCertificatesOfOneAuthorityTalk(t *testing.T) {
+// TestInstancesExchangeReportsOverTLS checks that instances with certificates
+// of one authority accept each other.
+func TestInstancesExchangeReportsOverTLS(t *testing.T) {
 	ca := newAuthority(t)
-	f := newFleet(t, 3, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })
-	f[0].runRound()
-	if len(f[0].vouches) != 2 {
-		t.Errorf("%d reports over TLS, want 2", len(f[0].vouches))
+	fleet := newFleet(t, 3, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })
+	fleet[0].runRound()
+	if len(fleet[0].vouches) != 2 {
+		t.Errorf("%d reports over TLS, want 2", len(fleet[0].vouches))
 	}
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+// TestUntrustedConnectionsAreRejected checks that a client without a
+// certificate of the server's authority gets no answer and changes nothing, and
+// that a client rejects a server whose certificate is for another IP.
+func TestUntrustedConnectionsAreRejected(t *testing.T) {
 	ca, other := newAuthority(t), newAuthority(t)
 	server := newFleet(t, 1, func(int) *tls.Config { return ca.config(t, "127.0.0.1") })[0]
 	// A client with the server's authority but no certificate of its own.
@@ -133,7 +138,9 @@
 	}
 }
 
-func TestTLSConfigNamesWhatIsWrong(t *testing.T) {
+// TestTLSConfigRejectsBadFiles checks that a missing or invalid file is an
+// error, and that settings without files mean plaintext.
+func TestTLSConfigRejectsBadFiles(t *testing.T) {
 	good := newAuthority(t).settings(t, "127.0.0.1")
 	if cfg, err := TLSConfig(settings.Peer{}); cfg != nil || err != nil {
 		t.Errorf("no files: got %v, %v", cfg, err)
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -10,8 +10,8 @@
 	"masticplank.example/decision/passthrough"
 )
 
-func loadRow(key uint32, requests int, reading time.Duration) passthrough.PeerLoad {
-	return passthrough.PeerLoad{Key: key, Requests: requests, PrefillTime: reading}
+func loadRow(key uint32, requests int, prefill time.Duration) passthrough.PeerLoad {
+	return passthrough.PeerLoad{Key: key, Requests: requests, PrefillTime: prefill}
 }
 
 func TestLoadsArePackedAndUnpacked(t *testing.T) {
@@ -33,8 +33,8 @@
 func FuzzUnpackLoads(f *testing.F) {
 	f.Add(packLoads([]passthrough.PeerLoad{loadRow(7, 300, time.Second)}))
 	f.Add([]byte{1, 2, 3, 4, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		rows, err := unpackLoads(text)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		rows, err := unpackLoads(data)
 		if err != nil {
 			return
 		}
@@ -97,9 +97,10 @@
 	return out
 }
 
-// TestAllLearnWhatAllHave checks with two failure domains of two instances that each instance
-// learns the sum of the others, in its own failure domain and beyond, and never counts itself.
-func TestAllLearnWhatAllHave(t *testing.T) {
+// TestLoadsReachAllInstances checks with two failure domains of two instances each that every
+// instance gets the sum of the others' loads, from its own failure domain and the other one, and
+// never counts its own.
+func TestLoadsReachAllInstances(t *testing.T) {
 	names := []string{"a1", "a2", "b1", "b2"}
 	nodes := startExchanges(t, names...)
 	for i, name := range names {
@@ -122,9 +123,9 @@
 	}
 }
 
-// TestLoadsOfThoseThatAreGoneAreForgotten checks that the load of an instance that stopped
+// TestReportsExpire checks that the load of an instance that stopped
 // reporting expires, and that an unreadable report is rejected.
-func TestLoadsOfThoseThatAreGoneAreForgotten(t *testing.T) {
+func TestReportsExpire(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "a1", Domain: "a", Address: "x:1"}, 1, func() time.Time { return now })
 	l := NewLoadExchange(NewClient(members, func() time.Time { return now }), func() Report { return Report{Instances: 1} }, func(Report) {})
@@ -205,8 +206,8 @@
 func FuzzUnpackLimits(f *testing.F) {
 	f.Add(packLimits([]passthrough.PeerLimit{{Key: 7, Limit: passthrough.RateLimit{Limited: true, PerSecond: 2}, Age: time.Second}}))
 	f.Add([]byte{1, 2, 3, 4, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		rows, err := unpackLimits(text)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		rows, err := unpackLimits(data)
 		if err != nil {
 			return
 		}
--- a/router/internal/relay/pack_test.go
+++ b/router/internal/relay/pack_test.go
@@ -24,6 +24,8 @@
 	return out
 }
 
+// TestPackedRecordsAreTheSame checks that records are the same after packing and unpacking, and
+// that many of them are packed.
 func TestPackedRecordsAreTheSame(t *testing.T) {
 	for _, n := range []int{0, 1, minPackedRecords, 3000} {
 		var a answer
@@ -60,7 +62,8 @@
 	}
 }
 
-func TestSpoiltPackIsAnError(t *testing.T) {
+// TestDamagedPackIsRejected checks that truncated or invalid packed records are an error.
+func TestDamagedPackIsRejected(t *testing.T) {
 	packed, err := pack(serverEntries(40))
 	if err != nil {
 		t.Fatal(err)
@@ -73,9 +76,9 @@
 	}
 }
 
-// TestManyAskersShareOneSnapshot checks that a snapshot is packed once for instances that start
+// TestSnapshotIsPackedOnceForManyRequests checks that a snapshot is packed once for instances that start
 // together, states its true age, and is renewed after its TTL.
-func TestManyAskersShareOneSnapshot(t *testing.T) {
+func TestSnapshotIsPackedOnceForManyRequests(t *testing.T) {
 	now := time.Unix(100, 0)
 	c := NewCache(func() time.Time { return now }, nil)
 	c.Replace(keyedlog.Snapshot{Records: serverEntries(100), Next: keyedlog.AtOffset(100)}, now)
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -8,7 +8,9 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-func TestFollowersReadByTheCollector(t *testing.T) {
+// TestFollowersReadFromCollector checks that followers read snapshots and new records from their
+// collector, and only the collector reads the store.
+func TestFollowersReadFromCollector(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 3, time.Minute)
@@ -51,22 +53,26 @@
 	}
 }
 
-func TestFollowersRecordsAreHandedOver(t *testing.T) {
+// TestUnconditionalAppendsGoToCollector checks that a follower sends unconditional appends to its
+// collector, and conditional ones to the store.
+func TestUnconditionalAppendsGoToCollector(t *testing.T) {
 	st := &fakeStore{}
 	all := startInstances(t, st, 2, time.Minute)
 	all[0].newest(t)
 	if err := all[1].log.Append(t.Context(), keyedlog.AnyPosition, keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil {
 		t.Fatal(err)
 	}
-	if len(all[0].taken) != 1 || len(st.records) != 0 {
-		t.Errorf("the collector took %v", all[0].taken)
+	if len(all[0].appended) != 1 || len(st.records) != 0 {
+		t.Errorf("the collector took %v", all[0].appended)
 	}
 	if err := all[1].log.Append(t.Context(), keyedlog.AtOffset(0), keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil || len(st.records) != 1 {
 		t.Errorf("an append with a condition did not go to the store: %v", err)
 	}
 }
 
-func TestCache(t *testing.T) {
+// TestCacheReads checks which reads a cache answers: it rejects positions before its first record
+// or after its end, leaves out equivalent records, and states the age of its state.
+func TestCacheReads(t *testing.T) {
 	now := time.Unix(100, 0)
 	same := func(a, b keyedlog.Record) bool { return string(a.Value) == string(b.Value) }
 	c := NewCache(func() time.Time { return now }, same)
@@ -97,9 +103,9 @@
 	}
 }
 
-// TestQuestionsWaitForACollectorThatIsAboutToKnow checks that instances that start together read
-// the store once.
-func TestQuestionsWaitForACollectorThatIsAboutToKnow(t *testing.T) {
+// TestRequestsWaitForFirstRead checks that instances that start together read the store once, since
+// the collector lets requests wait for its first read.
+func TestRequestsWaitForFirstRead(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 3, time.Minute)
@@ -123,9 +129,9 @@
 	}
 }
 
-// TestNewestRecordsMayTakeLong checks that a snapshot which takes longer in transit than a usual
+// TestSlowSnapshotComesFromCollector checks that a snapshot which takes longer in transit than a usual
 // call still comes from the collector.
-func TestNewestRecordsMayTakeLong(t *testing.T) {
+func TestSlowSnapshotComesFromCollector(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Minute)
@@ -138,9 +144,10 @@
 	}
 }
 
-// TestOneReadsHeartbeatsForAllDomains checks that collectors of other failure domains read a
-// CrossDomain topic from the first of all, and from the store if that one gives no answer.
-func TestOneReadsHeartbeatsForAllDomains(t *testing.T) {
+// TestCrossDomainTopicIsReadFromFirstCollector checks that collectors of other failure domains read
+// a CrossDomain topic from the first-ranked collector, and from the store if that one gives no
+// answer.
+func TestCrossDomainTopicIsReadFromFirstCollector(t *testing.T) {
 	st := &fakeStore{}
 	st.put("a", "1")
 	all := startInstances(t, st, 1, time.Minute)
--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -18,13 +18,14 @@
 type Server struct {
 	now    func() time.Time
 	caches map[string]*Cache
-	// appendRecords takes followers' records.
+	// appendRecords appends records received from followers.
 	appendRecords func(topic string, records []keyedlog.Record) error
 	// fleetSize returns the number of instances.
 	fleetSize func() int
 	// LoadExchange handles load reports; nil to reject them.
 	LoadExchange *LoadExchange
-	lastRequest  atomic.Int64
+	// lastRequest is the time of the last request, in Unix nanoseconds; 0 for none.
+	lastRequest atomic.Int64
 
 	mu    sync.Mutex
 	conns map[*jsonrpc2.Conn]bool
@@ -92,7 +93,7 @@
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) (any, error) {
 	start := s.now()
 	s.lastRequest.Store(start.UnixNano())
-	out, err := s.answer(ctx, req)
+	out, err := s.dispatch(ctx, req)
 	if err != nil {
 		return nil, toRPCError(err)
 	}
@@ -104,7 +105,7 @@
 // maxWait bounds how long a request is kept waiting.
 const maxWait = 10 * time.Second
 
-func (s *Server) answer(ctx context.Context, req *jsonrpc2.Request) (answer, error) {
+func (s *Server) dispatch(ctx context.Context, req *jsonrpc2.Request) (answer, error) {
 	switch req.Method {
 	case methodRead:
 		var p readParams
@@ -171,12 +172,12 @@
 	return nil
 }
 
-// toRPCError converts the log's errors to error codes.
+// toRPCError converts an error to a JSON-RPC error; an unknown one becomes codeNotApplied.
 func toRPCError(err error) error {
-	var known *jsonrpc2.Error
+	var rpcErr *jsonrpc2.Error
 	switch {
-	case errors.As(err, &known):
-		return known
+	case errors.As(err, &rpcErr):
+		return rpcErr
 	case errors.Is(err, keyedlog.ErrTrimmed):
 		return &jsonrpc2.Error{Code: codeTrimmed, Message: err.Error()}
 	}
