--- a/router/internal/relay/fixture_test.go
+++ b/router/internal/relay/fixture_test.go
@@ -90,11 +90,12 @@
 
 // testInstance has a collector's server and a follower's log.
 type testInstance struct {
-	members   *Members
-	client    *Client
-	cache     *Cache
-	log       *Log
-	stop      context.CancelFunc
+	members *Members
+	client  *Client
+	cache   *Cache
+	log     *Log
+	// stop stops the server, and returns after it has closed its listener and all connections.
+	stop      func()
 	appended  []keyedlog.Record
 	fleetSize int
 }
@@ -126,15 +127,51 @@
 			in.appended = append(in.appended, r...)
 			return nil
 		}, func() int { return in.fleetSize })
-		ctx, stop := context.WithCancel(context.Background())
-		in.stop = stop
-		go srv.Serve(ctx, listeners[i])
-		t.Cleanup(func() { stop(); in.client.Close() })
+		ctx, cancel := context.WithCancel(context.Background())
+		served := make(chan struct{})
+		go func() {
+			defer close(served)
+			srv.Serve(ctx, listeners[i])
+		}()
+		in.stop = func() {
+			t.Helper()
+			cancel()
+			waitUntilStopped(t, srv, served)
+		}
+		t.Cleanup(in.client.Close)
+		t.Cleanup(in.stop) // runs first
 		all = append(all, in)
 	}
 	return all
 }
 
+// maxStopTime bounds how long a server may take to stop.
+const maxStopTime = 10 * time.Second
+
+// waitUntilStopped waits until a server whose context has ended gives no more answers: Serve has
+// returned, which closes served, and all connections are closed.
+func waitUntilStopped(t *testing.T, srv *Server, served <-chan struct{}) {
+	t.Helper()
+	deadline := time.Now().Add(maxStopTime)
+	select {
+	case <-served: // no connection is added any more
+	case <-time.After(maxStopTime):
+		t.Fatalf("Serve has not returned %v after the stop", maxStopTime)
+	}
+	for {
+		srv.mu.Lock()
+		open := len(srv.conns)
+		srv.mu.Unlock()
+		if open == 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("%d connections are open %v after the stop", open, maxStopTime)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
 func (in *testInstance) newest(t *testing.T) keyedlog.Snapshot {
 	t.Helper()
 	s, err := in.log.Newest(t.Context())
