--- a/coordination/fold/bench_test.go
+++ b/coordination/fold/bench_test.go
@@ -25,27 +25,27 @@
 	return &workload{n: n, lifetime: 10 * time.Hour}
 }
 
-func (f *workload) batch() (time.Time, record.Batch) {
+func (w *workload) batch() (time.Time, record.Batch) {
 	b := record.Batch{Writer: "instance-1"}
 	for range recordsPerBatch {
 		r := record.Record{
 			Kind:     record.KindPut,
-			Key:      record.Key(fmt.Sprintf("session/team-%02d/018f9c1e-7b2a-7c3d-9e4f-%012d", f.next%10, f.next)),
+			Key:      record.Key(fmt.Sprintf("session/team-%02d/018f9c1e-7b2a-7c3d-9e4f-%012d", w.next%10, w.next)),
 			Value:    []byte("model-a@2026-11"),
-			Lifetime: f.lifetime,
+			Lifetime: w.lifetime,
 		}
-		r.Nonce = record.Nonce{1, byte(f.next), byte(f.next >> 8), byte(f.next >> 16), byte(f.next >> 24)}
+		r.Nonce = record.Nonce{1, byte(w.next), byte(w.next >> 8), byte(w.next >> 16), byte(w.next >> 24)}
 		b.Records = append(b.Records, r)
-		f.next++
+		w.next++
 	}
-	at := start.Add(time.Duration(float64(f.lifetime) / float64(f.n) * float64(f.next)))
+	at := start.Add(time.Duration(float64(w.lifetime) / float64(w.n) * float64(w.next)))
 	return at, b
 }
 
-func fill(b *testing.B, f *workload) *State {
+func fill(b *testing.B, w *workload) *State {
 	s := New(DefaultConfig(), Options{})
-	for f.next < f.n {
-		at, batch := f.batch()
+	for w.next < w.n {
+		at, batch := w.batch()
 		if _, err := s.ApplyBatch(s.next, at, &batch, nil); err != nil {
 			b.Fatal(err)
 		}
@@ -77,8 +77,8 @@
 
 func benchFold(b *testing.B, n int, decode bool) {
 	before := heapInUse()
-	f := newWorkload(n)
-	s := fill(b, f)
+	w := newWorkload(n)
+	s := fill(b, w)
 	perKey := float64(heapInUse()-before) / float64(n)
 	const chunk = 1000
 	var out []Change
@@ -88,7 +88,7 @@
 	for done := 0; done < b.N; {
 		b.StopTimer()
 		for i := range chunk {
-			entries[i].Time, batches[i] = f.batch()
+			entries[i].Time, batches[i] = w.batch()
 			if decode {
 				entries[i].Data, _ = record.Encode(batches[i])
 			}
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -187,11 +187,11 @@
 	if t.recent(now, t.failedAt) && t.failedAt.After(t.readAt) {
 		unreachable++
 	}
-	for _, answer := range t.vouches {
-		if !t.recent(now, answer.askedAt) {
+	for _, received := range t.vouches {
+		if !t.recent(now, received.askedAt) {
 			continue
 		}
-		if answer.vouch.LogReachable || answer.vouch.Head > t.folded {
+		if received.vouch.LogReachable || received.vouch.Head > t.folded {
 			return unreachable, true
 		}
 		unreachable++
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -210,66 +210,66 @@
 	lastOrder time.Time
 }
 
-// pendingPut is a Put that is appended to the log at landsAt.
+// pendingPut is a Put that is appended to the log at appendsAt.
 type pendingPut struct {
-	sentAt  time.Time
-	landsAt time.Time
-	term    term
+	sentAt    time.Time
+	appendsAt time.Time
+	term      term
 }
 
 // step lets one contender act: read part of the log, acquire or renew, or send
 // an order that arrives up to MaxPause after its check.
-func (w *simulation) step(t *testing.T) {
-	w.now = w.now.Add(time.Duration(w.rng.IntN(1500)) * time.Millisecond)
-	i := w.rng.IntN(len(w.contenders))
-	c := w.contenders[i]
-	for _, p := range w.contenders {
-		w.land(p)
+func (sim *simulation) step(t *testing.T) {
+	sim.now = sim.now.Add(time.Duration(sim.rng.IntN(1500)) * time.Millisecond)
+	i := sim.rng.IntN(len(sim.contenders))
+	c := sim.contenders[i]
+	for _, p := range sim.contenders {
+		sim.appendDue(p)
 	}
-	for c.read < len(w.terms) && w.rng.IntN(4) > 0 {
-		c.readNext(w)
+	for c.read < len(sim.terms) && sim.rng.IntN(4) > 0 {
+		c.readNext(sim)
 	}
-	if c.pending == nil && c.state.mayAcquire(w.now) && w.rng.IntN(2) == 0 {
-		late := time.Duration(w.rng.IntN(3000)) * time.Millisecond
+	if c.pending == nil && c.state.mayAcquire(sim.now) && sim.rng.IntN(2) == 0 {
+		late := time.Duration(sim.rng.IntN(3000)) * time.Millisecond
 		next := term{number: c.state.current.number + 1, holder: c.state.cfg.Holder, duration: c.state.cfg.Duration}
-		c.pending = &pendingPut{sentAt: w.now, landsAt: w.now.Add(late), term: next}
+		c.pending = &pendingPut{sentAt: sim.now, appendsAt: sim.now.Add(late), term: next}
 	}
-	if _, result := c.state.check(w.now, FencingIgnored); result != Allowed {
+	if _, result := c.state.check(sim.now, FencingIgnored); result != Allowed {
 		return
 	}
-	for j, other := range w.contenders {
-		if j != i && !w.now.After(other.lastOrder) {
-			t.Fatalf("contender %d may send an order at %v, while an order of %d may arrive until %v", i, w.now, j, other.lastOrder)
+	for j, other := range sim.contenders {
+		if j != i && !sim.now.After(other.lastOrder) {
+			t.Fatalf("contender %d may send an order at %v, while an order of %d may arrive until %v", i, sim.now, j, other.lastOrder)
 		}
 	}
-	c.lastOrder = w.now.Add(c.state.cfg.MaxPause)
+	c.lastOrder = sim.now.Add(c.state.cfg.MaxPause)
 }
 
 // land appends a pending Put once its time has come, unless its term is taken.
-func (w *simulation) land(c *contender) {
+func (sim *simulation) appendDue(c *contender) {
 	p := c.pending
-	if p == nil || p.term.offset != 0 || w.now.Before(p.landsAt) {
+	if p == nil || p.term.offset != 0 || sim.now.Before(p.appendsAt) {
 		return
 	}
-	for _, have := range w.terms {
+	for _, have := range sim.terms {
 		if have.number == p.term.number {
 			c.pending = nil
 			return
 		}
 	}
-	p.term.offset = uint64(len(w.terms) + 1)
-	w.terms = append(w.terms, p.term)
+	p.term.offset = uint64(len(sim.terms) + 1)
+	sim.terms = append(sim.terms, p.term)
 }
 
-func (c *contender) readNext(w *simulation) {
-	next := w.terms[c.read]
+func (c *contender) readNext(sim *simulation) {
+	next := sim.terms[c.read]
 	c.read++
 	var sent time.Time
 	if p := c.pending; p != nil && p.term.offset == next.offset {
 		sent = p.sentAt
 		c.pending = nil
 	}
-	c.state.observeTerm(w.now, next, sent)
+	c.state.observeTerm(sim.now, next, sent)
 }
 
 // A backend server that ignores fencing numbers must never get interleaved
@@ -278,15 +278,15 @@
 func TestOneOrderAtATime(t *testing.T) {
 	orders := 0
 	for seed := range uint64(300) {
-		w := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(1_800_000_000, 0)}
+		sim := &simulation{rng: rand.New(rand.NewPCG(seed, 9)), now: time.Unix(1_800_000_000, 0)}
 		for i := range 3 {
 			cfg := Config{Name: "x", Holder: fmt.Sprint(i)}.withDefaults()
-			w.contenders = append(w.contenders, &contender{state: state{cfg: cfg}})
+			sim.contenders = append(sim.contenders, &contender{state: state{cfg: cfg}})
 		}
 		for range 400 {
-			w.step(t)
+			sim.step(t)
 		}
-		for _, c := range w.contenders {
+		for _, c := range sim.contenders {
 			if !c.lastOrder.IsZero() {
 				orders++
 			}
--- a/coordination/node/doubt.go
+++ b/coordination/node/doubt.go
@@ -32,8 +32,8 @@
 // log's head for those that are due, and sends those again that the tail has
 // passed.
 func (a *appender) resolveInDoubt(ctx context.Context) {
-	if orphans := a.node.proposals.takeSkipped(); len(orphans) > 0 {
-		a.inDoubt = append(a.inDoubt, inDoubtGroup{group: group{puts: orphans}, due: time.Now()})
+	if skipped := a.node.proposals.takeSkipped(); len(skipped) > 0 {
+		a.inDoubt = append(a.inDoubt, inDoubtGroup{group: group{puts: skipped}, due: time.Now()})
 	}
 	now := time.Now()
 	a.inDoubt = slices.DeleteFunc(a.inDoubt, func(d inDoubtGroup) bool { return !a.node.proposals.unresolved(&d.group) })
@@ -63,8 +63,8 @@
 
 // recheckDelay is the time until the next check: short while the tail catches
 // up with a known head, and the backoff while the log can't be read.
-func (a *appender) recheckDelay(asked bool) time.Duration {
-	if asked {
+func (a *appender) recheckDelay(headKnown bool) time.Duration {
+	if headKnown {
 		return a.node.cfg.Linger
 	}
 	return a.backoff.next()
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -23,31 +23,31 @@
 	log *logtest.Log
 }
 
-func inBubble(t *testing.T, f func(t *testing.T, fl *testCluster)) {
+func inBubble(t *testing.T, f func(t *testing.T, cluster *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		f(t, &testCluster{t, logtest.New()})
 	})
 }
 
-func (fl *testCluster) node(name string, opts ...Option) *Node {
-	fl.t.Helper()
+func (cluster *testCluster) node(name string, opts ...Option) *Node {
+	cluster.t.Helper()
 	opts = append([]Option{WithSeed(uint64(len(name)) + uint64(name[0]))}, opts...)
-	n, err := New(fl.log.Client(name), Config{Name: name}, opts...)
+	n, err := New(cluster.log.Client(name), Config{Name: name}, opts...)
 	if err != nil {
-		fl.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	if err := n.Start(fl.t.Context()); err != nil {
-		fl.t.Fatal(err)
+	if err := n.Start(cluster.t.Context()); err != nil {
+		cluster.t.Fatal(err)
 	}
-	fl.t.Cleanup(func() { fl.stop(n) })
+	cluster.t.Cleanup(func() { cluster.stop(n) })
 	return n
 }
 
-func (fl *testCluster) stop(n *Node) {
+func (cluster *testCluster) stop(n *Node) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if err := n.Stop(ctx); err != nil {
-		fl.t.Error(err)
+		cluster.t.Error(err)
 	}
 }
 
@@ -61,21 +61,21 @@
 	return ctx
 }
 
-func (fl *testCluster) mustPut(n *Node, r record.Record, want Outcome) Result {
-	fl.t.Helper()
-	res := n.Put(within(fl.t, 10*time.Second), r)
+func (cluster *testCluster) mustPut(n *Node, r record.Record, want Outcome) Result {
+	cluster.t.Helper()
+	res := n.Put(within(cluster.t, 10*time.Second), r)
 	if res.Outcome != want {
-		fl.t.Fatalf("%s by %s: outcome %d, want %d", r.Key, n.cfg.Name, res.Outcome, want)
+		cluster.t.Fatalf("%s by %s: outcome %d, want %d", r.Key, n.cfg.Name, res.Outcome, want)
 	}
 	return res
 }
 
 func TestOneOfTwoWins(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a, b := fl.node("a"), fl.node("b")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a, b := cluster.node("a"), cluster.node("b")
 		results := make(chan Result, 2)
 		for i, n := range []*Node{a, b} {
-			go func() { results <- n.Put(fl.t.Context(), put("session/x", byte(i+1))) }()
+			go func() { results <- n.Put(cluster.t.Context(), put("session/x", byte(i+1))) }()
 		}
 		first, second := <-results, <-results
 		if first.Outcome+second.Outcome != OutcomeWon+OutcomeLost {
@@ -108,16 +108,16 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, fl *testCluster) {
-				a, b := fl.node("a"), fl.node("b")
+			inBubble(t, func(t *testing.T, cluster *testCluster) {
+				a, b := cluster.node("a"), cluster.node("b")
 				<-a.Ready()
 				<-b.Ready()
-				tt.fault(fl.log)
-				fl.mustPut(a, put("session/x", 1), tt.want)
-				fl.log.SetDown(false)
-				fl.log.SetSlow(0)
+				tt.fault(cluster.log)
+				cluster.mustPut(a, put("session/x", 1), tt.want)
+				cluster.log.SetDown(false)
+				cluster.log.SetSlow(0)
 				time.Sleep(time.Minute)
-				fl.mustPut(b, put("session/x", 2), tt.after)
+				cluster.mustPut(b, put("session/x", 2), tt.after)
 			})
 		})
 	}
@@ -126,13 +126,13 @@
 // TestVoidIsAtOnceWhileDown guards against Puts that wait for their deadlines
 // while the log is known to be down.
 func TestVoidIsAtOnceWhileDown(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
 		<-a.Ready()
-		fl.log.SetDown(true)
+		cluster.log.SetDown(true)
 		began := time.Now()
 		for i := range 20 {
-			fl.mustPut(a, put("session/x", byte(i+1)), OutcomeVoid)
+			cluster.mustPut(a, put("session/x", byte(i+1)), OutcomeVoid)
 		}
 		if took := time.Since(began); took > 100*time.Millisecond {
 			t.Errorf("20 refusals took %v", took)
@@ -143,26 +143,26 @@
 // TestReleaseOfUnknown guards against a released Put that still wins because its
 // append takes effect after the call of Release.
 func TestReleaseOfUnknown(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a, b := fl.node("a"), fl.node("b")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a, b := cluster.node("a"), cluster.node("b")
 		<-a.Ready()
-		fl.log.SetSlow(1900 * time.Millisecond)
+		cluster.log.SetSlow(1900 * time.Millisecond)
 		res := a.Put(within(t, 100*time.Millisecond), put("session/x", 1))
 		if res.Outcome != OutcomeUnknown {
 			t.Fatalf("outcome %d", res.Outcome)
 		}
 		a.Release("session/x", record.Nonce{1})
-		fl.log.SetSlow(0)
+		cluster.log.SetSlow(0)
 		time.Sleep(10 * time.Second)
 		for _, n := range []*Node{a, b} {
 			if reg, ok := n.Lookup("session/x"); ok {
 				t.Errorf("%s has %+v", n.cfg.Name, reg)
 			}
 		}
-		if len(fl.log.Entries()) != 2 {
-			t.Errorf("%d entries, want the Put and the Release", len(fl.log.Entries()))
+		if len(cluster.log.Entries()) != 2 {
+			t.Errorf("%d entries, want the Put and the Release", len(cluster.log.Entries()))
 		}
-		fl.mustPut(b, put("session/x", 2), OutcomeWon)
+		cluster.mustPut(b, put("session/x", 2), OutcomeWon)
 		if len(a.proposals.pendingReleases) != 0 {
 			t.Error("a Release that was read back is still pending")
 		}
@@ -170,18 +170,18 @@
 }
 
 func TestReleaseHoldsLocallyAtOnce(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
-		fl.mustPut(a, put("session/x", 1), OutcomeWon)
-		fl.log.SetDown(true)
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
+		cluster.mustPut(a, put("session/x", 1), OutcomeWon)
+		cluster.log.SetDown(true)
 		a.Release("session/x", record.Nonce{1})
 		if _, ok := a.Lookup("session/x"); ok {
 			t.Error("a released register is still visible")
 		}
 		time.Sleep(time.Minute)
-		fl.log.SetDown(false)
+		cluster.log.SetDown(false)
 		time.Sleep(time.Minute)
-		b := fl.node("b")
+		b := cluster.node("b")
 		<-b.Ready()
 		if _, ok := b.Lookup("session/x"); ok {
 			t.Error("the release did not reach the log after the outage")
@@ -192,10 +192,10 @@
 // TestReleaseEndsTheWait guards against a Put that keeps waiting, or wins, after
 // a Release during its append.
 func TestReleaseEndsTheWait(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
 		<-a.Ready()
-		fl.log.SetSlow(time.Second)
+		cluster.log.SetSlow(time.Second)
 		done := make(chan Result)
 		go func() { done <- a.Put(t.Context(), put("session/x", 1)) }()
 		synctest.Wait()
@@ -242,18 +242,18 @@
 // TestBudget guards against eight instances under full load exceeding the budget
 // of appends per second, and against an idle instance delaying its first append.
 func TestBudget(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		const seconds = 10
 		var nodes []*Node
 		for i := range 8 {
-			nodes = append(nodes, fl.node(fmt.Sprintf("n%d", i)))
+			nodes = append(nodes, cluster.node(fmt.Sprintf("n%d", i)))
 		}
 		began := time.Now()
-		fl.mustPut(nodes[0], put("session/idle", 1), OutcomeWon)
+		cluster.mustPut(nodes[0], put("session/idle", 1), OutcomeWon)
 		if took := time.Since(began); took > time.Millisecond {
 			t.Errorf("the first Put of an idle writer took %v", took)
 		}
-		before := fl.log.AppendCount()
+		before := cluster.log.AppendCount()
 		var wg sync.WaitGroup
 		ctx := within(t, seconds*time.Second)
 		for i, n := range nodes {
@@ -266,7 +266,7 @@
 			}
 		}
 		wg.Wait()
-		rate := float64(fl.log.AppendCount()-before) / seconds
+		rate := float64(cluster.log.AppendCount()-before) / seconds
 		if rate > defaultAppendBudget+1 {
 			t.Errorf("%.1f appends per second, more than the budget", rate)
 		}
@@ -279,18 +279,18 @@
 // TestPlannedStopSettles guards against a planned stop that ends before a Put
 // under way was read back: the tail's poll is slow at that moment.
 func TestPlannedStopSettles(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
 		<-a.Ready()
 		synctest.Wait()
 		// The tail's second poll starts at 1 s and lasts until 1.3 s.
-		fl.log.SetSlow(300 * time.Millisecond)
+		cluster.log.SetSlow(300 * time.Millisecond)
 		time.Sleep(1050 * time.Millisecond)
-		fl.log.SetSlow(0)
+		cluster.log.SetSlow(0)
 		done := make(chan Result, 1)
 		go func() { done <- a.Put(t.Context(), put("session/x", 1)) }()
 		synctest.Wait()
-		fl.stop(a)
+		cluster.stop(a)
 		if res := <-done; res.Outcome != OutcomeWon {
 			t.Errorf("outcome %d", res.Outcome)
 		}
@@ -300,17 +300,17 @@
 // TestNoSecondCopyWhileUnread guards against a Put that is sent again before the
 // tail could have read it back: its reply is lost while the tail is slow.
 func TestNoSecondCopyWhileUnread(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
 		<-a.Ready()
 		synctest.Wait()
 		// The tail's second poll starts at 1 s and lasts until 2.8 s.
-		fl.log.SetSlow(1800 * time.Millisecond)
+		cluster.log.SetSlow(1800 * time.Millisecond)
 		time.Sleep(1050 * time.Millisecond)
-		fl.log.SetSlow(0)
-		fl.log.FailAppends(logtest.AppendReplyLost)
-		fl.mustPut(a, put("session/x", 1), OutcomeWon)
-		if n := len(fl.log.Entries()); n != 1 {
+		cluster.log.SetSlow(0)
+		cluster.log.FailAppends(logtest.AppendReplyLost)
+		cluster.mustPut(a, put("session/x", 1), OutcomeWon)
+		if n := len(cluster.log.Entries()); n != 1 {
 			t.Errorf("%d copies in the log", n)
 		}
 	})
@@ -320,11 +320,11 @@
 // that it lost: the first copy is delayed for seconds, the second one loses, and
 // the first arrives after the winner was released.
 func TestLateCopyOfALostPut(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a, b := fl.node("a"), fl.node("b")
-		fl.mustPut(b, put("session/x", 2), OutcomeWon)
-		fl.log.FailAppends(logtest.AppendDelayed)
-		fl.mustPut(a, put("session/x", 1), OutcomeLost)
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a, b := cluster.node("a"), cluster.node("b")
+		cluster.mustPut(b, put("session/x", 2), OutcomeWon)
+		cluster.log.FailAppends(logtest.AppendDelayed)
+		cluster.mustPut(a, put("session/x", 1), OutcomeLost)
 		b.Release("session/x", record.Nonce{2})
 		time.Sleep(2 * logtest.AppendDelay)
 		if reg, ok := b.Lookup("session/x"); ok {
@@ -344,15 +344,15 @@
 // not confirm the folded state or undo it, and a Put appended to it must not be
 // reported as won.
 func TestLogThatWentBack(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		var seen countingObserver
-		a := fl.node("a", WithObserver(&seen))
-		fl.mustPut(a, put("session/x", 1), OutcomeWon)
-		fl.mustPut(a, put("session/y", 1), OutcomeWon)
-		fl.log.Wipe()
+		a := cluster.node("a", WithObserver(&seen))
+		cluster.mustPut(a, put("session/x", 1), OutcomeWon)
+		cluster.mustPut(a, put("session/y", 1), OutcomeWon)
+		cluster.log.Wipe()
 		time.Sleep(2 * time.Second)
 		heads := seen.heads.Load()
-		fl.mustPut(a, put("session/x", 2), OutcomeUnknown)
+		cluster.mustPut(a, put("session/x", 2), OutcomeUnknown)
 		time.Sleep(5 * time.Second)
 		if seen.heads.Load() != heads || seen.failures.Load() == 0 {
 			t.Errorf("%d heads confirmed after the wipe, %d failed reads", seen.heads.Load()-heads, seen.failures.Load())
@@ -364,11 +364,11 @@
 }
 
 func TestStopFlushesReleases(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a, b := fl.node("a"), fl.node("b")
-		fl.mustPut(a, put("session/x", 1), OutcomeWon)
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a, b := cluster.node("a"), cluster.node("b")
+		cluster.mustPut(a, put("session/x", 1), OutcomeWon)
 		a.Release("session/x", record.Nonce{1})
-		fl.stop(a)
+		cluster.stop(a)
 		time.Sleep(time.Second)
 		if _, ok := b.Lookup("session/x"); ok {
 			t.Error("the stop dropped a queued Release")
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -16,14 +16,14 @@
 // TestStartAfterTrimming guards against a node that starts from a trimmed log
 // without a checkpoint, and so lacks the first registers.
 func TestStartAfterTrimming(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
 		var notified []record.Key
 		for i := range 5 {
-			fl.mustPut(a, put(record.Key(fmt.Sprintf("session/%d", i)), 1), OutcomeWon)
+			cluster.mustPut(a, put(record.Key(fmt.Sprintf("session/%d", i)), 1), OutcomeWon)
 		}
-		fl.log.Trim(3)
-		late := fl.node("late")
+		cluster.log.Trim(3)
+		late := cluster.node("late")
 		late.Watch("session", func(c fold.Change) { notified = append(notified, c.Register.Key) })
 		time.Sleep(time.Minute)
 		if late.isReady() || late.Digest().NextOffset != 0 {
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute)
-		fl.mustPut(a, put("session/5", 1), OutcomeWon)
+		cluster.mustPut(a, put("session/5", 1), OutcomeWon)
 		<-late.Ready()
 		synctest.Wait()
 		if late.Digest() != a.Digest() {
@@ -49,20 +49,20 @@
 // TestStaleCheckpointIsOfNoUse guards against a start from a checkpoint that does
 // not reach the oldest entry that the log keeps.
 func TestStaleCheckpointIsOfNoUse(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
-		fl.mustPut(a, put("session/0", 1), OutcomeWon)
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
+		cluster.mustPut(a, put("session/0", 1), OutcomeWon)
 		if err := a.Checkpoint(); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		fl.mustPut(a, put("session/1", 1), OutcomeWon)
+		cluster.mustPut(a, put("session/1", 1), OutcomeWon)
 		// The checkpoint is the second entry. Trimming removes it together with
 		// the third entry, which it does not cover; then it is appended again.
-		stale := fl.log.Entries()[1]
-		fl.log.Trim(3)
-		fl.log.Inject(stale.Data)
-		late := fl.node("late")
+		stale := cluster.log.Entries()[1]
+		cluster.log.Trim(3)
+		cluster.log.Inject(stale.Data)
+		late := cluster.node("late")
 		time.Sleep(time.Minute)
 		if late.isReady() {
 			t.Error("started from a checkpoint that leaves a gap before the kept entries")
@@ -85,17 +85,17 @@
 // checkpoint in it: instances must append one well before the retention has
 // passed.
 func TestCheckpointBeforeTrimming(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a, _ := fl.node("a"), fl.node("b")
-		fl.mustPut(a, put("session/x", 1), OutcomeWon)
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a, _ := cluster.node("a"), cluster.node("b")
+		cluster.mustPut(a, put("session/x", 1), OutcomeWon)
 		time.Sleep(18 * time.Hour)
-		fl.log.Trim(1)
-		late := fl.node("late")
+		cluster.log.Trim(1)
+		late := cluster.node("late")
 		<-late.Ready()
 		if _, ok := late.Lookup("session/x"); !ok {
 			t.Error("the register was lost to trimming")
 		}
-		if n := len(fl.log.Entries()); n > 3 {
+		if n := len(cluster.log.Entries()); n > 3 {
 			t.Errorf("%d checkpoints in 18 hours", n)
 		}
 	})
@@ -105,15 +105,15 @@
 // the log because every group is full, and against one that gives a different
 // state.
 func TestCheckpointUnderLoad(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
 		big := func(i int) record.Record {
 			r := put(record.Key(fmt.Sprintf("session/%d", i)), 1)
 			r.Value = make([]byte, maxBatchBytes*3/4)
 			return r
 		}
 		for i := range 4 {
-			fl.mustPut(a, big(i), OutcomeWon)
+			cluster.mustPut(a, big(i), OutcomeWon)
 		}
 		var wg sync.WaitGroup
 		ctx := within(t, 2*time.Second)
@@ -131,15 +131,15 @@
 		}
 		time.Sleep(time.Second)
 		var found fold.CheckpointAssembler
-		for _, e := range fl.log.Entries() {
+		for _, e := range cluster.log.Entries() {
 			collectParts(&found, e.Data)
 		}
 		if _, _, ok := found.Latest(); !ok {
 			t.Error("no checkpoint in the log under load")
 		}
 		wg.Wait()
-		fl.log.Trim(4)
-		late := fl.node("late")
+		cluster.log.Trim(4)
+		late := cluster.node("late")
 		<-late.Ready()
 		synctest.Wait()
 		if late.Digest() != a.Digest() {
@@ -151,18 +151,18 @@
 // TestRestoreFromALaggingPeer guards against a waiting Put that is settled from a
 // peer's older state: the key's holder in that state has released it since.
 func TestRestoreFromALaggingPeer(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		b, c := fl.node("b"), fl.node("c")
-		fl.mustPut(b, put("session/x", 2), OutcomeWon)
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		b, c := cluster.node("b"), cluster.node("c")
+		cluster.mustPut(b, put("session/x", 2), OutcomeWon)
 		synctest.Wait()
-		fl.log.SetDisconnected("c", true)
+		cluster.log.SetDisconnected("c", true)
 		b.Release("session/x", record.Nonce{2})
 		time.Sleep(time.Second)
 		// a's first read lasts until 300 ms; its append is not delayed.
-		fl.log.SetSlow(300 * time.Millisecond)
-		a := fl.node("a")
+		cluster.log.SetSlow(300 * time.Millisecond)
+		a := cluster.node("a")
 		synctest.Wait()
-		fl.log.SetSlow(0)
+		cluster.log.SetSlow(0)
 		done := make(chan Result, 1)
 		go func() { done <- a.Put(t.Context(), put("session/x", 1)) }()
 		synctest.Wait()
@@ -179,14 +179,14 @@
 // TestRestorePastTheOwnRecord guards against a Put that never returns because its
 // record, which lost, lies in the part of the log that Restore skips.
 func TestRestorePastTheOwnRecord(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		b := fl.node("b")
-		fl.mustPut(b, put("session/x", 2), OutcomeWon)
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		b := cluster.node("b")
+		cluster.mustPut(b, put("session/x", 2), OutcomeWon)
 		synctest.Wait() // b is in its next poll, which is not delayed
-		fl.log.SetSlow(300 * time.Millisecond)
-		a := fl.node("a")
+		cluster.log.SetSlow(300 * time.Millisecond)
+		a := cluster.node("a")
 		synctest.Wait()
-		fl.log.SetSlow(0)
+		cluster.log.SetSlow(0)
 		done := make(chan Result, 1)
 		go func() { done <- a.Put(within(t, 5*time.Second), put("session/x", 1)) }()
 		synctest.Wait()
@@ -207,20 +207,20 @@
 // waits during a Restore: it must return the winner, and its own delayed copy
 // must never win.
 func TestRestoreSettlesWaitingPuts(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a, b := fl.node("a"), fl.node("b")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a, b := cluster.node("a"), cluster.node("b")
 		<-a.Ready()
-		fl.log.FailAppends(logtest.AppendDelayed)
+		cluster.log.FailAppends(logtest.AppendDelayed)
 		done := make(chan Result, 1)
 		go func() { done <- a.Put(t.Context(), put("session/x", 1)) }()
 		synctest.Wait()
-		fl.log.SetDisconnected("a", true)
-		fl.mustPut(b, put("session/x", 2), OutcomeWon)
+		cluster.log.SetDisconnected("a", true)
+		cluster.mustPut(b, put("session/x", 2), OutcomeWon)
 		snapshot, _ := b.Snapshot()
 		if err := a.Restore(snapshot); err != nil {
 			t.Fatal(err)
 		}
-		fl.log.SetDisconnected("a", false)
+		cluster.log.SetDisconnected("a", false)
 		if res := <-done; res.Outcome != OutcomeLost || res.Register.Nonce != (record.Nonce{2}) {
 			t.Errorf("result %+v", res)
 		}
@@ -234,11 +234,11 @@
 }
 
 func TestRestoreWhileDown(t *testing.T) {
-	inBubble(t, func(t *testing.T, fl *testCluster) {
-		a := fl.node("a")
-		fl.mustPut(a, put("session/x", 1), OutcomeWon)
-		fl.log.SetDown(true)
-		late := fl.node("late")
+	inBubble(t, func(t *testing.T, cluster *testCluster) {
+		a := cluster.node("a")
+		cluster.mustPut(a, put("session/x", 1), OutcomeWon)
+		cluster.log.SetDown(true)
+		late := cluster.node("late")
 		time.Sleep(10 * time.Second)
 		if late.isReady() {
 			t.Fatal("ready without any state")
--- a/coordination/node/retry.go
+++ b/coordination/node/retry.go
@@ -25,12 +25,12 @@
 	return &retryBackoff{b, rand.New(rand.NewPCG(seed, stream))}
 }
 
-func (w *retryBackoff) next() time.Duration {
-	d := w.exponential.NextBackOff()
-	return d/2 + time.Duration(w.jitter.Int64N(int64(d/2)))
+func (r *retryBackoff) next() time.Duration {
+	d := r.exponential.NextBackOff()
+	return d/2 + time.Duration(r.jitter.Int64N(int64(d/2)))
 }
 
-func (w *retryBackoff) reset() { w.exponential.Reset() }
+func (r *retryBackoff) reset() { r.exponential.Reset() }
 
 // sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
--- a/coordination/record/codec.go
+++ b/coordination/record/codec.go
@@ -23,11 +23,11 @@
 // no field names are transmitted. Times are Unix microseconds, 0 if unset;
 // lifetimes are nanoseconds.
 type wireBatch struct {
-	_       struct{} `cbor:",toarray"`
-	Version uint64
-	Writer  string
-	Stamped int64
-	Records []wireRecord
+	_          struct{} `cbor:",toarray"`
+	Version    uint64
+	Writer     string
+	WriterTime int64
+	Records    []wireRecord
 }
 
 type wireRecord struct {
@@ -79,10 +79,10 @@
 		return nil, err
 	}
 	w := wireBatch{
-		Version: codecVersion,
-		Writer:  b.Writer,
-		Stamped: Micros(b.WriterTime),
-		Records: make([]wireRecord, len(b.Records)),
+		Version:    codecVersion,
+		Writer:     b.Writer,
+		WriterTime: Micros(b.WriterTime),
+		Records:    make([]wireRecord, len(b.Records)),
 	}
 	for i := range b.Records {
 		w.Records[i] = toWire(&b.Records[i])
@@ -112,7 +112,7 @@
 	}
 	b := Batch{
 		Writer:     w.Writer,
-		WriterTime: FromMicros(w.Stamped),
+		WriterTime: FromMicros(w.WriterTime),
 		Records:    make([]Record, len(w.Records)),
 	}
 	for i := range w.Records {
