--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -246,7 +246,7 @@
 	}
 }
 
-func TestStampedTime(t *testing.T) {
+func TestLogTimeFromWriterTimes(t *testing.T) {
 	type stamp struct {
 		writer string
 		after  time.Duration
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestPickRepeatsFromItsSeedAndLeavesTheList(t *testing.T) {
+func TestPickIsDeterministicAndKeepsItsArgument(t *testing.T) {
 	peers := fleet(20, 3)
 	before := slices.Clone(peers)
 	draw := func() []Peer { return Pick(rand.New(rand.NewPCG(7, 7)), peers[3], peers, Fanout) }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -64,7 +64,7 @@
 	synctest.Wait() // for the other instances to read the term
 }
 
-func TestTakeRenewAndTakeOver(t *testing.T) {
+func TestAcquireRenewAndTakeOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, _ := managers(t, 2)
 		a, b := ms[0], ms[1]
@@ -116,7 +116,7 @@
 // Several instances acquire a free lease at the same time; exactly one must
 // hold it. A hundred rounds, since a fault here would depend on the scheduling
 // of goroutines.
-func TestTwoTakeAtOnce(t *testing.T) {
+func TestConcurrentAcquireHasOneWinner(t *testing.T) {
 	for range 100 {
 		synctest.Test(t, acquireAtOnce)
 	}
@@ -140,7 +140,7 @@
 }
 
 // A holder that cannot renew since the log is down stops before its term ends.
-func TestLogDownLapses(t *testing.T) {
+func TestLeaseExpiresWhileLogDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, ms, _ := managers(t, 1)
 		wantAcquire(t, ms[0], true)
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestBufferIsBoundedBeforeTheWork(t *testing.T) {
+func TestBufferIsBoundedInBills(t *testing.T) {
 	b := NewBuffer(BufferLimits{MaxBills: 2}, nil, nil)
 	r1, err1 := b.Reserve()
 	r2, err2 := b.Reserve()
@@ -217,7 +217,7 @@
 
 // HoldWithCopy results in both copies or an error, and an error leaves a bill
 // that was held for a peer before.
-func TestHoldTwice(t *testing.T) {
+func TestHoldWithCopy(t *testing.T) {
 	noPeer := func(context.Context, record.Record) error { return errors.New("no peer") }
 	copies := 0
 	accept := func(context.Context, record.Record) error { copies++; return nil }
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -210,7 +210,7 @@
 	})
 }
 
-func TestNeverHandedOverIsVoid(t *testing.T) {
+func TestPutNotHandedToTheLogIsVoid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
 		n, err := New(log.Client("a"), Config{Name: "a", MaxQueue: 1})
@@ -239,9 +239,9 @@
 	})
 }
 
-// TestBudget guards against eight instances under full load exceeding the budget
+// TestAppendBudget guards against eight instances under full load exceeding the budget
 // of appends per second, and against an idle instance delaying its first append.
-func TestBudget(t *testing.T) {
+func TestAppendBudget(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		const seconds = 10
 		var nodes []*Node
@@ -276,9 +276,9 @@
 	})
 }
 
-// TestPlannedStopSettles guards against a planned stop that ends before a Put
+// TestPlannedStopWaitsForReadBack guards against a planned stop that ends before a Put
 // under way was read back: the tail's poll is slow at that moment.
-func TestPlannedStopSettles(t *testing.T) {
+func TestPlannedStopWaitsForReadBack(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		a := cluster.node("a")
 		<-a.Ready()
@@ -340,10 +340,10 @@
 func (s *countingObserver) Folded(uint64)              {}
 func (s *countingObserver) ReadFailed(time.Time)       { s.failures.Add(1) }
 
-// TestLogThatWentBack guards against trusting a log that was wiped: its head must
+// TestRegressedHeadIsNotTrusted guards against trusting a log that was wiped: its head must
 // not confirm the folded state or undo it, and a Put appended to it must not be
 // reported as won.
-func TestLogThatWentBack(t *testing.T) {
+func TestRegressedHeadIsNotTrusted(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		var seen countingObserver
 		a := cluster.node("a", WithObserver(&seen))
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -46,9 +46,9 @@
 	})
 }
 
-// TestStaleCheckpointIsOfNoUse guards against a start from a checkpoint that does
+// TestStaleCheckpointIsNotRestored guards against a start from a checkpoint that does
 // not reach the oldest entry that the log keeps.
-func TestStaleCheckpointIsOfNoUse(t *testing.T) {
+func TestStaleCheckpointIsNotRestored(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		a := cluster.node("a")
 		cluster.mustPut(a, put("session/0", 1), OutcomeWon)
