--- a/coordination/faultmatrix/matrix_test.go
+++ b/coordination/faultmatrix/matrix_test.go
@@ -1,7 +1,8 @@
 // The rows of the fault matrix are the steps of each path, its columns the
-// faults. A cell is named path/step/fault. Each cell fails when the code that
-// guards against its fault is removed; docs/MEASUREMENTS-coordination.md lists
-// these trials.
+// faults. A cell is named path/step/fault; the fault "cut" disconnects one
+// instance from the log, and "freeze" pauses one. Each cell fails when the
+// code that guards against its fault is removed;
+// docs/MEASUREMENTS-coordination.md lists these trials.
 package faultmatrix
 
 import (
--- a/coordination/faultmatrix/publish_test.go
+++ b/coordination/faultmatrix/publish_test.go
@@ -21,8 +21,8 @@
 		if res := <-done; res.Outcome != node.OutcomeUnknown {
 			b.t.Errorf("outcome %d", res.Outcome)
 		}
-		// The pipeline publishes the same publication again: the generation
-		// advances only once.
+		// The pipeline publishes the same manifest again: the generation advances
+		// only once.
 		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, manifest(1, "", 1, "one"), node.OutcomeWon)
 		if g := c.Digest().Generation; g != 1 {
@@ -88,7 +88,8 @@
 		b.checkMode(c, freshness.ModeFresh)
 	}},
 	{"publish", "append", "freeze", func(b *testbed) {
-		// A paused publisher's append takes effect after another's manifest.
+		// The append of a publisher that paused takes effect after another's
+		// manifest. Here the publisher is killed; its delayed append is the same.
 		a, c := b.start("a"), b.start("c")
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		b.log.FailAppends(logtest.AppendDelayed)
--- a/coordination/fold/checkpoint.go
+++ b/coordination/fold/checkpoint.go
@@ -12,7 +12,8 @@
 	// large state is spread over several appends, so that other records do not
 	// wait behind one huge append.
 	partBytes = 512 << 10
-	// maxParts follows from MaxSnapshotBytes.
+	// maxParts bounds the parts of a checkpoint: those of a snapshot of
+	// MaxSnapshotBytes, and one more.
 	maxParts = MaxSnapshotBytes/partBytes + 1
 	// maxPartialCheckpoints is how many incomplete checkpoints a
 	// CheckpointAssembler keeps. Writers append theirs one after the other; a few
--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -14,7 +14,7 @@
 
 var testConfig = Config{ClaimWindow: 100 * time.Second, ClockSkew: 10 * time.Second, Retention: 200 * time.Second}
 
-// feed applies single records to a State and keeps count of the offsets.
+// feed applies records to a State, each batch at the next offset.
 type feed struct {
 	t *testing.T
 	s *State
@@ -167,6 +167,8 @@
 	}
 }
 
+// The publisher of an outdated manifest must be told the one in force, although the
+// key of its own manifest has no register.
 func TestLostManifestNamesTheWinner(t *testing.T) {
 	f := newFeed(t)
 	f.apply(0, manifest(1, nil, 1, "one"))
@@ -196,6 +198,7 @@
 	}
 }
 
+// Guards against expired bills and tombstones that stay in memory.
 func TestMemoryIsBounded(t *testing.T) {
 	f := newFeed(t)
 	for i := range 20_000 {
@@ -233,6 +236,7 @@
 	}
 }
 
+// A malformed entry must not stop the fold, since every reader would stop at it.
 func TestMalformedEntryIsSkipped(t *testing.T) {
 	s := New(testConfig, Options{})
 	if _, err := s.Apply(platformlog.Entry{Offset: 0, Data: []byte("junk")}, nil); err != nil {
@@ -246,6 +250,8 @@
 	}
 }
 
+// If the log does not timestamp its entries, a single writer with a wrong clock must
+// not move the log's time.
 func TestLogTimeFromWriterTimes(t *testing.T) {
 	type stamp struct {
 		writer string
--- a/coordination/fold/property_test.go
+++ b/coordination/fold/property_test.go
@@ -229,6 +229,8 @@
 	return s
 }
 
+// Guards against a checkpoint that is assembled from parts of two writers or without
+// its last part, and against an older one that replaces a newer one.
 func TestCheckpointParts(t *testing.T) {
 	old, fresh := bigState(t, 3), bigState(t, 5)
 	oldParts, err := old.Checkpoint(record.Nonce{1})
--- a/coordination/fold/rules.go
+++ b/coordination/fold/rules.go
@@ -53,7 +53,7 @@
 }
 
 // storedValue returns the part of a value that is kept in memory. Bills are
-// read from the log and are numerous, so only the fact that one was taken is
+// numerous and their content is read from the log, so nothing of their values is
 // kept.
 func (r *rules) storedValue(class record.Class, value []byte) []byte {
 	if class == record.ClassBill {
--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -19,7 +19,8 @@
 	// MaxSnapshotBytes is the maximum length of a snapshot: what an instance with
 	// 256 MB of memory can hold beside the state that the snapshot replaces.
 	MaxSnapshotBytes = 96 << 20
-	// maxSnapshotRows bounds the registers and the tombstones of a snapshot.
+	// maxSnapshotRows bounds the number of registers, and that of tombstones, in a
+	// snapshot.
 	maxSnapshotRows = 4_000_000
 )
 
--- a/coordination/fold/state.go
+++ b/coordination/fold/state.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// put applies one Put. It checks for a taken key first, so that a late retry
-// learns the winner instead of that the key's window has closed since.
+// put applies one Put. It checks for a taken key first, so that a late retry is
+// told the winner and is not merely void because the key's window has closed.
 func (s *State) put(offset uint64, writer string, r *record.Record) Change {
 	p := proposal{r.Key, r.Nonce}
 	if s.isReleased(p) {
--- a/coordination/fold/table.go
+++ b/coordination/fold/table.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// maxInterned bounds the writer names shared between rows. Instances are
+// maxInternedWriters bounds the writer names shared between rows. Instances are
 // replaced all day, so the names are dropped once there are too many.
 const maxInternedWriters = 4096
 
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -103,7 +103,7 @@
 	t.pendingHeads = left
 }
 
-// Vouched reports that a peer that was asked at the time at answered v. A vouch
+// Vouched reports the answer v of a peer that was asked at the time at. A vouch
 // confirms its head whether or not the peer still reaches the log.
 func (t *Tracker) Vouched(at time.Time, v Vouch) {
 	t.mu.Lock()
--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -52,6 +52,9 @@
 
 var fleet = []string{"me", "a", "b", "c"}
 
+// Guards against an instance that counts as fresh, or as in an outage, without the
+// confirmations or reports that this takes: it would run work under a manifest that
+// was replaced.
 func TestModes(t *testing.T) {
 	tests := map[string]func(s *scenario){
 		"nothing seen": func(s *scenario) {
@@ -219,6 +222,8 @@
 	}
 }
 
+// Guards against a majority of a fleet of unknown size: only an instance that is
+// listed as the single one may enter outage mode without a report of a peer.
 func TestSmallFleets(t *testing.T) {
 	tests := map[string]struct {
 		live []string
--- a/coordination/history/cluster.go
+++ b/coordination/history/cluster.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{t: t, log: logtest.New(), seed: seed, startTime: time.Now()}
-		// Every other log does not timestamp its entries.
+		// In every other history the log does not timestamp its entries.
 		c.log.SetOmitTimes(seed%2 == 1)
 		c.nodes, c.names = make([]*node.Node, nodeCount), make([]string, nodeCount)
 		for i := range nodeCount {
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -244,10 +244,10 @@
 	bills map[string]record.Record
 }
 
-// Requests are sent repeatedly to several instances. Whoever wins the claim
-// runs the request and bills it through a buffer that outlives the outage. Each
-// request must run at most once, each that ran must be billed once, and no
-// other may be.
+// Requests are sent repeatedly to several instances. Whoever wins the claim runs
+// the request and puts its bill, which may fail; after the faults the bills are
+// flushed from two buffers that hold all of them. Each request must run at most
+// once, each that ran must be billed once, and no other may be billed.
 func TestClaimsAndBills(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -14,7 +14,8 @@
 //     that is shorter than MaxPause ends within the term.
 //   - Any other instance counts the term from when it read it, which is later,
 //     and takes the next term only after that end. It then waits for another
-//     Duration plus MaxClockDrift plus MaxPause before its first order.
+//     Duration plus MaxClockDrift plus MaxPause before its first order to such a
+//     server.
 //
 // MaxClockDrift bounds how far two clocks drift apart within one term. After a
 // pause between check and order that is longer than all these waits together,
@@ -43,9 +44,9 @@
 	// default is 100 ms: 1% of the default term, several times the drift of a
 	// usual clock.
 	MaxClockDrift time.Duration
-	// MaxPause is the longest time from a check until its order arrives against
-	// which a backend server that ignores fencing numbers is protected. The
-	// default is 2 s.
+	// MaxPause bounds the time from a check until its order arrives. A backend
+	// server that ignores fencing numbers is not protected against orders that take
+	// longer. The default is 2 s.
 	MaxPause time.Duration
 }
 
@@ -53,8 +54,8 @@
 	defaultDuration      = 10 * time.Second
 	defaultMaxClockDrift = 100 * time.Millisecond
 	defaultMaxPause      = 2 * time.Second
-	// termRetentionDurations is how many times Duration a term's register is kept,
-	// so that a late copy of its Put finds the register taken.
+	// termRetentionDurations is how long a term's register is kept, in multiples of
+	// Duration. A late copy of its Put then finds the register taken.
 	termRetentionDurations = 60
 )
 
@@ -114,17 +115,18 @@
 	cfg     Config
 	current term
 	known   bool
-	// blockedUntil is how long the holder may consider the lease its own, counted
-	// from when this instance read the term.
+	// blockedUntil is the end of the current term, counted from when this instance
+	// read it. Until then the holder may still act, and no other instance proposes
+	// the next term.
 	blockedUntil time.Time
-	// held means that this instance has the current term; it may send orders until
+	// held is true if this instance has the current term; it may send orders until
 	// validUntil.
 	held       bool
 	validUntil time.Time
 	// ordersAllowedFrom is when a server that ignores fencing numbers may get the
 	// first order.
 	ordersAllowedFrom time.Time
-	// handedOver means that the current term is a hand-over, so nobody holds the
+	// handedOver is true if the current term is a hand-over, so nobody holds the
 	// lease.
 	handedOver bool
 }
@@ -158,7 +160,7 @@
 }
 
 // observeRelease takes the Release of a term, which its writer never acted on.
-// The holder of the term before may still act, so blockedUntil stays.
+// The holder of the previous term may still act, so blockedUntil stays.
 func (s *state) observeRelease(nonce record.Nonce) {
 	if s.known && s.current.nonce == nonce {
 		s.held = false
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -64,6 +64,9 @@
 	synctest.Wait() // for the other instances to read the term
 }
 
+// A renewal must get a higher fencing number, the holder must stop before its term
+// ends, and another instance must wait for that end. Otherwise two instances could
+// send orders at the same time.
 func TestAcquireRenewAndTakeOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, _ := managers(t, 2)
@@ -95,6 +98,8 @@
 	})
 }
 
+// After a hand-over no order of the previous holder is in flight, so the next holder
+// must not have to wait, not even for servers that ignore fencing numbers.
 func TestHandOverNeedsNoWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, _ := managers(t, 2)
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -49,8 +49,9 @@
 
 // Buffer holds bills while the log is unreachable: the instance's own, and
 // copies for peers. Room is reserved before a request runs, since a bill that
-// finds no room afterwards would be lost: a full buffer refuses work, never a
-// bill. It is safe for concurrent use.
+// finds no room afterwards would be lost: a full buffer refuses new work and
+// copies for peers, never a bill whose room is reserved. It is safe for
+// concurrent use.
 type Buffer struct {
 	put      PutFunc
 	sendCopy CopyFunc
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -117,6 +117,8 @@
 	}
 }
 
+// An export must fail if it can't read the log. An empty export without an error
+// would pass for a ledger without bills.
 func TestExportWithTheLogDown(t *testing.T) {
 	log := logtest.New()
 	log.SetDown(true)
@@ -126,6 +128,8 @@
 	}
 }
 
+// Room is reserved before a request runs. Without that, a bill could find the
+// buffer full and be lost.
 func TestBufferIsBoundedInBills(t *testing.T) {
 	b := NewBuffer(BufferLimits{MaxBills: 2}, nil, nil)
 	r1, err1 := b.Reserve()
@@ -367,8 +371,9 @@
 	})
 }
 
-// A bill is appended twice, hours apart, so that the instances have forgotten
-// the first one by then. The reader of the ledger must still void the second.
+// Guards against a request that is billed twice: its second bill is appended
+// hours after the first, when the instances have forgotten that one. The reader
+// of the ledger must still void the second bill.
 func TestLateCopyIsVoidAtTheReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
--- a/coordination/ledger/writer.go
+++ b/coordination/ledger/writer.go
@@ -13,9 +13,9 @@
 
 // Writer appends bills to a log of their own, which no instance reads or folds.
 //
-// Bills are the majority of a fleet's records. In the shared log, every
-// instance would read all of them, so its load would grow with the requests of
-// the whole fleet.
+// Load: bills, which are the majority of a fleet's records. Harm prevented: in
+// the shared log, every instance would read all of them, so its load would grow
+// with the requests of the whole fleet.
 //
 // An acknowledged append is enough: the first bill of a request wins at the
 // reader of the log, whichever instance wrote it, so an instance needs to know
@@ -61,7 +61,8 @@
 // pendingBill is a bill that waits for its append.
 type pendingBill struct {
 	record record.Record
-	// done has a buffer of one, so that a caller that has left blocks nobody.
+	// done has a buffer of one, so that Run does not block if the caller no longer
+	// waits.
 	done chan error
 }
 
@@ -128,8 +129,9 @@
 	}
 }
 
-// waitLinger keeps the appends of the fleet within its budget. After an idle
-// linger, the next bill is appended at once.
+// waitLinger waits until Linger has passed since the last append, which keeps
+// the appends of the fleet within its budget. If it has passed already, the next
+// bill is appended at once.
 func (w *Writer) waitLinger(ctx context.Context) {
 	timer := time.NewTimer(time.Until(w.lastAppend.Add(w.cfg.Linger())))
 	defer timer.Stop()
--- a/coordination/node/checkpoint.go
+++ b/coordination/node/checkpoint.go
@@ -18,16 +18,18 @@
 
 // checkpointPolicy decides when this instance appends a checkpoint: when no
 // complete one was read for between a quarter and a half of the retention. The
-// interval is jittered so that the first instance that is due spares the others
-// theirs. The limit of a half leaves time for failed attempts before only a
-// quarter of the retention is left. An instance that was disconnected for long is
-// due as soon as it has caught up. Safe for concurrent use.
+// interval is jittered, so that one instance is due first; the others read its
+// checkpoint and need not append theirs. As a checkpoint is due by half of the
+// retention, attempts may fail for another quarter of it before only a quarter is
+// left. An instance that was disconnected for long is due as soon as it has
+// caught up. Safe for concurrent use.
 type checkpointPolicy struct {
 	mu           sync.Mutex
 	interval     time.Duration
 	lastComplete time.Time
 	lastAttempt  time.Time
-	// nonce identifies the checkpoint being read; partsRead counts its parts.
+	// nonce identifies the checkpoint being read; partsRead counts those of its
+	// parts that were read.
 	nonce     record.Nonce
 	partsRead int
 }
@@ -39,8 +41,9 @@
 }
 
 // partRead records one part of a checkpoint read from the log. A checkpoint
-// counts only once all its parts were read. Interleaved parts of two writers
-// count as no checkpoint, at the cost of one more.
+// counts only once all its parts were read. If the parts of several checkpoints
+// interleave, only the one that began last counts; at worst, one more checkpoint
+// is appended.
 func (p *checkpointPolicy) partRead(now time.Time, r *record.Record) {
 	part, parts, ok := fold.ParseCheckpointPart(r)
 	if !ok {
@@ -161,9 +164,9 @@
 	return n.state.Snapshot()
 }
 
-// Restore implements Store. While the log is down it also makes the node ready:
-// the peer that has folded most holds the latest state that is known. Errors
-// wrap fold.ErrInvalidSnapshot or ErrNotAhead.
+// Restore implements Store. It also makes a node ready that has not read the log
+// yet: while the log is down, the state of the peer that has folded most is the
+// latest that is known. Errors wrap fold.ErrInvalidSnapshot or ErrNotAhead.
 func (n *Node) Restore(snapshot []byte) error {
 	state, err := fold.Restore(n.cfg.Fold, n.options, snapshot)
 	if err != nil {
--- a/coordination/node/indoubt.go
+++ b/coordination/node/indoubt.go
@@ -8,14 +8,14 @@
 
 // inDoubtGroup is a group that may or may not be in the log. It is sent again
 // only after the tail has passed a head that was read later than the append.
-// Sent earlier, a second copy would often follow a first one that is merely
-// unread, and the second might win where the first was read back as the loser.
-// A first copy that arrives even later is handled by the Release that readBack
-// queues.
+// Sent earlier, the second copy would often follow a first one that is in the log
+// but not read back yet; the first could then be read back as a loser and the
+// second win. A first copy that arrives even later is handled by the Release that
+// readBack queues.
 type inDoubtGroup struct {
 	group group
 	due   time.Time
-	// head is the log's head as read after the append; headKnown says that it
+	// head is the log's head as read after the append; headKnown is true if it
 	// was read.
 	head      uint64
 	headKnown bool
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -70,6 +70,8 @@
 	return res
 }
 
+// TestOneOfTwoWins guards against two winners of one key, and against a loser that
+// is told of another winner.
 func TestOneOfTwoWins(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		a, b := cluster.node("a"), cluster.node("b")
@@ -91,6 +93,9 @@
 	})
 }
 
+// TestFaultsOfOneAppend guards against a wrong outcome of a Put whose append
+// fails. after is the outcome of another node's Put of the key a minute later:
+// it wins only if the first Put had no effect.
 func TestFaultsOfOneAppend(t *testing.T) {
 	tests := map[string]struct {
 		fault func(*logtest.Log)
@@ -169,6 +174,9 @@
 	})
 }
 
+// TestReleaseHoldsLocallyAtOnce guards against a released register that its own
+// process still sees while the log is down, and against a Release that an outage
+// loses.
 func TestReleaseHoldsLocallyAtOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		a := cluster.node("a")
@@ -210,6 +218,9 @@
 	})
 }
 
+// TestPutNotHandedToTheLogIsVoid guards against a Put that is reported as unknown,
+// or is appended later, although it was never handed to the log: the node is not
+// started, its queue is full, or it has stopped.
 func TestPutNotHandedToTheLogIsVoid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
@@ -239,8 +250,9 @@
 	})
 }
 
-// TestAppendBudget guards against eight instances under full load exceeding the budget
-// of appends per second, and against an idle instance delaying its first append.
+// TestAppendBudget guards against eight instances under full load exceeding
+// the budget of appends per second, and against an idle instance delaying its
+// first append.
 func TestAppendBudget(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		const seconds = 10
@@ -276,8 +288,9 @@
 	})
 }
 
-// TestPlannedStopWaitsForReadBack guards against a planned stop that ends before a Put
-// under way was read back: the tail's poll is slow at that moment.
+// TestPlannedStopWaitsForReadBack guards against a planned stop that ends
+// before a Put under way was read back: the tail's poll is slow at that
+// moment.
 func TestPlannedStopWaitsForReadBack(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		a := cluster.node("a")
@@ -340,9 +353,9 @@
 func (s *countingObserver) Folded(uint64)              {}
 func (s *countingObserver) ReadFailed(time.Time)       { s.failures.Add(1) }
 
-// TestRegressedHeadIsNotTrusted guards against trusting a log that was wiped: its head must
-// not confirm the folded state or undo it, and a Put appended to it must not be
-// reported as won.
+// TestRegressedHeadIsNotTrusted guards against trusting a log that was wiped:
+// its head must not confirm the folded state or undo it, and a Put appended to
+// it must not be reported as won.
 func TestRegressedHeadIsNotTrusted(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		var seen countingObserver
@@ -363,6 +376,8 @@
 	})
 }
 
+// TestStopFlushesReleases guards against a stop that drops queued Releases, so that
+// their registers stay taken.
 func TestStopFlushesReleases(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		a, b := cluster.node("a"), cluster.node("b")
--- a/coordination/node/proposals.go
+++ b/coordination/node/proposals.go
@@ -32,7 +32,7 @@
 	// appends counts the appends that carried the Put. With more than one,
 	// another copy may still follow the one that was read back.
 	appends int
-	// queued is set while the Put is in the queue, abandoned once no caller
+	// queued is true while the Put is in the queue, abandoned once no caller
 	// waits for it.
 	queued    bool
 	abandoned bool
@@ -42,8 +42,8 @@
 	// even if this process is killed right after, so the nonce is first
 	// released in the log.
 	pendingResult *Result
-	// outcomeUnknown is set once the reply to an append that carried the Put
-	// was lost.
+	// outcomeUnknown is true once an append that carried the Put may have taken
+	// effect without being read back: its reply was lost, or a Restore skipped it.
 	outcomeUnknown bool
 	done           chan Result
 }
@@ -61,9 +61,11 @@
 	releases        []record.Record
 	pendingReleases map[proposalID]bool
 	checkpointParts []record.Record
-	// skipped holds the Puts whose record may lie before a restored state.
+	// skipped holds the Puts whose record may lie in the part of the log that a
+	// Restore skipped, and is then never read back.
 	skipped []*proposal
-	// refusing is set while the log is known to accept no appends.
+	// refusing is true during the wait after a refused append, when the log is
+	// taken to be down.
 	refusing bool
 	// wake holds one token while there is something to append.
 	wake chan struct{}
@@ -100,8 +102,8 @@
 	ps.signal()
 }
 
-// setRefusing makes add refuse Puts while the log accepts no appends: a Put is
-// then void at once instead of after its caller's deadline.
+// setRefusing makes add refuse Puts during the wait after a refused append: a Put
+// is then void at once instead of after its caller's deadline.
 func (ps *proposals) setRefusing(refusing bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// TestStaleCheckpointIsNotRestored guards against a start from a checkpoint that does
-// not reach the oldest entry that the log keeps.
+// TestStaleCheckpointIsNotRestored guards against a start from a checkpoint
+// that does not reach the oldest entry that the log keeps.
 func TestStaleCheckpointIsNotRestored(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		a := cluster.node("a")
@@ -233,6 +233,8 @@
 	})
 }
 
+// TestRestoreWhileDown guards against a node that is ready without any state while
+// the log is down, and against one that a peer's snapshot does not make ready.
 func TestRestoreWhileDown(t *testing.T) {
 	inBubble(t, func(t *testing.T, cluster *testCluster) {
 		a := cluster.node("a")
--- a/coordination/node/tail.go
+++ b/coordination/node/tail.go
@@ -78,9 +78,9 @@
 	n.observer.HeadRead(sent, page.Head)
 }
 
-// pollWait is how long the next read may wait. After a failure it is zero, so
-// that a log that hangs is tried, and found down or back, several times within
-// the freshness bound.
+// pollWait is how long the next read may wait for entries. After a failure it is
+// zero, so that a log that does not answer is tried several times within the
+// freshness bound, and both its outage and its return are noticed in time.
 func (n *Node) pollWait() time.Duration {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -97,8 +97,9 @@
 	n.observer.ReadFailed(at)
 }
 
-// checkReady closes n.ready once the target is folded. The target is the head at
-// the node's first read: everything accepted before the start is then in force.
+// checkReady reports the folded offset to the observer and closes n.ready once
+// the target is folded. The target is the head at the node's first read:
+// everything accepted before the start is then in force.
 func (n *Node) checkReady() {
 	n.mu.RLock()
 	next := n.state.Digest().NextOffset
@@ -111,8 +112,8 @@
 }
 
 // foldEntry folds e, notifies the watchers, then settles this node's proposals.
-// An entry below the node's state was covered by a Restore meanwhile; one above
-// it is a fault of the log service, and is read again.
+// An entry before the node's next offset was covered by a Restore meanwhile; one
+// after it is a fault of the log service, and the log is read again.
 func (n *Node) foldEntry(e platformlog.Entry) error {
 	n.folding.Lock()
 	defer n.folding.Unlock()
--- a/coordination/platformlog/logtest/log.go
+++ b/coordination/platformlog/logtest/log.go
@@ -1,7 +1,7 @@
 // Package logtest provides an in-memory log for tests that simulates the faults
-// of a log service: outages, delays, replies lost after or before the effect,
-// refused and delayed appends, trimmed and wiped records, disconnected clients,
-// and entries without a time.
+// of a log service: outages, delays, appends without a reply that have or have not
+// taken effect, refused and delayed appends, trimmed and wiped records,
+// disconnected clients, and entries without a time.
 package logtest
 
 import (
