--- a/coordination/faultmatrix/bill_test.go
+++ b/coordination/faultmatrix/bill_test.go
@@ -73,7 +73,7 @@
 		own := b.holdBill(a, peer)
 		b.checkFlush(own, 1)
 		if _, err := own.Reserve(); !errors.Is(err, ledger.ErrBufferFull) {
-			b.t.Errorf("Reserve of a full buffer: %v", err)
+			b.t.Errorf("Reserve of a full buffer: error %v, want ErrBufferFull", err)
 		}
 		b.log.SetDown(false)
 		time.Sleep(5 * time.Second)
--- a/coordination/faultmatrix/claim_test.go
+++ b/coordination/faultmatrix/claim_test.go
@@ -22,7 +22,7 @@
 		done := b.putAsync(a, claim(1))
 		b.kill(a)
 		if res := <-done; res.Outcome != node.OutcomeVoid {
-			b.t.Errorf("outcome %d", res.Outcome)
+			b.t.Errorf("outcome %d of a Put that was not appended, want void", res.Outcome)
 		}
 		b.log.SetSlow(0)
 		b.put(c, claim(2), node.OutcomeWon)
@@ -36,7 +36,7 @@
 		done := b.putAsync(a, claim(1))
 		b.kill(a)
 		if res := <-done; res.Outcome != node.OutcomeUnknown {
-			b.t.Errorf("outcome %d", res.Outcome)
+			b.t.Errorf("outcome %d of a Put whose append is under way, want unknown", res.Outcome)
 		}
 		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, claim(2), node.OutcomeLost)
@@ -68,7 +68,7 @@
 		b.put(c, claim(2), node.OutcomeLost)
 		a.Release("claim/t/r", record.Nonce{1})
 		if res := <-done; res.Outcome != node.OutcomeVoid {
-			b.t.Errorf("outcome %d", res.Outcome)
+			b.t.Errorf("outcome %d of the released Put, want void", res.Outcome)
 		}
 		if _, ok := a.Lookup("claim/t/r"); ok {
 			b.t.Error("a released claim is still visible to its own process")
@@ -100,7 +100,7 @@
 		began := time.Now()
 		b.put(a, claim(1), node.OutcomeVoid)
 		if took := time.Since(began); took > 100*time.Millisecond {
-			b.t.Errorf("the refusal took %v", took)
+			b.t.Errorf("the void Put took %v, want at most 100ms", took)
 		}
 		b.log.SetDown(false)
 		time.Sleep(10 * time.Second)
@@ -183,7 +183,7 @@
 		first, second := b.putAsync(a, claim(1)), b.putAsync(c, claim(2))
 		x, y := <-first, <-second
 		if x.Outcome+y.Outcome != node.OutcomeWon+node.OutcomeLost {
-			b.t.Errorf("outcomes %d and %d", x.Outcome, y.Outcome)
+			b.t.Errorf("outcomes %d and %d, want one won and one lost", x.Outcome, y.Outcome)
 		}
 	}},
 }
--- a/coordination/faultmatrix/publish_test.go
+++ b/coordination/faultmatrix/publish_test.go
@@ -19,14 +19,14 @@
 		done := b.putAsync(a, manifest(1, "", 1, "one"))
 		b.kill(a)
 		if res := <-done; res.Outcome != node.OutcomeUnknown {
-			b.t.Errorf("outcome %d", res.Outcome)
+			b.t.Errorf("outcome %d of a Put whose append is under way, want unknown", res.Outcome)
 		}
 		// The pipeline publishes the same manifest again: the generation advances
 		// only once.
 		time.Sleep(2 * logtest.AppendDelay)
 		b.put(c, manifest(1, "", 1, "one"), node.OutcomeWon)
 		if g := c.Digest().Generation; g != 1 {
-			b.t.Errorf("generation %d", g)
+			b.t.Errorf("generation %d, want 1", g)
 		}
 	}},
 	{"publish", "read back", "kill", func(b *testbed) {
@@ -130,7 +130,7 @@
 		b.put(a, manifest(1, "", 1, "one"), node.OutcomeWon)
 		b.checkAgreement(a, c)
 		if g := c.Digest().Generation; g != 1 {
-			b.t.Errorf("generation %d", g)
+			b.t.Errorf("generation %d, want 1", g)
 		}
 	}},
 	{"publish", "append", "operator race", func(b *testbed) {
@@ -138,7 +138,7 @@
 		first, second := b.putAsync(a, manifest(1, "", 1, "one")), b.putAsync(c, manifest(1, "", 2, "other"))
 		x, y := <-first, <-second
 		if x.Outcome+y.Outcome != node.OutcomeWon+node.OutcomeLost {
-			b.t.Fatalf("outcomes %d and %d", x.Outcome, y.Outcome)
+			b.t.Fatalf("outcomes %d and %d, want one won and one lost", x.Outcome, y.Outcome)
 		}
 		if x.Register.Nonce != y.Register.Nonce || len(y.Register.Value) == 0 {
 			b.t.Error("the losing Put does not return the winner")
--- a/coordination/faultmatrix/start_test.go
+++ b/coordination/faultmatrix/start_test.go
@@ -218,7 +218,7 @@
 		b.checkOrder(old, lease.FencingEnforced, lease.Expired)
 		b.checkAcquire(next, true)
 		if second := b.checkOrder(next, lease.FencingEnforced, lease.Allowed); second <= first {
-			b.t.Errorf("fencing number %d after %d", second, first)
+			b.t.Errorf("fencing number %d after %d, want a higher one", second, first)
 		}
 		b.checkOrder(next, lease.FencingIgnored, lease.WaitingForPredecessor)
 		time.Sleep(5 * time.Second)
--- a/coordination/faultmatrix/testbed.go
+++ b/coordination/faultmatrix/testbed.go
@@ -177,7 +177,7 @@
 	synctest.Wait()
 	for _, in := range instances[1:] {
 		if in.Digest() != instances[0].Digest() {
-			b.t.Errorf("%s has %+v, %s has %+v", in.name, in.Digest(), instances[0].name, instances[0].Digest())
+			b.t.Errorf("digests differ: %s has %+v, %s has %+v", in.name, in.Digest(), instances[0].name, instances[0].Digest())
 		}
 	}
 }
--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -191,10 +191,10 @@
 	}
 	f := &feed{t, New(testConfig, Options{Validators: map[record.Class]Validator{record.ClassManifest: refuse}})}
 	if c := f.apply(0, manifest(1, nil, 1, "bad")); c.Verdict != VerdictVoid {
-		t.Errorf("content that the validator rejects: verdict %d", c.Verdict)
+		t.Errorf("content that the validator rejects: verdict %d, want void", c.Verdict)
 	}
 	if c := f.apply(0, manifest(1, nil, 2, "good")); c.Verdict != VerdictWon {
-		t.Errorf("content that the validator accepts: verdict %d", c.Verdict)
+		t.Errorf("content that the validator accepts: verdict %d, want won", c.Verdict)
 	}
 }
 
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -232,7 +232,7 @@
 	defer g.mu.Unlock()
 	now := n.Digest().Generation
 	if now < g.seen[n] {
-		g.t.Errorf("generation decreased from %d to %d", g.seen[n], now)
+		g.t.Errorf("generation of a node decreased from %d to %d", g.seen[n], now)
 	}
 	g.seen[n] = now
 }
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -281,19 +281,19 @@
 		}
 	}
 	if left := b.Flush(t.Context()); left != 10*flushConcurrency || puts != 1 {
-		t.Errorf("log down: %d left after %d puts", left, puts)
+		t.Errorf("log down: %d bills left after %d Puts, want all left after one", left, puts)
 	}
 	puts, accepted = 0, 5
 	if left := b.Flush(t.Context()); left != 10*flushConcurrency-5 || puts > 5+2*flushConcurrency {
-		t.Errorf("log down during the flush: %d left after %d puts", left, puts)
+		t.Errorf("log down during the flush: %d bills left after %d Puts, want all but five left and few Puts after the first failure", left, puts)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	if left := b.HandOver(ended); left != 10*flushConcurrency-5 {
-		t.Errorf("hand-over with its context ended: %d left", left)
+		t.Errorf("hand-over with its context ended: %d bills left, want all that the flush left", left)
 	}
 	if left := b.HandOver(t.Context()); left != 0 || b.bytes != 0 {
-		t.Errorf("hand-over: %d bills of %d bytes left", left, b.bytes)
+		t.Errorf("hand-over: %d bills of %d bytes left, want none", left, b.bytes)
 	}
 }
 
@@ -400,7 +400,7 @@
 				return nil
 			})
 			if err != nil || !slices.Equal(got, []uint64{5}) {
-				t.Errorf("bills %v, error %v", got, err)
+				t.Errorf("output tokens of the exported bills %v, error %v, want those of the first bill only", got, err)
 			}
 		}
 	})
--- a/coordination/ledger/writer_test.go
+++ b/coordination/ledger/writer_test.go
@@ -43,7 +43,7 @@
 				t.Errorf("%s: reachable %v", name, w.Reachable())
 			}
 			if got := w.Put(t.Context(), r).Outcome; got != node.OutcomeWon {
-				t.Errorf("%s, second Put: outcome %v", name, got)
+				t.Errorf("%s, second Put: outcome %v, want won", name, got)
 			}
 			stop()
 			running.Wait()
@@ -82,7 +82,7 @@
 					t.Error(err)
 				}
 				if got := w.Put(t.Context(), r).Outcome; got != node.OutcomeWon {
-					t.Errorf("bill %d: outcome %v", i, got)
+					t.Errorf("bill %d: outcome %v, want won", i, got)
 				}
 			})
 		}
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -81,7 +81,7 @@
 // New returns a Node at the beginning of the log. Errors wrap ErrConfig.
 func New(log platformlog.Log, cfg Config, opts ...Option) (*Node, error) {
 	if cfg.Name == "" || len(cfg.Name) > record.MaxWriterBytes {
-		return nil, trace.Wrap(ErrConfig, "name of %d bytes", len(cfg.Name))
+		return nil, trace.Wrap(ErrConfig, "name of %d bytes is empty or too long", len(cfg.Name))
 	}
 	cfg = cfg.withDefaults()
 	n := &Node{
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -81,14 +81,14 @@
 		}
 		first, second := <-results, <-results
 		if first.Outcome+second.Outcome != OutcomeWon+OutcomeLost {
-			t.Fatalf("outcomes %d and %d", first.Outcome, second.Outcome)
+			t.Fatalf("outcomes %d and %d, want one won and one lost", first.Outcome, second.Outcome)
 		}
 		if first.Register.Nonce != second.Register.Nonce {
 			t.Error("the results name different winners")
 		}
 		synctest.Wait()
 		if a.Digest() != b.Digest() || a.Digest().NextOffset == 0 {
-			t.Errorf("digests %+v and %+v", a.Digest(), b.Digest())
+			t.Errorf("digests differ or are empty: %+v and %+v", a.Digest(), b.Digest())
 		}
 	})
 }
@@ -140,7 +140,7 @@
 			cluster.mustPut(a, put("session/x", byte(i+1)), OutcomeVoid)
 		}
 		if took := time.Since(began); took > 100*time.Millisecond {
-			t.Errorf("20 refusals took %v", took)
+			t.Errorf("20 void Puts took %v, want at most 100ms", took)
 		}
 	})
 }
@@ -154,14 +154,14 @@
 		cluster.log.SetSlow(1900 * time.Millisecond)
 		res := a.Put(within(t, 100*time.Millisecond), put("session/x", 1))
 		if res.Outcome != OutcomeUnknown {
-			t.Fatalf("outcome %d", res.Outcome)
+			t.Fatalf("outcome %d of a Put whose caller stopped waiting during the append, want unknown", res.Outcome)
 		}
 		a.Release("session/x", record.Nonce{1})
 		cluster.log.SetSlow(0)
 		time.Sleep(10 * time.Second)
 		for _, n := range []*Node{a, b} {
 			if reg, ok := n.Lookup("session/x"); ok {
-				t.Errorf("%s has %+v", n.cfg.Name, reg)
+				t.Errorf("%s still has the released register: %+v", n.cfg.Name, reg)
 			}
 		}
 		if len(cluster.log.Entries()) != 2 {
@@ -209,7 +209,7 @@
 		synctest.Wait()
 		a.Release("session/x", record.Nonce{1})
 		if res := <-done; res.Outcome != OutcomeVoid {
-			t.Errorf("outcome %d", res.Outcome)
+			t.Errorf("outcome %d of the released Put, want void", res.Outcome)
 		}
 		time.Sleep(time.Minute)
 		if _, ok := a.Lookup("session/x"); ok {
@@ -229,10 +229,10 @@
 			t.Fatal(err)
 		}
 		if res := n.Put(within(t, time.Second), put("session/x", 1)); res.Outcome != OutcomeVoid {
-			t.Errorf("not started: outcome %d", res.Outcome)
+			t.Errorf("node not started: outcome %d, want void", res.Outcome)
 		}
 		if res := n.Put(within(t, time.Second), put("session/y", 1)); res.Outcome != OutcomeVoid {
-			t.Errorf("queue full: outcome %d", res.Outcome)
+			t.Errorf("queue full: outcome %d, want void", res.Outcome)
 		}
 		if err := n.Start(t.Context()); err != nil {
 			t.Fatal(err)
@@ -245,7 +245,7 @@
 			t.Error("a void Put was appended")
 		}
 		if res := n.Put(t.Context(), put("session/x", 2)); res.Outcome != OutcomeVoid {
-			t.Errorf("stopped: outcome %d", res.Outcome)
+			t.Errorf("node stopped: outcome %d, want void", res.Outcome)
 		}
 	})
 }
@@ -263,7 +263,7 @@
 		began := time.Now()
 		cluster.mustPut(nodes[0], put("session/idle", 1), OutcomeWon)
 		if took := time.Since(began); took > time.Millisecond {
-			t.Errorf("the first Put of an idle writer took %v", took)
+			t.Errorf("the first Put of an idle writer took %v, want at most 1ms", took)
 		}
 		before := cluster.log.AppendCount()
 		var wg sync.WaitGroup
@@ -305,7 +305,7 @@
 		synctest.Wait()
 		cluster.stop(a)
 		if res := <-done; res.Outcome != OutcomeWon {
-			t.Errorf("outcome %d", res.Outcome)
+			t.Errorf("outcome %d of a Put during a planned stop, want won", res.Outcome)
 		}
 	})
 }
@@ -324,7 +324,7 @@
 		cluster.log.FailAppends(logtest.AppendReplyLost)
 		cluster.mustPut(a, put("session/x", 1), OutcomeWon)
 		if n := len(cluster.log.Entries()); n != 1 {
-			t.Errorf("%d copies in the log", n)
+			t.Errorf("%d copies in the log, want 1", n)
 		}
 	})
 }
@@ -368,10 +368,10 @@
 		cluster.mustPut(a, put("session/x", 2), OutcomeUnknown)
 		time.Sleep(5 * time.Second)
 		if seen.heads.Load() != heads || seen.failures.Load() == 0 {
-			t.Errorf("%d heads confirmed after the wipe, %d failed reads", seen.heads.Load()-heads, seen.failures.Load())
+			t.Errorf("%d heads confirmed after the wipe, %d failed reads, want none confirmed and some failed", seen.heads.Load()-heads, seen.failures.Load())
 		}
 		if s := a.Status(); s.LogReachable || s.NextOffset != 2 {
-			t.Errorf("status %+v", s)
+			t.Errorf("status after the wipe: %+v, want the log unreachable and next offset 2", s)
 		}
 	})
 }
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -38,10 +38,10 @@
 		<-late.Ready()
 		synctest.Wait()
 		if late.Digest() != a.Digest() {
-			t.Errorf("digests %+v and %+v", late.Digest(), a.Digest())
+			t.Errorf("digests differ: started late %+v, peer %+v", late.Digest(), a.Digest())
 		}
 		if len(notified) != 6 || notified[5] != "session/5" {
-			t.Errorf("watchers were notified of %v", notified)
+			t.Errorf("watchers were notified of %v, want six keys, the last one session/5", notified)
 		}
 	})
 }
@@ -76,7 +76,7 @@
 		}
 		<-late.Ready()
 		if err := late.Restore(snapshot); !errors.Is(err, ErrNotAhead) {
-			t.Errorf("second Restore of one snapshot: %v", err)
+			t.Errorf("second Restore of one snapshot: error %v, want ErrNotAhead", err)
 		}
 	})
 }
@@ -96,7 +96,7 @@
 			t.Error("the register was lost to trimming")
 		}
 		if n := len(cluster.log.Entries()); n > 3 {
-			t.Errorf("%d checkpoints in 18 hours", n)
+			t.Errorf("%d checkpoints in 18 hours, want at most 3", n)
 		}
 	})
 }
@@ -143,7 +143,7 @@
 		<-late.Ready()
 		synctest.Wait()
 		if late.Digest() != a.Digest() {
-			t.Errorf("digests %+v and %+v", late.Digest(), a.Digest())
+			t.Errorf("digests differ: started late %+v, peer %+v", late.Digest(), a.Digest())
 		}
 	})
 }
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 		if res := <-done; res.Outcome != OutcomeWon {
-			t.Errorf("result %+v", res)
+			t.Errorf("result of the Put that waited during the Restore: %+v, want won", res)
 		}
 	})
 }
@@ -198,7 +198,7 @@
 			t.Fatalf("restored to offset %d, want 2, past the own record", next)
 		}
 		if res := <-done; res.Outcome != OutcomeLost || res.Register.Nonce != (record.Nonce{2}) {
-			t.Errorf("result %+v", res)
+			t.Errorf("result of the skipped Put: %+v, want lost to the other node's Put", res)
 		}
 	})
 }
@@ -222,7 +222,7 @@
 		}
 		cluster.log.SetDisconnected("a", false)
 		if res := <-done; res.Outcome != OutcomeLost || res.Register.Nonce != (record.Nonce{2}) {
-			t.Errorf("result %+v", res)
+			t.Errorf("result of the Put that waited during the Restore: %+v, want lost to the other node's Put", res)
 		}
 		time.Sleep(time.Second)
 		b.Release("session/x", record.Nonce{2})
@@ -251,10 +251,10 @@
 		}
 		<-late.Ready()
 		if s := late.Status(); s.LogReachable || s.NextOffset != 1 || s.Head != 1 {
-			t.Errorf("status %+v", s)
+			t.Errorf("status after the Restore: %+v, want the log unreachable, next offset and head 1", s)
 		}
 		if err := late.Restore([]byte("junk")); !errors.Is(err, fold.ErrInvalidSnapshot) {
-			t.Errorf("junk: %v", err)
+			t.Errorf("Restore of bytes that are no snapshot: error %v, want ErrInvalidSnapshot", err)
 		}
 	})
 }
