--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -311,8 +311,8 @@
 		}
 	}
 	exported := map[string]int{}
-	_, err := ledger.Export(context.Background(), c.fullLog().Client("export"), fold.DefaultConfig(), 0, func(l ledger.ExportedBill) error {
-		exported[l.RequestID]++
+	_, err := ledger.Export(context.Background(), c.fullLog().Client("export"), fold.DefaultConfig(), 0, func(bill ledger.ExportedBill) error {
+		exported[bill.RequestID]++
 		return nil
 	})
 	if err != nil {
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -80,11 +80,11 @@
 func export(t *testing.T, log *logtest.Log, from uint64) (map[string]int64, ExportSummary) {
 	t.Helper()
 	got := map[string]int64{}
-	sum, err := Export(t.Context(), log.Client("x"), fold.DefaultConfig(), from, func(l ExportedBill) error {
-		if _, twice := got[l.RequestID]; twice {
-			t.Errorf("bill of %s exported twice", l.RequestID)
+	sum, err := Export(t.Context(), log.Client("x"), fold.DefaultConfig(), from, func(b ExportedBill) error {
+		if _, twice := got[b.RequestID]; twice {
+			t.Errorf("bill of %s exported twice", b.RequestID)
 		}
-		got[l.RequestID] = l.CostMicros
+		got[b.RequestID] = b.CostMicros
 		return nil
 	})
 	if err != nil {
@@ -395,8 +395,8 @@
 		var got []uint64
 		for _, cfg := range []fold.Config{{}, fold.DefaultConfig()} {
 			got = nil
-			_, err := Export(t.Context(), log.Client("reader"), cfg, 0, func(l ExportedBill) error {
-				got = append(got, l.OutputTokens)
+			_, err := Export(t.Context(), log.Client("reader"), cfg, 0, func(b ExportedBill) error {
+				got = append(got, b.OutputTokens)
 				return nil
 			})
 			if err != nil || !slices.Equal(got, []uint64{5}) {
