--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -103,7 +103,7 @@
 	t.pendingHeads = left
 }
 
-// Vouched reports that a peer that was asked at the time at answered v. A vouch
+// Vouched reports the answer v of a peer that was asked at the time at. A vouch
 // confirms its head whether or not the peer still reaches the log.
 func (t *Tracker) Vouched(at time.Time, v Vouch) {
 	t.mu.Lock()
@@ -187,11 +187,11 @@
 	if t.recent(now, t.failedAt) && t.failedAt.After(t.readAt) {
 		unreachable++
 	}
-	for _, answer := range t.vouches {
-		if !t.recent(now, answer.askedAt) {
+	for _, received := range t.vouches {
+		if !t.recent(now, received.askedAt) {
 			continue
 		}
-		if answer.vouch.LogReachable || answer.vouch.Head > t.folded {
+		if received.vouch.LogReachable || received.vouch.Head > t.folded {
 			return unreachable, true
 		}
 		unreachable++
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -232,7 +232,7 @@
 	defer g.mu.Unlock()
 	now := n.Digest().Generation
 	if now < g.seen[n] {
-		g.t.Errorf("generation decreased from %d to %d", g.seen[n], now)
+		g.t.Errorf("generation of a node decreased from %d to %d", g.seen[n], now)
 	}
 	g.seen[n] = now
 }
@@ -244,10 +244,10 @@
 	bills map[string]record.Record
 }
 
-// Requests are sent repeatedly to several instances. Whoever wins the claim
-// runs the request and bills it through a buffer that outlives the outage. Each
-// request must run at most once, each that ran must be billed once, and no
-// other may be.
+// Requests are sent repeatedly to several instances. Whoever wins the claim runs
+// the request and puts its bill, which may fail; after the faults the bills are
+// flushed from two buffers that hold all of them. Each request must run at most
+// once, each that ran must be billed once, and no other may be billed.
 func TestClaimsAndBills(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		var r recorder
@@ -311,8 +311,8 @@
 		}
 	}
 	exported := map[string]int{}
-	_, err := ledger.Export(context.Background(), c.fullLog().Client("export"), fold.DefaultConfig(), 0, func(l ledger.ExportedBill) error {
-		exported[l.RequestID]++
+	_, err := ledger.Export(context.Background(), c.fullLog().Client("export"), fold.DefaultConfig(), 0, func(bill ledger.ExportedBill) error {
+		exported[bill.RequestID]++
 		return nil
 	})
 	if err != nil {
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -80,11 +80,11 @@
 func export(t *testing.T, log *logtest.Log, from uint64) (map[string]int64, ExportSummary) {
 	t.Helper()
 	got := map[string]int64{}
-	sum, err := Export(t.Context(), log.Client("x"), fold.DefaultConfig(), from, func(l ExportedBill) error {
-		if _, twice := got[l.RequestID]; twice {
-			t.Errorf("bill of %s exported twice", l.RequestID)
+	sum, err := Export(t.Context(), log.Client("x"), fold.DefaultConfig(), from, func(b ExportedBill) error {
+		if _, twice := got[b.RequestID]; twice {
+			t.Errorf("bill of %s exported twice", b.RequestID)
 		}
-		got[l.RequestID] = l.CostMicros
+		got[b.RequestID] = b.CostMicros
 		return nil
 	})
 	if err != nil {
@@ -117,6 +117,8 @@
 	}
 }
 
+// An export must fail if it can't read the log. An empty export without an error
+// would pass for a ledger without bills.
 func TestExportWithTheLogDown(t *testing.T) {
 	log := logtest.New()
 	log.SetDown(true)
@@ -126,7 +128,9 @@
 	}
 }
 
-func TestBufferIsBoundedBeforeTheWork(t *testing.T) {
+// Room is reserved before a request runs. Without that, a bill could find the
+// buffer full and be lost.
+func TestBufferIsBoundedInBills(t *testing.T) {
 	b := NewBuffer(BufferLimits{MaxBills: 2}, nil, nil)
 	r1, err1 := b.Reserve()
 	r2, err2 := b.Reserve()
@@ -217,7 +221,7 @@
 
 // HoldWithCopy results in both copies or an error, and an error leaves a bill
 // that was held for a peer before.
-func TestHoldTwice(t *testing.T) {
+func TestHoldWithCopy(t *testing.T) {
 	noPeer := func(context.Context, record.Record) error { return errors.New("no peer") }
 	copies := 0
 	accept := func(context.Context, record.Record) error { copies++; return nil }
@@ -277,19 +281,19 @@
 		}
 	}
 	if left := b.Flush(t.Context()); left != 10*flushConcurrency || puts != 1 {
-		t.Errorf("log down: %d left after %d puts", left, puts)
+		t.Errorf("log down: %d bills left after %d Puts, want all left after one", left, puts)
 	}
 	puts, accepted = 0, 5
 	if left := b.Flush(t.Context()); left != 10*flushConcurrency-5 || puts > 5+2*flushConcurrency {
-		t.Errorf("log down during the flush: %d left after %d puts", left, puts)
+		t.Errorf("log down during the flush: %d bills left after %d Puts, want all but five left and few Puts after the first failure", left, puts)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	if left := b.HandOver(ended); left != 10*flushConcurrency-5 {
-		t.Errorf("hand-over with its context ended: %d left", left)
+		t.Errorf("hand-over with its context ended: %d bills left, want all that the flush left", left)
 	}
 	if left := b.HandOver(t.Context()); left != 0 || b.bytes != 0 {
-		t.Errorf("hand-over: %d bills of %d bytes left", left, b.bytes)
+		t.Errorf("hand-over: %d bills of %d bytes left, want none", left, b.bytes)
 	}
 }
 
@@ -367,8 +371,9 @@
 	})
 }
 
-// A bill is appended twice, hours apart, so that the instances have forgotten
-// the first one by then. The reader of the ledger must still void the second.
+// Guards against a request that is billed twice: its second bill is appended
+// hours after the first, when the instances have forgotten that one. The reader
+// of the ledger must still void the second bill.
 func TestLateCopyIsVoidAtTheReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
@@ -390,12 +395,12 @@
 		var got []uint64
 		for _, cfg := range []fold.Config{{}, fold.DefaultConfig()} {
 			got = nil
-			_, err := Export(t.Context(), log.Client("reader"), cfg, 0, func(l ExportedBill) error {
-				got = append(got, l.OutputTokens)
+			_, err := Export(t.Context(), log.Client("reader"), cfg, 0, func(b ExportedBill) error {
+				got = append(got, b.OutputTokens)
 				return nil
 			})
 			if err != nil || !slices.Equal(got, []uint64{5}) {
-				t.Errorf("bills %v, error %v", got, err)
+				t.Errorf("output tokens of the exported bills %v, error %v, want those of the first bill only", got, err)
 			}
 		}
 	})
--- a/coordination/node/doubt.go
+++ b/coordination/node/indoubt.go
@@ -8,14 +8,14 @@
 
 // inDoubtGroup is a group that may or may not be in the log. It is sent again
 // only after the tail has passed a head that was read later than the append.
-// Sent earlier, a second copy would often follow a first one that is merely
-// unread, and the second might win where the first was read back as the loser.
-// A first copy that arrives even later is handled by the Release that readBack
-// queues.
+// Sent earlier, the second copy would often follow a first one that is in the log
+// but not read back yet; the first could then be read back as a loser and the
+// second win. A first copy that arrives even later is handled by the Release that
+// readBack queues.
 type inDoubtGroup struct {
 	group group
 	due   time.Time
-	// head is the log's head as read after the append; headKnown says that it
+	// head is the log's head as read after the append; headKnown is true if it
 	// was read.
 	head      uint64
 	headKnown bool
@@ -32,8 +32,8 @@
 // log's head for those that are due, and sends those again that the tail has
 // passed.
 func (a *appender) resolveInDoubt(ctx context.Context) {
-	if orphans := a.node.proposals.takeSkipped(); len(orphans) > 0 {
-		a.inDoubt = append(a.inDoubt, inDoubtGroup{group: group{puts: orphans}, due: time.Now()})
+	if skipped := a.node.proposals.takeSkipped(); len(skipped) > 0 {
+		a.inDoubt = append(a.inDoubt, inDoubtGroup{group: group{puts: skipped}, due: time.Now()})
 	}
 	now := time.Now()
 	a.inDoubt = slices.DeleteFunc(a.inDoubt, func(d inDoubtGroup) bool { return !a.node.proposals.unresolved(&d.group) })
@@ -63,8 +63,8 @@
 
 // recheckDelay is the time until the next check: short while the tail catches
 // up with a known head, and the backoff while the log can't be read.
-func (a *appender) recheckDelay(asked bool) time.Duration {
-	if asked {
+func (a *appender) recheckDelay(headKnown bool) time.Duration {
+	if headKnown {
 		return a.node.cfg.Linger
 	}
 	return a.backoff.next()
