--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -48,10 +48,10 @@
 }
 
 func newSimulation(seed uint64, prior map[string]float64) *simulation {
-	table := New[string, string, string](DefaultConfig())
-	table.Apply(prior)
+	t := New[string, string, string](DefaultConfig())
+	t.Apply(prior)
 	return &simulation{
-		t:         table,
+		t:         t,
 		rng:       rand.New(rand.NewPCG(seed, 1)),
 		hardShare: 0.3,
 		now:       startTime,
@@ -65,10 +65,10 @@
 // answer runs one attempt and returns the true quality of its answer and its
 // rating.
 func (sim *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
-	n := sim.qualities[v]
-	score = n.easy
+	q := sim.qualities[v]
+	score = q.easy
 	if hard {
-		score = n.hard
+		score = q.hard
 	}
 	score = min(max(score+0.06*sim.rng.NormFloat64(), 0), 1)
 	rated, late = sim.rater(score)
@@ -111,10 +111,10 @@
 	equal := map[string]trueQuality{small: {0.9, 0.9}, large: {0.92, 0.85}}
 	poor := map[string]trueQuality{small: {0.3, 0.2}, large: {0.92, 0.85}}
 	cases := []struct {
-		name    string
-		natures map[string]trueQuality
-		target  float64
-		mayHold bool
+		name      string
+		qualities map[string]trueQuality
+		target    float64
+		mayHold   bool
 		// maxCost is the highest mean cost, as a share of that of always using
 		// large.
 		maxCost float64
@@ -131,7 +131,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(10) {
 				sim := newSimulation(seed, usualPrior)
-				sim.qualities = c.natures
+				sim.qualities = c.qualities
 				sim.serve(1000, c.target, c.mayHold)
 				sim.serve(2000, c.target, c.mayHold)
 				quality, cost := sim.quality/2000, sim.cost/2000/2.56
--- a/decision/internal/estimate/plan.go
+++ b/decision/internal/estimate/plan.go
@@ -115,26 +115,26 @@
 
 // cachedPlanFor returns the cached plan for the query, or computes it where it is
 // missing, too old or outdated by new ratings.
-func (t *Table[T, C, V]) cachedPlanFor(k *task[V], q Query[T, C, V]) *cachedPlan[V] {
-	if k.newRatings >= t.cfg.ReplanRatings {
-		k.plans = k.plans[:0]
-		k.newRatings = 0
+func (t *Table[T, C, V]) cachedPlanFor(task *task[V], q Query[T, C, V]) *cachedPlan[V] {
+	if task.newRatings >= t.cfg.ReplanRatings {
+		task.plans = task.plans[:0]
+		task.newRatings = 0
 	}
-	for i := range k.plans {
-		c := &k.plans[i]
+	for i := range task.plans {
+		c := &task.plans[i]
 		if c.mayHold != q.MayHold || c.target != q.Target || !slices.Equal(c.options, q.Options) {
 			continue
 		}
 		if q.Now.Sub(c.plannedAt) >= t.cfg.ReplanAfter {
-			*c = t.search(k, q)
+			*c = t.search(task, q)
 		}
 		return c
 	}
-	if len(k.plans) >= maxCachedPlans {
-		k.plans = k.plans[:0]
+	if len(task.plans) >= maxCachedPlans {
+		task.plans = task.plans[:0]
 	}
-	k.plans = append(k.plans, t.search(k, q))
-	return &k.plans[len(k.plans)-1]
+	task.plans = append(task.plans, t.search(task, q))
+	return &task.plans[len(task.plans)-1]
 }
 
 // candidate is an option with its estimates.
@@ -146,8 +146,8 @@
 	stderr  float64
 }
 
-func (t *Table[T, C, V]) search(k *task[V], q Query[T, C, V]) cachedPlan[V] {
-	list := t.candidates(k, q)
+func (t *Table[T, C, V]) search(task *task[V], q Query[T, C, V]) cachedPlan[V] {
+	list := t.candidates(task, q)
 	s := searcher[V]{target: q.Target, confidence: t.cfg.Confidence}
 	for i := range list {
 		s.considerSingle(&list[i])
@@ -155,7 +155,7 @@
 			continue
 		}
 		for j := i + 1; j < len(list); j++ {
-			t.considerCascades(&s, k, &list[i], &list[j])
+			t.considerCascades(&s, task, &list[i], &list[j])
 		}
 	}
 	c := cachedPlan[V]{
@@ -170,16 +170,16 @@
 }
 
 // candidates returns the options by ascending expected cost of an answer.
-func (t *Table[T, C, V]) candidates(k *task[V], q Query[T, C, V]) []candidate[V] {
+func (t *Table[T, C, V]) candidates(task *task[V], q Query[T, C, V]) []candidate[V] {
 	list := make([]candidate[V], 0, len(q.Options))
 	for _, o := range q.Options {
-		r := t.estimate(q.Task, k, o.Version)
+		stats := t.estimate(q.Task, task, o.Version)
 		list = append(list, candidate[V]{
 			version: o.Version,
-			stats:   r,
-			cost:    o.Cost * r.meanTokens / 1000,
-			mean:    r.mean(),
-			stderr:  r.stderr(q.Now, t.cfg.StaleHalfLife),
+			stats:   stats,
+			cost:    o.Cost * stats.meanTokens / 1000,
+			mean:    stats.mean(),
+			stderr:  stats.stderr(q.Now, t.cfg.StaleHalfLife),
 		})
 	}
 	slices.SortFunc(list, func(a, b candidate[V]) int {
@@ -197,26 +197,26 @@
 )
 
 // considerCascades considers a cascade from a to b at every rating threshold.
-func (t *Table[T, C, V]) considerCascades(s *searcher[V], k *task[V], a, b *candidate[V]) {
-	after := max(b.mean-escalationPenalty, 0)
-	if f := k.escalations[a.version]; f != nil && f.second == b.version {
-		after = (after*escalationPenaltyWeight + f.mean*f.n) / (escalationPenaltyWeight + f.n)
+func (t *Table[T, C, V]) considerCascades(s *searcher[V], task *task[V], a, b *candidate[V]) {
+	escalatedQuality := max(b.mean-escalationPenalty, 0)
+	if esc := task.escalations[a.version]; esc != nil && esc.second == b.version {
+		escalatedQuality = (escalatedQuality*escalationPenaltyWeight + esc.mean*esc.n) / (escalationPenaltyWeight + esc.n)
 	}
-	late := t.rater.lateShare
-	below := 0.0
-	kept := a.mean
-	for i := range bins - 1 {
-		below += a.stats.count[i] / a.stats.total
-		kept -= a.stats.sum[i] / a.stats.total
-		escalated := below * (1 - late)
+	lateShare := t.rater.lateShare
+	shareBelow := 0.0
+	keptQuality := a.mean
+	for i := range numBins - 1 {
+		shareBelow += a.stats.count[i] / a.stats.total
+		keptQuality -= a.stats.sum[i] / a.stats.total
+		escalated := shareBelow * (1 - lateShare)
 		// When the rating is late, the first answer is delivered.
-		quality := late*a.mean + (1-late)*(kept+below*after)
+		quality := lateShare*a.mean + (1-lateShare)*(keptQuality+shareBelow*escalatedQuality)
 		stderr := math.Hypot((1-escalated)*a.stderr, escalated*b.stderr)
 		s.consider(Plan[V]{
 			First:     a.version,
 			Cascade:   true,
 			Second:    b.version,
-			Threshold: float64(i+1) / bins,
+			Threshold: float64(i+1) / numBins,
 			Quality:   quality,
 			Cost:      a.cost + escalated*b.cost,
 		}, stderr)
--- a/decision/internal/estimate/row.go
+++ b/decision/internal/estimate/row.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// bins is the number of rating thresholds that a plan can choose from; steps of
+// numBins is the number of rating thresholds that a plan can choose from; steps of
 // 0.05 are finer than the repeatability of raters.
-const bins = 20
+const numBins = 20
 
 // versionStats holds the observations of one version: an exponentially
 // discounted histogram of its ratings and the mean length of its answers. Each
 // bin keeps its own sum, so that binning loses nothing for raters that return few
 // distinct values (0 and 1, for example).
 type versionStats struct {
-	count [bins]float64
-	sum   [bins]float64
+	count [numBins]float64
+	sum   [numBins]float64
 	sumSq float64
 	// total is the sum of count, n the part of it that comes from ratings and not
 	// from the prior.
@@ -31,11 +31,11 @@
 
 // priorStats returns stats that hold weight ratings spread around quality.
 func priorStats(quality, weight float64) *versionStats {
-	r := &versionStats{}
-	share := [bins]float64{}
+	s := &versionStats{}
+	share := [numBins]float64{}
 	total := 0.0
 	for i := range share {
-		x := (float64(i)+0.5)/bins - quality
+		x := (float64(i)+0.5)/numBins - quality
 		share[i] = math.Exp(-x * x / (2 * priorSpread * priorSpread))
 		total += share[i]
 	}
@@ -43,25 +43,25 @@
 	mean := 0.0
 	for i := range share {
 		share[i] /= total
-		mean += share[i] * (float64(i) + 0.5) / bins
+		mean += share[i] * (float64(i) + 0.5) / numBins
 	}
 	for i := range share {
-		value := (float64(i)+0.5)/bins + quality - mean
-		r.addToBin(i, value, weight*share[i])
+		value := (float64(i)+0.5)/numBins + quality - mean
+		s.addToBin(i, value, weight*share[i])
 	}
-	return r
+	return s
 }
 
 // withPrior returns the stats combined with those of the parent level as a prior
 // that counts for weight ratings and weight answers.
-func (r *versionStats) withPrior(parent *versionStats, weight float64) versionStats {
-	out := *r
-	f := weight / parent.total
+func (s *versionStats) withPrior(parent *versionStats, weight float64) versionStats {
+	out := *s
+	scale := weight / parent.total
 	for i := range out.count {
-		out.count[i] += parent.count[i] * f
-		out.sum[i] += parent.sum[i] * f
+		out.count[i] += parent.count[i] * scale
+		out.sum[i] += parent.sum[i] * scale
 	}
-	out.sumSq += parent.sumSq * f
+	out.sumSq += parent.sumSq * scale
 	out.total += weight
 	out.n += min(parent.n, weight)
 	if parent.ratedAt.After(out.ratedAt) {
@@ -72,53 +72,53 @@
 	return out
 }
 
-func (r *versionStats) addToBin(bin int, value, weight float64) {
-	r.count[bin] += weight
-	r.sum[bin] += weight * value
-	r.sumSq += weight * value * value
-	r.total += weight
+func (s *versionStats) addToBin(bin int, value, weight float64) {
+	s.count[bin] += weight
+	s.sum[bin] += weight * value
+	s.sumSq += weight * value * value
+	s.total += weight
 }
 
 // addRating adds one rating; older ones are discounted with a window of memory
 // ratings.
-func (r *versionStats) addRating(score, memory float64, now time.Time) {
+func (s *versionStats) addRating(score, memory float64, now time.Time) {
 	keep := 1 - 1/memory
-	for i := range r.count {
-		r.count[i] *= keep
-		r.sum[i] *= keep
+	for i := range s.count {
+		s.count[i] *= keep
+		s.sum[i] *= keep
 	}
-	r.sumSq *= keep
-	r.total *= keep
-	r.n = r.n*keep + 1
-	r.addToBin(binOf(score), score, 1)
-	r.ratedAt = now
+	s.sumSq *= keep
+	s.total *= keep
+	s.n = s.n*keep + 1
+	s.addToBin(binOf(score), score, 1)
+	s.ratedAt = now
 }
 
-func binOf(score float64) int { return min(int(score*bins), bins-1) }
+func binOf(score float64) int { return min(int(score*numBins), numBins-1) }
 
 // addLength adds the length of one answer, in tokens.
-func (r *versionStats) addLength(tokens, memory float64) {
-	r.answers = min(r.answers+1, memory)
-	r.meanTokens += (tokens - r.meanTokens) / r.answers
+func (s *versionStats) addLength(tokens, memory float64) {
+	s.answers = min(s.answers+1, memory)
+	s.meanTokens += (tokens - s.meanTokens) / s.answers
 }
 
-func (r *versionStats) mean() float64 {
-	s := 0.0
-	for _, v := range r.sum {
-		s += v
+func (s *versionStats) mean() float64 {
+	sum := 0.0
+	for _, v := range s.sum {
+		sum += v
 	}
-	return s / r.total
+	return sum / s.total
 }
 
 // stderr is the standard error of the mean. While no new ratings arrive, the
 // weight of the old ones halves with each half-life, so that the estimate stays
 // and its uncertainty grows.
-func (r *versionStats) stderr(now time.Time, halfLife time.Duration) float64 {
-	mean := r.mean()
-	variance := max(r.sumSq/r.total-mean*mean, minVariance)
-	weight := r.total
-	if r.n > 0 {
-		age := max(now.Sub(r.ratedAt), 0)
+func (s *versionStats) stderr(now time.Time, halfLife time.Duration) float64 {
+	mean := s.mean()
+	variance := max(s.sumSq/s.total-mean*mean, minVariance)
+	weight := s.total
+	if s.n > 0 {
+		age := max(now.Sub(s.ratedAt), 0)
 		weight *= math.Exp2(-float64(age) / float64(halfLife))
 	}
 	return math.Sqrt(variance / max(weight, 1))
--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -126,9 +126,9 @@
 func (t *Table[T, C, V]) Apply(quality map[V]float64) {
 	t.prior = make(map[V]*versionStats, len(quality))
 	for v, q := range quality {
-		r := priorStats(clampQuality(q), t.cfg.PriorWeight)
-		r.meanTokens = t.cfg.DefaultTokens
-		t.prior[v] = r
+		stats := priorStats(clampQuality(q), t.cfg.PriorWeight)
+		stats.meanTokens = t.cfg.DefaultTokens
+		t.prior[v] = stats
 	}
 	t.dropUnlisted(t.overall)
 	for _, class := range t.classes.Values() {
@@ -181,12 +181,12 @@
 
 // statsFor returns the stats of a version, added to the map if missing.
 func statsFor[V comparable](stats map[V]*versionStats, v V) *versionStats {
-	r := stats[v]
-	if r == nil {
-		r = &versionStats{}
-		stats[v] = r
+	s := stats[v]
+	if s == nil {
+		s = &versionStats{}
+		stats[v] = s
 	}
-	return r
+	return s
 }
 
 var emptyStats versionStats
@@ -194,8 +194,8 @@
 // statsOrEmpty returns the stats of a version, or empty ones that must not be
 // changed.
 func statsOrEmpty[V comparable](stats map[V]*versionStats, v V) *versionStats {
-	if r := stats[v]; r != nil {
-		return r
+	if s := stats[v]; s != nil {
+		return s
 	}
 	return &emptyStats
 }
@@ -269,20 +269,20 @@
 		return
 	}
 	task := t.task(k)
-	f := task.escalations[first]
-	if f == nil || f.second != second {
-		f = &escalationStats[V]{second: second}
-		task.escalations[first] = f
+	esc := task.escalations[first]
+	if esc == nil || esc.second != second {
+		esc = &escalationStats[V]{second: second}
+		task.escalations[first] = esc
 	}
-	f.n = min(f.n+1, t.cfg.Memory)
-	f.mean += (score - f.mean) / f.n
+	esc.n = min(esc.n+1, t.cfg.Memory)
+	esc.mean += (score - esc.mean) / esc.n
 }
 
 // Quality returns the estimated mean rating of a version for a task and its
 // standard error.
 func (t *Table[T, C, V]) Quality(k Task[T, C], v V, now time.Time) (mean, stderr float64) {
-	r := t.estimate(k, t.task(k), v)
-	return r.mean(), r.stderr(now, t.cfg.StaleHalfLife)
+	stats := t.estimate(k, t.task(k), v)
+	return stats.mean(), stats.stderr(now, t.cfg.StaleHalfLife)
 }
 
 // RaterDown reports whether the rating service counts as down: too many of its
--- a/decision/internal/fair/account.go
+++ b/decision/internal/fair/account.go
@@ -55,9 +55,9 @@
 }
 
 func (a *Account) charge(cost float64) {
-	back := min(a.refund, cost)
-	a.refund -= back
-	a.tag += (cost - back) / a.weight
+	refunded := min(a.refund, cost)
+	a.refund -= refunded
+	a.tag += (cost - refunded) / a.weight
 }
 
 // startTag is the tag at which an item queued now starts. An account that was
--- a/decision/internal/fair/fair.go
+++ b/decision/internal/fair/fair.go
@@ -104,12 +104,12 @@
 // current tags: the flow's queued cost, and the queued cost of each other flow up
 // to the tag at which the new item starts. It takes O(active flows).
 func (q *Queue[T]) CostAhead(f *Flow[T]) float64 {
-	turn := f.account.startTag() + f.cost/f.account.weight
+	newItemTag := f.account.startTag() + f.cost/f.account.weight
 	sum := f.cost
 	for _, other := range q.active {
 		if other != f {
 			a := other.account
-			sum += min(other.cost, max(turn-a.tag, 0)*a.weight)
+			sum += min(other.cost, max(newItemTag-a.tag, 0)*a.weight)
 		}
 	}
 	return sum
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -29,8 +29,8 @@
 			it := q.Pop()
 			served[it.Value] += it.Cost / flows[it.Value].Weight()
 			low, high := math.Inf(1), 0.0
-			for _, g := range served {
-				low, high = min(low, g), max(high, g)
+			for _, perWeight := range served {
+				low, high = min(low, perWeight), max(high, perWeight)
 			}
 			if high-low > 2*maxCost {
 				t.Fatalf("work served per weight %v, largest item %v", served, maxCost)
--- a/decision/internal/policytest/bench.go
+++ b/decision/internal/policytest/bench.go
@@ -92,8 +92,8 @@
 			jobs = jobs[1:]
 		}
 		sim.publishReports()
-		for _, l := range sim.pending[sim.now] {
-			sim.inbox[l.instance] = append(sim.inbox[l.instance], l.event)
+		for _, p := range sim.pending[sim.now] {
+			sim.inbox[p.instance] = append(sim.inbox[p.instance], p.event)
 		}
 		delete(sim.pending, sim.now)
 		for _, e := range sim.engines {
@@ -215,13 +215,13 @@
 		sim.results.InvalidCommands++
 		return
 	}
-	r := &attempt{job: c.job, id: d.Attempt, version: d.Version, instance: instance}
+	a := &attempt{job: c.job, id: d.Attempt, version: d.Version, instance: instance}
 	if sim.currentFault() == FaultErrors && d.Version == smallNew {
-		r.fails = c.job.failDraw < 0.25
+		a.fails = c.job.failDraw < 0.25
 	}
 	c.recordDispatch(d)
 	sim.results.recordDispatch(c.job, d.Version, sim.now)
-	e.enqueue(r)
+	e.enqueue(a)
 }
 
 // currentFault is the current fault of smallNew.
@@ -232,65 +232,65 @@
 	return sim.load.Fault
 }
 
-func (sim *simulation) onFirstToken(_ *engine, r *attempt) {
-	sim.send(r.instance, decision.FirstToken{Request: r.job.ID, Attempt: r.id})
-	if c := sim.callers[r.job.ID]; c != nil && !c.held[r.id] && c.firstToken == 0 {
+func (sim *simulation) onFirstToken(_ *engine, a *attempt) {
+	sim.send(a.instance, decision.FirstToken{Request: a.job.ID, Attempt: a.id})
+	if c := sim.callers[a.job.ID]; c != nil && !c.held[a.id] && c.firstToken == 0 {
 		c.firstToken = sim.now
 	}
 }
 
-func (sim *simulation) onAttemptEnd(_ *engine, r *attempt) {
-	c := sim.callers[r.job.ID]
-	end := decision.AttemptEnded{Request: r.job.ID, Attempt: r.id, Result: decision.AttemptCompleted, Tokens: r.job.tokens}
-	if r.fails {
+func (sim *simulation) onAttemptEnd(_ *engine, a *attempt) {
+	c := sim.callers[a.job.ID]
+	end := decision.AttemptEnded{Request: a.job.ID, Attempt: a.id, Result: decision.AttemptCompleted, Tokens: a.job.tokens}
+	if a.fails {
 		end.Result = decision.AttemptFailed
 		end.Tokens = 0
 	}
 	if c != nil {
-		c.cost += prices[r.version] * float64(end.Tokens) / 1000
-		end.ResponseStarted = !r.fails && !c.held[r.id]
+		c.cost += prices[a.version] * float64(end.Tokens) / 1000
+		end.ResponseStarted = !a.fails && !c.held[a.id]
 	}
-	sim.send(r.instance, end)
-	if r.fails {
-		sim.results.recordBadAnswer(r.version, sim.now)
+	sim.send(a.instance, end)
+	if a.fails {
+		sim.results.recordBadAnswer(a.version, sim.now)
 		return
 	}
-	sim.rateAnswer(c, r)
+	sim.rateAnswer(c, a)
 }
 
 // rateAnswer determines the quality of an answer and sends its rating to the
 // instance that asked for one.
-func (sim *simulation) rateAnswer(c *caller, r *attempt) {
-	if c == nil || r.version == "" {
+func (sim *simulation) rateAnswer(c *caller, a *attempt) {
+	if c == nil || a.version == "" {
 		return
 	}
-	score := r.job.quality(r.version, sim.currentFault())
-	c.scores[r.id] = score
-	budget, asked := c.ratingBudgets[r.id]
+	score := a.job.quality(a.version, sim.currentFault())
+	c.scores[a.id] = score
+	budget, asked := c.ratingBudgets[a.id]
 	if !asked {
 		return
 	}
 	rating := min(max(score+ratingNoise*sim.rng.NormFloat64(), 0), 1)
 	if sim.currentFault() == FaultRatings && rating < 0.6 {
-		sim.results.recordBadAnswer(r.version, sim.now)
+		sim.results.recordBadAnswer(a.version, sim.now)
 	}
-	ev := decision.AnswerRated{Request: r.job.ID, Attempt: r.id, Team: r.job.Team,
-		Class: r.job.Class, Version: r.version, Score: rating}
+	ev := decision.AnswerRated{Request: a.job.ID, Attempt: a.id, Team: a.job.Team,
+		Class: a.job.Class, Version: a.version, Score: rating}
 	delay := ratingTimeMin + time.Duration(sim.rng.Float64()*float64(ratingTimeSpan))
 	if delay > budget {
 		ev.Late, ev.Score, delay = true, 0, budget
 	}
-	sim.sendAfter(r.instance, ev, delay)
+	sim.sendAfter(a.instance, ev, delay)
 }
 
 func (sim *simulation) cancel(instance int, c decision.CancelAttempt) {
 	for _, e := range sim.engines {
-		r := e.cancel(c.Request, c.Attempt)
-		if r == nil {
+		a := e.cancel(c.Request, c.Attempt)
+		if a == nil {
 			continue
 		}
 		if caller := sim.callers[c.Request]; caller != nil {
-			caller.cost += prices[r.version] * max(float64(r.job.tokens)-r.remaining, 0) / 1000
+			caller.cost += prices[a.version] * max(float64(a.job.tokens)-a.remaining, 0) / 1000
 		}
 		sim.send(instance, decision.AttemptEnded{Request: c.Request, Attempt: c.Attempt, Result: decision.AttemptCancelled})
 		return
--- a/decision/internal/policytest/engine.go
+++ b/decision/internal/policytest/engine.go
@@ -63,16 +63,16 @@
 }
 
 // enqueue adds an attempt to the engine's queue.
-func (e *engine) enqueue(r *attempt) { e.queued = append(e.queued, r) }
+func (e *engine) enqueue(a *attempt) { e.queued = append(e.queued, a) }
 
 // cancel removes an attempt and returns it, or nil if the engine does not have
 // it.
 func (e *engine) cancel(id decision.RequestID, attemptID decision.AttemptID) *attempt {
 	for _, list := range []*[]*attempt{&e.queued, &e.running} {
-		for i, r := range *list {
-			if r.job.ID == id && r.id == attemptID {
+		for i, a := range *list {
+			if a.job.ID == id && a.id == attemptID {
 				*list = append((*list)[:i], (*list)[i+1:]...)
-				return r
+				return a
 			}
 		}
 	}
@@ -83,10 +83,10 @@
 // for each attempt that ends.
 func (e *engine) step(dt time.Duration, onFirst, onEnd func(*engine, *attempt)) {
 	for len(e.queued) > 0 && len(e.running) < e.Slots {
-		r := e.queued[0]
+		a := e.queued[0]
 		e.queued = e.queued[1:]
-		e.takeSlot(r)
-		e.running = append(e.running, r)
+		e.takeSlot(a)
+		e.running = append(e.running, a)
 	}
 	seconds := dt.Seconds() / e.slowFactor
 	if e.Service != "" {
@@ -98,25 +98,25 @@
 	// Time spent on prefill is not available for decoding.
 	tokens := (seconds - prefillTime) / tokenTime
 	kept := e.running[:0]
-	for _, r := range e.running {
-		if r.prefill > 0 {
-			kept = append(kept, r)
+	for _, a := range e.running {
+		if a.prefill > 0 {
+			kept = append(kept, a)
 			continue
 		}
-		if r.fails {
-			onEnd(e, r)
+		if a.fails {
+			onEnd(e, a)
 			continue
 		}
-		r.remaining -= tokens
-		if !r.started {
-			r.started = true
-			onFirst(e, r)
+		a.remaining -= tokens
+		if !a.started {
+			a.started = true
+			onFirst(e, a)
 		}
-		if r.remaining <= 0 {
-			onEnd(e, r)
+		if a.remaining <= 0 {
+			onEnd(e, a)
 			continue
 		}
-		kept = append(kept, r)
+		kept = append(kept, a)
 	}
 	e.running = kept
 }
@@ -124,18 +124,18 @@
 // runPrefill computes prompts in order of arrival and returns the seconds used.
 func (e *engine) runPrefill(seconds float64) float64 {
 	left := seconds
-	for _, r := range e.running {
-		if r.prefill <= 0 {
+	for _, a := range e.running {
+		if a.prefill <= 0 {
 			continue
 		}
-		needed := r.prefill / e.speed.prefill
+		needed := a.prefill / e.speed.prefill
 		if needed > left {
-			r.prefill -= left * e.speed.prefill
+			a.prefill -= left * e.speed.prefill
 			return seconds
 		}
 		left -= needed
-		r.prefill = 0
-		e.cachePrompt(r.job.Blocks)
+		a.prefill = 0
+		e.cachePrompt(a.job.Blocks)
 	}
 	return seconds - left
 }
@@ -143,36 +143,36 @@
 // runServiceCalls runs the calls of a plain service in parallel.
 func (e *engine) runServiceCalls(seconds float64, onFirst, onEnd func(*engine, *attempt)) {
 	kept := e.running[:0]
-	for _, r := range e.running {
-		r.remaining -= seconds
-		if r.remaining > 0 {
-			kept = append(kept, r)
+	for _, a := range e.running {
+		a.remaining -= seconds
+		if a.remaining > 0 {
+			kept = append(kept, a)
 			continue
 		}
-		onFirst(e, r)
-		onEnd(e, r)
+		onFirst(e, a)
+		onEnd(e, a)
 	}
 	e.running = kept
 }
 
 // takeSlot sets the work of an attempt that gets a slot: the cached part of its
 // prompt need not be computed.
-func (e *engine) takeSlot(r *attempt) {
+func (e *engine) takeSlot(a *attempt) {
 	if e.Service != "" {
-		r.remaining = serviceCallTime.Seconds()
+		a.remaining = serviceCallTime.Seconds()
 		return
 	}
 	hit := 0
-	for _, h := range r.job.Blocks {
+	for _, h := range a.job.Blocks {
 		if _, ok := e.cache.Get(h); !ok {
 			break
 		}
 		hit++
 	}
-	e.lookups += len(r.job.Blocks)
+	e.lookups += len(a.job.Blocks)
 	e.hits += hit
-	r.prefill = float64(max(len(r.job.Blocks)-hit, 1) * blockTokens)
-	r.remaining = float64(r.job.tokens)
+	a.prefill = float64(max(len(a.job.Blocks)-hit, 1) * blockTokens)
+	a.remaining = float64(a.job.tokens)
 }
 
 // cachePrompt adds a prompt to the cache, with its first block as the most
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -220,7 +220,7 @@
 }
 
 // quality is the true quality of a version's answer to this request, 0 to 1.
-func (j *job) quality(v decision.VersionID, bad FaultKind) float64 {
+func (j *job) quality(v decision.VersionID, fault FaultKind) float64 {
 	t := trueQualities[v]
 	q := t.easy
 	switch {
@@ -229,7 +229,7 @@
 	case j.hard:
 		q = t.hard
 	}
-	if bad == FaultRatings && v == smallNew {
+	if fault == FaultRatings && v == smallNew {
 		q /= 2
 	}
 	return min(max(q+j.qualityNoise, 0), 1)
--- a/decision/internal/policytest/report.go
+++ b/decision/internal/policytest/report.go
@@ -35,29 +35,29 @@
 }
 
 // Figures computes the reported figures.
-func (t *Results) Figures() Figures {
-	n := max(float64(t.ModelAnswers), 1)
-	all := max(float64(t.Arrived), 1)
-	counted := (t.load.Duration - t.load.Warmup).Seconds()
+func (r *Results) Figures() Figures {
+	answers := max(float64(r.ModelAnswers), 1)
+	arrived := max(float64(r.Arrived), 1)
+	measuredSeconds := (r.load.Duration - r.load.Warmup).Seconds()
 	return Figures{
-		Cost:                   t.Cost / n,
-		Quality:                t.Quality / n,
-		TargetShortfall:        t.targetShortfall(),
-		FirstTokenP50:          percentile(t.firstTokens, 0.50).Seconds(),
-		FirstTokenP95:          percentile(t.firstTokens, 0.95).Seconds(),
-		FirstTokenP99:          percentile(t.firstTokens, 0.99).Seconds(),
-		LatencyP50:             percentile(t.latencies, 0.50).Seconds(),
-		LatencyP95:             percentile(t.latencies, 0.95).Seconds(),
-		LatencyP99:             percentile(t.latencies, 0.99).Seconds(),
-		Goodput:                float64(t.Completed) / counted,
-		RefusedShare:           float64(t.Refused) / all,
-		FailedShare:            float64(t.Failed+t.Late+t.Unanswered) / all,
-		Throughput:             t.totalWork() / counted,
-		CacheHitRate:           float64(t.cachedBlocks) / max(float64(t.promptBlocks), 1),
-		MinShareRatio:          t.minShareRatio(),
-		FalseAlarms:            float64(t.FalseAlarms),
-		ExposedRequests:        float64(t.fault.exposedRequests),
-		ExposedShareAfterLimit: float64(t.fault.exposedAfterLimit) / max(float64(t.fault.arrivedAfterLimit), 1),
+		Cost:                   r.Cost / answers,
+		Quality:                r.Quality / answers,
+		TargetShortfall:        r.targetShortfall(),
+		FirstTokenP50:          percentile(r.firstTokens, 0.50).Seconds(),
+		FirstTokenP95:          percentile(r.firstTokens, 0.95).Seconds(),
+		FirstTokenP99:          percentile(r.firstTokens, 0.99).Seconds(),
+		LatencyP50:             percentile(r.latencies, 0.50).Seconds(),
+		LatencyP95:             percentile(r.latencies, 0.95).Seconds(),
+		LatencyP99:             percentile(r.latencies, 0.99).Seconds(),
+		Goodput:                float64(r.Completed) / measuredSeconds,
+		RefusedShare:           float64(r.Refused) / arrived,
+		FailedShare:            float64(r.Failed+r.Late+r.Unanswered) / arrived,
+		Throughput:             r.totalWork() / measuredSeconds,
+		CacheHitRate:           float64(r.cachedBlocks) / max(float64(r.promptBlocks), 1),
+		MinShareRatio:          r.minShareRatio(),
+		FalseAlarms:            float64(r.FalseAlarms),
+		ExposedRequests:        float64(r.fault.exposedRequests),
+		ExposedShareAfterLimit: float64(r.fault.exposedAfterLimit) / max(float64(r.fault.arrivedAfterLimit), 1),
 	}
 }
 
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/tally.go
@@ -80,70 +80,70 @@
 const maxBadAnswers = 50
 
 func newResults(l Load) *Results {
-	t := &Results{load: l, teams: make(map[decision.TeamID]*teamResults)}
+	r := &Results{load: l, teams: make(map[decision.TeamID]*teamResults)}
 	for _, x := range teams() {
-		t.teams[x.ID] = &teamResults{
+		r.teams[x.ID] = &teamResults{
 			quality: make(map[decision.TaskClass]float64),
 			answers: make(map[decision.TaskClass]int),
 			target:  x.QualityTarget,
 			weight:  float64(x.Weight),
 		}
 	}
-	return t
+	return r
 }
 
 // work is the size of a request, in generated tokens; a prompt token counts a
 // tenth.
 func work(j *job) float64 { return float64(j.tokens) + 0.1*float64(j.PromptTokens) }
 
-func (t *Results) measured(j *job) bool { return j.arrived >= t.load.Warmup }
+func (r *Results) measured(j *job) bool { return j.arrived >= r.load.Warmup }
 
-func (t *Results) recordArrival(j *job) {
-	if j.Service == "" && t.fault.badAnswers >= maxBadAnswers {
-		t.fault.arrivedAfterLimit++
+func (r *Results) recordArrival(j *job) {
+	if j.Service == "" && r.fault.badAnswers >= maxBadAnswers {
+		r.fault.arrivedAfterLimit++
 	}
-	if !t.measured(j) {
+	if !r.measured(j) {
 		return
 	}
-	t.Arrived++
+	r.Arrived++
 	if j.Service == "" {
-		t.teams[j.Team].demand += work(j)
+		r.teams[j.Team].demand += work(j)
 	}
 }
 
-func (t *Results) recordDispatch(_ *job, v decision.VersionID, now time.Duration) {
-	if t.load.Fault == NoFault || now < t.load.FaultFrom || v != smallNew {
+func (r *Results) recordDispatch(_ *job, v decision.VersionID, now time.Duration) {
+	if r.load.Fault == NoFault || now < r.load.FaultFrom || v != smallNew {
 		return
 	}
-	t.fault.exposedRequests++
-	if t.fault.badAnswers >= maxBadAnswers {
-		t.fault.exposedAfterLimit++
+	r.fault.exposedRequests++
+	if r.fault.badAnswers >= maxBadAnswers {
+		r.fault.exposedAfterLimit++
 	}
 }
 
-func (t *Results) recordBadAnswer(v decision.VersionID, now time.Duration) {
-	if v == smallNew && now >= t.load.FaultFrom {
-		t.fault.badAnswers++
+func (r *Results) recordBadAnswer(v decision.VersionID, now time.Duration) {
+	if v == smallNew && now >= r.load.FaultFrom {
+		r.fault.badAnswers++
 	}
 }
 
-func (t *Results) observeVerdict(v decision.VersionVerdict, now time.Duration) {
-	isBad := t.load.Fault != NoFault && now >= t.load.FaultFrom && v.Version == smallNew
+func (r *Results) observeVerdict(v decision.VersionVerdict, now time.Duration) {
+	isBad := r.load.Fault != NoFault && now >= r.load.FaultFrom && v.Version == smallNew
 	if v.Bad && !isBad {
-		t.FalseAlarms++
+		r.FalseAlarms++
 	}
 }
 
-func (t *Results) recordDelivery(c *caller, a decision.AttemptID, now time.Duration) {
+func (r *Results) recordDelivery(c *caller, a decision.AttemptID, now time.Duration) {
 	j := c.job
-	if !t.measured(j) {
+	if !r.measured(j) {
 		return
 	}
 	if now > j.Deadline.Sub(start) {
-		t.Late++
+		r.Late++
 		return
 	}
-	t.Completed++
+	r.Completed++
 	if j.Service != "" {
 		return
 	}
@@ -151,38 +151,38 @@
 	if !c.held[a] && c.firstToken > 0 {
 		first = c.firstToken
 	}
-	t.ModelAnswers++
-	t.Cost += c.cost
-	t.Quality += c.scores[a]
+	r.ModelAnswers++
+	r.Cost += c.cost
+	r.Quality += c.scores[a]
 	if j.Streamed {
-		t.firstTokens = append(t.firstTokens, first-j.arrived)
+		r.firstTokens = append(r.firstTokens, first-j.arrived)
 	}
-	t.latencies = append(t.latencies, now-j.arrived)
-	team := t.teams[j.Team]
+	r.latencies = append(r.latencies, now-j.arrived)
+	team := r.teams[j.Team]
 	team.served += work(j)
 	team.quality[j.Class] += c.scores[a]
 	team.answers[j.Class]++
 }
 
-func (t *Results) recordRefusal(c *caller, r decision.Refuse) {
-	if !t.measured(c.job) {
+func (r *Results) recordRefusal(c *caller, refusal decision.Refuse) {
+	if !r.measured(c.job) {
 		return
 	}
-	t.Refused++
-	if r.Reason == decision.ReasonDeadline {
-		t.RefusedAtDeadline++
+	r.Refused++
+	if refusal.Reason == decision.ReasonDeadline {
+		r.RefusedAtDeadline++
 	}
 }
 
-func (t *Results) recordFailure(c *caller) {
-	if t.measured(c.job) {
-		t.Failed++
+func (r *Results) recordFailure(c *caller) {
+	if r.measured(c.job) {
+		r.Failed++
 	}
 }
 
-func (t *Results) recordUnanswered(c *caller) {
-	if t.measured(c.job) {
-		t.Unanswered++
+func (r *Results) recordUnanswered(c *caller) {
+	if r.measured(c.job) {
+		r.Unanswered++
 	}
 }
 
@@ -196,10 +196,10 @@
 }
 
 // totalWork is the work of all complete answers of models.
-func (t *Results) totalWork() float64 {
+func (r *Results) totalWork() float64 {
 	total := 0.0
 	for i := range teamShares {
-		total += t.teams[teamID(i)].served
+		total += r.teams[teamID(i)].served
 	}
 	return total
 }
@@ -209,14 +209,14 @@
 // demanded less than its share should get all of it, and what another team gets
 // beyond its share does not count against that one. It is NaN where the teams do
 // not compete for one model.
-func (t *Results) minShareRatio() float64 {
-	if t.load.Model == "" {
+func (r *Results) minShareRatio() float64 {
+	if r.load.Model == "" {
 		return math.NaN()
 	}
-	total := t.totalWork()
-	unsatisfied := make([]*teamResults, 0, len(t.teams))
+	total := r.totalWork()
+	unsatisfied := make([]*teamResults, 0, len(r.teams))
 	for i := range teamShares {
-		unsatisfied = append(unsatisfied, t.teams[teamID(i)])
+		unsatisfied = append(unsatisfied, r.teams[teamID(i)])
 	}
 	lowest := 1.0
 	for len(unsatisfied) > 0 {
@@ -250,9 +250,9 @@
 // targetShortfall is the largest difference, over teams and classes, by which
 // the mean quality of the answers is below the team's target. Classes with under
 // 100 answers are left out: the standard error of their mean is over 0.015.
-func (t *Results) targetShortfall() float64 {
+func (r *Results) targetShortfall() float64 {
 	worst := 0.0
-	for _, x := range t.teams {
+	for _, x := range r.teams {
 		for class, n := range x.answers {
 			if n >= 100 {
 				worst = max(worst, x.target-x.quality[class]/float64(n))
--- a/decision/internal/verdict/channel.go
+++ b/decision/internal/verdict/channel.go
@@ -37,28 +37,28 @@
 const overflowClass = ""
 
 // newSignal returns a signal whose detectors use the bets s.
-func newSignal(s betFractions) signal {
+func newSignal(bets betFractions) signal {
 	return signal{
 		classes:  make(map[string]*classHistory),
-		decline:  detector{fractions: s, restart: true},
-		recovery: detector{fractions: s},
+		decline:  detector{fractions: bets, restart: true},
+		recovery: detector{fractions: bets},
 	}
 }
 
 // history returns the history of a class, created if missing.
-func (c *signal) history(class string) *classHistory {
-	if p := c.classes[class]; p != nil {
-		return p
+func (s *signal) history(class string) *classHistory {
+	if h := s.classes[class]; h != nil {
+		return h
 	}
-	if len(c.classes) >= maxClasses {
+	if len(s.classes) >= maxClasses {
 		class = overflowClass
 	}
-	p := c.classes[class]
-	if p == nil {
-		p = &classHistory{}
-		c.classes[class] = p
+	h := s.classes[class]
+	if h == nil {
+		h = &classHistory{}
+		s.classes[class] = h
 	}
-	return p
+	return h
 }
 
 // suspicionEvidence is the evidence from which observations no longer update a
@@ -66,36 +66,36 @@
 const suspicionEvidence = 2.0
 
 // observeAllowed adds an observation of a version that is not blocked.
-func (c *signal) observeAllowed(p *classHistory, x, reference float64, cfg *VersionConfig) {
-	c.suspectDiff.add(x-reference, cfg.Memory)
-	c.decline.addBelow(x, reference)
-	evidence := c.decline.evidence()
+func (s *signal) observeAllowed(h *classHistory, x, reference float64, cfg *VersionConfig) {
+	s.suspectDiff.add(x-reference, cfg.Memory)
+	s.decline.addBelow(x, reference)
+	evidence := s.decline.evidence()
 	if evidence < suspicionEvidence {
-		p.baseline.add(x, cfg.Memory)
-		c.suspectDiff = discountedMean{}
+		h.baseline.add(x, cfg.Memory)
+		s.suspectDiff = discountedMean{}
 	}
 	if evidence >= threshold(cfg.FalseAlarmRate) {
-		c.markBad()
+		s.markBad()
 	}
 }
 
 // suspected reports whether there is half of the evidence for a verdict. Evidence
 // is the log of a probability ratio, so two instances with half of it each have
 // all of it together.
-func (c *signal) suspected(cfg *VersionConfig) bool {
-	return !c.bad && c.decline.evidence() >= threshold(cfg.FalseAlarmRate)/2
+func (s *signal) suspected(cfg *VersionConfig) bool {
+	return !s.bad && s.decline.evidence() >= threshold(cfg.FalseAlarmRate)/2
 }
 
 // markBad sets the verdict to bad.
-func (c *signal) markBad() {
-	c.bad = true
+func (s *signal) markBad() {
+	s.bad = true
 	// A margin halfway between the observed mean and the reference separates a
 	// repaired version from a bad one in the fewest probes. After each recovery
 	// that did not last, the margin is halved, so that a version that is only
 	// partly repaired does not alternate between good and bad for ever.
-	c.recoveryMargin = min(c.suspectDiff.mean, 0) / math.Exp2(float64(c.recoveries+1))
-	c.decline.reset()
-	c.recovery.reset()
+	s.recoveryMargin = min(s.suspectDiff.mean, 0) / math.Exp2(float64(s.recoveries+1))
+	s.decline.reset()
+	s.recovery.reset()
 }
 
 // recentMemory is the window, in observations, in which a fault must show in the
@@ -104,16 +104,16 @@
 
 // observeProbe adds an observation of a blocked version as evidence that it is
 // good again. Each recovery halves the probability that the next one is false.
-func (c *signal) observeProbe(x, reference float64, cfg *VersionConfig) {
-	c.recovery.addAbove(x, reference+c.recoveryMargin)
-	alpha := cfg.FalseRecoveryRate / math.Exp2(float64(c.recoveries))
-	if c.recovery.evidence() < threshold(alpha) {
+func (s *signal) observeProbe(x, reference float64, cfg *VersionConfig) {
+	s.recovery.addAbove(x, reference+s.recoveryMargin)
+	alpha := cfg.FalseRecoveryRate / math.Exp2(float64(s.recoveries))
+	if s.recovery.evidence() < threshold(alpha) {
 		return
 	}
-	c.bad = false
-	c.recoveries = min(c.recoveries+1, maxRecoveries)
-	c.suspectDiff = discountedMean{}
-	c.recovery.reset()
+	s.bad = false
+	s.recoveries = min(s.recoveries+1, maxRecoveries)
+	s.suspectDiff = discountedMean{}
+	s.recovery.reset()
 }
 
 // maxRecoveries bounds the halving: 10 halvings of the default 0.02 give a
@@ -126,6 +126,6 @@
 const minReferenceErrorRate = 0.005
 
 // successorReference is the mean that a successor must reach.
-func (p *classHistory) successorReference() float64 {
-	return min(p.all.lowerBound(referenceZ), p.recent.mean)
+func (h *classHistory) successorReference() float64 {
+	return min(h.all.lowerBound(referenceZ), h.recent.mean)
 }
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -38,11 +38,11 @@
 // caller retries it: without a quarantine it takes the whole pool down.
 type Crashes[F comparable] struct {
 	cfg     CrashConfig
-	crashes *simplelru.LRU[F, *crash]
+	crashes *simplelru.LRU[F, *crashCounts]
 }
 
-// crash holds the counts of one fingerprint.
-type crash struct {
+// crashCounts holds the counts of one fingerprint.
+type crashCounts struct {
 	crashedServers   int
 	running          int
 	lastCrash        time.Time
@@ -52,7 +52,7 @@
 // NewCrashes returns an empty table.
 func NewCrashes[F comparable](cfg CrashConfig) *Crashes[F] {
 	cfg.MaxFingerprints = max(cfg.MaxFingerprints, 1)
-	crashes, err := simplelru.NewLRU[F, *crash](cfg.MaxFingerprints, nil)
+	crashes, err := simplelru.NewLRU[F, *crashCounts](cfg.MaxFingerprints, nil)
 	if err != nil {
 		// The library fails only for a size below 1.
 		panic(err)
@@ -92,7 +92,7 @@
 
 // unexpired returns the counts of f, or nil when there are none or they have
 // expired.
-func (t *Crashes[F]) unexpired(f F, now time.Time) *crash {
+func (t *Crashes[F]) unexpired(f F, now time.Time) *crashCounts {
 	c, ok := t.crashes.Get(f)
 	if !ok {
 		return nil
@@ -129,7 +129,7 @@
 		return false, time.Time{}
 	}
 	if c == nil {
-		c = &crash{}
+		c = &crashCounts{}
 		t.crashes.Add(f, c)
 	}
 	c.crashedServers++
@@ -153,7 +153,7 @@
 	}
 	c := t.unexpired(f, now)
 	if c == nil {
-		c = &crash{lastCrash: now}
+		c = &crashCounts{lastCrash: now}
 		t.crashes.Add(f, c)
 	}
 	if until.After(c.quarantinedUntil) {
--- a/decision/internal/verdict/share.go
+++ b/decision/internal/verdict/share.go
@@ -21,16 +21,16 @@
 // until its Until, but no longer than MaxPeerDuration from now; a good one
 // withdraws the verdicts of all peers. It does not change the own verdict by
 // itself: that needs own evidence too.
-func (t *Versions[V, S]) ApplyPeerVerdict(w SharedVerdict[V], now time.Time) {
-	v := t.versions[w.Version]
+func (t *Versions[V, S]) ApplyPeerVerdict(shared SharedVerdict[V], now time.Time) {
+	v := t.versions[shared.Version]
 	if v == nil {
 		return
 	}
-	if !w.Bad {
+	if !shared.Bad {
 		v.peerBadUntil = time.Time{}
 		return
 	}
-	until := w.Until
+	until := shared.Until
 	if limit := now.Add(t.cfg.MaxPeerDuration); until.After(limit) {
 		until = limit
 	}
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -69,17 +69,17 @@
 func (t *Versions[V, S]) Apply(list []VersionInfo[V]) {
 	var none V
 	keep := make(map[V]*version[V, S], len(list))
-	for _, r := range list {
-		v := t.getOrCreate(r.ID)
-		v.info = r
-		keep[r.ID] = v
+	for _, info := range list {
+		v := t.getOrCreate(info.ID)
+		v.info = info
+		keep[info.ID] = v
 	}
-	for _, r := range list {
-		if r.Predecessor == none || keep[r.Predecessor] != nil {
+	for _, info := range list {
+		if info.Predecessor == none || keep[info.Predecessor] != nil {
 			continue
 		}
-		v := t.getOrCreate(r.Predecessor)
-		keep[r.Predecessor] = v
+		v := t.getOrCreate(info.Predecessor)
+		keep[info.Predecessor] = v
 	}
 	t.versions = keep
 	t.sortedIDs = t.sortedIDs[:0]
@@ -124,32 +124,32 @@
 // ObserveAttempt records the result of an attempt that ran. Leave out attempts
 // that say nothing about the version: cancelled, not run, refused by a full or
 // leaving backend server. It reports whether the own verdict changed.
-func (t *Versions[V, S]) ObserveAttempt(id V, e AttemptResult[S], now time.Time) (changed bool) {
+func (t *Versions[V, S]) ObserveAttempt(id V, r AttemptResult[S], now time.Time) (changed bool) {
 	v := t.versions[id]
 	if v == nil {
 		return false
 	}
-	if !e.Failed {
+	if !r.Failed {
 		return t.observe(v, &v.errors, noClass, 1, t.minSuccessRate(v), now)
 	}
-	if !v.countsAgainstVersion(e, now) {
+	if !v.countsAgainstVersion(r, now) {
 		return false
 	}
 	return t.observe(v, &v.errors, noClass, 0, t.minSuccessRate(v), now)
 }
 
 // countsAgainstVersion reports whether a failure counts against the version.
-func (v *version[V, S]) countsAgainstVersion(e AttemptResult[S], now time.Time) bool {
-	if e.Server != v.failServer || now.Sub(v.failSince) > streakDuration {
-		v.failServer = e.Server
+func (v *version[V, S]) countsAgainstVersion(r AttemptResult[S], now time.Time) bool {
+	if r.Server != v.failServer || now.Sub(v.failSince) > streakDuration {
+		v.failServer = r.Server
 		v.failSince = now
 		v.failStreak = 0
 	}
 	v.failStreak++
-	if e.ConnectionLost {
+	if r.ConnectionLost {
 		return v.failStreak <= maxConnectionLossStreak
 	}
-	return e.OnlyServer || v.failStreak <= maxErrorStreak
+	return r.OnlyServer || v.failStreak <= maxErrorStreak
 }
 
 // ObserveRating records the rating of an answer to a request of a class. Ratings
@@ -170,15 +170,15 @@
 const noClass = ""
 
 // observe adds an observation to a signal and updates the verdict.
-func (t *Versions[V, S]) observe(v *version[V, S], c *signal, class string, x, reference float64, now time.Time) bool {
+func (t *Versions[V, S]) observe(v *version[V, S], s *signal, class string, x, reference float64, now time.Time) bool {
 	before := v.bad()
-	p := c.history(class)
-	p.all.add(x, t.cfg.Memory)
-	p.recent.add(x, recentMemory)
-	if c.bad {
-		c.observeProbe(x, reference, &t.cfg)
+	h := s.history(class)
+	h.all.add(x, t.cfg.Memory)
+	h.recent.add(x, recentMemory)
+	if s.bad {
+		s.observeProbe(x, reference, &t.cfg)
 	} else {
-		c.observeAllowed(p, x, reference, &t.cfg)
+		s.observeAllowed(h, x, reference, &t.cfg)
 	}
 	if v.peerBadUntil.After(now) {
 		t.confirmSuspicion(v)
@@ -203,9 +203,9 @@
 // multiplies. With eight instances this detects a bad version with a fourth of
 // the bad answers that each instance would need by itself.
 func (t *Versions[V, S]) confirmSuspicion(v *version[V, S]) {
-	for _, c := range []*signal{&v.errors, &v.ratings} {
-		if c.suspected(&t.cfg) {
-			c.markBad()
+	for _, s := range []*signal{&v.errors, &v.ratings} {
+		if s.suspected(&t.cfg) {
+			s.markBad()
 		}
 	}
 }
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -37,14 +37,14 @@
 
 // serve runs one attempt of a version and reports whether it was bad: an error,
 // or a rating that a version of quality 0.8 gets in one case of 20 or less.
-func serve(t *Versions[string, string], id string, tr behavior, rng *rand.Rand) (bad bool) {
-	failed := rng.Float64() < tr.errorRate
+func serve(t *Versions[string, string], id string, b behavior, rng *rand.Rand) (bad bool) {
+	failed := rng.Float64() < b.errorRate
 	server := fmt.Sprintf("s%02d", rng.IntN(12))
 	t.ObserveAttempt(id, AttemptResult[string]{Server: server, Failed: failed}, startTime)
 	if failed {
 		return true
 	}
-	score := clamp(tr.quality+tr.ratingStddev*rng.NormFloat64(), 0, 1)
+	score := clamp(b.quality+b.ratingStddev*rng.NormFloat64(), 0, 1)
 	t.ObserveRating(id, "draft", score, startTime)
 	return score < 0.6
 }
@@ -128,7 +128,7 @@
 // fails everything for a while or crashes with all that it runs.
 func TestOneServerDoesNotBarItsVersion(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
-	for _, broken := range []bool{false, true} {
+	for _, connectionLost := range []bool{false, true} {
 		rng := rand.New(rand.NewPCG(1, 5))
 		v := newVersionPair()
 		for i := range 4000 {
@@ -138,11 +138,11 @@
 			}
 			for range 30 {
 				v.ObserveAttempt(newVersion,
-					AttemptResult[string]{Server: "s01", Failed: true, ConnectionLost: broken}, startTime)
+					AttemptResult[string]{Server: "s01", Failed: true, ConnectionLost: connectionLost}, startTime)
 			}
 		}
 		if v.Bad(newVersion, startTime) {
-			t.Errorf("connection lost %v: the failures of one server blocked the version", broken)
+			t.Errorf("connection lost %v: the failures of one server blocked the version", connectionLost)
 		}
 	}
 }
@@ -157,12 +157,12 @@
 		rng := rand.New(rand.NewPCG(seed, 6))
 		v := newVersionPair()
 		for i := range 2000 {
-			tr := good
+			current := good
 			if i > 1000 {
-				tr = fault
+				current = fault
 			}
-			serve(v, oldVersion, tr, rng)
-			serve(v, newVersion, tr, rng)
+			serve(v, oldVersion, current, rng)
+			serve(v, newVersion, current, rng)
 		}
 		if v.Bad(newVersion, startTime) {
 			blocked++
