--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -217,7 +217,7 @@
 
 // Guards against a new class that starts from the manifest's quality although
 // other classes have ratings of the version.
-func TestNewClassStartsFromTheOthers(t *testing.T) {
+func TestNewClassStartsFromOtherClasses(t *testing.T) {
 	sim := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
 	for range 500 {
 		sim.t.ObserveRating(draftTask, small, 0.9, false, startTime)
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -51,7 +51,7 @@
 // Guards against a flow that saves up its share while it is idle, or falls behind
 // by it: without a credit both flows alternate, and with one the idle flow is
 // served exactly the credit ahead of the other.
-func TestIdleFlowIsOwedTheCredit(t *testing.T) {
+func TestIdleFlowGetsOnlyTheCredit(t *testing.T) {
 	for credit, want := range map[float64][]string{0: {"bababa", "ababab"}, 5: {"bbbbbabab"}} {
 		g := Group{IdleCredit: credit}
 		var q Queue[string]
@@ -140,7 +140,7 @@
 
 // Guards against refunds that are lost or counted twice: an overcharge is
 // deducted from the next charges, and only once.
-func TestCorrection(t *testing.T) {
+func TestRefundIsDeductedOnce(t *testing.T) {
 	var g Group
 	a := g.NewAccount(2)
 	a.charge(10)
--- a/decision/internal/verdict/crashes_test.go
+++ b/decision/internal/verdict/crashes_test.go
@@ -41,7 +41,7 @@
 
 // Guards against crashes that count for ever, peers' quarantines that last
 // longer than own ones, and memory that grows with the number of fingerprints.
-func TestCrashMemory(t *testing.T) {
+func TestCrashesExpireAndAreBounded(t *testing.T) {
 	cfg := DefaultCrashConfig()
 	c := NewCrashes[uint64](cfg)
 	c.AttemptEnded(1, false, true, startTime)
--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -53,7 +53,7 @@
 
 // Guards against a slow or failing server that is found late and gets much work
 // until then, and against the ejection of healthy servers beside it.
-func TestSickServerIsEjected(t *testing.T) {
+func TestFaultyServerIsEjected(t *testing.T) {
 	cases := []struct {
 		name         string
 		servers      int
@@ -90,7 +90,7 @@
 
 // Guards against ejections where no single server is at fault: healthy servers,
 // all equally slow or failing, or too few to tell which one is slow.
-func TestHealthyPoolsStayWhole(t *testing.T) {
+func TestNoEjectionWithoutAFaultyServer(t *testing.T) {
 	cases := []struct {
 		name    string
 		servers int
@@ -124,7 +124,7 @@
 }
 
 // Guards against ejections when a load peak slows all servers at once.
-func TestAllTurnSlow(t *testing.T) {
+func TestCommonSlowdownEjectsNoServer(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		o, ids := newOutlierPool(12)
@@ -140,7 +140,7 @@
 
 // Guards against a slow server that goes unnoticed because an instance sends it
 // few attempts: with one in 20 s it must be ejected within four.
-func TestSlowServerIsFoundBySeldomAttempts(t *testing.T) {
+func TestSlowServerIsEjectedAtLowTraffic(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		o, ids := newOutlierPool(12)
@@ -166,7 +166,7 @@
 
 // Guards against an ejected server that never returns, also when a probe is
 // lost, and against several probes at a time.
-func TestEjectedServerReturnsByTrial(t *testing.T) {
+func TestEjectedServerReturnsAfterGoodProbes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	o, ids := newOutlierPool(6)
 	faulty := func(id string) (bool, float64) { return id == "s01", 1 }
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -51,7 +51,7 @@
 
 // Guards against a bad version that is blocked only after more than 50 bad
 // answers, whether it fails, answers badly, or does a little of both.
-func TestBadVersionIsBarredWithin50BadAnswers(t *testing.T) {
+func TestBadVersionIsBlockedWithin50BadAnswers(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	cases := []struct {
 		name string
@@ -94,7 +94,7 @@
 }
 
 // Guards against false alarms on a version that is as good as its predecessor.
-func TestGoodVersionIsNotBarred(t *testing.T) {
+func TestGoodVersionIsNotBlocked(t *testing.T) {
 	cases := []struct {
 		name     string
 		old, new behavior
@@ -126,7 +126,7 @@
 
 // Guards against a version that is blocked for the failures of one server, which
 // fails everything for a while or crashes with all that it runs.
-func TestOneServerDoesNotBarItsVersion(t *testing.T) {
+func TestOneServerDoesNotBlockItsVersion(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	for _, connectionLost := range []bool{false, true} {
 		rng := rand.New(rand.NewPCG(1, 5))
@@ -149,7 +149,7 @@
 
 // Guards against a version that is blocked for a fault that begins in its
 // predecessor at the same time.
-func TestCommonFault(t *testing.T) {
+func TestCommonFaultDoesNotBlockTheSuccessor(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	fault := behavior{errorRate: 0.15, quality: 0.7, ratingStddev: 0.12}
 	blocked := 0
@@ -247,7 +247,7 @@
 
 // Guards against a blocked version that gets no probes, or more than one request
 // in ProbeEvery.
-func TestBarredVersionGetsATrickle(t *testing.T) {
+func TestBlockedVersionGetsOnlyProbes(t *testing.T) {
 	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
 		v.ObserveAttempt(newVersion, failedAttempt, startTime)
@@ -265,7 +265,7 @@
 
 // Guards against a version that is blocked for invalid ratings of a faulty rating
 // service.
-func TestNonsenseRatingsAreIgnored(t *testing.T) {
+func TestInvalidRatingsAreIgnored(t *testing.T) {
 	v := newVersionPair()
 	for _, score := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 7} {
 		for range 1000 {
@@ -279,7 +279,7 @@
 
 // Guards against a peer's verdict that has no effect, outlasts its end or
 // MaxPeerDuration, or cannot be withdrawn.
-func TestPeerWords(t *testing.T) {
+func TestPeerVerdicts(t *testing.T) {
 	cfg := DefaultVersionConfig()
 	cases := []struct {
 		name     string
