--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -62,8 +62,8 @@
 
 var usualPrior = map[string]float64{small: 0.7, large: 0.88}
 
-// answer runs one attempt and returns the true quality of its answer and its
-// rating.
+// answer runs one attempt, reports it to the table, and returns the true quality
+// of its answer and its rating.
 func (sim *simulation) answer(v string, hard bool) (score, rated float64, late bool) {
 	q := sim.qualities[v]
 	score = q.easy
@@ -105,7 +105,7 @@
 }
 
 // Guards against plans that miss the quality target, or that pay for the
-// expensive version where the cheap one or a cascade of both meets it.
+// expensive version although the cheap one or a cascade of both meets it.
 func TestPlansMeetTheTargetAtLowCost(t *testing.T) {
 	usual := map[string]trueQuality{small: {0.85, 0.45}, large: {0.92, 0.85}}
 	equal := map[string]trueQuality{small: {0.9, 0.9}, large: {0.92, 0.85}}
@@ -137,7 +137,7 @@
 				quality, cost := sim.quality/2000, sim.cost/2000/2.56
 				want := min(c.target, 0.89) - 0.01
 				if quality < want || cost > c.maxCost {
-					t.Errorf("seed %d: quality %.3f, cost %.2f of that of always using large", seed, quality, cost)
+					t.Errorf("seed %d: quality %.3f is too low, or cost %.2f of that of always using large too high", seed, quality, cost)
 				}
 			}
 		})
@@ -177,7 +177,8 @@
 			sim.onPlan = nil
 			after, stderrAfter := sim.t.Quality(draftTask, large, sim.now.Add(time.Hour))
 			if math.Abs(before-after) > 0.05 || stderrAfter < 1.5*stderrBefore {
-				t.Errorf("estimate of large changed from %.3f±%.4f to %.3f±%.4f", before, stderrBefore, after, stderrAfter)
+				t.Errorf("estimate of large went from %.3f±%.4f to %.3f±%.4f an hour after the fault, want a mean within 0.05 and at least 1.5 times the standard error",
+					before, stderrBefore, after, stderrAfter)
 			}
 			if q := sim.quality / 2000; q < 0.81 {
 				t.Errorf("quality %.3f while the rating service is down, want at least 0.81", q)
@@ -191,8 +192,8 @@
 	}
 }
 
-// Guards against escalations of answers that meet the rating threshold, of single
-// versions, and without time for the second step.
+// Guards against escalations of answers that meet the rating threshold, of plans
+// that are no cascade, and without time for the second step.
 func TestEscalateNeedsTime(t *testing.T) {
 	p := Plan[string]{First: small, Cascade: true, Second: large, Threshold: 0.6}
 	single := Plan[string]{First: small}
@@ -215,8 +216,8 @@
 	}
 }
 
-// Guards against a new class that starts from the manifest's quality although
-// other classes have ratings of the version.
+// Guards against an estimate for a new class that starts from the manifest's
+// quality although the version has ratings from other classes.
 func TestNewClassStartsFromOtherClasses(t *testing.T) {
 	sim := newSimulation(1, map[string]float64{small: 0.2, large: 0.88})
 	for range 500 {
@@ -229,7 +230,7 @@
 }
 
 // Guards, for random inputs, against plans with versions that are no option,
-// cascades where holding is not allowed, invalid estimates, and plans that
+// cascades although holding is not allowed, invalid estimates, and plans that
 // differ for equal inputs.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -258,7 +259,7 @@
 			}
 			p, other := a.Plan(q), b.Plan(q)
 			if p != other {
-				t.Fatalf("equal inputs give %+v and %+v", p, other)
+				t.Fatalf("equal inputs give the plans %+v and %+v", p, other)
 			}
 			checkPlan(t, p, q)
 		}
@@ -272,7 +273,7 @@
 		offered[o.Version] = true
 	}
 	if !offered[p.First] || p.Cascade && (!offered[p.Second] || p.First == p.Second) {
-		t.Fatalf("plan %+v for options %v", p, q.Options)
+		t.Fatalf("plan %+v uses a version twice or one that is not among the options %v", p, q.Options)
 	}
 	if p.Cascade && !q.MayHold {
 		t.Fatalf("plan %+v where holding is not allowed", p)
@@ -295,7 +296,7 @@
 	}
 	x.Apply(map[string]float64{small: 0.7})
 	if x.tasks.Len() > 10 || len(x.overall) > 1 {
-		t.Errorf("%d tasks and %d versions", x.tasks.Len(), len(x.overall))
+		t.Errorf("%d tasks and %d versions kept, want at most 10 and 1", x.tasks.Len(), len(x.overall))
 	}
 }
 
--- a/decision/internal/estimate/plan.go
+++ b/decision/internal/estimate/plan.go
@@ -32,17 +32,19 @@
 
 // Plan is how to run a request.
 type Plan[V comparable] struct {
-	// First is the version to run; the zero value when there was no option.
+	// First is the version to run; the zero value if there was no option.
 	First V
-	// Cascade says that the answer is held until it is rated, and that an answer
-	// of Second replaces it when the rating is below Threshold.
+	// Cascade is true if the answer is to be held until it is rated, and replaced
+	// by an answer of Second if the rating is below Threshold.
 	Cascade   bool
 	Second    V
 	Threshold float64
-	// Quality is the expected rating and Cost the expected cost of an answer.
+	// Quality is the expected rating and Cost the expected cost of an answer, in
+	// the unit of Option.Cost.
 	Quality float64
 	Cost    float64
-	// Explore marks a plan that departs from the best one to gain observations.
+	// Explore is true if the plan departs from the best one to gain observations.
+	// Quality and Cost are those of the best plan then.
 	Explore bool
 }
 
@@ -53,15 +55,16 @@
 	return p.Cascade && score < p.Threshold && left >= need
 }
 
-// cachedPlan is a plan and the inputs it was computed from. It is computed once
-// per few ratings and not for each request.
+// cachedPlan is a plan and the inputs it was computed from. Plans are computed
+// once per few ratings or seconds and not for each request.
 type cachedPlan[V cmp.Ordered] struct {
 	options   []Option[V]
 	target    float64
 	mayHold   bool
 	plannedAt time.Time
 	plan      Plan[V]
-	// explorations are the options that could improve on the plan.
+	// explorations are the options that more observations could show to be
+	// better than the plan.
 	explorations []exploration[V]
 }
 
@@ -97,9 +100,9 @@
 	return c.plan
 }
 
-// explorationPlan returns a plan that runs v first. Where answers may be held,
-// the best plan's version is the second step, so that exploring costs the caller
-// no quality.
+// explorationPlan returns a plan that runs v first. If answers may be held, the
+// best plan's last step is the second step, so that exploring costs the caller no
+// quality.
 func explorationPlan[T, C, V cmp.Ordered](best Plan[V], v V, q Query[T, C, V]) Plan[V] {
 	p := Plan[V]{First: v, Explore: true, Quality: best.Quality, Cost: best.Cost}
 	if q.MayHold {
@@ -113,7 +116,7 @@
 	return p
 }
 
-// cachedPlanFor returns the cached plan for the query, or computes it where it is
+// cachedPlanFor returns the cached plan for the query, or computes it if it is
 // missing, too old or outdated by new ratings.
 func (t *Table[T, C, V]) cachedPlanFor(task *task[V], q Query[T, C, V]) *cachedPlan[V] {
 	if task.newRatings >= t.cfg.ReplanRatings {
@@ -146,6 +149,7 @@
 	stderr  float64
 }
 
+// search computes the plan for the query from the current estimates.
 func (t *Table[T, C, V]) search(task *task[V], q Query[T, C, V]) cachedPlan[V] {
 	list := t.candidates(task, q)
 	s := searcher[V]{target: q.Target, confidence: t.cfg.Confidence}
@@ -190,13 +194,16 @@
 
 // escalationPenalty is how much lower the quality of a second step is assumed to
 // be on escalated requests, which are harder, than on all requests, and
-// escalationPenaltyWeight how many ratings that prior counts for.
+// escalationPenaltyWeight the weight of that assumption, in ratings of escalated
+// answers.
 const (
 	escalationPenalty       = 0.05
 	escalationPenaltyWeight = 10
 )
 
-// considerCascades considers a cascade from a to b at every rating threshold.
+// considerCascades considers a cascade from a to b at every rating threshold. In
+// the loop, shareBelow is the share of a's answers that are rated below the
+// threshold, and keptQuality the part of a's mean rating that the others make up.
 func (t *Table[T, C, V]) considerCascades(s *searcher[V], task *task[V], a, b *candidate[V]) {
 	escalatedQuality := max(b.mean-escalationPenalty, 0)
 	if esc := task.escalations[a.version]; esc != nil && esc.second == b.version {
@@ -223,9 +230,9 @@
 	}
 }
 
-// Without hold the exploration share falls linearly with the distance of a
-// version's estimate below the target: to minExploreFactor of the usual share at
-// a distance of about exploreMargin and beyond.
+// If answers may not be held, the exploration share falls linearly with the
+// distance of a version's estimate below the target: to minExploreFactor of the
+// usual share at a distance of about exploreMargin and beyond.
 const (
 	exploreMargin    = 0.2
 	minExploreFactor = 0.1
@@ -234,9 +241,9 @@
 func clamp(x, lo, hi float64) float64 { return min(max(x, lo), hi) }
 
 // explorations returns the versions that are cheaper than the most expensive
-// step of the plan and that the plan does not start with. Where answers cannot
-// be held, exploring may cost quality, so it is done less the further a
-// version's estimate lies below the target.
+// step of the plan and that the plan does not start with. If answers may not be
+// held, exploring may cost quality, so it is done less the further a version's
+// estimate lies below the target. list is in order of ascending cost.
 func (t *Table[T, C, V]) explorations(list []candidate[V], p Plan[V], q Query[T, C, V]) []exploration[V] {
 	mostExpensive := p.First
 	if p.Cascade {
--- a/decision/internal/estimate/rater.go
+++ b/decision/internal/estimate/rater.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// rater tracks the health of the rating service.
+// rater tracks whether the rating service works.
 type rater struct {
 	// lateShare is the moving average of the share of ratings that were late or
 	// invalid.
@@ -22,8 +22,9 @@
 func (r *rater) missed()   { r.lateShare += (1 - r.lateShare) / raterMemory }
 func (r *rater) answered() { r.lateShare -= r.lateShare / raterMemory }
 
-// A run of equal ratings means a stuck service once it is this long and this
-// unlikely. A version that always earns a 1 gives long runs too, but likely ones.
+// A run of equal ratings counts as a stuck rating service once it has minStuckRun
+// ratings and a surprisal of minStuckSurprisal, in nats. A version whose answers
+// are nearly always rated 1 gives long runs too, but with a low surprisal.
 const (
 	minStuckRun       = 12
 	minStuckSurprisal = 30.0
@@ -31,7 +32,8 @@
 
 // stuck adds a rating to the run and reports whether the service seems to return
 // the same value for every answer. The first different value ends the run.
-// estimate is called only from the second equal rating on.
+// estimate returns the stats of the rated version; it is called only from the
+// second equal rating on.
 func (r *rater) stuck(score float64, estimate func() versionStats) bool {
 	if score != r.lastScore {
 		r.lastScore = score
--- a/decision/internal/estimate/searcher.go
+++ b/decision/internal/estimate/searcher.go
@@ -7,17 +7,19 @@
 	confidence  float64
 	hasCheapest bool
 	cheapest    Plan[V]
-	// bestQuality is the highest expected quality, and fallback the cheapest plan
-	// within minQualityGain of it.
+	// bestQuality is the highest expected quality of any plan considered, and
+	// fallback a cheap plan within about minQualityGain of it.
 	bestQuality float64
 	hasFallback bool
 	fallback    Plan[V]
 }
 
-// minQualityGain is the gain in quality that is worth a higher cost where no plan
+// minQualityGain is the gain in quality that is worth a higher cost if no plan
 // meets the target: raters cannot tell smaller differences.
 const minQualityGain = 0.005
 
+// consider compares a plan, whose quality has the standard error stderr, with the
+// best ones so far.
 func (s *searcher[V]) consider(p Plan[V], stderr float64) {
 	if p.Quality-s.confidence*stderr >= s.target {
 		if !s.hasCheapest || p.Cost < s.cheapest.Cost {
--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -11,8 +11,9 @@
 // Config holds the parameters of a Table.
 type Config struct {
 	// PriorWeight is the weight of a prior, in ratings. The manifest's quality is
-	// the prior of a version over all classes, that estimate the prior of a class
-	// over all teams, and that one the prior of a team's task.
+	// the prior of a version's estimate over all classes, that estimate is the
+	// prior of its estimate for one class over all teams, and that one the prior
+	// of its estimate for one team's class.
 	PriorWeight float64
 	// Memory is the window of the discounted histograms, in ratings: enough for a
 	// standard error under 0.01, short enough to follow seasonal changes.
@@ -26,15 +27,16 @@
 	// for. See docs/MEASUREMENTS.md.
 	Confidence float64
 	// ExploreShare is the share of requests that run another version first to
-	// gain observations; ExploreNewShare replaces it for versions with fewer than
-	// MinRatings ratings.
+	// gain observations, for each such version; ExploreNewShare replaces it for
+	// versions with fewer than MinRatings ratings.
 	ExploreShare    float64
 	ExploreNewShare float64
 	MinRatings      float64
 	// MaxLateShare is the share of late or invalid ratings above which the rating
 	// service counts as down; no answer is held while it is.
 	MaxLateShare float64
-	// DefaultTokens is the length assumed for answers before any was seen.
+	// DefaultTokens is the length assumed for answers before any was seen, in
+	// tokens.
 	DefaultTokens float64
 	// MaxTasks bounds the pairs of team and class; the least recently used are
 	// dropped first. Callers choose the classes, so nothing else bounds their
@@ -64,7 +66,7 @@
 	}
 }
 
-// Task is one class of requests of one team.
+// Task identifies one class of requests of one team.
 type Task[T, C cmp.Ordered] struct {
 	Team  T
 	Class C
@@ -78,7 +80,8 @@
 	tasks   *simplelru.LRU[Task[T, C], *task[V]]
 	classes *simplelru.LRU[C, map[V]*versionStats]
 	overall map[V]*versionStats
-	// prior is made from the quality that the manifest states.
+	// prior holds, for each version of the manifest, stats made from the quality
+	// that the manifest states.
 	prior map[V]*versionStats
 	rater rater
 }
@@ -86,16 +89,17 @@
 // task holds the observations and cached plans of one Task.
 type task[V cmp.Ordered] struct {
 	stats map[V]*versionStats
-	// escalations holds the quality of second steps, by the first step's version.
+	// escalations holds the quality of second steps, by the first step's version;
+	// for each, only the latest second version is kept.
 	escalations map[V]*escalationStats[V]
 	plans       []cachedPlan[V]
 	// newRatings counts the ratings since the plans were computed.
 	newRatings int
 }
 
-// escalationStats is the mean rating of answers that replaced those of a first
-// step. Escalated requests are harder, so it is lower than the second version's
-// mean over all requests.
+// escalationStats holds the number and mean rating of the answers of second that
+// replaced those of a first step. Escalated requests are harder, so the mean is
+// lower than the second version's mean over all requests.
 type escalationStats[V cmp.Ordered] struct {
 	second  V
 	n, mean float64
@@ -200,7 +204,9 @@
 	return &emptyStats
 }
 
-// estimate combines the observations of a version for a task from all levels.
+// estimate combines a version's observations for the task k, for its class over
+// all teams and over all classes, each the prior of the one before, with the
+// manifest's quality as the last prior.
 func (t *Table[T, C, V]) estimate(k Task[T, C], task *task[V], v V) versionStats {
 	prior := t.prior[v]
 	if prior == nil {
@@ -211,8 +217,8 @@
 	return statsOrEmpty(task.stats, v).withPrior(&class, t.cfg.PriorWeight)
 }
 
-// listed reports whether the manifest lists a version. Observations of other
-// versions come late and would only fill the tables.
+// listed reports whether the manifest lists a version. Observations of versions
+// that it no longer lists are ignored: they would only fill the maps.
 func (t *Table[T, C, V]) listed(v V) bool {
 	_, ok := t.prior[v]
 	return ok
@@ -233,9 +239,9 @@
 	return [3]map[V]*versionStats{t.task(k).stats, t.class(k.Class), t.overall}
 }
 
-// ObserveRating records a rating, or with late that none came within the budget.
-// It reports whether the rating was used: ratings outside 0 to 1, of versions
-// that the manifest does not list, and from a rating service that is stuck on one
+// ObserveRating records a rating or, if late is true, that none came in time. It
+// reports whether the rating was used: ratings outside 0 to 1, of versions that
+// the manifest does not list, and from a rating service that is stuck on one
 // value are not.
 func (t *Table[T, C, V]) ObserveRating(k Task[T, C], v V, score float64, late bool, now time.Time) bool {
 	if late {
@@ -285,6 +291,6 @@
 	return stats.mean(), stats.stderr(now, t.cfg.StaleHalfLife)
 }
 
-// RaterDown reports whether the rating service counts as down: too many of its
-// ratings are late or invalid.
+// RaterDown reports whether the rating service counts as down: the share of its
+// ratings that are late or invalid exceeds Config.MaxLateShare.
 func (t *Table[T, C, V]) RaterDown() bool { return t.rater.lateShare > t.cfg.MaxLateShare }
--- a/decision/internal/estimate/version_stats.go
+++ b/decision/internal/estimate/version_stats.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// numBins is the number of rating thresholds that a plan can choose from; steps of
-// 0.05 are finer than the repeatability of raters.
+// numBins is the number of bins of a histogram of ratings. Plans can set their
+// rating threshold between any two bins; the steps of 0.05 are finer than the
+// repeatability of raters.
 const numBins = 20
 
 // versionStats holds the observations of one version: an exponentially
@@ -16,12 +17,15 @@
 type versionStats struct {
 	count [numBins]float64
 	sum   [numBins]float64
+	// sumSq is the sum of the squared ratings.
 	sumSq float64
 	// total is the sum of count, n the part of it that comes from ratings and not
-	// from the prior.
+	// from the manifest's quality.
 	total, n float64
-	ratedAt  time.Time
-	// meanTokens is the mean length of an answer, in tokens.
+	// ratedAt is the time of the last rating.
+	ratedAt time.Time
+	// meanTokens is the mean length of an answer, in tokens, and answers the
+	// number of answers in it, counted up to the memory.
 	meanTokens float64
 	answers    float64
 }
@@ -52,8 +56,8 @@
 	return s
 }
 
-// withPrior returns the stats combined with those of the parent level as a prior
-// that counts for weight ratings and weight answers.
+// withPrior returns the stats combined with those of the next wider level (parent)
+// as a prior that counts for weight ratings and weight answers.
 func (s *versionStats) withPrior(parent *versionStats, weight float64) versionStats {
 	out := *s
 	scale := weight / parent.total
@@ -124,5 +128,6 @@
 	return math.Sqrt(variance / max(weight, 1))
 }
 
-// minVariance prevents a few equal ratings from being taken for certainty.
+// minVariance is the least variance assumed for ratings, so that a few equal ones
+// do not give a standard error near 0.
 const minVariance = 0.0025
--- a/decision/internal/fair/account.go
+++ b/decision/internal/fair/account.go
@@ -2,15 +2,15 @@
 
 // Group is a set of accounts that share capacity. The zero value is ready to use.
 type Group struct {
-	// IdleCredit is the work that an account which asked for less than its share
-	// may be served ahead of the others: rare requests come in small bursts too.
-	// It bounds how much an account can gain by a long idle time. 0 gives no
-	// credit.
+	// IdleCredit is the work that an account may be served ahead of the others
+	// after a time in which it asked for less than its share: rare requests come
+	// in small bursts too. However long that time was, the account gains no more
+	// than this. 0 gives no credit.
 	IdleCredit float64
 	// active holds the accounts with queued items.
 	active []*Account
-	// virtualTime is the largest known lower bound of the tags of all active
-	// accounts.
+	// virtualTime is the virtual time at which an account last became active or
+	// idle; it never decreases.
 	virtualTime float64
 	// seq numbers the items, to order them by age.
 	seq uint64
@@ -60,9 +60,10 @@
 	a.tag += (cost - refunded) / a.weight
 }
 
-// startTag is the tag at which an item queued now starts. An account that was
-// idle starts at the current virtual time less the group's idle credit: it gets
-// its share from now on, and no more than the credit for the time it was idle.
+// startTag is the tag that the account would have if an item were queued now. An
+// account that was idle starts at the current virtual time less the group's idle
+// credit: it gets its share from now on, and no more than the credit for the time
+// it was idle.
 func (a *Account) startTag() float64 {
 	if a.queued > 0 {
 		return a.tag
@@ -70,8 +71,8 @@
 	return max(a.tag, a.group.currentVirtualTime()-a.group.IdleCredit/a.weight)
 }
 
-// currentVirtualTime is the least tag of the active accounts, or the last known
-// virtual time when there are none.
+// currentVirtualTime is the least tag of the active accounts, but not less than
+// the last known virtual time, which it is if there are none.
 func (g *Group) currentVirtualTime() float64 {
 	if len(g.active) == 0 {
 		return g.virtualTime
--- a/decision/internal/fair/fair.go
+++ b/decision/internal/fair/fair.go
@@ -4,15 +4,17 @@
 // It implements start-time fair queueing: each team's account has a tag, the
 // work that it was served divided by its weight, and in each queue the account
 // with the smallest tag is next. Unfairness is bounded as with deficit round
-// robin, but no quantum is needed, which with costs from 1 to 100,000 tokens
+// robin, but without a quantum: for costs from 1 to 100,000 tokens, any quantum
 // would be either unfair or slow.
 //
 // A team has one account for all queues: a team that can use only one pool gets
-// more of that pool when it gets nothing of the others (max-min fairness with
+// more of that pool, since it gets nothing of the others (max-min fairness with
 // placement constraints). Push, Pop and Remove take O(log flows + log items of
-// the flow).
+// the flow), and time proportional to the active accounts if an account becomes
+// active or idle.
 //
-// Nothing here is safe for concurrent use. Equal calls give equal orders.
+// Nothing here is safe for concurrent use. Equal sequences of calls give equal
+// orders.
 package fair
 
 import "container/heap"
@@ -24,8 +26,8 @@
 	// Cost is above 0, in a unit that the caller chooses for all queues of a
 	// Group.
 	Cost float64
-	// Priority orders the items within the flow, higher first; equal ones are in
-	// order of their first Push.
+	// Priority orders the items within the flow, higher first; items of equal
+	// priority are in the order of their first Push.
 	Priority int
 
 	seq       uint64
@@ -116,7 +118,7 @@
 }
 
 // Push queues an item. An item that was queued before, here or in another queue,
-// keeps its age, so that a retried one does not go to the end.
+// keeps its age, so that a retried one does not go to the end of its flow.
 func (q *Queue[T]) Push(f *Flow[T], it *Item[T]) {
 	f.account.itemQueued()
 	if it.seq == 0 {
@@ -147,7 +149,7 @@
 }
 
 // Pop removes the next item, charges its account and returns it, or returns nil
-// when the queue is empty.
+// if the queue is empty.
 func (q *Queue[T]) Pop() *Item[T] {
 	it := q.Peek()
 	if it == nil {
@@ -159,7 +161,7 @@
 	return it
 }
 
-// Remove removes an item without a charge. It does nothing when the item is not
+// Remove removes an item without a charge. It does nothing if the item is not
 // queued.
 func (q *Queue[T]) Remove(it *Item[T]) {
 	if it.flow != nil {
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -48,8 +48,8 @@
 	return true
 }
 
-// Guards against a flow that saves up its share while it is idle, or falls behind
-// by it: without a credit both flows alternate, and with one the idle flow is
+// Guards against a flow that gains or loses more than the credit by being idle:
+// without a credit both flows alternate, and with one the flow that was idle is
 // served exactly the credit ahead of the other.
 func TestIdleFlowGetsOnlyTheCredit(t *testing.T) {
 	for credit, want := range map[float64][]string{0: {"bababa", "ababab"}, 5: {"bbbbbabab"}} {
@@ -91,15 +91,16 @@
 	q.Push(&a, &Item[string]{Value: "second", Cost: 5, Priority: 1})
 	account.CorrectCharge(100)
 	if got := q.Pop().Value; got != "first" {
-		t.Errorf("popped %q", got)
+		t.Errorf("popped %q, want \"first\"", got)
 	}
 	q.Remove(low)
 	q.Remove(low)
 	if q.Len() != 1 || q.Cost() != 5 || a.Cost() != 5 || low.Queued() {
-		t.Errorf("queue length %d, cost %v, cost of the flow %v", q.Len(), q.Cost(), a.Cost())
+		t.Errorf("queue length %d, cost %v, cost of the flow %v, want 1, 5 and 5, and the removed item not queued",
+			q.Len(), q.Cost(), a.Cost())
 	}
 	if got := q.Pop().Value; got != "second" {
-		t.Errorf("popped %q", got)
+		t.Errorf("popped %q, want \"second\"", got)
 	}
 	if q.Pop() != nil || q.Cost() != 0 {
 		t.Error("queue is not empty after its last item was popped")
@@ -107,7 +108,7 @@
 }
 
 // Guards against accounts that are charged per queue: a team that was served
-// alone in one queue must yield in the other, until both teams were served as
+// alone in one queue must wait in the other until both teams were served as
 // much.
 func TestAccountsSpanQueues(t *testing.T) {
 	var g Group
@@ -132,9 +133,10 @@
 	for range 8 {
 		got += both.Pop().Value
 	}
-	// b is first served the three items that a is ahead; then both alternate.
+	// a was served three items in the other queue, so b gets three first; then
+	// both alternate.
 	if got != "bbbababa" {
-		t.Errorf("order %q", got)
+		t.Errorf("order %q, want \"bbbababa\"", got)
 	}
 }
 
@@ -148,6 +150,6 @@
 	a.charge(4)
 	a.charge(4)
 	if a.tag != 6 || a.refund != 0 {
-		t.Errorf("tag %v, credit %v, want 6 and 0", a.tag, a.refund)
+		t.Errorf("tag %v, refund %v, want 6 and 0", a.tag, a.refund)
 	}
 }
--- a/decision/internal/place/filters.go
+++ b/decision/internal/place/filters.go
@@ -15,17 +15,19 @@
 // Keep implements Filter.
 func (NotEjected) Keep(c *Candidate) bool { return !c.Ejected }
 
-// HasFreeSlot drops servers that run as many attempts as they have slots. At
-// saturation, work would otherwise wait in a server's own queue, where no other
-// server can take it over and the teams' shares are not enforced.
+// HasFreeSlot drops servers on which this instance already runs as many attempts
+// as they have slots. At saturation, work would otherwise wait in a server's own
+// queue, where no other server can take it over and the teams' shares are not
+// enforced.
 type HasFreeSlot struct{}
 
 // Keep implements Filter.
 func (HasFreeSlot) Keep(c *Candidate) bool { return c.Running < c.Slots }
 
 // HasVersion drops servers that do not have the version loaded, for example
-// because of a roll-out or a role change that the prefix index does not know yet.
-// Such a server would answer with another version, or load many gigabytes first.
+// because of a roll-out or a change of the server's role that the prefix index
+// does not know yet. Such a server would answer with another version, or load
+// many gigabytes first.
 type HasVersion struct{}
 
 // Keep implements Filter.
--- a/decision/internal/place/place.go
+++ b/decision/internal/place/place.go
@@ -2,9 +2,9 @@
 // that must not take the request, scorers rate the rest, and the highest total
 // score wins.
 //
-// The caller draws the candidates (two at random, and the deepest prefix match),
-// so the cost of a pick does not grow with the number of servers. Everything here
-// is a pure function of the candidates; nothing is allocated.
+// The caller supplies the candidates (two random servers and the deepest prefix
+// match), so the cost of a pick does not grow with the number of servers.
+// Everything here is a pure function of the candidates; nothing is allocated.
 package place
 
 // Candidate is the state of one backend server with respect to one request.
@@ -13,23 +13,23 @@
 	// Slots the number that the server runs at once.
 	Running int
 	Slots   int
-	// Load is the estimated share of the capacity in use: this instance's own
-	// attempts, and those of others by the last load report, discounted with its
-	// age.
+	// Load is the estimated share of the server's capacity that is in use: by
+	// this instance's own attempts, and by those of the other instances according
+	// to the last load report, which counts less the older it is.
 	Load float64
 	// CacheSavings is the estimated share (0 to 1) of the request's work that the
 	// server's prefix cache saves.
 	CacheSavings float64
-	// SameDomain is set when the server is in the instance's own failure domain.
+	// SameDomain is true if the server is in the instance's own failure domain.
 	SameDomain bool
-	// VersionLoaded is set when the server has the version loaded, or provides
+	// VersionLoaded is true if the server has the version loaded, or provides
 	// the plain service that the request is for.
 	VersionLoaded bool
-	// Leaving and Ejected servers get no new work. Servers that are excluded for
-	// a short while count as Ejected too.
+	// Leaving and Ejected servers get no new work. Servers in backoff after a
+	// refusal count as Ejected too.
 	Leaving bool
 	Ejected bool
-	// Tried is set when the request has failed on the server already.
+	// Tried is true if the request has failed on the server already.
 	Tried bool
 }
 
@@ -51,7 +51,7 @@
 	Scorers []Scorer
 }
 
-// None is returned by Pick when no candidate may take the request.
+// None is returned by Pick if no candidate may take the request.
 const None = -1
 
 // Pick returns the index of the best candidate, or of the first of equal ones.
--- a/decision/internal/place/place_test.go
+++ b/decision/internal/place/place_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against work for a server that a filter should drop, and against scorers
-// that outweigh each other wrongly.
+// Guards against requests sent to a server that a filter should drop, and against
+// a wrong balance of load, cached prefix and failure domain in the total score.
 func TestPick(t *testing.T) {
 	good := Candidate{Slots: 4, VersionLoaded: true}
 	with := func(change func(*Candidate)) Candidate {
--- a/decision/internal/place/scorers.go
+++ b/decision/internal/place/scorers.go
@@ -1,8 +1,9 @@
 package place
 
-// LeastLoad prefers servers with a low load. Load reports lag, so choosing the
-// better of two random servers, with an exact count of the own attempts, beats
-// choosing the least loaded of all, which every instance would send to at once.
+// LeastLoad prefers servers with a low load. Load reports lag: if each instance
+// chose the least loaded of all servers, all would send to the same one at once.
+// Choosing the better of two random servers, with an exact count of the
+// instance's own attempts, avoids that.
 type LeastLoad struct{}
 
 // Score implements Scorer.
@@ -14,7 +15,7 @@
 type PrefixAffinity struct {
 	// Weight is the score of a request that the cache saves entirely.
 	Weight float64
-	// MaxLoad is a share of the capacity.
+	// MaxLoad is a share of the server's capacity, compared with Candidate.Load.
 	MaxLoad float64
 }
 
@@ -26,9 +27,10 @@
 	return a.Weight * c.CacheSavings
 }
 
-// DomainAffinity slightly prefers servers in the own failure domain: the shorter
-// round trip saves some 3 ms of the 350 ms to a first token, which is worth no
-// more than a small difference in load. Weight is the score of such a server.
+// DomainAffinity slightly prefers servers in the instance's own failure domain:
+// the shorter round trip saves some 3 ms of the 350 ms to a first token, which is
+// worth no more than a small difference in load. Weight is the score of such a
+// server.
 type DomainAffinity struct{ Weight float64 }
 
 // Score implements Scorer.
--- a/decision/internal/policytest/deployment.go
+++ b/decision/internal/policytest/deployment.go
@@ -28,7 +28,7 @@
 
 // speed is the speed at which an engine runs a model.
 type speed struct {
-	// prefill is in prompt tokens a second.
+	// prefill is the rate of prefill, in prompt tokens a second.
 	prefill float64
 	// tokenTime is the time per generated token of a request that runs alone.
 	tokenTime time.Duration
@@ -52,8 +52,8 @@
 	Large     int
 	Records   int
 	Domains   []decision.DomainID
-	// Saturation is the rate, in requests a second, at which the real policy
-	// starts to refuse requests.
+	// Saturation is the arrival rate, in requests a second, at which the real
+	// policy starts to refuse requests.
 	Saturation float64
 	// Deadlines holds the time allowed for a request of each class.
 	Deadlines map[decision.TaskClass]time.Duration
@@ -139,8 +139,7 @@
 }
 
 // versions returns the versions as the manifest states them. The stated quality
-// is the estimate of whoever published them, and some hundredths off the true
-// one.
+// is the publisher's estimate, and differs from the true one by some hundredths.
 func versions() []decision.Version {
 	return []decision.Version{
 		{ID: smallOld, Model: smallModel, State: decision.VersionServing, Share: 1, Cost: 1, Quality: 0.80},
--- a/decision/internal/policytest/engine.go
+++ b/decision/internal/policytest/engine.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cacheBlocks bounds an engine's prefix cache: it holds a quarter of all
-// templates and the blocks of the running requests.
+// cacheBlocks bounds an engine's prefix cache, in blocks: it holds about a quarter
+// of the blocks of all templates and the blocks of the running requests.
 const cacheBlocks = 600
 
 // serviceCallTime is the time of a call of the plain service.
@@ -25,8 +25,10 @@
 	// number of tokens left to generate or, at a plain service, the seconds left.
 	prefill   float64
 	remaining float64
-	started   bool
-	fails     bool
+	// started is true if the first token was generated.
+	started bool
+	// fails is true if the attempt ends with an error.
+	fails bool
 }
 
 // engine is one backend server.
@@ -37,9 +39,11 @@
 	running    []*attempt
 	queued     []*attempt
 	cache      *simplelru.LRU[decision.BlockHash, struct{}]
-	seq        uint64
-	added      []decision.BlockHash
-	removed    []decision.BlockHash
+	// seq is the number of the last cache event; added and removed are the changes
+	// of the cache since.
+	seq     uint64
+	added   []decision.BlockHash
+	removed []decision.BlockHash
 	// lookups counts the blocks of all prompts, hits those found in the cache.
 	lookups, hits int
 }
@@ -56,6 +60,7 @@
 		e.removed = append(e.removed, h)
 	})
 	if err != nil {
+		// The library fails only for a size below 1.
 		panic(err)
 	}
 	e.cache = cache
@@ -187,7 +192,7 @@
 }
 
 // cacheEvent returns the changes of the cache since the last event, and false
-// when there are none.
+// if there are none.
 func (e *engine) cacheEvent() (decision.CacheChanged, bool) {
 	if len(e.added) == 0 && len(e.removed) == 0 {
 		return decision.CacheChanged{}, false
--- a/decision/internal/policytest/figures.go
+++ b/decision/internal/policytest/figures.go
@@ -12,10 +12,10 @@
 type Figures struct {
 	// Cost is the mean cost of a complete answer of a model, Quality the mean
 	// quality, and TargetShortfall the largest amount by which a team's quality
-	// is below its target.
+	// in a class is below the team's target.
 	Cost, Quality, TargetShortfall float64
-	// Percentiles of the times to the first token and to the complete answer, in
-	// seconds.
+	// Percentiles of the times to the first token of streamed answers and to the
+	// complete answer of a model, in seconds.
 	FirstTokenP50, FirstTokenP95, FirstTokenP99 float64
 	LatencyP50, LatencyP95, LatencyP99          float64
 	// Goodput is the number of complete answers before their deadline per
@@ -25,13 +25,16 @@
 	Goodput, Throughput, RefusedShare, FailedShare float64
 	// CacheHitRate is the share of prompt blocks found in a prefix cache.
 	CacheHitRate float64
-	// MinShareRatio is NaN where the teams do not compete for one model.
+	// MinShareRatio is the lowest ratio, over the teams, of the work served to a
+	// team to its fair share; NaN if the teams do not compete for one model.
 	MinShareRatio float64
-	// ExposedRequests counts the requests that ran on the faulty version.
-	// ExposedShareAfterLimit is the number of those after its first 50 bad
-	// answers, as a share of all requests that arrived after them.
+	// ExposedRequests counts the dispatches to the faulty version since its fault
+	// began. ExposedShareAfterLimit is the number of those after its first
+	// maxBadAnswers bad answers, as a share of all requests to models that arrived
+	// after them.
 	ExposedRequests, ExposedShareAfterLimit float64
-	FalseAlarms                             float64
+	// FalseAlarms counts bad verdicts on versions without a fault.
+	FalseAlarms float64
 }
 
 // Figures computes the reported figures.
@@ -90,7 +93,8 @@
 	{"on bad after 50, %", func(f Figures) float64 { return 100 * f.ExposedShareAfterLimit }, "%.2f"},
 }
 
-// Spread holds the median and the 10th and 90th percentiles over seeds.
+// Spread holds the median and the 10th (Low) and 90th (High) percentiles over
+// seeds.
 type Spread struct{ Median, Low, High float64 }
 
 // SpreadOf computes the spread of one figure.
@@ -144,8 +148,7 @@
 	return row
 }
 
-// Scaled returns the load with all its times divided by the argument, for short
-// tests.
+// Scaled returns the load with all its times divided by by, for short tests.
 func (l Load) Scaled(by int) Load {
 	rate := l.Rate
 	l.Rate = func(t time.Duration) float64 { return rate(t * time.Duration(by)) }
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -36,7 +36,8 @@
 	return Variant{}
 }
 
-// figures runs one seed and checks the conditions that every run must meet.
+// figures runs one seed, checks the conditions that every run must meet, and
+// returns the figures.
 func figures(t *testing.T, l Load, policy string) Figures {
 	t.Helper()
 	results := Run(l, 1, variantNamed(t, policy).New)
@@ -57,17 +58,18 @@
 	best := figures(t, l, "always the best model")
 	fixed := figures(t, l, "fixed cascade")
 	if got.Cost > 0.6*best.Cost || got.Cost >= fixed.Cost {
-		t.Errorf("cost %.3f, always the best model %.3f, fixed cascade %.3f", got.Cost, best.Cost, fixed.Cost)
+		t.Errorf("cost %.3f, always the best model %.3f, fixed cascade %.3f; want at most 60%% of the first and less than the second",
+			got.Cost, best.Cost, fixed.Cost)
 	}
 	if got.TargetShortfall > 0.03 {
 		t.Errorf("quality is %.3f below the target of a team, want at most 0.03", got.TargetShortfall)
 	}
 }
 
-// Guards against a verdict that comes late or does not last. The share of
-// requests on the bad version after its first 50 bad answers decreases with the
-// length of the run, so the total number of requests that it gets is checked
-// too, for each of several seeds.
+// Guards against a verdict on a bad version that comes late or does not last. The
+// share of requests on the bad version after its first 50 bad answers decreases
+// with the length of the run, so the total number of requests that it gets is
+// checked too, for each of several seeds.
 func TestBadVersionExposure(t *testing.T) {
 	t.Parallel()
 	const seeds = 3
@@ -92,13 +94,13 @@
 }
 
 // Guards against goodput and throughput that collapse at twice the saturation
-// rate, where capacity is spent on answers that come too late.
+// rate because capacity is spent on answers that come too late.
 func TestGoodputBeyondSaturation(t *testing.T) {
 	t.Parallel()
 	once := figures(t, loadNamed(t, "co-op", "saturation x1"), "decision")
 	twice := figures(t, loadNamed(t, "co-op", "saturation x2"), "decision")
 	if twice.Goodput < 0.95*once.Goodput || twice.Throughput < 0.95*once.Throughput {
-		t.Errorf("goodput %.1f at saturation and %.1f at twice that; throughput %.0f and %.0f",
+		t.Errorf("goodput %.1f at saturation and %.1f at twice that; throughput %.0f and %.0f; want at least 95%% of each",
 			once.Goodput, twice.Goodput, once.Throughput, twice.Throughput)
 	}
 }
@@ -111,7 +113,8 @@
 	l := loadNamed(t, "agency", "saturation x1")
 	got, plain := figures(t, l, "decision"), figures(t, l, "round robin")
 	if got.FirstTokenP95 > 0.5*plain.FirstTokenP95 {
-		t.Errorf("p95 of the time to the first token %.2f s, round robin %.2f s", got.FirstTokenP95, plain.FirstTokenP95)
+		t.Errorf("p95 of the time to the first token %.2f s, round robin %.2f s, want at most half of that",
+			got.FirstTokenP95, plain.FirstTokenP95)
 	}
 }
 
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -27,12 +27,12 @@
 	// Rate is the arrival rate at a time since the start, as a multiple of the
 	// deployment's saturation.
 	Rate func(t time.Duration) float64
-	// Skew gives one team 80% of the load.
+	// Skew is true if one team makes about 80% of the requests.
 	Skew bool
-	// Model is the model that all requests name; empty leaves it open. Shares of
-	// the teams can be measured only where they compete for one model.
+	// Model is the model that all requests for a model name; empty leaves it open.
+	// Shares of the teams can be measured only if they compete for one model.
 	Model decision.ModelID
-	// Fault is the fault of smallNew from FaultFrom on.
+	// Fault is the fault that smallNew has from FaultFrom on.
 	Fault     FaultKind
 	FaultFrom time.Duration
 	// SlowFactor is the factor by which the first small and the first large
@@ -45,11 +45,12 @@
 	Warmup   time.Duration
 }
 
+// steady is a constant rate.
 func steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
-// surge is a quiet start, a sudden rise above saturation and a fall, as in a
+// surge is the rate quiet, with a rise to peak between from and to, as in a
 // wool-order rush or on the first morning of a term.
 func surge(from, to time.Duration, quiet, peak float64) func(time.Duration) float64 {
 	return func(t time.Duration) float64 {
@@ -102,7 +103,7 @@
 	}
 }
 
-// job is a request and its properties that no policy can see.
+// job is a request, with properties that no policy can see.
 type job struct {
 	decision.Request
 	arrived  time.Duration
@@ -118,9 +119,13 @@
 	failDraw float64
 }
 
-// The properties of requests: blocks of their prompts, shares of the kinds of
-// requests, standard deviations of ratings and of answer quality, and median
-// lengths of answers in tokens.
+// The properties of requests: blockTokens is the number of tokens of a block,
+// templates the number of prompt templates of a team. A prompt consists of
+// templateBlocks blocks of a template and uniqueBlocks of its own. recordShare is
+// the share of requests for the plain service, draftShare that of class draft
+// among the others, and hardShare the hard ones among those. ratingNoise and
+// answerNoise are the standard deviations of ratings and of answer quality, and
+// tokensLookup and tokensDraft the median lengths of answers in tokens.
 const (
 	blockTokens    = 32
 	templates      = 6
@@ -150,6 +155,7 @@
 	}
 }
 
+// job draws one request.
 func (l Load) job(id uint64, at time.Duration, rng *rand.Rand) *job {
 	team := pickTeam(rng, l.Skew)
 	j := &job{arrived: at, instance: rng.IntN(l.Instances)}
@@ -190,6 +196,8 @@
 	return j
 }
 
+// pickTeam draws a team by the shares of the teams in the load; with skew, team 9
+// gets 80% of the requests before its usual share of the rest.
 func pickTeam(rng *rand.Rand, skew bool) int {
 	x := rng.Float64()
 	if skew {
@@ -207,7 +215,8 @@
 	return len(teamShares) - 1
 }
 
-// prompt returns the blocks of a team's template followed by random ones.
+// prompt returns the blocks of a team's template followed by random ones, which no
+// other request has.
 func prompt(team, template int, rng *rand.Rand) []decision.BlockHash {
 	out := make([]decision.BlockHash, 0, templateBlocks+uniqueBlocks)
 	for i := range templateBlocks {
--- a/decision/internal/policytest/measure_test.go
+++ b/decision/internal/policytest/measure_test.go
@@ -15,7 +15,7 @@
 	maxParallel   = flag.Int("runs", 4, "runs at once")
 )
 
-// TestMeasure prints the tables of docs/MEASUREMENTS.md when -seeds is given.
+// TestMeasure prints the tables of docs/MEASUREMENTS.md if -seeds is given.
 func TestMeasure(t *testing.T) {
 	for _, l := range Loads() {
 		if *numSeeds == 0 || !strings.Contains(l.Deployment.Name+" "+l.Name, *loadFilter) {
--- a/decision/internal/policytest/results.go
+++ b/decision/internal/policytest/results.go
@@ -10,16 +10,21 @@
 
 // caller is the caller of a request that has no answer yet.
 type caller struct {
-	job           *job
-	firstToken    time.Duration
-	cost          float64
+	job *job
+	// firstToken is the time of the first token that reached the caller; 0 for
+	// none.
+	firstToken time.Duration
+	// cost is the cost of the tokens generated for the request so far.
+	cost float64
+	// By attempt: whether its answer is held, its answer's true quality, and the
+	// time allowed for a rating if one is needed.
 	held          map[decision.AttemptID]bool
 	scores        map[decision.AttemptID]float64
 	ratingBudgets map[decision.AttemptID]time.Duration
 }
 
-// recordDispatch records whether the answer is held and whether it is to be
-// rated.
+// recordDispatch records whether the answer is held and whether it needs a
+// rating.
 func (c *caller) recordDispatch(d decision.Dispatch) {
 	c.held[d.Attempt] = d.Hold
 	if c.scores == nil {
@@ -34,9 +39,10 @@
 // Results holds the results of one run as its callers see them.
 type Results struct {
 	load Load
-	// The numbers of requests by their end. Late requests were answered after
-	// their deadline, which is a failure for their callers. InvalidCommands
-	// counts commands of the policy that match no request.
+	// The numbers of requests that arrived after the warm-up, in total and by
+	// their end. Late requests were answered after their deadline, which is a
+	// failure for their callers. InvalidCommands counts the policy's commands for
+	// requests or servers that do not exist.
 	Arrived, Completed, Refused, Failed, Late, Unanswered, InvalidCommands int
 	// RefusedAtDeadline counts the refusals that came only at the deadline.
 	RefusedAtDeadline int
@@ -45,8 +51,8 @@
 	// Cost and Quality are sums over the ModelAnswers complete answers of models.
 	Cost, Quality float64
 	ModelAnswers  int
-	// latencies are the times to the complete answers of models, firstTokens the
-	// times to the first token of those that are streamed.
+	// firstTokens are the times from the arrival to the first token of streamed
+	// answers of models, latencies those to the complete answers of models.
 	firstTokens, latencies []time.Duration
 	// promptBlocks counts the blocks of all prompts, cachedBlocks those found in
 	// a prefix cache.
@@ -56,7 +62,7 @@
 }
 
 // teamResults holds the results of one team. demand and served are in units of
-// work, quality is a sum of ratings by class.
+// work (see work), and quality is the sum of the answers' true quality by class.
 type teamResults struct {
 	demand, served float64
 	quality        map[decision.TaskClass]float64
@@ -69,8 +75,8 @@
 type faultResults struct {
 	badAnswers int
 	// exposedRequests counts the dispatches to smallNew since the fault began,
-	// exposedAfterLimit those after its 50th bad answer, and arrivedAfterLimit
-	// the requests to any model that arrived after that answer.
+	// exposedAfterLimit those after bad answer number maxBadAnswers, and
+	// arrivedAfterLimit the requests to any model that arrived after that answer.
 	exposedRequests, exposedAfterLimit int
 	arrivedAfterLimit                  int
 }
@@ -96,6 +102,7 @@
 // tenth.
 func work(j *job) float64 { return float64(j.tokens) + 0.1*float64(j.PromptTokens) }
 
+// measured reports whether the request arrived after the warm-up.
 func (r *Results) measured(j *job) bool { return j.arrived >= r.load.Warmup }
 
 func (r *Results) recordArrival(j *job) {
@@ -206,9 +213,9 @@
 
 // minShareRatio is the lowest ratio, over the teams, of the work served to a
 // team to its weighted max-min fair share of all work served. A team that
-// demanded less than its share should get all of it, and what another team gets
-// beyond its share does not count against that one. It is NaN where the teams do
-// not compete for one model.
+// demanded less than its share should get all that it demanded, and a team that
+// gets more than its share does not lower the ratio. It is NaN if the teams do not
+// compete for one model.
 func (r *Results) minShareRatio() float64 {
 	if r.load.Model == "" {
 		return math.NaN()
@@ -248,8 +255,9 @@
 }
 
 // targetShortfall is the largest difference, over teams and classes, by which
-// the mean quality of the answers is below the team's target. Classes with under
-// 100 answers are left out: the standard error of their mean is over 0.015.
+// the mean quality of the answers is below the team's target. Classes of a team
+// with under 100 answers are left out: the standard error of their mean is over
+// 0.015.
 func (r *Results) targetShortfall() float64 {
 	worst := 0.0
 	for _, x := range r.teams {
--- a/decision/internal/policytest/simulation.go
+++ b/decision/internal/policytest/simulation.go
@@ -15,10 +15,12 @@
 // start is the time of the first tick.
 var start = time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 
-// The intervals and delays of the model. cacheEventLoss is the probability that
-// an instance misses a cache event. A rating takes ratingTimeMin plus a
-// uniformly distributed time up to ratingTimeSpan. After the last arrival the
-// simulation runs on for drainTime.
+// The intervals and delays of the model. Load reports are sent every
+// reportInterval and arrive after reportLag, cache events likewise every
+// cacheInterval after cacheLag, and verdicts arrive at the peers after peerLag.
+// cacheEventLoss is the probability that an instance misses a cache event. A
+// rating takes ratingTimeMin plus a uniformly distributed time up to
+// ratingTimeSpan. After the last arrival the simulation runs on for drainTime.
 const (
 	tick           = 10 * time.Millisecond
 	reportInterval = 500 * time.Millisecond
@@ -46,10 +48,13 @@
 	policies   []Policy
 	engines    []*engine
 	engineByID map[decision.ServerID]*engine
-	now        time.Duration
-	inbox      [][]decision.Event
+	// now is the time since start.
+	now time.Duration
+	// inbox holds the events for the next tick of each instance.
+	inbox [][]decision.Event
 	// pending holds events by the tick in which they arrive.
 	pending map[time.Duration][]pendingEvent
+	// callers holds the requests without an answer.
 	callers map[decision.RequestID]*caller
 	results *Results
 }
@@ -198,6 +203,7 @@
 	}
 }
 
+// finish calls f for the caller of a request that has ended, and forgets it.
 func (sim *simulation) finish(id decision.RequestID, f func(*caller)) {
 	c := sim.callers[id]
 	if c == nil {
@@ -258,8 +264,8 @@
 	sim.rateAnswer(c, a)
 }
 
-// rateAnswer determines the quality of an answer and sends its rating to the
-// instance that asked for one.
+// rateAnswer determines the quality of an answer and, if the instance asked for
+// a rating, sends it one.
 func (sim *simulation) rateAnswer(c *caller, a *attempt) {
 	if c == nil || a.version == "" {
 		return
--- a/decision/internal/policytest/variants.go
+++ b/decision/internal/policytest/variants.go
@@ -9,12 +9,12 @@
 }
 
 // baseline is a router without the decisions of this module: it serves requests
-// in order of arrival, however long the wait, without affinity or verdicts.
+// in order of arrival, however long the wait, without prefix affinity or verdicts.
 var baseline = decision.Policy{NoAffinity: true, NoVerdicts: true, FIFO: true, NoWaitLimit: true}
 
 // Variants returns the policies to measure. The first is the one for production,
 // the next two are baseline routers, and each of the others differs from the
-// first in one decision.
+// first in one decision ("no shift" uses no verdicts).
 func Variants() []Variant {
 	roundRobin, least := baseline, baseline
 	roundRobin.Placement = decision.PlaceRoundRobin
--- a/decision/internal/prefix/doc.go
+++ b/decision/internal/prefix/doc.go
@@ -11,10 +11,10 @@
 //
 // # Wiring
 //
-// On CacheChanged of a listed server: Index.ApplyCacheEvent; the index keeps an
-// entry for each server that was named. On a Dispatch of a prompt:
-// Index.RecordDispatch. When a server leaves the list or crashes: Index.Forget.
-// When placing: Index.Match, then consider a matched server as long as its load
-// is within a bound of the others'; above that the queue there costs more than
-// the prefill that it saves.
+// On CacheChanged of a listed server: Index.ApplyCacheEvent. Leave out servers
+// that are not listed: the index keeps an entry for each server it is called with,
+// until Index.Forget. On a Dispatch of a prompt: Index.RecordDispatch. When a
+// server leaves the list or crashes: Index.Forget. When placing: Index.Match, then
+// consider a matched server as long as its load is within a bound of the others';
+// above that the queue there costs more than the prefill that it saves.
 package prefix
--- a/decision/internal/prefix/index.go
+++ b/decision/internal/prefix/index.go
@@ -11,12 +11,12 @@
 	// MaxBlocks bounds the indexed blocks; the least recently used are dropped
 	// first. At some 300 bytes each, 65,536 take 20 MB of an instance's 256 MB.
 	MaxBlocks int
-	// MaxDepth bounds the blocks of one prompt that are considered. The blocks
+	// MaxDepth bounds the blocks of one prompt that are considered. Those
 	// after them are specific to the request and shared with no other.
 	MaxDepth int
-	// UnconfirmedTTL is how long the prompt of an own dispatch counts as cached
-	// without a cache event of the server. For servers that publish no events,
-	// nothing but own dispatches is known.
+	// UnconfirmedTTL is how long the prompt of this instance's own dispatch counts
+	// as cached without a cache event of the server. For servers that publish no
+	// events, nothing but these dispatches is known.
 	UnconfirmedTTL time.Duration
 }
 
@@ -25,9 +25,9 @@
 	return Config{MaxBlocks: 1 << 16, MaxDepth: 128, UnconfirmedTTL: 2 * time.Minute}
 }
 
-// maxHolders bounds the servers indexed for one block. A prefix that more servers
-// hold is found on one of these; more would not improve the choice, since placing
-// considers a few candidates only.
+// maxHolders bounds the servers indexed for one block. If more servers hold a
+// prefix, it is still found on these; more entries would not improve the choice,
+// since placing considers only a few candidates.
 const maxHolders = 4
 
 // Index maps block hashes to the servers that hold them.
@@ -41,8 +41,9 @@
 type server[S comparable] struct {
 	id  S
 	seq uint64
-	// epoch counts the gaps in the events, a restart as two. Holders recorded one
-	// epoch ago count as not confirmed in a Match, and older ones are invalid.
+	// epoch counts the gaps in the events, and a restart as two gaps. Holders
+	// recorded one epoch ago count as not confirmed in a Match, and older ones are
+	// invalid.
 	epoch uint32
 }
 
@@ -51,11 +52,12 @@
 	holders [maxHolders]holder[S]
 }
 
-// holder is one server that holds a block; a nil server marks a free place.
+// holder is one server that holds a block; a nil server marks a free slot.
 type holder[S comparable] struct {
 	server *server[S]
 	epoch  uint32
-	// unconfirmed marks an own dispatch without a cache event of the server yet.
+	// unconfirmed is true if the holder is known only from this instance's own
+	// dispatch, without a cache event of the server yet.
 	unconfirmed bool
 	seenAt      time.Time
 }
@@ -64,8 +66,8 @@
 type Match[S comparable] struct {
 	Server S
 	Blocks int
-	// Confirmed is false for own dispatches without a cache event, and for blocks
-	// that may have been evicted in a gap of the events.
+	// Confirmed is false for this instance's own dispatches without a cache event,
+	// and for blocks that may have been evicted in a gap of the events.
 	Confirmed bool
 }
 
@@ -118,8 +120,9 @@
 	if late {
 		return
 	}
-	// The deepest block first, so that the blocks that others build on are the
-	// most recently used and leave the index last.
+	// The deepest block is added first, so that the first blocks of the prompt,
+	// on which the others build, are the most recently used and leave the index
+	// last.
 	for i := len(added) - 1; i >= 0; i-- {
 		x.addHolder(added[i], holder[S]{server: s, epoch: s.epoch, seenAt: now})
 	}
@@ -144,8 +147,8 @@
 	}
 }
 
-// addHolder records a holder of a block: in the place of the same server, a free
-// one, or that of the oldest holder.
+// addHolder records a holder of a block: in the slot that the same server has
+// already, in a free or invalid one, or in that of the oldest holder.
 func (x *Index[S, H]) addHolder(h H, added holder[S]) {
 	e, ok := x.blocks.Get(h)
 	if !ok {
@@ -156,7 +159,8 @@
 	for i := range e.holders {
 		o := &e.holders[i]
 		if o.server == added.server {
-			// A dispatch neither confirms a holder anew nor makes it unconfirmed.
+			// A dispatch only updates the time of a confirmed holder: it neither
+			// confirms it for the current epoch nor makes it unconfirmed.
 			if added.unconfirmed && !o.unconfirmed && x.valid(*o, added.seenAt) {
 				o.seenAt = added.seenAt
 				return
--- a/decision/internal/prefix/index_test.go
+++ b/decision/internal/prefix/index_test.go
@@ -92,15 +92,15 @@
 			x := New[string, uint64](DefaultConfig())
 			c.do(x)
 			if got := x.Match(c.ask, 8, startTime, nil); !slices.Equal(got, c.want) {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("matches %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
 // Guards, for random sequences of calls, against an index that grows past its
-// bound, matches deeper than the prompt, matches of forgotten servers, and
-// results that differ for equal inputs.
+// bound, matches that are longer than the prompt, too many or not ordered by
+// length, matches of forgotten servers, and results that differ for equal inputs.
 func TestIndexProperties(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxBlocks = 40
@@ -130,11 +130,11 @@
 				t.Fatal("equal inputs match differently")
 			}
 			if len(got) > 3 || x.Len() > cfg.MaxBlocks {
-				t.Fatalf("%d matches, %d blocks", len(got), x.Len())
+				t.Fatalf("%d matches and %d indexed blocks, want at most 3 and MaxBlocks", len(got), x.Len())
 			}
 			for i, m := range got {
 				if m.Blocks < 1 || m.Blocks > len(p) || forgotten[m.Server] || i > 0 && got[i-1].Blocks < m.Blocks {
-					t.Fatalf("%v for %d blocks", got, len(p))
+					t.Fatalf("matches %v for a prompt of %d blocks: wrong length or order, or a forgotten server", got, len(p))
 				}
 			}
 		}
--- a/decision/internal/prefix/match.go
+++ b/decision/internal/prefix/match.go
@@ -6,8 +6,8 @@
 )
 
 // extraDepths is how many shorter prefixes are searched for further servers once
-// the deepest match is found. It bounds the cost of a decision; a shallow match
-// on a free server is worth about as much as none.
+// the deepest match is found. It bounds the cost of a decision; a much shorter
+// prefix on a free server is worth about as much as none.
 const extraDepths = 6
 
 // Match appends to out the servers that hold the longest prefixes of a prompt,
@@ -15,8 +15,8 @@
 //
 // The deepest known block is found by binary search: servers evict a block
 // before those that it builds on, and so does the index, so the known blocks are
-// a prefix of the prompt unless events were lost. In that case the match may be
-// shorter, which only makes it a worse hint.
+// a prefix of the prompt unless events were lost. If some were, the match found
+// may be shorter than the longest, which only makes it a worse hint.
 func (x *Index[S, H]) Match(blocks []H, limit int, now time.Time, out []Match[S]) []Match[S] {
 	blocks = blocks[:min(len(blocks), x.cfg.MaxDepth)]
 	depth := sort.Search(len(blocks), func(i int) bool { return !x.held(blocks[i], now) })
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -8,12 +8,12 @@
 
 // CrashConfig holds the parameters of Crashes.
 type CrashConfig struct {
-	// MaxServers is how many backend servers a request may crash before it is
+	// MaxServers is the number of crashed backend servers at which a request is
 	// quarantined. The default is two: one crash may be the server's own fault,
-	// and a third would let a single caller take down a small pool.
+	// and with three a single caller could take down a small pool.
 	MaxServers int
-	// CrashTTL is how long a crash counts: as long as callers are expected to
-	// retry.
+	// CrashTTL is how long a request's crashes count after the last one: as long
+	// as callers are expected to retry.
 	CrashTTL time.Duration
 	// Quarantine is how long a quarantine lasts. It is bounded, since a new
 	// version may well be able to run the request.
@@ -34,8 +34,8 @@
 }
 
 // Crashes counts crashed backend servers per request fingerprint. It guards
-// against a request that crashes each backend server that runs it while its
-// caller retries it: without a quarantine it takes the whole pool down.
+// against a request that crashes every backend server that it runs on while its
+// caller retries it: without a quarantine it would take the whole pool down.
 type Crashes[F comparable] struct {
 	cfg     CrashConfig
 	crashes *simplelru.LRU[F, *crashCounts]
@@ -90,7 +90,7 @@
 	return CrashAllowed, time.Time{}
 }
 
-// unexpired returns the counts of f, or nil when there are none or they have
+// unexpired returns the counts of f, or nil if there are none or they have
 // expired.
 func (t *Crashes[F]) unexpired(f F, now time.Time) *crashCounts {
 	c, ok := t.crashes.Get(f)
@@ -118,8 +118,9 @@
 }
 
 // AttemptEnded records the end of an attempt; counted is the result of
-// AttemptStarted. When it returns quarantine, the request has reached the limit
-// and must be refused by all instances until the time returned.
+// AttemptStarted, and crashed is true if the attempt crashed its server. If
+// quarantine is true, the request has reached the limit and must be refused by
+// all instances until the time returned.
 func (t *Crashes[F]) AttemptEnded(f F, counted, crashed bool, now time.Time) (quarantine bool, until time.Time) {
 	c := t.unexpired(f, now)
 	if c != nil && counted {
@@ -142,8 +143,9 @@
 	return true, c.quarantinedUntil
 }
 
-// ApplyQuarantine applies a quarantine from the log or a peer. It never lasts
-// longer than the configured duration from now, and never shortens another one.
+// ApplyQuarantine applies a quarantine from the log or a peer. It lasts no longer
+// than the configured duration from now, and does not shorten a quarantine that
+// is already in force.
 func (t *Crashes[F]) ApplyQuarantine(f F, until, now time.Time) {
 	if limit := now.Add(t.cfg.Quarantine); until.After(limit) {
 		until = limit
--- a/decision/internal/verdict/crashes_test.go
+++ b/decision/internal/verdict/crashes_test.go
@@ -26,7 +26,7 @@
 	}
 	q, until := c.AttemptEnded(1, counted, true, startTime)
 	if !q || !until.Equal(startTime.Add(cfg.Quarantine)) {
-		t.Fatalf("second crash: quarantine %v until %v", q, until)
+		t.Fatalf("second crash: quarantine %v until %v, want true until the end of the configured duration", q, until)
 	}
 	if a, _ := c.Admit(1, until.Add(-1)); a != CrashQuarantined {
 		t.Errorf("before the end of the quarantine: admission %v, want CrashQuarantined", a)
@@ -46,11 +46,11 @@
 	c := NewCrashes[uint64](cfg)
 	c.AttemptEnded(1, false, true, startTime)
 	if q, _ := c.AttemptEnded(1, false, true, startTime.Add(cfg.CrashTTL+1)); q {
-		t.Error("an expired crash was counted")
+		t.Error("the request was quarantined for a second crash although the first had expired")
 	}
 	c.ApplyQuarantine(2, startTime.Add(24*time.Hour), startTime)
 	if _, until := c.Admit(2, startTime); !until.Equal(startTime.Add(cfg.Quarantine)) {
-		t.Errorf("a peer's quarantine lasts until %v", until)
+		t.Errorf("a peer's quarantine lasts until %v, want the end of the configured duration", until)
 	}
 	c.ApplyQuarantine(3, startTime.Add(-1), startTime)
 	for f := range uint64(3 * cfg.MaxFingerprints) {
@@ -84,7 +84,7 @@
 			c.AttemptEnded(7, true, true, startTime)
 		}
 		if crashes+running > 2 {
-			t.Fatalf("%d servers crashed and %d at risk", crashes, running)
+			t.Fatalf("%d servers crashed and %d run another copy, want at most 2 in total", crashes, running)
 		}
 	})
 }
--- a/decision/internal/verdict/detector.go
+++ b/decision/internal/verdict/detector.go
@@ -9,7 +9,7 @@
 const numBets = 4
 
 // betFractions are the bets of a detector on each observation, as fractions of
-// the largest safe bet, which can lose the whole wealth but not more. A small
+// the largest allowed bet, which can lose the whole wealth but not more. A small
 // bet detects a small, lasting decline; a large one detects a sudden, total
 // failure within a few observations.
 type betFractions [numBets]float64
@@ -29,23 +29,26 @@
 )
 
 // detector is a sequential test of "the mean has not fallen below a reference"
-// for observations in 0..1 of any distribution.
+// (addBelow) or "has not risen above it" (addAbove), for observations in 0..1 of
+// any distribution.
 //
-// Each observation x multiplies the wealth of a bet by 1 + l*(reference - x).
-// While the mean is at or above the reference, the expected factor is at most 1,
-// so the wealth is an e-process. Restarting it whenever it falls below 1 makes
-// it a CUSUM, whose window is the period with the most evidence against the
-// version, however long. There is an alarm when the mean wealth of the bets
+// The wealth of each bet starts at 1. In addBelow, each observation x multiplies
+// it by 1 + l*(reference - x), where l is proportional to the fraction that is
+// bet; addAbove is the mirror image, with x - reference. While the mean is at or
+// above the reference, the expected factor is at most 1, so the wealth is an
+// e-process. Restarting it whenever it falls below 1 makes it a CUSUM, whose
+// window is the period with the most evidence against the version or server,
+// however long. There is an alarm when the mean wealth of the bets
 // reaches 1/alpha; the mean number of observations between false alarms is at
 // least 1/alpha (Shin, Ramdas and Rinaldo, "E-detectors", 2022). No minimum
-// number of samples is needed: one observation multiplies the wealth by no more
-// than the largest factor of its bet.
+// number of samples is needed: the factor of one observation is bounded, and at
+// the default rates no single one is enough for an alarm.
 type detector struct {
 	fractions betFractions
 	logWealth [numBets]float64
-	// restart makes it a CUSUM; without it, it is a plain e-process, whose
-	// probability of ever reaching 1/alpha wrongly is at most alpha (Ville's
-	// inequality).
+	// restart is true if the detector is a CUSUM. Otherwise it is a plain
+	// e-process, whose probability of ever reaching 1/alpha wrongly is at most
+	// alpha (Ville's inequality).
 	restart bool
 }
 
@@ -61,7 +64,8 @@
 	d.add((clamp(x, 0, 1) - ref) / ref)
 }
 
-// add applies a gain, which is at least -1 by construction.
+// add multiplies the wealth of each bet by 1 + fraction*gain; gain is at least -1
+// by construction.
 func (d *detector) add(gain float64) {
 	for i, fraction := range d.fractions {
 		w := d.logWealth[i] + math.Log1p(fraction*gain)
@@ -84,7 +88,7 @@
 
 func (d *detector) reset() { d.logWealth = [numBets]float64{} }
 
-// threshold is the evidence at which the rate of false alarms is alpha.
+// threshold is the evidence at which the rate of false alarms is at most alpha.
 func threshold(alpha float64) float64 {
 	return -math.Log(alpha)
 }
@@ -105,8 +109,8 @@
 }
 
 // lowerBound is a one-sided lower confidence bound of the true mean, at about z
-// standard errors. The variance includes one extra observation of the largest
-// possible variance, so that a few equal ones are not taken for certainty.
+// standard errors. One extra observation with the largest possible variance is
+// counted in, so that the bound of a few equal ones is not equal to their mean.
 func (m *discountedMean) lowerBound(z float64) float64 {
 	variance := (m.m2 + maxVariance) / (m.n + 1)
 	return m.mean - z*math.Sqrt(variance/(m.n+1))
--- a/decision/internal/verdict/outlier.go
+++ b/decision/internal/verdict/outlier.go
@@ -8,10 +8,10 @@
 )
 
 // Outliers ejects backend servers that are slow or failing compared with their
-// peers. It guards against one faulty server among many: choosing the better of
-// two random servers keeps sending to it, since requests that fail at once leave
-// it looking idle. A group consists of comparable servers (the same versions, or
-// the same plain service).
+// peers. It guards against one faulty server among many: choosing the less loaded
+// of two random servers would keep sending to it, since requests that fail at
+// once leave it looking idle. A group consists of comparable servers (the same
+// versions, or the same plain service).
 //
 // Servers are compared by unit latency, the time per unit of work, so that long
 // and short work is comparable: for a model the time from the first token to the
@@ -31,26 +31,33 @@
 	members []*server[S, G]
 	ejected int
 	// successes is the mean over the members' attempts, 1 for a success and 0 for
-	// a failure.
+	// a failure. Attempts at a server with suspicionEvidence against it are left
+	// out.
 	successes discountedMean
-	// medianLogLatency is the median of the members' mean log unit latencies, in
-	// log seconds; NaN while too few are known.
+	// medianLogLatency is the median of the members' mean log unit latencies, the
+	// natural logs of seconds; NaN while too few are known.
 	medianLogLatency float64
 	// scratch is reused by the sweeps.
 	scratch []float64
 }
 
 type server[S, G cmp.Ordered] struct {
-	id            S
-	group         *group[S, G]
+	id    S
+	group *group[S, G]
+	// logLatency is the mean of the natural logs of the unit latencies in seconds.
 	logLatency    discountedMean
 	errorDetector detector
 	ejected       bool
-	ejectedUntil  time.Time
-	ejections     int
-	goodProbes    int
-	probeAt       time.Time
-	returnedAt    time.Time
+	// ejectedUntil is when the first probe may be sent.
+	ejectedUntil time.Time
+	// ejections counts the ejections and their renewals, which double the backoff.
+	ejections int
+	// goodProbes counts the good probes since the last bad one.
+	goodProbes int
+	// probeAt is when the probe that has no result yet was sent; zero for none.
+	probeAt time.Time
+	// returnedAt is when the last ejection ended.
+	returnedAt time.Time
 }
 
 // Member is one backend server and its group.
@@ -59,11 +66,11 @@
 	Group  G
 }
 
-// Ejection is the ejection of one server, or its return where Ejected is false.
+// Ejection is the ejection of one server, or its return if Ejected is false.
 type Ejection[S cmp.Ordered] struct {
 	Server  S
 	Ejected bool
-	// Slow is set when the cause is the unit latency and not errors.
+	// Slow is true if the cause is the unit latency and not errors.
 	Slow bool
 	// Until is when the first probe may be sent.
 	Until time.Time
@@ -107,8 +114,8 @@
 
 // ObserveAttempt records the end of an attempt: failed, or complete with its
 // unit latency. A unit latency of 0 or less means that it is unknown. Leave out
-// attempts that were cancelled and refusals by a leaving server. ok reports
-// whether the attempt ejects the server or brings it back, which e describes.
+// attempts that were cancelled and refusals by a leaving server. If the attempt
+// ejects the server or brings it back, ok is true and e describes the change.
 func (t *Outliers[S, G]) ObserveAttempt(id S, failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	s := t.servers[id]
 	if s == nil {
@@ -137,9 +144,9 @@
 // errorMemory is the window of a group's error rate, in attempts.
 const errorMemory = 1000
 
-// minSuccessRate is the share of successful attempts below which a server is
-// worse than its group. A version that fails on all servers lowers it for all of
-// them.
+// minSuccessRate is the share of successful attempts below which a server counts
+// as worse than its group. If a version fails on all servers, it is lower for all
+// of them.
 func (t *Outliers[S, G]) minSuccessRate(g *group[S, G]) float64 {
 	rate := 1 - minReferenceErrorRate
 	if g.successes.n >= 20 {
@@ -160,7 +167,7 @@
 	if g.ejected >= maxEjected {
 		return e, false
 	}
-	// After a long healthy time the backoff starts over.
+	// If the server was not ejected for twice MaxBackoff, the backoff starts over.
 	if now.Sub(s.returnedAt) > 2*t.cfg.MaxBackoff {
 		s.ejections = 0
 	}
@@ -175,10 +182,11 @@
 	return Ejection[S]{Server: s.id, Ejected: true, Slow: slow, Until: s.ejectedUntil}, true
 }
 
-// observeProbe counts good probes; a bad one renews the ejection for twice as
-// long. Attempts that end during the backoff are ignored. Those that started
-// before the ejection and end after the backoff are not distinguished from
-// probes: they are just as good evidence.
+// observeProbe records an attempt at an ejected server. Enough good ones in a row
+// bring the server back; a bad one renews the ejection for twice as long. Attempts
+// that end during the backoff are ignored. Those that started before the ejection
+// and end after the backoff are not distinguished from probes: they are just as
+// good evidence.
 func (t *Outliers[S, G]) observeProbe(s *server[S, G], failed bool, unitLatency time.Duration, now time.Time) (e Ejection[S], ok bool) {
 	if now.Before(s.ejectedUntil) {
 		return e, false
@@ -204,14 +212,16 @@
 	return Ejection[S]{Server: s.id}, true
 }
 
-// isSlow reports whether a log unit latency is an outlier in the group.
+// isSlow reports whether a log unit latency is an outlier in the group: more than
+// SlowFactor times the median.
 func (t *Outliers[S, G]) isSlow(g *group[S, G], logLatency float64) bool {
 	// A comparison with NaN is false: without a median no server is slow.
 	return logLatency-g.medianLogLatency > math.Log(t.cfg.SlowFactor)
 }
 
-// Sweep compares the unit latencies when SweepInterval has passed, and ejects
-// slow servers, the slowest first, up to MaxEjectedShare. Call it each tick.
+// Sweep compares the unit latencies if SweepInterval has passed since the last
+// comparison, and ejects slow servers, the slowest first, up to MaxEjectedShare.
+// Call it each tick.
 func (t *Outliers[S, G]) Sweep(now time.Time) []Ejection[S] {
 	if now.Sub(t.sweptAt) < t.cfg.SweepInterval {
 		return nil
@@ -278,7 +288,7 @@
 	}
 }
 
-// Ejected is the number of servers ejected in the group.
+// Ejected is the number of servers of the group that are ejected now.
 func (t *Outliers[S, G]) Ejected(id G) int {
 	if g := t.groups[id]; g != nil {
 		return g.ejected
--- a/decision/internal/verdict/outlier_config.go
+++ b/decision/internal/verdict/outlier_config.go
@@ -8,8 +8,9 @@
 	// server is slow. Below 2, uneven work alone would eject healthy servers.
 	SlowFactor float64
 	// MinLatencySamples is the discounted number of attempts needed to call a
-	// server slow. The default is reached with four: each of eight instances sees
-	// an eighth of a server's attempts, and a slow server completes few.
+	// server slow. The default is exceeded from the fifth attempt on (four give
+	// 3.3) and is this low because each of eight instances sees only an eighth of
+	// a server's attempts, and a slow server completes few.
 	MinLatencySamples float64
 	// LatencyMemory is the window of a server's unit latency, in attempts.
 	LatencyMemory float64
@@ -19,7 +20,7 @@
 	// attempts between two of them is at least 1/FalseAlarmRate.
 	FalseAlarmRate float64
 	// MaxEjectedShare is the largest share of a group that is ejected at once.
-	// If more servers look bad, the cause is rather load or a fault of this
+	// If more servers look bad, the cause is more likely load or a fault of this
 	// instance, and ejecting them would overload the rest.
 	MaxEjectedShare float64
 	// MinBackoff is the length of the first ejection; it doubles with each
--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -24,14 +24,15 @@
 	return o, ids
 }
 
-// drawLatency draws a log-normal unit latency, as of uneven work, with a median
-// of 20 ms times factor.
+// drawLatency draws a log-normal unit latency, since attempts differ in work, with
+// a median of 20 ms times factor.
 func drawLatency(rng *rand.Rand, factor float64) time.Duration {
 	return time.Duration(factor * 20e6 * math.Exp(0.3*rng.NormFloat64()))
 }
 
 // runAttempts sends attempts for a number of seconds, 20 a second to each server
-// that is not blocked, and returns how many each server got.
+// that is not blocked, and returns how many each server got. behave returns
+// whether an attempt fails, and the factor of its unit latency.
 func runAttempts(o *Outliers[string, string], ids []string, from time.Time, seconds int, rng *rand.Rand,
 	behave func(id string) (failed bool, factor float64)) map[string]int {
 	got := make(map[string]int)
@@ -51,8 +52,8 @@
 	return got
 }
 
-// Guards against a slow or failing server that is found late and gets much work
-// until then, and against the ejection of healthy servers beside it.
+// Guards against a slow or failing server that is ejected late and gets many
+// attempts until then, and against the ejection of healthy servers beside it.
 func TestFaultyServerIsEjected(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -88,8 +89,8 @@
 	}
 }
 
-// Guards against ejections where no single server is at fault: healthy servers,
-// all equally slow or failing, or too few to tell which one is slow.
+// Guards against ejections if no single server is at fault: all servers are
+// healthy, equally slow or equally failing, or too few to tell which one is slow.
 func TestNoEjectionWithoutAFaultyServer(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -132,14 +133,15 @@
 		got := runAttempts(o, ids, startTime.Add(30*time.Second), 30, rng, func(string) (bool, float64) { return false, 4 })
 		for id, n := range got {
 			if n < 590 {
-				t.Errorf("seed %d: %s got %d of 600 attempts", seed, id, n)
+				t.Errorf("seed %d: %s got %d of 600 attempts, want at least 590", seed, id, n)
 			}
 		}
 	}
 }
 
-// Guards against a slow server that goes unnoticed because an instance sends it
-// few attempts: with one in 20 s it must be ejected within four.
+// Guards against a slow server that stays in use because an instance sends it too
+// few attempts to detect it: at one attempt every 20 s, the server must be ejected
+// after at most four.
 func TestSlowServerIsEjectedAtLowTraffic(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -159,13 +161,14 @@
 			o.Sweep(now.Add(2 * time.Second))
 		}
 		if o.Admit("s01", now.Add(2*time.Second)) != Blocked || sent > 4 {
-			t.Errorf("seed %d: slow server not ejected after %d attempts", seed, sent)
+			t.Errorf("seed %d: slow server not ejected, or too late, after %d attempts", seed, sent)
 		}
 	}
 }
 
-// Guards against an ejected server that never returns, also when a probe is
-// lost, and against several probes at a time.
+// Guards against an ejected server that does not return after good probes, or gets
+// no further probe after the result of one is lost, and against several probes at
+// a time.
 func TestEjectedServerReturnsAfterGoodProbes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	o, ids := newOutlierPool(6)
@@ -185,7 +188,7 @@
 	}
 	late := now.Add(DefaultOutlierConfig().ProbeTimeout)
 	if o.Admit("s01", late) != Probe {
-		t.Error("no other probe after the timeout of a lost one")
+		t.Error("no other probe although the first had no result within ProbeTimeout")
 	}
 	runAttempts(o, ids, late, 5, rng, healthy)
 	if o.Ejected("draft") != 0 {
@@ -213,7 +216,7 @@
 			o.ObserveAttempt(id, s&256 != 0, time.Duration(s>>10&1023)*time.Millisecond, now)
 			o.Sweep(now)
 			if o.Ejected("draft") > maxEjected {
-				t.Fatalf("%d of %d servers ejected", o.Ejected("draft"), n)
+				t.Fatalf("%d of %d servers ejected, more than MaxEjectedShare allows", o.Ejected("draft"), n)
 			}
 		}
 		o.Apply(nil)
--- a/decision/internal/verdict/reference.go
+++ b/decision/internal/verdict/reference.go
@@ -2,9 +2,9 @@
 
 import "cmp"
 
-// minSuccessRate is the share of successful attempts below which v is worse. The
-// predecessor's errors are counted in, so that a cause that affects both versions
-// blocks neither.
+// minSuccessRate is the share of successful attempts below which v counts as
+// worse. It is lower if the predecessor has errors, so that a fault that affects
+// both versions does not block the successor.
 func (t *Versions[V, S]) minSuccessRate(v *version[V, S]) float64 {
 	rate := 1 - minReferenceErrorRate
 	if ref, known := t.reference(v, noClass, errorsOf); known {
@@ -13,7 +13,7 @@
 	return rate - t.cfg.ErrorMargin
 }
 
-// minRating is the mean rating of a class below which v is worse.
+// minRating is the mean rating of a class below which v counts as worse.
 func (t *Versions[V, S]) minRating(v *version[V, S], class string) float64 {
 	if ref, known := t.reference(v, class, ratingsOf); known {
 		return ref - t.cfg.RatingMargin
@@ -24,9 +24,9 @@
 func errorsOf[V, S cmp.Ordered](v *version[V, S]) *signal  { return &v.errors }
 func ratingsOf[V, S cmp.Ordered](v *version[V, S]) *signal { return &v.ratings }
 
-// reference is the mean that v must reach: that of its predecessor or, with too
-// few observations of the predecessor, of its own baseline. known is false when
-// there are too few observations of both.
+// reference is the mean of a signal that v must reach: that of its predecessor or,
+// with too few observations of the predecessor, of v's own baseline. known is
+// false if there are too few observations of both. of selects the signal.
 func (t *Versions[V, S]) reference(v *version[V, S], class string, of func(*version[V, S]) *signal) (ref float64, known bool) {
 	if p := t.predecessor(v); p != nil {
 		if h := of(p).history(class); h.all.n >= t.cfg.MinReferenceSamples {
--- a/decision/internal/verdict/share.go
+++ b/decision/internal/verdict/share.go
@@ -8,19 +8,20 @@
 // Admission says whether a version or a backend server may take a request.
 type Admission uint8
 
-// SharedVerdict is a verdict or a suspicion that is shared with the peers, or the
-// withdrawal of one.
+// SharedVerdict is a bad verdict or a suspicion that is shared with the peers, or
+// the withdrawal of one.
 type SharedVerdict[V cmp.Ordered] struct {
 	Version V
-	Bad     bool
-	// Until is when it expires unless it is renewed.
+	// Bad is true for a verdict or a suspicion, and false for a withdrawal.
+	Bad bool
+	// Until is when a verdict or suspicion expires unless it is renewed.
 	Until time.Time
 }
 
 // ApplyPeerVerdict applies the verdict of a peer. A bad one blocks the version
 // until its Until, but no longer than MaxPeerDuration from now; a good one
-// withdraws the verdicts of all peers. It does not change the own verdict by
-// itself: that needs own evidence too.
+// withdraws the verdicts of all peers. This instance's own verdict changes only if
+// this instance suspects the version too.
 func (t *Versions[V, S]) ApplyPeerVerdict(shared SharedVerdict[V], now time.Time) {
 	v := t.versions[shared.Version]
 	if v == nil {
@@ -44,7 +45,8 @@
 	}
 }
 
-// Bad reports whether the version is blocked, by the own verdict or a peer's.
+// Bad reports whether the version is blocked, by this instance's own verdict or a
+// peer's.
 func (t *Versions[V, S]) Bad(id V, now time.Time) bool {
 	v := t.versions[id]
 	return v != nil && (v.bad() || v.peerBadUntil.After(now))
@@ -52,8 +54,8 @@
 
 // Admit reports whether a request that the roll-out assigns to the version may
 // run on it, and counts the request. For a bad version every ProbeEvery-th
-// request is a probe. Requests are counted instead of time, so that the share
-// that a bad version gets is bounded at any load, bursts included.
+// request is a probe. Probes depend on the number of requests and not on time, so
+// that the share that a bad version gets is bounded at any load, bursts included.
 func (t *Versions[V, S]) Admit(id V, now time.Time) Admission {
 	if !t.Bad(id, now) {
 		return Allowed
@@ -67,10 +69,10 @@
 }
 
 // VerdictsToShare returns what to send to the peers now, in order of the version
-// ids: each change of a verdict once, and each bad verdict again every
-// ShareInterval while it holds. Suspicions are shared likewise: they make the
-// peers block the version while this instance continues to observe it, so that a
-// bad version gets only one instance's share of the requests in the meantime.
+// ids: each change of this instance's own verdict once, and each bad verdict again
+// every ShareInterval while it holds. Suspicions are shared likewise: they make
+// the peers block the version while this instance continues to observe it, so that
+// a bad version gets only one instance's share of the requests in the meantime.
 func (t *Versions[V, S]) VerdictsToShare(now time.Time) []SharedVerdict[V] {
 	var out []SharedVerdict[V]
 	for _, id := range t.sortedIDs {
@@ -98,10 +100,11 @@
 	return out
 }
 
-// sharesSuspicion reports whether a suspicion is to be shared with the peers. A
-// suspicion that neither grows nor fades, for lack of traffic, is shared for no
-// longer than MaxSuspicion: half of the evidence must not keep a version blocked
-// at the peers. A suspicion that fades is withdrawn.
+// sharesSuspicion reports whether a suspicion is to be shared with the peers, and
+// records when it begins and ends. A suspicion that becomes neither a verdict nor
+// weaker, for lack of traffic, is shared for no longer than MaxSuspicion: half of
+// the evidence must not keep a version blocked at the peers. A suspicion that is
+// no longer supported by the evidence is withdrawn.
 func (t *Versions[V, S]) sharesSuspicion(v *version[V, S], now time.Time) bool {
 	if !v.errors.suspected(&t.cfg) && !v.ratings.suspected(&t.cfg) {
 		if !v.suspectSince.IsZero() {
--- a/decision/internal/verdict/signal.go
+++ b/decision/internal/verdict/signal.go
@@ -2,27 +2,33 @@
 
 import "math"
 
-// signal judges one kind of observation of one version, 0 the worst and 1 the
+// signal judges one kind of observation of one version: the results of its
+// attempts or the ratings of its answers. 0 is the worst observation and 1 the
 // best.
 type signal struct {
-	// classes holds the history by class of requests; errors have one class only.
-	classes  map[string]*classHistory
+	// classes holds the history by class of requests; the results of attempts
+	// have one class only.
+	classes map[string]*classHistory
+	// decline tests whether a version that is not blocked is worse than its
+	// reference, and recovery whether a blocked one is good again.
 	decline  detector
 	recovery detector
-	bad      bool
-	// suspectDiff is the mean difference to the reference since the current
-	// suspicion began.
+	// bad is the verdict of this signal alone.
+	bad bool
+	// suspectDiff is the mean difference of the observations from the reference
+	// since the current suspicion began.
 	suspectDiff discountedMean
 	// recoveryMargin, 0 or negative, is added to the reference; a bad version
 	// recovers by exceeding the sum.
 	recoveryMargin float64
-	recoveries     int
+	// recoveries counts the recoveries, up to maxRecoveries.
+	recoveries int
 }
 
 // classHistory holds the observations of one class of requests.
 type classHistory struct {
-	// baseline leaves out the observations under suspicion: it is the reference
-	// for the version itself.
+	// baseline leaves out the observations that were made during a suspicion: it
+	// is the reference for the version itself.
 	baseline discountedMean
 	// all and recent include every observation: they are the reference for a
 	// successor.
@@ -30,13 +36,13 @@
 	recent discountedMean
 }
 
-// maxClasses bounds the classes of one version, which callers choose; further
-// ones share one history.
+// maxClasses bounds the classes of one version, since callers choose them;
+// further ones share the history of overflowClass.
 const maxClasses = 32
 
 const overflowClass = ""
 
-// newSignal returns a signal whose detectors use the bets s.
+// newSignal returns a signal whose detectors use the given bets.
 func newSignal(bets betFractions) signal {
 	return signal{
 		classes:  make(map[string]*classHistory),
@@ -62,10 +68,12 @@
 }
 
 // suspicionEvidence is the evidence from which observations no longer update a
-// baseline: otherwise a version that turns bad would lower its own reference.
+// reference, the baseline of a version or the mean of a group of servers:
+// otherwise a version or server that turns bad would lower its own reference.
 const suspicionEvidence = 2.0
 
-// observeAllowed adds an observation of a version that is not blocked.
+// observeAllowed adds an observation of a version that this signal has not judged
+// bad.
 func (s *signal) observeAllowed(h *classHistory, x, reference float64, cfg *VersionConfig) {
 	s.suspectDiff.add(x-reference, cfg.Memory)
 	s.decline.addBelow(x, reference)
@@ -79,9 +87,9 @@
 	}
 }
 
-// suspected reports whether there is half of the evidence for a verdict. Evidence
-// is the log of a probability ratio, so two instances with half of it each have
-// all of it together.
+// suspected reports whether there is half of the evidence for a bad verdict, but
+// no verdict yet. Evidence is the log of a probability ratio, so two instances
+// with half of it each have all of it together.
 func (s *signal) suspected(cfg *VersionConfig) bool {
 	return !s.bad && s.decline.evidence() >= threshold(cfg.FalseAlarmRate)/2
 }
@@ -98,12 +106,13 @@
 	s.recovery.reset()
 }
 
-// recentMemory is the window, in observations, in which a fault must show in the
-// predecessor too for it to count as common to both versions.
+// recentMemory is the window of classHistory.recent, in observations: a fault that
+// shows in the predecessor within it counts as common to both versions.
 const recentMemory = 50
 
-// observeProbe adds an observation of a blocked version as evidence that it is
-// good again. Each recovery halves the probability that the next one is false.
+// observeProbe adds an observation of a version that this signal has judged bad,
+// as evidence that it is good again. Each recovery halves the probability that
+// the next one is false.
 func (s *signal) observeProbe(x, reference float64, cfg *VersionConfig) {
 	s.recovery.addAbove(x, reference+s.recoveryMargin)
 	alpha := cfg.FalseRecoveryRate / math.Exp2(float64(s.recoveries))
@@ -125,7 +134,8 @@
 // would count against a version.
 const minReferenceErrorRate = 0.005
 
-// successorReference is the mean that a successor must reach.
+// successorReference is the mean that a successor must reach: a lower bound of the
+// long-term mean, or the recent mean if that is lower.
 func (h *classHistory) successorReference() float64 {
 	return min(h.all.lowerBound(referenceZ), h.recent.mean)
 }
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -10,12 +10,13 @@
 // VersionInfo is the manifest's data on one version that Versions needs.
 type VersionInfo[V cmp.Ordered] struct {
 	ID V
-	// Predecessor is the zero value when there is none.
+	// Predecessor is the zero value if there is none.
 	Predecessor V
 	// Quality is the mean rating that the manifest states, 0 to 1.
 	Quality float64
 }
 
+// The values of Admission.
 const (
 	// Allowed: any request may be sent.
 	Allowed Admission = iota + 1
@@ -27,8 +28,8 @@
 )
 
 // Versions judges each version against its predecessor. It guards against a
-// version that turns bad in mid-season, which callers would notice late and all
-// at once: it bounds the number of requests that the version still gets.
+// version that turns bad while it is in use, which callers would notice late and
+// all at once: it bounds the number of requests that the version still gets.
 type Versions[V, S cmp.Ordered] struct {
 	cfg      VersionConfig
 	versions map[V]*version[V, S]
@@ -41,21 +42,27 @@
 	info    VersionInfo[V]
 	errors  signal
 	ratings signal
-	// offered counts the requests that Admit was asked for while the version was
-	// bad, since the last change of the own verdict.
-	offered       uint64
-	peerBadUntil  time.Time
-	nextShare     time.Time
+	// offered counts the requests for which Admit was called while the version was
+	// blocked, since the last change of this instance's own verdict.
+	offered uint64
+	// peerBadUntil is when the last bad verdict of a peer expires.
+	peerBadUntil time.Time
+	// nextShare is when a bad verdict or a suspicion is shared again.
+	nextShare time.Time
+	// changePending is true if a change of the own verdict or the end of a
+	// suspicion has not been shared yet.
 	changePending bool
 	// suspectSince is when the current suspicion began; zero for none.
 	suspectSince time.Time
-	// The latest successive failures of one server.
+	// failStreak counts the latest successive failures, all of failServer and
+	// within streakDuration of the first, at failSince. Successes in between
+	// do not end it.
 	failServer S
 	failSince  time.Time
 	failStreak int
 }
 
-// bad reports the own verdict.
+// bad reports whether this instance's own verdict is bad, whatever the peers say.
 func (v *version[V, S]) bad() bool { return v.errors.bad || v.ratings.bad }
 
 // NewVersions returns an empty table.
@@ -103,18 +110,18 @@
 // AttemptResult is the result of an attempt that ran.
 type AttemptResult[S cmp.Ordered] struct {
 	Server S
-	// OnlyServer is set when no other server has the version loaded.
+	// OnlyServer is true if no other server has the version loaded.
 	OnlyServer bool
 	Failed     bool
-	// ConnectionLost is set when the server crashed or the connection broke, and
-	// not when the server answered with an error.
+	// ConnectionLost is true if the server crashed or the connection broke, and
+	// not if the server answered with an error.
 	ConnectionLost bool
 }
 
 // Successive failures of one server say more about the server than about the
-// version, and a server that crashes fails all that it runs at once. So only the
-// first few within streakDuration count against the version; Outliers handles the
-// server.
+// version, and when a server crashes, all attempts that it runs fail at once. So
+// only the first few within streakDuration count against the version; Outliers
+// handles the server.
 const (
 	maxErrorStreak          = 3
 	maxConnectionLossStreak = 1
@@ -123,7 +130,7 @@
 
 // ObserveAttempt records the result of an attempt that ran. Leave out attempts
 // that say nothing about the version: cancelled, not run, refused by a full or
-// leaving backend server. It reports whether the own verdict changed.
+// leaving backend server. It reports whether this instance's own verdict changed.
 func (t *Versions[V, S]) ObserveAttempt(id V, r AttemptResult[S], now time.Time) (changed bool) {
 	v := t.versions[id]
 	if v == nil {
@@ -157,7 +164,7 @@
 // and hard classes to two versions, and the one with more hard ones would look
 // worse. A rating that is outside 0 to 1 or not a number is a fault of the
 // rating service and not of the version, and is ignored. ObserveRating reports
-// whether the own verdict changed.
+// whether this instance's own verdict changed.
 func (t *Versions[V, S]) ObserveRating(id V, class string, score float64, now time.Time) (changed bool) {
 	v := t.versions[id]
 	if v == nil || math.IsNaN(score) || score < 0 || score > 1 {
@@ -169,7 +176,8 @@
 // noClass is the class of observations that have none.
 const noClass = ""
 
-// observe adds an observation to a signal and updates the verdict.
+// observe adds an observation x of a class to a signal, to be compared with the
+// reference, and updates the verdict.
 func (t *Versions[V, S]) observe(v *version[V, S], s *signal, class string, x, reference float64, now time.Time) bool {
 	before := v.bad()
 	h := s.history(class)
@@ -186,8 +194,8 @@
 	return v.noteChange(before)
 }
 
-// noteChange marks a change of the own verdict for sharing. before is the verdict
-// before the observation.
+// noteChange marks a change of the own verdict for sharing and reports whether
+// there was one. before tells whether the own verdict was bad before.
 func (v *version[V, S]) noteChange(before bool) bool {
 	if v.bad() == before {
 		return false
@@ -198,10 +206,11 @@
 	return true
 }
 
-// confirmSuspicion turns an own suspicion into a verdict while a peer holds one
-// as well: the instances observe different requests, so their evidence
-// multiplies. With eight instances this detects a bad version with a fourth of
-// the bad answers that each instance would need by itself.
+// confirmSuspicion turns this instance's own suspicion into a verdict. It is
+// called while a suspicion or verdict of a peer is in force: the instances
+// observe different requests, so their evidence multiplies. With eight instances
+// this detects a bad version with a quarter of the bad answers that each instance
+// would need by itself.
 func (t *Versions[V, S]) confirmSuspicion(v *version[V, S]) {
 	for _, s := range []*signal{&v.errors, &v.ratings} {
 		if s.suspected(&t.cfg) {
--- a/decision/internal/verdict/versions_config.go
+++ b/decision/internal/verdict/versions_config.go
@@ -12,10 +12,11 @@
 	// ErrorMargin is how much a version's error rate may exceed that of the
 	// reference before the version counts as worse.
 	ErrorMargin float64
-	// RatingMargin is how much its mean rating may fall below the reference.
+	// RatingMargin is how much a version's mean rating may be below the reference
+	// before the version counts as worse.
 	RatingMargin float64
 	// PriorRatingMargin replaces RatingMargin while the only reference is the
-	// quality stated in the manifest. It is wide: a wrong value there must not
+	// quality stated in the manifest. It is wide: a wrong quality there must not
 	// block a version that is as good as it always was.
 	PriorRatingMargin float64
 	// MinReferenceSamples is the discounted number of observations of the
@@ -23,12 +24,13 @@
 	MinReferenceSamples float64
 	// Memory is the window of a reference, in observations.
 	Memory float64
-	// ProbeEvery sends one request in so many to a bad version. The default of
-	// 250 is 0.4%: less than the 1% that a bad version may get, which leaves
-	// room for requests that were already queued when it was blocked.
+	// ProbeEvery is the number of requests of which one is sent to a bad version.
+	// The default of 250 sends it 0.4%: less than the 1% that a bad version may
+	// get, which leaves room for requests that were already queued when it was
+	// blocked.
 	ProbeEvery uint64
-	// FalseRecoveryRate is the probability that a version that is still bad ever
-	// recovers for the first time; each recovery halves it for the next.
+	// FalseRecoveryRate bounds the probability that a version that is still bad is
+	// ever judged good again; each recovery halves the bound for the next.
 	FalseRecoveryRate float64
 	// MaxPeerDuration bounds how long a peer's verdict holds, whatever its
 	// Until: a peer with a wrong clock must not block a version for a day.
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -17,7 +17,7 @@
 	newVersion = "draft@2"
 )
 
-// The results of attempts at a version's only server.
+// Results of attempts at the only server that has a version loaded.
 var (
 	failedAttempt = AttemptResult[string]{Server: "s00", OnlyServer: true, Failed: true}
 	goodAttempt   = AttemptResult[string]{Server: "s00", OnlyServer: true}
@@ -50,7 +50,7 @@
 }
 
 // Guards against a bad version that is blocked only after more than 50 bad
-// answers, whether it fails, answers badly, or does a little of both.
+// answers, whether its attempts fail, its ratings are low, or a little of both.
 func TestBadVersionIsBlockedWithin50BadAnswers(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	cases := []struct {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Guards against a version that is blocked for the failures of one server, which
-// fails everything for a while or crashes with all that it runs.
+// Guards against a version that is blocked for the failures of one server, on
+// which all attempts fail for a while, or which crashes with all that it runs.
 func TestOneServerDoesNotBlockItsVersion(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	for _, connectionLost := range []bool{false, true} {
@@ -173,9 +173,9 @@
 	}
 }
 
-// Guards against a first version, which has no predecessor, that is blocked for
-// a wrong quality in the manifest, or not blocked when it gets worse than its
-// own past.
+// Guards against a version without a predecessor that is blocked because the
+// manifest states a wrong quality, or is not blocked when it becomes worse than
+// it was.
 func TestVersionWithoutPredecessor(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -185,19 +185,19 @@
 			serve(v, oldVersion, behavior{0.005, 0.75, 0.12}, rng)
 		}
 		if v.Bad(oldVersion, startTime) {
-			t.Fatalf("seed %d: blocked by the manifest's quality alone", seed)
+			t.Fatalf("seed %d: blocked although it is as good as ever, only below the manifest's quality", seed)
 		}
 		for range 200 {
 			serve(v, oldVersion, behavior{0.005, 0.5, 0.12}, rng)
 		}
 		if !v.Bad(oldVersion, startTime) {
-			t.Fatalf("seed %d: not blocked although worse than its own past", seed)
+			t.Fatalf("seed %d: not blocked although it became worse than it was", seed)
 		}
 	}
 }
 
 // Guards against a repaired version that stays blocked, and against a bad one
-// that is let back by lucky probes.
+// that is judged good again because a few probes happen to be good.
 func TestRecoveryByProbes(t *testing.T) {
 	good := behavior{0.005, 0.8, 0.12}
 	cases := []struct {
@@ -234,10 +234,11 @@
 				}
 				if v.Bad(newVersion, startTime) == c.repaired {
 					wrong++
-					t.Logf("seed %d: after %d probes bad is %v", seed, probes, c.repaired)
+					t.Logf("seed %d: after %d probes the verdict is wrong: bad is %v", seed, probes, c.repaired)
 				}
 			}
-			// A bad version is let back in 2 of 100 cases at most.
+			// A bad version is wrongly judged good in 2 of 100 cases at most
+			// (FalseRecoveryRate).
 			if wrong > 1 || c.repaired && wrong > 0 {
 				t.Errorf("wrong verdict in %d of 20 runs", wrong)
 			}
@@ -245,7 +246,7 @@
 	}
 }
 
-// Guards against a blocked version that gets no probes, or more than one request
+// Guards against a blocked version that gets more or fewer probes than one request
 // in ProbeEvery.
 func TestBlockedVersionGetsOnlyProbes(t *testing.T) {
 	v := newVersionPair()
@@ -263,8 +264,8 @@
 	}
 }
 
-// Guards against a version that is blocked for invalid ratings of a faulty rating
-// service.
+// Guards against a version that is blocked because a faulty rating service returns
+// invalid ratings.
 func TestInvalidRatingsAreIgnored(t *testing.T) {
 	v := newVersionPair()
 	for _, score := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 7} {
@@ -335,9 +336,9 @@
 	}
 }
 
-// Guards against a bad version that goes unnoticed while two instances have half
-// of the evidence each, and against a suspicion that blocks a version at the
-// peers for ever or is not withdrawn when it fades.
+// Guards against a bad version that is not blocked although two instances have
+// half of the evidence each, and against a suspicion that blocks a version at the
+// peers for ever or is not withdrawn when the evidence decreases.
 func TestSuspicionIsShared(t *testing.T) {
 	suspect := func() *Versions[string, string] {
 		v := newVersionPair()
@@ -371,7 +372,7 @@
 		b.ObserveAttempt(newVersion, goodAttempt, startTime)
 	}
 	if b.Bad(newVersion, late) {
-		t.Error("a faded suspicion became a verdict")
+		t.Error("a suspicion became a verdict although the evidence decreased")
 	}
 }
 
@@ -412,7 +413,7 @@
 			}
 			got, want := a.Admit(id, now), b.Admit(id, now)
 			if got != want {
-				t.Fatalf("equal inputs give %v and %v", got, want)
+				t.Fatalf("equal inputs give the admissions %v and %v", got, want)
 			}
 			switch got {
 			case Blocked:
@@ -422,7 +423,7 @@
 			}
 		}
 		if probes*int(DefaultVersionConfig().ProbeEvery-1) > blocked {
-			t.Fatalf("%d probes beside %d blocked requests", probes, blocked)
+			t.Fatalf("%d probes beside %d blocked requests, more than one in ProbeEvery", probes, blocked)
 		}
 	})
 }
