--- a/decision/internal/policytest/engine.go
+++ b/decision/internal/policytest/engine.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cacheBlocks bounds an engine's prefix cache: it holds a quarter of all
-// templates and the blocks of the running requests.
+// cacheBlocks bounds an engine's prefix cache, in blocks: it holds about a quarter
+// of the blocks of all templates and the blocks of the running requests.
 const cacheBlocks = 600
 
 // serviceCallTime is the time of a call of the plain service.
@@ -25,8 +25,10 @@
 	// number of tokens left to generate or, at a plain service, the seconds left.
 	prefill   float64
 	remaining float64
-	started   bool
-	fails     bool
+	// started is true if the first token was generated.
+	started bool
+	// fails is true if the attempt ends with an error.
+	fails bool
 }
 
 // engine is one backend server.
@@ -37,9 +39,11 @@
 	running    []*attempt
 	queued     []*attempt
 	cache      *simplelru.LRU[decision.BlockHash, struct{}]
-	seq        uint64
-	added      []decision.BlockHash
-	removed    []decision.BlockHash
+	// seq is the number of the last cache event; added and removed are the changes
+	// of the cache since.
+	seq     uint64
+	added   []decision.BlockHash
+	removed []decision.BlockHash
 	// lookups counts the blocks of all prompts, hits those found in the cache.
 	lookups, hits int
 }
@@ -56,6 +60,7 @@
 		e.removed = append(e.removed, h)
 	})
 	if err != nil {
+		// The library fails only for a size below 1.
 		panic(err)
 	}
 	e.cache = cache
@@ -63,16 +68,16 @@
 }
 
 // enqueue adds an attempt to the engine's queue.
-func (e *engine) enqueue(r *attempt) { e.queued = append(e.queued, r) }
+func (e *engine) enqueue(a *attempt) { e.queued = append(e.queued, a) }
 
 // cancel removes an attempt and returns it, or nil if the engine does not have
 // it.
 func (e *engine) cancel(id decision.RequestID, attemptID decision.AttemptID) *attempt {
 	for _, list := range []*[]*attempt{&e.queued, &e.running} {
-		for i, r := range *list {
-			if r.job.ID == id && r.id == attemptID {
+		for i, a := range *list {
+			if a.job.ID == id && a.id == attemptID {
 				*list = append((*list)[:i], (*list)[i+1:]...)
-				return r
+				return a
 			}
 		}
 	}
@@ -83,10 +88,10 @@
 // for each attempt that ends.
 func (e *engine) step(dt time.Duration, onFirst, onEnd func(*engine, *attempt)) {
 	for len(e.queued) > 0 && len(e.running) < e.Slots {
-		r := e.queued[0]
+		a := e.queued[0]
 		e.queued = e.queued[1:]
-		e.takeSlot(r)
-		e.running = append(e.running, r)
+		e.takeSlot(a)
+		e.running = append(e.running, a)
 	}
 	seconds := dt.Seconds() / e.slowFactor
 	if e.Service != "" {
@@ -98,25 +103,25 @@
 	// Time spent on prefill is not available for decoding.
 	tokens := (seconds - prefillTime) / tokenTime
 	kept := e.running[:0]
-	for _, r := range e.running {
-		if r.prefill > 0 {
-			kept = append(kept, r)
+	for _, a := range e.running {
+		if a.prefill > 0 {
+			kept = append(kept, a)
 			continue
 		}
-		if r.fails {
-			onEnd(e, r)
+		if a.fails {
+			onEnd(e, a)
 			continue
 		}
-		r.remaining -= tokens
-		if !r.started {
-			r.started = true
-			onFirst(e, r)
+		a.remaining -= tokens
+		if !a.started {
+			a.started = true
+			onFirst(e, a)
 		}
-		if r.remaining <= 0 {
-			onEnd(e, r)
+		if a.remaining <= 0 {
+			onEnd(e, a)
 			continue
 		}
-		kept = append(kept, r)
+		kept = append(kept, a)
 	}
 	e.running = kept
 }
@@ -124,18 +129,18 @@
 // runPrefill computes prompts in order of arrival and returns the seconds used.
 func (e *engine) runPrefill(seconds float64) float64 {
 	left := seconds
-	for _, r := range e.running {
-		if r.prefill <= 0 {
+	for _, a := range e.running {
+		if a.prefill <= 0 {
 			continue
 		}
-		needed := r.prefill / e.speed.prefill
+		needed := a.prefill / e.speed.prefill
 		if needed > left {
-			r.prefill -= left * e.speed.prefill
+			a.prefill -= left * e.speed.prefill
 			return seconds
 		}
 		left -= needed
-		r.prefill = 0
-		e.cachePrompt(r.job.Blocks)
+		a.prefill = 0
+		e.cachePrompt(a.job.Blocks)
 	}
 	return seconds - left
 }
@@ -143,36 +148,36 @@
 // runServiceCalls runs the calls of a plain service in parallel.
 func (e *engine) runServiceCalls(seconds float64, onFirst, onEnd func(*engine, *attempt)) {
 	kept := e.running[:0]
-	for _, r := range e.running {
-		r.remaining -= seconds
-		if r.remaining > 0 {
-			kept = append(kept, r)
+	for _, a := range e.running {
+		a.remaining -= seconds
+		if a.remaining > 0 {
+			kept = append(kept, a)
 			continue
 		}
-		onFirst(e, r)
-		onEnd(e, r)
+		onFirst(e, a)
+		onEnd(e, a)
 	}
 	e.running = kept
 }
 
 // takeSlot sets the work of an attempt that gets a slot: the cached part of its
 // prompt need not be computed.
-func (e *engine) takeSlot(r *attempt) {
+func (e *engine) takeSlot(a *attempt) {
 	if e.Service != "" {
-		r.remaining = serviceCallTime.Seconds()
+		a.remaining = serviceCallTime.Seconds()
 		return
 	}
 	hit := 0
-	for _, h := range r.job.Blocks {
+	for _, h := range a.job.Blocks {
 		if _, ok := e.cache.Get(h); !ok {
 			break
 		}
 		hit++
 	}
-	e.lookups += len(r.job.Blocks)
+	e.lookups += len(a.job.Blocks)
 	e.hits += hit
-	r.prefill = float64(max(len(r.job.Blocks)-hit, 1) * blockTokens)
-	r.remaining = float64(r.job.tokens)
+	a.prefill = float64(max(len(a.job.Blocks)-hit, 1) * blockTokens)
+	a.remaining = float64(a.job.tokens)
 }
 
 // cachePrompt adds a prompt to the cache, with its first block as the most
@@ -187,7 +192,7 @@
 }
 
 // cacheEvent returns the changes of the cache since the last event, and false
-// when there are none.
+// if there are none.
 func (e *engine) cacheEvent() (decision.CacheChanged, bool) {
 	if len(e.added) == 0 && len(e.removed) == 0 {
 		return decision.CacheChanged{}, false
--- a/decision/internal/policytest/report.go
+++ b/decision/internal/policytest/figures.go
@@ -12,10 +12,10 @@
 type Figures struct {
 	// Cost is the mean cost of a complete answer of a model, Quality the mean
 	// quality, and TargetShortfall the largest amount by which a team's quality
-	// is below its target.
+	// in a class is below the team's target.
 	Cost, Quality, TargetShortfall float64
-	// Percentiles of the times to the first token and to the complete answer, in
-	// seconds.
+	// Percentiles of the times to the first token of streamed answers and to the
+	// complete answer of a model, in seconds.
 	FirstTokenP50, FirstTokenP95, FirstTokenP99 float64
 	LatencyP50, LatencyP95, LatencyP99          float64
 	// Goodput is the number of complete answers before their deadline per
@@ -25,39 +25,42 @@
 	Goodput, Throughput, RefusedShare, FailedShare float64
 	// CacheHitRate is the share of prompt blocks found in a prefix cache.
 	CacheHitRate float64
-	// MinShareRatio is NaN where the teams do not compete for one model.
+	// MinShareRatio is the lowest ratio, over the teams, of the work served to a
+	// team to its fair share; NaN if the teams do not compete for one model.
 	MinShareRatio float64
-	// ExposedRequests counts the requests that ran on the faulty version.
-	// ExposedShareAfterLimit is the number of those after its first 50 bad
-	// answers, as a share of all requests that arrived after them.
+	// ExposedRequests counts the dispatches to the faulty version since its fault
+	// began. ExposedShareAfterLimit is the number of those after its first
+	// maxBadAnswers bad answers, as a share of all requests to models that arrived
+	// after them.
 	ExposedRequests, ExposedShareAfterLimit float64
-	FalseAlarms                             float64
+	// FalseAlarms counts bad verdicts on versions without a fault.
+	FalseAlarms float64
 }
 
 // Figures computes the reported figures.
-func (t *Results) Figures() Figures {
-	n := max(float64(t.ModelAnswers), 1)
-	all := max(float64(t.Arrived), 1)
-	counted := (t.load.Duration - t.load.Warmup).Seconds()
+func (r *Results) Figures() Figures {
+	answers := max(float64(r.ModelAnswers), 1)
+	arrived := max(float64(r.Arrived), 1)
+	measuredSeconds := (r.load.Duration - r.load.Warmup).Seconds()
 	return Figures{
-		Cost:                   t.Cost / n,
-		Quality:                t.Quality / n,
-		TargetShortfall:        t.targetShortfall(),
-		FirstTokenP50:          percentile(t.firstTokens, 0.50).Seconds(),
-		FirstTokenP95:          percentile(t.firstTokens, 0.95).Seconds(),
-		FirstTokenP99:          percentile(t.firstTokens, 0.99).Seconds(),
-		LatencyP50:             percentile(t.latencies, 0.50).Seconds(),
-		LatencyP95:             percentile(t.latencies, 0.95).Seconds(),
-		LatencyP99:             percentile(t.latencies, 0.99).Seconds(),
-		Goodput:                float64(t.Completed) / counted,
-		RefusedShare:           float64(t.Refused) / all,
-		FailedShare:            float64(t.Failed+t.Late+t.Unanswered) / all,
-		Throughput:             t.totalWork() / counted,
-		CacheHitRate:           float64(t.cachedBlocks) / max(float64(t.promptBlocks), 1),
-		MinShareRatio:          t.minShareRatio(),
-		FalseAlarms:            float64(t.FalseAlarms),
-		ExposedRequests:        float64(t.fault.exposedRequests),
-		ExposedShareAfterLimit: float64(t.fault.exposedAfterLimit) / max(float64(t.fault.arrivedAfterLimit), 1),
+		Cost:                   r.Cost / answers,
+		Quality:                r.Quality / answers,
+		TargetShortfall:        r.targetShortfall(),
+		FirstTokenP50:          percentile(r.firstTokens, 0.50).Seconds(),
+		FirstTokenP95:          percentile(r.firstTokens, 0.95).Seconds(),
+		FirstTokenP99:          percentile(r.firstTokens, 0.99).Seconds(),
+		LatencyP50:             percentile(r.latencies, 0.50).Seconds(),
+		LatencyP95:             percentile(r.latencies, 0.95).Seconds(),
+		LatencyP99:             percentile(r.latencies, 0.99).Seconds(),
+		Goodput:                float64(r.Completed) / measuredSeconds,
+		RefusedShare:           float64(r.Refused) / arrived,
+		FailedShare:            float64(r.Failed+r.Late+r.Unanswered) / arrived,
+		Throughput:             r.totalWork() / measuredSeconds,
+		CacheHitRate:           float64(r.cachedBlocks) / max(float64(r.promptBlocks), 1),
+		MinShareRatio:          r.minShareRatio(),
+		FalseAlarms:            float64(r.FalseAlarms),
+		ExposedRequests:        float64(r.fault.exposedRequests),
+		ExposedShareAfterLimit: float64(r.fault.exposedAfterLimit) / max(float64(r.fault.arrivedAfterLimit), 1),
 	}
 }
 
@@ -90,7 +93,8 @@
 	{"on bad after 50, %", func(f Figures) float64 { return 100 * f.ExposedShareAfterLimit }, "%.2f"},
 }
 
-// Spread holds the median and the 10th and 90th percentiles over seeds.
+// Spread holds the median and the 10th (Low) and 90th (High) percentiles over
+// seeds.
 type Spread struct{ Median, Low, High float64 }
 
 // SpreadOf computes the spread of one figure.
@@ -144,8 +148,7 @@
 	return row
 }
 
-// Scaled returns the load with all its times divided by the argument, for short
-// tests.
+// Scaled returns the load with all its times divided by by, for short tests.
 func (l Load) Scaled(by int) Load {
 	rate := l.Rate
 	l.Rate = func(t time.Duration) float64 { return rate(t * time.Duration(by)) }
--- a/decision/internal/policytest/tally.go
+++ b/decision/internal/policytest/results.go
@@ -10,16 +10,21 @@
 
 // caller is the caller of a request that has no answer yet.
 type caller struct {
-	job           *job
-	firstToken    time.Duration
-	cost          float64
+	job *job
+	// firstToken is the time of the first token that reached the caller; 0 for
+	// none.
+	firstToken time.Duration
+	// cost is the cost of the tokens generated for the request so far.
+	cost float64
+	// By attempt: whether its answer is held, its answer's true quality, and the
+	// time allowed for a rating if one is needed.
 	held          map[decision.AttemptID]bool
 	scores        map[decision.AttemptID]float64
 	ratingBudgets map[decision.AttemptID]time.Duration
 }
 
-// recordDispatch records whether the answer is held and whether it is to be
-// rated.
+// recordDispatch records whether the answer is held and whether it needs a
+// rating.
 func (c *caller) recordDispatch(d decision.Dispatch) {
 	c.held[d.Attempt] = d.Hold
 	if c.scores == nil {
@@ -34,9 +39,10 @@
 // Results holds the results of one run as its callers see them.
 type Results struct {
 	load Load
-	// The numbers of requests by their end. Late requests were answered after
-	// their deadline, which is a failure for their callers. InvalidCommands
-	// counts commands of the policy that match no request.
+	// The numbers of requests that arrived after the warm-up, in total and by
+	// their end. Late requests were answered after their deadline, which is a
+	// failure for their callers. InvalidCommands counts the policy's commands for
+	// requests or servers that do not exist.
 	Arrived, Completed, Refused, Failed, Late, Unanswered, InvalidCommands int
 	// RefusedAtDeadline counts the refusals that came only at the deadline.
 	RefusedAtDeadline int
@@ -45,8 +51,8 @@
 	// Cost and Quality are sums over the ModelAnswers complete answers of models.
 	Cost, Quality float64
 	ModelAnswers  int
-	// latencies are the times to the complete answers of models, firstTokens the
-	// times to the first token of those that are streamed.
+	// firstTokens are the times from the arrival to the first token of streamed
+	// answers of models, latencies those to the complete answers of models.
 	firstTokens, latencies []time.Duration
 	// promptBlocks counts the blocks of all prompts, cachedBlocks those found in
 	// a prefix cache.
@@ -56,7 +62,7 @@
 }
 
 // teamResults holds the results of one team. demand and served are in units of
-// work, quality is a sum of ratings by class.
+// work (see work), and quality is the sum of the answers' true quality by class.
 type teamResults struct {
 	demand, served float64
 	quality        map[decision.TaskClass]float64
@@ -69,8 +75,8 @@
 type faultResults struct {
 	badAnswers int
 	// exposedRequests counts the dispatches to smallNew since the fault began,
-	// exposedAfterLimit those after its 50th bad answer, and arrivedAfterLimit
-	// the requests to any model that arrived after that answer.
+	// exposedAfterLimit those after bad answer number maxBadAnswers, and
+	// arrivedAfterLimit the requests to any model that arrived after that answer.
 	exposedRequests, exposedAfterLimit int
 	arrivedAfterLimit                  int
 }
@@ -80,70 +86,71 @@
 const maxBadAnswers = 50
 
 func newResults(l Load) *Results {
-	t := &Results{load: l, teams: make(map[decision.TeamID]*teamResults)}
+	r := &Results{load: l, teams: make(map[decision.TeamID]*teamResults)}
 	for _, x := range teams() {
-		t.teams[x.ID] = &teamResults{
+		r.teams[x.ID] = &teamResults{
 			quality: make(map[decision.TaskClass]float64),
 			answers: make(map[decision.TaskClass]int),
 			target:  x.QualityTarget,
 			weight:  float64(x.Weight),
 		}
 	}
-	return t
+	return r
 }
 
 // work is the size of a request, in generated tokens; a prompt token counts a
 // tenth.
 func work(j *job) float64 { return float64(j.tokens) + 0.1*float64(j.PromptTokens) }
 
-func (t *Results) measured(j *job) bool { return j.arrived >= t.load.Warmup }
+// measured reports whether the request arrived after the warm-up.
+func (r *Results) measured(j *job) bool { return j.arrived >= r.load.Warmup }
 
-func (t *Results) recordArrival(j *job) {
-	if j.Service == "" && t.fault.badAnswers >= maxBadAnswers {
-		t.fault.arrivedAfterLimit++
+func (r *Results) recordArrival(j *job) {
+	if j.Service == "" && r.fault.badAnswers >= maxBadAnswers {
+		r.fault.arrivedAfterLimit++
 	}
-	if !t.measured(j) {
+	if !r.measured(j) {
 		return
 	}
-	t.Arrived++
+	r.Arrived++
 	if j.Service == "" {
-		t.teams[j.Team].demand += work(j)
+		r.teams[j.Team].demand += work(j)
 	}
 }
 
-func (t *Results) recordDispatch(_ *job, v decision.VersionID, now time.Duration) {
-	if t.load.Fault == NoFault || now < t.load.FaultFrom || v != smallNew {
+func (r *Results) recordDispatch(_ *job, v decision.VersionID, now time.Duration) {
+	if r.load.Fault == NoFault || now < r.load.FaultFrom || v != smallNew {
 		return
 	}
-	t.fault.exposedRequests++
-	if t.fault.badAnswers >= maxBadAnswers {
-		t.fault.exposedAfterLimit++
+	r.fault.exposedRequests++
+	if r.fault.badAnswers >= maxBadAnswers {
+		r.fault.exposedAfterLimit++
 	}
 }
 
-func (t *Results) recordBadAnswer(v decision.VersionID, now time.Duration) {
-	if v == smallNew && now >= t.load.FaultFrom {
-		t.fault.badAnswers++
+func (r *Results) recordBadAnswer(v decision.VersionID, now time.Duration) {
+	if v == smallNew && now >= r.load.FaultFrom {
+		r.fault.badAnswers++
 	}
 }
 
-func (t *Results) observeVerdict(v decision.VersionVerdict, now time.Duration) {
-	isBad := t.load.Fault != NoFault && now >= t.load.FaultFrom && v.Version == smallNew
+func (r *Results) observeVerdict(v decision.VersionVerdict, now time.Duration) {
+	isBad := r.load.Fault != NoFault && now >= r.load.FaultFrom && v.Version == smallNew
 	if v.Bad && !isBad {
-		t.FalseAlarms++
+		r.FalseAlarms++
 	}
 }
 
-func (t *Results) recordDelivery(c *caller, a decision.AttemptID, now time.Duration) {
+func (r *Results) recordDelivery(c *caller, a decision.AttemptID, now time.Duration) {
 	j := c.job
-	if !t.measured(j) {
+	if !r.measured(j) {
 		return
 	}
 	if now > j.Deadline.Sub(start) {
-		t.Late++
+		r.Late++
 		return
 	}
-	t.Completed++
+	r.Completed++
 	if j.Service != "" {
 		return
 	}
@@ -151,38 +158,38 @@
 	if !c.held[a] && c.firstToken > 0 {
 		first = c.firstToken
 	}
-	t.ModelAnswers++
-	t.Cost += c.cost
-	t.Quality += c.scores[a]
+	r.ModelAnswers++
+	r.Cost += c.cost
+	r.Quality += c.scores[a]
 	if j.Streamed {
-		t.firstTokens = append(t.firstTokens, first-j.arrived)
+		r.firstTokens = append(r.firstTokens, first-j.arrived)
 	}
-	t.latencies = append(t.latencies, now-j.arrived)
-	team := t.teams[j.Team]
+	r.latencies = append(r.latencies, now-j.arrived)
+	team := r.teams[j.Team]
 	team.served += work(j)
 	team.quality[j.Class] += c.scores[a]
 	team.answers[j.Class]++
 }
 
-func (t *Results) recordRefusal(c *caller, r decision.Refuse) {
-	if !t.measured(c.job) {
+func (r *Results) recordRefusal(c *caller, refusal decision.Refuse) {
+	if !r.measured(c.job) {
 		return
 	}
-	t.Refused++
-	if r.Reason == decision.ReasonDeadline {
-		t.RefusedAtDeadline++
+	r.Refused++
+	if refusal.Reason == decision.ReasonDeadline {
+		r.RefusedAtDeadline++
 	}
 }
 
-func (t *Results) recordFailure(c *caller) {
-	if t.measured(c.job) {
-		t.Failed++
+func (r *Results) recordFailure(c *caller) {
+	if r.measured(c.job) {
+		r.Failed++
 	}
 }
 
-func (t *Results) recordUnanswered(c *caller) {
-	if t.measured(c.job) {
-		t.Unanswered++
+func (r *Results) recordUnanswered(c *caller) {
+	if r.measured(c.job) {
+		r.Unanswered++
 	}
 }
 
@@ -196,27 +203,27 @@
 }
 
 // totalWork is the work of all complete answers of models.
-func (t *Results) totalWork() float64 {
+func (r *Results) totalWork() float64 {
 	total := 0.0
 	for i := range teamShares {
-		total += t.teams[teamID(i)].served
+		total += r.teams[teamID(i)].served
 	}
 	return total
 }
 
 // minShareRatio is the lowest ratio, over the teams, of the work served to a
 // team to its weighted max-min fair share of all work served. A team that
-// demanded less than its share should get all of it, and what another team gets
-// beyond its share does not count against that one. It is NaN where the teams do
-// not compete for one model.
-func (t *Results) minShareRatio() float64 {
-	if t.load.Model == "" {
+// demanded less than its share should get all that it demanded, and a team that
+// gets more than its share does not lower the ratio. It is NaN if the teams do not
+// compete for one model.
+func (r *Results) minShareRatio() float64 {
+	if r.load.Model == "" {
 		return math.NaN()
 	}
-	total := t.totalWork()
-	unsatisfied := make([]*teamResults, 0, len(t.teams))
+	total := r.totalWork()
+	unsatisfied := make([]*teamResults, 0, len(r.teams))
 	for i := range teamShares {
-		unsatisfied = append(unsatisfied, t.teams[teamID(i)])
+		unsatisfied = append(unsatisfied, r.teams[teamID(i)])
 	}
 	lowest := 1.0
 	for len(unsatisfied) > 0 {
@@ -248,11 +255,12 @@
 }
 
 // targetShortfall is the largest difference, over teams and classes, by which
-// the mean quality of the answers is below the team's target. Classes with under
-// 100 answers are left out: the standard error of their mean is over 0.015.
-func (t *Results) targetShortfall() float64 {
+// the mean quality of the answers is below the team's target. Classes of a team
+// with under 100 answers are left out: the standard error of their mean is over
+// 0.015.
+func (r *Results) targetShortfall() float64 {
 	worst := 0.0
-	for _, x := range t.teams {
+	for _, x := range r.teams {
 		for class, n := range x.answers {
 			if n >= 100 {
 				worst = max(worst, x.target-x.quality[class]/float64(n))
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -17,7 +17,7 @@
 	newVersion = "draft@2"
 )
 
-// The results of attempts at a version's only server.
+// Results of attempts at the only server that has a version loaded.
 var (
 	failedAttempt = AttemptResult[string]{Server: "s00", OnlyServer: true, Failed: true}
 	goodAttempt   = AttemptResult[string]{Server: "s00", OnlyServer: true}
@@ -37,21 +37,21 @@
 
 // serve runs one attempt of a version and reports whether it was bad: an error,
 // or a rating that a version of quality 0.8 gets in one case of 20 or less.
-func serve(t *Versions[string, string], id string, tr behavior, rng *rand.Rand) (bad bool) {
-	failed := rng.Float64() < tr.errorRate
+func serve(t *Versions[string, string], id string, b behavior, rng *rand.Rand) (bad bool) {
+	failed := rng.Float64() < b.errorRate
 	server := fmt.Sprintf("s%02d", rng.IntN(12))
 	t.ObserveAttempt(id, AttemptResult[string]{Server: server, Failed: failed}, startTime)
 	if failed {
 		return true
 	}
-	score := clamp(tr.quality+tr.ratingStddev*rng.NormFloat64(), 0, 1)
+	score := clamp(b.quality+b.ratingStddev*rng.NormFloat64(), 0, 1)
 	t.ObserveRating(id, "draft", score, startTime)
 	return score < 0.6
 }
 
 // Guards against a bad version that is blocked only after more than 50 bad
-// answers, whether it fails, answers badly, or does a little of both.
-func TestBadVersionIsBarredWithin50BadAnswers(t *testing.T) {
+// answers, whether its attempts fail, its ratings are low, or a little of both.
+func TestBadVersionIsBlockedWithin50BadAnswers(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	cases := []struct {
 		name string
@@ -94,7 +94,7 @@
 }
 
 // Guards against false alarms on a version that is as good as its predecessor.
-func TestGoodVersionIsNotBarred(t *testing.T) {
+func TestGoodVersionIsNotBlocked(t *testing.T) {
 	cases := []struct {
 		name     string
 		old, new behavior
@@ -124,11 +124,11 @@
 	}
 }
 
-// Guards against a version that is blocked for the failures of one server, which
-// fails everything for a while or crashes with all that it runs.
-func TestOneServerDoesNotBarItsVersion(t *testing.T) {
+// Guards against a version that is blocked for the failures of one server, on
+// which all attempts fail for a while, or which crashes with all that it runs.
+func TestOneServerDoesNotBlockItsVersion(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
-	for _, broken := range []bool{false, true} {
+	for _, connectionLost := range []bool{false, true} {
 		rng := rand.New(rand.NewPCG(1, 5))
 		v := newVersionPair()
 		for i := range 4000 {
@@ -138,18 +138,18 @@
 			}
 			for range 30 {
 				v.ObserveAttempt(newVersion,
-					AttemptResult[string]{Server: "s01", Failed: true, ConnectionLost: broken}, startTime)
+					AttemptResult[string]{Server: "s01", Failed: true, ConnectionLost: connectionLost}, startTime)
 			}
 		}
 		if v.Bad(newVersion, startTime) {
-			t.Errorf("connection lost %v: the failures of one server blocked the version", broken)
+			t.Errorf("connection lost %v: the failures of one server blocked the version", connectionLost)
 		}
 	}
 }
 
 // Guards against a version that is blocked for a fault that begins in its
 // predecessor at the same time.
-func TestCommonFault(t *testing.T) {
+func TestCommonFaultDoesNotBlockTheSuccessor(t *testing.T) {
 	good := behavior{errorRate: 0.005, quality: 0.8, ratingStddev: 0.12}
 	fault := behavior{errorRate: 0.15, quality: 0.7, ratingStddev: 0.12}
 	blocked := 0
@@ -157,12 +157,12 @@
 		rng := rand.New(rand.NewPCG(seed, 6))
 		v := newVersionPair()
 		for i := range 2000 {
-			tr := good
+			current := good
 			if i > 1000 {
-				tr = fault
+				current = fault
 			}
-			serve(v, oldVersion, tr, rng)
-			serve(v, newVersion, tr, rng)
+			serve(v, oldVersion, current, rng)
+			serve(v, newVersion, current, rng)
 		}
 		if v.Bad(newVersion, startTime) {
 			blocked++
@@ -173,9 +173,9 @@
 	}
 }
 
-// Guards against a first version, which has no predecessor, that is blocked for
-// a wrong quality in the manifest, or not blocked when it gets worse than its
-// own past.
+// Guards against a version without a predecessor that is blocked because the
+// manifest states a wrong quality, or is not blocked when it becomes worse than
+// it was.
 func TestVersionWithoutPredecessor(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -185,19 +185,19 @@
 			serve(v, oldVersion, behavior{0.005, 0.75, 0.12}, rng)
 		}
 		if v.Bad(oldVersion, startTime) {
-			t.Fatalf("seed %d: blocked by the manifest's quality alone", seed)
+			t.Fatalf("seed %d: blocked although it is as good as ever, only below the manifest's quality", seed)
 		}
 		for range 200 {
 			serve(v, oldVersion, behavior{0.005, 0.5, 0.12}, rng)
 		}
 		if !v.Bad(oldVersion, startTime) {
-			t.Fatalf("seed %d: not blocked although worse than its own past", seed)
+			t.Fatalf("seed %d: not blocked although it became worse than it was", seed)
 		}
 	}
 }
 
 // Guards against a repaired version that stays blocked, and against a bad one
-// that is let back by lucky probes.
+// that is judged good again because a few probes happen to be good.
 func TestRecoveryByProbes(t *testing.T) {
 	good := behavior{0.005, 0.8, 0.12}
 	cases := []struct {
@@ -234,10 +234,11 @@
 				}
 				if v.Bad(newVersion, startTime) == c.repaired {
 					wrong++
-					t.Logf("seed %d: after %d probes bad is %v", seed, probes, c.repaired)
+					t.Logf("seed %d: after %d probes the verdict is wrong: bad is %v", seed, probes, c.repaired)
 				}
 			}
-			// A bad version is let back in 2 of 100 cases at most.
+			// A bad version is wrongly judged good in 2 of 100 cases at most
+			// (FalseRecoveryRate).
 			if wrong > 1 || c.repaired && wrong > 0 {
 				t.Errorf("wrong verdict in %d of 20 runs", wrong)
 			}
@@ -245,9 +246,9 @@
 	}
 }
 
-// Guards against a blocked version that gets no probes, or more than one request
+// Guards against a blocked version that gets more or fewer probes than one request
 // in ProbeEvery.
-func TestBarredVersionGetsATrickle(t *testing.T) {
+func TestBlockedVersionGetsOnlyProbes(t *testing.T) {
 	v := newVersionPair()
 	for !v.Bad(newVersion, startTime) {
 		v.ObserveAttempt(newVersion, failedAttempt, startTime)
@@ -263,9 +264,9 @@
 	}
 }
 
-// Guards against a version that is blocked for invalid ratings of a faulty rating
-// service.
-func TestNonsenseRatingsAreIgnored(t *testing.T) {
+// Guards against a version that is blocked because a faulty rating service returns
+// invalid ratings.
+func TestInvalidRatingsAreIgnored(t *testing.T) {
 	v := newVersionPair()
 	for _, score := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 7} {
 		for range 1000 {
@@ -279,7 +280,7 @@
 
 // Guards against a peer's verdict that has no effect, outlasts its end or
 // MaxPeerDuration, or cannot be withdrawn.
-func TestPeerWords(t *testing.T) {
+func TestPeerVerdicts(t *testing.T) {
 	cfg := DefaultVersionConfig()
 	cases := []struct {
 		name     string
@@ -335,9 +336,9 @@
 	}
 }
 
-// Guards against a bad version that goes unnoticed while two instances have half
-// of the evidence each, and against a suspicion that blocks a version at the
-// peers for ever or is not withdrawn when it fades.
+// Guards against a bad version that is not blocked although two instances have
+// half of the evidence each, and against a suspicion that blocks a version at the
+// peers for ever or is not withdrawn when the evidence decreases.
 func TestSuspicionIsShared(t *testing.T) {
 	suspect := func() *Versions[string, string] {
 		v := newVersionPair()
@@ -371,7 +372,7 @@
 		b.ObserveAttempt(newVersion, goodAttempt, startTime)
 	}
 	if b.Bad(newVersion, late) {
-		t.Error("a faded suspicion became a verdict")
+		t.Error("a suspicion became a verdict although the evidence decreased")
 	}
 }
 
@@ -412,7 +413,7 @@
 			}
 			got, want := a.Admit(id, now), b.Admit(id, now)
 			if got != want {
-				t.Fatalf("equal inputs give %v and %v", got, want)
+				t.Fatalf("equal inputs give the admissions %v and %v", got, want)
 			}
 			switch got {
 			case Blocked:
@@ -422,7 +423,7 @@
 			}
 		}
 		if probes*int(DefaultVersionConfig().ProbeEvery-1) > blocked {
-			t.Fatalf("%d probes beside %d blocked requests", probes, blocked)
+			t.Fatalf("%d probes beside %d blocked requests, more than one in ProbeEvery", probes, blocked)
 		}
 	})
 }
