--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -54,7 +54,7 @@
 	}
 	defer resp.Body.Close()
 	x.s.Servers.ObserveLoad(d.Server, resp.Header.Get(wire.HeaderLoad))
-	if x.call != nil {
+	if x.serviceCall != nil {
 		return x.readService(ctx, d, resp)
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -70,8 +70,8 @@
 
 func (x *exchange) newCall(d decision.Dispatch, addr string) (upstream.Call, error) {
 	nonce := uuid.NewString()
-	if x.call != nil {
-		return x.call.newCall(addr, nonce), nil
+	if x.serviceCall != nil {
+		return x.serviceCall.newCall(addr, nonce), nil
 	}
 	return chatCall(*x.chat, d.Version, addr, nonce)
 }
@@ -143,14 +143,14 @@
 	if ctx.Err() != nil && result == decision.AttemptUnknown && x.req.Idempotent {
 		result = decision.AttemptCancelled
 	}
-	x.logAttempt(ctx, d, failure)
+	x.logFailure(ctx, d, failure)
 	x.reportAttempt(d, result, failure.Leaving)
 	if errors.Is(err, errCallerGone) {
 		x.abandon()
 	}
 }
 
-func (x *exchange) logAttempt(ctx context.Context, d decision.Dispatch, failure *upstream.Failure) {
+func (x *exchange) logFailure(ctx context.Context, d decision.Dispatch, failure *upstream.Failure) {
 	ev := logging.EventAttemptFailed
 	if failure.WrongNonce {
 		ev = logging.EventWrongNonce
--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -26,9 +26,9 @@
 	ticket *driver.Ticket
 	start  time.Time
 
-	// chat is set for a request to a model, call for one to a plain service.
-	chat *wire.ChatRequest
-	call *serviceCall
+	// chat is set for a request to a model, serviceCall for one to a plain service.
+	chat        *wire.ChatRequest
+	serviceCall *serviceCall
 
 	// claimed is the claim of a non-idempotent request; nil before it is won.
 	claimed *claim
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -76,11 +76,11 @@
 	go func() {
 		defer q.wg.Done()
 		defer func() { <-q.slots }()
-		q.driver.Send(q.request(event, req, timeout))
+		q.driver.Send(q.requestRating(event, req, timeout))
 	}()
 }
 
-func (q *ratingPool) request(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) decision.AnswerRated {
+func (q *ratingPool) requestRating(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) decision.AnswerRated {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	score, err := q.rater.Rate(ctx, req)
--- a/router/internal/api/service.go
+++ b/router/internal/api/service.go
@@ -62,7 +62,7 @@
 	req.Idempotent = call.idempotent
 	call.header.Set(wire.HeaderIdempotencyKey, key.id)
 	x := s.newExchange(w, r, c, req, key)
-	x.call = call
+	x.serviceCall = call
 	x.bill.Service = name
 	x.run()
 }
@@ -112,7 +112,7 @@
 		return nil, &upstream.Failure{Result: decision.AttemptFailed, Err: errors.New(resp.Status)}
 	}
 	if resp.StatusCode < http.StatusMultipleChoices {
-		x.cost = x.call.service.Price
+		x.cost = x.serviceCall.service.Price
 	}
 	x.markFirstToken()
 	return &answer{attempt: d.Attempt, status: resp.StatusCode, header: resp.Header, body: body}, nil
--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -62,12 +62,12 @@
 }
 
 func TestPollsStayInBudget(t *testing.T) {
-	for followed, want := range map[int]time.Duration{
+	for servers, want := range map[int]time.Duration{
 		15:   250 * time.Millisecond,
 		1024: 16 * time.Second,
 	} {
-		if got := pollInterval(250*time.Millisecond, followed); got != want {
-			t.Errorf("%d servers: every %v, want %v", followed, got, want)
+		if got := pollInterval(250*time.Millisecond, servers); got != want {
+			t.Errorf("%d servers: every %v, want %v", servers, got, want)
 		}
 	}
 }
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -24,11 +24,11 @@
 
 func TestPlan(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		engines []Engine
-		wants   []Placement
-		loads   int
-		want    []Order
+		name       string
+		engines    []Engine
+		placements []Placement
+		maxLoads   int
+		want       []Order
 	}{
 		{"nothing to do", []Engine{{ID: "a", Versions: []string{"m@1"}}}, []Placement{{"m@1", 1}}, 4, nil},
 		{"load before unload", []Engine{{ID: "a", Versions: []string{"m@1"}}}, []Placement{{"m@2", 1}}, 4,
@@ -41,7 +41,7 @@
 		{"spread", []Engine{{ID: "a", Versions: []string{"m@1"}}, {ID: "b"}}, []Placement{{"m@1", 1}, {"n@1", 1}}, 4,
 			[]Order{{Engine: "b", Versions: []string{"n@1"}, LoadCount: 1}}},
 	} {
-		if got := Plan(c.engines, c.wants, c.loads); !reflect.DeepEqual(got, c.want) {
+		if got := Plan(c.engines, c.placements, c.maxLoads); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %+v, want %+v", c.name, got, c.want)
 		}
 	}
@@ -58,16 +58,16 @@
 			engines[i].ID = fmt.Sprintf("e%d", i)
 			engines[i].Versions = rapid.SliceOfNDistinct(rapid.SampledFrom(versions), 0, 4, rapid.ID[string]).Draw(t, "loaded")
 		}
-		var wants []Placement
+		var placements []Placement
 		for _, v := range versions {
 			if n := rapid.IntRange(0, 4).Draw(t, v); n > 0 {
-				wants = append(wants, Placement{v, n})
+				placements = append(placements, Placement{v, n})
 			}
 		}
-		loads := rapid.IntRange(1, 3).Draw(t, "loads")
+		maxLoads := rapid.IntRange(1, 3).Draw(t, "loads")
 		const rounds = 40
 		for round := range rounds {
-			orders := Plan(engines, wants, loads)
+			orders := Plan(engines, placements, maxLoads)
 			if len(orders) == 0 {
 				break
 			}
@@ -80,19 +80,19 @@
 				i := slices.IndexFunc(engines, func(e Engine) bool { return e.ID == o.Engine })
 				engines[i].Versions = o.Versions
 			}
-			if added > loads {
-				t.Fatalf("%d loads in one plan, budget %d", added, loads)
+			if added > maxLoads {
+				t.Fatalf("%d loads in one plan, budget %d", added, maxLoads)
 			}
 		}
-		for _, w := range wants {
+		for _, placement := range placements {
 			have := 0
 			for _, e := range engines {
-				if hasVersion(e, w.Version) {
+				if hasVersion(e, placement.Version) {
 					have++
 				}
 			}
-			if have != min(w.Servers, len(engines)) {
-				t.Errorf("%s on %d engines, want %d", w.Version, have, w.Servers)
+			if have != min(placement.Servers, len(engines)) {
+				t.Errorf("%s on %d engines, want %d", placement.Version, have, placement.Servers)
 			}
 		}
 	})
@@ -104,8 +104,8 @@
 	servers []wire.ListedServer
 }
 
-func (w fakeFleet) Current() *manifest.Index           { return w.index }
-func (w fakeFleet) Engines(string) []wire.ListedServer { return w.servers }
+func (f fakeFleet) Current() *manifest.Index           { return f.index }
+func (f fakeFleet) Engines(string) []wire.ListedServer { return f.servers }
 
 func newFakeFleet(addr string) fakeFleet {
 	m := manifest.Manifest{Orders: &manifest.Orders{
--- a/router/internal/orders/plan.go
+++ b/router/internal/orders/plan.go
@@ -48,8 +48,8 @@
 // version is preferred for it, so that planning again moves nothing.
 func Plan(engines []Engine, placements []Placement, maxLoads int) []Order {
 	p := newPlanner(engines)
-	for _, w := range placements {
-		p.assign(w)
+	for _, placement := range placements {
+		p.assign(placement)
 	}
 	return p.orders(maxLoads)
 }
@@ -73,17 +73,17 @@
 
 // assign chooses the engines of one version: first those that have it, then those
 // with the fewest versions assigned. A rendezvous hash breaks ties.
-func (p *planner) assign(w Placement) {
+func (p *planner) assign(placement Placement) {
 	ranked := slices.Clone(p.engines)
 	slices.SortStableFunc(ranked, func(a, b Engine) int {
 		return cmp.Or(
-			-compareBool(hasVersion(a, w.Version), hasVersion(b, w.Version)),
+			-compareBool(hasVersion(a, placement.Version), hasVersion(b, placement.Version)),
 			cmp.Compare(len(p.desired[a.ID]), len(p.desired[b.ID])),
-			cmp.Compare(rendezvousHash(w.Version, b.ID), rendezvousHash(w.Version, a.ID)),
+			cmp.Compare(rendezvousHash(placement.Version, b.ID), rendezvousHash(placement.Version, a.ID)),
 		)
 	})
-	for _, e := range ranked[:min(w.Servers, len(ranked))] {
-		p.desired[e.ID] = append(p.desired[e.ID], w.Version)
+	for _, e := range ranked[:min(placement.Servers, len(ranked))] {
+		p.desired[e.ID] = append(p.desired[e.ID], placement.Version)
 	}
 }
 
--- a/router/internal/orders/sender.go
+++ b/router/internal/orders/sender.go
@@ -36,7 +36,7 @@
 // Lease is the right to send orders; *lease.Manager implements it.
 type Lease interface {
 	Acquire(ctx context.Context) bool
-	Check(engine lease.FencingSupport) (fence uint64, r lease.CheckResult)
+	Check(support lease.FencingSupport) (fence uint64, r lease.CheckResult)
 	HandOver(ctx context.Context) bool
 }
 
--- a/router/internal/session/session.go
+++ b/router/internal/session/session.go
@@ -34,8 +34,8 @@
 	// MaxPins bounds the pins: four times the models of the largest deployment
 	// that is planned for.
 	MaxPins = 64
-	// maxModelNameBytes bounds the name of a model or version.
-	maxModelNameBytes = 128
+	// maxNameBytes bounds the name of a team, model or version.
+	maxNameBytes = 128
 )
 
 // RolloutPosition distributes sessions evenly over [0,1). A session has the
@@ -56,7 +56,7 @@
 // violation says which bound s violates; empty if none.
 func (s Session) violation() string {
 	switch {
-	case s.Team == "" || len(s.Team) > maxModelNameBytes:
+	case s.Team == "" || len(s.Team) > maxNameBytes:
 		return "team missing or too long"
 	case !ValidName(s.ID):
 		return "id missing, too long or with characters that are not allowed"
@@ -74,7 +74,7 @@
 }
 
 func isVersionOf(model, version string) bool {
-	short := len(model) <= maxModelNameBytes && len(version) <= maxModelNameBytes
+	short := len(model) <= maxNameBytes && len(version) <= maxNameBytes
 	return short && model != "" && strings.HasPrefix(version, model+"@")
 }
 
