--- a/router/internal/api/bench_test.go
+++ b/router/internal/api/bench_test.go
@@ -40,10 +40,10 @@
 	}
 }
 
-// BenchmarkPlain measures chats without streaming, from the caller's request to
+// BenchmarkUnstreamedChat measures chats without streaming, from the caller's request to
 // the complete answer: many at once, over loopback, with caller and engine in the
 // same process.
-func BenchmarkPlain(b *testing.B) {
+func BenchmarkUnstreamedChat(b *testing.B) {
 	for _, tokens := range []int{64, 256, 1024} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			f := newFixture(b)
--- a/router/internal/api/chat.go
+++ b/router/internal/api/chat.go
@@ -162,7 +162,7 @@
 }
 
 // chatCall builds the call to an engine, which is always asked for a stream; see
-// plain.go.
+// aggregate.go.
 func chatCall(chat wire.ChatRequest, version decision.VersionID, addr, nonce string) (upstream.Call, error) {
 	chat.Model = string(version)
 	chat.Stream = true
--- a/router/internal/api/failure_test.go
+++ b/router/internal/api/failure_test.go
@@ -7,10 +7,10 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// TestFailureSaysNoMoreThanIsKnown guards against answering a reservation as failed
+// TestCrashOfNonIdempotentRequestIsUnknown guards against answering a reservation as failed
 // although it took effect and only its reply was lost ("masticplank demo --faults"
 // produces such losses).
-func TestFailureSaysNoMoreThanIsKnown(t *testing.T) {
+func TestCrashOfNonIdempotentRequestIsUnknown(t *testing.T) {
 	tests := []struct {
 		result     decision.AttemptResult
 		idempotent bool
--- a/router/internal/api/outcome_test.go
+++ b/router/internal/api/outcome_test.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestBillComesBeforeTheEnd makes the log unreachable. The bill must be held, and if
+// TestNoCompleteAnswerWithoutBill makes the log unreachable. The bill must be held, and if
 // that fails too, the answer must not end like one that was billed.
-func TestBillComesBeforeTheEnd(t *testing.T) {
+func TestNoCompleteAnswerWithoutBill(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
 	f.setBackend(chatStream(token1, token2, lastChunk, wire.StreamEnd))
@@ -253,10 +253,10 @@
 	return got
 }
 
-// TestCallerGoneFreesTheSlot disconnects after the first token of a stream. The
+// TestCallerDisconnectFreesTheSlot disconnects after the first token of a stream. The
 // engine's request must be cancelled, else it would hold a slot, and the tokens
 // generated so far must be billed once.
-func TestCallerGoneFreesTheSlot(t *testing.T) {
+func TestCallerDisconnectFreesTheSlot(t *testing.T) {
 	f := newFixture(t)
 	ended := make(chan struct{})
 	f.setBackend(func(w http.ResponseWriter, r *http.Request) {
--- a/router/internal/api/reuse_test.go
+++ b/router/internal/api/reuse_test.go
@@ -10,9 +10,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// TestConnectionsToBackendServersAreKept counts the connections of many consecutive
+// TestConnectionsToBackendServersAreReused counts the connections of many consecutive
 // requests. A body that is not read to its end would cost a connection each.
-func TestConnectionsToBackendServersAreKept(t *testing.T) {
+func TestConnectionsToBackendServersAreReused(t *testing.T) {
 	f := newFixture(t)
 	for _, body := range []string{prompt, streamed} {
 		if body == streamed {
--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestPollsStayInBudget(t *testing.T) {
+func TestPollRateIsBounded(t *testing.T) {
 	for servers, want := range map[int]time.Duration{
 		15:   250 * time.Millisecond,
 		1024: 16 * time.Second,
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestAnswersTellTheLoad checks that a load stated in a response is passed on
+// TestLoadInResponsesReducesPolling checks that a load stated in a response is passed on
 // to the decision at once, and that the server is then polled less often.
-func TestAnswersTellTheLoad(t *testing.T) {
+func TestLoadInResponsesReducesPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent := &events{}
 		d := New("entry-1", nil, sent, time.Second, 250*time.Millisecond)
--- a/router/internal/manifest/manifest_test.go
+++ b/router/internal/manifest/manifest_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestIndexAnswersWhoMayUseWhat(t *testing.T) {
+func TestIndexPermissions(t *testing.T) {
 	x := NewIndex(validManifest(), "d")
 	if team, ok := x.TeamByKey("loom"); !ok || team.ID != "weavers" {
 		t.Errorf("key: got %v, %v", team, ok)
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestCheckRecordRefusesWhatValidateRefuses(t *testing.T) {
+func TestCheckRecordRejectsInvalidManifests(t *testing.T) {
 	bad := validManifest()
 	bad.Teams[0].Weight = -1
 	for name, value := range map[string][]byte{
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -133,11 +133,11 @@
 	return l.fence, l.result
 }
 
-// TestSenderAsksTheLease checks that an order is sent only if the lease allows it
+// TestSenderChecksTheLease checks that an order is sent only if the lease allows it
 // right before, with the lease's fencing number. Engines of a domain that the
 // manifest does not list as fenced must be taken to ignore the number; else two
 // holders could order them at the same time.
-func TestSenderAsksTheLease(t *testing.T) {
+func TestSenderChecksTheLease(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		domain string
@@ -164,11 +164,11 @@
 	}
 }
 
-// TestOldHolderIsFencedOff pauses a holder between its check and its order until
+// TestOrderOfOldLeaseHolderIsRefused pauses a holder between its check and its order until
 // its lease has expired. Another instance takes over and sends an order; the old
 // holder's order then reaches an engine that checks fencing numbers, which must
 // refuse it.
-func TestOldHolderIsFencedOff(t *testing.T) {
+func TestOrderOfOldLeaseHolderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
 		first, second := manager(t, log, "entry-1"), manager(t, log, "entry-2")
--- a/router/internal/outcome/outcome_test.go
+++ b/router/internal/outcome/outcome_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestAPIPageHoldsEveryCode checks that the API page for callers has each code of
+// TestAPIPageListsEveryCode checks that the API page for callers has each code of
 // statusByCode.
-func TestAPIPageHoldsEveryCode(t *testing.T) {
+func TestAPIPageListsEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/API.md")
 	if err != nil {
 		t.Fatal(err)
--- a/router/internal/platform/clients_test.go
+++ b/router/internal/platform/clients_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestDecodeScoreRefusesWhatIsNoScore(t *testing.T) {
+func TestDecodeScoreRejectsInvalidScores(t *testing.T) {
 	for _, body := range []string{``, `{}`, `{"score":null}`, `{"score":-0.1}`, `{"score":1.1}`, `{"score":"1"}`} {
 		if score, err := decodeScore([]byte(body)); err == nil {
 			t.Errorf("%q gave %v", body, score)
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -29,10 +29,10 @@
 	return len(page.Entries)
 }
 
-// TestAppendErrorsAgainstEffects compares an append's error with its effect.
+// TestAppendErrorsMatchEffects compares an append's error with its effect.
 // ErrNotAppended is allowed only if the entry is certainly not in the log, since a
 // caller is then told that its request was not run.
-func TestAppendErrorsAgainstEffects(t *testing.T) {
+func TestAppendErrorsMatchEffects(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults logsvc.Faults
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestAppendBeyondTheRateIsRefusedAsNotAppended(t *testing.T) {
+func TestAppendAboveTheRateIsNotAppended(t *testing.T) {
 	svc := logsvc.New(logsvc.Config{AppendRate: 1})
 	server := httptest.NewServer(svc)
 	defer server.Close()
@@ -102,10 +102,10 @@
 	}
 }
 
-// TestAppendGivenUpIsUnknown cancels an append while the service works on it. The
+// TestCancelledAppendIsUnknown cancels an append while the service works on it. The
 // entry may still be appended, so the error must be ErrUnknown. The same holds if
 // the service closes a pooled connection.
-func TestAppendGivenUpIsUnknown(t *testing.T) {
+func TestCancelledAppendIsUnknown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestAppendAnswersThatProveNothingAreUnknown(t *testing.T) {
+func TestAmbiguousAppendAnswersAreUnknown(t *testing.T) {
 	notAppended, _ := json.Marshal(wire.Error{Error: wire.ErrorBody{Code: wire.CodeNotAppended}})
 	tests := []struct {
 		status int
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestDecodePageTakesDensePagesOnly(t *testing.T) {
+func TestDecodePageRejectsInconsistentPages(t *testing.T) {
 	tests := []struct {
 		name string
 		body string
--- a/router/internal/session/names_test.go
+++ b/router/internal/session/names_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestNamesRefuse(t *testing.T) {
+func TestPinRejectsBadNamesAndRegisters(t *testing.T) {
 	store := &fakeStore{registers: map[record.Key]fold.Register{
 		RegisterKey("t", "odd"):   {Value: []byte(`{"x":1}`)},
 		RegisterKey("t", "alien"): {Value: []byte(`{"team":"u","sid":"alien","pins":{},"share":0}`)},
--- a/router/internal/session/token_test.go
+++ b/router/internal/session/token_test.go
@@ -75,7 +75,7 @@
 	return token
 }
 
-func TestVerifyRefuses(t *testing.T) {
+func TestVerifyRejectsInvalidTokens(t *testing.T) {
 	now := testStart
 	ring := newTestTokens(t, &now, "k1")
 	good, _, err := ring.Issue(testSession())
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestIssueRefuses(t *testing.T) {
+func TestIssueRejectsInvalidSessionsAndKeys(t *testing.T) {
 	now := testStart
 	if _, _, err := newTestTokens(t, &now).Issue(testSession()); !errors.Is(err, &Error{Reason: ReasonNoKeys}) {
 		t.Errorf("no keys: got %v", err)
