--- a/router/internal/api/aggregate.go
+++ b/router/internal/api/aggregate.go
@@ -13,9 +13,10 @@
 )
 
 // Engines are asked for a stream even if the caller wants a single JSON body, which
-// is then assembled here. Otherwise, when a caller disconnects or an engine dies in
-// the middle of a long answer, the tokens generated until then would be neither
-// known nor billed. An engine that sends a single body nevertheless is accepted.
+// is then assembled here. Load: callers that disconnect, and engines that die, in
+// the middle of long answers. Harm prevented: the tokens generated until then would
+// be neither known nor billed. If an engine sends a single body nevertheless, that
+// body is accepted.
 
 // readCompletion reads the answer to a chat whose caller did not ask for a stream.
 func (x *exchange) readCompletion(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
--- a/router/internal/api/answer.go
+++ b/router/internal/api/answer.go
@@ -12,7 +12,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// reasonMessages explains the refusals by package decision to people.
+// reasonMessages holds the messages, meant for people, of package decision's
+// refusals.
 var reasonMessages = map[decision.RefusalReason]string{
 	decision.ReasonQueueFull:        "the team's queue is full",
 	decision.ReasonWaitTooLong:      "the wait would pass the request's deadline",
--- a/router/internal/api/api.go
+++ b/router/internal/api/api.go
@@ -46,8 +46,8 @@
 	ObserveLoad(id decision.ServerID, load string)
 }
 
-// Recorder receives the service-level figures of each ended request. It must be
-// safe for concurrent use.
+// Recorder receives an Observation of each ended request. It must be safe for
+// concurrent use.
 type Recorder interface{ Observe(Observation) }
 
 // Observation is one ended request, for metrics and reports.
@@ -55,7 +55,7 @@
 	Team    string
 	Version string
 	Outcome string
-	// Code is the outcome's code if the request did not complete. It separates
+	// Code is the outcome's code if the request did not complete. It tells
 	// callers' errors from faults of the system.
 	Code string
 	// FirstToken is the time from arrival to the first token, or to the end of
--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -66,7 +66,7 @@
 	return x.readCompletion(ctx, d, resp)
 }
 
-var errNoAddress = errors.New("the backend server has left the list")
+var errNoAddress = errors.New("the backend server is no longer listed")
 
 func (x *exchange) newCall(d decision.Dispatch, addr string) (upstream.Call, error) {
 	nonce := uuid.NewString()
@@ -134,8 +134,10 @@
 	return 0
 }
 
-// reportFailure reports how a failed attempt ended. A cancelled attempt was ended
-// by package decision or by the caller.
+// reportFailure reports how a failed attempt ended. If its context has ended, the
+// attempt was ended by package decision, the caller or the deadline. Unless more is
+// known, an idempotent request's attempt then counts as cancelled; whether any other
+// request took effect remains unknown.
 func (x *exchange) reportFailure(ctx context.Context, d decision.Dispatch, err error) {
 	failure := &upstream.Failure{Result: decision.AttemptUnknown, Err: err}
 	errors.As(err, &failure)
--- a/router/internal/api/bench_test.go
+++ b/router/internal/api/bench_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// BenchmarkUnstreamedChat measures chats without streaming, from the caller's request to
-// the complete answer: many at once, over loopback, with caller and engine in the
-// same process.
+// BenchmarkUnstreamedChat measures chats whose caller wants a single JSON body, from
+// the request to the complete answer: many at once, over loopback, with caller and
+// engine in the same process.
 func BenchmarkUnstreamedChat(b *testing.B) {
 	for _, tokens := range []int{64, 256, 1024} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
@@ -65,8 +65,9 @@
 	}
 }
 
-// cpuTime returns the processor time used by this process. ns/op consists mostly of
-// the wait for the bill's group commit and is no measure of the cost.
+// cpuTime returns the processor time used by this process. It is reported because
+// ns/op consists mostly of the wait for the bill's group commit and does not measure
+// the cost of a chat.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/router/internal/api/chat.go
+++ b/router/internal/api/chat.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// defaultMaxTokens is the assumed size of a request that states no limit.
+	// defaultMaxTokens is the number of output tokens that package decision assumes
+	// for a request that states no max_tokens. Engines are not sent this number.
 	defaultMaxTokens = 256
 	// retryDelay is the Retry-After of refusals whose cause passes within
 	// seconds, such as an instance that is catching up with the log.
--- a/router/internal/api/claim.go
+++ b/router/internal/api/claim.go
@@ -28,8 +28,9 @@
 // acquireClaim writes the claim to the log and waits for its result. It returns
 // nil once the claim is won, else the request's final answer. The request has not
 // been sent to any server yet, so every answer except already_run means "not
-// run". A claim whose outcome is unknown is released first: a late Put of a
-// released nonce never wins, and only this process could have acted on it.
+// run". To keep that true, a claim whose outcome is unknown is released before the
+// answer: a late Put of a released nonce never wins, and only this process could
+// have acted on it.
 func (x *exchange) acquireClaim(ctx context.Context) *outcome.Outcome {
 	c := &claim{
 		key:   record.Key(string(record.ClassClaim) + "/" + x.caller.team.ID + "/" + x.key.id),
@@ -64,7 +65,9 @@
 	}
 }
 
-// keyOutsideWindow finds the reason of a void claim, for the error message only.
+// keyOutsideWindow reports whether the key's timestamp is outside the claim window,
+// as seen by this process's clock. It only chooses the error message of a void
+// claim.
 func (x *exchange) keyOutsideWindow() bool {
 	age := time.Since(x.key.timestamp)
 	return age > claimLifetime/2-time.Minute || age < -time.Second
--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -32,7 +32,7 @@
 
 	// claimed is the claim of a non-idempotent request; nil before it is won.
 	claimed *claim
-	// heldAnswer is the answer that waits for a Deliver command.
+	// heldAnswer is the last complete answer that waits for a Deliver command.
 	heldAnswer *answer
 	// bill and cost add up over all attempts; cost is in the manifest's unit.
 	bill ledger.Bill
@@ -44,7 +44,8 @@
 	rejectedByServer bool
 	// responseStarted is set once part of an answer was written to the caller.
 	responseStarted bool
-	// done is set once the caller has the final answer or has disconnected.
+	// done is set once the request has ended, by a final answer or because the
+	// caller has disconnected.
 	done bool
 
 	// firstToken is the time from start to the first token. tokenIntervalSum
@@ -135,8 +136,8 @@
 // failure returns the outcome of a request whose last attempt ended without an
 // answer. A lost connection does not show whether the server died before the
 // request took effect or its reply was lost afterwards. For work that may not be
-// repeated the outcome is therefore unknown: after a failure a caller would
-// reserve again under a new key, and the request might run twice.
+// repeated the outcome is therefore unknown: if it were "failed", the caller would
+// send the request again under a new key, and it might run twice.
 func failure(result decision.AttemptResult, idempotent bool) outcome.Outcome {
 	if result == decision.AttemptCrashed && !idempotent {
 		result = decision.AttemptUnknown
@@ -261,8 +262,8 @@
 	writeOutcome(x.w, o)
 }
 
-// abandon ends a request that nobody waits for: its attempt is cancelled, and the
-// tokens generated so far are billed once.
+// abandon ends a request that nobody waits for any more: its attempt is cancelled,
+// and the tokens generated so far are billed once.
 func (x *exchange) abandon() {
 	x.ticket.Send(decision.RequestCancelled{Request: x.req.ID})
 	if x.done {
--- a/router/internal/api/failure_test.go
+++ b/router/internal/api/failure_test.go
@@ -7,9 +7,9 @@
 	"masticplank.example/router/internal/outcome"
 )
 
-// TestCrashOfNonIdempotentRequestIsUnknown guards against answering a reservation as failed
-// although it took effect and only its reply was lost ("masticplank demo --faults"
-// produces such losses).
+// TestCrashOfNonIdempotentRequestIsUnknown guards against answering a reservation as
+// failed although it took effect and only its reply was lost; "masticplank demo
+// --faults" produces such losses.
 func TestCrashOfNonIdempotentRequestIsUnknown(t *testing.T) {
 	tests := []struct {
 		result     decision.AttemptResult
--- a/router/internal/api/fixture_test.go
+++ b/router/internal/api/fixture_test.go
@@ -70,11 +70,11 @@
 // ObserveLoad implements Servers.
 func (f *fixture) ObserveLoad(decision.ServerID, string) {}
 
-// fakeGate refuses work for a set reason.
+// fakeGate allows the first calls of MayRun and refuses the others for a set reason.
 type fakeGate struct {
 	mu     sync.Mutex
 	reason decision.RefusalReason
-	// calls counts the calls; those beyond the first allowed return reason.
+	// calls counts the calls of MayRun; allowed is how many of them are allowed.
 	calls, allowed int
 }
 
@@ -88,13 +88,14 @@
 	return ""
 }
 
-// refuse makes the gate allow the given number of calls and then refuse.
+// refuse makes the gate allow that many more calls and then refuse for reason.
 func (g *fakeGate) refuse(reason decision.RefusalReason, allowed int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.reason, g.calls, g.allowed = reason, 0, allowed
 }
 
+// fakeHolder counts the bills that it holds, or fails as if no peer were reachable.
 type fakeHolder struct {
 	held  atomic.Int64
 	fails atomic.Bool
@@ -277,7 +278,7 @@
 	return resp
 }
 
-// bills returns the registers of bills in the log, of which each request has one.
+// bills returns the bill registers in the log. A billed request has exactly one.
 func (f *fixture) bills() []fold.Register {
 	f.t.Helper()
 	return f.registers(record.ClassBill)
--- a/router/internal/api/outcome_test.go
+++ b/router/internal/api/outcome_test.go
@@ -58,29 +58,29 @@
 }
 
 // TestChatOutcomes checks what the caller gets from engines that answer, fail or
-// break off: either a complete answer with one bill, or an outcome that is true. A
-// truncated stream must never look complete.
+// break off: either a complete answer with one bill, or an outcome that claims no
+// more than is known. A truncated stream must never look complete.
 func TestChatOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		body    string
 		backend http.HandlerFunc
 		outcome string
-		broken  bool
+		broken  bool // the caller's connection breaks off
 		bills   int
 	}{
-		{"plain", prompt, answerChat, "completed", false, 1},
+		{"single body", prompt, answerChat, "completed", false, 1},
 		{"stream", streamed, chatStream(token1, token2, lastChunk, wire.StreamEnd), "completed", false, 1},
-		{"plain, streamed by the engine", prompt, chatStream(token1, token2, lastChunk, wire.StreamEnd), "completed", false, 1},
-		{"plain, stream without usage", prompt, chatStream(token1, wire.StreamEnd), "failed", false, 0},
-		{"plain, stream without a finish reason", prompt, chatStream(token1, usageOnly, wire.StreamEnd), "failed", false, 0},
-		{"plain, truncated stream", prompt, truncateAfter(token1), "failed", false, 0},
-		{"plain, crash", prompt, closeConnection, "failed", false, 0},
-		{"plain, wrong nonce", prompt, wrongNonce, "unknown", false, 0},
-		{"plain, no usage", prompt, answerStatus(200, false), "failed", false, 0},
-		{"plain, server error", prompt, answerStatus(500, false), "failed", false, 0},
-		{"plain, refused everywhere", prompt, answerStatus(503, true), "refused", false, 0},
-		{"plain, rejected by the engine", prompt, answerStatus(422, false), "failed", false, 0},
+		{"single body, streamed by the engine", prompt, chatStream(token1, token2, lastChunk, wire.StreamEnd), "completed", false, 1},
+		{"single body, stream without usage", prompt, chatStream(token1, wire.StreamEnd), "failed", false, 0},
+		{"single body, stream without a finish reason", prompt, chatStream(token1, usageOnly, wire.StreamEnd), "failed", false, 0},
+		{"single body, truncated stream", prompt, truncateAfter(token1), "failed", false, 0},
+		{"single body, crash", prompt, closeConnection, "failed", false, 0},
+		{"single body, wrong nonce", prompt, wrongNonce, "unknown", false, 0},
+		{"single body, no usage", prompt, answerStatus(200, false), "failed", false, 0},
+		{"single body, server error", prompt, answerStatus(500, false), "failed", false, 0},
+		{"single body, refused everywhere", prompt, answerStatus(503, true), "refused", false, 0},
+		{"single body, rejected by the engine", prompt, answerStatus(422, false), "failed", false, 0},
 		{"stream, rejected by the engine", streamed, answerStatus(422, false), "failed", false, 0},
 		{"stream truncated after a token", streamed, truncateAfter(token1), "completed", true, 0},
 		{"stream truncated before the end marker", streamed, truncateAfter(token1, token2, lastChunk), "completed", true, 0},
@@ -121,8 +121,8 @@
 }
 
 // TestNumberedStreams duplicates and drops events of a numbered stream. Without the
-// check of event ids, a duplicated chunk doubles words in the middle of an answer
-// ("masticplank demo --faults" with seed 1 does so).
+// check of event ids, a duplicated chunk doubles words in the middle of an answer;
+// "masticplank demo --faults" with seed 1 sends such chunks.
 func TestNumberedStreams(t *testing.T) {
 	end := "3|" + wire.StreamEnd
 	for _, c := range []struct {
@@ -131,7 +131,7 @@
 		broken bool
 	}{
 		{"in order", []string{"0|" + token1, "1|" + token2, "2|" + lastChunk, end}, false},
-		{"repeated", []string{"0|" + token1, "0|" + token1, "1|" + token2, "1|" + token2, "2|" + lastChunk, end}, false},
+		{"duplicated", []string{"0|" + token1, "0|" + token1, "1|" + token2, "1|" + token2, "2|" + lastChunk, end}, false},
 		{"missing", []string{"0|" + token1, "2|" + lastChunk, end}, true},
 	} {
 		f := newFixture(t)
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestNoCompleteAnswerWithoutBill makes the log unreachable. The bill must be held, and if
-// that fails too, the answer must not end like one that was billed.
+// TestNoCompleteAnswerWithoutBill makes the log unreachable. The bill must be held,
+// and if that fails too, the answer must not end like one that was billed.
 func TestNoCompleteAnswerWithoutBill(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -160,7 +160,7 @@
 		t.Errorf("held bill: error %v, body %q", got.err, got.body)
 	}
 	if n := f.holder.held.Load(); n != 1 {
-		t.Errorf("%d bills held", n)
+		t.Errorf("%d bills held, want 1", n)
 	}
 	f.holder.fails.Store(true)
 	var wg sync.WaitGroup
@@ -186,13 +186,13 @@
 		}
 	}
 	if n := len(f.bills()); n != 1 {
-		t.Errorf("%d bills", n)
+		t.Errorf("%d bills, want 1", n)
 	}
 }
 
 // TestReservationRunsAtMostOnce sends a non-idempotent request with a fault at each
-// step in turn, then sends it again without. It must never run twice, and a request
-// that was answered as refused must not have run.
+// step in turn, then sends it again with the same key and no fault. It must never
+// run twice, and a request that was answered as refused must not have run.
 func TestReservationRunsAtMostOnce(t *testing.T) {
 	reserved := func(w http.ResponseWriter, r *http.Request) { answerStatus(201, false)(w, r) }
 	for _, c := range []struct {
@@ -253,9 +253,9 @@
 	return got
 }
 
-// TestCallerDisconnectFreesTheSlot disconnects after the first token of a stream. The
-// engine's request must be cancelled, else it would hold a slot, and the tokens
-// generated so far must be billed once.
+// TestCallerDisconnectFreesTheSlot disconnects after the first token of a stream.
+// The engine's request must be cancelled, else it would keep a slot occupied, and
+// the tokens generated so far must be billed once.
 func TestCallerDisconnectFreesTheSlot(t *testing.T) {
 	f := newFixture(t)
 	ended := make(chan struct{})
@@ -279,7 +279,7 @@
 
 // TestCallerThatDoesNotReadFreesTheSlot opens a stream and never reads it, while the
 // engine writes more than the buffers in between can take. After the write timeout
-// the engine's request must be cancelled, else it would hold a slot.
+// the engine's request must be cancelled, else it would keep a slot occupied.
 func TestCallerThatDoesNotReadFreesTheSlot(t *testing.T) {
 	f := newFixtureWith(t, 50*time.Millisecond)
 	largeEvent := `{"choices":[{"delta":{"content":"` + strings.Repeat("x", 64<<10) + `"}}]}`
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// maxConcurrentRatings bounds the goroutines that wait for a slow rating
-	// service. Answers beyond it count as not rated.
+	// maxConcurrentRatings bounds the goroutines that wait for the rating service,
+	// which may be slow. Answers beyond this number count as not rated.
 	maxConcurrentRatings = 128
 	// unheldRatingTimeout bounds a rating that no held answer waits for.
 	unheldRatingTimeout = 5 * time.Second
 )
 
-// ratingPool queries the rating service in the background.
+// ratingPool queries the rating service in the background, so that only held
+// answers wait for their rating.
 type ratingPool struct {
 	rater  platform.Rater
 	driver *driver.Driver
--- a/router/internal/api/reuse_test.go
+++ b/router/internal/api/reuse_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestConnectionsToBackendServersAreReused counts the connections of many consecutive
-// requests. A body that is not read to its end would cost a connection each.
+// requests. An answer whose body is not read to its end costs a new connection.
 func TestConnectionsToBackendServersAreReused(t *testing.T) {
 	f := newFixture(t)
 	for _, body := range []string{prompt, streamed} {
@@ -25,7 +25,7 @@
 			}
 		}
 		if n := f.connections.Load(); n > 2 {
-			t.Errorf("%d connections for 20 requests: %.40s", n, body)
+			t.Errorf("%d connections for 20 requests, want at most 2: %.40s", n, body)
 		}
 	}
 }
--- a/router/internal/api/stream.go
+++ b/router/internal/api/stream.go
@@ -21,8 +21,8 @@
 
 var (
 	errTruncatedStream = errors.New("the stream ended before its end marker")
-	errMalformedChunk  = errors.New("the stream holds an event that is not a chunk")
-	errNoUsage         = errors.New("the stream ended without its usage")
+	errMalformedChunk  = errors.New("the stream has an event that is not a chat completion chunk")
+	errNoUsage         = errors.New("the stream ended without its token usage")
 	errMissingEvent    = errors.New("an event of the stream is missing")
 	errCallerGone      = errors.New("the caller has disconnected")
 )
@@ -31,7 +31,8 @@
 type streamReader struct {
 	x        *exchange
 	dispatch decision.Dispatch
-	// forward is false for a held stream, whose events are only collected.
+	// forward is true if events are written to the caller as they arrive. A held
+	// stream's events are only collected.
 	forward bool
 	out     *answer
 	// usage is sent with the last chunk.
@@ -133,7 +134,7 @@
 	return false, nil
 }
 
-// checkEnd accepts a stream only if it had an end marker and a usage.
+// checkEnd returns nil only if the stream had an end marker and its token usage.
 func (sr *streamReader) checkEnd(ctx context.Context) error {
 	if !sr.sawEnd {
 		return upstream.ClassifyReadError(ctx, errTruncatedStream)
@@ -224,8 +225,8 @@
 	return http.NewResponseController(x.w).Flush()
 }
 
-// setWriteDeadline sets the deadline of the next write. Response writers that
-// support no deadline, as in some tests, have none.
+// setWriteDeadline sets the deadline of the next write. Response writers that do
+// not support deadlines, as in some tests, get none.
 func (x *exchange) setWriteDeadline() {
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(x.s.Limits.WriteTimeout))
 }
--- a/router/internal/billing/billing.go
+++ b/router/internal/billing/billing.go
@@ -18,8 +18,9 @@
 const putTimeout = 2 * time.Second
 
 const (
-	// recordTimeout bounds all tries to record one bill. It is longer than an
-	// instance that has just started waits for a list that names a peer.
+	// recordTimeout bounds all tries to record one bill. An instance that has just
+	// started cannot hold bills until it has read a list that names a peer;
+	// recordTimeout is longer than that takes.
 	recordTimeout = 5 * time.Second
 	// retryInterval is the pause between two tries.
 	retryInterval = 150 * time.Millisecond
--- a/router/internal/billing/billing_test.go
+++ b/router/internal/billing/billing_test.go
@@ -34,9 +34,9 @@
 	return s.holds[min(s.holdCalls, len(s.holds))-1]
 }
 
-// TestRecord goes through the results of the log and the peers. Record may return
-// nil only if the bill is in the log or held at two instances; otherwise an answer
-// would be given without a bill.
+// TestRecord combines the results of the log and the holder. Record may return nil
+// only if the bill is in the log or held at two instances; otherwise an answer would
+// be given without a bill.
 func TestRecord(t *testing.T) {
 	noPeer := errors.New("no peer")
 	for name, c := range map[string]struct {
@@ -49,7 +49,7 @@
 		"earlier bill in the log": {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeLost}}, true, 1, 0},
 		"log unreachable":         {fakeLog{holds: []error{nil}}, true, 0, 1},
 		"reply lost":              {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeUnknown}, holds: []error{nil}}, true, 1, 1},
-		"refused":                 {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid}, holds: []error{nil}}, true, 1, 1},
+		"refused by the log":      {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid}, holds: []error{nil}}, true, 1, 1},
 		"no peer at first":        {fakeLog{holds: []error{noPeer, noPeer, nil}}, true, 0, 3},
 		"log accepts the second try": {fakeLog{reachable: true, puts: []node.Outcome{node.OutcomeVoid, node.OutcomeWon},
 			holds: []error{noPeer}}, true, 2, 1},
@@ -60,7 +60,7 @@
 			bill := ledger.Bill{Team: "weavers", RequestID: "r1"}
 			err := New(&c.log, &c.log).Record(t.Context(), bill)
 			if (err == nil) != c.durable || c.log.putCalls != c.puts || c.log.holdCalls != c.holds {
-				t.Errorf("%s: error %v, %d puts, %d holds", name, err, c.log.putCalls, c.log.holdCalls)
+				t.Errorf("%s: error %v after %d puts and %d holds", name, err, c.log.putCalls, c.log.holdCalls)
 			}
 			if time.Since(start) > recordTimeout {
 				t.Errorf("%s: took %v", name, time.Since(start))
--- a/router/internal/directory/directory.go
+++ b/router/internal/directory/directory.go
@@ -27,7 +27,7 @@
 	maxLoadReportBytes = 4 << 20
 )
 
-// Sender takes events for the decision; *driver.Driver implements it.
+// Sender takes events for package decision; *driver.Driver implements it.
 type Sender interface{ Send(decision.Event) }
 
 // Directory holds the list and the state of each backend server's polling. It
@@ -44,9 +44,9 @@
 	servers   map[decision.ServerID]wire.ListedServer
 	instances []wire.ListedInstance
 	// listed is the last list, reduced to this instance's subset.
-	// reportedVersions are the versions that backend servers reported as
-	// loaded, which is newer than the list.
-	listed           []wire.ListedServer
+	listed []wire.ListedServer
+	// reportedVersions are the versions that backend servers reported as loaded.
+	// They are newer than those in the list.
 	reportedVersions map[decision.ServerID][]string
 	// loadReportedAt is when a server last stated its load in a response.
 	loadReportedAt map[decision.ServerID]time.Time
@@ -125,8 +125,9 @@
 	d.syncPollers(ctx)
 }
 
-// publish sends the list to the decision. Versions that engines report
-// themselves replace the listed ones: after an order the list lags behind them.
+// publish sends the list to package decision. Versions that engines report
+// themselves replace the listed ones: after an order the list lags behind the
+// engines' reports.
 func (d *Directory) publish() {
 	d.mu.Lock()
 	rows := make([]decision.Server, 0, len(d.listed))
--- a/router/internal/directory/load.go
+++ b/router/internal/directory/load.go
@@ -90,8 +90,9 @@
 	return len(d.pollers)
 }
 
-// fetchLoad reports one server's load and returns the number of the last cache
-// event seen.
+// fetchLoad fetches one server's load report, sends its contents to package
+// decision and returns the sequence number of the last cache event. If the fetch
+// fails, it returns since.
 func (d *Directory) fetchLoad(ctx context.Context, id decision.ServerID, since uint64) uint64 {
 	addr, ok := d.Addr(id)
 	if !ok {
--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -27,9 +27,11 @@
 	return out
 }
 
+// TestSubsetIsBoundedStableAndEven guards against subsets that leave a server without
+// any instance, or that change as a whole when one server leaves.
 func TestSubsetIsBoundedStableAndEven(t *testing.T) {
 	if got := Subset("entry-1", servers(15)); len(got) != 15 {
-		t.Errorf("a small fleet is reduced to %d", len(got))
+		t.Errorf("a fleet of 15 servers is reduced to %d", len(got))
 	}
 	const fleet, instances = 1000, 200
 	all := servers(fleet)
@@ -37,7 +39,7 @@
 	for i := range instances {
 		got := Subset(fmt.Sprintf("entry-%d", i), all)
 		if len(got) != subsetSize {
-			t.Fatalf("%d servers", len(got))
+			t.Fatalf("a subset has %d servers", len(got))
 		}
 		for _, id := range ids(got) {
 			times[id]++
@@ -61,6 +63,8 @@
 	}
 }
 
+// TestPollRateIsBounded checks that the interval grows with the number of servers, so
+// that an instance in a large fleet does not poll without bound.
 func TestPollRateIsBounded(t *testing.T) {
 	for servers, want := range map[int]time.Duration{
 		15:   250 * time.Millisecond,
@@ -72,8 +76,9 @@
 	}
 }
 
-// TestLoadInResponsesReducesPolling checks that a load stated in a response is passed on
-// to the decision at once, and that the server is then polled less often.
+// TestLoadInResponsesReducesPolling checks that a load stated in a response is
+// sent to package decision at once, and that the server is then polled less often
+// until that load is out of date.
 func TestLoadInResponsesReducesPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent := &events{}
@@ -88,11 +93,11 @@
 			t.Errorf("got %+v", sent.list)
 		}
 		if got := d.nextPollDelay("s1"); got != reportedPollFactor*250*time.Millisecond {
-			t.Errorf("after an answer: %v", got)
+			t.Errorf("after a response with a load: %v", got)
 		}
 		time.Sleep(time.Second)
 		if got := d.nextPollDelay("s1"); got != 250*time.Millisecond {
-			t.Errorf("after the report has become old: %v", got)
+			t.Errorf("after the stated load has become old: %v", got)
 		}
 	})
 }
--- a/router/internal/driver/driver.go
+++ b/router/internal/driver/driver.go
@@ -19,14 +19,14 @@
 	// commands for earlier requests.
 	batchSize = 256
 	// tickInterval is the time to the next tick while requests are open and no
-	// event arrives. Such ticks apply deadlines and limits of waiting times.
+	// event arrives. Such ticks apply deadlines and limits on waiting times.
 	tickInterval = 5 * time.Millisecond
 	// idleTickInterval is the same while no request is open: 4 wake-ups a second
 	// instead of 200. It is well below decision.Config.PauseThreshold; a longer gap
 	// between two ticks counts as a pause of the process.
 	idleTickInterval = 250 * time.Millisecond
-	// commandBuffer is how many unread commands a request can have. Attempts run
-	// one after the other, so there are rarely more than a Dispatch and a final
+	// commandBuffer is how many unread commands a request can have. Its attempts
+	// run one after the other, so there are rarely more than a Dispatch and a final
 	// command.
 	commandBuffer = 16
 )
--- a/router/internal/driver/ticket.go
+++ b/router/internal/driver/ticket.go
@@ -17,7 +17,7 @@
 
 	mu      sync.Mutex
 	cancels map[decision.AttemptID]context.CancelFunc
-	// cancelled has the attempts that were cancelled before they began.
+	// cancelled holds the attempts that were cancelled before they began.
 	cancelled map[decision.AttemptID]bool
 }
 
--- a/router/internal/gate/gate.go
+++ b/router/internal/gate/gate.go
@@ -20,8 +20,8 @@
 	tracker  *freshness.Tracker
 	lastMode freshness.Mode
 	onChange func(freshness.Mode)
-	// heldBillsFull reports that no more bills can be held, so that new work
-	// must be refused.
+	// heldBillsFull reports whether no more bills can be held. In an outage of the
+	// log new work is then refused.
 	heldBillsFull func() bool
 }
 
--- a/router/internal/manifest/holder.go
+++ b/router/internal/manifest/holder.go
@@ -18,8 +18,8 @@
 	onApplied func(*Index)
 
 	mu sync.Mutex
-	// accepted has the generations of the last publications; acceptedOrder has
-	// the same publications, oldest first.
+	// accepted holds the generations of the last publications by their id;
+	// acceptedOrder holds the same ids, oldest first.
 	accepted      map[string]uint64
 	acceptedOrder []string
 }
@@ -66,9 +66,9 @@
 	}
 }
 
-// Fold applies a change of a manifest register. The fold reports winners in order.
-// A generation that is not newer is ignored, so that a replay never reverts to an
-// older manifest.
+// Fold applies a change of a manifest register. The fold reports the publications
+// that won in the order of the log. A generation that is not newer is ignored, so
+// that a replay never reverts to an older manifest.
 func (h *Holder) Fold(c fold.Change) error {
 	if c.Verdict != fold.VerdictWon {
 		return nil
--- a/router/internal/manifest/manifest.go
+++ b/router/internal/manifest/manifest.go
@@ -39,10 +39,14 @@
 type Team struct {
 	ID string `json:"id"`
 	// KeyHashes are the SHA-256 sums of the team's API keys; see HashKey.
-	KeyHashes     []string `json:"key_hashes"`
-	Weight        int      `json:"weight"`
-	QueueLimit    int      `json:"queue_limit,omitempty"`
-	QualityTarget float64  `json:"quality_target"`
+	KeyHashes []string `json:"key_hashes"`
+	// Weight is the team's relative share of the capacity under saturation, at
+	// least 1.
+	Weight int `json:"weight"`
+	// QueueLimit bounds the team's queue in requests; 0 means the default.
+	QueueLimit int `json:"queue_limit,omitempty"`
+	// QualityTarget is the mean rating to reach, 0 to 1.
+	QualityTarget float64 `json:"quality_target"`
 	// Allowed are the IDs of versions, Services those of services.
 	Allowed  []string `json:"allowed"`
 	Services []string `json:"services,omitempty"`
@@ -50,13 +54,17 @@
 
 // Version is a version of a model; ID has the form "model@version".
 type Version struct {
-	ID          string  `json:"id"`
-	Model       string  `json:"model"`
-	State       string  `json:"state"`
-	Share       float64 `json:"share"`
-	Predecessor string  `json:"predecessor,omitempty"`
-	// Cost per 1000 generated tokens.
-	Cost    float64 `json:"cost"`
+	ID    string `json:"id"`
+	Model string `json:"model"`
+	State string `json:"state"`
+	// Share is the fraction (0 to 1) of the model's new sessions and requests that
+	// this version takes.
+	Share float64 `json:"share"`
+	// Predecessor is the version that this one replaces; empty for none.
+	Predecessor string `json:"predecessor,omitempty"`
+	// Cost per 1000 generated tokens, in the manifest's unit of cost.
+	Cost float64 `json:"cost"`
+	// Quality is the expected rating before any was received, 0 to 1.
 	Quality float64 `json:"quality"`
 }
 
@@ -70,7 +78,8 @@
 // Service is a plain service, one that is not a model.
 type Service struct {
 	ID string `json:"id"`
-	// Price of one completed call; calls with price 0 are not billed.
+	// Price of one completed call, in the unit of Version.Cost; calls with price 0
+	// are not billed.
 	Price float64 `json:"price,omitempty"`
 	// Routes state which calls are idempotent; a call that matches none is not.
 	Routes []Route `json:"routes"`
@@ -92,7 +101,8 @@
 	// milliseconds.
 	FirstTokenMS int `json:"first_token_ms,omitempty"`
 	InterTokenMS int `json:"inter_token_ms,omitempty"`
-	// CostPerRequest is the budget for the mean cost.
+	// CostPerRequest is the budget for the mean cost of a request, in the unit of
+	// Version.Cost.
 	CostPerRequest float64 `json:"cost_per_request,omitempty"`
 	// BadExposure is the largest share of requests that may run on a version
 	// that is judged bad later.
--- a/router/internal/manifest/manifest_test.go
+++ b/router/internal/manifest/manifest_test.go
@@ -32,6 +32,9 @@
 	}
 }
 
+// TestValidateNamesEachFault corrupts one field at a time. A fault that validation
+// misses would be put in force at every instance; a fault without its path could not
+// be found by the publisher.
 func TestValidateNamesEachFault(t *testing.T) {
 	if faults := Validate(validManifest()); len(faults) > 0 {
 		t.Fatalf("valid manifest: %v", faults)
@@ -69,6 +72,8 @@
 	}
 }
 
+// TestIndexPermissions guards against admitting a caller by a key's hash, a team to
+// what it may not use, and a repeated call that is not idempotent.
 func TestIndexPermissions(t *testing.T) {
 	x := NewIndex(validManifest(), "d")
 	if team, ok := x.TeamByKey("loom"); !ok || team.ID != "weavers" {
@@ -78,11 +83,11 @@
 		t.Error("the hash itself is taken as a key")
 	}
 	if !x.MayUse("weavers", "draft") || x.MayUse("weavers", "other") || x.MayUse("dyers", "draft") {
-		t.Error("MayUse")
+		t.Error("MayUse allows too much or too little")
 	}
 	s, known, allowed := x.Service("weavers", "shop")
 	if !known || !allowed {
-		t.Error("Service")
+		t.Error("Service does not allow the team's service")
 	}
 	for call, want := range map[string]bool{"GET /stock/wool": true, "POST /reservations": false, "GET /unknown": false, "POST /stock/wool": false} {
 		method, path, _ := strings.Cut(call, " ")
@@ -126,15 +131,17 @@
 		t.Errorf("got %d, %v", g, ok)
 	}
 	if _, ok := h.AcceptedGeneration("1"); ok || len(h.accepted) != maxAccepted || len(h.acceptedOrder) != maxAccepted {
-		t.Errorf("%d remembered in an order of %d", len(h.accepted), len(h.acceptedOrder))
+		t.Errorf("%d publications remembered, %d in acceptedOrder", len(h.accepted), len(h.acceptedOrder))
 	}
 }
 
+// TestCheckRecordRejectsInvalidManifests checks that the fold does not accept a
+// record whose manifest cannot be parsed or is invalid, whoever wrote it to the log.
 func TestCheckRecordRejectsInvalidManifests(t *testing.T) {
 	bad := validManifest()
 	bad.Teams[0].Weight = -1
 	for name, value := range map[string][]byte{
-		"fault":       mustJSON(t, bad),
+		"invalid":     mustJSON(t, bad),
 		"unknown key": []byte(`{"publication":"x","colour":"red"}`),
 		"two values":  []byte(`{} {}`),
 		"not JSON":    []byte(`{`),
@@ -172,6 +179,8 @@
 	}
 }
 
+// FuzzParse parses arbitrary data, encodes each valid manifest and checks it as the
+// fold does.
 func FuzzParse(f *testing.F) {
 	data, err := json.Marshal(validManifest())
 	if err != nil {
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -22,6 +22,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
+// TestPlan checks single plans. Above all, an engine must not unload a version before
+// it has those placed on it, else it would serve nothing in between.
 func TestPlan(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -35,8 +37,8 @@
 			[]Order{{Engine: "a", Versions: []string{"m@1", "m@2"}, LoadCount: 1}}},
 		{"unload what is not placed", []Engine{{ID: "a", Versions: []string{"m@1", "m@2"}}}, []Placement{{"m@2", 1}}, 4,
 			[]Order{{Engine: "a", Versions: []string{"m@2"}}}},
-		{"no budget, nothing unloaded", []Engine{{ID: "a", Versions: []string{"m@1"}}}, []Placement{{"m@2", 1}}, 0, nil},
-		{"leaving engines are passed over", []Engine{{ID: "a", Leaving: true}, {ID: "b"}}, []Placement{{"m@1", 2}}, 4,
+		{"no loads allowed, nothing unloaded", []Engine{{ID: "a", Versions: []string{"m@1"}}}, []Placement{{"m@2", 1}}, 0, nil},
+		{"leaving engines get no orders", []Engine{{ID: "a", Leaving: true}, {ID: "b"}}, []Placement{{"m@1", 2}}, 4,
 			[]Order{{Engine: "b", Versions: []string{"m@1"}, LoadCount: 1}}},
 		{"spread", []Engine{{ID: "a", Versions: []string{"m@1"}}, {ID: "b"}}, []Placement{{"m@1", 1}, {"n@1", 1}}, 4,
 			[]Order{{Engine: "b", Versions: []string{"n@1"}, LoadCount: 1}}},
@@ -72,7 +74,7 @@
 				break
 			}
 			if round == rounds-1 {
-				t.Fatalf("still moving: %+v", orders)
+				t.Fatalf("the last round still has orders: %+v", orders)
 			}
 			added := 0
 			for _, o := range orders {
@@ -81,7 +83,7 @@
 				engines[i].Versions = o.Versions
 			}
 			if added > maxLoads {
-				t.Fatalf("%d loads in one plan, budget %d", added, maxLoads)
+				t.Fatalf("%d loads in one plan, want at most %d", added, maxLoads)
 			}
 		}
 		for _, placement := range placements {
@@ -98,7 +100,7 @@
 	})
 }
 
-// fakeFleet is the manifest and the engines that a sender sees.
+// fakeFleet implements Manifests and EngineReports with fixed values.
 type fakeFleet struct {
 	index   *manifest.Index
 	servers []wire.ListedServer
@@ -118,7 +120,7 @@
 	}
 }
 
-// fakeLease returns preset results and records the last argument of Check.
+// fakeLease returns preset results; asked is the last argument of Check.
 type fakeLease struct {
 	acquires bool
 	fence    uint64
@@ -148,7 +150,7 @@
 		{"holder", "gasabo", fakeLease{acquires: true, fence: 7}, "7", lease.FencingEnforced},
 		{"engines ignore fencing", "kicukiro", fakeLease{acquires: true, fence: 7}, "7", lease.FencingIgnored},
 		{"not the holder", "gasabo", fakeLease{}, "", 0},
-		{"lapsed after the plan", "gasabo", fakeLease{acquires: true, result: lease.Expired}, "", lease.FencingEnforced},
+		{"expired after the plan", "gasabo", fakeLease{acquires: true, result: lease.Expired}, "", lease.FencingEnforced},
 		{"waits after taking over", "kicukiro", fakeLease{acquires: true, result: lease.WaitingForPredecessor}, "", lease.FencingIgnored},
 	} {
 		sent := ""
@@ -158,7 +160,7 @@
 		fleet := newFakeFleet(strings.TrimPrefix(srv.URL, "http://"))
 		NewSender(c.domain, &c.lease, fleet, fleet, nil).Reconcile(context.Background())
 		if sent != c.sent || c.lease.asked != c.asked {
-			t.Errorf("%s: sent %q, asked for %v", c.name, sent, c.lease.asked)
+			t.Errorf("%s: sent fencing number %q, lease checked for %v", c.name, sent, c.lease.asked)
 		}
 		srv.Close()
 	}
@@ -173,11 +175,11 @@
 		log := logtest.New()
 		first, second := manager(t, log, "entry-1"), manager(t, log, "entry-2")
 		if !first.Acquire(t.Context()) {
-			t.Fatal("first did not get the lease")
+			t.Fatal("the first instance did not get the lease")
 		}
 		oldFence, result := first.Check(lease.FencingEnforced)
 		if result != lease.Allowed {
-			t.Fatalf("first: %v", result)
+			t.Fatalf("check by the first instance: %v", result)
 		}
 		// first pauses here, between its check and its order.
 		for !second.Acquire(t.Context()) {
@@ -189,13 +191,13 @@
 		}
 		e := engine.New(engine.Config{CheckFencing: true})
 		if code := putTo(e, newFence, "large@1"); code != http.StatusOK {
-			t.Errorf("new holder: %d", code)
+			t.Errorf("order of the new holder: status %d", code)
 		}
 		if code := putTo(e, oldFence, "small@1"); code != http.StatusConflict {
-			t.Errorf("old holder: %d", code)
+			t.Errorf("order of the old holder: status %d", code)
 		}
 		if _, result := first.Check(lease.FencingEnforced); result == lease.Allowed {
-			t.Error("the old holder still thinks that it may send")
+			t.Error("the old holder's check still allows an order")
 		}
 	})
 }
--- a/router/internal/orders/plan.go
+++ b/router/internal/orders/plan.go
@@ -39,10 +39,11 @@
 
 // Plan returns the orders that bring the engines closer to the placements.
 //
-// One plan adds at most maxLoads versions, and an engine unloads what it should
-// not have only once it has everything that it should. Otherwise a manifest with
-// many new versions would take all engines out of service at once: the store of
-// weights is rate-limited, and an engine serves nothing while it loads weights.
+// Load: a manifest with many new versions. Harm prevented: the store of weights is
+// rate-limited, and an engine serves nothing while it loads weights; loading on all
+// engines at once would take all of them out of service. Therefore one plan adds at
+// most maxLoads versions, and an engine unloads what it should not have only once
+// it has everything that it should.
 //
 // Plan is pure: the same input gives the same orders. An engine that has a placed
 // version is preferred for it, so that planning again moves nothing.
@@ -56,7 +57,7 @@
 
 type planner struct {
 	engines []Engine
-	// desired has the versions that each engine should have, by engine ID.
+	// desired holds the versions that each engine should have, by engine ID.
 	desired map[string][]string
 }
 
--- a/router/internal/orders/sender.go
+++ b/router/internal/orders/sender.go
@@ -26,9 +26,10 @@
 	// orderTimeout bounds one order. It is shorter than lease.Config.MaxPause, so
 	// that an order ends within the lease that it was checked under.
 	orderTimeout = time.Second
-	// loadsPerSecond and loadBurst are one failure domain's part of the rate
-	// limit of the store of weights. They are applied at the lease's holder, of
-	// which a domain has one.
+	// loadsPerSecond and loadBurst bound how many versions the engines of one
+	// failure domain are ordered to load, as the domain's part of the rate limit
+	// of the store of weights. Only the lease's holder sends orders, and a domain
+	// has one holder.
 	loadsPerSecond = 2
 	loadBurst      = 4
 )
@@ -59,7 +60,7 @@
 	loadLimiter *rate.Limiter
 
 	mu sync.Mutex
-	// lastSent has the time of the last order to each engine, so that no order
+	// lastSent holds the time of the last order to each engine, so that no order
 	// is repeated before the engine could have reported its effect.
 	lastSent map[string]time.Time
 }
@@ -130,8 +131,8 @@
 	return out
 }
 
-// placements returns the placements of the manifest. Validation ensures that none
-// is of a withdrawn version.
+// placements returns the placements of the manifest. The manifest's validation
+// ensures that they name no withdrawn version.
 func placements(index *manifest.Index) []Placement {
 	var out []Placement
 	for _, p := range index.Manifest.Orders.Placements {
@@ -140,7 +141,8 @@
 	return out
 }
 
-// send sends an order. It checks the lease right before.
+// send sends an order if the lease, checked right before, still allows it and no
+// order was sent to the engine recently.
 func (s *Sender) send(ctx context.Context, fencing lease.FencingSupport, o Order, servers []wire.ListedServer) {
 	if s.recentlyOrdered(o.Engine) {
 		return
--- a/router/internal/outcome/outcome.go
+++ b/router/internal/outcome/outcome.go
@@ -29,7 +29,7 @@
 	RetryAfter time.Duration
 }
 
-// statusByCode has the codes whose status differs from that of their kind.
+// statusByCode maps the codes whose status differs from that of their kind.
 var statusByCode = map[string]int{
 	"invalid_api_key":            http.StatusUnauthorized,
 	"model_not_allowed":          http.StatusForbidden,
--- a/router/internal/outcome/outcome_test.go
+++ b/router/internal/outcome/outcome_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestAPIPageListsEveryCode checks that the API page for callers has each code of
-// statusByCode.
+// TestAPIPageListsEveryCode checks that the API page for callers names each code of
+// statusByCode, so that callers do not meet undocumented codes.
 func TestAPIPageListsEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/API.md")
 	if err != nil {
@@ -20,6 +20,8 @@
 	}
 }
 
+// TestStatusByKind checks the status of the kinds, and that a code in statusByCode
+// takes precedence over its kind.
 func TestStatusByKind(t *testing.T) {
 	for o, want := range map[Outcome]int{
 		{Kind: Completed}:                                  200,
--- a/router/internal/platform/clients_test.go
+++ b/router/internal/platform/clients_test.go
@@ -13,6 +13,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
+// TestListClient checks the fields of a fetched list, and that an outage is an error
+// rather than an empty list, which would remove every backend server.
 func TestListClient(t *testing.T) {
 	svc := listsvc.New(listsvc.Config{List: wire.InstanceList{
 		Servers:   []wire.ListedServer{{ID: "e1", Addr: "127.0.0.1:1", Slots: 4, Leaving: true}},
@@ -61,10 +63,12 @@
 		}
 	}
 	if whole != 2 {
-		t.Errorf("%d lists sent, want 2", whole)
+		t.Errorf("%d whole lists sent, want 2", whole)
 	}
 }
 
+// TestRatingClient checks that a rating service that fails, or returns a score out of
+// range, gives an error and no score.
 func TestRatingClient(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -72,7 +76,7 @@
 		score  float64
 		fails  bool
 	}{
-		{name: "sound", score: 0.75},
+		{name: "no fault", score: 0.75},
 		{name: "wrong", faults: rating.Faults{Wrong: true}, score: 0.25},
 		{name: "set", faults: rating.Faults{Scores: map[string]float64{"m@1": 0.1}}, score: 0.1},
 		{name: "out of range", faults: rating.Faults{OutOfRange: 1}, fails: true},
@@ -96,10 +100,12 @@
 	}
 }
 
+// TestDecodeScoreRejectsInvalidScores guards against counting a missing score as 0, and
+// against using one that is out of range.
 func TestDecodeScoreRejectsInvalidScores(t *testing.T) {
 	for _, body := range []string{``, `{}`, `{"score":null}`, `{"score":-0.1}`, `{"score":1.1}`, `{"score":"1"}`} {
 		if score, err := decodeScore([]byte(body)); err == nil {
-			t.Errorf("%q gave %v", body, score)
+			t.Errorf("%q: accepted as score %v", body, score)
 		}
 	}
 }
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -16,7 +16,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// entries clears the log's faults and returns how many entries it holds.
+// entries clears the log service's faults and returns the number of its entries.
 func entries(t *testing.T, svc *logsvc.Server) int {
 	t.Helper()
 	svc.Faults.Set(logsvc.Faults{})
@@ -41,7 +41,7 @@
 		want        error
 		wantEntries int
 	}{
-		{name: "sound", wantEntries: 1},
+		{name: "no fault", wantEntries: 1},
 		{name: "refused", faults: logsvc.Faults{RefuseAppends: true}, want: platformlog.ErrNotAppended},
 		{name: "too large", size: logsvc.MaxAppendBytes + 1, want: platformlog.ErrNotAppended},
 		{name: "lost before the effect", faults: logsvc.Faults{LostBefore: 1}, want: platformlog.ErrUnknown},
@@ -66,6 +66,9 @@
 	}
 }
 
+// TestAppendAboveTheRateIsNotAppended checks that the refusals of the service's rate
+// limit are ErrNotAppended; as ErrUnknown they would make outcomes unknown that are
+// known.
 func TestAppendAboveTheRateIsNotAppended(t *testing.T) {
 	svc := logsvc.New(logsvc.Config{AppendRate: 1})
 	server := httptest.NewServer(svc)
@@ -84,10 +87,12 @@
 		}
 	}
 	if held := entries(t, svc); held != done || done == 1000 {
-		t.Errorf("%d appends reported, %d held", done, held)
+		t.Errorf("%d appends succeeded, %d entries in the log", done, held)
 	}
 }
 
+// TestAppendWithoutConnectionIsNotAppended checks that an append for which no
+// connection was made is ErrNotAppended: no byte of it can have left the process.
 func TestAppendWithoutConnectionIsNotAppended(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	client := NewLogClient(server.URL)
@@ -103,8 +108,8 @@
 }
 
 // TestCancelledAppendIsUnknown cancels an append while the service works on it. The
-// entry may still be appended, so the error must be ErrUnknown. The same holds if
-// the service closes a pooled connection.
+// entry may still be appended, so the error must be ErrUnknown. An append on a pooled
+// connection that the service has closed is ErrUnknown too; that is not tested here.
 func TestCancelledAppendIsUnknown(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	release := make(chan struct{})
@@ -119,6 +124,9 @@
 	}
 }
 
+// TestAmbiguousAppendAnswersAreUnknown guards against taking any refusal for proof
+// that nothing was appended. Only the code not_appended proves it; a 429 without the
+// code, a redirect or a malformed answer may come from an intermediary.
 func TestAmbiguousAppendAnswersAreUnknown(t *testing.T) {
 	notAppended, _ := json.Marshal(wire.Error{Error: wire.ErrorBody{Code: wire.CodeNotAppended}})
 	tests := []struct {
@@ -150,6 +158,8 @@
 	}
 }
 
+// TestReadPagesTrimAndPoll reads a page, at the head, below the trimmed offset, by
+// long poll, and while the service is down.
 func TestReadPagesTrimAndPoll(t *testing.T) {
 	ctx := context.Background()
 	svc := logsvc.New(logsvc.Config{})
@@ -198,13 +208,16 @@
 	}
 }
 
+// TestDecodePageRejectsInconsistentPages guards against folding a page with gaps,
+// another start or offsets outside the log: the reader would differ from all other
+// readers permanently.
 func TestDecodePageRejectsInconsistentPages(t *testing.T) {
 	tests := []struct {
 		name string
 		body string
 		want error
 	}{
-		{"dense", `{"first":0,"head":9,"entries":[{"offset":4},{"offset":5}]}`, nil},
+		{"no gap", `{"first":0,"head":9,"entries":[{"offset":4},{"offset":5}]}`, nil},
 		{"empty", `{"first":0,"head":4}`, nil},
 		{"gap", `{"first":0,"head":9,"entries":[{"offset":4},{"offset":6}]}`, platformlog.ErrUnavailable},
 		{"other start", `{"first":0,"head":9,"entries":[{"offset":3}]}`, platformlog.ErrUnavailable},
@@ -220,6 +233,8 @@
 	}
 }
 
+// FuzzDecodePage decodes arbitrary answers. An accepted page must have consecutive
+// offsets within its bounds, and each error must be ErrUnavailable or ErrTrimmed.
 func FuzzDecodePage(f *testing.F) {
 	f.Add(200, uint64(4), []byte(`{"first":0,"head":9,"entries":[{"offset":4,"data":"YQ=="}]}`))
 	f.Add(410, uint64(1), []byte(`{"first":5,"head":9}`))
@@ -228,13 +243,13 @@
 		page, err := decodePage(status, body, from)
 		if err != nil {
 			if !errors.Is(err, platformlog.ErrUnavailable) && !errors.Is(err, platformlog.ErrTrimmed) {
-				t.Fatalf("untyped error %v", err)
+				t.Fatalf("error %v, want ErrUnavailable or ErrTrimmed", err)
 			}
 			return
 		}
 		for i, entry := range page.Entries {
 			if entry.Offset != from+uint64(i) || entry.Offset >= page.Head || entry.Offset < page.First {
-				t.Fatalf("entry %d of %+v breaks the order", i, page)
+				t.Fatalf("entry %d of %+v has an unexpected offset", i, page)
 			}
 		}
 	})
--- a/router/internal/publish/publish.go
+++ b/router/internal/publish/publish.go
@@ -138,8 +138,8 @@
 	return r
 }
 
-// publicationNonce returns the same nonce for each try of one pipeline run, so that
-// a try whose reply was lost and its retry are one proposal.
+// publicationNonce returns the same nonce for each try of one pipeline run: if the
+// reply to a try was lost, its retry counts as the same proposal.
 func publicationNonce(publication string) record.Nonce {
 	return record.DeriveNonce("publication", publication)
 }
--- a/router/internal/session/names_test.go
+++ b/router/internal/session/names_test.go
@@ -46,6 +46,9 @@
 
 func (racingStore) Lookup(record.Key) (fold.Register, bool) { return fold.Register{}, false }
 
+// TestFirstPinStays pins a named session again with other versions, also at an
+// instance that has not folded the first pins yet. The session must keep the first
+// ones; another team's session of the same name must not get them.
 func TestFirstPinStays(t *testing.T) {
 	store := &fakeStore{registers: map[record.Key]fold.Register{}}
 	ctx := context.Background()
@@ -66,6 +69,9 @@
 	}
 }
 
+// TestUndecidedPinIsReleased checks that pins whose outcome is unknown are released,
+// so that they cannot win after the caller was told that the session is undecided.
+// Void pins need no release.
 func TestUndecidedPinIsReleased(t *testing.T) {
 	for outcome, releases := range map[node.Outcome]int{node.OutcomeUnknown: 1, node.OutcomeVoid: 0} {
 		store := &fakeStore{outcome: outcome}
@@ -76,6 +82,9 @@
 	}
 }
 
+// TestPinRejectsBadNamesAndRegisters checks that nothing is written for a name that
+// cannot be part of a key, and that a register which does not hold this session is
+// not taken for it.
 func TestPinRejectsBadNamesAndRegisters(t *testing.T) {
 	store := &fakeStore{registers: map[record.Key]fold.Register{
 		RegisterKey("t", "odd"):   {Value: []byte(`{"x":1}`)},
@@ -91,6 +100,6 @@
 		}
 	}
 	if store.puts != 0 {
-		t.Errorf("%d puts for refused names", store.puts)
+		t.Errorf("%d puts for rejected names", store.puts)
 	}
 }
--- a/router/internal/session/session.go
+++ b/router/internal/session/session.go
@@ -53,7 +53,7 @@
 	return version, ok
 }
 
-// violation says which bound s violates; empty if none.
+// violation describes the first bound or rule that s violates; empty if none.
 func (s Session) violation() string {
 	switch {
 	case s.Team == "" || len(s.Team) > maxNameBytes:
--- a/router/internal/session/token_test.go
+++ b/router/internal/session/token_test.go
@@ -40,6 +40,8 @@
 	}
 }
 
+// TestIssuedTokenVerifiesAtEveryInstance verifies a token with a key ring in another
+// order, as at another instance during a key rotation.
 func TestIssuedTokenVerifiesAtEveryInstance(t *testing.T) {
 	now := testStart
 	token, expires, err := newTestTokens(t, &now, "k1", "k0").Issue(testSession())
@@ -75,6 +77,8 @@
 	return token
 }
 
+// TestVerifyRejectsInvalidTokens guards against accepting a token that was forged or
+// changed, has expired or belongs to another team, and checks the reason given.
 func TestVerifyRejectsInvalidTokens(t *testing.T) {
 	now := testStart
 	ring := newTestTokens(t, &now, "k1")
@@ -94,16 +98,16 @@
 		{"other team", good, "ventes", testStart, ReasonOtherTeam},
 		{"expired", good, "patrons", testStart.Add(time.Hour), ReasonExpired},
 		{"tampered", strings.Join(tampered, "."), "patrons", testStart, ReasonBadSignature},
-		{"key gone", forgeToken(t, hs, "k0", secret, nil), "patrons", testStart, ReasonUnknownKey},
+		{"key no longer in the ring", forgeToken(t, hs, "k0", secret, nil), "patrons", testStart, ReasonUnknownKey},
 		{"no key id", forgeToken(t, hs, nil, secret, nil), "patrons", testStart, ReasonUnknownKey},
-		{"key id no string", forgeToken(t, hs, 7, secret, nil), "patrons", testStart, ReasonUnknownKey},
+		{"key id is not a string", forgeToken(t, hs, 7, secret, nil), "patrons", testStart, ReasonUnknownKey},
 		{"wrong secret", forgeToken(t, hs, "k1", []byte("guess"), nil), "patrons", testStart, ReasonBadSignature},
 		{"algorithm none", forgeToken(t, jwt.SigningMethodNone, "k1", jwt.UnsafeAllowNoneSignatureType, nil), "patrons", testStart, ReasonBadSignature},
 		{"algorithm HS512", forgeToken(t, jwt.SigningMethodHS512, "k1", secret, nil), "patrons", testStart, ReasonBadSignature},
 		{"no expiry", forgeToken(t, hs, "k1", secret, func(c *claims) { c.ExpiresAt = nil }), "patrons", testStart, ReasonMalformed},
 		{"other issuer", forgeToken(t, hs, "k1", secret, func(c *claims) { c.Issuer = "x" }), "patrons", testStart, ReasonMalformed},
 		{"pin of another model", forgeToken(t, hs, "k1", secret, func(c *claims) { c.Pins = map[string]string{"laine": "lin@1"} }), "patrons", testStart, ReasonMalformed},
-		{"share of 1", forgeToken(t, hs, "k1", secret, func(c *claims) { c.RolloutPosition = 1 }), "patrons", testStart, ReasonMalformed},
+		{"roll-out position of 1", forgeToken(t, hs, "k1", secret, func(c *claims) { c.RolloutPosition = 1 }), "patrons", testStart, ReasonMalformed},
 		{"empty", "", "patrons", testStart, ReasonMalformed},
 		{"without signature", good[:strings.LastIndexByte(good, '.')+1], "patrons", testStart, ReasonBadSignature},
 		{"two parts", good[:strings.LastIndexByte(good, '.')], "patrons", testStart, ReasonMalformed},
@@ -117,6 +121,9 @@
 	}
 }
 
+// TestIssueRejectsInvalidSessionsAndKeys checks that no token is issued without a key
+// or for a session that Verify would reject, and that weak or duplicate keys are
+// errors at start.
 func TestIssueRejectsInvalidSessionsAndKeys(t *testing.T) {
 	now := testStart
 	if _, _, err := newTestTokens(t, &now).Issue(testSession()); !errors.Is(err, &Error{Reason: ReasonNoKeys}) {
@@ -134,10 +141,12 @@
 		t.Error("short key accepted")
 	}
 	if _, err := NewTokens(settings.Session{Keys: []settings.SessionKey{testKey("k"), testKey("k")}}, time.Now); err == nil {
-		t.Error("doubled key id accepted")
+		t.Error("duplicate key id accepted")
 	}
 }
 
+// FuzzVerify verifies arbitrary tokens. Only the issued one may be accepted, and each
+// error must be an *Error.
 func FuzzVerify(f *testing.F) {
 	now := testStart
 	ring := newTestTokens(f, &now, "k1")
@@ -155,7 +164,7 @@
 		case err == nil && token != good:
 			t.Errorf("accepted %q as %+v", token, s)
 		case err != nil && !errors.As(err, &typed):
-			t.Errorf("untyped error %v", err)
+			t.Errorf("error %v is not an *Error", err)
 		}
 	})
 }
--- a/router/internal/upstream/upstream.go
+++ b/router/internal/upstream/upstream.go
@@ -23,9 +23,11 @@
 
 const (
 	// dialTimeout bounds the wait for a connection. Within a host or between
-	// failure domains that takes milliseconds, so a second means a dead server.
+	// failure domains connecting takes milliseconds, so a second means a dead
+	// server.
 	dialTimeout = time.Second
-	// maxIdleConns per backend server: as many as the requests that it may run.
+	// maxIdleConns bounds the idle connections to one backend server: as many as
+	// the requests that it may run at once.
 	maxIdleConns = 256
 	// idleTimeout closes idle connections before a backend server does.
 	idleTimeout = 30 * time.Second
@@ -77,8 +79,8 @@
 
 // Causes of a Failure.
 var (
-	errWrongNonce = errors.New("answer carries another attempt's nonce")
-	errRefused    = errors.New("backend server refused before running")
+	errWrongNonce = errors.New("answer does not echo the attempt's nonce")
+	errRefused    = errors.New("backend server refused the attempt without running it")
 	errTooLarge   = errors.New("answer is larger than the limit")
 )
 
@@ -96,7 +98,7 @@
 	return NewClientWith((&net.Dialer{Timeout: dialTimeout}).DialContext)
 }
 
-// NewClientWith returns a client that connects by dial, for tests.
+// NewClientWith returns a client whose connections are made by dial, for tests.
 func NewClientWith(dial DialFunc) *Client {
 	return &Client{pooled: newTransport(dial, false), unpooled: newTransport(dial, true)}
 }
--- a/router/internal/upstream/upstream_test.go
+++ b/router/internal/upstream/upstream_test.go
@@ -48,17 +48,18 @@
 }
 
 // TestResults goes through the ways in which an attempt can end. A request whose
-// attempt is reported as not run may be sent again, so that result is allowed only
-// if nothing was written or the backend server itself reported it.
+// attempt is reported as not run may be sent again and would run twice if the report
+// were wrong. That result is therefore allowed only if nothing was written or the
+// backend server itself reported it.
 func TestResults(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		handler http.HandlerFunc
 		want    decision.AttemptResult // 0 for a complete answer
 	}{
-		{"whole", func(w http.ResponseWriter, r *http.Request) { echo(w, r); _, _ = io.WriteString(w, "ok") }, 0},
+		{"complete answer", func(w http.ResponseWriter, r *http.Request) { echo(w, r); _, _ = io.WriteString(w, "ok") }, 0},
 		{"no connection", nil, decision.AttemptNotRun},
-		{"refused by protocol", func(w http.ResponseWriter, r *http.Request) {
+		{"refused by the backend server", func(w http.ResponseWriter, r *http.Request) {
 			echo(w, r)
 			w.Header().Set(wire.HeaderNotRun, "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -131,13 +132,16 @@
 	breakConnections.Store(true)
 	before := count.Load()
 	if _, err := client.Send(context.Background(), call); err == nil {
-		t.Fatal("no error")
+		t.Fatal("no error from a closed connection")
 	}
 	if got := count.Load() - before; got != 1 {
-		t.Errorf("sent %d times", got)
+		t.Errorf("sent %d times, want 1", got)
 	}
 }
 
+// TestCancelledBeforeAConnectionIsNotRun guards against reporting the outcome of an
+// attempt as unknown although nothing was sent, which would keep the request from
+// being sent again.
 func TestCancelledBeforeAConnectionIsNotRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/router/internal/wire/load_test.go
+++ b/router/internal/wire/load_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestLoadHeader checks that a formatted load is parsed again, and that a malformed
+// header is not taken for a load.
 func TestLoadHeader(t *testing.T) {
 	if running, queued, ok := ParseLoad(FormatLoad(3, 12)); running != 3 || queued != 12 || !ok {
 		t.Errorf("got %d, %d, %v", running, queued, ok)
--- a/router/internal/wire/prefix_test.go
+++ b/router/internal/wire/prefix_test.go
@@ -6,6 +6,9 @@
 	"testing"
 )
 
+// TestPromptBlocksShareExactlyTheCommonPrefix guards against hashes that match
+// although the prompts before them differ: requests would be routed to a server for a
+// cached prefix that it does not have.
 func TestPromptBlocksShareExactlyTheCommonPrefix(t *testing.T) {
 	prompt := func(text string) []Message { return []Message{{Role: "user", Content: text}} }
 	base := strings.Repeat("abcdefgh", 40)
--- a/router/internal/wire/wire.go
+++ b/router/internal/wire/wire.go
@@ -93,7 +93,8 @@
 	Usage   *Usage       `json:"usage,omitempty"`
 }
 
-// LoadReport is the response to GET /load at an engine or plain service.
+// LoadReport is the response to GET /load at an engine or plain service. Running and
+// Queued count requests; Slots is how many requests the server can run at once.
 type LoadReport struct {
 	Running  int       `json:"running"`
 	Queued   int       `json:"queued"`
