--- a/router/internal/api/claim.go
+++ b/router/internal/api/claim.go
@@ -14,8 +14,10 @@
 	// is as long as many group commits, and short compared with callers'
 	// deadlines.
 	claimTimeout = 3 * time.Second
-	// claimLifetime is twice the claim window plus the clock skew. After that,
-	// the timestamp in the key makes a second claim void.
+	// claimLifetime is at least twice the claim window plus the clock skew, which
+	// is 24 h 30 s with the fold's defaults. After that, the timestamp in the key
+	// makes a second claim void. It is only stated in the record: the fold computes
+	// when a claim expires from its own configuration.
 	claimLifetime = 24*time.Hour + time.Minute
 )
 
@@ -65,9 +67,9 @@
 	}
 }
 
-// keyOutsideWindow reports whether the key's timestamp is outside the claim window,
-// as seen by this process's clock. It only chooses the error message of a void
-// claim.
+// keyOutsideWindow reports whether the key's timestamp is, by this process's clock,
+// outside about the claim window. It only chooses the error message of a void claim;
+// the fold decides by the log's time and its own bounds.
 func (x *exchange) keyOutsideWindow() bool {
 	age := time.Since(x.key.timestamp)
 	return age > claimLifetime/2-time.Minute || age < -time.Second
