--- a/router/internal/api/bench_test.go
+++ b/router/internal/api/bench_test.go
@@ -40,10 +40,10 @@
 	}
 }
 
-// BenchmarkPlain measures chats without streaming, from the caller's request to
-// the complete answer: many at once, over loopback, with caller and engine in the
-// same process.
-func BenchmarkPlain(b *testing.B) {
+// BenchmarkUnstreamedChat measures chats whose caller wants a single JSON body, from
+// the request to the complete answer: many at once, over loopback, with caller and
+// engine in the same process.
+func BenchmarkUnstreamedChat(b *testing.B) {
 	for _, tokens := range []int{64, 256, 1024} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			f := newFixture(b)
@@ -65,8 +65,9 @@
 	}
 }
 
-// cpuTime returns the processor time used by this process. ns/op consists mostly of
-// the wait for the bill's group commit and is no measure of the cost.
+// cpuTime returns the processor time used by this process. It is reported because
+// ns/op consists mostly of the wait for the bill's group commit and does not measure
+// the cost of a chat.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/router/internal/api/chat.go
+++ b/router/internal/api/chat.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// defaultMaxTokens is the assumed size of a request that states no limit.
+	// defaultMaxTokens is the number of output tokens that package decision assumes
+	// for a request that states no max_tokens. Engines are not sent this number.
 	defaultMaxTokens = 256
 	// retryDelay is the Retry-After of refusals whose cause passes within
 	// seconds, such as an instance that is catching up with the log.
@@ -162,7 +163,7 @@
 }
 
 // chatCall builds the call to an engine, which is always asked for a stream; see
-// plain.go.
+// aggregate.go.
 func chatCall(chat wire.ChatRequest, version decision.VersionID, addr, nonce string) (upstream.Call, error) {
 	chat.Model = string(version)
 	chat.Stream = true
--- a/router/internal/api/claim.go
+++ b/router/internal/api/claim.go
@@ -14,8 +14,10 @@
 	// is as long as many group commits, and short compared with callers'
 	// deadlines.
 	claimTimeout = 3 * time.Second
-	// claimLifetime is twice the claim window plus the clock skew. After that,
-	// the timestamp in the key makes a second claim void.
+	// claimLifetime is at least twice the claim window plus the clock skew, which
+	// is 24 h 30 s with the fold's defaults. After that, the timestamp in the key
+	// makes a second claim void. It is only stated in the record: the fold computes
+	// when a claim expires from its own configuration.
 	claimLifetime = 24*time.Hour + time.Minute
 )
 
@@ -28,8 +30,9 @@
 // acquireClaim writes the claim to the log and waits for its result. It returns
 // nil once the claim is won, else the request's final answer. The request has not
 // been sent to any server yet, so every answer except already_run means "not
-// run". A claim whose outcome is unknown is released first: a late Put of a
-// released nonce never wins, and only this process could have acted on it.
+// run". To keep that true, a claim whose outcome is unknown is released before the
+// answer: a late Put of a released nonce never wins, and only this process could
+// have acted on it.
 func (x *exchange) acquireClaim(ctx context.Context) *outcome.Outcome {
 	c := &claim{
 		key:   record.Key(string(record.ClassClaim) + "/" + x.caller.team.ID + "/" + x.key.id),
@@ -64,7 +67,9 @@
 	}
 }
 
-// keyOutsideWindow finds the reason of a void claim, for the error message only.
+// keyOutsideWindow reports whether the key's timestamp is, by this process's clock,
+// outside about the claim window. It only chooses the error message of a void claim;
+// the fold decides by the log's time and its own bounds.
 func (x *exchange) keyOutsideWindow() bool {
 	age := time.Since(x.key.timestamp)
 	return age > claimLifetime/2-time.Minute || age < -time.Second
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// maxConcurrentRatings bounds the goroutines that wait for a slow rating
-	// service. Answers beyond it count as not rated.
+	// maxConcurrentRatings bounds the goroutines that wait for the rating service,
+	// which may be slow. Answers beyond this number count as not rated.
 	maxConcurrentRatings = 128
 	// unheldRatingTimeout bounds a rating that no held answer waits for.
 	unheldRatingTimeout = 5 * time.Second
 )
 
-// ratingPool queries the rating service in the background.
+// ratingPool queries the rating service in the background, so that only held
+// answers wait for their rating.
 type ratingPool struct {
 	rater  platform.Rater
 	driver *driver.Driver
@@ -76,11 +77,11 @@
 	go func() {
 		defer q.wg.Done()
 		defer func() { <-q.slots }()
-		q.driver.Send(q.request(event, req, timeout))
+		q.driver.Send(q.requestRating(event, req, timeout))
 	}()
 }
 
-func (q *ratingPool) request(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) decision.AnswerRated {
+func (q *ratingPool) requestRating(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) decision.AnswerRated {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	score, err := q.rater.Rate(ctx, req)
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -22,26 +22,28 @@
 	"masticplank.example/router/internal/wire"
 )
 
+// TestPlan checks single plans. Above all, an engine must not unload a version before
+// it has those placed on it, else it would serve nothing in between.
 func TestPlan(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		engines []Engine
-		wants   []Placement
-		loads   int
-		want    []Order
+		name       string
+		engines    []Engine
+		placements []Placement
+		maxLoads   int
+		want       []Order
 	}{
 		{"nothing to do", []Engine{{ID: "a", Versions: []string{"m@1"}}}, []Placement{{"m@1", 1}}, 4, nil},
 		{"load before unload", []Engine{{ID: "a", Versions: []string{"m@1"}}}, []Placement{{"m@2", 1}}, 4,
 			[]Order{{Engine: "a", Versions: []string{"m@1", "m@2"}, LoadCount: 1}}},
 		{"unload what is not placed", []Engine{{ID: "a", Versions: []string{"m@1", "m@2"}}}, []Placement{{"m@2", 1}}, 4,
 			[]Order{{Engine: "a", Versions: []string{"m@2"}}}},
-		{"no budget, nothing unloaded", []Engine{{ID: "a", Versions: []string{"m@1"}}}, []Placement{{"m@2", 1}}, 0, nil},
-		{"leaving engines are passed over", []Engine{{ID: "a", Leaving: true}, {ID: "b"}}, []Placement{{"m@1", 2}}, 4,
+		{"no loads allowed, nothing unloaded", []Engine{{ID: "a", Versions: []string{"m@1"}}}, []Placement{{"m@2", 1}}, 0, nil},
+		{"leaving engines get no orders", []Engine{{ID: "a", Leaving: true}, {ID: "b"}}, []Placement{{"m@1", 2}}, 4,
 			[]Order{{Engine: "b", Versions: []string{"m@1"}, LoadCount: 1}}},
 		{"spread", []Engine{{ID: "a", Versions: []string{"m@1"}}, {ID: "b"}}, []Placement{{"m@1", 1}, {"n@1", 1}}, 4,
 			[]Order{{Engine: "b", Versions: []string{"n@1"}, LoadCount: 1}}},
 	} {
-		if got := Plan(c.engines, c.wants, c.loads); !reflect.DeepEqual(got, c.want) {
+		if got := Plan(c.engines, c.placements, c.maxLoads); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %+v, want %+v", c.name, got, c.want)
 		}
 	}
@@ -58,21 +60,21 @@
 			engines[i].ID = fmt.Sprintf("e%d", i)
 			engines[i].Versions = rapid.SliceOfNDistinct(rapid.SampledFrom(versions), 0, 4, rapid.ID[string]).Draw(t, "loaded")
 		}
-		var wants []Placement
+		var placements []Placement
 		for _, v := range versions {
 			if n := rapid.IntRange(0, 4).Draw(t, v); n > 0 {
-				wants = append(wants, Placement{v, n})
+				placements = append(placements, Placement{v, n})
 			}
 		}
-		loads := rapid.IntRange(1, 3).Draw(t, "loads")
+		maxLoads := rapid.IntRange(1, 3).Draw(t, "loads")
 		const rounds = 40
 		for round := range rounds {
-			orders := Plan(engines, wants, loads)
+			orders := Plan(engines, placements, maxLoads)
 			if len(orders) == 0 {
 				break
 			}
 			if round == rounds-1 {
-				t.Fatalf("still moving: %+v", orders)
+				t.Fatalf("the last round still has orders: %+v", orders)
 			}
 			added := 0
 			for _, o := range orders {
@@ -80,32 +82,32 @@
 				i := slices.IndexFunc(engines, func(e Engine) bool { return e.ID == o.Engine })
 				engines[i].Versions = o.Versions
 			}
-			if added > loads {
-				t.Fatalf("%d loads in one plan, budget %d", added, loads)
+			if added > maxLoads {
+				t.Fatalf("%d loads in one plan, want at most %d", added, maxLoads)
 			}
 		}
-		for _, w := range wants {
+		for _, placement := range placements {
 			have := 0
 			for _, e := range engines {
-				if hasVersion(e, w.Version) {
+				if hasVersion(e, placement.Version) {
 					have++
 				}
 			}
-			if have != min(w.Servers, len(engines)) {
-				t.Errorf("%s on %d engines, want %d", w.Version, have, w.Servers)
+			if have != min(placement.Servers, len(engines)) {
+				t.Errorf("%s on %d engines, want %d", placement.Version, have, placement.Servers)
 			}
 		}
 	})
 }
 
-// fakeFleet is the manifest and the engines that a sender sees.
+// fakeFleet implements Manifests and EngineReports with fixed values.
 type fakeFleet struct {
 	index   *manifest.Index
 	servers []wire.ListedServer
 }
 
-func (w fakeFleet) Current() *manifest.Index           { return w.index }
-func (w fakeFleet) Engines(string) []wire.ListedServer { return w.servers }
+func (f fakeFleet) Current() *manifest.Index           { return f.index }
+func (f fakeFleet) Engines(string) []wire.ListedServer { return f.servers }
 
 func newFakeFleet(addr string) fakeFleet {
 	m := manifest.Manifest{Orders: &manifest.Orders{
@@ -118,7 +120,7 @@
 	}
 }
 
-// fakeLease returns preset results and records the last argument of Check.
+// fakeLease returns preset results; asked is the last argument of Check.
 type fakeLease struct {
 	acquires bool
 	fence    uint64
@@ -133,11 +135,11 @@
 	return l.fence, l.result
 }
 
-// TestSenderAsksTheLease checks that an order is sent only if the lease allows it
+// TestSenderChecksTheLease checks that an order is sent only if the lease allows it
 // right before, with the lease's fencing number. Engines of a domain that the
 // manifest does not list as fenced must be taken to ignore the number; else two
 // holders could order them at the same time.
-func TestSenderAsksTheLease(t *testing.T) {
+func TestSenderChecksTheLease(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		domain string
@@ -148,7 +150,7 @@
 		{"holder", "gasabo", fakeLease{acquires: true, fence: 7}, "7", lease.FencingEnforced},
 		{"engines ignore fencing", "kicukiro", fakeLease{acquires: true, fence: 7}, "7", lease.FencingIgnored},
 		{"not the holder", "gasabo", fakeLease{}, "", 0},
-		{"lapsed after the plan", "gasabo", fakeLease{acquires: true, result: lease.Expired}, "", lease.FencingEnforced},
+		{"expired after the plan", "gasabo", fakeLease{acquires: true, result: lease.Expired}, "", lease.FencingEnforced},
 		{"waits after taking over", "kicukiro", fakeLease{acquires: true, result: lease.WaitingForPredecessor}, "", lease.FencingIgnored},
 	} {
 		sent := ""
@@ -158,26 +160,26 @@
 		fleet := newFakeFleet(strings.TrimPrefix(srv.URL, "http://"))
 		NewSender(c.domain, &c.lease, fleet, fleet, nil).Reconcile(context.Background())
 		if sent != c.sent || c.lease.asked != c.asked {
-			t.Errorf("%s: sent %q, asked for %v", c.name, sent, c.lease.asked)
+			t.Errorf("%s: sent fencing number %q, lease checked for %v", c.name, sent, c.lease.asked)
 		}
 		srv.Close()
 	}
 }
 
-// TestOldHolderIsFencedOff pauses a holder between its check and its order until
+// TestOrderOfOldLeaseHolderIsRefused pauses a holder between its check and its order until
 // its lease has expired. Another instance takes over and sends an order; the old
 // holder's order then reaches an engine that checks fencing numbers, which must
 // refuse it.
-func TestOldHolderIsFencedOff(t *testing.T) {
+func TestOrderOfOldLeaseHolderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
 		first, second := manager(t, log, "entry-1"), manager(t, log, "entry-2")
 		if !first.Acquire(t.Context()) {
-			t.Fatal("first did not get the lease")
+			t.Fatal("the first instance did not get the lease")
 		}
 		oldFence, result := first.Check(lease.FencingEnforced)
 		if result != lease.Allowed {
-			t.Fatalf("first: %v", result)
+			t.Fatalf("check by the first instance: %v", result)
 		}
 		// first pauses here, between its check and its order.
 		for !second.Acquire(t.Context()) {
@@ -189,13 +191,13 @@
 		}
 		e := engine.New(engine.Config{CheckFencing: true})
 		if code := putTo(e, newFence, "large@1"); code != http.StatusOK {
-			t.Errorf("new holder: %d", code)
+			t.Errorf("order of the new holder: status %d", code)
 		}
 		if code := putTo(e, oldFence, "small@1"); code != http.StatusConflict {
-			t.Errorf("old holder: %d", code)
+			t.Errorf("order of the old holder: status %d", code)
 		}
 		if _, result := first.Check(lease.FencingEnforced); result == lease.Allowed {
-			t.Error("the old holder still thinks that it may send")
+			t.Error("the old holder's check still allows an order")
 		}
 	})
 }
--- a/router/internal/outcome/outcome_test.go
+++ b/router/internal/outcome/outcome_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestAPIPageHoldsEveryCode checks that the API page for callers has each code of
-// statusByCode.
-func TestAPIPageHoldsEveryCode(t *testing.T) {
+// TestAPIPageListsEveryCode checks that the API page for callers names each code of
+// statusByCode, so that callers do not meet undocumented codes.
+func TestAPIPageListsEveryCode(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/API.md")
 	if err != nil {
 		t.Fatal(err)
@@ -20,6 +20,8 @@
 	}
 }
 
+// TestStatusByKind checks the status of the kinds, and that a code in statusByCode
+// takes precedence over its kind.
 func TestStatusByKind(t *testing.T) {
 	for o, want := range map[Outcome]int{
 		{Kind: Completed}:                                  200,
