--- a/router/internal/admin/admin.go
+++ b/router/internal/admin/admin.go
@@ -95,12 +95,12 @@
 }
 
 func (s *server) getManifest(w http.ResponseWriter, _ *http.Request) {
-	x := s.Manifests.Current()
-	if x == nil {
+	current := s.Manifests.Current()
+	if current == nil {
 		writeError(w, http.StatusNotFound, "no_manifest", "no manifest is in force yet")
 		return
 	}
-	writeJSON(w, http.StatusOK, manifestResponse{Digest: x.Digest, Manifest: x.Manifest})
+	writeJSON(w, http.StatusOK, manifestResponse{Digest: current.Digest, Manifest: current.Manifest})
 }
 
 // postManifest publishes a manifest; "?rebase=true" takes the manifest in force as
--- a/router/internal/cli/loadcmd/loadcmd.go
+++ b/router/internal/cli/loadcmd/loadcmd.go
@@ -35,7 +35,7 @@
 // New returns the command.
 func New() *cobra.Command {
 	var base, key, output string
-	var ask loadgen.RequestSpec
+	var spec loadgen.RequestSpec
 	var plan loadgen.Plan
 	cmd := &cobra.Command{
 		Use:   "load --url http://127.0.0.1:PORT --key KEY",
@@ -49,7 +49,7 @@
 			if err := validate(plan, output); err != nil {
 				return err
 			}
-			target, err := loadgen.NewTarget(base, key, ask)
+			target, err := loadgen.NewTarget(base, key, spec)
 			if err != nil {
 				return cli.WithStatus(cli.StatusInvalid, err)
 			}
@@ -59,10 +59,10 @@
 	flags := cmd.Flags()
 	flags.StringVar(&base, "url", "", "URL of the listener for callers")
 	flags.StringVar(&key, "key", "", "the team's API key")
-	flags.StringVar(&ask.Model, "model", "", "model or version; empty lets the cascade choose")
-	flags.StringVar(&ask.Prompt, "prompt", "draft a twill pattern of eight shafts", "the prompt")
-	flags.IntVar(&ask.MaxTokens, "max-tokens", 32, "maximum number of tokens of an answer")
-	flags.BoolVar(&ask.Stream, "stream", false, "stream the answers")
+	flags.StringVar(&spec.Model, "model", "", "model or version; empty lets the cascade choose")
+	flags.StringVar(&spec.Prompt, "prompt", "draft a twill pattern of eight shafts", "the prompt")
+	flags.IntVar(&spec.MaxTokens, "max-tokens", 32, "maximum number of tokens of an answer")
+	flags.BoolVar(&spec.Stream, "stream", false, "stream the answers")
 	flags.IntVar(&plan.Callers, "callers", 16, "number of concurrent callers")
 	flags.Float64Var(&plan.Rate, "rate", 0, "requests per second of all callers together; 0 sends as fast as answers come")
 	flags.DurationVar(&plan.Warmup, "warmup", time.Second, "time of load before counting begins")
@@ -87,8 +87,8 @@
 	return nil
 }
 
-func printResult(cmd *cobra.Command, p loadgen.Result, output string) error {
-	r := summarise(p)
+func printResult(cmd *cobra.Command, measured loadgen.Result, output string) error {
+	r := summarise(measured)
 	if output == cli.OutputJSON {
 		if err := cli.WriteJSON(cmd.OutOrStdout(), r); err != nil {
 			return err
@@ -97,18 +97,18 @@
 		fmt.Fprintf(cmd.OutOrStdout(), "%.0f answers/s, %d failed %s\nwhole        p50 %.2f ms  p95 %.2f ms  p99 %.2f ms\nfirst byte   p50 %.2f ms  p95 %.2f ms  p99 %.2f ms\n",
 			r.Rate, r.Failed, r.LastError, r.WholeP50, r.WholeP95, r.WholeP99, r.FirstP50, r.FirstP95, r.FirstP99)
 	}
-	if len(p.Samples) == 0 {
-		return cli.StatusErrorf(cli.StatusFailed, "no answer came: %s", p.LastError)
+	if len(measured.Samples) == 0 {
+		return cli.StatusErrorf(cli.StatusFailed, "no answer came: %s", measured.LastError)
 	}
 	return nil
 }
 
-func summarise(p loadgen.Result) result {
-	ms := func(pick func(loadgen.Sample) time.Duration, q float64) float64 {
-		return float64(p.Quantile(pick, q).Microseconds()) / 1000
+func summarise(measured loadgen.Result) result {
+	ms := func(timeOf func(loadgen.Sample) time.Duration, q float64) float64 {
+		return float64(measured.Quantile(timeOf, q).Microseconds()) / 1000
 	}
 	return result{
-		Result:   p,
+		Result:   measured,
 		WholeP50: ms(loadgen.TotalTime, 0.5),
 		WholeP95: ms(loadgen.TotalTime, 0.95),
 		WholeP99: ms(loadgen.TotalTime, 0.99),
--- a/router/internal/cli/manifestcmd/publish.go
+++ b/router/internal/cli/manifestcmd/publish.go
@@ -141,9 +141,9 @@
 
 func instancesBehind(ctx context.Context, instances []string, generation uint64) []string {
 	var out []string
-	for _, a := range cli.GetAll[generationStatus](ctx, instances, "/status") {
-		if a.Err != nil || a.Value.Generation < generation {
-			out = append(out, a.Address)
+	for _, response := range cli.GetAll[generationStatus](ctx, instances, "/status") {
+		if response.Err != nil || response.Value.Generation < generation {
+			out = append(out, response.Address)
 		}
 	}
 	return out
@@ -179,10 +179,10 @@
 func showStatus(cmd *cobra.Command, instances []string, output string) error {
 	rows := make([]generationRow, 0, len(instances))
 	unanswered := 0
-	for _, a := range cli.GetAll[generationStatus](cmd.Context(), instances, "/status") {
-		row := generationRow{Instance: a.Address, Generation: a.Value.Generation}
-		if a.Err != nil {
-			row.Error = a.Err.Error()
+	for _, response := range cli.GetAll[generationStatus](cmd.Context(), instances, "/status") {
+		row := generationRow{Instance: response.Address, Generation: response.Value.Generation}
+		if response.Err != nil {
+			row.Error = response.Err.Error()
 			unanswered++
 		}
 		rows = append(rows, row)
--- a/router/internal/cli/reportcmd/reportcmd.go
+++ b/router/internal/cli/reportcmd/reportcmd.go
@@ -50,8 +50,8 @@
 
 func reportBurn(cmd *cobra.Command, addresses []string, output string, now func() time.Time) error {
 	var sources []report.Source
-	for _, a := range cli.GetAll[report.Snapshot](cmd.Context(), addresses, "/burn") {
-		sources = append(sources, report.Source{Address: a.Address, Snapshot: a.Value, Err: a.Err})
+	for _, response := range cli.GetAll[report.Snapshot](cmd.Context(), addresses, "/burn") {
+		sources = append(sources, report.Source{Address: response.Address, Snapshot: response.Value, Err: response.Err})
 	}
 	r := report.Build(now(), sources)
 	if err := write(cmd, r, output); err != nil {
--- a/router/internal/cli/statuscmd/statuscmd.go
+++ b/router/internal/cli/statuscmd/statuscmd.go
@@ -35,15 +35,15 @@
 func show(cmd *cobra.Command, addresses []string, output string) error {
 	statuses := make([]report.InstanceStatus, 0, len(addresses))
 	unanswered := 0
-	for _, a := range cli.GetAll[report.StatusReport](cmd.Context(), addresses, "/status") {
-		line := report.InstanceStatus{Address: a.Address}
-		if a.Err != nil {
-			line.Error = a.Err.Error()
+	for _, response := range cli.GetAll[report.StatusReport](cmd.Context(), addresses, "/status") {
+		status := report.InstanceStatus{Address: response.Address}
+		if response.Err != nil {
+			status.Error = response.Err.Error()
 			unanswered++
 		} else {
-			line.Status = &a.Value
+			status.Status = &response.Value
 		}
-		statuses = append(statuses, line)
+		statuses = append(statuses, status)
 	}
 	if err := write(cmd, statuses, output); err != nil {
 		return err
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -76,7 +76,7 @@
 
 // report is the body of /status.
 func (s *status) report() report.StatusReport {
-	log := s.params.Node.Status()
+	nodeStatus := s.params.Node.Status()
 	badVersions, ejectedServers := s.params.Fleet.badAndEjected()
 	return report.StatusReport{
 		Instance:       s.params.Settings.Instance,
@@ -84,10 +84,10 @@
 		Generation:     s.params.Holder.Generation(),
 		Mode:           modeNames[s.params.Gate.Mode()],
 		OpenRequests:   s.params.Driver.OpenRequests(),
-		Offset:         log.NextOffset,
-		Head:           log.Head,
-		Lag:            max(log.Head, log.NextOffset) - log.NextOffset,
-		LogReachable:   log.LogReachable,
+		Offset:         nodeStatus.NextOffset,
+		Head:           nodeStatus.Head,
+		Lag:            max(nodeStatus.Head, nodeStatus.NextOffset) - nodeStatus.NextOffset,
+		LogReachable:   nodeStatus.LogReachable,
 		HeldBills:      s.params.Peers.HeldBills(),
 		BadVersions:    badVersions,
 		EjectedServers: ejectedServers,
--- a/router/internal/report/fleet.go
+++ b/router/internal/report/fleet.go
@@ -129,16 +129,16 @@
 func instanceResults(sources []Source) []InstanceResult {
 	out := make([]InstanceResult, 0, len(sources))
 	for _, s := range sources {
-		line := InstanceResult{Address: s.Address}
+		result := InstanceResult{Address: s.Address}
 		if s.Err != nil {
-			line.Error = s.Err.Error()
+			result.Error = s.Err.Error()
 		} else {
-			line.Answered = true
-			line.Instance = s.Snapshot.Instance
-			line.Generation = s.Snapshot.Generation
-			line.Since = s.Snapshot.Since.UTC().Truncate(time.Second)
+			result.Answered = true
+			result.Instance = s.Snapshot.Instance
+			result.Generation = s.Snapshot.Generation
+			result.Since = s.Snapshot.Since.UTC().Truncate(time.Second)
 		}
-		out = append(out, line)
+		out = append(out, result)
 	}
 	slices.SortStableFunc(out, func(a, b InstanceResult) int {
 		if a.Answered != b.Answered {
--- a/router/internal/report/status.go
+++ b/router/internal/report/status.go
@@ -58,8 +58,8 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, note := range statusWarnings(statuses) {
-		if _, err := fmt.Fprintln(w, note); err != nil {
+	for _, warning := range statusWarnings(statuses) {
+		if _, err := fmt.Fprintln(w, warning); err != nil {
 			return err
 		}
 	}
--- a/router/internal/settings/check.go
+++ b/router/internal/settings/check.go
@@ -21,9 +21,9 @@
 	for _, key := range strings.Split(pattern, ".") {
 		name, everyElement := strings.CutSuffix(key, "[]")
 		var next []settingValue
-		for _, p := range values {
-			index := fieldsByKey(p.value.Type())[name]
-			child := settingValue{joinPath(p.path, name), p.value.Field(index)}
+		for _, parent := range values {
+			index := fieldsByKey(parent.value.Type())[name]
+			child := settingValue{joinPath(parent.path, name), parent.value.Field(index)}
 			if !everyElement {
 				next = append(next, child)
 				continue
@@ -41,12 +41,12 @@
 func (d *decoder) checkRanges(s *Settings) {
 	root := reflect.ValueOf(s).Elem()
 	for _, f := range Fields() {
-		for _, p := range valuesAt(root, f.Path) {
-			if d.hasFault(p.path) {
+		for _, setting := range valuesAt(root, f.Path) {
+			if d.hasFault(setting.path) {
 				continue
 			}
-			if message := f.Rule.check(p.value); message != "" {
-				d.faults.add(d.offsetOf(p.path), p.path, "%s", message)
+			if message := f.Rule.check(setting.value); message != "" {
+				d.faults.add(d.offsetOf(setting.path), setting.path, "%s", message)
 			}
 		}
 	}
