--- a/router/internal/cli/manifestcmd/manifestcmd_test.go
+++ b/router/internal/cli/manifestcmd/manifestcmd_test.go
@@ -13,7 +13,7 @@
 	"masticplank.example/router/internal/manifest"
 )
 
-func TestStatuses(t *testing.T) {
+func TestOutputAndExitStatuses(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestGetNextFollowsTheOneInForce(t *testing.T) {
+func TestGetNextPrintsADraftOfTheNextManifest(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(manifestResponse{Digest: "d7", Manifest: manifest.Manifest{Generation: 7, Parent: "d6", Publication: "p"}})
 	}))
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -36,9 +36,9 @@
 	return s
 }
 
-// TestWindowsForgetWhatIsOlder guards against counts and histograms that stay in a
+// TestWindowsDropOlderCounts guards against counts and histograms that stay in a
 // window after its span, also when a slot or a span of the ring is used again.
-func TestWindowsForgetWhatIsOlder(t *testing.T) {
+func TestWindowsDropOlderCounts(t *testing.T) {
 	c := &clock{begin}
 	r := NewRecorder(c.now)
 	r.Record(served("ecoles", "m@1", time.Second))
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestSlowIsJudgedByTheObjectiveOfItsTime guards against a new objective that changes
+// TestSlowAnswersAreCountedByTheObjectiveInForce guards against a new objective that changes
 // which earlier answers count as slow.
-func TestSlowIsJudgedByTheObjectiveOfItsTime(t *testing.T) {
+func TestSlowAnswersAreCountedByTheObjectiveInForce(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	r.Record(served("ecoles", "", time.Second)) // no objective yet
 	r.SetObjectives(1, agencyObjectives)
--- a/router/internal/report/report_test.go
+++ b/router/internal/report/report_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestJudge checks alertState: both windows of a pair have to reach the rate, a large
+// TestAlertState checks alertState: both windows of a pair have to reach the rate, a large
 // budget has fixed fractions instead, and cost raises tickets only.
-func TestJudge(t *testing.T) {
+func TestAlertState(t *testing.T) {
 	rates := func(r5m, r1h, r30m, r6h float64) map[string]float64 {
 		return map[string]float64{"5m": r5m, "1h": r1h, "30m": r30m, "6h": r6h}
 	}
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestNewestObjectivesCount guards against objectives of an older manifest, from an
+// TestReportUsesTheNewestObjectives guards against objectives of an older manifest, from an
 // instance that is behind, in the report. The order of the sources must not matter.
-func TestNewestObjectivesCount(t *testing.T) {
+func TestReportUsesTheNewestObjectives(t *testing.T) {
 	old := Snapshot{Instance: "a", Generation: 1, Objectives: agencyObjectives[1:]}
 	newer := Snapshot{Instance: "b", Generation: 2, Objectives: agencyObjectives[:1]}
 	for _, sources := range [][]Source{{{Snapshot: old}, {Snapshot: newer}}, {{Snapshot: newer}, {Snapshot: old}}} {
