--- a/router/cmd/masticplankd/main.go
+++ b/router/cmd/masticplankd/main.go
@@ -63,8 +63,8 @@
 	return daemon.Run(cfg, os.Stderr)
 }
 
-// runOnPlatform runs an instance with the adapter of the users' platform; path is the
-// settings file that the environment names.
+// runOnPlatform runs an instance that serves pass-through routes, with the adapter of
+// package platform. path is the settings file that the environment names.
 func runOnPlatform(path, metrics string) error {
 	// A SIGHUP reloads the settings once the application is built. One that comes earlier
 	// must not end the process, which is its default action.
--- a/router/internal/admin/admin.go
+++ b/router/internal/admin/admin.go
@@ -25,7 +25,7 @@
 // maxManifestBytes bounds the body of a request that publishes a manifest.
 const maxManifestBytes = 4 << 20
 
-// Readiness says why the instance is not ready; the empty string if it is ready.
+// Readiness states why the instance is not ready; the reason is empty if it is ready.
 type Readiness interface{ NotReadyReason() string }
 
 // Deps are the sources of what the handler shows.
@@ -88,7 +88,7 @@
 
 func (s *server) burn(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Burn()) }
 
-// manifestAnswer is the body of GET /manifest.
+// manifestResponse is the body of GET /manifest.
 type manifestResponse struct {
 	Digest   string            `json:"digest"`
 	Manifest manifest.Manifest `json:"manifest"`
@@ -130,7 +130,7 @@
 	})
 }
 
-// PublishAnswer is the body of POST /manifest.
+// PublishResponse is the body of POST /manifest.
 type PublishResponse struct {
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
@@ -138,10 +138,10 @@
 	publish.Result
 }
 
-// Accepted says whether the manifest is in the log.
+// Accepted reports whether the manifest is in the log.
 func (r PublishResponse) Accepted() bool { return r.Outcome == string(outcome.Completed) }
 
-// isOperator says whether the request has an operator's key. It compares the key's
+// isOperator reports whether the request has an operator's key. It compares the key's
 // hash with every known one, each in constant time.
 func (s *server) isOperator(r *http.Request) bool {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
--- a/router/internal/adminclient/client.go
+++ b/router/internal/adminclient/client.go
@@ -45,15 +45,15 @@
 // Base is the instance's base URL.
 func (c *Client) Base() string { return c.base }
 
-// Get requests path and decodes the JSON body into out. It returns an error for a
-// status of 400 or above too.
+// Get requests path and decodes the JSON body into out. A status of 400 or above is
+// an error too.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
 	_, err := c.do(ctx, http.MethodGet, path, nil, out)
 	return err
 }
 
 // Publish sends a manifest. A response with an outcome is returned whatever its
-// status; an error means that there was none.
+// status; an error means that no response with an outcome was received.
 func (c *Client) Publish(ctx context.Context, m manifest.Manifest, rebase bool) (admin.PublishResponse, error) {
 	body, err := manifest.Encode(m)
 	if err != nil {
@@ -89,7 +89,7 @@
 		return resp.StatusCode, trace.ConnectionProblem(err, "the connection to %s broke before the end of its answer", c.base)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return resp.StatusCode, trace.BadParameter("%s answered %s: %s", c.base, resp.Status, strings.TrimSpace(string(data)))
+		return resp.StatusCode, trace.BadParameter("%s answered %s with a body that cannot be decoded: %s", c.base, resp.Status, strings.TrimSpace(string(data)))
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		return resp.StatusCode, trace.Errorf("%s answered %s", c.base, resp.Status)
--- a/router/internal/cli/democmd/democmd.go
+++ b/router/internal/cli/democmd/democmd.go
@@ -14,7 +14,7 @@
 	"masticplank.example/router/internal/demo"
 )
 
-// Bounds of the flags.
+// Defaults and bounds of the flags.
 const (
 	defaultRequests = 500
 	maxRequests     = 1_000_000
@@ -64,8 +64,8 @@
 	return cmd
 }
 
-// newProgress returns the function to call for each request that has ended. It
-// advances a progress bar where w is a terminal; it is nil elsewhere.
+// newProgress returns the function to call for each request that has ended, which
+// advances a progress bar on w. It is nil if w is not a terminal.
 func newProgress(total int, w io.Writer) func() {
 	f, ok := w.(*os.File)
 	if !ok || !isatty.IsTerminal(f.Fd()) {
--- a/router/internal/cli/exit.go
+++ b/router/internal/cli/exit.go
@@ -11,8 +11,7 @@
 const (
 	// StatusOK: the command succeeded.
 	StatusOK = 0
-	// StatusFailed: the command failed, or a check of what the system promises
-	// did.
+	// StatusFailed: the command failed, or the system did not do what it promises.
 	StatusFailed = 1
 	// StatusInvalid: the input (a file, a flag) is invalid.
 	StatusInvalid = 2
@@ -43,8 +42,8 @@
 	return WithStatus(status, fmt.Errorf(format, args...))
 }
 
-// ExitStatus is the exit status for the error that a command returned: that of a
-// StatusError in its chain, StatusFailed for any other error.
+// ExitStatus returns the exit status for the error that a command returned: StatusOK
+// for nil, that of a StatusError in its chain, StatusFailed for any other error.
 func ExitStatus(err error) int {
 	var statusErr *StatusError
 	switch {
--- a/router/internal/cli/gather.go
+++ b/router/internal/cli/gather.go
@@ -7,8 +7,8 @@
 	"masticplank.example/router/internal/adminclient"
 )
 
-// Response is what one instance's admin listener returned. Value is set only
-// where Err is nil.
+// Response is what one instance's admin listener returned. Value is valid if Err is
+// nil.
 type Response[T any] struct {
 	Address string
 	Value   T
@@ -30,9 +30,9 @@
 	return responses
 }
 
-// UnansweredError is the error that a command returns where unanswered of total
-// instances did not answer; nil where all answered. Its exit status is
-// StatusFailed if none answered, StatusPartial otherwise.
+// UnansweredError returns the error of a command if some of the total instances did
+// not answer; nil if all answered. Its exit status is StatusFailed if none answered,
+// StatusPartial otherwise.
 func UnansweredError(unanswered, total int) error {
 	switch {
 	case unanswered == 0:
--- a/router/internal/cli/manifestcmd/get.go
+++ b/router/internal/cli/manifestcmd/get.go
@@ -12,7 +12,7 @@
 	"masticplank.example/router/internal/manifest"
 )
 
-// inForceAnswer is the body of GET /manifest.
+// manifestResponse is the body of GET /manifest.
 type manifestResponse struct {
 	Digest   string            `json:"digest"`
 	Manifest manifest.Manifest `json:"manifest"`
--- a/router/internal/cli/manifestcmd/manifestcmd_test.go
+++ b/router/internal/cli/manifestcmd/manifestcmd_test.go
@@ -13,6 +13,8 @@
 	"masticplank.example/router/internal/manifest"
 )
 
+// TestOutputAndExitStatuses guards against exit statuses that do not tell invalid input
+// from a failure, on which deployment pipelines act, and against lost output.
 func TestOutputAndExitStatuses(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -26,19 +28,21 @@
 	bad := write("bad.json", `{"generation":1,"publication":"","teams":[{"id":"a"}],"versions":[]}`)
 	junk := write("junk.json", `{"teams":1}`)
 	clitest.Run(t, New, []clitest.Case{
-		{Name: "good", Args: []string{"check", good}},
+		{Name: "valid", Args: []string{"check", good}},
 		{Name: "faults", Args: []string{"check", bad}, Status: cli.StatusInvalid, Want: []string{"publication:", "teams[0].weight:"}},
 		{Name: "faults as JSON", Args: []string{"check", "-o", "json", bad}, Status: cli.StatusInvalid, Want: []string{`"path": "publication"`}},
-		{Name: "junk", Args: []string{"check", junk}, Status: cli.StatusInvalid},
-		{Name: "no file", Args: []string{"check", filepath.Join(dir, "none.json")}, Status: cli.StatusFailed},
-		{Name: "format", Args: []string{"check", "-o", "xml", good}, Status: cli.StatusInvalid},
+		{Name: "value of a wrong type", Args: []string{"check", junk}, Status: cli.StatusInvalid},
+		{Name: "missing file", Args: []string{"check", filepath.Join(dir, "none.json")}, Status: cli.StatusFailed},
+		{Name: "unknown output format", Args: []string{"check", "-o", "xml", good}, Status: cli.StatusInvalid},
 		{Name: "no difference", Args: []string{"diff", good, good}},
-		{Name: "key", Args: []string{"hash-key"}, Stdin: "loom\n", Want: []string{manifest.HashKey("loom")}},
-		{Name: "no key", Args: []string{"hash-key"}, Status: cli.StatusInvalid},
-		{Name: "no instance", Args: []string{"get", "--instances", "127.0.0.1:1"}, Status: cli.StatusFailed},
+		{Name: "hash of a key", Args: []string{"hash-key"}, Stdin: "loom\n", Want: []string{manifest.HashKey("loom")}},
+		{Name: "no key on standard input", Args: []string{"hash-key"}, Status: cli.StatusInvalid},
+		{Name: "no instance answers", Args: []string{"get", "--instances", "127.0.0.1:1"}, Status: cli.StatusFailed},
 	})
 }
 
+// TestGetNextPrintsADraftOfTheNextManifest guards against a draft that does not follow
+// the manifest in force, or that reuses its publication id.
 func TestGetNextPrintsADraftOfTheNextManifest(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(manifestResponse{Digest: "d7", Manifest: manifest.Manifest{Generation: 7, Parent: "d6", Publication: "p"}})
--- a/router/internal/cli/manifestcmd/publish.go
+++ b/router/internal/cli/manifestcmd/publish.go
@@ -63,8 +63,8 @@
 	return cmd
 }
 
-// statusConflict is the exit status for a publication that conflicts with
-// another one, whose generation is in force.
+// statusConflict is the exit status if another publication came first, so that its
+// generation is in force.
 const statusConflict = 4
 
 func (f publishFlags) publish(cmd *cobra.Command, m manifest.Manifest) error {
@@ -104,7 +104,7 @@
 	case r.Accepted():
 		return nil
 	case r.Outcome == "conflict":
-		return cli.StatusErrorf(statusConflict, "conflict: generation %d is in force; generate the manifest again over it", r.Generation)
+		return cli.StatusErrorf(statusConflict, "conflict: generation %d is in force; generate the manifest again from it", r.Generation)
 	case len(r.Faults) > 0:
 		return cli.StatusErrorf(cli.StatusInvalid, "%w", r.Faults)
 	default:
@@ -139,6 +139,8 @@
 	Generation uint64 `json:"generation"`
 }
 
+// instancesBehind returns the instances that have an older generation in force or did
+// not answer.
 func instancesBehind(ctx context.Context, instances []string, generation uint64) []string {
 	var out []string
 	for _, response := range cli.GetAll[generationStatus](ctx, instances, "/status") {
--- a/router/internal/cli/reportcmd/reportcmd_test.go
+++ b/router/internal/cli/reportcmd/reportcmd_test.go
@@ -46,17 +46,19 @@
 	return srv.URL
 }
 
+// TestBurn guards against a report that hides an instance without an answer, in its
+// text or in its exit status.
 func TestBurn(t *testing.T) {
 	a, b, gone := instance(t, "entry-1"), instance(t, "entry-2"), unreachableURL()
 	clitest.Run(t, func() *cobra.Command { return newBurn(func() time.Time { return at }) }, []clitest.Case{
 		{Name: "text", Args: []string{"--instances", a + "," + b}, Status: cli.StatusOK, Want: []string{"2 of 2 instances", "entry-1", "ecoles", "100.0%"}},
-		{Name: "one silent", Args: []string{"--instances", a + "," + gone}, Status: cli.StatusPartial, Want: []string{"1 of 2 instances", "NO ANSWER  " + gone, "entry-1"}},
-		{Name: "all silent", Args: []string{"--instances", gone}, Status: cli.StatusFailed, Want: []string{"0 of 1 instances", gone}},
+		{Name: "one instance does not answer", Args: []string{"--instances", a + "," + gone}, Status: cli.StatusPartial, Want: []string{"1 of 2 instances", "NO ANSWER  " + gone, "entry-1"}},
+		{Name: "no instance answers", Args: []string{"--instances", gone}, Status: cli.StatusFailed, Want: []string{"0 of 1 instances", gone}},
 		{Name: "json", Args: []string{"--instances", a, "-o", "json"}, Status: cli.StatusOK, Want: []string{`"at": "2026-09-01T08:00:00Z"`, `"answered": true`}},
 		{Name: "html", Args: []string{"--instances", a + "," + gone, "-o", "html"}, Status: cli.StatusPartial, Want: []string{"<svg", "No answer from " + gone}},
-		{Name: "format", Args: []string{"--instances", a, "-o", "xml"}, Status: cli.StatusInvalid, Want: nil},
+		{Name: "unknown output format", Args: []string{"--instances", a, "-o", "xml"}, Status: cli.StatusInvalid, Want: nil},
 	})
 	if New().Commands()[0].Name() != "burn" {
-		t.Error("report has no burn")
+		t.Error("the command report has no subcommand burn")
 	}
 }
--- a/router/internal/cli/settingscmd/settingscmd_test.go
+++ b/router/internal/cli/settingscmd/settingscmd_test.go
@@ -21,6 +21,9 @@
 	return out.String(), err
 }
 
+// TestCheck guards against faults that are not printed with their position, against exit
+// statuses that do not tell invalid settings from a file that cannot be read, and
+// against an example that is not printed.
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
 	good, bad := filepath.Join(dir, "good.jsonc"), filepath.Join(dir, "bad.jsonc")
@@ -43,10 +46,10 @@
 		{"faults", []string{"check", good, bad}, cli.StatusInvalid, bad + ":1:2: x: unknown key"},
 		{"all faults", []string{"check", bad}, cli.StatusInvalid, bad + ":1:20: domain: want a string"},
 		{"json", []string{"check", "-o", "json", bad}, cli.StatusInvalid, `"column": 20`},
-		{"missing", []string{"check", filepath.Join(dir, "none")}, cli.StatusFailed, "none"},
-		{"format", []string{"check", "-o", "yaml", good}, cli.StatusInvalid, "text, json"},
+		{"missing file", []string{"check", filepath.Join(dir, "none")}, cli.StatusFailed, "none"},
+		{"unknown output format", []string{"check", "-o", "yaml", good}, cli.StatusInvalid, "text, json"},
 		{"example", []string{"example", "coop"}, cli.StatusOK, "salle-rimouski"},
-		{"no example", []string{"example", "x"}, cli.StatusInvalid, "coop"},
+		{"unknown example", []string{"example", "x"}, cli.StatusInvalid, "coop"},
 	} {
 		out, err := run(c.args...)
 		if err != nil {
--- a/router/internal/cli/soakcmd/soakcmd.go
+++ b/router/internal/cli/soakcmd/soakcmd.go
@@ -58,7 +58,7 @@
 	return cmd
 }
 
-// siblingProgram is the path of masticplankd in this program's directory.
+// siblingProgram returns the path of masticplankd in this program's directory.
 func siblingProgram() string {
 	self, err := os.Executable()
 	if err != nil {
--- a/router/internal/cli/standincmd/standincmd_test.go
+++ b/router/internal/cli/standincmd/standincmd_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// Each stand-in prints its address as the first line, serves /faults, and
-// returns without an error when its context ends.
+// TestEachStandinServesAndStops guards against a stand-in that does not print its
+// address as the first line, does not serve /faults, or returns an error when its
+// context ends.
 func TestEachStandinServesAndStops(t *testing.T) {
 	for _, name := range []string{"log", "instances", "engine", "service", "rating"} {
 		t.Run(name, func(t *testing.T) {
@@ -36,7 +37,7 @@
 			}
 			resp.Body.Close()
 			if resp.StatusCode != http.StatusOK {
-				t.Errorf("status %d", resp.StatusCode)
+				t.Errorf("GET /faults: status %d", resp.StatusCode)
 			}
 			cancel()
 			if err := <-done; err != nil {
@@ -46,6 +47,8 @@
 	}
 }
 
+// TestBadFlagsAreRefused guards against a stand-in that ignores a wrong flag or argument
+// and starts nevertheless.
 func TestBadFlagsAreRefused(t *testing.T) {
 	for _, args := range [][]string{
 		{"engine", "--version", "small"},
--- a/router/internal/cli/statuscmd/statuscmd_test.go
+++ b/router/internal/cli/statuscmd/statuscmd_test.go
@@ -11,6 +11,8 @@
 	"masticplank.example/router/internal/report"
 )
 
+// TestStatus guards against a table that hides an instance without an answer, and
+// against an exit status that does not say that there was one.
 func TestStatus(t *testing.T) {
 	live := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Path != "/status" {
@@ -24,9 +26,9 @@
 	gone.Close()
 	clitest.Run(t, New, []clitest.Case{
 		{Name: "text", Args: []string{"--instances", live.URL}, Status: cli.StatusOK, Want: []string{"entry-1", "fresh"}},
-		{Name: "one silent", Args: []string{"--instances", live.URL + "," + gone.URL}, Status: cli.StatusPartial, Want: []string{"entry-1", "NO ANSWER", gone.URL}},
+		{Name: "one instance does not answer", Args: []string{"--instances", live.URL + "," + gone.URL}, Status: cli.StatusPartial, Want: []string{"entry-1", "NO ANSWER", gone.URL}},
 		{Name: "json", Args: []string{"--instances", live.URL, "-o", "json"}, Status: cli.StatusOK, Want: []string{`"generation": 9`}},
-		{Name: "all silent", Args: []string{"--instances", gone.URL}, Status: cli.StatusFailed, Want: []string{gone.URL}},
-		{Name: "format", Args: []string{"--instances", live.URL, "-o", "html"}, Status: cli.StatusInvalid, Want: nil},
+		{Name: "no instance answers", Args: []string{"--instances", gone.URL}, Status: cli.StatusFailed, Want: []string{gone.URL}},
+		{Name: "unknown output format", Args: []string{"--instances", live.URL, "-o", "html"}, Status: cli.StatusInvalid, Want: nil},
 	})
 }
--- a/router/internal/daemon/daemon.go
+++ b/router/internal/daemon/daemon.go
@@ -52,8 +52,9 @@
 	return app, addrs
 }
 
-// options is the whole graph of dependencies. The invoked functions are in the order
-// of starting; the stop hooks run in reverse, so that the drain comes first.
+// options returns the constructors of an instance's parts and the functions that start
+// them. The parts start in the order of the invoked functions; the stop hooks run in
+// reverse, so that the drain comes first.
 func options(cfg settings.Settings, addrs *Addresses, log io.Writer) fx.Option {
 	return fx.Options(
 		fx.NopLogger,
@@ -75,7 +76,7 @@
 	)
 }
 
-// stopTimeout leaves time for the whole shutdown; fx's default of 15 s would cut
+// stopTimeout returns the time for the whole shutdown; fx's default of 15 s would cut
 // streams off.
 func stopTimeout(cfg settings.Settings) time.Duration {
 	return ms(cfg.Shutdown.GraceMS) + ms(cfg.Shutdown.DrainMS) + stopMargin
--- a/router/internal/daemon/daemon_test.go
+++ b/router/internal/daemon/daemon_test.go
@@ -9,8 +9,8 @@
 	"masticplank.example/router/internal/settings"
 )
 
-// TestGraphIsComplete finds a dependency that nothing provides. Without it, the
-// instance would fail only at its start.
+// TestGraphIsComplete guards against a dependency that no constructor provides, with
+// which every instance would fail at its start.
 func TestGraphIsComplete(t *testing.T) {
 	if err := fx.ValidateApp(options(settings.Default(), &Addresses{}, io.Discard)); err != nil {
 		t.Error(err)
--- a/router/internal/daemon/decision.go
+++ b/router/internal/daemon/decision.go
@@ -54,9 +54,9 @@
 
 func startDriver(lc fx.Lifecycle, d *driver.Driver) { runInBackground(lc, d.Run) }
 
-// fleetLink passes the decision's verdicts, ejections, leaving servers and
-// quarantines on to the other instances, and logs them. It keeps the bad versions
-// and the ejected servers for /status.
+// fleetLink is the driver's FleetSink. It passes verdicts, leaving servers and
+// quarantines on to the other instances, and logs verdicts, ejections and quarantines.
+// It keeps the bad versions and the ejected servers for /status.
 type fleetLink struct {
 	log    *logging.Logger
 	report *report.Recorder
@@ -74,8 +74,9 @@
 	return &fleetLink{log: log, report: r, badVersions: map[string]bool{}, ejectedServers: map[string]bool{}}
 }
 
-// setLinks sets the store and the peers to send through. They come later than the
-// fleetLink: the decision needs the fleetLink, and the peers need the decision.
+// setLinks sets the store and the peers to send through. They are not parameters of
+// newFleetLink because they are created later: the driver needs the fleetLink, and the
+// peers need the driver.
 func (f *fleetLink) setLinks(store node.Store, peers *peer.Node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -182,8 +183,8 @@
 	store.Put(ctx, rec)
 }
 
-// parseQuarantine reads a quarantine from the log. It returns false for a malformed
-// key and for a record that did not take effect.
+// parseQuarantine reads a quarantine from a change in the log. It returns false for a
+// malformed key and for a record that did not take effect.
 func parseQuarantine(c fold.Change) (decision.RequestQuarantined, bool) {
 	_, digits, _ := strings.Cut(string(c.Register.Key), "/")
 	n, err := strconv.ParseUint(digits, 16, 64)
--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -74,7 +74,7 @@
 		var err error
 		ln, err = net.Listen("tcp", p.Settings.Listen.Peer)
 		if err != nil {
-			return trace.Wrap(err, "peer listener")
+			return trace.Wrap(err, "opening the peer listener")
 		}
 		addrs.Peer = ln.Addr().String()
 		p.Log.Emit(ctx, logging.EventListening, slog.String("listener", "peer"), slog.String("addr", addrs.Peer))
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -26,12 +26,14 @@
 	"masticplank.example/router/internal/upstream"
 )
 
-// freshnessCheckInterval is how often the freshness mode is checked between reads of
-// the log, so that the decision learns of a lapse soon after it happened.
+// freshnessCheckInterval is the time between two checks of the freshness mode, which
+// is also checked at each read of the log. It is short, so that the decision learns of
+// a lapse soon after it happened.
 const freshnessCheckInterval = 100 * time.Millisecond
 
-// pollsPerBound is how many long polls fit into the freshness bound. A poll confirms
-// the state as of its start, and one or two may fail without a lapse.
+// pollsPerBound is the freshness bound divided by the longest wait of a long poll of
+// the log. A poll confirms the state as of its start; with 5 polls in a bound, one or
+// two may fail without a lapse of freshness.
 const pollsPerBound = 5
 
 func newLogger(w io.Writer, cfg settings.Settings) *logging.Logger {
@@ -61,8 +63,10 @@
 	return gate.New(tracker, time.Now)
 }
 
-// newNode returns the reader and writer of the log. Only this function knows how
-// the parts of the coordination library are connected in an instance.
+// newNode returns the reader and writer of the log. It is the only place that knows how
+// the parts of the coordination library are connected in an instance: the gate observes
+// the reads, and the directory gives the number of instances that share the append
+// budget.
 func newNode(cfg settings.Settings, log platformlog.Log, g *gate.Gate, dir *directory.Directory) (*node.Node, error) {
 	n, err := node.New(log,
 		node.Config{
@@ -97,8 +101,8 @@
 	return w
 }
 
-// billLinger is the interval of group commit of bills. It is long enough to keep the
-// appends of all live instances together within the budget.
+// billLinger returns the interval of group commit of bills. It is long enough to keep
+// the appends of all live instances together within the budget.
 func billLinger(cfg settings.Settings, liveInstances int) time.Duration {
 	share := time.Duration(liveInstances) * time.Second / time.Duration(cfg.Platform.AppendBudget)
 	return max(ms(cfg.Platform.LingerMS), share)
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -74,7 +74,7 @@
 	freshness.ModeOutage: "outage",
 }
 
-// report is the body of /status.
+// report returns the body of /status.
 func (s *status) report() report.StatusReport {
 	nodeStatus := s.params.Node.Status()
 	badVersions, ejectedServers := s.params.Fleet.badAndEjected()
@@ -94,7 +94,7 @@
 	}
 }
 
-// burn is the body of /burn. If the histograms cannot be encoded, which would be a
+// burn returns the body of /burn. If the histograms cannot be encoded, which would be a
 // violated invariant, it has no teams, so that the report lists this instance
 // without counts.
 func (s *status) burn() report.Snapshot {
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -31,8 +31,9 @@
 )
 
 const (
-	// maxDeadline bounds the deadline that a caller may set: a request that holds
-	// a slot for longer would outlast any drain.
+	// maxDeadline bounds the time to the deadline that a caller may set. A request
+	// may hold its slot until its deadline, and one that held it for longer would
+	// outlast any drain, unless shutdown.drain_ms is set above 10 minutes.
 	maxDeadline = 10 * time.Minute
 	// drainPollInterval is how often a drain checks whether all requests have ended.
 	drainPollInterval = 10 * time.Millisecond
@@ -128,7 +129,7 @@
 		OnStart: func(ctx context.Context) error {
 			l, err := net.Listen("tcp", addr)
 			if err != nil {
-				return trace.Wrap(err, "%s listener", name)
+				return trace.Wrap(err, "opening the %s listener", name)
 			}
 			*boundAddr = l.Addr().String()
 			log.Emit(ctx, logging.EventListening, slog.String("listener", name), slog.String("addr", *boundAddr))
@@ -141,11 +142,11 @@
 
 func serve(srv *http.Server, l net.Listener, name string, log *logging.Logger) {
 	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		log.Emit(context.Background(), logging.EventNotReady, slog.String("reason", name+" listener closed"), logging.Err(err))
+		log.Emit(context.Background(), logging.EventNotReady, slog.String("reason", name+" listener failed"), logging.Err(err))
 	}
 }
 
-// drain is the graceful shutdown: readiness fails first, the balancer gets a grace
+// drain does the graceful shutdown: readiness fails first, the balancer gets a grace
 // period to stop sending, then the requests in progress finish, streams too.
 type drain struct {
 	cfg       settings.Settings
--- a/router/internal/logging/async.go
+++ b/router/internal/logging/async.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// asyncBufferBytes bounds the lines that wait to be written: two seconds of the
-	// busiest instance.
+	// asyncBufferBytes bounds the lines that wait to be written. The busiest instance
+	// logs that much in two seconds.
 	asyncBufferBytes = 1 << 20
-	// asyncFlushInterval is the time between two writes. One system call writes all
-	// lines of an interval: a call for each line cost more than producing the lines.
+	// asyncFlushInterval is the time from the first buffered line to the write of the
+	// buffer. One system call writes all lines of an interval: a call for each line
+	// costs more than producing the lines.
 	asyncFlushInterval = 250 * time.Millisecond
 )
 
--- a/router/internal/logging/event.go
+++ b/router/internal/logging/event.go
@@ -13,7 +13,7 @@
 type Event struct {
 	// ID is the number that operators search for.
 	ID int
-	// Name is short and never changes, in snake case.
+	// Name is short, in snake case, and never changes.
 	Name string
 	// Level at which the event is logged.
 	Level slog.Level
--- a/router/internal/logging/logger.go
+++ b/router/internal/logging/logger.go
@@ -26,7 +26,8 @@
 	slog *slog.Logger
 }
 
-// New returns a Logger that writes to w in the format and from the level of cfg.
+// New returns a Logger that writes events to w in the format of cfg, if they have at
+// least the level of cfg.
 func New(w io.Writer, cfg settings.Log) *Logger {
 	opts := &slog.HandlerOptions{Level: level(cfg.Level)}
 	if cfg.Format == settings.FormatText {
--- a/router/internal/procstat/procstat.go
+++ b/router/internal/procstat/procstat.go
@@ -21,7 +21,7 @@
 	fieldSystem = 12
 )
 
-// ResidentMB is the resident memory of a process in MiB.
+// ResidentMB returns the resident memory of a process in MiB.
 func ResidentMB(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -36,7 +36,7 @@
 	return 0, trace.NotFound("no VmRSS of process %d", pid)
 }
 
-// CPUTime is the user and system time that a process has used.
+// CPUTime returns the user and system time that a process has used.
 func CPUTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/router/internal/report/burn.go
+++ b/router/internal/report/burn.go
@@ -40,21 +40,22 @@
 	StateNoObjective State = "no objective"
 )
 
-// A state is raised where both windows of a pair reach its burn rate. A burn rate
-// of 1 uses up exactly the budget. The rates are the customary ones for a budget
+// A state is raised if both windows of a pair reach its burn rate. A burn rate of 1
+// uses up exactly the budget. The rates are the customary ones for a budget
 // of 30 days: 14.4 over an hour uses 2% of it, 6 over six hours uses 5%.
 const (
 	pageBurn   = 14.4
 	ticketBurn = 6.0
-	// A fraction of pageFraction or ticketFraction of all requests raises the
-	// state whatever the budget: with a large budget, the rates above cannot be
-	// reached.
+	// pageFraction and ticketFraction are fractions of all requests. The state is also
+	// raised if at least this fraction uses up budget (is unavailable, slow or exposed)
+	// in both windows: with a large budget, the rates above cannot be reached.
 	pageFraction   = 0.5
 	ticketFraction = 0.25
 	// maxBurn bounds a burn rate, to keep the scale of a plot readable.
 	maxBurn = 1e4
-	// costTicketBurn is the rate for cost, whose budget is a mean and not a small
-	// fraction of the requests: any lasting excess raises a ticket.
+	// costTicketBurn is the burn rate above which cost raises a ticket. The budget of
+	// cost is a mean and not a small fraction of the requests, so any lasting excess
+	// raises one.
 	costTicketBurn = 1.0
 	// latencyBudget is the fraction of the answers that may be over a latency
 	// objective, which is an objective for the 95th percentile.
@@ -68,14 +69,14 @@
 	Objective float64 `json:"objective"`
 	// Unit of Objective and Measured: "part of 1", "ms" or "cost/request".
 	Unit string `json:"unit"`
-	// Measured is for availability and bad versions the fraction over 6 h, for
-	// latencies the 95th percentile over the last hour, for cost the mean over
-	// 6 h.
+	// Measured is for availability the fraction of requests served, for bad versions
+	// the fraction exposed to them, for cost the mean, each over the last 6 h; for
+	// latencies it is the 95th percentile over the last hour.
 	Measured float64 `json:"measured"`
-	// Events is the number of requests in the 6 h.
+	// Events is the number of requests that the level counts in the last 6 h.
 	Events uint64 `json:"events"`
 	// BudgetLeft is the fraction of the budget for these 6 h that is not used; it
-	// is negative where the budget is exceeded.
+	// is negative if the budget is exceeded.
 	BudgetLeft float64 `json:"budget_left"`
 	// Burn holds the burn rates by the name of the window.
 	Burn  map[string]float64 `json:"burn"`
@@ -162,16 +163,17 @@
 	return out
 }
 
-// budgetUse is how much of a level's budget a span of time used: used out of
-// allowed, over a number of events. With allowed 0 there is no budget.
+// budgetUse is the use of a level's budget in a span of time with a number of events:
+// used out of allowed, both in events or, for cost, in the unit of cost. If allowed is
+// 0, there is no budget.
 type budgetUse struct {
 	used    float64
 	allowed float64
 	events  uint64
 }
 
-// burnRate is the rate at which the budget is used, at most maxBurn; 0 without
-// events.
+// burnRate is the rate at which the budget is used, at most maxBurn; 0 without a budget
+// or events.
 func (u budgetUse) burnRate() float64 {
 	if u.allowed == 0 {
 		return 0
@@ -247,9 +249,10 @@
 	}
 }
 
-// alertState raises a state where both the long and the short window of a pair
-// reach its rate. The long one prevents an alert for a few bad seconds, the short
-// one ends the alert soon after the cause has ended.
+// alertState raises a state if both the long and the short window of a pair reach its
+// rate. The long one prevents an alert for a few bad seconds, the short one ends the
+// alert soon after the cause has ended. budget is the fraction of the events that the
+// level's budget allows.
 func alertState(l Level, budget float64) State {
 	fast := min(l.Burn[Window5m.Name], l.Burn[Window1h.Name])
 	slow := min(l.Burn[Window30m.Name], l.Burn[Window6h.Name])
@@ -277,8 +280,8 @@
 }
 
 // round keeps six decimals, so that reports do not depend on the order in which
-// floats were added. NaN and infinity, which only counts that no instance sends can
-// give, become 0.
+// floats were added. NaN and infinity become 0; they result only from counts that no
+// instance sends.
 func round(f float64) float64 {
 	const scale = 1e6
 	out := math.Round(f*scale) / scale
--- a/router/internal/report/counts.go
+++ b/router/internal/report/counts.go
@@ -76,7 +76,7 @@
 	return exposed, all
 }
 
-// Empty says whether nothing was counted.
+// Empty reports whether nothing was counted.
 func (c Counts) Empty() bool {
 	return c.Served+c.Unavailable+c.FirstTokens+c.InterTokens+c.Billed == 0 && len(c.Versions) == 0
 }
--- a/router/internal/report/latency.go
+++ b/router/internal/report/latency.go
@@ -24,8 +24,11 @@
 	return hdrhistogram.New(1, maxLatencyMS, latencyDigits)
 }
 
-// rollingHistogram keeps the distribution of a duration over the last hour: one live
-// histogram, and those of earlier spans encoded, which takes little memory.
+// rollingHistogram keeps the distribution of a duration over the last hour: the live
+// histogram of the current span, and those of the earlier spans in encoded form, which
+// takes little memory. The span with number n is at index n modulo
+// latencySpanCount of closed; closedNumbers holds the number of the span that is at an
+// index now.
 type rollingHistogram struct {
 	live          *hdrhistogram.Histogram
 	liveNumber    int64
@@ -61,7 +64,8 @@
 	l.liveNumber = n
 }
 
-// encode merges the histograms of the last hour; nil if nothing was counted.
+// encode merges the histograms of the last hour and encodes the result; nil if nothing
+// was counted.
 func (l *rollingHistogram) encode(now time.Time) ([]byte, error) {
 	if l.live == nil {
 		return nil, nil
--- a/router/internal/report/page_test.go
+++ b/router/internal/report/page_test.go
@@ -29,6 +29,8 @@
 	}
 }
 
+// TestPageEscapesNames guards against names from an instance's response that a browser
+// would run as a script.
 func TestPageEscapesNames(t *testing.T) {
 	r := report.Build(report.Begin, []report.Source{
 		{Address: "<script>a", Err: errors.New("<script>b")},
@@ -39,7 +41,7 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(out.String(), "<script>") {
-		t.Error("a name came through unescaped")
+		t.Error("the page contains a name that is not escaped")
 	}
 }
 
--- a/router/internal/report/recorder.go
+++ b/router/internal/report/recorder.go
@@ -29,7 +29,7 @@
 }
 
 // Recorder counts ended requests. It is safe for concurrent use. Its memory is
-// bounded by maxTeams.
+// bounded by maxTeams and maxVersions.
 type Recorder struct {
 	now   func() time.Time
 	since time.Time
@@ -117,8 +117,8 @@
 	}
 }
 
-// metricsOf returns a team's metrics and its objective. API keys have been checked, so teams
-// are those of the manifest; the bound is for a manifest with very many.
+// metricsOf returns a team's metrics and its objective. API keys have been checked, so
+// teams are those of the manifest; the bound is for a manifest with very many.
 func (r *Recorder) metricsOf(team string) (*teamMetrics, manifest.Objective) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,9 +139,9 @@
 const codeCancelled = "cancelled"
 
 // countAvailability counts a request as served or unavailable by what the caller
-// got. A failure that the caller caused (a wrong model, an expired key, a key used
-// before, a cancelled request) says nothing about the system and is not counted; a
-// refusal that asks the caller to retry later (429, 503) is.
+// got. A failure that the caller caused (a wrong model, an Idempotency-Key that is too
+// old or was used before, a cancelled request) says nothing about the system and is not
+// counted; a refusal that asks the caller to retry later (429, 503) is.
 func countAvailability(c *Counts, s Sample) {
 	if s.Outcome == outcome.Completed {
 		c.Served++
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -37,7 +37,8 @@
 }
 
 // TestWindowsDropOlderCounts guards against counts and histograms that stay in a
-// window after its span, also when a slot or a span of the ring is used again.
+// window after its span, also when a slot of the counters or a span of the histograms
+// is used again.
 func TestWindowsDropOlderCounts(t *testing.T) {
 	c := &clock{begin}
 	r := NewRecorder(c.now)
@@ -108,8 +109,8 @@
 	}
 }
 
-// TestSlowAnswersAreCountedByTheObjectiveInForce guards against a new objective that changes
-// which earlier answers count as slow.
+// TestSlowAnswersAreCountedByTheObjectiveInForce guards against a new objective that
+// changes which earlier answers count as slow.
 func TestSlowAnswersAreCountedByTheObjectiveInForce(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	r.Record(served("ecoles", "", time.Second)) // no objective yet
--- a/router/internal/report/report_test.go
+++ b/router/internal/report/report_test.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestAlertState checks alertState: both windows of a pair have to reach the rate, a large
-// budget has fixed fractions instead, and cost raises tickets only.
+// TestAlertState guards against an alert for a failure that is short or has ended, a
+// missed alert under a budget too large for the burn rates to be reached, and a page
+// for cost, which raises tickets only.
 func TestAlertState(t *testing.T) {
 	rates := func(r5m, r1h, r30m, r6h float64) map[string]float64 {
 		return map[string]float64{"5m": r5m, "1h": r1h, "30m": r30m, "6h": r6h}
@@ -71,15 +72,15 @@
 		budget float64
 		want   State
 	}{
-		{"quiet", LevelAvailability, rates(0, 0, 0, 0), 9, 0.001, StateOK},
+		{"no budget used", LevelAvailability, rates(0, 0, 0, 0), 9, 0.001, StateOK},
 		{"no events", LevelAvailability, rates(0, 0, 0, 0), 0, 0, StateNoData},
 		{"fast burn", LevelAvailability, rates(20, 15, 15, 3), 9, 0.001, StatePage},
-		{"fast but over", LevelAvailability, rates(0, 15, 1, 3), 9, 0.001, StateOK},
+		{"fast burn that has ended", LevelAvailability, rates(0, 15, 1, 3), 9, 0.001, StateOK},
 		{"a few bad seconds", LevelAvailability, rates(100, 2, 3, 0.5), 9, 0.001, StateOK},
 		{"slow burn", LevelAvailability, rates(7, 7, 7, 6), 9, 0.001, StateTicket},
-		{"slow but over", LevelAvailability, rates(0, 2, 0, 6), 9, 0.001, StateOK},
-		{"half slow under a wide budget", LevelFirstToken, rates(10, 10, 10, 10), 9, 0.05, StatePage},
-		{"quarter slow under a wide budget", LevelFirstToken, rates(5, 5, 5, 5), 9, 0.05, StateTicket},
+		{"slow burn that has ended", LevelAvailability, rates(0, 2, 0, 6), 9, 0.001, StateOK},
+		{"half of the answers slow under a large budget", LevelFirstToken, rates(10, 10, 10, 10), 9, 0.05, StatePage},
+		{"a quarter of the answers slow under a large budget", LevelFirstToken, rates(5, 5, 5, 5), 9, 0.05, StateTicket},
 		{"cost at the objective", LevelCost, rates(1, 1, 1, 1), 9, 1, StateOK},
 		{"cost over it", LevelCost, rates(1.2, 1.2, 1.2, 1.1), 9, 1, StateTicket},
 		{"cost far over it", LevelCost, rates(50, 50, 50, 50), 9, 1, StateTicket},
--- a/router/internal/report/status.go
+++ b/router/internal/report/status.go
@@ -22,7 +22,7 @@
 	Offset uint64 `json:"offset"`
 	Head   uint64 `json:"head"`
 	Lag    uint64 `json:"lag"`
-	// LogReachable says whether the last read of the log succeeded.
+	// LogReachable is true if the last read of the log succeeded.
 	LogReachable bool `json:"log_reachable"`
 	// HeldBills is the number of bills, own and other instances', that are held
 	// until they can be appended to the log.
--- a/router/internal/settings/check.go
+++ b/router/internal/settings/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// settingValue is the value of one setting and its path in this file, such as
+// settingValue is the value of one setting and its path in the settings file, such as
 // "session.keys[0].id".
 type settingValue struct {
 	path  string
@@ -37,7 +37,7 @@
 	return values
 }
 
-// checkRanges checks every setting without an earlier fault against its rule.
+// checkRanges checks every setting against its rule, except those with a fault already.
 func (d *decoder) checkRanges(s *Settings) {
 	root := reflect.ValueOf(s).Elem()
 	for _, f := range Fields() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// hasFault says whether path, or an object that contains it, has a fault already.
+// hasFault reports whether path, or an object that contains it, has a fault already.
 func (d *decoder) hasFault(path string) bool {
 	for path != "" {
 		if d.faults.faulty[path] {
@@ -63,7 +63,7 @@
 	return false
 }
 
-// offsetOf is the byte offset of a setting; for one that the file leaves out, that
+// offsetOf returns the byte offset of a setting; for one that the file leaves out, that
 // of the innermost object that would contain it.
 func (d *decoder) offsetOf(path string) int {
 	for {
--- a/router/internal/settings/doc_table.go
+++ b/router/internal/settings/doc_table.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// DefaultText is the default of f as JSON; "required" if the file must set it, "none"
-// for a setting within the elements of an array.
+// DefaultText returns the default of f as JSON; "required" if the file must set it,
+// "none" for a setting within the elements of an array.
 func (f Field) DefaultText() string {
 	s := Default()
 	values := valuesAt(reflect.ValueOf(&s).Elem(), f.Path)
@@ -29,7 +29,7 @@
 	return string(text)
 }
 
-// Comment is the comment for f in a documented settings file.
+// Comment returns the comment for f in a documented settings file.
 func (f Field) Comment() string {
 	comment := fmt.Sprintf("%s Default %s; range %s", f.Text, f.DefaultText(), f.Rule.Range())
 	if f.Unit != "" {
--- a/router/internal/settings/doc_test.go
+++ b/router/internal/settings/doc_test.go
@@ -23,6 +23,8 @@
 	}
 }
 
+// TestEverySettingIsInTheTableInOrder guards against a setting that Fields does not
+// document, and whose range is therefore not checked.
 func TestEverySettingIsInTheTableInOrder(t *testing.T) {
 	var got []string
 	for _, f := range Fields() {
@@ -43,6 +45,8 @@
 	}
 }
 
+// TestExamplesAreValidAndDocumented guards against an example that does not load, or
+// whose comments differ from Fields.
 func TestExamplesAreValidAndDocumented(t *testing.T) {
 	for name, domains := range map[string][]string{
 		ExampleCoop:   {"salle-rimouski", "salle-matane", "salle-riviere"},
--- a/router/internal/settings/fault.go
+++ b/router/internal/settings/fault.go
@@ -20,7 +20,7 @@
 	Message string `json:"message"`
 }
 
-// String is "file:line:column: path: message".
+// String returns "file:line:column: path: message".
 func (f Fault) String() string {
 	prefix := fmt.Sprintf("%s:%d:%d: ", f.File, f.Line, f.Column)
 	if f.Path == "" {
@@ -41,8 +41,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// faultList collects faults by byte offset while a file is read. faulty is the set
-// of paths with a fault.
+// faultList collects faults with their byte offsets while a file is read. faulty is
+// the set of paths with a fault.
 type faultList struct {
 	file   string
 	data   []byte
--- a/router/internal/settings/fields.go
+++ b/router/internal/settings/fields.go
@@ -17,7 +17,7 @@
 	// Path names the setting, such as "session.keys[].id"; "[]" stands for any
 	// element of an array.
 	Path string
-	// Unit of the value, empty where it has none.
+	// Unit of the value; empty if it has none.
 	Unit string
 	// Rule checks the value.
 	Rule Rule
--- a/router/internal/settings/load.go
+++ b/router/internal/settings/load.go
@@ -11,7 +11,8 @@
 )
 
 // MaxFileBytes bounds a settings file, so that a wrong path (a device, a dump)
-// gives an error instead of exhausting the instance's memory.
+// gives an error instead of exhausting the instance's memory. The check is of the
+// size that the file system states; a device such as /dev/zero states 0 and passes it.
 const MaxFileBytes = 1 << 20
 
 // Load reads and validates the settings file at path. An error is Faults if the
