--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -74,9 +74,9 @@
 	freshness.ModeOutage: "outage",
 }
 
-// report is the body of /status.
+// report returns the body of /status.
 func (s *status) report() report.StatusReport {
-	log := s.params.Node.Status()
+	nodeStatus := s.params.Node.Status()
 	badVersions, ejectedServers := s.params.Fleet.badAndEjected()
 	return report.StatusReport{
 		Instance:       s.params.Settings.Instance,
@@ -84,17 +84,17 @@
 		Generation:     s.params.Holder.Generation(),
 		Mode:           modeNames[s.params.Gate.Mode()],
 		OpenRequests:   s.params.Driver.OpenRequests(),
-		Offset:         log.NextOffset,
-		Head:           log.Head,
-		Lag:            max(log.Head, log.NextOffset) - log.NextOffset,
-		LogReachable:   log.LogReachable,
+		Offset:         nodeStatus.NextOffset,
+		Head:           nodeStatus.Head,
+		Lag:            max(nodeStatus.Head, nodeStatus.NextOffset) - nodeStatus.NextOffset,
+		LogReachable:   nodeStatus.LogReachable,
 		HeldBills:      s.params.Peers.HeldBills(),
 		BadVersions:    badVersions,
 		EjectedServers: ejectedServers,
 	}
 }
 
-// burn is the body of /burn. If the histograms cannot be encoded, which would be a
+// burn returns the body of /burn. If the histograms cannot be encoded, which would be a
 // violated invariant, it has no teams, so that the report lists this instance
 // without counts.
 func (s *status) burn() report.Snapshot {
--- a/router/internal/report/status.go
+++ b/router/internal/report/status.go
@@ -22,7 +22,7 @@
 	Offset uint64 `json:"offset"`
 	Head   uint64 `json:"head"`
 	Lag    uint64 `json:"lag"`
-	// LogReachable says whether the last read of the log succeeded.
+	// LogReachable is true if the last read of the log succeeded.
 	LogReachable bool `json:"log_reachable"`
 	// HeldBills is the number of bills, own and other instances', that are held
 	// until they can be appended to the log.
@@ -58,8 +58,8 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, note := range statusWarnings(statuses) {
-		if _, err := fmt.Fprintln(w, note); err != nil {
+	for _, warning := range statusWarnings(statuses) {
+		if _, err := fmt.Fprintln(w, warning); err != nil {
 			return err
 		}
 	}
--- a/router/internal/settings/check.go
+++ b/router/internal/settings/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// settingValue is the value of one setting and its path in this file, such as
+// settingValue is the value of one setting and its path in the settings file, such as
 // "session.keys[0].id".
 type settingValue struct {
 	path  string
@@ -21,9 +21,9 @@
 	for _, key := range strings.Split(pattern, ".") {
 		name, everyElement := strings.CutSuffix(key, "[]")
 		var next []settingValue
-		for _, p := range values {
-			index := fieldsByKey(p.value.Type())[name]
-			child := settingValue{joinPath(p.path, name), p.value.Field(index)}
+		for _, parent := range values {
+			index := fieldsByKey(parent.value.Type())[name]
+			child := settingValue{joinPath(parent.path, name), parent.value.Field(index)}
 			if !everyElement {
 				next = append(next, child)
 				continue
@@ -37,22 +37,22 @@
 	return values
 }
 
-// checkRanges checks every setting without an earlier fault against its rule.
+// checkRanges checks every setting against its rule, except those with a fault already.
 func (d *decoder) checkRanges(s *Settings) {
 	root := reflect.ValueOf(s).Elem()
 	for _, f := range Fields() {
-		for _, p := range valuesAt(root, f.Path) {
-			if d.hasFault(p.path) {
+		for _, setting := range valuesAt(root, f.Path) {
+			if d.hasFault(setting.path) {
 				continue
 			}
-			if message := f.Rule.check(p.value); message != "" {
-				d.faults.add(d.offsetOf(p.path), p.path, "%s", message)
+			if message := f.Rule.check(setting.value); message != "" {
+				d.faults.add(d.offsetOf(setting.path), setting.path, "%s", message)
 			}
 		}
 	}
 }
 
-// hasFault says whether path, or an object that contains it, has a fault already.
+// hasFault reports whether path, or an object that contains it, has a fault already.
 func (d *decoder) hasFault(path string) bool {
 	for path != "" {
 		if d.faults.faulty[path] {
@@ -63,7 +63,7 @@
 	return false
 }
 
-// offsetOf is the byte offset of a setting; for one that the file leaves out, that
+// offsetOf returns the byte offset of a setting; for one that the file leaves out, that
 // of the innermost object that would contain it.
 func (d *decoder) offsetOf(path string) int {
 	for {
