--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -56,9 +56,9 @@
 // each promise is broken here once.
 func TestEachBrokenPromiseIsSeen(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(c *checker, r []result)
-		want  []string
+		name   string
+		mutate func(c *checker, r []result)
+		want   []string
 	}{
 		{"sound", func(*checker, []result) {}, nil},
 		{"shortened answer", func(_ *checker, r []result) { r[0].text = r[0].text[:20] }, []string{promiseWhole}},
@@ -90,7 +90,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c, results := validRun()
-			tt.spoil(c, results)
+			tt.mutate(c, results)
 			c.check(results)
 			got := slices.Sorted(maps.Keys(c.violations))
 			if want := slices.Sorted(slices.Values(tt.want)); !slices.Equal(got, want) {
--- a/router/internal/demo/demo.go
+++ b/router/internal/demo/demo.go
@@ -58,12 +58,12 @@
 		cfg.Progress = func() {}
 	}
 	began := time.Now()
-	s, err := newEnvironment(ctx, cfg.Log)
+	env, err := newEnvironment(ctx, cfg.Log)
 	if err != nil {
 		return Report{}, trace.Wrap(err)
 	}
-	defer s.stop()
-	r := &run{cfg: cfg, env: s, violations: map[string][]string{}}
+	defer env.stop()
+	r := &run{cfg: cfg, env: env, violations: map[string][]string{}}
 	if err := r.prepare(ctx); err != nil {
 		return Report{}, trace.Wrap(err)
 	}
@@ -226,7 +226,7 @@
 			want = append(want, one.request.key)
 		}
 	}
-	l, err := awaitBills(ctx, r.env.logURL, want)
+	exported, err := awaitBills(ctx, r.env.logURL, want)
 	if err != nil {
 		return Report{}, err
 	}
@@ -234,12 +234,12 @@
 		faults:      r.cfg.Faults,
 		withdrawnAt: r.withdrawnAt,
 		caller:      r.caller,
-		bills:       l,
+		bills:       exported,
 		runs:        r.env.shop.Stats().Runs,
 		violations:  r.violations,
 	}
 	c.check(results)
-	report := newReport(results, l, c.violations)
+	report := newReport(results, exported, c.violations)
 	report.Requests = r.cfg.Requests
 	report.Faults = r.cfg.Faults
 	report.RolloutMS = float64(r.rolloutTime.Microseconds()) / 1000
--- a/router/internal/demo/ledger.go
+++ b/router/internal/demo/ledger.go
@@ -33,26 +33,26 @@
 func awaitBills(ctx context.Context, logURL string, want []string) (billExport, error) {
 	deadline := time.Now().Add(billTimeout)
 	for {
-		l, err := exportBills(ctx, logURL)
-		if err != nil || l.hasAll(want) || time.Now().After(deadline) {
-			return l, trace.Wrap(err)
+		exported, err := exportBills(ctx, logURL)
+		if err != nil || exported.hasAll(want) || time.Now().After(deadline) {
+			return exported, trace.Wrap(err)
 		}
 		time.Sleep(billPollInterval)
 	}
 }
 
 func exportBills(ctx context.Context, logURL string) (billExport, error) {
-	l := billExport{byRequest: map[string][]bills.Bill{}}
+	exported := billExport{byRequest: map[string][]bills.Bill{}}
 	client := platform.NewLogClient(logURL)
 	sum, err := bills.Export(ctx, client, fold.DefaultConfig(), 0, func(line bills.ExportedBill) error {
-		l.byRequest[line.RequestID] = append(l.byRequest[line.RequestID], line.Bill)
+		exported.byRequest[line.RequestID] = append(exported.byRequest[line.RequestID], line.Bill)
 		return nil
 	})
 	if err == nil && sum.Malformed > 0 {
 		err = trace.Errorf("%d bills in the log cannot be read", sum.Malformed)
 	}
-	l.duplicates = sum.Duplicates
-	return l, err
+	exported.duplicates = sum.Duplicates
+	return exported, err
 }
 
 func (l *billExport) hasAll(want []string) bool {
--- a/router/internal/demo/load.go
+++ b/router/internal/demo/load.go
@@ -28,8 +28,8 @@
 
 // loadMix is the composition of the load, in percent.
 var loadMix = []struct {
-	kind kind
-	part int
+	kind    kind
+	percent int
 }{
 	{kindChat, 34},
 	{kindStream, 26},
@@ -81,7 +81,7 @@
 			r.body = fmt.Sprintf(`{"article":"wool-%d","metres":%d}`, rng.IntN(50), 1+rng.IntN(9))
 		case kindForbidden:
 			r.team = teams[1]
-			r.chat = chatBody(rng, i)
+			r.chat = newChatRequest(rng, i)
 			r.chat.Model = modelLarge
 		default:
 			fillChat(&r, rng)
@@ -94,10 +94,10 @@
 func pickKind(rng *rand.Rand) kind {
 	draw := rng.IntN(100)
 	for _, p := range loadMix {
-		if draw < p.part {
+		if draw < p.percent {
 			return p.kind
 		}
-		draw -= p.part
+		draw -= p.percent
 	}
 	return kindChat
 }
@@ -105,7 +105,7 @@
 // fillChat fills in a chat request. Session requests and a third of the others
 // name a model; the rest leaves the choice to the cascade.
 func fillChat(r *request, rng *rand.Rand) {
-	r.chat = chatBody(rng, r.index)
+	r.chat = newChatRequest(rng, r.index)
 	r.chat.Stream = r.kind == kindStream || rng.IntN(2) == 0 && r.kind == kindSession
 	r.task = []string{"draft", "lookup"}[rng.IntN(2)]
 	r.session = rng.IntN(sessionsPerTeam)
@@ -116,7 +116,7 @@
 
 // chatBody returns a short or long prompt with one of five shared prefixes, so
 // that the engines' prefix caches get hits.
-func chatBody(rng *rand.Rand, index int) wire.ChatRequest {
+func newChatRequest(rng *rand.Rand, index int) wire.ChatRequest {
 	prefix := strings.Repeat(fmt.Sprintf("House rules of pattern book %d. ", rng.IntN(5)), 1+rng.IntN(20))
 	return wire.ChatRequest{
 		Messages: []wire.Message{
--- a/router/internal/demo/report.go
+++ b/router/internal/demo/report.go
@@ -99,14 +99,14 @@
 	return true
 }
 
-func newReport(results []result, l billExport, violations map[string][]string) Report {
+func newReport(results []result, exported billExport, violations map[string][]string) Report {
 	r := Report{Sent: len(results), Outcomes: map[string]int{}}
 	for _, one := range results {
 		r.Outcomes[outcomeName(one)]++
 	}
 	r.Latency = latencyRows(results)
-	r.countBills(results, l)
-	r.countVersions(l)
+	r.countBills(results, exported)
+	r.countVersions(exported)
 	for _, name := range promises {
 		examples := violations[name]
 		r.Promises = append(r.Promises, Promise{
@@ -168,7 +168,7 @@
 	return float64(sorted[max(rank, 0)].Microseconds()) / 1000
 }
 
-func (r *Report) countBills(results []result, l billExport) {
+func (r *Report) countBills(results []result, exported billExport) {
 	completed := map[string]bool{}
 	for _, one := range results {
 		if one.completed() {
@@ -176,9 +176,9 @@
 		}
 	}
 	r.Bills.Completed = len(completed)
-	r.Bills.Void = l.duplicates
+	r.Bills.Void = exported.duplicates
 	for id := range completed {
-		switch n := len(l.byRequest[id]); {
+		switch n := len(exported.byRequest[id]); {
 		case n == 0:
 			r.Bills.Missing++
 		case n > 1:
@@ -187,14 +187,14 @@
 			r.Bills.Billed++
 		}
 	}
-	for id := range l.byRequest {
+	for id := range exported.byRequest {
 		if !completed[id] {
 			r.Bills.Other++
 		}
 	}
 }
 
-func (r *Report) countVersions(l billExport) {
+func (r *Report) countVersions(exported billExport) {
 	prices := map[string]float64{}
 	dearest := 0.0
 	for _, v := range secondManifest().Versions {
@@ -202,7 +202,7 @@
 		dearest = max(dearest, v.Cost)
 	}
 	rows := map[string]*VersionRow{}
-	for _, same := range l.byRequest {
+	for _, same := range exported.byRequest {
 		for _, b := range same {
 			r.addBill(rows, b, dearest)
 		}
--- a/router/internal/e2e/bench_test.go
+++ b/router/internal/e2e/bench_test.go
@@ -146,14 +146,14 @@
 
 // printResult prints one line and returns quantiles of the times selected by
 // pick.
-func printResult(b *testing.B, ph loadgen.Result, name string, pick func(loadgen.Sample) time.Duration) (p50, p99 time.Duration) {
+func printResult(b *testing.B, result loadgen.Result, name string, pick func(loadgen.Sample) time.Duration) (p50, p99 time.Duration) {
 	b.Helper()
-	if len(ph.Samples) == 0 {
-		b.Fatalf("%s: no answers, %d failed: %s", name, ph.Failed, ph.LastError)
+	if len(result.Samples) == 0 {
+		b.Fatalf("%s: no answers, %d failed: %s", name, result.Failed, result.LastError)
 	}
-	p50, p99 = ph.Quantile(pick, 0.5), ph.Quantile(pick, 0.99)
+	p50, p99 = result.Quantile(pick, 0.5), result.Quantile(pick, 0.99)
 	fmt.Printf("%-42s %8.0f/s  p50 %8.3f ms  p99 %8.3f ms  failed %d %s\n",
-		name, ph.Rate, millis(p50), millis(p99), ph.Failed, ph.LastError)
+		name, result.Rate, millis(p50), millis(p99), result.Failed, result.LastError)
 	return p50, p99
 }
 
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -41,7 +41,7 @@
 
 func (f *fleet) chat(i *instance) response {
 	f.t.Helper()
-	return call(f.t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, helloBody, nil)
+	return call(f.t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, chatBody, nil)
 }
 
 func (f *fleet) reserve(i *instance, key string) response {
@@ -151,7 +151,7 @@
 // request was already in its socket when it continues.
 func TestFrozenInstanceMissesAWithdrawal(t *testing.T) {
 	f := readyFleet(t)
-	frozen, publisher, witness := f.instances[0], f.instances[1], f.instances[2]
+	frozen, publisher, isolated := f.instances[0], f.instances[1], f.instances[2]
 	before := f.requestsStarted("large@1")
 	f.freeze(frozen)
 	waiting := make(chan response, 1)
@@ -162,7 +162,7 @@
 	// too.
 	f.logRelays[2].SetDisconnected(true)
 	f.freeze(publisher)
-	f.awaitMode(witness, "stale")
+	f.awaitMode(isolated, "stale")
 	f.signal(publisher, syscall.SIGCONT)
 	f.signal(frozen, syscall.SIGCONT)
 	if r := <-waiting; outcomeOf(r) == "completed" {
@@ -188,7 +188,7 @@
 	keys := []string{newKey(), newKey(), newKey()}
 	for n, i := range f.instances {
 		header := map[string]string{wire.HeaderIdempotencyKey: keys[n]}
-		r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, helloBody, header)
+		r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, chatBody, header)
 		if outcomeOf(r) != "completed" {
 			t.Errorf("%s: %+v", i.name, r)
 		}
--- a/router/internal/e2e/rolling_test.go
+++ b/router/internal/e2e/rolling_test.go
@@ -42,7 +42,7 @@
 }
 
 func (c *balancedClients) try(client *http.Client, key string) response {
-	req, err := http.NewRequest(http.MethodPost, c.balancer.Pick()+"/v1/chat/completions", strings.NewReader(helloBody))
+	req, err := http.NewRequest(http.MethodPost, c.balancer.Pick()+"/v1/chat/completions", strings.NewReader(chatBody))
 	if err != nil {
 		return response{err: err}
 	}
--- a/router/internal/e2e/thinpath_test.go
+++ b/router/internal/e2e/thinpath_test.go
@@ -100,13 +100,13 @@
 	t.Run("graceful shutdown", f.testShutdown)
 }
 
-const helloBody = `{"model":"large","messages":[{"role":"user","content":"draft a twill pattern"}],"max_tokens":12}`
+const chatBody = `{"model":"large","messages":[{"role":"user","content":"draft a twill pattern"}],"max_tokens":12}`
 
-var helloMessages = []wire.Message{{Role: "user", Content: "draft a twill pattern"}}
+var chatMessages = []wire.Message{{Role: "user", Content: "draft a twill pattern"}}
 
 func (f *fleet) testChat(t *testing.T) {
 	for _, i := range f.instances {
-		r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, helloBody, nil)
+		r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, chatBody, nil)
 		var got wire.ChatResponse
 		if err := json.Unmarshal([]byte(r.body), &got); err != nil || r.status != http.StatusOK {
 			t.Fatalf("%s: status %d, body %s, error %v", i.name, r.status, r.body, err)
@@ -119,7 +119,7 @@
 }
 
 func (f *fleet) testStream(t *testing.T) {
-	body := strings.Replace(helloBody, `"max_tokens"`, `"stream":true,"max_tokens"`, 1)
+	body := strings.Replace(chatBody, `"max_tokens"`, `"stream":true,"max_tokens"`, 1)
 	r := call(t, http.MethodPost, f.instances[0].api+"/v1/chat/completions", weaversKey, body, nil)
 	if r.err != nil || r.status != http.StatusOK {
 		t.Fatalf("got %+v", r)
@@ -132,11 +132,11 @@
 }
 
 // checkAnswer compares text with the answer of a correct engine to
-// helloMessages.
+// chatMessages.
 func checkAnswer(t *testing.T, text string, maxTokens int) {
 	t.Helper()
 	_, rest, ok := engine.ParseAnswer(text)
-	if want := engine.ExpectedText("large@1", helloMessages, maxTokens); !ok || rest != want {
+	if want := engine.ExpectedText("large@1", chatMessages, maxTokens); !ok || rest != want {
 		t.Errorf("got %q, want %q", text, want)
 	}
 }
@@ -198,10 +198,10 @@
 		status                       int
 		code                         string
 	}{
-		{"wrong key", "POST", chat, "nobody", helloBody, 401, "invalid_api_key"},
-		{"not allowed", "POST", chat, clerksKey, helloBody, 403, "model_not_allowed"},
-		{"unknown model", "POST", chat, weaversKey, strings.Replace(helloBody, "large", "huge", 1), 404, "unknown_model"},
-		{"too large", "POST", chat, weaversKey, strings.Repeat(" ", 2<<20) + helloBody, 413, "body_too_large"},
+		{"wrong key", "POST", chat, "nobody", chatBody, 401, "invalid_api_key"},
+		{"not allowed", "POST", chat, clerksKey, chatBody, 403, "model_not_allowed"},
+		{"unknown model", "POST", chat, weaversKey, strings.Replace(chatBody, "large", "huge", 1), 404, "unknown_model"},
+		{"too large", "POST", chat, weaversKey, strings.Repeat(" ", 2<<20) + chatBody, 413, "body_too_large"},
 		{"malformed", "POST", chat, weaversKey, `{"messages":`, 400, "malformed_request"},
 		{"no key", "POST", api + "/services/shop/reservations", weaversKey, `{}`, 400, "key_required"},
 		{"service not allowed", "GET", api + "/services/shop/stock/wool", clerksKey, "", 403, "service_not_allowed"},
@@ -227,7 +227,7 @@
 	}
 	for _, session := range []string{opened.Token, "school-17"} {
 		for _, i := range f.instances {
-			r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, helloBody,
+			r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, chatBody,
 				map[string]string{wire.HeaderSession: session})
 			if r.status != http.StatusOK || r.header.Get(wire.HeaderVersion) != "large@1" {
 				t.Errorf("%s, session %.12s: status %d, body %s", i.name, session, r.status, r.body)
--- a/router/internal/e2e/tokens_bench_test.go
+++ b/router/internal/e2e/tokens_bench_test.go
@@ -13,9 +13,9 @@
 
 const (
 	tokenStreams = 32
-	// tokensEach is the number of tokens per stream, large enough that the cost
+	// tokensPerStream is the number of tokens per stream, large enough that the cost
 	// of starting a stream is negligible.
-	tokensEach = 8192
+	tokensPerStream = 8192
 )
 
 // BenchmarkTokens measures the instance's CPU time, from /proc, per token of a
@@ -24,9 +24,9 @@
 	p := startBenchPath(b)
 	for b.Loop() {
 		tokens := p.measureCPUTime(b, func() {
-			p.stream(b, p.target(b, p.entry.api, "quick", tokensEach, true))
+			p.stream(b, p.target(b, p.entry.api, "quick", tokensPerStream, true))
 		})
-		perToken := float64(tokens.Microseconds()) / (tokenStreams * tokensEach)
+		perToken := float64(tokens.Microseconds()) / (tokenStreams * tokensPerStream)
 		var load loadgen.Result
 		plain := p.measureCPUTime(b, func() { load = sendAtRate(p.routed(b, false), 1000, benchCallers) })
 		perRequest := float64(plain.Microseconds()) / (load.Rate * (benchPhase + benchWarmup).Seconds())
--- a/router/internal/faultmatrix/publish_test.go
+++ b/router/internal/faultmatrix/publish_test.go
@@ -56,10 +56,10 @@
 
 // publishCell is one fault at one step of a publication at instance a. want is
 // "first>again": the code returned at a, and the code of the same publication
-// repeated at b after the fault. generations is the last generation afterwards.
+// repeated at b after the fault. generation is the last generation afterwards.
 type publishCell struct {
 	step, fault, want string
-	generations       uint64
+	generation        uint64
 }
 
 // publishCells check that a publication is accepted at most once, and that an
@@ -112,8 +112,8 @@
 	}
 	b.heal()
 	for _, in := range b.instances {
-		if g := in.holder.Generation(); g != c.generations && !b.net.isDown(in.name) {
-			b.t.Errorf("%s is at generation %d, want %d", in.name, g, c.generations)
+		if g := in.holder.Generation(); g != c.generation && !b.net.isDown(in.name) {
+			b.t.Errorf("%s is at generation %d, want %d", in.name, g, c.generation)
 		}
 	}
 	b.withdrawn["draft@1"] = time.Now()
--- a/router/internal/loadgen/loadgen.go
+++ b/router/internal/loadgen/loadgen.go
@@ -39,7 +39,7 @@
 // NewTarget returns the chat endpoint below base, such as
 // "http://127.0.0.1:8080". It returns an error if base is not a loopback IP
 // address, so that load never reaches anything but stand-ins.
-func NewTarget(base, key string, ask RequestSpec) (Target, error) {
+func NewTarget(base, key string, spec RequestSpec) (Target, error) {
 	u, err := url.Parse(base)
 	if err != nil {
 		return Target{}, trace.BadParameter("address %q: %v", base, err)
@@ -49,10 +49,10 @@
 		return Target{}, trace.BadParameter("address %q is not a loopback IP address: load is sent to loopback only", base)
 	}
 	body, err := json.Marshal(wire.ChatRequest{
-		Model:     ask.Model,
-		Messages:  []wire.Message{{Role: "user", Content: ask.Prompt}},
-		MaxTokens: ask.MaxTokens,
-		Stream:    ask.Stream,
+		Model:     spec.Model,
+		Messages:  []wire.Message{{Role: "user", Content: spec.Prompt}},
+		MaxTokens: spec.MaxTokens,
+		Stream:    spec.Stream,
 	})
 	if err != nil {
 		return Target{}, trace.Wrap(err)
--- a/router/internal/standin/engine/chat.go
+++ b/router/internal/standin/engine/chat.go
@@ -150,10 +150,10 @@
 // prefill waits for the time to the first token, which cached blocks shorten.
 // It reports whether ctx is still active.
 func (s *Server) prefill(ctx context.Context, j *job) bool {
-	loseEvent := func() bool {
+	dropEvent := func() bool {
 		return s.Faults.Take(func(f *Faults) *faults.Count { return &f.CacheGaps })
 	}
-	j.cachedBlocks = s.cache.lookupAndAdd(j.blocks, loseEvent)
+	j.cachedBlocks = s.cache.lookupAndAdd(j.blocks, dropEvent)
 	j.usage.CachedTokens = j.cachedBlocks * wire.BlockTokens()
 	wait := j.faults.scaled(j.timeToFirstToken()) + j.faults.firstTokenDelay()
 	return sleep(ctx, wait)
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -225,13 +225,13 @@
 
 func TestCacheIsBoundedAndTellsWhatItDropped(t *testing.T) {
 	c := newPrefixCache(2)
-	kept := func() bool { return false }
-	c.lookupAndAdd([]uint64{1, 2}, kept)
-	c.lookupAndAdd([]uint64{3}, kept)
+	keepEvent := func() bool { return false }
+	c.lookupAndAdd([]uint64{1, 2}, keepEvent)
+	c.lookupAndAdd([]uint64{3}, keepEvent)
 	if hit := c.lookupAndAdd([]uint64{1}, func() bool { return true }); hit != 0 {
 		t.Error("the oldest block is still cached")
 	}
-	c.lookupAndAdd([]uint64{4}, kept)
+	c.lookupAndAdd([]uint64{4}, keepEvent)
 	events := c.eventsBetween(0, c.lastSeq())
 	if len(events) != 3 || events[1].Removed[0] != 1 || events[2].Seq != 4 {
 		t.Errorf("events %+v", events)
@@ -290,17 +290,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{Slots: 2})
 		standintest.SetFaults(s, `{"crash_on_mark":true,"crash_ms":3000}`)
-		cut := make(chan bool, 2)
+		aborted := make(chan bool, 2)
 		for _, name := range []string{"running", "running too", "queued"} {
 			go func() {
-				cut <- chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user(name), MaxTokens: 10_000}).Aborted
+				aborted <- chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user(name), MaxTokens: 10_000}).Aborted
 			}()
 			synctest.Wait()
 		}
 		// Called directly here; below, a prompt with the mark causes the crash.
 		s.Crash()
 		for range 3 {
-			if !<-cut {
+			if !<-aborted {
 				t.Error("the crash did not abort a request")
 			}
 		}
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -12,7 +12,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-func appendBlob(t *testing.T, s *Server, ctx context.Context) standintest.Response {
+func appendEntry(t *testing.T, s *Server, ctx context.Context) standintest.Response {
 	t.Helper()
 	return standintest.Do(s, standintest.Call{Method: http.MethodPost, Path: "/append", Body: "x", Context: ctx})
 }
@@ -30,9 +30,9 @@
 func TestRetentionTrimsByTheLogsOwnClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{Retention: time.Hour})
-		appendBlob(t, s, nil)
+		appendEntry(t, s, nil)
 		time.Sleep(40 * time.Minute)
-		appendBlob(t, s, nil)
+		appendEntry(t, s, nil)
 		if status, page := read(t, s, "from=0"); status != http.StatusOK || len(page.Entries) != 2 {
 			t.Fatalf("before the retention: %d %+v", status, page)
 		}
@@ -50,9 +50,9 @@
 func TestTimesNeverFallWhereTheClockDoes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New(Config{Now: func() time.Time { return now }})
-	appendBlob(t, s, nil)
+	appendEntry(t, s, nil)
 	now = time.Unix(900, 0)
-	appendBlob(t, s, nil)
+	appendEntry(t, s, nil)
 	_, page := read(t, s, "from=0")
 	if page.Entries[1].Time.Before(page.Entries[0].Time) {
 		t.Errorf("times decrease: %v, then %v", page.Entries[0].Time, page.Entries[1].Time)
@@ -81,7 +81,7 @@
 		standintest.SetFaults(s, `{"late_effect_ms":10000}`)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		go appendBlob(t, s, ctx)
+		go appendEntry(t, s, ctx)
 		<-ctx.Done()
 		if _, page := read(t, s, "from=0"); page.Head != 0 {
 			t.Errorf("the append took effect too early: %+v", page)
@@ -108,7 +108,7 @@
 	if !s.Faults.Get().Down {
 		t.Error("a refused body changed the faults")
 	}
-	if reply := appendBlob(t, s, nil); !reply.Aborted {
+	if reply := appendEntry(t, s, nil); !reply.Aborted {
 		t.Errorf("append while down: %+v", reply)
 	}
 }
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -21,18 +21,18 @@
 // fault after the effect counts one run, a refusal or a fault before it none.
 func TestRunsAreCountedUnderEveryFault(t *testing.T) {
 	tests := []struct {
-		faults string
-		runs   int
-		cut    bool
-		status int
-		notRun bool
+		faults  string
+		runs    int
+		aborted bool
+		status  int
+		notRun  bool
 	}{
 		{faults: `{}`, runs: 1, status: http.StatusCreated},
-		{faults: `{"down":true}`, cut: true},
+		{faults: `{"down":true}`, aborted: true},
 		{faults: `{"leaving":true}`, status: http.StatusServiceUnavailable, notRun: true},
 		{faults: `{"busy":1}`, status: http.StatusTooManyRequests, notRun: true},
-		{faults: `{"lost_reply":1}`, runs: 1, cut: true},
-		{faults: `{"truncate":1}`, runs: 1, cut: true},
+		{faults: `{"lost_reply":1}`, runs: 1, aborted: true},
+		{faults: `{"truncate":1}`, runs: 1, aborted: true},
 		{faults: `{"fail_after":1}`, runs: 1, status: http.StatusInternalServerError},
 	}
 	for _, tt := range tests {
@@ -40,7 +40,7 @@
 			s := New(Config{})
 			standintest.SetFaults(s, tt.faults)
 			reply := reserve(s, "k")
-			if reply.Aborted != tt.cut || (!tt.cut && reply.Status != tt.status) {
+			if reply.Aborted != tt.aborted || (!tt.aborted && reply.Status != tt.status) {
 				t.Errorf("reply %+v", reply)
 			}
 			if got := reply.Header.Get(wire.HeaderNotRun) == "true"; got != tt.notRun {
