--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -54,7 +54,7 @@
 
 // A check that misses a violation makes the demo report a promise as held, so
 // each promise is broken here once.
-func TestEachBrokenPromiseIsSeen(t *testing.T) {
+func TestEachBrokenPromiseIsReported(t *testing.T) {
 	tests := []struct {
 		name   string
 		mutate func(c *checker, r []result)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestPlanIsTheSameForTheSameSeed(t *testing.T) {
+func TestLoadIsTheSameForTheSameSeed(t *testing.T) {
 	a, b := generateLoad(300, 7), generateLoad(300, 7)
 	kinds := map[kind]int{}
 	for i := range a {
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -280,7 +280,7 @@
 
 // An instance that is disconnected from the log alone gets a new manifest from
 // its peers and stays fresh.
-func TestCutFromTheLogOnly(t *testing.T) {
+func TestDisconnectedFromTheLogOnly(t *testing.T) {
 	f := readyFleet(t)
 	f.logRelays[0].SetDisconnected(true)
 	f.withdraw(f.instances[1])
@@ -296,7 +296,7 @@
 // An instance that is disconnected from the log while its peers are stopped
 // refuses new requests as not run and fails the readiness check. It recovers by
 // itself.
-func TestCutFromAll(t *testing.T) {
+func TestDisconnectedFromTheLogAndAllPeers(t *testing.T) {
 	f := readyFleet(t)
 	alone := f.instances[0]
 	f.logRelays[0].SetDisconnected(true)
--- a/router/internal/e2e/thinpath_test.go
+++ b/router/internal/e2e/smoke_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestThinPath(t *testing.T) {
+func TestSmoke(t *testing.T) {
 	f := startFleet(t, 2, options{})
 	eventually(t, "publishing", func() bool {
 		out, err := f.publish(testManifest("run-1"), "--rebase")
--- a/router/internal/loadgen/loadgen_test.go
+++ b/router/internal/loadgen/loadgen_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// TestRunCounts sends to a server that refuses every third request: both answers
+// TestRunCountsAnswersAndFailures sends to a server that refuses every third request: both answers
 // and failures are counted.
-func TestRunCounts(t *testing.T) {
+func TestRunCountsAnswersAndFailures(t *testing.T) {
 	var n int
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n++
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -84,7 +84,7 @@
 	return answer
 }
 
-func TestPlainAndStreamedAnswersAreWholeAndOwn(t *testing.T) {
+func TestPlainAndStreamedAnswersAreEqualAndAsExpected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{})
 		for _, maxTokens := range []int{0, 1, 2, 40} {
@@ -223,7 +223,7 @@
 	})
 }
 
-func TestCacheIsBoundedAndTellsWhatItDropped(t *testing.T) {
+func TestCacheIsBoundedAndReportsEvictions(t *testing.T) {
 	c := newPrefixCache(2)
 	keepEvent := func() bool { return false }
 	c.lookupAndAdd([]uint64{1, 2}, keepEvent)
@@ -265,7 +265,7 @@
 	})
 }
 
-func TestCallerThatLeavesCancelsAndFreesItsSlot(t *testing.T) {
+func TestDisconnectedCallerCancelsItsRequestAndFreesItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{Slots: 1})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -286,7 +286,7 @@
 	})
 }
 
-func TestCrashCutsEveryoneAndPasses(t *testing.T) {
+func TestCrashAbortsAllRequestsAndTheEngineRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{Slots: 2})
 		standintest.SetFaults(s, `{"crash_on_mark":true,"crash_ms":3000}`)
@@ -322,7 +322,7 @@
 	})
 }
 
-func TestStreamResumesBehindTheLastEvent(t *testing.T) {
+func TestStreamResumesAfterTheLastEvent(t *testing.T) {
 	s := newEngine(Config{})
 	r := wire.ChatRequest{Model: "m@2", Messages: user("x"), MaxTokens: 20, Stream: true}
 	text, _, _ := readStream(t, chat(t.Context(), s, r).Body)
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-func TestTimesNeverFallWhereTheClockDoes(t *testing.T) {
+func TestEntryTimesNeverDecreaseEvenIfTheClockDoes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New(Config{Now: func() time.Time { return now }})
 	appendEntry(t, s, nil)
@@ -75,7 +75,7 @@
 
 // The worst case of a lost reply: the append takes effect long after its caller
 // has timed out.
-func TestLateEffectOutlivesItsCaller(t *testing.T) {
+func TestAppendTakesEffectAfterItsCallerTimedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
 		standintest.SetFaults(s, `{"late_effect_ms":10000}`)
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAnswersNameTheRunAndTheCall(t *testing.T) {
+func TestResponsesStateTheRunAndTheCall(t *testing.T) {
 	s := New(Config{Name: "shop"})
 	reserve(s, "k")
 	reply := reserve(s, "k")
