--- a/router/internal/demo/check.go
+++ b/router/internal/demo/check.go
@@ -174,7 +174,7 @@
 			c.addViolation(promiseBilled, "%s: ran on %q, billed %+v", r, r.version, b)
 		}
 		if r.request.chat.Messages != nil && int(b.OutputTokens) < r.request.chat.MaxTokens {
-			c.addViolation(promiseBilled, "%s: %d tokens given, %d billed", r, r.request.chat.MaxTokens, b.OutputTokens)
+			c.addViolation(promiseBilled, "%s: a complete answer has %d tokens, billed %d", r, r.request.chat.MaxTokens, b.OutputTokens)
 		}
 	}
 }
--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -60,10 +60,10 @@
 		mutate func(c *checker, r []result)
 		want   []string
 	}{
-		{"sound", func(*checker, []result) {}, nil},
-		{"shortened answer", func(_ *checker, r []result) { r[0].text = r[0].text[:20] }, []string{promiseWhole}},
+		{"valid run", func(*checker, []result) {}, nil},
+		{"truncated answer", func(_ *checker, r []result) { r[0].text = r[0].text[:20] }, []string{promiseWhole}},
 		{"another's reservation", func(_ *checker, r []result) { r[1].body = []byte(`{"key":"z"}`) }, []string{promiseWhole}},
-		{"cut without faults", func(_ *checker, r []result) { r[2].outcome = outcomeConnectionLost }, []string{promiseAnswered}},
+		{"connection lost without faults", func(_ *checker, r []result) { r[2].outcome = outcomeConnectionLost }, []string{promiseAnswered}},
 		{"forbidden model was run", func(_ *checker, r []result) {
 			r[3].outcome, r[3].code, r[3].version, r[3].status = "completed", "", versionOld, http.StatusOK
 			r[3].text = r[0].text
@@ -75,13 +75,13 @@
 			c.bills.byRequest["s"] = append(c.bills.byRequest["s"], c.bills.byRequest["s"]...)
 		}, []string{promiseBilled}},
 		{"wrong version billed", func(c *checker, _ []result) { c.bills.byRequest["s"][0].Version = versionSmall }, []string{promiseBilled}},
-		{"billed for nothing", func(c *checker, _ []result) { c.bills.byRequest["?"] = []bills.Bill{{RequestID: "?"}} }, []string{promiseBilled}},
+		{"bill for an unknown request", func(c *checker, _ []result) { c.bills.byRequest["?"] = []bills.Bill{{RequestID: "?"}} }, []string{promiseBilled}},
 		{"refused but billed", func(c *checker, _ []result) { c.bills.byRequest["f"] = []bills.Bill{{RequestID: "f"}} }, []string{promiseNotRun}},
 		{"refused but run", func(c *checker, r []result) {
 			r[1].outcome, r[2].outcome = "refused", "refused"
 			delete(c.bills.byRequest, "t")
 		}, []string{promiseNotRun}},
-		{"told failed but run", func(c *checker, r []result) {
+		{"reported as failed but run", func(c *checker, r []result) {
 			c.faults = true
 			r[1].outcome, r[1].code = "failed", "backend_server_crashed"
 		}, []string{promiseNoFalseFailure}},
