--- a/router/internal/demo/caller.go
+++ b/router/internal/demo/caller.go
@@ -41,7 +41,8 @@
 	// code is the code of the error body.
 	code    string
 	version string
-	// text is set for a chat answer, body for a plain answer.
+	// text is the text of a complete chat answer, body the body of a response
+	// that was not streamed. Both are empty for an error response.
 	text string
 	body []byte
 	err  error
@@ -54,8 +55,8 @@
 	client *http.Client
 	// addrs are the instances' API addresses.
 	addrs []string
-	// tokens holds the session tokens by team and session, pins the versions
-	// pinned by each session, by model.
+	// tokens holds the session tokens by team. pins holds, for the same sessions,
+	// the version that each pins, by model.
 	tokens map[string][]string
 	pins   map[string][]map[string]string
 }
--- a/router/internal/demo/check.go
+++ b/router/internal/demo/check.go
@@ -37,7 +37,7 @@
 
 // checker checks the results against the promises.
 type checker struct {
-	// faults is set if faults were injected: then requests may fail, but all
+	// faults is true if faults were injected: then requests may fail, but all
 	// other promises hold.
 	faults bool
 	// withdrawnAt is the time at which the withdrawal was in force everywhere.
@@ -124,7 +124,7 @@
 	}
 }
 
-// checkKey checks the results with one Idempotency-Key together.
+// checkKey checks all results with the same Idempotency-Key together.
 func (c *checker) checkKey(key string, same []result) {
 	completed, refused := 0, 0
 	for _, r := range same {
@@ -154,8 +154,9 @@
 
 // checkFalseFailure checks that a call reported as failed did not take effect.
 // Only the service's own 500 (backend_server_failed) means that the call ran and
-// failed. After a lost connection that is unknown, and a caller that gets a
-// failure reserves again under another key, which would then run twice.
+// failed. After a lost connection it is unknown whether the call ran. A caller that
+// is told of a failure reserves again under another key; if the first call ran after
+// all, it has reserved twice.
 func (c *checker) checkFalseFailure(key string, same []result) {
 	for _, r := range same {
 		if r.outcome == string(outcome.Failed) && r.code != "backend_server_failed" && c.runs[key] > 0 {
--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -104,6 +104,8 @@
 	}
 }
 
+// A failure must be reproducible by its seed: only the keys may differ between two
+// loads with the same seed.
 func TestLoadIsTheSameForTheSameSeed(t *testing.T) {
 	a, b := generateLoad(300, 7), generateLoad(300, 7)
 	kinds := map[kind]int{}
@@ -121,6 +123,7 @@
 	}
 }
 
+// An index that is off by one would shift all reported latencies.
 func TestPercentileByNearestRank(t *testing.T) {
 	var all []time.Duration
 	for i := 100; i > 0; i-- {
--- a/router/internal/demo/demo.go
+++ b/router/internal/demo/demo.go
@@ -27,7 +27,7 @@
 	// rolloutTimeout bounds the time until the second manifest is in force
 	// everywhere; a longer one breaks promiseManifest.
 	rolloutTimeout = 5 * time.Second
-	// pollInterval is the time between two queries for a state.
+	// pollInterval is the time between two polls for a state.
 	pollInterval = 10 * time.Millisecond
 )
 
@@ -81,8 +81,10 @@
 	caller *caller
 
 	// withdrawnAt is the time at which the second manifest was in force
-	// everywhere; zero before.
+	// everywhere; zero before that.
 	withdrawnAt time.Time
+	// rolloutTime is the time from the publication of the second manifest until
+	// withdrawnAt.
 	rolloutTime time.Duration
 	violations  map[string][]string
 }
@@ -258,6 +260,7 @@
 	c.all = append(c.all, results...)
 }
 
+// sleep waits for d. It returns an error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/router/internal/demo/load.go
+++ b/router/internal/demo/load.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// chatBody returns a short or long prompt with one of five shared prefixes, so
-// that the engines' prefix caches get hits.
+// newChatRequest returns a request whose prompt, short or long, has one of five
+// shared prefixes, so that the engines' prefix caches get hits.
 func newChatRequest(rng *rand.Rand, index int) wire.ChatRequest {
 	prefix := strings.Repeat(fmt.Sprintf("House rules of pattern book %d. ", rng.IntN(5)), 1+rng.IntN(20))
 	return wire.ChatRequest{
--- a/router/internal/demo/report.go
+++ b/router/internal/demo/report.go
@@ -15,12 +15,13 @@
 
 // Report is the result of the demo.
 type Report struct {
-	// Requests of the load; Sent also counts the second sending of duplicates.
+	// Requests is the number of requests of the load; Sent also counts the second
+	// sending of each duplicate.
 	Requests int `json:"requests"`
 	Sent     int `json:"sent"`
 	// Seconds that the run took.
 	Seconds float64 `json:"seconds"`
-	// Faults is set if faults were injected.
+	// Faults is true if faults were injected.
 	Faults bool `json:"faults"`
 	// Outcomes counts results by outcome and error code.
 	Outcomes map[string]int `json:"outcomes"`
--- a/router/internal/demo/scenario.go
+++ b/router/internal/demo/scenario.go
@@ -13,7 +13,7 @@
 	modelSmall   = "small"
 	modelLarge   = "large"
 	versionSmall = "small@1"
-	// versionOld is withdrawn halfway and replaced by versionNew.
+	// versionOld is withdrawn halfway through the load and replaced by versionNew.
 	versionOld = "large@1"
 	versionNew = "large@2"
 	// reservationPrice is billed for each completed call of the shop, in the
--- a/router/internal/e2e/bench_test.go
+++ b/router/internal/e2e/bench_test.go
@@ -20,10 +20,11 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Parameters of the benchmark. The load goes to loopback and ends by itself.
+// Parameters of the benchmarks. The load goes to loopback and ends by itself.
 const (
 	benchCores   = 4
 	benchCallers = 64
+	// benchPhase is the measured time of one run of load, after benchWarmup.
 	benchPhase   = 4 * time.Second
 	benchWarmup  = time.Second
 	benchStreams = 1000
@@ -37,8 +38,8 @@
 	b.Setenv("GOMAXPROCS", strconv.Itoa(benchCores))
 	p := startBenchPath(b)
 	for b.Loop() {
-		// Memory first, in a fresh process: afterwards it would include the
-		// state folded from the records of the load.
+		// Memory is measured first, in a fresh process: afterwards it would include
+		// the state folded from the records of the load.
 		p.measureStreams(b)
 		p.measureThroughputAndLatency(b)
 		fmt.Printf("resident: %.1f MB after the load\n", p.residentMB(b))
@@ -144,8 +145,8 @@
 	})
 }
 
-// printResult prints one line and returns quantiles of the times selected by
-// pick.
+// printResult prints one line with the rate, the median and the 99th percentile of
+// the times that pick selects, and returns the last two.
 func printResult(b *testing.B, result loadgen.Result, name string, pick func(loadgen.Sample) time.Duration) (p50, p99 time.Duration) {
 	b.Helper()
 	if len(result.Samples) == 0 {
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -115,8 +115,9 @@
 	}
 }
 
-// freeze sends SIGSTOP and waits until all threads are stopped: the signal takes effect some
-// time after it was sent, and a request that arrives before that would be served as usual.
+// freeze sends SIGSTOP and waits until all threads are stopped: the signal takes
+// effect some time after it was sent, and a request that arrives before that would
+// be served as usual.
 func (f *fleet) freeze(i *instance) {
 	f.t.Helper()
 	f.signal(i, syscall.SIGSTOP)
@@ -157,9 +158,9 @@
 	waiting := make(chan response, 1)
 	go func() { waiting <- f.chat(frozen) }()
 	f.withdraw(publisher)
-	// The witness is disconnected from the log and its peers after the freeze.
-	// Once it is stale, the frozen instance's last read is older than the bound,
-	// too.
+	// After the freeze, the third instance is disconnected from the log and both its
+	// peers are stopped. Once it is stale, the last read of the frozen instance is
+	// older than the freshness bound, too.
 	f.logRelays[2].SetDisconnected(true)
 	f.freeze(publisher)
 	f.awaitMode(isolated, "stale")
--- a/router/internal/e2e/orders_test.go
+++ b/router/internal/e2e/orders_test.go
@@ -7,8 +7,9 @@
 	"masticplank.example/router/internal/manifest"
 )
 
-// Engines unload a version and load it again when the placements in the manifest
-// change.
+// If the placements in the manifest change, the engines must unload a version and
+// load it again: a version without placement gets no requests, and one that is placed
+// again gets them.
 func TestOrders(t *testing.T) {
 	f := readyFleet(t)
 	publishPlacements := func(publication string, versions ...string) {
--- a/router/internal/e2e/process_test.go
+++ b/router/internal/e2e/process_test.go
@@ -253,7 +253,7 @@
 	return response{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-// eventually polls until cond returns true, and fails the test after waitTimeout.
+// eventually polls cond until it returns true, and fails the test after waitTimeout.
 func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
--- a/router/internal/e2e/smoke_test.go
+++ b/router/internal/e2e/smoke_test.go
@@ -82,6 +82,8 @@
 	}
 }
 
+// Runs each kind of request and each command of the operators once against two
+// instances, all of them separate processes of the built binaries.
 func TestSmoke(t *testing.T) {
 	f := startFleet(t, 2, options{})
 	eventually(t, "publishing", func() bool {
--- a/router/internal/faultmatrix/backend.go
+++ b/router/internal/faultmatrix/backend.go
@@ -20,6 +20,8 @@
 	{ID: "s2", Service: "stock", Slots: 2},
 }
 
+// backendAddrs resolves the addresses of the backend servers and ignores their
+// load.
 type backendAddrs struct{}
 
 func (backendAddrs) Addr(id decision.ServerID) (string, bool) { return string(id) + ":8000", true }
@@ -124,8 +126,8 @@
 	b.servingServer = r.server
 }
 
-// reachMidstream is the step "stream", in the middle of a run. It returns the
-// behaviour for the rest of the run and resets it.
+// reachMidstream is called in the middle of a run, which is the step "stream". It
+// returns the behaviour for the rest of the run and resets it to normal.
 func (b *testbed) reachMidstream() (behaviour string) {
 	b.reachStep(nil, "stream")
 	b.mu.Lock()
@@ -191,7 +193,8 @@
 		_ = http.NewResponseController(w).Flush()
 	}
 	send(0)
-	time.Sleep(time.Millisecond) // the token reaches the caller
+	// The bubble's clock advances only after the token has reached the caller.
+	time.Sleep(time.Millisecond)
 	behaviour := b.reachMidstream()
 	applyBehaviour(w, behaviour)
 	for i := 1; i < len(streamEvents); i++ {
--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -26,6 +26,8 @@
 	return s.Node.Status()
 }
 
+// Put is the steps "claim" and "publish" before it writes the record, and "claimed",
+// "final frame" and "push" after the record has won.
 func (s hookStore) Put(ctx context.Context, r record.Record) node.Result {
 	switch r.Key.Class() {
 	case record.ClassClaim:
@@ -50,6 +52,7 @@
 
 type hookHolder struct{ *instance }
 
+// Hold is the step "final frame" of a bill that the peers hold instead of the log.
 func (h hookHolder) Hold(ctx context.Context, r record.Record) error {
 	err := h.peers.Hold(ctx, r)
 	if err == nil {
@@ -60,6 +63,8 @@
 
 type hookGate struct{ *instance }
 
+// MayRun is called first at the admission of a request and then right before its
+// dispatch, which are the steps "admit" and "dispatch".
 func (g hookGate) MayRun(idempotent bool) decision.RefusalReason {
 	g.b.mu.Lock()
 	g.b.gateChecks++
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -115,8 +115,8 @@
 	in.Node = n
 }
 
-// pollGate triggers the changes of the gate's mode that are caused by the
-// passing of time alone, as the daemon does.
+// pollGate calls the gate periodically, as the daemon does, so that its mode also
+// changes by the passing of time alone.
 func (in *instance) pollGate(ctx context.Context) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
--- a/router/internal/faultmatrix/matrix_test.go
+++ b/router/internal/faultmatrix/matrix_test.go
@@ -12,6 +12,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// Whatever fault a request meets at whatever step, the caller must get a truthful
+// outcome, and a resend must not run a reservation twice.
 func TestRequests(t *testing.T) {
 	seen := map[string]bool{}
 	for _, c := range requestCells {
@@ -32,6 +34,8 @@
 	}
 }
 
+// Whatever fault a publication meets, its code must be truthful, and repeating it must not
+// create a second generation or bring replaced content back.
 func TestPublications(t *testing.T) {
 	for _, c := range publishCells {
 		t.Run("publish/"+c.step+"/"+c.fault, func(t *testing.T) {
@@ -41,6 +45,8 @@
 	}
 }
 
+// An instance that starts or catches up during a fault must not serve on stale state,
+// and must recover by itself once the fault has ended.
 func TestLife(t *testing.T) {
 	for _, c := range lifeCells {
 		t.Run(c.path+"/"+c.step+"/"+c.fault, func(t *testing.T) {
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -16,12 +16,13 @@
 	plain, stream, reserve string
 }
 
-// pauseWithinBound after a withdrawal makes a pause that is longer than half the
-// freshness bound, but short enough that the confirmation of freshness from
-// before the pause is still valid.
+// pauseWithinBound is slept after a withdrawal, in a freeze that lasts for both.
+// The freeze is then longer than half the freshness bound, but so short that the
+// confirmation of freshness from before it is still valid.
 const pauseWithinBound = freshnessBound/2 - 600*time.Millisecond
 
-// requestFaults holds the faults that are injected at a step of a request.
+// requestFaults holds the faults that are injected at a step of a request or of a
+// publication, by name.
 var requestFaults = map[string]func(b *testbed){
 	"none":         func(*testbed) {},
 	"kill":         func(b *testbed) { b.kill(b.instances["a"]) },
@@ -60,7 +61,7 @@
 
 const faultUnread = "log goes down unread"
 
-// setOthersReadsFail makes reads of the log at b and c fail or succeed again.
+// setOthersReadsFail makes the reads of the log at b and c fail, or succeed again.
 func (b *testbed) setOthersReadsFail(fail bool) {
 	b.instances["b"].readsFail.Store(fail)
 	b.instances["c"].readsFail.Store(fail)
@@ -105,7 +106,7 @@
 	b.net.takeDown("s1")
 }
 
-// run runs the cell with one kind of work.
+// run runs the cell with one kind of request.
 func (c requestCell) run(b *testbed, kind, want string) {
 	b.t.Helper()
 	step, fault := c.step, func() { requestFaults[c.fault](b) }
--- a/router/internal/faultmatrix/testbed.go
+++ b/router/internal/faultmatrix/testbed.go
@@ -27,11 +27,11 @@
 	// faults holds, by step, the fault that is injected once when the request or
 	// publication at instance a reaches the step.
 	faults map[string]func()
-	// gateChecks counts the calls of the gate since the request began.
+	// gateChecks counts the calls of the gate's MayRun since the request began.
 	gateChecks int
-	// leaving holds, by backend server, the time since which it is leaving.
+	// leaving holds, by backend server, the time at which it began to leave.
 	leaving map[string]time.Time
-	// nextLeaving makes the backend server that is called next leave.
+	// nextLeaving makes the next backend server that is called begin to leave.
 	nextLeaving bool
 	// allServersLeaving makes all backend servers refuse as leaving.
 	allServersLeaving bool
@@ -48,9 +48,9 @@
 	// withdrawn holds, by version, the time at which its withdrawal was in force
 	// everywhere.
 	withdrawn map[string]time.Time
-	// withdrawalSlack is the time after that in which runs are still allowed:
-	// the freshness bound in cells where an instance cannot learn of the
-	// withdrawal.
+	// withdrawalSlack is how long after that time runs are still allowed: the
+	// freshness bound in cells where an instance cannot learn of the withdrawal,
+	// else 0.
 	withdrawalSlack time.Duration
 	// startDisconnected makes the next instance start disconnected from the log.
 	startDisconnected bool
--- a/router/internal/loadgen/loadgen_test.go
+++ b/router/internal/loadgen/loadgen_test.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+// A mistyped address must not send load to a real service. Host names are refused
+// too, since they may resolve to any address.
 func TestLoadGoesToLoopbackOnly(t *testing.T) {
 	for base, allowed := range map[string]bool{
 		"http://127.0.0.1:8080": true, "http://[::1]:8080": true,
--- a/router/internal/loadgen/run.go
+++ b/router/internal/loadgen/run.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Plan of one run of load.
+// Plan describes one run of load.
 type Plan struct {
 	// Callers is the number of concurrent callers.
 	Callers int
 	// Rate is the number of requests per second over all callers; 0 sends the
 	// next request as soon as the answer has arrived.
 	Rate float64
-	// Warmup is the time at the start that is not measured, Duration the
-	// measured time after it.
+	// Requests sent during Warmup are not measured; Duration is the measured time
+	// after it.
 	Warmup, Duration time.Duration
 }
 
-// Result of one run of load.
+// Result is the result of one run of load.
 type Result struct {
 	// Rate is the number of complete answers per second.
 	Rate float64 `json:"rate"`
@@ -86,7 +86,7 @@
 	r.result.LastError = err.Error()
 }
 
-// interval is the time between two requests of one caller; 0 without a rate.
+// interval returns the time between two requests of one caller; 0 without a rate.
 func (r *run) interval() time.Duration {
 	if r.plan.Rate <= 0 {
 		return 0
@@ -107,8 +107,8 @@
 	return next.Add(r.interval())
 }
 
-// Quantile returns the q-quantile (0 to 1) of the times that pick selects, by
-// nearest rank; 0 without samples.
+// Quantile returns the q-quantile (0 to 1) of the n times that pick selects: the
+// one at index q*n, rounded down, in ascending order. It is 0 without samples.
 func (r Result) Quantile(pick func(Sample) time.Duration, q float64) time.Duration {
 	if len(r.Samples) == 0 {
 		return 0
--- a/router/internal/standin/balancer/balancer.go
+++ b/router/internal/standin/balancer/balancer.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Balancer selects addresses by round robin. The zero value has none. It is safe
+// Balancer selects addresses by round robin. The zero value has no addresses. It is safe
 // for concurrent use.
 type Balancer struct {
 	mu    sync.Mutex
--- a/router/internal/standin/engine/cache.go
+++ b/router/internal/standin/engine/cache.go
@@ -9,7 +9,7 @@
 )
 
 // maxCacheEvents bounds the events kept for readers. A reader that asks for
-// older ones sees a gap in their numbers.
+// older ones sees a gap in the sequence numbers.
 const maxCacheEvents = 1024
 
 // prefixCache is an LRU cache of the hashes of prompt blocks. All versions of
@@ -33,7 +33,7 @@
 
 // lookupAndAdd returns how many blocks from the start of the prompt are cached,
 // and adds the missing ones. If dropEvent returns true, the cache event is lost
-// and leaves a gap in the numbers.
+// and leaves a gap in the sequence numbers.
 func (c *prefixCache) lookupAndAdd(prompt []uint64, dropEvent func() bool) (cached int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,14 +78,14 @@
 	}
 }
 
-// lastSeq returns the number of the last event.
+// lastSeq returns the sequence number of the last event.
 func (c *prefixCache) lastSeq() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.seq
 }
 
-// eventsBetween returns the kept events with numbers in (since, upTo].
+// eventsBetween returns the kept events with sequence numbers in (since, upTo].
 func (c *prefixCache) eventsBetween(since, upTo uint64) []wire.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/internal/standin/engine/chat.go
+++ b/router/internal/standin/engine/chat.go
@@ -26,8 +26,8 @@
 	answer  answer
 	faults  Faults
 	usage   wire.Usage
-	// blocks are the hashes of the prompt's blocks, cachedBlocks is how many
-	// of them, from the start, were cached.
+	// blocks holds the hashes of the prompt's blocks. The first cachedBlocks of
+	// them were in the prefix cache.
 	blocks       []uint64
 	cachedBlocks int
 	// nonce is echoed in the response.
@@ -147,8 +147,8 @@
 	s.updateStats(func(st *Stats) { st.Completed++ })
 }
 
-// prefill waits for the time to the first token, which cached blocks shorten.
-// It reports whether ctx is still active.
+// prefill adds the prompt to the prefix cache and waits for the time to the first
+// token, which cached blocks shorten. It reports whether ctx is still active.
 func (s *Server) prefill(ctx context.Context, j *job) bool {
 	dropEvent := func() bool {
 		return s.Faults.Take(func(f *Faults) *faults.Count { return &f.CacheGaps })
@@ -168,8 +168,8 @@
 }
 
 // refuse answers a request that was not run. It echoes the request's own nonce
-// even under WrongNonce, since a refusal of another attempt proves nothing
-// about this one.
+// even under WrongNonce: a refusal with another attempt's nonce would not prove
+// that this attempt was not run.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, code, message string) {
 	s.updateStats(func(st *Stats) { st.Refused++ })
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
--- a/router/internal/standin/engine/engine.go
+++ b/router/internal/standin/engine/engine.go
@@ -42,12 +42,12 @@
 	// Versions that the engine can load; all are loaded at the start. An empty
 	// list means DefaultVersions.
 	Versions []Version
-	// Slots is the maximum number of running requests; 0 is DefaultSlots.
+	// Slots is the maximum number of running requests; 0 means DefaultSlots.
 	Slots int
-	// QueueLimit is the maximum number of requests that wait for a slot; 0 is
+	// QueueLimit is the maximum number of requests that wait for a slot; 0 means
 	// DefaultQueueLimit, and a negative number disables the queue.
 	QueueLimit int
-	// CacheBlocks is the capacity of the prefix cache in blocks; 0 is
+	// CacheBlocks is the capacity of the prefix cache in blocks; 0 means
 	// DefaultCacheBlocks.
 	CacheBlocks int
 	// ReportLag is the maximum age of a load report.
@@ -57,14 +57,15 @@
 	CheckFencing bool
 	// Seed of the random numbers for the fault ErrorRate.
 	Seed uint64
-	// Now is the engine's clock; nil is time.Now.
+	// Now is the engine's clock; nil means time.Now.
 	Now func() time.Time
 }
 
 // Stats counts requests, for tests.
 type Stats struct {
 	// Started counts the requests that got a slot. Each of them is counted in
-	// one of the next three fields unless a crash ended it.
+	// one of the next three fields unless a crash or another fault aborted its
+	// connection.
 	Started   int `json:"started"`
 	Completed int `json:"completed"`
 	Cancelled int `json:"cancelled"`
@@ -203,7 +204,8 @@
 	update(&s.stats)
 }
 
-// drawFault reports whether a fault of the given rate (0 to 1) strikes now.
+// drawFault reports whether to inject a fault of the given rate (0 to 1) now, by a
+// random draw.
 func (s *Server) drawFault(rate float64) bool {
 	if rate <= 0 {
 		return false
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -14,8 +14,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// testVersion has durations of different magnitude, so that a sum shows its
-// parts.
+// testVersion has durations of different magnitude, so that each can be told from
+// their sum.
 func testVersion() Version {
 	return Version{
 		ID:         "m@1",
@@ -84,6 +84,8 @@
 	return answer
 }
 
+// Callers in other tests compare answers with ExpectedText. A plain answer and a
+// stream must both match it, and answers to other prompts must not.
 func TestPlainAndStreamedAnswersAreEqualAndAsExpected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{})
@@ -117,6 +119,8 @@
 	})
 }
 
+// A request that is refused as not run may be retried elsewhere, so it must not have
+// started, and the refusal must echo its nonce.
 func TestRefusalsSayNotRunAndStartNothing(t *testing.T) {
 	good := wire.ChatRequest{Model: "m@1", Messages: user("x")}
 	tests := []struct {
@@ -148,13 +152,15 @@
 	}
 }
 
+// Each fault must damage exactly one answer, in the way that its name says: tests of
+// the router rely on what the caller then sees.
 func TestFaultsOfOneAnswer(t *testing.T) {
 	tests := []struct {
 		faults string
 		stream bool
-		// aborted, nonce: of the response. expected: the text is the expected answer.
-		// complete: the response was received to its end. duplicated: an event id
-		// was sent twice.
+		// aborted and nonce are those of the response. expected is true if the text
+		// is the expected answer, complete if the response was received to its end,
+		// duplicated if an event id was sent twice.
 		aborted    bool
 		nonce      string
 		expected   bool
@@ -193,7 +199,7 @@
 			if duplicated := len(ids) > 0 && ids[len(ids)-1] == len(ids)-2; duplicated != tt.duplicated {
 				t.Errorf("ids %v", ids)
 			}
-			// The fault strikes once; the next answer is correct.
+			// The fault is injected once; the next answer is correct.
 			next := readPlain(t, chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}).Body)
 			if !IsExpectedAnswer(next.Choices[0].Message.Content, "m@1", r.Messages, 0) {
 				t.Error("the next answer is not the expected one")
@@ -202,6 +208,8 @@
 	}
 }
 
+// A cached prompt must get its first token earlier and be reported as cached in the
+// usage; otherwise prefix affinity would have no effect in the tests.
 func TestCachedPrefixShortensTheFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{})
@@ -223,6 +231,8 @@
 	})
 }
 
+// The router follows the cache by its events: an eviction must be reported, and an
+// event that was lost must leave a gap in the sequence numbers.
 func TestCacheIsBoundedAndReportsEvictions(t *testing.T) {
 	c := newPrefixCache(2)
 	keepEvent := func() bool { return false }
@@ -238,6 +248,8 @@
 	}
 }
 
+// At most Slots requests may run, the others wait by priority, and one beyond the
+// queue limit is refused at once.
 func TestBatchIsBoundedAndQueuesByPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{Slots: 1, QueueLimit: 2})
@@ -265,6 +277,8 @@
 	})
 }
 
+// A slot or a place in the queue that stays taken after its caller disconnected would
+// make the engine refuse others.
 func TestDisconnectedCallerCancelsItsRequestAndFreesItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{Slots: 1})
@@ -286,6 +300,8 @@
 	})
 }
 
+// A crash must abort running and queued requests alike, release their slots, and end
+// after the downtime.
 func TestCrashAbortsAllRequestsAndTheEngineRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{Slots: 2})
@@ -322,6 +338,8 @@
 	})
 }
 
+// A resumed stream must continue right after Last-Event-ID, without repeated or
+// missing tokens.
 func TestStreamResumesAfterTheLastEvent(t *testing.T) {
 	s := newEngine(Config{})
 	r := wire.ChatRequest{Model: "m@2", Messages: user("x"), MaxTokens: 20, Stream: true}
@@ -337,6 +355,8 @@
 	}
 }
 
+// A load report must be as old as ReportLag allows, and an order with an older
+// fencing number must be refused only if the engine checks these numbers.
 func TestLoadReportLagsAndOrdersAreFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newEngine(Config{ReportLag: time.Second, CheckFencing: true})
@@ -380,6 +400,8 @@
 	})
 }
 
+// A bad version is simulated by its error rate and quality; other versions must not
+// be affected.
 func TestErrorRateAndQualityByVersion(t *testing.T) {
 	s := New(Config{Versions: []Version{{ID: "bad@1"}, {ID: "good@1"}}, Seed: 1})
 	standintest.SetFaults(s, `{"error_rate":{"bad@1":0.5},"quality":{"good@1":0.125}}`)
--- a/router/internal/standin/engine/faults.go
+++ b/router/internal/standin/engine/faults.go
@@ -18,7 +18,7 @@
 	faults.Common
 	// LateMS delays the first token, in milliseconds.
 	LateMS int `json:"late_ms,omitempty"`
-	// SlowFactor multiplies all durations of a generation; 0 is 1.
+	// SlowFactor multiplies all durations of a generation; 0 means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	// Leaving refuses new requests with 503, and is stated in the load report.
 	Leaving bool `json:"leaving,omitempty"`
@@ -33,7 +33,7 @@
 	Quality map[string]float64 `json:"quality,omitempty"`
 	// CrashOnMark makes CrashMark in a prompt crash the engine.
 	CrashOnMark bool `json:"crash_on_mark,omitempty"`
-	// CrashMS is how long a crashed engine stays down; 0 is 2 s.
+	// CrashMS is how long a crashed engine stays down; 0 means 2 s.
 	CrashMS int `json:"crash_ms,omitempty"`
 	// Truncate aborts the connection halfway through the answer.
 	Truncate faults.Count `json:"truncate,omitempty"`
@@ -42,17 +42,18 @@
 	EndEarly faults.Count `json:"end_early,omitempty"`
 	// WrongNonce echoes another attempt's nonce.
 	WrongNonce faults.Count `json:"wrong_nonce,omitempty"`
-	// Crossed sends the answer to another request, with that attempt's nonce.
+	// Crossed sends the answer to another request, with the nonce of that request's
+	// attempt.
 	Crossed faults.Count `json:"crossed,omitempty"`
 	// DuplicateChunk sends one chunk of a stream twice.
 	DuplicateChunk faults.Count `json:"duplicate_chunk,omitempty"`
 	// LostReply aborts the connection after the whole answer was generated.
 	LostReply faults.Count `json:"lost_reply,omitempty"`
-	// CacheGaps omits cache events, which leaves gaps in their numbers.
+	// CacheGaps omits cache events, which leaves gaps in their sequence numbers.
 	CacheGaps faults.Count `json:"cache_gaps,omitempty"`
 }
 
-// downtime is how long the engine stays down after a crash.
+// downtime returns how long the engine stays down after a crash.
 func (f Faults) downtime() time.Duration {
 	if f.CrashMS == 0 {
 		return defaultDowntime
--- a/router/internal/standin/engine/generate.go
+++ b/router/internal/standin/engine/generate.go
@@ -12,18 +12,19 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// timeToFirstToken is the version's FirstToken plus PerBlock for each block of
+// timeToFirstToken returns the version's FirstToken plus PerBlock for each block of
 // the prompt that was not cached.
 func (j *job) timeToFirstToken() time.Duration {
 	uncached := len(j.blocks) - j.cachedBlocks
 	return j.version.FirstToken + time.Duration(uncached)*j.version.PerBlock
 }
 
-// firstTokenDelay is the fault LateMS as a duration.
+// firstTokenDelay returns the fault LateMS as a duration.
 func (f Faults) firstTokenDelay() time.Duration { return time.Duration(f.LateMS) * time.Millisecond }
 
-// waitToken waits for the time of one token. A full batch doubles the time
-// between tokens, as in an engine that is bound by memory bandwidth.
+// waitToken waits for the time between two tokens, which a full batch about
+// doubles, as in an engine that is bound by memory bandwidth. It reports whether
+// ctx is still active.
 func (s *Server) waitToken(ctx context.Context, j *job) bool {
 	interval := j.version.InterToken
 	if interval == 0 {
@@ -102,8 +103,8 @@
 	return err == nil
 }
 
-// envelope returns a response with the fields common to plain answers and
-// chunks.
+// envelope returns a response with the fields common to plain responses
+// and chunks.
 func (s *Server) envelope(j *job, object string, choice wire.ChatChoice) wire.ChatResponse {
 	return wire.ChatResponse{
 		ID:      "chatcmpl-" + j.nonce,
--- a/router/internal/standin/engine/orders.go
+++ b/router/internal/standin/engine/orders.go
@@ -51,6 +51,7 @@
 	return o.find(id)
 }
 
+// find returns the version with the given ID, whether it is loaded or not.
 func (o *orders) find(id string) (Version, bool) {
 	for _, v := range o.available {
 		if v.ID == id {
--- a/router/internal/standin/engine/slots.go
+++ b/router/internal/standin/engine/slots.go
@@ -68,6 +68,7 @@
 	s.releaseLocked()
 }
 
+// releaseLocked is release with s.mu held.
 func (s *slots) releaseLocked() {
 	if len(s.queue) == 0 {
 		s.running--
--- a/router/internal/standin/engine/stream.go
+++ b/router/internal/standin/engine/stream.go
@@ -72,7 +72,8 @@
 	if !out.send(i, data) {
 		return false
 	}
-	// Not the first chunk: a reader may hold it back until the second one.
+	// The first chunk is never duplicated: a reader may hold it back until it has
+	// the second one.
 	duplicate := i > 0 && s.Faults.Take(func(f *Faults) *faults.Count { return &f.DuplicateChunk })
 	return !duplicate || out.send(i, data)
 }
--- a/router/internal/standin/engine/version.go
+++ b/router/internal/standin/engine/version.go
@@ -16,7 +16,7 @@
 	// FirstToken is the time to the first token of an empty or fully cached
 	// prompt.
 	FirstToken time.Duration `json:"first_token"`
-	// PerBlock is added to it for each block of the prompt that is not cached.
+	// PerBlock is added to FirstToken for each block of the prompt that is not cached.
 	PerBlock time.Duration `json:"per_block"`
 	// InterToken is the time between tokens while one request runs.
 	InterToken time.Duration `json:"inter_token"`
--- a/router/internal/standin/faults/faults.go
+++ b/router/internal/standin/faults/faults.go
@@ -17,10 +17,11 @@
 // maxBodyBytes bounds the body of a PUT.
 const maxBodyBytes = 1 << 20
 
-// Always is the Count of a fault that strikes every time, until it is replaced.
+// Always is the Count of a fault that is injected every time until it is replaced.
 const Always Count = -1
 
-// Count is how many more times a fault strikes; 0 means never.
+// Count is how many more times a fault is injected: 0 means never, and a negative
+// number is not decremented.
 type Count int
 
 // Common are the faults that every stand-in has.
@@ -57,8 +58,8 @@
 	i.active = set
 }
 
-// Take reports whether the fault whose count pick returns strikes now, and
-// decrements the count if it is positive.
+// Take reports whether to inject a fault now. pick returns the count of that
+// fault, which Take decrements if it is positive.
 func (i *Injector[T]) Take(pick func(*T) *Count) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -97,8 +98,8 @@
 	WriteJSON(w, http.StatusOK, set)
 }
 
-// AbortConnection closes the connection without completing the response, as the
-// death of the process does. It panics with http.ErrAbortHandler.
+// AbortConnection closes the connection without completing the response, as if
+// the process had died. It panics with http.ErrAbortHandler.
 func AbortConnection() { panic(http.ErrAbortHandler) }
 
 // Sleep waits for d. It returns false if the request's context ended first.
--- a/router/internal/standin/listsvc/listsvc.go
+++ b/router/internal/standin/listsvc/listsvc.go
@@ -4,9 +4,9 @@
 //	GET    /instances             the list as of LagMS ago
 //	PUT    /instances             replaces the list
 //	PUT    /servers/{id}          adds or replaces one backend server
-//	DELETE /servers/{id}
+//	DELETE /servers/{id}          removes it
 //	PUT    /instances/{id}        adds or replaces one entry instance
-//	DELETE /instances/{id}
+//	DELETE /instances/{id}        removes it
 //	GET    /faults, PUT /faults   see Faults
 package listsvc
 
@@ -35,7 +35,7 @@
 type Config struct {
 	// List is the initial list.
 	List wire.InstanceList
-	// Now is the service's clock; nil is time.Now.
+	// Now is the service's clock; nil means time.Now.
 	Now func() time.Time
 }
 
--- a/router/internal/standin/listsvc/listsvc_test.go
+++ b/router/internal/standin/listsvc/listsvc_test.go
@@ -33,6 +33,8 @@
 	}
 }
 
+// With the fault LagMS, readers must get the list as it was LagMS ago: changes are
+// neither visible earlier nor lost.
 func TestListChangesShowAfterTheLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
@@ -55,6 +57,8 @@
 	})
 }
 
+// A PUT for a known ID must replace the entry instead of adding a second one, and a
+// body with an unknown field must change nothing.
 func TestListEntriesAreReplacedByID(t *testing.T) {
 	s := New(Config{})
 	do(t, s, http.MethodPut, "/instances", `{"servers":[{"id":"a"},{"id":"b"}]}`, http.StatusNoContent)
--- a/router/internal/standin/logsvc/logsvc.go
+++ b/router/internal/standin/logsvc/logsvc.go
@@ -31,13 +31,13 @@
 
 // Config of the service. The zero value has no limits.
 type Config struct {
-	// Retention is how long an entry is kept; 0 is forever.
+	// Retention is how long an entry is kept; 0 means forever.
 	Retention time.Duration
-	// MaxEntries is the maximum number of entries kept; 0 is no limit.
+	// MaxEntries is the maximum number of entries kept; 0 means no limit.
 	MaxEntries int
-	// AppendRate is the maximum number of appends per second; 0 is no limit.
+	// AppendRate is the maximum number of appends per second; 0 means no limit.
 	AppendRate int
-	// Now is the service's clock; nil is time.Now.
+	// Now is the service's clock; nil means time.Now.
 	Now func() time.Time
 }
 
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -27,6 +27,8 @@
 	return reply.Status, page
 }
 
+// A reader that was away for longer than the retention must get 410 with the first
+// kept offset, not a page with missing entries.
 func TestRetentionTrimsByTheLogsOwnClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{Retention: time.Hour})
@@ -47,6 +49,8 @@
 	})
 }
 
+// If the log's clock is set back, an entry must not get an earlier time than the one
+// before it.
 func TestEntryTimesNeverDecreaseEvenIfTheClockDoes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New(Config{Now: func() time.Time { return now }})
@@ -59,6 +63,8 @@
 	}
 }
 
+// A long poll without a new entry must end after wait_ms with the head, which
+// readers need to know that they are up to date.
 func TestLongPollEndsWithAnEmptyPageAndTheHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
@@ -93,6 +99,8 @@
 	})
 }
 
+// A misspelled fault must be refused: a test would otherwise run without the fault
+// and pass.
 func TestMalformedRequestsAndFaultsChangeNothing(t *testing.T) {
 	s := New(Config{})
 	for _, query := range []string{"", "from=-1", "from=0&limit=x", "from=0&wait_ms=-1"} {
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -1,6 +1,6 @@
 // Package rating is a stand-in for the platform's service that rates answers.
 //
-//	POST /rate                    wire.RateRequest -> wire.RateResponse
+//	POST /rate                    wire.RatingRequest -> wire.RatingResponse
 //	GET  /faults, PUT /faults     see Faults
 //
 // The score is the quality that the engine stand-in wrote into its answer, minus
@@ -32,7 +32,8 @@
 type Config struct {
 	// Noise is the maximum deviation of a score in either direction.
 	Noise float64
-	// TaskPenalty is subtracted from the score, by task class, 0 to 1.
+	// TaskPenalty holds, by task class, the number (0 to 1) that is subtracted from
+	// the score.
 	TaskPenalty map[string]float64
 }
 
--- a/router/internal/standin/rating/rating_test.go
+++ b/router/internal/standin/rating/rating_test.go
@@ -7,6 +7,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
+// The same request must get the same score, within the noise around the quality minus
+// the penalty of the task class; the noise must not shift the mean.
 func TestScoreFollowsQualityTaskAndBoundedNoise(t *testing.T) {
 	s := New(Config{Noise: 0.1, TaskPenalty: map[string]float64{"draft": 0.2}})
 	var sum float64
--- a/router/internal/standin/relay/relay.go
+++ b/router/internal/standin/relay/relay.go
@@ -20,7 +20,8 @@
 	conns        map[net.Conn]bool
 }
 
-// New returns a relay to target, which is dialed for each connection only.
+// New returns a relay to target. It dials target once for each connection that it
+// accepts, so target need not be reachable yet.
 func New(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/router/internal/standin/service/service.go
+++ b/router/internal/standin/service/service.go
@@ -1,9 +1,9 @@
 // Package service is a stand-in for a plain service, such as a shop's stock or a
 // lending record. It serves every path.
 //
-//	GET  any path                 idempotent: echoes the request
-//	POST /reservations            runs once per call; not idempotent
-//	any other method and path     likewise counted as a run
+//	GET, HEAD, OPTIONS any path   idempotent: echoes the request
+//	POST /reservations            not idempotent: each call counts as one run
+//	any other method and path     likewise
 //	GET  /load                    wire.LoadReport
 //	GET  /stats                   Stats, for tests
 //	GET  /faults, PUT /faults     see Faults
@@ -33,11 +33,11 @@
 	// Name is stated in the responses.
 	Name string
 	// Slots is the maximum number of running calls, as stated in the load
-	// report; calls beyond it are refused. 0 is DefaultSlots.
+	// report; calls beyond it are refused. 0 means DefaultSlots.
 	Slots int
-	// Work is the service time of each call.
+	// Work is how long each call runs.
 	Work time.Duration
-	// Now is the service's clock; nil is time.Now.
+	// Now is the service's clock; nil means time.Now.
 	Now func() time.Time
 }
 
@@ -175,7 +175,8 @@
 	return answer
 }
 
-// reply sends the response, subject to the faults that strike after the effect.
+// reply sends the response, subject to the faults that are injected
+// after the call took effect.
 func (s *Server) reply(w http.ResponseWriter, r *http.Request, answer Response) {
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.LostReply }) {
 		faults.AbortConnection()
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -56,6 +56,8 @@
 	}
 }
 
+// Callers tell a second run and the answer to another call by the response, so it
+// must state the number of the run and echo the call.
 func TestResponsesStateTheRunAndTheCall(t *testing.T) {
 	s := New(Config{Name: "shop"})
 	reserve(s, "k")
--- a/router/internal/standin/standintest/standintest.go
+++ b/router/internal/standin/standintest/standintest.go
@@ -16,7 +16,7 @@
 	Path   string
 	Body   string
 	Header http.Header
-	// Context of the request; nil is context.Background().
+	// Context of the request; nil means context.Background().
 	Context context.Context
 }
 
@@ -25,12 +25,12 @@
 	Status int
 	Header http.Header
 	Body   string
-	// Aborted is set if the handler closed the connection without completing
+	// Aborted is true if the handler closed the connection without completing
 	// the response; Body then holds what was written before.
 	Aborted bool
 }
 
-// Do calls h.
+// Do sends c to h and returns the response.
 func Do(h http.Handler, c Call) (reply Response) {
 	if c.Context == nil {
 		c.Context = context.Background()
