--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -54,16 +54,16 @@
 
 // A check that misses a violation makes the demo report a promise as held, so
 // each promise is broken here once.
-func TestEachBrokenPromiseIsSeen(t *testing.T) {
+func TestEachBrokenPromiseIsReported(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(c *checker, r []result)
-		want  []string
+		name   string
+		mutate func(c *checker, r []result)
+		want   []string
 	}{
-		{"sound", func(*checker, []result) {}, nil},
-		{"shortened answer", func(_ *checker, r []result) { r[0].text = r[0].text[:20] }, []string{promiseWhole}},
+		{"valid run", func(*checker, []result) {}, nil},
+		{"truncated answer", func(_ *checker, r []result) { r[0].text = r[0].text[:20] }, []string{promiseWhole}},
 		{"another's reservation", func(_ *checker, r []result) { r[1].body = []byte(`{"key":"z"}`) }, []string{promiseWhole}},
-		{"cut without faults", func(_ *checker, r []result) { r[2].outcome = outcomeConnectionLost }, []string{promiseAnswered}},
+		{"connection lost without faults", func(_ *checker, r []result) { r[2].outcome = outcomeConnectionLost }, []string{promiseAnswered}},
 		{"forbidden model was run", func(_ *checker, r []result) {
 			r[3].outcome, r[3].code, r[3].version, r[3].status = "completed", "", versionOld, http.StatusOK
 			r[3].text = r[0].text
@@ -75,13 +75,13 @@
 			c.bills.byRequest["s"] = append(c.bills.byRequest["s"], c.bills.byRequest["s"]...)
 		}, []string{promiseBilled}},
 		{"wrong version billed", func(c *checker, _ []result) { c.bills.byRequest["s"][0].Version = versionSmall }, []string{promiseBilled}},
-		{"billed for nothing", func(c *checker, _ []result) { c.bills.byRequest["?"] = []bills.Bill{{RequestID: "?"}} }, []string{promiseBilled}},
+		{"bill for an unknown request", func(c *checker, _ []result) { c.bills.byRequest["?"] = []bills.Bill{{RequestID: "?"}} }, []string{promiseBilled}},
 		{"refused but billed", func(c *checker, _ []result) { c.bills.byRequest["f"] = []bills.Bill{{RequestID: "f"}} }, []string{promiseNotRun}},
 		{"refused but run", func(c *checker, r []result) {
 			r[1].outcome, r[2].outcome = "refused", "refused"
 			delete(c.bills.byRequest, "t")
 		}, []string{promiseNotRun}},
-		{"told failed but run", func(c *checker, r []result) {
+		{"reported as failed but run", func(c *checker, r []result) {
 			c.faults = true
 			r[1].outcome, r[1].code = "failed", "backend_server_crashed"
 		}, []string{promiseNoFalseFailure}},
@@ -90,7 +90,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c, results := validRun()
-			tt.spoil(c, results)
+			tt.mutate(c, results)
 			c.check(results)
 			got := slices.Sorted(maps.Keys(c.violations))
 			if want := slices.Sorted(slices.Values(tt.want)); !slices.Equal(got, want) {
@@ -104,7 +104,9 @@
 	}
 }
 
-func TestPlanIsTheSameForTheSameSeed(t *testing.T) {
+// A failure must be reproducible by its seed: only the keys may differ between two
+// loads with the same seed.
+func TestLoadIsTheSameForTheSameSeed(t *testing.T) {
 	a, b := generateLoad(300, 7), generateLoad(300, 7)
 	kinds := map[kind]int{}
 	for i := range a {
@@ -121,6 +123,7 @@
 	}
 }
 
+// An index that is off by one would shift all reported latencies.
 func TestPercentileByNearestRank(t *testing.T) {
 	var all []time.Duration
 	for i := 100; i > 0; i-- {
--- a/router/internal/demo/demo.go
+++ b/router/internal/demo/demo.go
@@ -27,7 +27,7 @@
 	// rolloutTimeout bounds the time until the second manifest is in force
 	// everywhere; a longer one breaks promiseManifest.
 	rolloutTimeout = 5 * time.Second
-	// pollInterval is the time between two queries for a state.
+	// pollInterval is the time between two polls for a state.
 	pollInterval = 10 * time.Millisecond
 )
 
@@ -58,12 +58,12 @@
 		cfg.Progress = func() {}
 	}
 	began := time.Now()
-	s, err := newEnvironment(ctx, cfg.Log)
+	env, err := newEnvironment(ctx, cfg.Log)
 	if err != nil {
 		return Report{}, trace.Wrap(err)
 	}
-	defer s.stop()
-	r := &run{cfg: cfg, env: s, violations: map[string][]string{}}
+	defer env.stop()
+	r := &run{cfg: cfg, env: env, violations: map[string][]string{}}
 	if err := r.prepare(ctx); err != nil {
 		return Report{}, trace.Wrap(err)
 	}
@@ -81,8 +81,10 @@
 	caller *caller
 
 	// withdrawnAt is the time at which the second manifest was in force
-	// everywhere; zero before.
+	// everywhere; zero before that.
 	withdrawnAt time.Time
+	// rolloutTime is the time from the publication of the second manifest until
+	// withdrawnAt.
 	rolloutTime time.Duration
 	violations  map[string][]string
 }
@@ -226,7 +228,7 @@
 			want = append(want, one.request.key)
 		}
 	}
-	l, err := awaitBills(ctx, r.env.logURL, want)
+	exported, err := awaitBills(ctx, r.env.logURL, want)
 	if err != nil {
 		return Report{}, err
 	}
@@ -234,12 +236,12 @@
 		faults:      r.cfg.Faults,
 		withdrawnAt: r.withdrawnAt,
 		caller:      r.caller,
-		bills:       l,
+		bills:       exported,
 		runs:        r.env.shop.Stats().Runs,
 		violations:  r.violations,
 	}
 	c.check(results)
-	report := newReport(results, l, c.violations)
+	report := newReport(results, exported, c.violations)
 	report.Requests = r.cfg.Requests
 	report.Faults = r.cfg.Faults
 	report.RolloutMS = float64(r.rolloutTime.Microseconds()) / 1000
@@ -258,6 +260,7 @@
 	c.all = append(c.all, results...)
 }
 
+// sleep waits for d. It returns an error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -41,7 +41,7 @@
 
 func (f *fleet) chat(i *instance) response {
 	f.t.Helper()
-	return call(f.t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, helloBody, nil)
+	return call(f.t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, chatBody, nil)
 }
 
 func (f *fleet) reserve(i *instance, key string) response {
@@ -115,8 +115,9 @@
 	}
 }
 
-// freeze sends SIGSTOP and waits until all threads are stopped: the signal takes effect some
-// time after it was sent, and a request that arrives before that would be served as usual.
+// freeze sends SIGSTOP and waits until all threads are stopped: the signal takes
+// effect some time after it was sent, and a request that arrives before that would
+// be served as usual.
 func (f *fleet) freeze(i *instance) {
 	f.t.Helper()
 	f.signal(i, syscall.SIGSTOP)
@@ -151,18 +152,18 @@
 // request was already in its socket when it continues.
 func TestFrozenInstanceMissesAWithdrawal(t *testing.T) {
 	f := readyFleet(t)
-	frozen, publisher, witness := f.instances[0], f.instances[1], f.instances[2]
+	frozen, publisher, isolated := f.instances[0], f.instances[1], f.instances[2]
 	before := f.requestsStarted("large@1")
 	f.freeze(frozen)
 	waiting := make(chan response, 1)
 	go func() { waiting <- f.chat(frozen) }()
 	f.withdraw(publisher)
-	// The witness is disconnected from the log and its peers after the freeze.
-	// Once it is stale, the frozen instance's last read is older than the bound,
-	// too.
+	// After the freeze, the third instance is disconnected from the log and both its
+	// peers are stopped. Once it is stale, the last read of the frozen instance is
+	// older than the freshness bound, too.
 	f.logRelays[2].SetDisconnected(true)
 	f.freeze(publisher)
-	f.awaitMode(witness, "stale")
+	f.awaitMode(isolated, "stale")
 	f.signal(publisher, syscall.SIGCONT)
 	f.signal(frozen, syscall.SIGCONT)
 	if r := <-waiting; outcomeOf(r) == "completed" {
@@ -188,7 +189,7 @@
 	keys := []string{newKey(), newKey(), newKey()}
 	for n, i := range f.instances {
 		header := map[string]string{wire.HeaderIdempotencyKey: keys[n]}
-		r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, helloBody, header)
+		r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, chatBody, header)
 		if outcomeOf(r) != "completed" {
 			t.Errorf("%s: %+v", i.name, r)
 		}
@@ -280,7 +281,7 @@
 
 // An instance that is disconnected from the log alone gets a new manifest from
 // its peers and stays fresh.
-func TestCutFromTheLogOnly(t *testing.T) {
+func TestDisconnectedFromTheLogOnly(t *testing.T) {
 	f := readyFleet(t)
 	f.logRelays[0].SetDisconnected(true)
 	f.withdraw(f.instances[1])
@@ -296,7 +297,7 @@
 // An instance that is disconnected from the log while its peers are stopped
 // refuses new requests as not run and fails the readiness check. It recovers by
 // itself.
-func TestCutFromAll(t *testing.T) {
+func TestDisconnectedFromTheLogAndAllPeers(t *testing.T) {
 	f := readyFleet(t)
 	alone := f.instances[0]
 	f.logRelays[0].SetDisconnected(true)
--- a/router/internal/loadgen/loadgen_test.go
+++ b/router/internal/loadgen/loadgen_test.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+// A mistyped address must not send load to a real service. Host names are refused
+// too, since they may resolve to any address.
 func TestLoadGoesToLoopbackOnly(t *testing.T) {
 	for base, allowed := range map[string]bool{
 		"http://127.0.0.1:8080": true, "http://[::1]:8080": true,
@@ -19,9 +21,9 @@
 	}
 }
 
-// TestRunCounts sends to a server that refuses every third request: both answers
+// TestRunCountsAnswersAndFailures sends to a server that refuses every third request: both answers
 // and failures are counted.
-func TestRunCounts(t *testing.T) {
+func TestRunCountsAnswersAndFailures(t *testing.T) {
 	var n int
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n++
--- a/router/internal/standin/engine/orders.go
+++ b/router/internal/standin/engine/orders.go
@@ -51,6 +51,7 @@
 	return o.find(id)
 }
 
+// find returns the version with the given ID, whether it is loaded or not.
 func (o *orders) find(id string) (Version, bool) {
 	for _, v := range o.available {
 		if v.ID == id {
@@ -77,7 +78,7 @@
 	}
 	for _, id := range order.Versions {
 		if _, ok := o.find(id); !ok {
-			return "unknown_version", fmt.Sprintf("version %s cannot be loaded here", id)
+			return "unknown_version", fmt.Sprintf("this engine cannot load version %s", id)
 		}
 	}
 	o.fencing = max(o.fencing, fencing)
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -12,7 +12,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-func appendBlob(t *testing.T, s *Server, ctx context.Context) standintest.Response {
+func appendEntry(t *testing.T, s *Server, ctx context.Context) standintest.Response {
 	t.Helper()
 	return standintest.Do(s, standintest.Call{Method: http.MethodPost, Path: "/append", Body: "x", Context: ctx})
 }
@@ -27,12 +27,14 @@
 	return reply.Status, page
 }
 
+// A reader that was away for longer than the retention must get 410 with the first
+// kept offset, not a page with missing entries.
 func TestRetentionTrimsByTheLogsOwnClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{Retention: time.Hour})
-		appendBlob(t, s, nil)
+		appendEntry(t, s, nil)
 		time.Sleep(40 * time.Minute)
-		appendBlob(t, s, nil)
+		appendEntry(t, s, nil)
 		if status, page := read(t, s, "from=0"); status != http.StatusOK || len(page.Entries) != 2 {
 			t.Fatalf("before the retention: %d %+v", status, page)
 		}
@@ -47,18 +49,22 @@
 	})
 }
 
-func TestTimesNeverFallWhereTheClockDoes(t *testing.T) {
+// If the log's clock is set back, an entry must not get an earlier time than the one
+// before it.
+func TestEntryTimesNeverDecreaseEvenIfTheClockDoes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New(Config{Now: func() time.Time { return now }})
-	appendBlob(t, s, nil)
+	appendEntry(t, s, nil)
 	now = time.Unix(900, 0)
-	appendBlob(t, s, nil)
+	appendEntry(t, s, nil)
 	_, page := read(t, s, "from=0")
 	if page.Entries[1].Time.Before(page.Entries[0].Time) {
 		t.Errorf("times decrease: %v, then %v", page.Entries[0].Time, page.Entries[1].Time)
 	}
 }
 
+// A long poll without a new entry must end after wait_ms with the head, which
+// readers need to know that they are up to date.
 func TestLongPollEndsWithAnEmptyPageAndTheHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
@@ -75,13 +81,13 @@
 
 // The worst case of a lost reply: the append takes effect long after its caller
 // has timed out.
-func TestLateEffectOutlivesItsCaller(t *testing.T) {
+func TestAppendTakesEffectAfterItsCallerTimedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
 		standintest.SetFaults(s, `{"late_effect_ms":10000}`)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		go appendBlob(t, s, ctx)
+		go appendEntry(t, s, ctx)
 		<-ctx.Done()
 		if _, page := read(t, s, "from=0"); page.Head != 0 {
 			t.Errorf("the append took effect too early: %+v", page)
@@ -93,6 +99,8 @@
 	})
 }
 
+// A misspelled fault must be refused: a test would otherwise run without the fault
+// and pass.
 func TestMalformedRequestsAndFaultsChangeNothing(t *testing.T) {
 	s := New(Config{})
 	for _, query := range []string{"", "from=-1", "from=0&limit=x", "from=0&wait_ms=-1"} {
@@ -108,7 +116,7 @@
 	if !s.Faults.Get().Down {
 		t.Error("a refused body changed the faults")
 	}
-	if reply := appendBlob(t, s, nil); !reply.Aborted {
+	if reply := appendEntry(t, s, nil); !reply.Aborted {
 		t.Errorf("append while down: %+v", reply)
 	}
 }
