--- a/coordination/keyedlog/keyedlog.go
+++ b/coordination/keyedlog/keyedlog.go
@@ -19,8 +19,8 @@
 
 // Position is a position in a log: an offset, and the era that the offset belongs to.
 type Position struct {
-	// Era counts the restores of the log from a copy of an earlier state, after which
-	// offsets are assigned again; 0 if unknown.
+	// Era counts the restores of the log from a backup, after which offsets are
+	// assigned again; 0 if unknown.
 	Era    uint64
 	Offset uint64
 }
@@ -79,7 +79,7 @@
 	ErrUnknown = errors.New("outcome of log call unknown: no answer")
 	// ErrTrimmed means that the records at the position are no longer kept.
 	ErrTrimmed = errors.New("records no longer kept by the log")
-	// ErrRestored means that the log was restored from a copy and the position is from before.
+	// ErrRestored means that the log was restored from a backup and the position is from before.
 	// It wraps ErrTrimmed because the recovery is the same: call Newest and read on from there.
 	ErrRestored = fmt.Errorf("%w: the log was restored from a copy", ErrTrimmed)
 	// ErrConflict means that the log does not end at the position that Append was given.
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// noteRestore logs that the topic was restored from an earlier state and may lack records that were read
+// noteRestore logs that the topic was restored from a backup and may lack records that were read
 // before, and calls onRestore.
 func (t *topicReader) noteRestore(era uint64) {
 	t.telemetry.count("store_restored")
