--- a/coordination/fold/checkpoint.go
+++ b/coordination/fold/checkpoint.go
@@ -95,14 +95,14 @@
 	if !ok {
 		return
 	}
-	o := a.find(r.Nonce, &w)
-	if o == nil || o.parts[w.Part] != nil {
+	cp := a.find(r.Nonce, &w)
+	if cp == nil || cp.parts[w.Part] != nil {
 		return
 	}
-	o.parts[w.Part] = w.Data
-	o.received++
-	if o.received == len(o.parts) {
-		a.finish(o)
+	cp.parts[w.Part] = w.Data
+	cp.received++
+	if cp.received == len(cp.parts) {
+		a.finish(cp)
 	}
 }
 
@@ -113,36 +113,36 @@
 }
 
 func (a *CheckpointAssembler) find(nonce record.Nonce, w *wirePart) *partialCheckpoint {
-	for _, o := range a.partial {
-		if o.nonce != nonce {
+	for _, cp := range a.partial {
+		if cp.nonce != nonce {
 			continue
 		}
-		if o.nextOffset != w.NextOffset || len(o.parts) != int(w.Parts) {
+		if cp.nextOffset != w.NextOffset || len(cp.parts) != int(w.Parts) {
 			return nil
 		}
-		return o
+		return cp
 	}
 	if len(a.partial) == maxPartialCheckpoints {
 		a.partial = a.partial[1:]
 	}
-	o := &partialCheckpoint{nonce: nonce, nextOffset: w.NextOffset, parts: make([][]byte, w.Parts)}
-	a.partial = append(a.partial, o)
-	return o
+	cp := &partialCheckpoint{nonce: nonce, nextOffset: w.NextOffset, parts: make([][]byte, w.Parts)}
+	a.partial = append(a.partial, cp)
+	return cp
 }
 
-func (a *CheckpointAssembler) finish(o *partialCheckpoint) {
+func (a *CheckpointAssembler) finish(cp *partialCheckpoint) {
 	for i, other := range a.partial {
-		if other == o {
+		if other == cp {
 			a.partial = append(a.partial[:i:i], a.partial[i+1:]...)
 			break
 		}
 	}
-	if a.latest != nil && o.nextOffset <= a.nextOffset {
+	if a.latest != nil && cp.nextOffset <= a.nextOffset {
 		return
 	}
 	var snapshot []byte
-	for _, p := range o.parts {
+	for _, p := range cp.parts {
 		snapshot = append(snapshot, p...)
 	}
-	a.latest, a.nextOffset = snapshot, o.nextOffset
+	a.latest, a.nextOffset = snapshot, cp.nextOffset
 }
--- a/coordination/fold/rules.go
+++ b/coordination/fold/rules.go
@@ -117,7 +117,7 @@
 // a duplicate.
 func (s *State) supersede(r *record.Record) {
 	if old := s.table.find(s.manifestKey); old != nil && s.generation > 0 {
-		s.table.setExpiry(old, s.clock.now+s.rules.retention)
+		s.table.retire(old, s.clock.now+s.rules.retention)
 	}
 	s.manifestKey = r.Key
 	s.manifestDigest = record.ManifestDigest(r.Value)
--- a/coordination/fold/table.go
+++ b/coordination/fold/table.go
@@ -98,8 +98,8 @@
 	t.free = append(t.free, i)
 }
 
-// setExpiry sets the expiry of w in microseconds and drops its value.
-func (t *table) setExpiry(w *row, expires int64) {
+// retire sets the expiry of w in microseconds and drops its value.
+func (t *table) retire(w *row, expires int64) {
 	w.value = nil
 	w.expires = expires
 	t.expiries.add(expires, t.index[w.key])
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -21,22 +21,22 @@
 	"masticplank.example/coordination/record"
 )
 
-// seeds is how many histories each test runs; long runs use
-// -history.seeds=10000. The seeds are consecutive from first, so a failing one
-// can be repeated.
+// seedCount is how many histories each test runs; long runs use
+// -history.seeds=10000. The seeds are consecutive from firstSeed, so a failing
+// one can be repeated.
 var (
-	seeds = flag.Int("history.seeds", 100, "histories per test")
-	first = flag.Uint64("history.first", 0, "first seed")
+	seedCount = flag.Int("history.seeds", 100, "histories per test")
+	firstSeed = flag.Uint64("history.first", 0, "first seed")
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func eachSeed(t *testing.T, f func(t *testing.T, seed uint64)) {
-	t.Logf("seeds %d to %d", *first, *first+uint64(*seeds)-1)
-	for i := range uint64(*seeds) {
-		f(t, *first+i)
+	t.Logf("seeds %d to %d", *firstSeed, *firstSeed+uint64(*seedCount)-1)
+	for i := range uint64(*seedCount) {
+		f(t, *firstSeed+i)
 		if t.Failed() {
-			t.Fatalf("failed with seed %d", *first+i)
+			t.Fatalf("failed with seed %d", *firstSeed+i)
 		}
 	}
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -208,9 +208,9 @@
 }
 
 type contender struct {
-	state   state
-	read    int
-	pending *pendingPut
+	state    state
+	nextTerm int
+	pending  *pendingPut
 	// lastOrder is the latest time at which an order of the last check may arrive.
 	lastOrder time.Time
 }
@@ -228,10 +228,10 @@
 	sim.now = sim.now.Add(time.Duration(sim.rng.IntN(1500)) * time.Millisecond)
 	i := sim.rng.IntN(len(sim.contenders))
 	c := sim.contenders[i]
-	for _, p := range sim.contenders {
-		sim.appendDue(p)
+	for _, each := range sim.contenders {
+		sim.appendDue(each)
 	}
-	for c.read < len(sim.terms) && sim.rng.IntN(4) > 0 {
+	for c.nextTerm < len(sim.terms) && sim.rng.IntN(4) > 0 {
 		c.readNext(sim)
 	}
 	if c.pending == nil && c.state.mayAcquire(sim.now) && sim.rng.IntN(2) == 0 {
@@ -267,8 +267,8 @@
 }
 
 func (c *contender) readNext(sim *simulation) {
-	next := sim.terms[c.read]
-	c.read++
+	next := sim.terms[c.nextTerm]
+	c.nextTerm++
 	var sent time.Time
 	if p := c.pending; p != nil && p.term.offset == next.offset {
 		sent = p.sentAt
--- a/coordination/node/append.go
+++ b/coordination/node/append.go
@@ -65,8 +65,8 @@
 // keeps all instances together within AppendBudget, whatever the load on each;
 // the log takes several hundred appends per second and also serves operators.
 func (n *Node) appendInterval() time.Duration {
-	share := time.Duration(n.instanceCount()) * time.Second / time.Duration(n.cfg.AppendBudget)
-	return max(n.cfg.Linger, share)
+	interval := time.Duration(n.instanceCount()) * time.Second / time.Duration(n.cfg.AppendBudget)
+	return max(n.cfg.Linger, interval)
 }
 
 // waitForInterval waits until appendInterval has passed since the last append.
--- a/coordination/node/checkpoint.go
+++ b/coordination/node/checkpoint.go
@@ -126,34 +126,34 @@
 }
 
 func (n *Node) findCheckpoint(ctx context.Context, first uint64) (snapshot []byte, next uint64, err error) {
-	var found fold.CheckpointAssembler
+	var assembler fold.CheckpointAssembler
 	for from := first; ; {
 		page, err := n.read(ctx, from, 0)
 		if err != nil {
 			return nil, 0, err
 		}
 		for _, e := range page.Entries {
-			collectParts(&found, e.Data)
+			collectParts(&assembler, e.Data)
 			from = e.Offset + 1
 		}
 		if from >= page.Head || len(page.Entries) == 0 {
 			break
 		}
 	}
-	snapshot, next, ok := found.Latest()
+	snapshot, next, ok := assembler.Latest()
 	if !ok {
 		return nil, 0, trace.Wrap(ErrNoCheckpoint)
 	}
 	return snapshot, next, nil
 }
 
-func collectParts(found *fold.CheckpointAssembler, data []byte) {
+func collectParts(assembler *fold.CheckpointAssembler, data []byte) {
 	b, err := record.Decode(data)
 	if err != nil {
 		return
 	}
 	for i := range b.Records {
-		found.Add(&b.Records[i])
+		assembler.Add(&b.Records[i])
 	}
 }
 
--- a/coordination/node/config.go
+++ b/coordination/node/config.go
@@ -44,8 +44,8 @@
 	defaultPageLimit    = 512
 	defaultCallTimeout  = 2 * time.Second
 	defaultMaxReleases  = 100_000
-	// maxBatchBytes closes a group early; a single larger record is sent alone.
-	maxBatchBytes = 512 << 10
+	// maxGroupBytes closes a group early; a single larger record is sent alone.
+	maxGroupBytes = 512 << 10
 	// backoffInitial and backoffMax bound the wait after a failed call.
 	// backoffMax and CallTimeout together are under the freshness bound, so
 	// that the node's knowledge of the log being down or back is never older
--- a/coordination/node/group.go
+++ b/coordination/node/group.go
@@ -22,7 +22,7 @@
 	size := 0
 	fits := func(r *record.Record) bool {
 		size += len(r.Key) + len(r.Value) + recordOverhead
-		return len(g.records) == 0 || len(g.records) < record.MaxRecords && size <= maxBatchBytes
+		return len(g.records) == 0 || len(g.records) < record.MaxRecords && size <= maxGroupBytes
 	}
 	for len(ps.releases) > 0 && fits(&ps.releases[0]) {
 		g.releases = append(g.releases, ps.releases[0])
--- a/coordination/node/restore_test.go
+++ b/coordination/node/restore_test.go
@@ -109,7 +109,7 @@
 		a := cluster.node("a")
 		big := func(i int) record.Record {
 			r := put(record.Key(fmt.Sprintf("session/%d", i)), 1)
-			r.Value = make([]byte, maxBatchBytes*3/4)
+			r.Value = make([]byte, maxGroupBytes*3/4)
 			return r
 		}
 		for i := range 4 {
@@ -130,11 +130,11 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		var found fold.CheckpointAssembler
+		var assembler fold.CheckpointAssembler
 		for _, e := range cluster.log.Entries() {
-			collectParts(&found, e.Data)
+			collectParts(&assembler, e.Data)
 		}
-		if _, _, ok := found.Latest(); !ok {
+		if _, _, ok := assembler.Latest(); !ok {
 			t.Error("no checkpoint in the log under load")
 		}
 		wg.Wait()
--- a/coordination/platformlog/logtest/log.go
+++ b/coordination/platformlog/logtest/log.go
@@ -24,7 +24,7 @@
 	changed      chan struct{}
 	faults       faults
 	disconnected map[string]bool
-	appends      int
+	appendCount  int
 }
 
 // faults holds the faults that are simulated now.
@@ -147,7 +147,7 @@
 func (l *Log) AppendCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.appends
+	return l.appendCount
 }
 
 func (l *Log) update(f func()) {
@@ -171,7 +171,7 @@
 		e.Time = time.Now()
 	}
 	l.entries = append(l.entries, e)
-	l.appends++
+	l.appendCount++
 	l.wake()
 	return e.Offset
 }
