--- a/coordination/fold/bench_test.go
+++ b/coordination/fold/bench_test.go
@@ -13,8 +13,8 @@
 // recordsPerBatch is how many records a group commit carries under load.
 const recordsPerBatch = 100
 
-// workload generates batches whose keys live until n keys are live. In the
-// steady state each new register then replaces one that expires.
+// workload generates batches of new keys at such a rate that n keys are live in
+// the steady state, where each new register replaces one that expires.
 type workload struct {
 	n        int
 	next     int
@@ -42,6 +42,7 @@
 	return at, b
 }
 
+// fill folds batches until n keys are live.
 func fill(b *testing.B, w *workload) *State {
 	s := New(DefaultConfig(), Options{})
 	for w.next < w.n {
--- a/coordination/fold/checkpoint.go
+++ b/coordination/fold/checkpoint.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// partBytes is the size of the piece of a snapshot in one checkpoint record. A
-	// large state is spread over several appends, so that other records do not
-	// wait behind one huge append.
+	// partBytes is the most bytes of a snapshot in one checkpoint record. A large
+	// state is spread over several appends, so that other records do not wait
+	// behind one huge append.
 	partBytes = 512 << 10
 	// maxParts bounds the parts of a checkpoint: those of a snapshot of
 	// MaxSnapshotBytes, and one more.
@@ -32,7 +32,8 @@
 }
 
 // Checkpoint returns the records that carry the current state. A reader that
-// finds the entries before Digest().NextOffset trimmed starts from them.
+// finds the entries before Digest().NextOffset trimmed starts from these
+// records.
 func (s *State) Checkpoint(nonce record.Nonce) ([]record.Record, error) {
 	snapshot, err := s.Snapshot()
 	if err != nil {
@@ -89,7 +90,9 @@
 	received   int
 }
 
-// Add takes one record. It ignores records of other kinds and malformed parts.
+// Add takes one record. It ignores records of other kinds, malformed parts,
+// parts that it already has, and parts that do not fit the others with their
+// nonce.
 func (a *CheckpointAssembler) Add(r *record.Record) {
 	w, ok := parsePart(r)
 	if !ok {
@@ -112,6 +115,8 @@
 	return a.latest, a.nextOffset, a.latest != nil
 }
 
+// find returns the incomplete checkpoint that w belongs to. It adds a new one if
+// there is none, and returns nil if w contradicts it.
 func (a *CheckpointAssembler) find(nonce record.Nonce, w *wirePart) *partialCheckpoint {
 	for _, cp := range a.partial {
 		if cp.nonce != nonce {
--- a/coordination/fold/clock.go
+++ b/coordination/fold/clock.go
@@ -11,9 +11,9 @@
 // against a writer with a wrong clock: a time more than skew ahead is pending
 // until another writer's time is beyond the skew too, and then the lesser of
 // the two counts, so that one of the two writers being right is enough. The
-// very first time cannot be compared with anything and counts at once; if it
-// was wrong, claims are refused (never granted twice) until real time has
-// caught up.
+// very first time cannot be compared with anything and counts at once; if it is
+// ahead of real time, claims are refused (never granted twice) until real time
+// has caught up.
 //
 // With a single writer, the clock stops once that writer pauses for longer than
 // the skew, until a second writer appends. A deployment of one instance
@@ -27,7 +27,7 @@
 	pendingWriter string
 }
 
-// observe takes the times of one entry in microseconds. logTime is 0 if the log
+// observe takes the times of one entry in Unix microseconds. logTime is 0 if the log
 // does not timestamp its entries.
 func (c *clock) observe(logTime, writerTime int64, writer string) {
 	if logTime > 0 {
--- a/coordination/fold/fold.go
+++ b/coordination/fold/fold.go
@@ -9,7 +9,7 @@
 // readers of the same prefix hold the same state, whenever and however often
 // they read it. A key has one winner, since the first live Put takes the key
 // and later ones find it taken. A released nonce never wins, since its
-// tombstone lasts longer than the log can still deliver the Put. A claim is
+// tombstone lasts as long as the log can still deliver the Put. A claim is
 // never won twice, since its register outlives the window in which the key may
 // be claimed. A manifest is never reverted, since it wins only as the child of
 // the manifest in force and a Release has no effect on it.
@@ -37,21 +37,22 @@
 	Expires time.Time
 }
 
-// Verdict is the effect that the fold gave to one record.
+// Verdict is the fold's decision on the effect of one record.
 type Verdict uint8
 
 const (
 	// VerdictWon means that the Put is its key's register now.
 	VerdictWon Verdict = iota + 1
-	// VerdictLost means that another Put of the key came first and is live.
+	// VerdictLost means that another Put of the key came first and is live, or
+	// that a manifest of the same or a later generation is in force.
 	VerdictLost
 	// VerdictVoid means that the record has no effect: a Put that can never win
 	// (released before, outside the time window of its key, or rejected by its
 	// class's rules or validator), or the Release of a manifest or bill that has
 	// won.
 	VerdictVoid
-	// VerdictReleased means that a Release left a tombstone, and removed its
-	// register if there was one.
+	// VerdictReleased means that a Release left a tombstone, and removed the
+	// register that the released Put held, if any.
 	VerdictReleased
 	// VerdictCheckpoint means that the record is a checkpoint. It changes nothing
 	// at a reader that has folded all records before it.
@@ -65,7 +66,7 @@
 	Verdict Verdict
 	Record  record.Record
 	// Register is the key's register after the record. For VerdictLost it is the
-	// winner. Zero if the key has none.
+	// winner. Zero if the key has none, and for every void Put.
 	Register Register
 }
 
--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -77,6 +77,7 @@
 	want  Verdict
 }
 
+// Guards against a record whose effect differs from the rules of its class.
 func TestRegisterRules(t *testing.T) {
 	const s = time.Second
 	tests := map[string][]step{
@@ -178,10 +179,11 @@
 		t.Errorf("winner %q at generation %d, want \"two\" at 2", c.Register.Value, f.s.Digest().Generation)
 	}
 	if m, ok := f.s.Manifest(); !ok || m.Nonce != (record.Nonce{2}) {
-		t.Errorf("manifest in force: %+v", m)
+		t.Errorf("manifest in force: %+v, want the one with nonce 2", m)
 	}
 }
 
+// Guards against a Put that wins with content that its class's validator rejects.
 func TestValidatorDecides(t *testing.T) {
 	refuse := func(r record.Record, s *State) error {
 		if string(r.Value) == "bad" {
@@ -279,6 +281,8 @@
 	}
 }
 
+// All records of a batch have the offset of its entry; within the batch the first
+// Put of a key must win.
 func TestBatchOfManySharesAnOffset(t *testing.T) {
 	f := newFeed(t)
 	f.apply(0, put("session/x", 9))
@@ -286,9 +290,9 @@
 	f.batch(start, b)
 	a, _ := f.s.Lookup("session/a")
 	if a.Offset != 1 || a.Nonce != (record.Nonce{1}) || a.Writer != "w" || !a.LogTime.Equal(start) {
-		t.Errorf("register of session/a: %+v", a)
+		t.Errorf("register of session/a: %+v, want nonce 1 of writer w at offset 1 and the log time of the batch", a)
 	}
 	if regs := f.s.Registers("session"); len(regs) != 3 || regs[0].Key != "session/x" {
-		t.Errorf("registers in the order of their offsets: %+v", regs)
+		t.Errorf("registers in the order of their offsets: %+v, want three, the first session/x", regs)
 	}
 }
--- a/coordination/fold/property_test.go
+++ b/coordination/fold/property_test.go
@@ -26,7 +26,7 @@
 	return &model{live: map[record.Key]Register{}, released: map[proposal]time.Time{}}
 }
 
-// tick advances the model to the time of an entry, with or without records.
+// tick advances the model to the time of an entry, which may have no records.
 func (m *model) tick(at time.Time) {
 	if at.After(m.now) {
 		m.now = at
@@ -99,10 +99,11 @@
 	return r
 }
 
-// Whatever is appended, in any order, repeated or released: the fold agrees
-// with the model, two readers of the log agree with each other, and a reader
-// restored from a snapshot at any point that folds the rest ends in the same
-// bytes as a full replay.
+// Guards against readers of one log that hold different states, and against a
+// fold that deviates from its rules. Whatever is appended, in any order,
+// repeated or released, the fold must agree with the model, and a reader that is
+// restored from a snapshot at any point and folds the rest must end with the
+// same digest and the same snapshot bytes as a full replay.
 func TestFoldMatchesModelAtEveryReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
@@ -142,6 +143,9 @@
 	})
 }
 
+// checkReaders folds log at two readers: one from the beginning, and one restored
+// from a snapshot of the first before the entry with the index cut. wins holds
+// which records of each entry won in the model.
 func checkReaders(t *rapid.T, log []platformlog.Entry, wins [][]bool, cut int) {
 	full := New(testConfig, Options{})
 	var snapshot []byte
@@ -217,6 +221,8 @@
 	return data
 }
 
+// bigState returns a state with keys registers, each with a value of half of
+// partBytes.
 func bigState(t *testing.T, keys int) *State {
 	s := New(testConfig, Options{})
 	for i := range keys {
@@ -268,10 +274,12 @@
 	}
 	s, err := Restore(testConfig, Options{}, data)
 	if err != nil || s.Digest() != fresh.Digest() {
-		t.Fatalf("state restored from the checkpoint: %+v, error %v", s, err)
+		t.Fatalf("state restored from the checkpoint: %+v, error %v, want the newer writer's state", s, err)
 	}
 }
 
+// Guards against a snapshot of another configuration that is restored, and
+// against a damaged one that changes the manifest in force or causes a panic.
 func TestRestoreRefuses(t *testing.T) {
 	f := newFeed(t)
 	f.apply(0, manifest(1, nil, 1, "one"))
@@ -295,11 +303,13 @@
 		}
 		m, _ := s.Manifest()
 		if string(m.Value) != "one" || s.Digest().Generation != 1 {
-			t.Errorf("byte %d: manifest changed to %q", i, m.Value)
+			t.Errorf("byte %d damaged: manifest changed to %q, want \"one\" at generation 1", i, m.Value)
 		}
 	}
 }
 
+// Guards against a panic on any input, and against a restored state that cannot
+// be encoded.
 func FuzzRestore(f *testing.F) {
 	s := New(testConfig, Options{})
 	f.Add(mustSnapshot(f, s))
@@ -311,6 +321,7 @@
 	})
 }
 
+// Guards against a panic on any value of a checkpoint record.
 func FuzzAssembler(f *testing.F) {
 	parts, err := New(testConfig, Options{}).Checkpoint(record.Nonce{1})
 	if err != nil {
--- a/coordination/fold/registers.go
+++ b/coordination/fold/registers.go
@@ -58,7 +58,8 @@
 // MalformedEntries returns how many entries were not a valid batch.
 func (s *State) MalformedEntries() uint64 { return s.malformed }
 
-// LogTime returns the log's time: the running maximum of its entries' times.
+// LogTime returns the log's time: the running maximum of its entries' times. If
+// the log does not timestamp its entries, it is derived from the writers' times.
 func (s *State) LogTime() time.Time { return record.FromMicros(s.clock.now) }
 
 // Config returns the configuration with its defaults filled in.
--- a/coordination/fold/rules.go
+++ b/coordination/fold/rules.go
@@ -26,7 +26,7 @@
 		billLifetime: cfg.BillLifetime.Microseconds(),
 	}
 	// A key may be claimed from skew before its KeyTime until claimWindow after
-	// it, so a claim is kept for longer than any other Put of its key can win.
+	// it. With this lifetime, a claim's register outlives that window.
 	r.claimLifetime = 2*r.claimWindow + r.skew
 	// A Put stays in the log no longer than the retention, and a claim cannot win
 	// after its window. Once both are over, a tombstone has nothing left to void.
@@ -34,7 +34,8 @@
 	return r
 }
 
-// expiry returns when a register that wins now expires, zero for never.
+// expiry returns when a register that wins now expires, in Unix microseconds;
+// zero for never.
 func (r *rules) expiry(class record.Class, now int64, lifetime time.Duration) int64 {
 	switch class {
 	case record.ClassManifest:
@@ -88,7 +89,7 @@
 
 // claimable reports whether a claim with keyTime may win now. A key older than
 // the window might have been claimed and forgotten; the register of a key from
-// the future would expire before the key's window ends.
+// the future could expire before the key's window ends.
 func (r *rules) claimable(now, keyTime int64) bool {
 	if keyTime <= 0 {
 		return false
--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -11,7 +11,8 @@
 )
 
 // ErrInvalidSnapshot means that bytes are not a snapshot that this reader can
-// restore: malformed, too large, inconsistent, or made with another Config.
+// restore: malformed, too large, inconsistent, or made with another ClaimWindow,
+// ClockSkew or Retention.
 var ErrInvalidSnapshot = errors.New("fold: invalid snapshot")
 
 const (
@@ -24,8 +25,9 @@
 	maxSnapshotRows = 4_000_000
 )
 
-// wireSnapshot is an encoded State. Rows and tombstones are ordered by key, so
-// that equal states have equal encodings. Times are in microseconds.
+// wireSnapshot is an encoded State. Rows and tombstones are ordered by key
+// (tombstones of one key by nonce), so that equal states have equal encodings.
+// Times are Unix microseconds, durations microseconds.
 type wireSnapshot struct {
 	_              struct{} `cbor:",toarray"`
 	Version        uint64
@@ -142,7 +144,7 @@
 	return out
 }
 
-// Restore decodes a snapshot. It must come from an instance with the same
+// Restore decodes a snapshot, which must come from an instance with the same
 // configuration. Errors wrap ErrInvalidSnapshot. Restore checks the form, the
 // hash and that the manifest in force matches its generation; it cannot detect
 // a snapshot that is forged as a whole, which mutual TLS between peers must
--- a/coordination/fold/state.go
+++ b/coordination/fold/state.go
@@ -17,7 +17,8 @@
 
 // Validator checks the content of a Put that would otherwise win; an error
 // makes the Put void. It must be pure and depend on nothing but its arguments,
-// since every reader calls its own. It must not change the state.
+// since every reader calls its own and all must reach the same decision. It
+// must not change the state.
 type Validator func(r record.Record, s *State) error
 
 // Options of a State. All instances must use the same ones.
@@ -98,8 +99,9 @@
 }
 
 // Apply folds the next entry and appends one Change per record to out. An entry
-// that is not a valid batch advances the log's time and changes nothing else.
-// The only error is ErrOutOfOrder, wrapped.
+// that is not a valid batch is counted as malformed and has no records; it
+// advances the log's time if the log timestamps its entries. The only error is
+// ErrOutOfOrder, wrapped.
 func (s *State) Apply(e platformlog.Entry, out []Change) ([]Change, error) {
 	if e.Offset != s.next {
 		return out, trace.Wrap(ErrOutOfOrder, "offset %d, want %d", e.Offset, s.next)
@@ -138,8 +140,9 @@
 	}
 }
 
-// put applies one Put. It checks for a taken key first, so that a late retry is
-// told the winner and is not merely void because the key's window has closed.
+// put applies one Put. It checks for a taken key before the rules of the class,
+// so that a late retry is told the winner and is not merely void because the
+// key's window has closed.
 func (s *State) put(offset uint64, writer string, r *record.Record) Change {
 	p := proposal{r.Key, r.Nonce}
 	if s.isReleased(p) {
@@ -167,7 +170,8 @@
 }
 
 // manifestWinner returns what a Put lost to if its own key has no register: a
-// manifest of a past generation loses to the one in force.
+// manifest whose generation is not higher than that of the one in force loses
+// to it.
 func (s *State) manifestWinner(v Verdict) Register {
 	if v != VerdictLost {
 		return Register{}
@@ -192,9 +196,10 @@
 	return s.table.insert(w)
 }
 
-// release voids one nonce permanently and removes the register that it holds.
-// Manifests and bills that have won are not released: a manifest must never
-// revert, and a request must not be billed a second time.
+// release voids one nonce, for as long as its Put can still be read, and removes
+// the register that it holds. Manifests and bills that have won are not
+// released: a manifest must never revert, and a request must not be billed a
+// second time.
 func (s *State) release(r *record.Record) Change {
 	w := s.liveRow(r.Key)
 	if w != nil && w.nonce == r.Nonce {
--- a/coordination/fold/table.go
+++ b/coordination/fold/table.go
@@ -33,12 +33,14 @@
 	}
 }
 
-// maxInternedWriters bounds the writer names shared between rows. Instances are
-// replaced all day, so the names are dropped once there are too many.
+// maxInternedWriters bounds the interned writer names, which rows share.
+// Instances are replaced all day, so the names are dropped once there are too
+// many.
 const maxInternedWriters = 4096
 
-// table holds the rows, an index by key, a timing wheel by expiry, and the
-// incrementally maintained hash of all rows.
+// table holds the rows, the free slots among them, an index by key, a timing
+// wheel by expiry, the incrementally maintained hash of all rows, and the
+// interned writer names.
 type table struct {
 	rows     []row
 	free     []uint32
@@ -98,7 +100,7 @@
 	t.free = append(t.free, i)
 }
 
-// retire sets the expiry of w in microseconds and drops its value.
+// retire drops the value of w and sets its expiry in Unix microseconds.
 func (t *table) retire(w *row, expires int64) {
 	w.value = nil
 	w.expires = expires
@@ -116,6 +118,8 @@
 	return writer
 }
 
+// registers returns the rows that keep selects, in the order of their offsets
+// and, within one batch, of their keys.
 func (t *table) registers(keep func(*row) bool) []Register {
 	var out []Register
 	for _, i := range t.index {
--- a/coordination/fold/wheel.go
+++ b/coordination/fold/wheel.go
@@ -8,8 +8,9 @@
 const bucketMicros = 1_000_000
 
 // timingWheel groups references by the second in which they expire. Adding one
-// costs a map access, and collecting one a single step, however many are held;
-// scanning a million registers at each entry would be too slow.
+// costs a map access (and a heap insertion for the first of a bucket), and
+// collecting one a single step, however many are held; scanning a million
+// registers at each entry would be too slow.
 type timingWheel[T any] struct {
 	buckets map[int64][]T
 	order   bucketHeap
@@ -19,7 +20,7 @@
 	return timingWheel[T]{buckets: map[int64][]T{}}
 }
 
-// add files ref under its expiry in microseconds.
+// add stores ref under its expiry in Unix microseconds.
 func (w *timingWheel[T]) add(expires int64, ref T) {
 	b := expires / bucketMicros
 	refs, ok := w.buckets[b]
@@ -41,11 +42,11 @@
 	}
 }
 
-// collectable reports whether something with that expiry is due for collection:
-// its whole bucket is past. References may be older than the row that they
-// point to, so this decides and not the existence of a reference. Otherwise a
-// reader restored from a snapshot, which lacks the old references, would hold a
-// different state.
+// collectable reports whether a row or tombstone with that expiry is due for
+// collection, which is once its whole bucket is past. A reference may be older
+// than the row that it points to, so the existence of a reference must not
+// decide: a reader restored from a snapshot lacks the old references and would
+// hold a different state.
 func collectable(expires, now int64) bool {
 	return (expires/bucketMicros+1)*bucketMicros <= now
 }
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -4,11 +4,12 @@
 //
 // Why it is safe: a confirmation is a head of the log up to which this instance
 // has folded everything, and the time at which that head was read. That time is
-// never later than the actual one: it is when the read, or the question to a
-// peer, was sent. An instance is fresh while its newest confirmation is no
-// older than the bound, so every record accepted longer ago than the bound is
-// in force here. A pause of the process shows as a gap between ticks; nothing
-// from before a pause counts after it.
+// never later than the actual one: it is when the read was sent or, for a head
+// that a peer reports, when the peer was asked, minus the age of the head. An
+// instance is fresh while its newest confirmation is no older than the bound, so
+// every record accepted longer ago than the bound is in force here. A pause of
+// the process shows as a gap between ticks; nothing from before a pause counts
+// after it.
 //
 // In an outage of the log nothing can be accepted through it, so the last state
 // stays valid however old it is. An outage, rather than a broken connection of
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -18,11 +18,15 @@
 	self  string
 	bound time.Duration
 
+	// Everything before the offset folded is folded here. pendingHeads are beyond
+	// it.
 	folded       uint64
 	pendingHeads []observedHead
 	// confirmedAt is the time of the newest confirmation.
 	confirmedAt time.Time
 
+	// readAt is when the newest successful read of the log was sent, failedAt when
+	// the newest failed one failed.
 	readAt   time.Time
 	failedAt time.Time
 
@@ -30,6 +34,7 @@
 	// there is no list or an empty one.
 	live    map[string]bool
 	hasList bool
+	// vouches holds the newest vouch of each listed peer, by its name.
 	vouches map[string]receivedVouch
 
 	lastTick time.Time
@@ -55,7 +60,8 @@
 	Age time.Duration
 	// LogUnreachable is how many live instances, including this one, report that
 	// they cannot reach the log. Counting stops at a report that rules an outage
-	// out. LiveInstances is the size of the live list, including this one.
+	// out; in ModeFresh nothing is counted. LiveInstances is the size of the live
+	// list, including this one.
 	LogUnreachable int
 	LiveInstances  int
 }
@@ -123,7 +129,8 @@
 }
 
 // SetLiveInstances sets the list of live instances, which may include this one.
-// The list lags, so it only determines how many reports make a majority.
+// The list lags, so it only determines whose reports of an unreachable log count
+// and how many make a majority; any peer can confirm a head.
 func (t *Tracker) SetLiveInstances(names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/coordination/freshness/tracker_test.go
+++ b/coordination/freshness/tracker_test.go
@@ -23,6 +23,7 @@
 	return s
 }
 
+// run ticks for the given time and calls each, unless it is nil, after each tick.
 func (s *scenario) run(seconds float64, each func()) {
 	end := s.now.Add(time.Duration(seconds * float64(time.Second)))
 	for s.now.Before(end) {
@@ -247,8 +248,9 @@
 	}
 }
 
-// While a machine is suspended, the monotonic clock stops and the wall clock
-// does not. The pause must be detected by the latter.
+// Guards against a pause that goes unnoticed: while a machine is suspended, the
+// monotonic clock stops and the wall clock does not, so the pause must be
+// detected by the latter.
 func TestSuspendedMachine(t *testing.T) {
 	s := newScenario(t, fleet...)
 	s.fresh()
--- a/coordination/gossip/gossip_test.go
+++ b/coordination/gossip/gossip_test.go
@@ -17,6 +17,9 @@
 	return out
 }
 
+// Guards against a draw that contains a peer twice or the instance itself, against
+// one without a peer of another failure domain, and against peers that are never
+// drawn.
 func TestPick(t *testing.T) {
 	tests := []struct{ instances, domains, want int }{
 		{1, 1, 0}, {2, 1, 1}, {3, 3, 2}, {8, 3, 3}, {8, 1, 3}, {880, 24, 3},
@@ -47,7 +50,7 @@
 			}
 			// Every peer must be drawn, or information would not reach all instances.
 			if want := min(tt.instances, 500) - 1; len(drawn) < want {
-				t.Errorf("only %d of %d peers were ever drawn", len(drawn), tt.instances-1)
+				t.Errorf("%d of %d peers were ever drawn, want all (499 in a larger fleet)", len(drawn), tt.instances-1)
 			}
 		})
 	}
@@ -65,6 +68,8 @@
 	}
 }
 
+// Guards against a diverged peer that is taken for one that is ahead or behind,
+// and the reverse.
 func TestCompare(t *testing.T) {
 	own := fold.Digest{NextOffset: 5, Generation: 2, Hash: 9}
 	tests := map[Relation]fold.Digest{
--- a/coordination/keyedlog/keyedlog.go
+++ b/coordination/keyedlog/keyedlog.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Record is one record. A record with an empty Value deletes the key.
+// Record is a key and its value at one offset of the log. An empty Value deletes the key.
 type Record struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value"`
@@ -28,8 +28,8 @@
 // AtOffset returns the position of an offset in an unknown era.
 func AtOffset(offset uint64) Position { return Position{Offset: offset} }
 
-// MatchesEra reports whether the position belongs to era; it also does if either era is
-// unknown.
+// MatchesEra reports whether the position may belong to era: the two eras are equal, or one
+// of them is unknown.
 func (p Position) MatchesEra(era uint64) bool { return p.Era == 0 || era == 0 || p.Era == era }
 
 // Batch is the result of one Read.
@@ -37,9 +37,9 @@
 	Records []Record
 	// Next is the position to read from next.
 	Next Position
-	// Age is an upper bound of the age, when the read returns, of what it says about the
-	// end of the log. 0 means that the log does not report it: the information is then as
-	// old as the start of the read.
+	// Age is an upper bound on how old the information about the end of the log is when the
+	// read returns. 0 means that the log does not report it; the information is then as old
+	// as the start of the read.
 	Age time.Duration
 }
 
--- a/coordination/platformlog/logtest/log.go
+++ b/coordination/platformlog/logtest/log.go
@@ -1,6 +1,6 @@
 // Package logtest provides an in-memory log for tests that simulates the faults
-// of a log service: outages, delays, appends without a reply that have or have not
-// taken effect, refused and delayed appends, trimmed and wiped records,
+// of a log service: outages, slow calls, lost replies to appends that have or have
+// not taken effect, refused and delayed appends, trimmed and wiped records,
 // disconnected clients, and entries without a time.
 package logtest
 
@@ -128,8 +128,8 @@
 	l.update(func() { l.first, l.entries = 0, nil })
 }
 
-// Inject appends data as another writer would, regardless of the faults, and
-// returns its offset.
+// Inject appends data as another writer would and returns the offset of the new
+// entry. SetOmitTimes is the only fault that affects it.
 func (l *Log) Inject(data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,7 +143,8 @@
 	return slices.Clone(l.entries)
 }
 
-// AppendCount returns the number of appends that took effect.
+// AppendCount returns the number of appends that took effect, including those by
+// Inject.
 func (l *Log) AppendCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/record/codec.go
+++ b/coordination/record/codec.go
@@ -9,7 +9,7 @@
 )
 
 // codecVersion is the first element of every batch. All readers treat a batch
-// of another version as malformed, so that it changes the state of none.
+// of another version as malformed, so that none of them applies its records.
 const codecVersion = 1
 
 // MaxWriterBytes is the maximum length of a writer's name.
@@ -19,8 +19,8 @@
 // one value of MaxValueBytes and the small records in the same batch.
 const MaxBatchBytes = MaxValueBytes + 1<<20
 
-// wireBatch and wireRecord are the encoded forms. They are CBOR arrays, so that
-// no field names are transmitted. Times are Unix microseconds, 0 if unset;
+// wireBatch and wireRecord are the encoded forms of Batch and Record. They are
+// CBOR arrays, so that no field names are transmitted. Times are Unix microseconds, 0 if unset;
 // lifetimes are nanoseconds.
 type wireBatch struct {
 	_          struct{} `cbor:",toarray"`
@@ -54,8 +54,9 @@
 }
 
 func mustDecMode() cbor.DecMode {
-	// A batch nests three levels deep. Indefinite lengths and tags are not
-	// needed, and each would give one batch more than one encoding.
+	// A batch nests three levels deep; 4 levels and 16 map pairs are the lowest
+	// limits that the library accepts. Indefinite lengths and tags are not
+	// needed, and either would let one batch have several encodings.
 	opts := cbor.DecOptions{
 		MaxNestedLevels:  4,
 		MaxArrayElements: MaxRecords,
--- a/coordination/record/codec_test.go
+++ b/coordination/record/codec_test.go
@@ -32,6 +32,8 @@
 	return r
 }
 
+// Guards against a field that the encoding loses or changes, and against a batch
+// with several encodings.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Batch{
@@ -65,6 +67,7 @@
 	})
 }
 
+// Guards against a batch that a writer appends although readers drop it.
 func TestEncodeRefuses(t *testing.T) {
 	long := Key("a/" + strings.Repeat("x", MaxKeyBytes))
 	tests := map[string]struct {
@@ -91,6 +94,8 @@
 	}
 }
 
+// Guards against data that is accepted as a batch although it is damaged, of
+// another codec version, or beyond a limit.
 func TestDecodeRefuses(t *testing.T) {
 	good, err := Encode(Batch{Writer: "w", Records: []Record{putRecord("a/x", 1)}})
 	if err != nil {
@@ -126,6 +131,8 @@
 	}
 }
 
+// Guards against two proposals with one nonce, and against a derived nonce that
+// differs between the processes that make the same proposal.
 func TestNonces(t *testing.T) {
 	first, second := NewNonce(), NewNonce()
 	if first == second || first == (Nonce{}) {
@@ -137,11 +144,13 @@
 	}
 }
 
+// Guards against a manifest key that is parsed into another generation or parent,
+// and against a second spelling of a key.
 func TestManifestKey(t *testing.T) {
 	digest := ManifestDigest([]byte("x"))
 	generation, parent, err := ParseManifestKey(ManifestKey(7, digest))
 	if err != nil || generation != 7 || parent != digest {
-		t.Errorf("parsed generation %d, parent %q, error %v", generation, parent, err)
+		t.Errorf("parsed generation %d, parent %q, error %v, want generation 7 and the digest of the parent", generation, parent, err)
 	}
 	for _, bad := range []Key{"manifest/", "manifest/x-", "manifest/01-", "claim/1-", "manifest/7"} {
 		if _, _, err := ParseManifestKey(bad); !errors.Is(err, ErrInvalid) {
@@ -150,6 +159,8 @@
 	}
 }
 
+// Guards against a panic on any input, and against a batch that decodes but that
+// Encode rejects.
 func FuzzDecode(f *testing.F) {
 	good, _ := Encode(Batch{Writer: "w", WriterTime: time.Unix(9, 0), Records: []Record{putRecord("a/x", 1)}})
 	f.Add(good)
--- a/coordination/record/record.go
+++ b/coordination/record/record.go
@@ -11,7 +11,8 @@
 	// KindPut proposes Value for Key; the first live Put in log order wins.
 	KindPut Kind = iota + 1
 	// KindRelease voids the Put with the same Key and Nonce, wherever in the
-	// log that Put stands, before or after the Release.
+	// log that Put stands, before or after the Release. It has no effect on a
+	// manifest or bill that has won.
 	KindRelease
 	// KindCheckpoint carries one part of an encoded fold snapshot in Value. All
 	// parts of one checkpoint share a Nonce; Key is empty.
@@ -41,7 +42,7 @@
 // same nonce, which makes records idempotent.
 type Nonce [16]byte
 
-// Record is one entry of a batch. The zero value is not valid.
+// Record is one element of a batch. The zero value is not valid.
 type Record struct {
 	Kind  Kind
 	Key   Key
--- a/coordination/record/record_test.go
+++ b/coordination/record/record_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Guards against two classes with the same name, whose keys and rules would mix.
 func TestClassesAreDistinct(t *testing.T) {
 	seen := map[Class]bool{}
 	for _, c := range []Class{ClassManifest, ClassClaim, ClassBill, ClassSession, ClassQuarantine, ClassLease} {
