--- a/coordination/faultmatrix/start_test.go
+++ b/coordination/faultmatrix/start_test.go
@@ -21,7 +21,7 @@
 	b.t.Helper()
 	select {
 	case <-in.Ready():
-		b.t.Errorf("%s is ready", in.name)
+		b.t.Errorf("%s is ready, want it to wait for the state that it lacks", in.name)
 	default:
 	}
 }
@@ -117,7 +117,7 @@
 		time.Sleep(20 * time.Second)
 		b.checkNotReady(c)
 		if n := c.Digest().NextOffset; n != 0 {
-			b.t.Errorf("restored the stale checkpoint, next offset %d", n)
+			b.t.Errorf("restored the stale checkpoint, next offset %d, want 0", n)
 		}
 		before := a.Digest().Hash
 		b.log.Inject(stale)
@@ -166,7 +166,7 @@
 		c := b.startAsync("c")
 		time.Sleep(10 * time.Second)
 		if c.Digest() != a.Digest() {
-			b.t.Error("no checkpoint before the records were trimmed")
+			b.t.Error("the digests differ: no checkpoint was appended before the records were trimmed")
 		}
 	}},
 	{"start", "checkpoint", "lost reply", func(b *testbed) {
--- a/coordination/faultmatrix/testbed.go
+++ b/coordination/faultmatrix/testbed.go
@@ -25,8 +25,9 @@
 
 // testbed runs instances on one in-memory log, in a synctest bubble.
 type testbed struct {
-	t         *testing.T
-	log       *logtest.Log
+	t   *testing.T
+	log *logtest.Log
+	// instances holds the started instances by name; mu guards it.
 	instances map[string]*instance
 	mu        sync.Mutex
 	stop      chan struct{}
@@ -191,6 +192,7 @@
 	return record.Record{Key: "claim/t/r", Nonce: record.Nonce{nonce}, KeyTime: keyTime}
 }
 
+// manifest returns the Put of a manifest whose parent has the content parent.
 func manifest(generation uint64, parent string, nonce byte, value string) record.Record {
 	if generation > 1 {
 		parent = record.ManifestDigest([]byte(parent))
@@ -206,6 +208,7 @@
 	}
 }
 
+// bill returns the bill of the cell's one request.
 func (b *testbed) bill() record.Record {
 	b.t.Helper()
 	bill := ledger.Bill{Team: "t", RequestID: "r", CostMicros: 5, Attempts: 1}
@@ -216,7 +219,7 @@
 	return r
 }
 
-// checkBilled checks that the ledger has want bills of the one request.
+// checkBilled checks that an export of the log has want bills.
 func (b *testbed) checkBilled(want int) {
 	b.t.Helper()
 	got := 0
@@ -229,8 +232,8 @@
 	}
 }
 
-// holdBill returns a buffer that holds the bill of a request, with a copy in
-// peer unless it is nil.
+// holdBill returns a buffer of in that holds the cell's bill and has no room for
+// another. peer gets a copy unless it is nil.
 func (b *testbed) holdBill(in *instance, peer *ledger.Buffer) *ledger.Buffer {
 	b.t.Helper()
 	var copyTo ledger.CopyFunc
@@ -243,11 +246,12 @@
 		b.t.Fatal(err)
 	}
 	if copied := reservation.Hold(context.Background(), b.bill()); copied != (peer != nil) {
-		b.t.Errorf("bill copied to a peer: %v", copied)
+		b.t.Errorf("bill copied to a peer: %v, want a copy if there is a peer", copied)
 	}
 	return buf
 }
 
+// checkFlush flushes buf and checks how many bills are left in it.
 func (b *testbed) checkFlush(buf *ledger.Buffer, wantLeft int) {
 	b.t.Helper()
 	if got := buf.Flush(context.Background()); got != wantLeft {
--- a/coordination/history/cluster.go
+++ b/coordination/history/cluster.go
@@ -24,11 +24,13 @@
 	seed      uint64
 	startTime time.Time
 
+	// mu guards nodes and names. Both are by slot: the node that replaces another
+	// gets its slot and a new name. started counts the nodes.
 	mu      sync.Mutex
 	nodes   []*node.Node
 	names   []string
 	started int
-	// archive holds the entries that were trimmed from the log.
+	// archive holds the entries that were trimmed from the log, in log order.
 	archive []platformlog.Entry
 }
 
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -31,6 +31,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// eachSeed calls f with each seed and stops at the first one that fails.
 func eachSeed(t *testing.T, f func(t *testing.T, seed uint64)) {
 	t.Logf("seeds %d to %d", *firstSeed, *firstSeed+uint64(*seedCount)-1)
 	for i := range uint64(*seedCount) {
@@ -41,7 +42,8 @@
 	}
 }
 
-// recorder collects operations. Those with an unknown outcome never return.
+// recorder collects operations. Those with an unknown outcome are recorded as
+// never returning.
 type recorder struct {
 	mu  sync.Mutex
 	ops []porcupine.Operation
@@ -74,7 +76,8 @@
 	}
 }
 
-// toldRefused reports whether the caller was told that its Put lost or is void.
+// toldRefused reports whether op is a Put whose caller was told that it lost or is
+// void.
 func toldRefused(op porcupine.Operation) bool {
 	res, ok := op.Output.(node.Result)
 	return ok && (res.Outcome == node.OutcomeLost || res.Outcome == node.OutcomeVoid)
@@ -115,6 +118,7 @@
 	}
 }
 
+// nonce returns a nonce that no other operation of the history has.
 func nonce(rng *rand.Rand, client, op int) record.Nonce {
 	n := record.Nonce{byte(client + 1), byte(op + 1)}
 	n[2], n[3] = byte(rng.Uint32()), byte(rng.Uint32())
@@ -194,6 +198,8 @@
 	})
 }
 
+// publish proposes the child of the manifest that n has in force and records the
+// Put.
 func (r *recorder) publish(c *cluster, rng *rand.Rand, n *node.Node, client, op int) {
 	in := publishOp{value: fmt.Sprintf("manifest of %d, %d", client, op)}
 	if m, ok := n.Manifest(); ok {
@@ -273,8 +279,8 @@
 	})
 }
 
-// bill bills a run. The first Put may fail in any way and its outcome is
-// ignored. Sometimes the same bill is put twice.
+// bill counts a run and puts its bill. The Put may fail in any way and its outcome
+// is ignored. Sometimes the same bill is put twice.
 func (b *billing) bill(t *testing.T, c *cluster, rng *rand.Rand, request string) {
 	bill := ledger.Bill{Team: "t", RequestID: request, CostMicros: 7, Attempts: 1}
 	rec, err := bill.Record()
@@ -292,7 +298,8 @@
 	}
 }
 
-// check flushes two buffers that hold all bills and then exports the ledger.
+// check flushes two buffers that hold all bills, exports the ledger, and checks
+// that each request ran at most once and that exactly those that ran are billed.
 func (b *billing) check(t *testing.T, c *cluster) {
 	for request, n := range b.runs {
 		if n > 1 {
--- a/coordination/history/models.go
+++ b/coordination/history/models.go
@@ -83,7 +83,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// publishOp is one attempt to replace the manifest of generation parent.
+// publishOp is one attempt to replace the manifest with the generation parent and
+// the given digest by one with the content value.
 type publishOp struct {
 	parent uint64
 	digest string
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -13,9 +13,9 @@
 //     each order, so a pause before the check is detected, and a pause after it
 //     that is shorter than MaxPause ends within the term.
 //   - Any other instance counts the term from when it read it, which is later,
-//     and takes the next term only after that end. It then waits for another
-//     Duration plus MaxClockDrift plus MaxPause before its first order to such a
-//     server.
+//     and takes the next term only after the end by this count. It then waits
+//     for another Duration plus MaxClockDrift plus MaxPause before its first
+//     order to a server that ignores the number.
 //
 // MaxClockDrift bounds how far two clocks drift apart within one term. After a
 // pause between check and order that is longer than all these waits together,
@@ -112,7 +112,9 @@
 // state is the lease as this instance knows it. It is pure: the caller supplies
 // the time. Terms are ordered by offset.
 type state struct {
-	cfg     Config
+	cfg Config
+	// current is the newest term read from the log; known is false before the
+	// first one.
 	current term
 	known   bool
 	// blockedUntil is the end of the current term, counted from when this instance
@@ -159,8 +161,9 @@
 	}
 }
 
-// observeRelease takes the Release of a term, which its writer never acted on.
-// The holder of the previous term may still act, so blockedUntil stays.
+// observeRelease takes the Release of a term. The instance that proposed the term
+// never acted on it, but the holder of the previous term may still act, so
+// blockedUntil stays.
 func (s *state) observeRelease(nonce record.Nonce) {
 	if s.known && s.current.nonce == nonce {
 		s.held = false
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -79,7 +79,7 @@
 		time.Sleep(5 * time.Second)
 		wantAcquire(t, a, true)
 		if second := wantCheck(t, a, FencingEnforced, Allowed); second <= first {
-			t.Errorf("fencing number is %d, then %d after a renewal", first, second)
+			t.Errorf("fencing number is %d, then %d after a renewal, want a higher one", first, second)
 		}
 		// A renewal does not restart the wait: it ends 12.1 s after the first term.
 		time.Sleep(7099 * time.Millisecond)
@@ -144,7 +144,7 @@
 	}
 }
 
-// A holder that cannot renew since the log is down stops before its term ends.
+// A holder that cannot renew since the log is down must stop before its term ends.
 func TestLeaseExpiresWhileLogDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, ms, _ := managers(t, 1)
@@ -174,8 +174,8 @@
 	})
 }
 
-// A term that cannot be decoded takes its number and blocks the lease for one
-// Duration.
+// A term that cannot be decoded has an unknown holder. It must take its number and
+// block the lease for one Duration.
 func TestUnreadableTermBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, nodes := managers(t, 2)
@@ -208,7 +208,8 @@
 }
 
 type contender struct {
-	state    state
+	state state
+	// nextTerm is the index in simulation.terms of the next term to read.
 	nextTerm int
 	pending  *pendingPut
 	// lastOrder is the latest time at which an order of the last check may arrive.
@@ -250,7 +251,8 @@
 	c.lastOrder = sim.now.Add(c.state.cfg.MaxPause)
 }
 
-// land appends a pending Put once its time has come, unless its term is taken.
+// appendDue appends c's pending Put once its time has come, unless its term is
+// taken.
 func (sim *simulation) appendDue(c *contender) {
 	p := c.pending
 	if p == nil || p.term.offset != 0 || sim.now.Before(p.appendsAt) {
@@ -302,6 +304,7 @@
 	}
 }
 
+// Guards against a panic on any register, and against a negative duration.
 func FuzzParse(f *testing.F) {
 	m := &Manager{cfg: Config{Name: "x", Holder: "a"}.withDefaults()}
 	f.Add("lease/x/1", []byte{0x82, 0x61, 0x61, 0x01})
--- a/coordination/lease/manager.go
+++ b/coordination/lease/manager.go
@@ -88,9 +88,10 @@
 }
 
 // Acquire proposes the next term if the current one is over, or renews the term
-// of this instance. It returns whether this instance holds the lease
-// afterwards. A Put with an unknown outcome is released, since a term whose Put
-// was not confirmed must not be used.
+// of this instance. It returns true only if it proposed a term and that term has
+// won. After a failed renewal it returns false although the instance may still
+// hold its current term; see Check. A Put with an unknown outcome is released,
+// since a term whose Put was not confirmed must not be used.
 func (m *Manager) Acquire(ctx context.Context) bool {
 	m.proposeMu.Lock()
 	defer m.proposeMu.Unlock()
@@ -121,9 +122,9 @@
 	return m.putTerm(ctx, number, wireTerm{})
 }
 
-// putTerm puts the term with the given number. The number must have been read
-// under the same lock as the state that allows it: read later, it could follow
-// a term that the caller has not considered.
+// putTerm puts the term with the given number. The caller must read the number
+// under the same lock as the state that allows the Put: a number read later could
+// follow a term that the caller has not considered.
 func (m *Manager) putTerm(ctx context.Context, number uint64, w wireTerm) bool {
 	value, err := cbor.Marshal(w)
 	if err != nil {
@@ -195,8 +196,8 @@
 	if err := cbor.Unmarshal(reg.Value, &w); err != nil || w.Duration < 0 {
 		w = wireTerm{Holder: unknownHolder, Duration: int64(m.cfg.Duration)}
 	}
-	// No instance takes a term that long; an invalid value must not block the
-	// lease forever.
+	// No instance takes a term longer than this; an invalid value must not block
+	// the lease forever.
 	duration := min(time.Duration(w.Duration), termRetentionDurations*m.cfg.Duration)
 	return term{number, w.Holder, duration, reg.Offset, reg.Nonce}, true
 }
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -11,7 +11,8 @@
 	"masticplank.example/coordination/record"
 )
 
-// PutFunc appends a bill and returns the outcome. Put of *node.Node is one.
+// PutFunc appends a bill and returns the outcome, as the method Put of *node.Node
+// does.
 type PutFunc func(ctx context.Context, r record.Record) node.Result
 
 // CopyFunc sends a copy of a bill to one peer, preferably in another failure
--- a/coordination/ledger/export.go
+++ b/coordination/ledger/export.go
@@ -27,7 +27,9 @@
 	FirstOffset uint64
 	// NextOffset is the offset from which the next export must start.
 	NextOffset uint64
-	// Bills is the number of exported bills, Duplicates the number of void ones.
+	// Bills is the number of exported bills. Duplicates is the number of Puts of
+	// bills that did not win, counted from FirstOffset, not from the offset at
+	// which the export starts.
 	Bills      int
 	Duplicates int
 	// Malformed is the number of bills that won their register but cannot be
@@ -87,6 +89,7 @@
 	return page.First, nil
 }
 
+// exporter holds the state of one export.
 type exporter struct {
 	from    uint64
 	emit    func(ExportedBill) error
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -34,6 +34,8 @@
 	return r
 }
 
+// Guards against a bill that changes between its encoding and decoding, and against
+// two requests that share a key.
 func TestBillRoundTrip(t *testing.T) {
 	b := bill("r/1", 5)
 	r := mustRecord(t, b)
@@ -52,6 +54,8 @@
 	}
 }
 
+// Guards against an incomplete bill that is appended, and against a record that is
+// taken for the bill of another request.
 func TestBillRefuses(t *testing.T) {
 	for _, b := range []Bill{{}, {Team: "t"}, {Team: "t", RequestID: "r", CostMicros: -1}} {
 		if _, err := b.Record(); !errors.Is(err, ErrInvalidBill) {
@@ -93,6 +97,9 @@
 	return got, sum
 }
 
+// Guards against a bill that is exported twice or not at all: the log holds retries
+// of it, another bill of the request, and a Release, and is trimmed between two
+// exports.
 func TestExportHasEachBillOnce(t *testing.T) {
 	log := logtest.New()
 	a, b := mustRecord(t, bill("a", 1)), mustRecord(t, bill("b", 2))
@@ -113,7 +120,7 @@
 	log.Trim(1)
 	got, sum = export(t, log, sum.NextOffset)
 	if len(got) != 1 || got["c"] != 3 || sum.FirstOffset != 1 {
-		t.Errorf("second export: costs %v, summary %+v", got, sum)
+		t.Errorf("second export: costs %v, summary %+v, want 3 for c only and first offset 1", got, sum)
 	}
 }
 
@@ -153,7 +160,7 @@
 		t.Error(err)
 	}
 	if _, err := b.Reserve(); !errors.Is(err, ErrBufferFull) || b.Len() != 2 {
-		t.Errorf("%d bills held, reservation error %v", b.Len(), err)
+		t.Errorf("%d bills held, reservation error %v, want 2 held and ErrBufferFull", b.Len(), err)
 	}
 	if err := b.AcceptCopy(record.Record{Kind: record.KindPut}); !errors.Is(err, ErrInvalidBill) {
 		t.Errorf("malformed copy of a peer: error %v, want ErrInvalidBill", err)
@@ -191,7 +198,7 @@
 	b.remove(first)
 	b.remove(first)
 	if b.bytes != sizeOf(mustRecord(t, bill("b", 1))) || b.Full() {
-		t.Errorf("%d bytes counted after a double removal", b.bytes)
+		t.Errorf("%d bytes counted after a double removal, want those of one bill, and room for another", b.bytes)
 	}
 }
 
@@ -209,7 +216,7 @@
 		}
 		for open, want := range []bool{false, false, false, true} {
 			if got := b.FullWithOpen(open); got != want {
-				t.Errorf("%s: full with %d open requests: %v", name, open, got)
+				t.Errorf("%s: full with %d open requests: %v, want full with 3 only", name, open, got)
 			}
 		}
 		room.Cancel()
@@ -219,8 +226,8 @@
 	}
 }
 
-// HoldWithCopy results in both copies or an error, and an error leaves a bill
-// that was held for a peer before.
+// Guards against HoldWithCopy that succeeds without a copy at a peer, and against
+// one that fails and drops a bill that was held for a peer before.
 func TestHoldWithCopy(t *testing.T) {
 	noPeer := func(context.Context, record.Record) error { return errors.New("no peer") }
 	copies := 0
@@ -249,7 +256,7 @@
 			t.Fatal(err)
 		}
 		if err := room.HoldWithCopy(t.Context(), r); !errors.Is(err, c.want) || b.Len() != c.held || b.reserved != 0 {
-			t.Errorf("%s: error %v, %d bills held, %d reserved", c.name, err, b.Len(), b.reserved)
+			t.Errorf("%s: error %v, %d bills held, %d reserved; want the case's error and bills, none reserved", c.name, err, b.Len(), b.reserved)
 		}
 		if room.HoldWithCopy(t.Context(), r) == nil {
 			t.Errorf("%s: the reservation could be used twice", c.name)
@@ -260,8 +267,9 @@
 	}
 }
 
-// A flush stops at the first failure and keeps the bills that it could not put,
-// with their nonces; a hand-over moves the rest to a peer.
+// Guards against a flush that drops bills which it could not put or goes on after
+// the first failure, and against a hand-over that leaves bills although a peer
+// accepts them.
 func TestFlushAndHandOver(t *testing.T) {
 	var mu sync.Mutex
 	puts, accepted := 0, 0
@@ -297,8 +305,9 @@
 	}
 }
 
-// Bills of an outage reach the log once each, from the instance and from its
-// peer, even if the instance is killed before the log is back.
+// Guards against a bill of an outage that is lost or exported twice: the instance
+// and its peer both hold it and both flush it, or the instance ends before its
+// flush.
 func TestOutage(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("killed=%v", killed), func(t *testing.T) {
@@ -357,6 +366,8 @@
 	}
 }
 
+// Guards against a panic on any record, and against a bill that is accepted under
+// the key of another request.
 func FuzzParse(f *testing.F) {
 	good := mustRecord(f, bill("a", 1))
 	f.Add(string(good.Key), good.Value)
--- a/coordination/ledger/log.go
+++ b/coordination/ledger/log.go
@@ -10,7 +10,7 @@
 // BillLog appends bills. Writer uses a log of its own, StoreLog the log that
 // holds all other records. Implementations are safe for concurrent use.
 type BillLog interface {
-	// Put is a PutFunc.
+	// Put appends a bill and returns the outcome; it can be used as a PutFunc.
 	Put(ctx context.Context, r record.Record) node.Result
 	// Reachable reports whether the log is expected to take a bill now. If it is
 	// false, the caller holds the bill instead of waiting for a Put.
--- a/coordination/ledger/writer.go
+++ b/coordination/ledger/writer.go
@@ -86,7 +86,7 @@
 
 // Put appends a bill, in one batch with others. OutcomeWon means that it is in
 // the log, OutcomeVoid that it is not, and OutcomeUnknown that it may be in the
-// log; putting it again is harmless. Put is a PutFunc.
+// log; putting it again is harmless. Put can be used as a PutFunc.
 func (w *Writer) Put(ctx context.Context, r record.Record) node.Result {
 	p := &pendingBill{record: r, done: make(chan error, 1)}
 	select {
--- a/coordination/ledger/writer_test.go
+++ b/coordination/ledger/writer_test.go
@@ -13,7 +13,8 @@
 	"masticplank.example/coordination/platformlog/logtest"
 )
 
-// A bill that is put again after any fault of the log is exported exactly once.
+// Guards against a bill that is lost or exported twice: its Put is repeated after a
+// fault of the log that leaves the first outcome void or unknown.
 func TestWriterUnderFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault func(*logtest.Log)
@@ -40,7 +41,7 @@
 				t.Errorf("%s: outcome %v, want %v", name, got, c.first)
 			}
 			if w.Reachable() != (c.first == node.OutcomeWon) {
-				t.Errorf("%s: reachable %v", name, w.Reachable())
+				t.Errorf("%s, after the first Put: reachable %v, want true only if it won", name, w.Reachable())
 			}
 			if got := w.Put(t.Context(), r).Outcome; got != node.OutcomeWon {
 				t.Errorf("%s, second Put: outcome %v, want won", name, got)
@@ -54,6 +55,7 @@
 	}
 }
 
+// exported returns how many bills an export of the whole log has.
 func exported(t *testing.T, log *logtest.Log) int {
 	t.Helper()
 	sum, err := Export(context.Background(), log.Client("reader"), fold.DefaultConfig(), 0, func(ExportedBill) error { return nil })
@@ -63,8 +65,8 @@
 	return sum.Bills
 }
 
-// Many bills put at once share appends at intervals of the linger, and stopping
-// appends the queued ones.
+// Many bills put at once must share appends at intervals of Linger; with one append
+// for each, they would exceed the budget of appends.
 func TestWriterGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bills = 500
--- a/coordination/node/bench_test.go
+++ b/coordination/node/bench_test.go
@@ -19,6 +19,7 @@
 	benchDelay = 3 * time.Millisecond
 )
 
+// benchFleet starts benchNodes nodes on one log and waits until they are ready.
 func benchFleet(b *testing.B) (*logtest.Log, []*Node) {
 	log := logtest.New()
 	log.SetSlow(benchDelay)
@@ -39,6 +40,7 @@
 	return log, nodes
 }
 
+// quantile sorts d and returns its q-quantile in milliseconds.
 func quantile(d []time.Duration, q float64) float64 {
 	slices.Sort(d)
 	return d[int(q*float64(len(d)-1))].Seconds() * 1000
--- a/coordination/node/checkpoint.go
+++ b/coordination/node/checkpoint.go
@@ -125,6 +125,8 @@
 	return n.Restore(snapshot)
 }
 
+// findCheckpoint reads the log from offset first to its end and returns the
+// complete checkpoint in it that reaches furthest.
 func (n *Node) findCheckpoint(ctx context.Context, first uint64) (snapshot []byte, next uint64, err error) {
 	var assembler fold.CheckpointAssembler
 	for from := first; ; {
@@ -147,6 +149,8 @@
 	return snapshot, next, nil
 }
 
+// collectParts adds the records of an encoded batch to the assembler. A malformed
+// batch has none.
 func collectParts(assembler *fold.CheckpointAssembler, data []byte) {
 	b, err := record.Decode(data)
 	if err != nil {
--- a/coordination/node/config.go
+++ b/coordination/node/config.go
@@ -12,14 +12,14 @@
 type Config struct {
 	// Name identifies the instance and must be unique in the fleet. Required.
 	Name string
-	// Fold holds the bounds of the state. It must be the same at every
+	// Fold sets the time bounds of the fold. It must be the same at every
 	// instance.
 	Fold fold.Config
 	// Linger is the shortest time between two appends. Default 20 ms.
 	Linger time.Duration
 	// AppendBudget is the number of appends per second that all instances
-	// together may make. Default 200: the log takes several hundred, and the
-	// rest is left to operators.
+	// together may make. Default 200: the log takes several hundred per second,
+	// and the rest is left to operators.
 	AppendBudget int
 	// PollWait is the longest wait of one long poll. Default 1 s: well under
 	// the freshness bound, since a poll confirms the state as of its start.
@@ -44,7 +44,8 @@
 	defaultPageLimit    = 512
 	defaultCallTimeout  = 2 * time.Second
 	defaultMaxReleases  = 100_000
-	// maxGroupBytes closes a group early; a single larger record is sent alone.
+	// maxGroupBytes is the estimated size at which a group is closed before it
+	// has record.MaxRecords records; a single larger record is sent alone.
 	maxGroupBytes = 512 << 10
 	// backoffInitial and backoffMax bound the wait after a failed call.
 	// backoffMax and CallTimeout together are under the freshness bound, so
@@ -74,8 +75,8 @@
 // Observer is notified of reads and folds as they happen; freshness.Tracker is
 // one. Its methods must not block and must be safe for concurrent use.
 type Observer interface {
-	// HeadRead reports that the log's head was at least head at the time at,
-	// which is when the read was sent, not when it returned.
+	// HeadRead reports that a read returned head. at is when the read was sent,
+	// not when it returned: every entry appended before at is before head.
 	HeadRead(at time.Time, head uint64)
 	// Folded reports that all entries before offset next are folded.
 	Folded(next uint64)
--- a/coordination/node/group.go
+++ b/coordination/node/group.go
@@ -4,8 +4,8 @@
 	"masticplank.example/coordination/record"
 )
 
-// group is one append: the records to write, and the Puts and Releases that it
-// settles.
+// group is the content of one append: its records, and those of them that are
+// Puts and Releases of this process.
 type group struct {
 	records  []record.Record
 	puts     []*proposal
@@ -41,9 +41,9 @@
 		g.puts = append(g.puts, p)
 		g.records = append(g.records, p.record)
 	}
-	// One part of a checkpoint is added however full the group is: under
-	// constant load there would never be space for it, and the log would be
-	// trimmed without a checkpoint in it.
+	// One part of a checkpoint is added even if the group has reached
+	// maxGroupBytes: under constant load there would never be space for it, and
+	// the log would be trimmed without a checkpoint in it.
 	if len(ps.checkpointParts) > 0 && len(g.records) < record.MaxRecords {
 		g.records = append(g.records, ps.checkpointParts[0])
 		ps.checkpointParts = ps.checkpointParts[1:]
--- a/coordination/node/indoubt.go
+++ b/coordination/node/indoubt.go
@@ -28,9 +28,9 @@
 	a.inDoubt = append(a.inDoubt, inDoubtGroup{group: g, due: time.Now().Add(a.backoff.next())})
 }
 
-// resolveInDoubt drops the groups that were read back meanwhile, reads the
-// log's head for those that are due, and sends those again that the tail has
-// passed.
+// resolveInDoubt drops the groups that were read back meanwhile and reads the
+// log's head for those that are due. It queues a group again once the tail has
+// passed the head that was read for it.
 func (a *appender) resolveInDoubt(ctx context.Context) {
 	if skipped := a.node.proposals.takeSkipped(); len(skipped) > 0 {
 		a.inDoubt = append(a.inDoubt, inDoubtGroup{group: group{puts: skipped}, due: time.Now()})
--- a/coordination/node/node.go
+++ b/coordination/node/node.go
@@ -70,8 +70,9 @@
 	first      uint64
 	headReadAt time.Time
 	reachable  bool
-	// target is the head returned by the first read; the node is ready once
-	// it has folded up to it.
+	// target is the head returned by the first read, or the next offset of a
+	// snapshot restored before that; the node is ready once it has folded up
+	// to it.
 	target    uint64
 	hasTarget bool
 }
@@ -181,7 +182,7 @@
 	}()
 	select {
 	case res := <-p.done:
-		p.done <- res
+		p.done <- res // for abandon, which returns it
 	case <-ctx.Done():
 	case <-ended:
 	}
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -23,6 +23,7 @@
 	log *logtest.Log
 }
 
+// inBubble runs f in a synctest bubble, with an empty log.
 func inBubble(t *testing.T, f func(t *testing.T, cluster *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		f(t, &testCluster{t, logtest.New()})
@@ -55,6 +56,7 @@
 	return record.Record{Kind: record.KindPut, Key: key, Nonce: record.Nonce{nonce}, Value: []byte{nonce}}
 }
 
+// within returns a context that ends after d or with the test.
 func within(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	t.Cleanup(cancel)
--- a/coordination/node/proposals.go
+++ b/coordination/node/proposals.go
@@ -81,8 +81,10 @@
 	}
 }
 
-// add queues a Put. A second Put with the same key and nonce is refused while
-// the first one waits, since it could not be distinguished from a retry.
+// add queues a Put. It returns false during the wait after a refused append, if
+// the queue is full, and while a Release of the nonce is pending. A second Put
+// with the same key and nonce is refused while the first one waits, since it
+// could not be distinguished from a retry.
 func (ps *proposals) add(r record.Record) (*proposal, bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -170,6 +172,8 @@
 	return record.Record{Kind: record.KindRelease, Key: id.key, Nonce: id.nonce}
 }
 
+// isReleased reports whether this process has released the nonce and the Release
+// is not read back yet.
 func (ps *proposals) isReleased(key record.Key, nonce record.Nonce) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/coordination/node/readback.go
+++ b/coordination/node/readback.go
@@ -84,7 +84,8 @@
 		ps.skipped = append(ps.skipped, p)
 		ps.signal()
 	}
-	// Releases in the skipped part of the log are never read back.
+	// Releases in the skipped part of the log are never read back, so all pending
+	// ones are queued again.
 	ps.releases = ps.releases[:0]
 	for id := range ps.pendingReleases {
 		ps.releases = append(ps.releases, releaseOf(id))
--- a/coordination/node/retry.go
+++ b/coordination/node/retry.go
@@ -8,14 +8,16 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// retryBackoff computes exponential waits between failed calls. Half of each
-// wait is seeded jitter, so that instances that lost the log together do not all
-// return to it at the same moment. Not safe for concurrent use.
+// retryBackoff computes exponential waits between failed calls. Up to half of
+// each wait is seeded jitter, so that instances that lost the log together do not
+// all return to it at the same moment. Not safe for concurrent use.
 type retryBackoff struct {
 	exponential *backoff.ExponentialBackOff
 	jitter      *rand.Rand
 }
 
+// newRetryBackoff returns a backoff whose jitter depends on nothing but seed and
+// stream. Each user of a node's seed has a stream of its own.
 func newRetryBackoff(seed, stream uint64) *retryBackoff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = backoffInitial
