--- a/coordination/fold/wheel.go
+++ b/coordination/fold/wheel.go
@@ -30,7 +30,8 @@
 	w.buckets[b] = append(refs, ref)
 }
 
-// collect calls f for each reference in a bucket that ends at or before now.
+// collect removes the buckets that end at or before now and calls f for each of
+// their references.
 func (w *timingWheel[T]) collect(now int64, f func(T)) {
 	for len(w.order) > 0 && (w.order[0]+1)*bucketMicros <= now {
 		b := heap.Pop(&w.order).(int64)
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -303,7 +303,7 @@
 func (b *billing) check(t *testing.T, c *cluster) {
 	for request, n := range b.runs {
 		if n > 1 {
-			t.Errorf("seed %d: %s ran %d times", c.seed, request, n)
+			t.Errorf("seed %d: %s ran %d times, want at most once", c.seed, request, n)
 		}
 	}
 	for slot := range 2 {
@@ -314,7 +314,7 @@
 			}
 		}
 		if left := buffer.Flush(context.Background()); left != 0 {
-			t.Errorf("seed %d: %d bills left after the flush", c.seed, left)
+			t.Errorf("seed %d: %d bills left after the flush, want none", c.seed, left)
 		}
 	}
 	exported := map[string]int{}
@@ -331,6 +331,6 @@
 		}
 	}
 	if len(exported) != len(b.runs) {
-		t.Errorf("seed %d: %d requests were billed, %d ran", c.seed, len(exported), len(b.runs))
+		t.Errorf("seed %d: %d requests were billed, %d ran, want equal numbers", c.seed, len(exported), len(b.runs))
 	}
 }
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -25,7 +25,7 @@
 	// ten minutes of 100 requests a second.
 	DefaultMaxBills = 60_000
 	// DefaultMaxBytes bounds the memory of the held bills: DefaultMaxBills of some
-	// 250 bytes each, which is more than usual names need.
+	// 250 bytes each, more than a bill with names of usual length takes.
 	DefaultMaxBytes = 16 << 20
 	// maxHeldBillBytes is the largest size of a held bill. A reservation counts as
 	// that much, since the size of its bill is not known yet.
--- a/coordination/ledger/ledger_test.go
+++ b/coordination/ledger/ledger_test.go
@@ -351,7 +351,7 @@
 				wg.Go(func() { peer.Flush(t.Context()) })
 				wg.Wait()
 				if peer.Len() != 0 || !killed && own.Len() != 0 {
-					t.Errorf("bills left after the flushes: own %d, peer %d", own.Len(), peer.Len())
+					t.Errorf("bills left after the flushes: own %d, peer %d, want none that a running instance holds", own.Len(), peer.Len())
 				}
 				if got, _ := export(t, log, 0); len(got) != 500 {
 					t.Errorf("%d bills exported, want 500", len(got))
--- a/coordination/ledger/writer.go
+++ b/coordination/ledger/writer.go
@@ -38,7 +38,8 @@
 	// Name is the name of the instance. Required.
 	Name string
 	// Linger returns the minimum time between two appends. It is called before
-	// each append, since the time follows the number of instances. Default 20 ms.
+	// each append, since the time depends on the number of instances. Default
+	// 20 ms.
 	Linger func() time.Duration
 	// AppendTimeout bounds one append. Default 2 s.
 	AppendTimeout time.Duration
--- a/coordination/node/node_test.go
+++ b/coordination/node/node_test.go
@@ -282,7 +282,7 @@
 		wg.Wait()
 		rate := float64(cluster.log.AppendCount()-before) / seconds
 		if rate > defaultAppendBudget+1 {
-			t.Errorf("%.1f appends per second, more than the budget", rate)
+			t.Errorf("%.1f appends per second, want at most one more than the budget", rate)
 		}
 		if rate < defaultAppendBudget/2 {
 			t.Errorf("%.1f appends per second: less than half of the budget is used", rate)
--- a/coordination/node/proposals.go
+++ b/coordination/node/proposals.go
@@ -36,11 +36,11 @@
 	// waits for it.
 	queued    bool
 	abandoned bool
-	// pendingResult is returned to the caller once the Release is read back.
-	// The Put was read back as a loser, but another copy of it may still
-	// arrive and win. A caller that is told "lost" must be able to rely on it
-	// even if this process is killed right after, so the nonce is first
-	// released in the log.
+	// pendingResult is set if the Put was read back without winning while
+	// another copy of it may still arrive and win. A caller that is told "lost"
+	// must be able to rely on it even if this process is killed right after, so
+	// the nonce is first released in the log. The caller gets the result once
+	// the Release is read back.
 	pendingResult *Result
 	// outcomeUnknown is true once an append that carried the Put may have taken
 	// effect without being read back: its reply was lost, or a Restore skipped it.
