--- a/coordination/fold/checkpoint.go
+++ b/coordination/fold/checkpoint.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// partBytes is the size of the piece of a snapshot in one checkpoint record. A
-	// large state is spread over several appends, so that other records do not
-	// wait behind one huge append.
+	// partBytes is the most bytes of a snapshot in one checkpoint record. A large
+	// state is spread over several appends, so that other records do not wait
+	// behind one huge append.
 	partBytes = 512 << 10
 	// maxParts bounds the parts of a checkpoint: those of a snapshot of
 	// MaxSnapshotBytes, and one more.
@@ -32,7 +32,8 @@
 }
 
 // Checkpoint returns the records that carry the current state. A reader that
-// finds the entries before Digest().NextOffset trimmed starts from them.
+// finds the entries before Digest().NextOffset trimmed starts from these
+// records.
 func (s *State) Checkpoint(nonce record.Nonce) ([]record.Record, error) {
 	snapshot, err := s.Snapshot()
 	if err != nil {
@@ -89,20 +90,22 @@
 	received   int
 }
 
-// Add takes one record. It ignores records of other kinds and malformed parts.
+// Add takes one record. It ignores records of other kinds, malformed parts,
+// parts that it already has, and parts that do not fit the others with their
+// nonce.
 func (a *CheckpointAssembler) Add(r *record.Record) {
 	w, ok := parsePart(r)
 	if !ok {
 		return
 	}
-	o := a.find(r.Nonce, &w)
-	if o == nil || o.parts[w.Part] != nil {
+	cp := a.find(r.Nonce, &w)
+	if cp == nil || cp.parts[w.Part] != nil {
 		return
 	}
-	o.parts[w.Part] = w.Data
-	o.received++
-	if o.received == len(o.parts) {
-		a.finish(o)
+	cp.parts[w.Part] = w.Data
+	cp.received++
+	if cp.received == len(cp.parts) {
+		a.finish(cp)
 	}
 }
 
@@ -112,37 +115,39 @@
 	return a.latest, a.nextOffset, a.latest != nil
 }
 
+// find returns the incomplete checkpoint that w belongs to. It adds a new one if
+// there is none, and returns nil if w contradicts it.
 func (a *CheckpointAssembler) find(nonce record.Nonce, w *wirePart) *partialCheckpoint {
-	for _, o := range a.partial {
-		if o.nonce != nonce {
+	for _, cp := range a.partial {
+		if cp.nonce != nonce {
 			continue
 		}
-		if o.nextOffset != w.NextOffset || len(o.parts) != int(w.Parts) {
+		if cp.nextOffset != w.NextOffset || len(cp.parts) != int(w.Parts) {
 			return nil
 		}
-		return o
+		return cp
 	}
 	if len(a.partial) == maxPartialCheckpoints {
 		a.partial = a.partial[1:]
 	}
-	o := &partialCheckpoint{nonce: nonce, nextOffset: w.NextOffset, parts: make([][]byte, w.Parts)}
-	a.partial = append(a.partial, o)
-	return o
+	cp := &partialCheckpoint{nonce: nonce, nextOffset: w.NextOffset, parts: make([][]byte, w.Parts)}
+	a.partial = append(a.partial, cp)
+	return cp
 }
 
-func (a *CheckpointAssembler) finish(o *partialCheckpoint) {
+func (a *CheckpointAssembler) finish(cp *partialCheckpoint) {
 	for i, other := range a.partial {
-		if other == o {
+		if other == cp {
 			a.partial = append(a.partial[:i:i], a.partial[i+1:]...)
 			break
 		}
 	}
-	if a.latest != nil && o.nextOffset <= a.nextOffset {
+	if a.latest != nil && cp.nextOffset <= a.nextOffset {
 		return
 	}
 	var snapshot []byte
-	for _, p := range o.parts {
+	for _, p := range cp.parts {
 		snapshot = append(snapshot, p...)
 	}
-	a.latest, a.nextOffset = snapshot, o.nextOffset
+	a.latest, a.nextOffset = snapshot, cp.nextOffset
 }
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -79,7 +79,7 @@
 		time.Sleep(5 * time.Second)
 		wantAcquire(t, a, true)
 		if second := wantCheck(t, a, FencingEnforced, Allowed); second <= first {
-			t.Errorf("fencing number is %d, then %d after a renewal", first, second)
+			t.Errorf("fencing number is %d, then %d after a renewal, want a higher one", first, second)
 		}
 		// A renewal does not restart the wait: it ends 12.1 s after the first term.
 		time.Sleep(7099 * time.Millisecond)
@@ -144,7 +144,7 @@
 	}
 }
 
-// A holder that cannot renew since the log is down stops before its term ends.
+// A holder that cannot renew since the log is down must stop before its term ends.
 func TestLeaseExpiresWhileLogDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, ms, _ := managers(t, 1)
@@ -174,8 +174,8 @@
 	})
 }
 
-// A term that cannot be decoded takes its number and blocks the lease for one
-// Duration.
+// A term that cannot be decoded has an unknown holder. It must take its number and
+// block the lease for one Duration.
 func TestUnreadableTermBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, ms, nodes := managers(t, 2)
@@ -208,9 +208,10 @@
 }
 
 type contender struct {
-	state   state
-	read    int
-	pending *pendingPut
+	state state
+	// nextTerm is the index in simulation.terms of the next term to read.
+	nextTerm int
+	pending  *pendingPut
 	// lastOrder is the latest time at which an order of the last check may arrive.
 	lastOrder time.Time
 }
@@ -228,10 +229,10 @@
 	sim.now = sim.now.Add(time.Duration(sim.rng.IntN(1500)) * time.Millisecond)
 	i := sim.rng.IntN(len(sim.contenders))
 	c := sim.contenders[i]
-	for _, p := range sim.contenders {
-		sim.appendDue(p)
+	for _, each := range sim.contenders {
+		sim.appendDue(each)
 	}
-	for c.read < len(sim.terms) && sim.rng.IntN(4) > 0 {
+	for c.nextTerm < len(sim.terms) && sim.rng.IntN(4) > 0 {
 		c.readNext(sim)
 	}
 	if c.pending == nil && c.state.mayAcquire(sim.now) && sim.rng.IntN(2) == 0 {
@@ -250,7 +251,8 @@
 	c.lastOrder = sim.now.Add(c.state.cfg.MaxPause)
 }
 
-// land appends a pending Put once its time has come, unless its term is taken.
+// appendDue appends c's pending Put once its time has come, unless its term is
+// taken.
 func (sim *simulation) appendDue(c *contender) {
 	p := c.pending
 	if p == nil || p.term.offset != 0 || sim.now.Before(p.appendsAt) {
@@ -267,8 +269,8 @@
 }
 
 func (c *contender) readNext(sim *simulation) {
-	next := sim.terms[c.read]
-	c.read++
+	next := sim.terms[c.nextTerm]
+	c.nextTerm++
 	var sent time.Time
 	if p := c.pending; p != nil && p.term.offset == next.offset {
 		sent = p.sentAt
@@ -302,6 +304,7 @@
 	}
 }
 
+// Guards against a panic on any register, and against a negative duration.
 func FuzzParse(f *testing.F) {
 	m := &Manager{cfg: Config{Name: "x", Holder: "a"}.withDefaults()}
 	f.Add("lease/x/1", []byte{0x82, 0x61, 0x61, 0x01})
--- a/coordination/ledger/writer.go
+++ b/coordination/ledger/writer.go
@@ -38,7 +38,8 @@
 	// Name is the name of the instance. Required.
 	Name string
 	// Linger returns the minimum time between two appends. It is called before
-	// each append, since the time follows the number of instances. Default 20 ms.
+	// each append, since the time depends on the number of instances. Default
+	// 20 ms.
 	Linger func() time.Duration
 	// AppendTimeout bounds one append. Default 2 s.
 	AppendTimeout time.Duration
@@ -86,7 +87,7 @@
 
 // Put appends a bill, in one batch with others. OutcomeWon means that it is in
 // the log, OutcomeVoid that it is not, and OutcomeUnknown that it may be in the
-// log; putting it again is harmless. Put is a PutFunc.
+// log; putting it again is harmless. Put can be used as a PutFunc.
 func (w *Writer) Put(ctx context.Context, r record.Record) node.Result {
 	p := &pendingBill{record: r, done: make(chan error, 1)}
 	select {
