--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -106,14 +106,14 @@
 // TestInstanceThatStartsAfterARestoreWaitsForTheOperator checks that an instance which knows only the
 // restored store's configuration accepts no keys while its peers know a later one.
 func TestInstanceThatStartsAfterARestoreWaitsForTheOperator(t *testing.T) {
-	knows, _, log, clock := restoredConfig(t, true)
+	informed, _, log, clock := restoredConfig(t, true)
 	p := newTestInstance("late", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
 	mustRead(t, reader)
 	if !p.config.Fresh() {
 		t.Fatal("not fresh with the only configuration in the store")
 	}
-	p.config.ReportLostVersion(knows.operator.restoreGuard.lostVersion())
+	p.config.ReportLostVersion(informed.operator.restoreGuard.lostVersion())
 	if p.config.Fresh() || p.config.Ready() {
 		t.Error("fresh or ready with a configuration that a peer knows to be superseded")
 	}
--- a/router/internal/passthrough/configstate.go
+++ b/router/internal/passthrough/configstate.go
@@ -67,11 +67,11 @@
 
 // Confirm records that a read which started at began found the configuration in force to be current.
 // It has no effect while a peer reports a later version.
-func (s *ConfigState) Confirm(began time.Time) {
+func (s *ConfigState) Confirm(asOf time.Time) {
 	if s.isSuperseded() {
 		return
 	}
-	if at := began.UnixNano(); at > s.confirmedAt.Load() {
+	if at := asOf.UnixNano(); at > s.confirmedAt.Load() {
 		s.confirmedAt.Store(at)
 	}
 }
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -111,7 +111,7 @@
 // reportCounts calls onFleetCount if the number of instances has changed, and onPeers if their number
 // in this failure domain has.
 func (s *sharing) reportCounts() {
-	if near := int64(s.members.DomainSize()); s.reportedPeers.Swap(near) != near {
+	if peers := int64(s.members.DomainSize()); s.reportedPeers.Swap(peers) != peers {
 		s.onPeers(s.members.DomainNames())
 	}
 	n := s.members.FleetSize()
@@ -127,11 +127,11 @@
 // runCollector writes the followers' announcements and counts the fleet, if this instance is to do
 // so, until ctx ends.
 func (s *sharing) runCollector(ctx context.Context) {
-	counted := time.Time{}
+	countedAt := time.Time{}
 	for ctx.Err() == nil {
 		s.writeFollowers(ctx)
-		if s.countsFleet() && s.clock.Now().Sub(counted) >= fleetCountInterval {
-			counted = s.clock.Now()
+		if s.countsFleet() && s.clock.Now().Sub(countedAt) >= fleetCountInterval {
+			countedAt = s.clock.Now()
 			s.countFleet(ctx)
 		}
 		sleep(ctx, followerWriteInterval, nil)
--- a/router/internal/passthrough/observation_delay_test.go
+++ b/router/internal/passthrough/observation_delay_test.go
@@ -108,7 +108,7 @@
 // write the ends of roll-outs. A bad version must be reverted within 5 s of its 50th bad response, of
 // which 1 s is for evaluating the counts, and for writing the end and distributing it.
 func TestObservationsReachAllWritersInTime(t *testing.T) {
-	const oldest = 4 * time.Second
+	const maxDelay = 4 * time.Second
 	for name, rejectsFirst := range map[string]func(int) bool{
 		"the store serves all readers":  func(int) bool { return false },
 		"the store rejects two readers": func(domain int) bool { return domain < 2 },
@@ -133,8 +133,8 @@
 			worst = max(worst, f.clock.Now().Sub(began))
 		}
 		t.Logf("%s: a bad response is known to all readers after %v at most", name, worst)
-		if worst > oldest {
-			t.Errorf("%s: a bad response is known to all readers after %v, want %v at most", name, worst, oldest)
+		if worst > maxDelay {
+			t.Errorf("%s: a bad response is known to all readers after %v, want %v at most", name, worst, maxDelay)
 		}
 	}
 }
--- a/router/internal/passthrough/observationreader.go
+++ b/router/internal/passthrough/observationreader.go
@@ -17,7 +17,7 @@
 	t := &topicReader{
 		name: topicObservations, log: st.log, clock: clock, telemetry: st.telemetry, longestRetryDelay: slowRetryDelay,
 		onRecord:   st.apply,
-		onRead:     func(began time.Time, _ int) { st.markRead(began) },
+		onRead:     func(asOf time.Time, _ int) { st.markRead(asOf) },
 		onRecovery: st.onRecovery, onRestore: st.onRestore,
 	}
 	t.onSnapshot = st.applySnapshot
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -122,14 +122,14 @@
 		t.Errorf("ends %v after six bad responses seen by two processes, want one revert", got)
 	}
 	clock.advance(recordLifetime + time.Second)
-	dropped := 0
+	deleted := 0
 	for _, r := range after.observations.pendingRecords() {
 		if len(r.Value) == 0 {
-			dropped++
+			deleted++
 		}
 	}
-	if dropped != 2 {
-		t.Errorf("%d sets are deleted, want those of both processes", dropped)
+	if deleted != 2 {
+		t.Errorf("%d sets are deleted, want those of both processes", deleted)
 	}
 }
 
--- a/router/internal/passthrough/operator.go
+++ b/router/internal/passthrough/operator.go
@@ -69,10 +69,10 @@
 		onSnapshot: o.applySnapshot,
 		onRecord:   o.applyNew,
 		onRestore:  o.onRestore,
-		onRead: func(began time.Time, _ int) {
+		onRead: func(asOf time.Time, _ int) {
 			o.reconcileDrained()
 			if o.restoreGuard.confirms() {
-				o.config.Confirm(began)
+				o.config.Confirm(asOf)
 			}
 			if o.config.Index() != nil {
 				o.startGate.loaded(prerequisiteConfig)
@@ -85,9 +85,9 @@
 // admitted, and by then the roll-outs and drain orders must be known.
 func (o *operator) applySnapshot(list []keyedlog.Record) {
 	o.replaceDrainOrders(list)
-	for _, config := range []bool{false, true} {
+	for _, wantConfig := range []bool{false, true} {
 		for _, r := range list {
-			if _, ok, _ := o.records.Config(r); ok == config {
+			if _, ok, _ := o.records.Config(r); ok == wantConfig {
 				o.applyRecord(r, false)
 			}
 		}
--- a/router/internal/passthrough/random_test.go
+++ b/router/internal/passthrough/random_test.go
@@ -114,7 +114,7 @@
 		return true
 	}
 	crash := passthrough.AttemptEnded{Result: passthrough.Broken, ConnectionLost: true}
-	crashes, late := 0, 0
+	crashes, lateRuns := 0, 0
 	for range 60 {
 		clock.advance(time.Duration(rng.IntN(120)) * time.Millisecond)
 		known := crashes >= 3
@@ -134,17 +134,17 @@
 		if send(1, crash) {
 			crashes++
 			if known {
-				late++
+				lateRuns++
 			}
 		}
-		unlucky := uint64(100 + rng.IntN(5))
+		flaky := uint64(100 + rng.IntN(5))
 		if rng.IntN(3) == 0 {
-			send(unlucky, crash)
-			send(unlucky, passthrough.AttemptEnded{Result: passthrough.Completed})
+			send(flaky, crash)
+			send(flaky, passthrough.AttemptEnded{Result: passthrough.Completed})
 		}
 	}
-	if late > 0 {
-		t.Errorf("%d runs after the third crash was known to all instances", late)
+	if lateRuns > 0 {
+		t.Errorf("%d runs after the third crash was known to all instances", lateRuns)
 	}
 	if crashes > 3 {
 		t.Errorf("%d servers crashed, want three at most", crashes)
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -65,7 +65,7 @@
 // count, also at an instance that knows only the new offset.
 func TestOrderWrittenAgainIsTheSameRollout(t *testing.T) {
 	f := newRestoredFleet(t, "a", "b")
-	copied := len(f.operator.records)
+	backedUp := len(f.operator.records)
 	f.operator.add("other", "x")
 	f.operator.add("order/shop", orderValue)
 	f.step()
@@ -75,8 +75,8 @@
 		f.step()
 	}
 	r := f.instances[0].rollouts.open["shop"]
-	since := r.orderedAt
-	f.operator.restore(copied)
+	orderedAt := r.orderedAt
+	f.operator.restore(backedUp)
 	f.status.restore(0)
 	f.observations.restore(0)
 	f.step()
@@ -93,7 +93,7 @@
 			t.Errorf("%s: counts %d bad responses, want 3", i.observations.instance, seen.newCounts.Bad)
 		}
 	}
-	if f.instances[0].rollouts.open["shop"] != r || r.orderedAt != since {
+	if f.instances[0].rollouts.open["shop"] != r || r.orderedAt != orderedAt {
 		t.Error("the roll-out was started again")
 	}
 	f.instances[2].observeMany("v2", true, 10)
@@ -113,7 +113,7 @@
 	f := newRestoredFleet(t, "a", "b", "c")
 	f.operator.add("order/shop", orderValue)
 	f.step()
-	copied := len(f.status.records)
+	backedUp := len(f.status.records)
 	f.instances[0].observeMany("v2", true, 20)
 	for range 8 {
 		f.step()
@@ -121,7 +121,7 @@
 	if got := storedEnds(f.status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Fatalf("ends %v before the restore, want one revert", got)
 	}
-	f.status.restore(copied)
+	f.status.restore(backedUp)
 	f.operator.restore(len(f.operator.records))
 	f.observations.restore(0)
 	for range 8 {
@@ -148,11 +148,11 @@
 	f.instances[0].observeMany("v2", true, 1)
 	f.step()
 	f.step()
-	copied := len(f.observations.records)
+	backedUp := len(f.observations.records)
 	f.instances[0].observeMany("v2", true, 3)
 	f.step()
 	f.step()
-	f.observations.restore(copied)
+	f.observations.restore(backedUp)
 	mustRead(t, f.instances[1].observationsReader)
 	if seen := f.instances[1].observations.view(f.instances[1].rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
 		t.Errorf("%d bad responses are counted, want 4", seen.newCounts.Bad)
--- a/router/internal/passthrough/serverlist.go
+++ b/router/internal/passthrough/serverlist.go
@@ -262,17 +262,17 @@
 }
 
 // countServers counts a service's servers that are not leaving, at the given version and at others.
-func (l *serverList) countServers(service, version string) (at, others int) {
+func (l *serverList) countServers(service, version string) (atVersion, others int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.entries {
 		switch {
 		case s.Service != service || s.Leaving:
 		case s.Version == version:
-			at++
+			atVersion++
 		default:
 			others++
 		}
 	}
-	return at, others
+	return atVersion, others
 }
--- a/router/internal/passthrough/sharing.go
+++ b/router/internal/passthrough/sharing.go
@@ -87,7 +87,7 @@
 	}
 	s.members = relay.NewMembers(s.self, 1+len(s.otherDomains), clock.Now)
 	s.client = relay.NewClient(s.members, clock.Now)
-	changed := func(topic, name string) {
+	onCollectorChange := func(topic, name string) {
 		tel.emit(logging.EventCollector, slog.String("topic", topic), slog.String("collector", name))
 	}
 	caches := map[string]*relay.Cache{}
@@ -97,7 +97,7 @@
 			equal = nil
 		}
 		caches[name] = relay.NewCache(clock.Now, equal)
-		return relay.NewLog(name, log, s.client, caches[name], maxAge, changed)
+		return relay.NewLog(name, log, s.client, caches[name], maxAge, onCollectorChange)
 	}
 	s.operator = topic(topicOperator, store.Operator(), fractionOf(maxOperatorAgeFraction, cfg.Bounds.RevocationDelay))
 	s.servers = topic(topicServers, store.Servers(), fractionOf(maxServersAgeFraction, cfg.Bounds.Drain))
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -134,9 +134,9 @@
 // splitEvents splits a text into whole events and the beginning of the next one.
 func splitEvents(text []byte) (ready, rest []byte) {
 	end := 0
-	for _, mark := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
-		if i := bytes.LastIndex(text, mark); i >= 0 {
-			end = max(end, i+len(mark))
+	for _, separator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
+		if i := bytes.LastIndex(text, separator); i >= 0 {
+			end = max(end, i+len(separator))
 		}
 	}
 	return text[:end], text[end:]
--- a/router/internal/passthrough/telemetry.go
+++ b/router/internal/passthrough/telemetry.go
@@ -67,9 +67,9 @@
 }
 
 func (t *telemetry) observeDuration(name string, duration time.Duration) {
-	const sample, alpha = 1028, 0.015 // the library's recommendation for a bias to the last five minutes
+	const sampleSize, alpha = 1028, 0.015 // the library's recommendation for a bias to the last five minutes
 	h := t.registry.GetOrRegister("passthrough."+name, func() gometrics.Histogram {
-		return gometrics.NewHistogram(gometrics.NewExpDecaySample(sample, alpha))
+		return gometrics.NewHistogram(gometrics.NewExpDecaySample(sampleSize, alpha))
 	}).(gometrics.Histogram)
 	h.Update(duration.Milliseconds())
 }
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -43,7 +43,7 @@
 	// read and the number of records.
 	onSnapshot func([]keyedlog.Record)
 	onRecord   func(keyedlog.Record)
-	onRead     func(began time.Time, records int)
+	onRead     func(asOf time.Time, records int)
 	// onRestore is called before onSnapshot gets the records of a restored topic; nil for none.
 	onRestore func()
 	// onRecovery is called with the length of an outage before the first records after it; nil
