--- a/router/internal/passthrough/app.go
+++ b/router/internal/passthrough/app.go
@@ -174,7 +174,8 @@
 	})
 }
 
-// startReaders starts the readers of the store's topics and the roll-out loop.
+// startReaders listens for followers and starts the background loops: the readers of the store's
+// topics, the writers of observations and announcements, the roll-out loop and the load exchange.
 func startReaders(lc fx.Lifecycle, p Platform, cfg seam.Settings, sh *sharing, config *ConfigState, d *Driver, l *serverList, m *rollouts, observations *observationStore, guard *restoreGuard, tel *telemetry, c Clock, gate *startGate) {
 	op := &operator{
 		records: p.Records, config: config, driver: d, rollouts: m, telemetry: tel, startGate: gate,
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -45,16 +45,21 @@
 	response *response
 	// load and limit are from the response head, nil if absent. loadReported is true if they
 	// were already passed to the decision when the head arrived, as for streams.
-	load           *passthrough.Load
-	limit          *passthrough.RateLimit
-	loadReported   bool
-	misdirected    bool
-	leaving        bool
+	load         *passthrough.Load
+	limit        *passthrough.RateLimit
+	loadReported bool
+	// misdirected is true if another server now has the address, leaving if the server rejected
+	// the request and is shutting down.
+	misdirected bool
+	leaving     bool
+	// connectionLost is true if the response could not be read to its end although this instance
+	// did not close the connection.
 	connectionLost bool
 	// eventInterval is the mean time between the events of a stream, 0 for fewer than two.
 	// For a plain response it is the time from startedAt to the end of the response.
 	eventInterval time.Duration
-	firstByte     time.Duration
+	// firstByte is the time from the attempt's start to the response head, 0 for none.
+	firstByte time.Duration
 	// confidence is the confidence that the backend server states, -1 for none. A response
 	// whose confidence is below confidenceThreshold is dropped.
 	confidence          float64
--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -51,7 +51,7 @@
 	log.add("config", "config 9")
 	mustRead(t, reader)
 	if !p.config.Ready() || p.config.Index().Version != 9 {
-		t.Errorf("after version 9 was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
+		t.Errorf("after version 9 was written again: ready %v, version %d, want ready with version 9", p.config.Ready(), p.config.Index().Version)
 	}
 }
 
@@ -64,11 +64,11 @@
 	clock.advance(time.Second)
 	mustRead(t, reader)
 	if got := p.config.Age(); got != before+time.Second {
-		t.Errorf("a read of the restored store confirmed the configuration: age %v, was %v", got, before)
+		t.Errorf("a read of the restored store confirmed the configuration: age %v, want 1 s more than %v", got, before)
 	}
 	clock.advance(fractionOf(confirmDelayFraction, 5*time.Second) - time.Second)
 	if !p.config.Ready() {
-		t.Errorf("not ready at age %v", p.config.Age())
+		t.Errorf("not ready at age %v, want ready", p.config.Age())
 	}
 	mustRead(t, reader)
 	if p.config.Age() != 0 {
--- a/router/internal/passthrough/configstate.go
+++ b/router/internal/passthrough/configstate.go
@@ -10,14 +10,15 @@
 // ConfigState holds the configuration in force and when it was last confirmed to be current.
 // It is safe for concurrent use.
 //
-// Its age counts from the start of the last read that confirmed it: a configuration that is
+// The configuration's age counts from the time as of which the last read that confirmed it saw the
+// store. That is the start of the read, unless the result states its age: a configuration that is
 // written while the read is in progress may be missing from the result.
 type ConfigState struct {
 	clock Clock
 	bound atomic.Int64 // nanoseconds for which a key may be accepted without confirmation
 	index atomic.Pointer[passthrough.Index]
-	// confirmedAt is the start of the last read that confirmed it, in Unix nanoseconds; 0 for
-	// never.
+	// confirmedAt is the latest time as of which a read confirmed the configuration, in Unix
+	// nanoseconds; 0 for never.
 	confirmedAt atomic.Int64
 	// lostVersion is the highest version that a peer knows and a restored store lacks, reported
 	// at lostReportedAt (Unix nanoseconds).
@@ -65,8 +66,8 @@
 	return x, true
 }
 
-// Confirm records that a read which started at began found the configuration in force to be current.
-// It has no effect while a peer reports a later version.
+// Confirm records that a read found the configuration in force to be current as of the given time. It
+// has no effect while a peer reports a later version.
 func (s *ConfigState) Confirm(asOf time.Time) {
 	if s.isSuperseded() {
 		return
@@ -76,8 +77,8 @@
 	}
 }
 
-// Age returns the time since the start of the last read that confirmed the configuration; the
-// longest duration if there was none.
+// Age returns how long ago the configuration is last known to have been current; the longest duration
+// if it was never confirmed.
 func (s *ConfigState) Age() time.Duration {
 	at := s.confirmedAt.Load()
 	if at == 0 {
--- a/router/internal/passthrough/configstate_test.go
+++ b/router/internal/passthrough/configstate_test.go
@@ -15,14 +15,14 @@
 	clock := newFakeClock()
 	state := NewConfigState(clock, 5*time.Second)
 	if state.Fresh() || state.Ready() {
-		t.Error("fresh before anything is known")
+		t.Error("fresh or ready before anything is known, want neither")
 	}
 	state.Apply(passthrough.Config{Version: 1})
 	began := clock.Now()
 	clock.advance(1400 * time.Millisecond) // duration of the read
 	state.Confirm(began)
 	if got := state.Age(); got != 1400*time.Millisecond || !state.Ready() {
-		t.Errorf("age %v, ready %v", got, state.Ready())
+		t.Errorf("age %v, ready %v, want 1.4 s, the duration of the read, and ready", got, state.Ready())
 	}
 	clock.advance(1200 * time.Millisecond)
 	if state.Ready() || !state.Fresh() {
@@ -30,7 +30,7 @@
 	}
 	clock.advance(2 * time.Second)
 	if state.Fresh() {
-		t.Error("fresh at 4.6 s, past nine tenths of the bound")
+		t.Error("fresh at 4.6 s, past nine tenths of the bound, want not fresh")
 	}
 	state.Confirm(began)
 	if state.Fresh() {
@@ -69,18 +69,18 @@
 	log.add("config", "config 5")
 	log.add("config", "config 4")
 	if err := step(); err != nil || p.config.Index().Version != 5 {
-		t.Fatalf("after malformed and unordered records: version %d, error %v", p.config.Index().Version, err)
+		t.Fatalf("after malformed and unordered records: version %d, error %v, want version 5 and none", p.config.Index().Version, err)
 	}
 	log.add("config", "config 8")
 	log.firstKept = uint64(len(log.records))
 	if err := step(); err != nil || p.config.Index().Version != 8 {
-		t.Fatalf("after records were trimmed: version %d, error %v", p.config.Index().Version, err)
+		t.Fatalf("after records were trimmed: version %d, error %v, want version 8 and none", p.config.Index().Version, err)
 	}
 	log.readErrs = []error{keyedlog.ErrUnknown}
 	clock.advance(time.Second)
 	age := p.config.Age()
 	if err := step(); !errors.Is(err, keyedlog.ErrUnknown) || p.config.Age() != age {
-		t.Error("a failed read confirmed the configuration")
+		t.Error("a failed read confirmed the configuration or returned no ErrUnknown")
 	}
 }
 
@@ -96,6 +96,6 @@
 	})
 	seen = p.rollouts.active()
 	if !seen || p.config.Index() == nil {
-		t.Errorf("order known: %v, configuration: %v", seen, p.config.Index())
+		t.Errorf("order known: %v, configuration: %v, want both", seen, p.config.Index())
 	}
 }
--- a/router/internal/passthrough/crashkeys.go
+++ b/router/internal/passthrough/crashkeys.go
@@ -13,8 +13,8 @@
 	// count as one crash. The window is long compared with the differences between the
 	// instances, which know the time since the order to some tenths of a second.
 	crashWindowMS = 2000
-	// maxCrashKeys is the maximum number of crashes that a set lists for a route; a verdict
-	// needs fewer.
+	// maxCrashKeys is the maximum number of crashes that an observation set lists for a route;
+	// a verdict needs fewer.
 	maxCrashKeys = 64
 )
 
@@ -25,11 +25,12 @@
 
 // addCrash records that a server of the new version truncated a response.
 //
-// Load: a canary of few servers, of which some crash as old ones do, each with a dozen responses in
-// progress. Harm prevented: a good version is reverted because one crash counts as many failures:
-// eight responses truncated by the crashes of three servers would be eight failures among eighty
-// responses. All responses that a server truncates within crashWindowMS count as one failure,
-// whichever instances saw them. A version that truncates responses repeatedly is still found bad.
+// Load: a canary of few servers, some of which crash, as servers of the old version do, each with a
+// dozen responses in progress. Harm prevented: a good version is reverted because one crash counts
+// as many failures: eight responses truncated by the crashes of three servers would be eight failures
+// among eighty responses. All responses that a server truncates within crashWindowMS count as one
+// failure, whichever instances saw them. A version that truncates responses repeatedly is still found
+// bad.
 func (s *observationSet) addCrash(o passthrough.Observation) {
 	key := crashKey(o.Server, s.ElapsedMS)
 	list := s.CrashKeys[o.Route]
--- a/router/internal/passthrough/draining.go
+++ b/router/internal/passthrough/draining.go
@@ -12,7 +12,7 @@
 )
 
 // setDrained starts or ends the drain of a failure domain, which gets no new work while drained. When
-// setDrained returns, this instance applies the change, also to queued requests.
+// setDrained returns, the change is in effect at this instance, also for queued requests.
 func (o *operator) setDrained(domain string, drained bool, offset uint64) {
 	if o.drained[domain] == drained {
 		return
--- a/router/internal/passthrough/draining_test.go
+++ b/router/internal/passthrough/draining_test.go
@@ -58,7 +58,7 @@
 	p.operator.records = spyRecords{seen: func() { drainedThen = p.operator.drained["a"] }}
 	p.operator.applySnapshot([]keyedlog.Record{{Key: "config", Value: []byte("config 3")}, drainOrder("a", "{}", 1)})
 	if p.config.Index() == nil || !drainedThen {
-		t.Errorf("configuration known: %v; drained before it: %v", p.config.Index() != nil, drainedThen)
+		t.Errorf("configuration known: %v; drained before it: %v; want both", p.config.Index() != nil, drainedThen)
 	}
 }
 
--- a/router/internal/passthrough/handler.go
+++ b/router/internal/passthrough/handler.go
@@ -58,7 +58,7 @@
 	retryAfter time.Duration
 }
 
-// The reasons that the router gives itself; all others come from the decision.
+// The reasons that only this package gives; the decision's package defines the others.
 const (
 	reasonNoConfig    passthrough.Reason = "no_configuration"
 	reasonNoRoute     passthrough.Reason = "no_such_route"
@@ -70,8 +70,8 @@
 	reasonTimeout passthrough.Reason = "timeout"
 )
 
-// retryElsewhereAfter is the Retry-After of refusals by this instance of requests that another
-// instance may serve at once.
+// retryElsewhereAfter is the Retry-After of a refusal for a reason that concerns this instance only:
+// another instance may serve the request at once.
 const retryElsewhereAfter = 200 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
--- a/router/internal/passthrough/observation_delay_test.go
+++ b/router/internal/passthrough/observation_delay_test.go
@@ -15,9 +15,11 @@
 	*testInstance
 	collector   *sharedInstance
 	heldRecords []keyedlog.Record
-	next        keyedlog.Position
-	writeAt     time.Time
-	readAt      time.Time
+	// next is the position of the next read; writeAt and readAt are the times of the next write
+	// and read.
+	next    keyedlog.Position
+	writeAt time.Time
+	readAt  time.Time
 }
 
 // sharedFleet is 295 instances in five failure domains. The collector of each domain, the only instance
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -56,12 +56,14 @@
 }
 
 // minCleanResponses is the number of good responses of the new version, with no bad one, from which a
-// roll-out is completed although peers' observations may be missing. An instance sees so many good
-// responses of a version that fails 30% of its requests with a probability of 1/70. If five were
-// enough, a version that fails half of its requests would be completed in about 1 of 30 roll-outs.
+// roll-out is completed although peers' observations may be missing. With a probability of 1/70,
+// a version that fails 30% of its requests still gives an instance that many good responses and no
+// bad one. If five were enough, a version that fails half of its requests would be completed in about
+// 1 of 30 roll-outs.
 const minCleanResponses = 12
 
-// clean reports whether this view suffices to complete the new version.
+// clean reports whether this view suffices to complete the new version although peers' observations
+// may be missing.
 //
 // Load: an outage of the store covers most of a roll-out and ends when the roll-out does. Harm
 // prevented: a version that other instances saw fail is completed before they can report it.
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -144,7 +144,7 @@
 	return len(st.own) > 0
 }
 
-// pendingRecords returns the records that are to be written now.
+// pendingRecords returns the records that are to be written now, and marks them as written.
 func (st *observationStore) pendingRecords() []keyedlog.Record {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/router/internal/passthrough/random_test.go
+++ b/router/internal/passthrough/random_test.go
@@ -72,8 +72,8 @@
 
 // TestRandomQuarantine guards against a request that crashes servers again and again. Seeded random
 // sequences: one request crashes each server that runs it and is retried at any instance, among
-// requests that crash a server only occasionally. Once three crashes are known to all instances the
-// first must not run again, and an unrelated request must not be refused.
+// requests that crash a server only occasionally. Once three of its crashes are known to all
+// instances, that request must not run again, and an unrelated request must not be refused.
 func TestRandomQuarantine(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomQuarantine(t, seed) })
@@ -144,7 +144,7 @@
 		}
 	}
 	if lateRuns > 0 {
-		t.Errorf("%d runs after the third crash was known to all instances", lateRuns)
+		t.Errorf("%d runs after the third crash was known to all instances, want none", lateRuns)
 	}
 	if crashes > 3 {
 		t.Errorf("%d servers crashed, want three at most", crashes)
--- a/router/internal/passthrough/register.go
+++ b/router/internal/passthrough/register.go
@@ -84,7 +84,7 @@
 }
 
 // commitPlan reads the register and, if it holds no end yet, writes the plan's phase. A phase that is
-// not an end is written only if the register holds none. commitPlan returns the plan to follow.
+// not an end is written only if the register holds no phase yet. commitPlan returns the plan to follow.
 //
 // The append fails unless the register still ends where it was read, so an end that another instance
 // wrote in between is never overwritten. If the result of an append is unknown, the next call reads
--- a/router/internal/passthrough/restore_model_test.go
+++ b/router/internal/passthrough/restore_model_test.go
@@ -134,7 +134,8 @@
 		i.highestVersion = index.Version
 		next, written := m.revokedAt[int(index.Version)+1]
 		late := written && now.Sub(next) > i.config.Bound()
-		// An instance that started after that cannot know what the store lost until a peer can report it.
+		// An instance that started after the next version was acknowledged cannot know of it, if the store
+		// lost it, until a peer can report it.
 		uninformed := i.startedAt.After(next) && i.knowableVersion <= int(index.Version)
 		if late && i.config.Fresh() && !uninformed {
 			m.t.Fatalf("instance %d accepts keys by version %d, %v after version %d was acknowledged", n, index.Version, now.Sub(next), index.Version+1)
@@ -277,11 +278,11 @@
 	}
 	for n, i := range m.instances {
 		if !m.isInformed(i) || !i.config.Ready() {
-			t.Fatalf("instance %d: %+v of version %d, ready %v", n, i.config.Index(), m.version, i.config.Ready())
+			t.Fatalf("instance %d has the configuration %+v, want version %d; ready %v, want true", n, i.config.Index(), m.version, i.config.Ready())
 		}
 		for id := range m.alive {
 			if !i.servers.has(id) {
-				t.Fatalf("instance %d does not know server %s", n, id)
+				t.Fatalf("instance %d does not list server %s, which is alive", n, id)
 			}
 		}
 	}
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -57,7 +57,7 @@
 	// register; 0 for none yet.
 	ended     passthrough.Phase
 	readPhase passthrough.Phase
-	// badSince is since when this instance finds the version bad, zero if it does not.
+	// badSince is when this instance began to find the version bad, zero if it does not.
 	badSince time.Time
 	// held is true if the roll-out's time passed before a verdict on its version was possible;
 	// finishAt is when the held roll-out completes once the version was found good.
@@ -199,7 +199,7 @@
 }
 
 // heldRolloutLead is how long the new version gets all new work before a held roll-out completes: the
-// old servers are stopped then, and streams of some seconds may still run there.
+// old servers are stopped on completion, and streams that last some seconds may still run there.
 const heldRolloutLead = 5 * time.Second
 
 // delayHeldEnd delays the completion of a held roll-out by heldRolloutLead. In that time the new version
@@ -221,7 +221,8 @@
 }
 
 // revertTimeout is how long an instance that does not write the register waits for others to revert
-// a bad version: they evaluate every 0.4 s, and get this instance's observations within a second.
+// a bad version: they evaluate every 0.4 s, and get this instance's observations within
+// propagationTime.
 const revertTimeout = 2 * time.Second
 
 // revertOverdue reports whether this instance should revert a bad version itself, since the instances
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -74,7 +74,7 @@
 	clock.advance(19500 * time.Millisecond)
 	p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
 	if got := storedEnds(status); len(got) != 0 {
-		t.Errorf("ended as %v without the new version's servers", got)
+		t.Errorf("ended as %v without the new version's servers, want no end", got)
 	}
 }
 
@@ -133,7 +133,7 @@
 		r := a.rollouts.open["shop"]
 		a.rollouts.advance(t.Context(), r)
 		if r.ended != c.want {
-			t.Errorf("%+v: ended as %v before the peers could report", c, r.ended)
+			t.Errorf("%+v: ended as %v before the peers could report, want the end that the case names last", c, r.ended)
 		}
 		if err := observations.Append(t.Context(), keyedlog.AnyPosition, b.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
@@ -165,7 +165,7 @@
 	a.rollouts.advanceAll(t.Context())
 	r := a.rollouts.open["shop"]
 	if r.ended != 0 {
-		t.Fatalf("ended as %v right after the suspension", r.ended)
+		t.Fatalf("ended as %v right after the suspension, want no end", r.ended)
 	}
 	if err := observations.Append(t.Context(), keyedlog.AnyPosition, b.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 	p.observations.markIncomplete()
 	p.rollouts.advance(t.Context(), r)
 	if r.ended != 0 {
-		t.Fatalf("ended as %v while its own set could not be written", r.ended)
+		t.Fatalf("ended as %v while its own set could not be written, want no end", r.ended)
 	}
 	clock.advance(propagationTime)
 	p.observations.markRead(clock.Now())
--- a/router/internal/passthrough/serverlist_restore_test.go
+++ b/router/internal/passthrough/serverlist_restore_test.go
@@ -30,7 +30,7 @@
 func TestServersMissingAfterRestoreAreKept(t *testing.T) {
 	p, reader, log, clock := restoredList(t)
 	if !p.servers.has("started") || !p.servers.has("stays") {
-		t.Fatalf("entries %v", p.servers.entries)
+		t.Fatalf("entries %v, want started and stays among them", p.servers.entries)
 	}
 	log.add("started", "server shop v1 ready")
 	clock.advance(lapseGrace)
--- a/router/internal/passthrough/serverlist_test.go
+++ b/router/internal/passthrough/serverlist_test.go
@@ -11,14 +11,15 @@
 
 func (l *serverList) has(id string) bool { _, ok := l.entries[id]; return ok }
 
-// TestMalformedEntryRemovesServer guards against sending requests by an entry that cannot be decoded.
+// TestMalformedEntryRemovesServer guards against sending requests to a server whose newest entry
+// cannot be decoded.
 func TestMalformedEntryRemovesServer(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.servers.apply(entry("two", "???"))
 	p.servers.apply(entry("one", "???"))
 	if p.servers.has("one") || p.servers.has("two") {
-		t.Errorf("entries %v", p.servers.entries)
+		t.Errorf("servers with malformed entries are listed: %v", p.servers.entries)
 	}
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	if !p.servers.has("one") {
@@ -82,10 +83,10 @@
 		p.servers.readsAlone = func() bool { return true }
 		alone := p.servers.readInterval()
 		if 2*shared > drain*3/4 {
-			t.Errorf("drain %v: an entry that passes through a collector may be %v old", drain, 2*shared)
+			t.Errorf("drain %v: an entry that passes through a collector may be %v old, want 3/4 of the drain time at most", drain, 2*shared)
 		}
 		if 2*alone > drain*3/4 { // one read may fail
-			t.Errorf("drain %v: with one failed read an entry is %v old", drain, 2*alone)
+			t.Errorf("drain %v: with one failed read an entry is %v old, want 3/4 of the drain time at most", drain, 2*alone)
 		}
 	}
 }
@@ -95,10 +96,10 @@
 func TestFollowerReadsWaitForChanges(t *testing.T) {
 	p := newTestInstance("a", newFakeClock(), &fakeLog{}, &fakeLog{})
 	if p.servers.wait() != 0 || p.servers.pause() != p.servers.readInterval() {
-		t.Errorf("reading the store: wait %v, pause %v", p.servers.wait(), p.servers.pause())
+		t.Errorf("reading the store: wait %v, pause %v, want no wait and a pause of readInterval", p.servers.wait(), p.servers.pause())
 	}
 	p.servers.readsFromPeer = func() bool { return true }
 	if p.servers.wait() <= 0 || p.servers.pause() >= p.servers.readInterval()/4 {
-		t.Errorf("reading from a peer: wait %v, pause %v", p.servers.wait(), p.servers.pause())
+		t.Errorf("reading from a peer: wait %v, pause %v, want a wait and a pause of less than readInterval/4", p.servers.wait(), p.servers.pause())
 	}
 }
--- a/router/internal/passthrough/sharing_test.go
+++ b/router/internal/passthrough/sharing_test.go
@@ -94,10 +94,10 @@
 	}
 	collector.writeFollowers(t.Context())
 	if own.appends != 2 || len(own.records) != 1+count {
-		t.Errorf("%d appends wrote %d instances", own.appends, len(own.records))
+		t.Errorf("%d appends wrote %d instances, want two appends that write all", own.appends, len(own.records))
 	}
 	if own.reads != 1+count || other.reads != 0 {
-		t.Errorf("%d reads of the own domain's list, %d of another's", own.reads, other.reads)
+		t.Errorf("%d reads of the own domain's list, %d of another's, want one by each instance and none", own.reads, other.reads)
 	}
 	if !followers[0].readMembers(t.Context(), "a") || !followers[0].listed.Load() {
 		t.Error("a follower does not find its own entry")
@@ -136,11 +136,11 @@
 		own.restore(keep)
 		mustRead(t, reader)
 		if announced := own.appends - before; announced != 1-keep || len(own.records) != 1 {
-			t.Errorf("%d records kept: announced %d times, %d records", keep, announced, len(own.records))
+			t.Errorf("%d records kept: announced %d times, %d records, want one record, announced only if it was lost", keep, announced, len(own.records))
 		}
 	}
 	if sh.members.FleetSize() == 0 || len(sh.members.DomainNames()) != 1 {
-		t.Errorf("members %v", sh.members.DomainNames())
+		t.Errorf("members %v, want this instance alone", sh.members.DomainNames())
 	}
 }
 
--- a/router/internal/passthrough/shutdown.go
+++ b/router/internal/passthrough/shutdown.go
@@ -25,8 +25,8 @@
 
 // shutdown decides what happens to new requests while the process stops.
 //
-// Load: all instances are stopped in turn, each while it still finishes streams of seconds, and
-// for some time none is left in rotation. Harm prevented: plain requests, which take a tenth of a
+// Load: all instances are stopped in turn, each while it still finishes streams that last seconds,
+// and for some time none is left in rotation. Harm prevented: plain requests, which take a tenth of a
 // second, are refused everywhere, although there is time for them. So they are accepted until
 // phaseClosing. Streams are refused once the load balancer has noticed: a stream that is truncated at
 // the end of the grace period would be lost.
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -24,9 +24,10 @@
 	// streamBufferSize is the size of the read buffer in bytes. An event has tens to hundreds of
 	// bytes.
 	streamBufferSize = 4 << 10
-	// intervalEvents is the number of events over which a stream's event interval is measured.
-	// It is large enough to average out a pause for the prefill of another request's prompt, and
-	// small enough that a version that is eight times slower sends so many in two seconds.
+	// intervalEvents is the number of events after which a stream's event interval is reported
+	// while the stream still runs. It is large enough to average out a pause for the prefill of
+	// another request's prompt, and small enough that a version that is eight times slower sends
+	// so many in two seconds.
 	intervalEvents = 6
 	// maxEventBytes is the maximum size of an event.
 	maxEventBytes = 1 << 20
@@ -144,7 +145,7 @@
 
 // advanceEventID checks that the events' ids continue those sent to the caller, and counts the events with
 // an id. Events without an id are not checked. It returns errEventOrder for a gap, a repetition or a
-// malformed id, and else sets stream.lastEventID to the last id, before the events are written.
+// malformed id; otherwise it sets stream.lastEventID to the last id, before the events are written.
 func (x *exchange) advanceEventID(events []byte) (count int, err error) {
 	lastID := x.stream.lastEventID
 	for line := range bytes.Lines(events) {
--- a/router/internal/passthrough/telemetry.go
+++ b/router/internal/passthrough/telemetry.go
@@ -33,8 +33,9 @@
 	keyTook          = "took_ms"
 )
 
-// requestAttrs returns the attributes of every event about a request, followed by more: its id
-// and route, and the version and age of the configuration in force.
+// requestAttrs returns the attributes that all events about a request have, followed by those in more:
+// the request's id, route, team and session, as far as known, the version and age of the configuration
+// in force, and the time since the request arrived.
 func (t *telemetry) requestAttrs(c *call, more ...slog.Attr) []slog.Attr {
 	out := make([]slog.Attr, 0, 6+len(more))
 	out = append(out, slog.String(keyRequest, c.caller.RequestID))
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -29,7 +29,7 @@
 	log       keyedlog.Log
 	clock     Clock
 	telemetry *telemetry
-	// wait is how long a read waits for a record, pause the time between two reads.
+	// wait is how long a read waits for a record, pause the time between two reads; nil for none.
 	wait  func() time.Duration
 	pause func() time.Duration
 	// longestRetryDelay is the longest delay between two failed reads; it is at least
