--- a/router/internal/relay/cache.go
+++ b/router/internal/relay/cache.go
@@ -24,6 +24,8 @@
 	loaded      bool
 	records     []keyedlog.Record
 	newestByKey map[string]keyedlog.Record
+	// firstOffset is the offset from which reads can be answered, next the position at which the
+	// cached state ends.
 	firstOffset uint64
 	next        keyedlog.Position
 	// confirmedAt is the latest time for which the log is known to have been in the cached state.
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -27,8 +27,9 @@
 	mu sync.Mutex
 	// conns are the open connections by the member's address.
 	conns map[string]*jsonrpc2.Conn
-	// storeUnreachable is true if the store did not answer this instance; it is then not read
-	// before storeBackoffUntil.
+	// storeUnreachable is true if the store did not answer this instance. Unless this instance
+	// ranks first, it then does not read the store before storeBackoffUntil, except for urgent
+	// topics.
 	storeUnreachable  bool
 	storeBackoffUntil time.Time
 	// nextUrgentAt is when a read of an urgent topic may go to the store again.
@@ -78,7 +79,7 @@
 		switch {
 		case errors.As(err, &rpcErr) && rpcErr.Code == codeTrimmed:
 			return collectorAnswer{collector: m.Name}, keyedlog.ErrTrimmed
-		case errors.As(err, &rpcErr): // it does not have the records yet
+		case errors.As(err, &rpcErr): // the member does not have the records yet, or failed
 		case err != nil && ctx.Err() != nil:
 			return collectorAnswer{}, ctx.Err()
 		case err != nil:
--- a/router/internal/relay/client_test.go
+++ b/router/internal/relay/client_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	if reads > topics+30/3 {
-		t.Errorf("read the store %d times in 30 s", reads)
+		t.Errorf("read the store %d times in 30 s, want at most one read by each topic and one every 3 s", reads)
 	}
 	c.storeAnswered()
 	if !c.mayReadStore() {
@@ -39,7 +39,7 @@
 	st.put("a", "1")
 	all := startInstances(t, st, 2, time.Minute)
 	if all[0].log.ReadsStore() || all[1].log.ReadsStore() {
-		t.Error("ReadsStore before the first read")
+		t.Error("ReadsStore is true before the first read")
 	}
 	all[0].newest(t)
 	all[1].newest(t)
@@ -67,7 +67,7 @@
 		}
 	}
 	if longest > minStoreBackoff+200*time.Millisecond {
-		t.Errorf("an urgent topic waited for %v", longest)
+		t.Errorf("an urgent topic waited for %v, want little more than minStoreBackoff at most", longest)
 	}
 }
 
@@ -94,10 +94,10 @@
 		}
 	}
 	if maxReads := topics + int(10*time.Second/probeInterval); reads > maxReads {
-		t.Errorf("read the store %d times in 10 s", reads)
+		t.Errorf("read the store %d times in 10 s, want at most one read by each topic and one per probeInterval", reads)
 	}
 	if longest > probeInterval+tick {
-		t.Errorf("the store's recovery would be noticed only after %v", longest)
+		t.Errorf("the store's recovery would be noticed only after %v, want one probeInterval", longest)
 	}
 	c.storeAnswered()
 	for range topics {
--- a/router/internal/relay/loads.go
+++ b/router/internal/relay/loads.go
@@ -58,7 +58,8 @@
 	// reportIntervalPerInstance lengthens the interval with the size of the failure domain, to
 	// bound the collector's CPU time for its followers' reports.
 	reportIntervalPerInstance = 2500 * time.Microsecond
-	// reportTTLIntervals is how many intervals a report counts, in case its instance is gone.
+	// reportTTLIntervals is the number of intervals after which a report no longer counts, as its
+	// instance may be gone.
 	reportTTLIntervals = 3
 	// reportTimeout bounds the sending of a report: a later answer would be of no use.
 	reportTimeout = 2 * minReportInterval
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -14,11 +14,13 @@
 	return passthrough.PeerLoad{Key: key, Requests: requests, PrefillTime: prefill}
 }
 
+// TestLoadsArePackedAndUnpacked checks that loads are the same after packing and unpacking, and that a
+// truncated row is an error.
 func TestLoadsArePackedAndUnpacked(t *testing.T) {
 	rows := []passthrough.PeerLoad{loadRow(0, 1, 0), loadRow(7, 300, 90*time.Second), loadRow(1<<32-1, 0, time.Millisecond)}
 	got, err := unpackLoads(packLoads(rows))
 	if err != nil || !reflect.DeepEqual(got, rows) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("unpacked %+v, error %v, want the rows that were packed", got, err)
 	}
 	for cut := range packLoads(rows[1:2]) {
 		if cut == 0 {
@@ -30,6 +32,7 @@
 	}
 }
 
+// FuzzUnpackLoads guards against a panic or a negative sum because of a damaged report.
 func FuzzUnpackLoads(f *testing.F) {
 	f.Add(packLoads([]passthrough.PeerLoad{loadRow(7, 300, time.Second)}))
 	f.Add([]byte{1, 2, 3, 4, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255})
@@ -40,7 +43,7 @@
 		}
 		for _, row := range sumLoads(rows, rows) {
 			if row.Requests < 0 || row.PrefillTime < 0 {
-				t.Errorf("row %+v", row)
+				t.Errorf("row %+v, want no negative value", row)
 			}
 		}
 	})
@@ -115,16 +118,16 @@
 		want := 1 + 2 + 4 + 8 - 1<<i
 		got := nodes[name].got
 		if nodes[name].instances != len(names)-1 {
-			t.Errorf("%s got the reports of %d instances", name, nodes[name].instances)
+			t.Errorf("%s got the reports of %d instances, want all others", name, nodes[name].instances)
 		}
 		if len(got) != 1 || got[0].Requests != want || got[0].PrefillTime != time.Duration(want)*time.Second {
-			t.Errorf("%s learnt %+v, want %d", name, got, want)
+			t.Errorf("%s got the sum %+v, want %d requests and as many seconds of prefill time", name, got, want)
 		}
 	}
 }
 
-// TestReportsExpire checks that the load of an instance that stopped
-// reporting expires, and that an unreadable report is rejected.
+// TestReportsExpire checks that the load of an instance that stopped reporting expires, and that an
+// unreadable report is rejected.
 func TestReportsExpire(t *testing.T) {
 	now := time.Unix(100, 0)
 	members := NewMembers(Member{Name: "a1", Domain: "a", Address: "x:1"}, 1, func() time.Time { return now })
@@ -133,11 +136,11 @@
 		t.Fatal(err)
 	}
 	if sum := l.sum(l.liveReports("", true)).Loads; len(sum) != 1 || sum[0].Requests != 2 {
-		t.Errorf("sum %+v", sum)
+		t.Errorf("sum %+v, want two requests", sum)
 	}
 	now = now.Add(l.reportTTL() + time.Millisecond)
 	if sum := l.sum(l.liveReports("", true)).Loads; len(sum) != 0 {
-		t.Errorf("sum %+v with an expired report", sum)
+		t.Errorf("sum %+v with an expired report, want none", sum)
 	}
 	from := ""
 	l.OnUnreadable = func(name string, _ error) { from = name }
@@ -161,11 +164,11 @@
 	for _, name := range []string{"a1", "a2", "b1"} {
 		got := nodes[name].othersLimits
 		if len(got) != 2 || got[0].Limit.Limited || !got[1].Limit.Limited || got[0].Age < time.Second || got[0].Age > 3*time.Second {
-			t.Errorf("%s learnt %+v", name, got)
+			t.Errorf("%s got %+v, want no limit for server 1, 1 to 3 s old, and one for server 2", name, got)
 		}
 	}
 	if got := nodes["b2"].othersLimits; len(got) != 1 || got[0].Limit.PerSecond != 1.4 || got[0].Age < 5*time.Second {
-		t.Errorf("b2 learnt %+v", got)
+		t.Errorf("b2 got %+v, want only a2's limit of 1.4, at least 5 s old", got)
 	}
 }
 
@@ -182,11 +185,13 @@
 	}
 	for name, want := range map[string]uint64{"a1": 9, "a2": 9, "b1": 9, "b2": 7} {
 		if got := nodes[name].othersLost; got != want {
-			t.Errorf("%s learnt %d, want %d", name, got, want)
+			t.Errorf("%s got version %d, want %d", name, got, want)
 		}
 	}
 }
 
+// TestLimitsArePackedAndUnpacked checks that limits are the same after packing and unpacking, and that a
+// truncated row is an error.
 func TestLimitsArePackedAndUnpacked(t *testing.T) {
 	rows := []passthrough.PeerLimit{
 		{Key: 0, Age: 3 * time.Second}, {Key: 7, Limit: passthrough.RateLimit{Limited: true}},
@@ -194,7 +199,7 @@
 	}
 	got, err := unpackLimits(packLimits(rows))
 	if err != nil || !reflect.DeepEqual(got, rows) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("unpacked %+v, error %v, want the rows that were packed", got, err)
 	}
 	for cut := 1; cut < len(packLimits(rows[2:])); cut++ {
 		if _, err := unpackLimits(packLimits(rows[2:])[:cut]); err == nil {
@@ -203,6 +208,7 @@
 	}
 }
 
+// FuzzUnpackLimits guards against a panic, or a negative limit or age, because of a damaged report.
 func FuzzUnpackLimits(f *testing.F) {
 	f.Add(packLimits([]passthrough.PeerLimit{{Key: 7, Limit: passthrough.RateLimit{Limited: true, PerSecond: 2}, Age: time.Second}}))
 	f.Add([]byte{1, 2, 3, 4, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255, 255})
@@ -213,7 +219,7 @@
 		}
 		for _, row := range newestLimits(rows, addAge(rows, time.Second)) {
 			if row.Age < 0 || row.Limit.PerSecond < 0 {
-				t.Errorf("row %+v", row)
+				t.Errorf("row %+v, want no negative value", row)
 			}
 		}
 	})
--- a/router/internal/relay/log.go
+++ b/router/internal/relay/log.go
@@ -111,8 +111,8 @@
 	return s, nil
 }
 
-// askCollectors asks the collectors of this failure domain and, if there is none, one of another
-// failure domain if the topic is CrossDomain.
+// askCollectors asks the collectors of this failure domain. If none gives a recent answer and the topic
+// is CrossDomain, it asks one of another failure domain.
 //
 // Load: thousands of heartbeats per second, read by the collector of each failure domain. Harm
 // prevented: without CrossDomain the store's traffic grows with failure domains times backend
@@ -148,7 +148,8 @@
 }
 
 // Append implements keyedlog.Log. Unconditional appends go to the collector, which sends the
-// records of several instances in one call; conditional ones go to the store.
+// records of several instances in one call, or to the store if no collector accepts them;
+// conditional ones go to the store.
 func (l *Log) Append(ctx context.Context, at keyedlog.Position, records ...keyedlog.Record) error {
 	if at == keyedlog.AnyPosition {
 		params := func(time.Duration) any { return appendParams{l.topic, records} }
--- a/router/internal/relay/members.go
+++ b/router/internal/relay/members.go
@@ -37,8 +37,8 @@
 	// instance takes to restart. It doubles up to maxMemberBackoff for one that is gone for good.
 	minMemberBackoff = time.Second
 	maxMemberBackoff = time.Minute
-	// maxCandidates is how many members are considered before the store is read, including those in
-	// backoff, except at maxMemberBackoff. If a third of the instances is cut off from the store,
+	// maxCandidates is how many members are considered before the store is read. Those in backoff
+	// count, except those at maxMemberBackoff. If a third of the instances is cut off from the store,
 	// two candidates are both cut off in one of nine failure domains, where all instances would
 	// then read the store.
 	maxCandidates = 3
@@ -189,7 +189,7 @@
 }
 
 // RanksFirst reports whether this instance ranks first, whether or not others answer. An instance
-// without an address knows no others, and reads the store itself.
+// without an address is not ranked; it counts as the first only while it knows no others.
 func (m *Members) RanksFirst() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/router/internal/relay/members_test.go
+++ b/router/internal/relay/members_test.go
@@ -16,7 +16,7 @@
 	all[0].newest(t)
 	all[1].newest(t)
 	if n := all[1].members.FleetSize(); n != 295 {
-		t.Errorf("the follower counts %d instances", n)
+		t.Errorf("the follower counts %d instances, want 295", n)
 	}
 }
 
@@ -47,11 +47,11 @@
 		weak := Member{Name: fmt.Sprint("small", i), Cores: 0.2}.AnnounceOrder()
 		lastStrong, firstWeak = max(lastStrong, strong), min(firstWeak, weak)
 		if strong < 0 || weak > 1 {
-			t.Fatalf("announce orders %v and %v", strong, weak)
+			t.Fatalf("announce orders %v and %v, want 0 to 1", strong, weak)
 		}
 	}
 	if lastStrong > firstWeak {
-		t.Errorf("a strong instance announces itself at %.2f, a weak one at %.2f", lastStrong, firstWeak)
+		t.Errorf("a strong instance announces itself at %.2f, a weak one at %.2f, want all strong ones first", lastStrong, firstWeak)
 	}
 }
 
--- a/router/internal/relay/messages.go
+++ b/router/internal/relay/messages.go
@@ -6,7 +6,7 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-// The methods.
+// The JSON-RPC methods.
 const (
 	methodRead   = "read"
 	methodNewest = "newest"
@@ -14,16 +14,16 @@
 	methodLoads  = "loads"
 )
 
-// readParams requests the records of a topic from an offset on. An era of 0 means that the asker
-// does not know it.
+// readParams requests the records of a topic from an offset on. An era of 0 means that the
+// requester does not know it.
 type readParams struct {
 	Topic string `json:"topic"`
 	From  uint64 `json:"from"`
 	Era   uint64 `json:"era,omitempty"`
 	// WaitMS is how long to wait for a record, in ms.
 	WaitMS int64 `json:"wait_ms"`
-	// MaxAgeMS is the largest age that the asker accepts, in ms. An older state is returned without
-	// waiting.
+	// MaxAgeMS is the largest age that the requester accepts, in ms. An older state is returned
+	// without waiting.
 	MaxAgeMS int64 `json:"oldest_ms"`
 }
 
@@ -40,9 +40,11 @@
 
 // loadsParams is the load report of an instance and of those that ask it.
 type loadsParams struct {
+	// Name is the name of the reporting instance.
 	Name string `json:"name"`
+	// Rows are the loads at the backend servers, as packLoads encodes them.
 	Rows []byte `json:"rows"`
-	// Limits are the rate limits that backend servers stated to them.
+	// Limits are the rate limits that backend servers stated to them, as packLimits encodes them.
 	Limits []byte `json:"limits,omitempty"`
 	// LostConfigVersion is the version of the configuration that they know and that the store
 	// lacks.
@@ -56,15 +58,16 @@
 	Records []keyedlog.Record `json:"records,omitempty"`
 	// Packed are the records in compressed form, if there are many.
 	Packed []byte `json:"packed,omitempty"`
-	Next   uint64 `json:"next"`
+	// Next is the offset at which the next read continues.
+	Next uint64 `json:"next"`
 	// Era is that of the records and of Next; 0 if unknown.
 	Era uint64 `json:"era,omitempty"`
 	// AgeUS is the age of the state when the answer was made, in microseconds.
 	AgeUS int64 `json:"age_us"`
 	// TookUS is how long the request was processed at the collector, in microseconds.
 	TookUS int64 `json:"took_us"`
-	// Loads is the known load of other instances at the backend servers, Instances the number of
-	// these instances.
+	// Loads is the known load of other instances at the backend servers, Limits the rate limits
+	// stated to these, and Instances the number of these instances.
 	Loads  []byte `json:"loads,omitempty"`
 	Limits []byte `json:"limits,omitempty"`
 	// LostConfigVersion is as in loadsParams.
--- a/router/internal/relay/outage_test.go
+++ b/router/internal/relay/outage_test.go
@@ -19,16 +19,16 @@
 	all[1].newest(t) // detects the failure and reads the store, being the next in rank
 	before := st.readCount()
 	if s := all[2].newest(t); len(s.Records) != 1 {
-		t.Errorf("snapshot %+v", s)
+		t.Errorf("snapshot %+v, want one record", s)
 	}
 	all[2].newest(t) // now from the second
 	all[3].newest(t)
 	all[3].newest(t)
 	if n := st.readCount() - before; n > 2 {
-		t.Errorf("two followers read the store %d times after the collector's death", n)
+		t.Errorf("two followers read the store %d times after the collector's death, want twice at most", n)
 	}
 	if list := all[2].members.Collectors(); len(list) == 0 || list[0].Name != "i1" {
-		t.Errorf("collectors %+v", list)
+		t.Errorf("collectors %+v, want i1 first", list)
 	}
 }
 
@@ -42,7 +42,7 @@
 	time.Sleep(50 * time.Millisecond) // the collector is cut off from the store
 	before := st.readCount()
 	if s := all[1].newest(t); s.Age > 30*time.Millisecond {
-		t.Errorf("age %v", s.Age)
+		t.Errorf("age %v, want 30 ms at most", s.Age)
 	}
 	if st.readCount() == before {
 		t.Error("the follower accepted an answer that is too old")
@@ -67,14 +67,14 @@
 		}
 	}
 	if n := st.readCount() - before; n > 1 {
-		t.Errorf("a follower read the store %d times in an outage", n)
+		t.Errorf("a follower read the store %d times in an outage, want once at most", n)
 	}
 	st.mu.Lock()
 	st.err = nil
 	st.mu.Unlock()
 	all[0].newest(t)
 	if _, err := all[1].log.Read(t.Context(), keyedlog.AtOffset(1), 0); err != nil {
-		t.Errorf("not from the collector, although the store is back: %v", err)
+		t.Errorf("a follower gets no answer from its collector, although the store is back: %v", err)
 	}
 }
 
@@ -87,11 +87,11 @@
 	log := NewLog(testTopic, st, client, NewCache(time.Now, nil), time.Minute, func(string, string) {})
 	for range 3 {
 		if _, err := log.Newest(t.Context()); !errors.Is(err, keyedlog.ErrUnknown) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want ErrUnknown from the store", err)
 		}
 	}
 	if st.readCount() != 3 || !members.RanksFirst() {
-		t.Errorf("%d reads, first %v", st.readCount(), members.RanksFirst())
+		t.Errorf("%d reads of the store, ranks first %v, want 3 reads and true", st.readCount(), members.RanksFirst())
 	}
 }
 
@@ -106,11 +106,11 @@
 	all[1].newest(t)
 	before := st.readCount()
 	if s := all[2].newest(t); len(s.Records) != 1 {
-		t.Errorf("snapshot %+v", s)
+		t.Errorf("snapshot %+v, want one record", s)
 	}
 	all[0].stop()
 	if s := all[3].newest(t); len(s.Records) != 1 {
-		t.Errorf("snapshot %+v", s)
+		t.Errorf("snapshot %+v after the first has stopped, want one record", s)
 	}
 	if n := st.readCount() - before; n != 0 {
 		t.Errorf("the store was read %d times, although the second instance has the records", n)
@@ -123,7 +123,7 @@
 	st := &fakeStore{err: keyedlog.ErrUnknown}
 	all := startInstances(t, st, 1, time.Minute)
 	if _, err := all[0].log.Newest(t.Context()); err == nil || all[0].log.ReadsStore() {
-		t.Errorf("ReadsStore %v after %v", all[0].log.ReadsStore(), err)
+		t.Errorf("ReadsStore is %v after error %v, want false after an error", all[0].log.ReadsStore(), err)
 	}
 	st.mu.Lock()
 	st.err = nil
@@ -144,7 +144,7 @@
 	}
 	now = now.Add(minMemberBackoff)
 	if list := m.Collectors(); len(list) != 1 {
-		t.Errorf("collectors %+v after the backoff of one failure", list)
+		t.Errorf("collectors %+v after the backoff of one failure, want the member again", list)
 	}
 	m.Failed("first")
 	now = now.Add(minMemberBackoff)
@@ -167,7 +167,7 @@
 		all[2].newest(t)
 	}
 	if n := rejecting.readCount(); n != 0 {
-		t.Errorf("%d reads of a store that rejects the instance", n)
+		t.Errorf("%d reads of a store that rejects the instance, want none", n)
 	}
 }
 
--- a/router/internal/relay/pack.go
+++ b/router/internal/relay/pack.go
@@ -18,7 +18,8 @@
 	// maxUnpackedBytes bounds the size of an unpacked answer.
 	maxUnpackedBytes = 64 << 20
 	// packedSnapshotTTL is how long a packed snapshot is reused although newer records exist, which
-	// the asker then reads separately. It is packed again earlier if those are no longer cached.
+	// the requester then reads separately. A snapshot is packed again earlier if those records are
+	// no longer cached, or the era has changed.
 	packedSnapshotTTL = 250 * time.Millisecond
 )
 
--- a/router/internal/relay/pack_test.go
+++ b/router/internal/relay/pack_test.go
@@ -39,11 +39,11 @@
 			t.Fatal(err)
 		}
 		if len(a.Records) != n {
-			t.Fatalf("%d records of %d", len(a.Records), n)
+			t.Fatalf("%d records after unpacking, want %d", len(a.Records), n)
 		}
 		for i, r := range a.Records {
 			if want := serverEntry(i); r.Key != want.Key || string(r.Value) != string(want.Value) || r.Offset != want.Offset {
-				t.Fatalf("record %d is %+v", i, r)
+				t.Fatalf("record %d is %+v after unpacking, want it unchanged", i, r)
 			}
 		}
 	}
@@ -90,20 +90,21 @@
 	c.Add(keyedlog.Batch{Records: []keyedlog.Record{serverEntry(100)}, Next: keyedlog.AtOffset(101)}, now)
 	second, err := c.newestAnswer(t.Context())
 	if err != nil || second.Next != 100 || &second.Packed[0] != &first.Packed[0] {
-		t.Errorf("packed again: %v", err)
+		t.Errorf("within its TTL, the snapshot was packed again, or failed with error %v", err)
 	}
 	if want := (packedSnapshotTTL / 2).Microseconds(); second.AgeUS != want {
 		t.Errorf("age %d us, want %d", second.AgeUS, want)
 	}
 	if b, err := c.Read(t.Context(), second.position(), 0); err != nil || len(b.Records) != 1 {
-		t.Errorf("after the snapshot: %+v, %v", b, err)
+		t.Errorf("a read from the snapshot's end: %+v, error %v, want the one newer record", b, err)
 	}
 	now = now.Add(packedSnapshotTTL)
 	if third, err := c.newestAnswer(t.Context()); err != nil || third.Next != 101 {
-		t.Errorf("next %d, %v", third.Next, err)
+		t.Errorf("after its TTL, the snapshot ends at %d, error %v, want 101", third.Next, err)
 	}
 }
 
+// BenchmarkPack3000 measures the packing of the entries of 3,000 backend servers.
 func BenchmarkPack3000(b *testing.B) {
 	list := serverEntries(3000)
 	for b.Loop() {
@@ -113,6 +114,7 @@
 	}
 }
 
+// BenchmarkUnpack3000 measures the unpacking of the same entries.
 func BenchmarkUnpack3000(b *testing.B) {
 	packed, err := pack(serverEntries(3000))
 	if err != nil {
--- a/router/internal/relay/relay_test.go
+++ b/router/internal/relay/relay_test.go
@@ -17,11 +17,11 @@
 	all[0].newest(t)
 	for _, in := range all[1:] {
 		if s := in.newest(t); len(s.Records) != 1 || s.Next.Offset != 1 || s.Age <= 0 {
-			t.Errorf("snapshot %+v", s)
+			t.Errorf("snapshot %+v, want one record, an end at 1 and an age", s)
 		}
 	}
 	if n := st.readCount(); n != 1 {
-		t.Errorf("the store was read %d times", n)
+		t.Errorf("the store was read %d times, want once", n)
 	}
 	st.put("b", "2")
 	done := make(chan keyedlog.Batch)
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if b := <-done; len(b.Records) != 1 || b.Records[0].Key != "b" || b.Next.Offset != 2 {
-		t.Errorf("batch %+v", b)
+		t.Errorf("batch %+v, want the record of b and an end at 2", b)
 	}
 }
 
@@ -49,7 +49,7 @@
 		t.Errorf("age %v, want the age at the answer plus all of the time in transit", got)
 	}
 	if got := a.age(100 * time.Millisecond); got != 500*time.Millisecond {
-		t.Errorf("age %v with a call shorter than the processing at the collector", got)
+		t.Errorf("age %v with a call shorter than the processing at the collector, want the age at the answer", got)
 	}
 }
 
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	if len(all[0].appended) != 1 || len(st.records) != 0 {
-		t.Errorf("the collector took %v", all[0].appended)
+		t.Errorf("the collector got %v, want one record, and none in the store", all[0].appended)
 	}
 	if err := all[1].log.Append(t.Context(), keyedlog.AtOffset(0), keyedlog.Record{Key: "k", Value: []byte("v")}); err != nil || len(st.records) != 1 {
 		t.Errorf("an append with a condition did not go to the store: %v", err)
@@ -78,14 +78,14 @@
 	c := NewCache(func() time.Time { return now }, same)
 	ctx := t.Context()
 	if _, err := c.Read(ctx, keyedlog.AtOffset(0), 0); !errors.Is(err, keyedlog.ErrNotApplied) {
-		t.Errorf("an empty cache answers %v", err)
+		t.Errorf("a read from an empty cache: %v, want ErrNotApplied", err)
 	}
 	c.Replace(keyedlog.Snapshot{Records: []keyedlog.Record{{Key: "a", Value: []byte("1"), Offset: 4}}, Next: keyedlog.AtOffset(5)}, now)
 	if _, err := c.Read(ctx, keyedlog.AtOffset(3), 0); !errors.Is(err, keyedlog.ErrTrimmed) {
-		t.Errorf("a read from before: %v", err)
+		t.Errorf("a read from before the first record: %v, want ErrTrimmed", err)
 	}
 	if _, err := c.Read(ctx, keyedlog.AtOffset(9), 0); !errors.Is(err, keyedlog.ErrNotApplied) {
-		t.Errorf("a read from after the end: %v", err)
+		t.Errorf("a read from after the end: %v, want ErrNotApplied", err)
 	}
 	now = now.Add(time.Second)
 	c.Add(keyedlog.Batch{Next: keyedlog.AtOffset(8), Records: []keyedlog.Record{
@@ -93,13 +93,13 @@
 	}}, now.Add(-300*time.Millisecond))
 	b, err := c.Read(ctx, keyedlog.AtOffset(5), 0)
 	if err != nil || len(b.Records) != 2 || b.Records[0].Key != "b" || b.Next.Offset != 8 || b.Age != 300*time.Millisecond {
-		t.Errorf("batch %+v, %v", b, err)
+		t.Errorf("batch %+v, error %v, want the records of b and of a's deletion, an end at 8 and an age of 300 ms", b, err)
 	}
 	if b, err := c.Read(ctx, keyedlog.AtOffset(7), 0); err != nil || len(b.Records) != 1 {
-		t.Errorf("batch %+v, %v", b, err)
+		t.Errorf("batch %+v, error %v, want the record of a's deletion", b, err)
 	}
 	if s, err := c.newestAnswer(ctx); err != nil || len(s.Records) != 1 || s.Records[0].Key != "b" {
-		t.Errorf("snapshot %+v, %v", s, err)
+		t.Errorf("snapshot %+v, error %v, want the record of b alone", s, err)
 	}
 }
 
@@ -122,10 +122,10 @@
 	time.Sleep(20 * time.Millisecond) // both requests are at the collector
 	all[0].newest(t)
 	if a, b := <-got, <-got; a != 1 || b != 1 {
-		t.Errorf("the followers read %d and %d records", a, b)
+		t.Errorf("the followers read %d and %d records, want one each", a, b)
 	}
 	if n := st.readCount(); n != 1 {
-		t.Errorf("the store was read %d times", n)
+		t.Errorf("the store was read %d times, want once", n)
 	}
 }
 
@@ -140,7 +140,7 @@
 	first.Address = startSlowLink(t, first.Address, callTimeout+200*time.Millisecond)
 	all[1].members.Add(first)
 	if s := all[1].newest(t); len(s.Records) != 1 || st.readCount() != 1 {
-		t.Errorf("%d records, %d reads of the store", len(s.Records), st.readCount())
+		t.Errorf("%d records, %d reads of the store, want one of each", len(s.Records), st.readCount())
 	}
 }
 
@@ -158,15 +158,15 @@
 	other.members.Add(first)
 	before := st.readCount()
 	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 {
-		t.Errorf("a topic that is not CrossDomain: %d reads of the store", st.readCount()-before)
+		t.Errorf("a topic that is not CrossDomain: %d reads of the store, want one", st.readCount()-before)
 	}
 	other.log.CrossDomain = true
 	before = st.readCount()
 	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before || other.log.ReadsStore() {
-		t.Errorf("%d records, %d reads of the store, ReadsStore %v", len(s.Records), st.readCount()-before, other.log.ReadsStore())
+		t.Errorf("a CrossDomain topic: %d records, %d reads of the store, ReadsStore %v, want 1, 0, false", len(s.Records), st.readCount()-before, other.log.ReadsStore())
 	}
 	all[0].stop()
 	if s := other.newest(t); len(s.Records) != 1 || st.readCount() != before+1 || !other.log.ReadsStore() {
-		t.Errorf("the first is stopped: %d records, %d reads of the store", len(s.Records), st.readCount()-before)
+		t.Errorf("the first is stopped: %d records, %d reads of the store, want one of each, and ReadsStore", len(s.Records), st.readCount()-before)
 	}
 }
--- a/router/internal/relay/restore_test.go
+++ b/router/internal/relay/restore_test.go
@@ -10,7 +10,7 @@
 	"masticplank.example/coordination/keyedlog"
 )
 
-// eraSnapshot is a snapshot of one record in an era.
+// eraSnapshot returns a snapshot of one record that ends at offset end of an era.
 func eraSnapshot(era, end uint64, value string) keyedlog.Snapshot {
 	return keyedlog.Snapshot{
 		Records: []keyedlog.Record{{Key: "a", Value: []byte(value), Offset: end - 1}},
@@ -28,7 +28,7 @@
 	c.Replace(eraSnapshot(1, 10, "late"), now)
 	c.Add(keyedlog.Batch{Records: []keyedlog.Record{{Key: "a", Value: []byte("later"), Offset: 9}}, Next: keyedlog.Position{Era: 1, Offset: 10}}, now)
 	if got := string(c.newestByKey["a"].Value); got != "after" || c.next != (keyedlog.Position{Era: 2, Offset: 5}) {
-		t.Errorf("%q up to %+v", got, c.next)
+		t.Errorf("the cache has %q up to %+v, want \"after\" up to offset 5 of era 2", got, c.next)
 	}
 	for _, tt := range []struct {
 		from keyedlog.Position
@@ -62,15 +62,15 @@
 	st.put("c", "3")
 	at := keyedlog.Position{Era: 1, Offset: 1}
 	if _, err := all[0].log.Read(t.Context(), at, 0); !errors.Is(err, keyedlog.ErrRestored) {
-		t.Fatalf("the collector's read: %v", err)
+		t.Fatalf("the collector's read: %v, want ErrRestored", err)
 	}
 	all[0].newest(t)
 	for _, in := range all[1:] {
 		if _, err := in.log.Read(t.Context(), at, 0); !errors.Is(err, keyedlog.ErrTrimmed) {
-			t.Errorf("a follower's read: %v", err)
+			t.Errorf("a follower's read: %v, want ErrTrimmed", err)
 		}
 		if s := in.newest(t); s.Next != (keyedlog.Position{Era: 2, Offset: 2}) || len(s.Records) != 2 {
-			t.Errorf("a follower has %+v", s)
+			t.Errorf("a follower has %+v, want two records up to offset 2 of era 2", s)
 		}
 	}
 	if n := st.readCount() - before; n != 2 {
@@ -91,13 +91,13 @@
 	st.put("b", "2")
 	all[1].cache.Replace(keyedlog.Snapshot{Next: keyedlog.Position{Era: 2}}, time.Now())
 	if s := all[1].newest(t); s.Next.Era != 2 || len(s.Records) != 1 || s.Records[0].Key != "b" {
-		t.Errorf("got %+v", s)
+		t.Errorf("got %+v, want the record of b in era 2", s)
 	}
 }
 
 // TestRestoreReachesAllInstances checks that all instances of a failure domain have the
-// restored state within two seconds, and that only the instances that read the store before read
-// it. It logs the time and the number of reads.
+// restored state within two seconds, and that it is read from the store maxReads times at most, since
+// only instances that read the store before should do so. It logs the time and the number of reads.
 func TestRestoreReachesAllInstances(t *testing.T) {
 	const (
 		entries  = 150
@@ -137,7 +137,7 @@
 		took, reads := time.Since(start), st.newestReadCount()-before
 		t.Logf("%d instances: %v, %d reads of the store's newest records", count, took.Round(time.Millisecond), reads)
 		if took > maxTime || reads > maxReads {
-			t.Errorf("%d instances have the restored state after %v, by %d reads of the store", count, took, reads)
+			t.Errorf("%d instances have the restored state after %v, by %d reads of the store, want maxTime and maxReads at most", count, took, reads)
 		}
 		for _, in := range all {
 			in.stop()
--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// discardLogger drops the library's own log lines: errors are reported by the caller.
+// discardLogger drops the library's own log lines: a call that fails returns its error.
 type discardLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
@@ -102,7 +102,7 @@
 	return out, nil
 }
 
-// maxWait bounds how long a request is kept waiting.
+// maxWait bounds how long a request waits for a record.
 const maxWait = 10 * time.Second
 
 func (s *Server) dispatch(ctx context.Context, req *jsonrpc2.Request) (answer, error) {
