--- a/router/internal/passthrough/rollouts_restore.go
+++ b/router/internal/passthrough/rollouts_restore.go
@@ -15,7 +15,7 @@
 	endRewriteWindow = 30 * time.Second
 )
 
-// onRestore prepares for writing again, after a restore of the store, the ends that this instance knows
+// onRestore makes this instance write again what a restored register may lack: the ends that it knows
 // and the states of roll-outs in progress.
 func (m *rollouts) onRestore() {
 	m.mu.Lock()
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -18,7 +18,7 @@
 	callTimeout = 400 * time.Millisecond
 )
 
-// Client calls collectors, and limits this instance's reads of the store while that is unreachable.
+// Client calls collectors, and limits this instance's reads of the store while it is unreachable.
 type Client struct {
 	members *Members
 	now     func() time.Time
@@ -125,8 +125,8 @@
 }
 
 // probeInterval is the time between reads of a store that gave no answer, by an instance that ranks
-// first or does not know others yet. It is about the longest delay between two tries of one topic,
-// so that the probes for all topics are hardly more frequent than the reads of one.
+// first or does not know others yet. It is about the longest delay between two failed reads of one
+// topic, so that the probes for all topics are hardly more frequent than the reads of one.
 const probeInterval = 350 * time.Millisecond
 
 // immediateProbes is the number of reads tried without a pause at first, so that a call whose
--- a/router/internal/relay/loads_test.go
+++ b/router/internal/relay/loads_test.go
@@ -14,8 +14,8 @@
 	return passthrough.PeerLoad{Key: key, Requests: requests, PrefillTime: prefill}
 }
 
-// TestLoadsArePackedAndUnpacked checks that loads are the same after packing and unpacking, and that a
-// truncated row is an error.
+// TestLoadsArePackedAndUnpacked checks that loads are the same after packing and unpacking, and
+// that a truncated row is an error.
 func TestLoadsArePackedAndUnpacked(t *testing.T) {
 	rows := []passthrough.PeerLoad{loadRow(0, 1, 0), loadRow(7, 300, 90*time.Second), loadRow(1<<32-1, 0, time.Millisecond)}
 	got, err := unpackLoads(packLoads(rows))
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestLimitsArePackedAndUnpacked checks that limits are the same after packing and unpacking, and that a
-// truncated row is an error.
+// TestLimitsArePackedAndUnpacked checks that limits are the same after packing and unpacking, and
+// that a truncated row is an error.
 func TestLimitsArePackedAndUnpacked(t *testing.T) {
 	rows := []passthrough.PeerLimit{
 		{Key: 0, Age: 3 * time.Second}, {Key: 7, Limit: passthrough.RateLimit{Limited: true}},
--- a/router/internal/relay/log.go
+++ b/router/internal/relay/log.go
@@ -111,8 +111,8 @@
 	return s, nil
 }
 
-// askCollectors asks the collectors of this failure domain. If none gives a recent answer and the topic
-// is CrossDomain, it asks one of another failure domain.
+// askCollectors asks the collectors of this failure domain. If none gives a recent answer and the
+// topic is CrossDomain, it asks one of another failure domain.
 //
 // Load: thousands of heartbeats per second, read by the collector of each failure domain. Harm
 // prevented: without CrossDomain the store's traffic grows with failure domains times backend
