--- a/router/internal/passthrough/config_restore_test.go
+++ b/router/internal/passthrough/config_restore_test.go
@@ -51,7 +51,7 @@
 	log.add("config", "config 9")
 	mustRead(t, reader)
 	if !p.config.Ready() || p.config.Index().Version != 9 {
-		t.Errorf("after version 9 was written again: ready %v, version %d", p.config.Ready(), p.config.Index().Version)
+		t.Errorf("after version 9 was written again: ready %v, version %d, want ready with version 9", p.config.Ready(), p.config.Index().Version)
 	}
 }
 
@@ -64,11 +64,11 @@
 	clock.advance(time.Second)
 	mustRead(t, reader)
 	if got := p.config.Age(); got != before+time.Second {
-		t.Errorf("a read of the restored store confirmed the configuration: age %v, was %v", got, before)
+		t.Errorf("a read of the restored store confirmed the configuration: age %v, want 1 s more than %v", got, before)
 	}
 	clock.advance(fractionOf(confirmDelayFraction, 5*time.Second) - time.Second)
 	if !p.config.Ready() {
-		t.Errorf("not ready at age %v", p.config.Age())
+		t.Errorf("not ready at age %v, want ready", p.config.Age())
 	}
 	mustRead(t, reader)
 	if p.config.Age() != 0 {
@@ -106,14 +106,14 @@
 // TestInstanceThatStartsAfterARestoreWaitsForTheOperator checks that an instance which knows only the
 // restored store's configuration accepts no keys while its peers know a later one.
 func TestInstanceThatStartsAfterARestoreWaitsForTheOperator(t *testing.T) {
-	knows, _, log, clock := restoredConfig(t, true)
+	informed, _, log, clock := restoredConfig(t, true)
 	p := newTestInstance("late", clock, &fakeLog{}, &fakeLog{})
 	reader := p.operator.reader(log, clock)
 	mustRead(t, reader)
 	if !p.config.Fresh() {
 		t.Fatal("not fresh with the only configuration in the store")
 	}
-	p.config.ReportLostVersion(knows.operator.restoreGuard.lostVersion())
+	p.config.ReportLostVersion(informed.operator.restoreGuard.lostVersion())
 	if p.config.Fresh() || p.config.Ready() {
 		t.Error("fresh or ready with a configuration that a peer knows to be superseded")
 	}
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -18,7 +18,7 @@
 	callTimeout = 400 * time.Millisecond
 )
 
-// Client calls collectors, and limits this instance's reads of the store while that is unreachable.
+// Client calls collectors, and limits this instance's reads of the store while it is unreachable.
 type Client struct {
 	members *Members
 	now     func() time.Time
@@ -27,8 +27,9 @@
 	mu sync.Mutex
 	// conns are the open connections by the member's address.
 	conns map[string]*jsonrpc2.Conn
-	// storeUnreachable is true if the store did not answer this instance; it is then not read
-	// before storeBackoffUntil.
+	// storeUnreachable is true if the store did not answer this instance. Unless this instance
+	// ranks first, it then does not read the store before storeBackoffUntil, except for urgent
+	// topics.
 	storeUnreachable  bool
 	storeBackoffUntil time.Time
 	// nextUrgentAt is when a read of an urgent topic may go to the store again.
@@ -78,7 +79,7 @@
 		switch {
 		case errors.As(err, &rpcErr) && rpcErr.Code == codeTrimmed:
 			return collectorAnswer{collector: m.Name}, keyedlog.ErrTrimmed
-		case errors.As(err, &rpcErr): // it does not have the records yet
+		case errors.As(err, &rpcErr): // the member does not have the records yet, or failed
 		case err != nil && ctx.Err() != nil:
 			return collectorAnswer{}, ctx.Err()
 		case err != nil:
@@ -124,8 +125,8 @@
 }
 
 // probeInterval is the time between reads of a store that gave no answer, by an instance that ranks
-// first or does not know others yet. It is about the longest delay between two tries of one topic,
-// so that the probes for all topics are hardly more frequent than the reads of one.
+// first or does not know others yet. It is about the longest delay between two failed reads of one
+// topic, so that the probes for all topics are hardly more frequent than the reads of one.
 const probeInterval = 350 * time.Millisecond
 
 // immediateProbes is the number of reads tried without a pause at first, so that a call whose
