--- a/decision/bench_test.go
+++ b/decision/bench_test.go
@@ -9,9 +9,9 @@
 // benchWorld is a saturated world: all slots of its servers are taken, and requests
 // of ten teams are queued.
 type benchWorld struct {
-	w    *World
-	now  time.Time
-	next RequestID
+	w      *World
+	now    time.Time
+	lastID RequestID
 	// running are the running attempts, oldest first.
 	running []attemptKey
 	teams   []TeamID
@@ -46,9 +46,9 @@
 }
 
 func (bw *benchWorld) arrival() Event {
-	bw.next++
+	bw.lastID++
 	return RequestArrived{Request: Request{
-		ID: bw.next, Team: bw.teams[int(bw.next)%len(bw.teams)], Model: "weave", MaxTokens: 20, PromptTokens: 500,
+		ID: bw.lastID, Team: bw.teams[int(bw.lastID)%len(bw.teams)], Model: "weave", MaxTokens: 20, PromptTokens: 500,
 		Idempotent: true, Deadline: epoch.Add(1000 * time.Hour), Blocks: bw.blocks,
 	}}
 }
@@ -118,9 +118,9 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				world.next++
+				world.lastID++
 				world.tick(RequestArrived{Request: Request{
-					ID: world.next, Team: "team1", Model: "weave", MaxTokens: 20, Deadline: world.now.Add(time.Nanosecond),
+					ID: world.lastID, Team: "team1", Model: "weave", MaxTokens: 20, Deadline: world.now.Add(time.Nanosecond),
 				}})
 			}
 		})
--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	if w.now.Before(s.backoffUntil) {
-		w.wakeAt(s, s.backoffUntil)
+		w.scheduleWake(s, s.backoffUntil)
 		return false
 	}
 	if s.running >= s.capacity() {
@@ -44,7 +44,7 @@
 	if !w.hasRecentReport(s) {
 		return true
 	}
-	w.wakeAt(s, s.reportedAt.Add(w.cfg.LoadReportTTL))
+	w.scheduleWake(s, s.reportedAt.Add(w.cfg.LoadReportTTL))
 	return false
 }
 
@@ -93,9 +93,9 @@
 	w.refreshFree(s)
 }
 
-// wakeAt schedules a call of refreshFree for the server, unless an earlier one is
-// pending.
-func (w *World) wakeAt(s *server, at time.Time) {
+// scheduleWake schedules a call of refreshFree for the server, unless an earlier one
+// is pending.
+func (w *World) scheduleWake(s *server, at time.Time) {
 	if !s.wakeAt.IsZero() && !s.wakeAt.After(at) {
 		return
 	}
--- a/decision/expire.go
+++ b/decision/expire.go
@@ -57,8 +57,8 @@
 	if r.duePos < 0 {
 		// Push takes an any: a pointer to a reused entry is converted to it without
 		// an allocation.
-		w.pushDue = e
-		heap.Push(&w.due, &w.pushDue)
+		w.dueBuffer = e
+		heap.Push(&w.due, &w.dueBuffer)
 		return
 	}
 	if w.due[r.duePos].due != e.due {
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -50,7 +50,7 @@
 	allowed       map[TeamID]map[VersionID]bool
 	versionStates map[VersionID]VersionState
 	possibleRuns  map[RequestID]int
-	nextID        RequestID
+	lastID        RequestID
 
 	// duration is how long an attempt runs, result how it ends.
 	duration func(d Dispatch, r Request) time.Duration
@@ -100,8 +100,8 @@
 
 // arrive sends a request with a new id and returns the id.
 func (h *harness) arrive(r Request) RequestID {
-	h.nextID++
-	r.ID = h.nextID
+	h.lastID++
+	r.ID = h.lastID
 	h.live[r.ID] = r
 	h.arrived[r.ID] = h.now
 	h.send(RequestArrived{Request: r})
--- a/decision/heaps.go
+++ b/decision/heaps.go
@@ -27,7 +27,7 @@
 	h[j].request.duePos = j
 }
 func (h *dueHeap) Push(x any) {
-	// x is World.pushDue, which is reused: copy it.
+	// x is World.dueBuffer, which is reused: copy it.
 	e := *x.(*dueEntry)
 	e.request.duePos = len(*h)
 	*h = append(*h, e)
--- a/decision/internal/policytest/figures.go
+++ b/decision/internal/policytest/figures.go
@@ -148,13 +148,13 @@
 	return row
 }
 
-// Scaled returns the load with all its times divided by by, for short tests.
-func (l Load) Scaled(by int) Load {
+// Scaled returns the load with all its times divided by divisor, for short tests.
+func (l Load) Scaled(divisor int) Load {
 	rate := l.Rate
-	l.Rate = func(t time.Duration) float64 { return rate(t * time.Duration(by)) }
-	l.FaultFrom /= time.Duration(by)
-	l.SlowFrom /= time.Duration(by)
-	l.Duration /= time.Duration(by)
-	l.Warmup /= time.Duration(by)
+	l.Rate = func(t time.Duration) float64 { return rate(t * time.Duration(divisor)) }
+	l.FaultFrom /= time.Duration(divisor)
+	l.SlowFrom /= time.Duration(divisor)
+	l.Duration /= time.Duration(divisor)
+	l.Warmup /= time.Duration(divisor)
 	return l
 }
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -111,10 +111,10 @@
 func TestFirstTokenAtSaturation(t *testing.T) {
 	t.Parallel()
 	l := loadNamed(t, "agency", "saturation x1")
-	got, plain := figures(t, l, "decision"), figures(t, l, "round robin")
-	if got.FirstTokenP95 > 0.5*plain.FirstTokenP95 {
+	got, roundRobin := figures(t, l, "decision"), figures(t, l, "round robin")
+	if got.FirstTokenP95 > 0.5*roundRobin.FirstTokenP95 {
 		t.Errorf("p95 of the time to the first token %.2f s, round robin %.2f s, want at most half of that",
-			got.FirstTokenP95, plain.FirstTokenP95)
+			got.FirstTokenP95, roundRobin.FirstTokenP95)
 	}
 }
 
--- a/decision/internal/verdict/share.go
+++ b/decision/internal/verdict/share.go
@@ -39,9 +39,9 @@
 		v.peerBadUntil = until
 	}
 	if v.peerBadUntil.After(now) {
-		before := v.bad()
+		wasBad := v.bad()
 		t.confirmSuspicion(v)
-		v.noteChange(before)
+		v.noteChange(wasBad)
 	}
 }
 
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -179,7 +179,7 @@
 // observe adds an observation x of a class to a signal, to be compared with the
 // reference, and updates the verdict.
 func (t *Versions[V, S]) observe(v *version[V, S], s *signal, class string, x, reference float64, now time.Time) bool {
-	before := v.bad()
+	wasBad := v.bad()
 	h := s.history(class)
 	h.all.add(x, t.cfg.Memory)
 	h.recent.add(x, recentMemory)
@@ -191,13 +191,13 @@
 	if v.peerBadUntil.After(now) {
 		t.confirmSuspicion(v)
 	}
-	return v.noteChange(before)
+	return v.noteChange(wasBad)
 }
 
-// noteChange marks a change of the own verdict for sharing and reports whether
-// there was one. before tells whether the own verdict was bad before.
-func (v *version[V, S]) noteChange(before bool) bool {
-	if v.bad() == before {
+// noteChange marks a change of this instance's own verdict for sharing and
+// reports whether there was one. wasBad tells whether that verdict was bad before.
+func (v *version[V, S]) noteChange(wasBad bool) bool {
+	if v.bad() == wasBad {
 		return false
 	}
 	v.changePending = true
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -223,13 +223,13 @@
 				for !v.Bad(newVersion, startTime) {
 					serve(v, newVersion, c.bad, rng)
 				}
-				now := c.bad
+				current := c.bad
 				if c.repaired {
-					now = good
+					current = good
 				}
 				probes := 0
 				for v.Bad(newVersion, startTime) && probes < c.maxProbes {
-					serve(v, newVersion, now, rng)
+					serve(v, newVersion, current, rng)
 					probes++
 				}
 				if v.Bad(newVersion, startTime) == c.repaired {
--- a/decision/meters.go
+++ b/decision/meters.go
@@ -144,8 +144,8 @@
 		return 0
 	}
 	size := &m.sizes[sizeClass(cost)]
-	prior := sizePriorAttempts * cost
-	secondsPerCost := (size.seconds + prior*m.seconds/m.cost) / (size.cost + prior)
+	priorCost := sizePriorAttempts * cost
+	secondsPerCost := (size.seconds + priorCost*m.seconds/m.cost) / (size.cost + priorCost)
 	return seconds(cost * secondsPerCost)
 }
 
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -28,9 +28,9 @@
 func (w *World) pick(p *pool, r *request) *server {
 	switch w.cfg.Policy.Placement {
 	case PlaceRoundRobin:
-		return w.pickNext(p, r)
+		return w.pickRoundRobin(p, r)
 	case PlaceLeastOutstanding:
-		return w.pickLeast(p, r)
+		return w.pickLeastOutstanding(p, r)
 	}
 	w.candidates = w.candidates[:0]
 	w.candidateServers = w.candidateServers[:0]
@@ -144,8 +144,8 @@
 	return load / float64(s.capacity())
 }
 
-// pickNext is the round robin baseline.
-func (w *World) pickNext(p *pool, r *request) *server {
+// pickRoundRobin is the round robin baseline.
+func (w *World) pickRoundRobin(p *pool, r *request) *server {
 	for range len(p.free) {
 		w.roundRobin++
 		s := p.free[w.roundRobin%len(p.free)].server
@@ -156,8 +156,8 @@
 	return w.pickAvoided(p, r)
 }
 
-// pickLeast is the least outstanding baseline: a full scan.
-func (w *World) pickLeast(p *pool, r *request) *server {
+// pickLeastOutstanding is the least outstanding baseline: a full scan.
+func (w *World) pickLeastOutstanding(p *pool, r *request) *server {
 	var best *server
 	for _, f := range p.free {
 		if !w.avoids(r, f.server) && (best == nil || f.server.running < best.running) {
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -38,7 +38,7 @@
 func (w *World) enqueue(r *request) {
 	p := r.pool
 	f := p.flow(r.team)
-	r.expected, r.queuedAt = w.rawWait(r), w.now
+	r.expectedWait, r.queuedAt = w.rawWait(r), w.now
 	p.queue.Push(&f.Flow, &r.item)
 	r.state = stateQueued
 	r.team.queued++
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if !w.now.Before(w.nextVerdictsAt) {
-		w.nextVerdictsAt = w.now.Add(shareInterval)
+		w.nextVerdictsAt = w.now.Add(shareCheckInterval)
 		w.shareVerdicts()
 	}
 	for _, e := range w.outliers.Sweep(w.now) {
@@ -28,10 +28,10 @@
 	}
 }
 
-// shareInterval is how often the verdicts to share are collected: a small fraction
-// of the time that a message takes to reach the peers, and long enough that most
-// ticks do not bear the cost.
-const shareInterval = 20 * time.Millisecond
+// shareCheckInterval is how often the verdicts to share are collected: a small
+// fraction of the time that a message takes to reach the peers, and long enough that
+// most ticks do not bear the cost.
+const shareCheckInterval = 20 * time.Millisecond
 
 func (w *World) shareVerdicts() {
 	for _, v := range w.verdicts.VerdictsToShare(w.now) {
@@ -206,7 +206,7 @@
 	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Blocked {
 		return false
 	}
-	w.wakeAt(s, w.now.Add(probeCheckInterval))
+	w.scheduleWake(s, w.now.Add(probeCheckInterval))
 	return true
 }
 
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -183,10 +183,10 @@
 	// duePos is the index in tables.due, or -1.
 	duePos  int
 	arrived time.Time
-	// expected is the wait estimated when the request was queued, at queuedAt; 0
+	// expectedWait is the wait estimated when the request was queued, at queuedAt; 0
 	// for no estimate.
-	expected time.Duration
-	queuedAt time.Time
+	expectedWait time.Duration
+	queuedAt     time.Time
 
 	attempts AttemptID
 	current  *attempt
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -95,9 +95,9 @@
 // recordWait records the estimated and the actual wait of a request, whether it got
 // a slot or was ended without one.
 func (w *World) recordWait(r *request) {
-	if r.expected > 0 {
-		r.pool.flow(r.team).bias.learn(r.expected, w.now.Sub(r.queuedAt))
-		r.expected = 0
+	if r.expectedWait > 0 {
+		r.pool.flow(r.team).bias.learn(r.expectedWait, w.now.Sub(r.queuedAt))
+		r.expectedWait = 0
 	}
 }
 
--- a/decision/world.go
+++ b/decision/world.go
@@ -62,7 +62,7 @@
 	// Buffers reused between decisions to save allocations.
 	candidates       []place.Candidate
 	candidateServers []*server
-	pushDue          dueEntry
+	dueBuffer        dueEntry
 	options          []estimate.Option[VersionID]
 	matches          []prefix.Match[ServerID]
 	out              []Command
