--- a/decision/cascade_test.go
+++ b/decision/cascade_test.go
@@ -85,7 +85,7 @@
 				h.run(15 * step)
 			}
 			if held > 0 || h.delivered("") != 100 {
-				t.Errorf("%d answers held, want 0; %d of 100 delivered", held, h.delivered(""))
+				t.Errorf("%d answers held, want 0; %d of 100 delivered, want all", held, h.delivered(""))
 			}
 		})
 	}
@@ -111,7 +111,7 @@
 			h.run(2 * time.Second)
 			h.requireAllEnded()
 			if h.delivered("") != 100 {
-				t.Errorf("%d of 100 delivered", h.delivered(""))
+				t.Errorf("%d of 100 delivered, want all", h.delivered(""))
 			}
 			// Two attempts of 100 ms, the rating timeout and its grace.
 			if worst := percentile(h.answerTimes("weavers"), 1); worst > 700*time.Millisecond {
@@ -159,6 +159,6 @@
 	h.run(3 * time.Second)
 	h.requireAllEnded()
 	if got := h.delivered(""); got < len(h.outcomes)*97/100 {
-		t.Errorf("%d of %d delivered", got, len(h.outcomes))
+		t.Errorf("%d of %d delivered, want at least 97%%", got, len(h.outcomes))
 	}
 }
--- a/decision/crash_test.go
+++ b/decision/crash_test.go
@@ -46,7 +46,7 @@
 		crashes += h.possibleRuns[id]
 	}
 	if crashes != 2 || h.possibleRuns[other] != 1 {
-		t.Errorf("%d servers crashed, want 2; another request ran %d times", crashes, h.possibleRuns[other])
+		t.Errorf("%d servers crashed, want 2; another request ran %d times, want once", crashes, h.possibleRuns[other])
 	}
 	h.requireAllEnded()
 }
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -49,8 +49,9 @@
 	inFlight      map[ServerID]int
 	allowed       map[TeamID]map[VersionID]bool
 	versionStates map[VersionID]VersionState
-	possibleRuns  map[RequestID]int
-	lastID        RequestID
+	// possibleRuns counts the attempts of each request that ran or may have run.
+	possibleRuns map[RequestID]int
+	lastID       RequestID
 
 	// duration is how long an attempt runs, result how it ends.
 	duration func(d Dispatch, r Request) time.Duration
--- a/decision/internal/estimate/estimate_test.go
+++ b/decision/internal/estimate/estimate_test.go
@@ -134,10 +134,12 @@
 				sim.qualities = c.qualities
 				sim.serve(1000, c.target, c.mayHold)
 				sim.serve(2000, c.target, c.mayHold)
+				// An answer of large costs 2.56: 256 tokens at 10 per 1000. The mean
+				// quality of large is about 0.9, so for a higher target the bound is 0.89.
 				quality, cost := sim.quality/2000, sim.cost/2000/2.56
 				want := min(c.target, 0.89) - 0.01
 				if quality < want || cost > c.maxCost {
-					t.Errorf("seed %d: quality %.3f is too low, or cost %.2f of that of always using large too high", seed, quality, cost)
+					t.Errorf("seed %d: quality %.3f, want at least the target or 0.89, whichever is lower, less 0.01; cost %.2f of that of always using large, want at most the case's maxCost", seed, quality, cost)
 				}
 			}
 		})
@@ -211,7 +213,7 @@
 	}
 	for _, c := range cases {
 		if got := c.plan.Escalate(c.score, c.left, 2*time.Second); got != c.want {
-			t.Errorf("%+v, rating %v, %v left: escalate is %v", c.plan, c.score, c.left, got)
+			t.Errorf("%+v, rating %v, %v left: escalate is %v, want the opposite", c.plan, c.score, c.left, got)
 		}
 	}
 }
--- a/decision/internal/fair/fair_test.go
+++ b/decision/internal/fair/fair_test.go
@@ -33,7 +33,7 @@
 				low, high = min(low, perWeight), max(high, perWeight)
 			}
 			if high-low > 2*maxCost {
-				t.Fatalf("work served per weight %v, largest item %v", served, maxCost)
+				t.Fatalf("work served per weight %v, largest item %v; want a difference of at most twice the largest item", served, maxCost)
 			}
 		}
 	})
--- a/decision/internal/policytest/goals_test.go
+++ b/decision/internal/policytest/goals_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	results := Run(l, 1, variantNamed(t, policy).New)
 	if results.Unanswered > 0 || results.InvalidCommands > 0 || results.RefusedAtDeadline > 0 {
-		t.Errorf("%s, %s: %d requests unanswered, %d commands for no request, %d requests refused only at their deadline",
+		t.Errorf("%s, %s: %d requests unanswered, %d commands for an unknown request or server, %d requests refused only at their deadline; want none of each",
 			l.Name, policy, results.Unanswered, results.InvalidCommands, results.RefusedAtDeadline)
 	}
 	return results.Figures()
@@ -58,7 +58,7 @@
 	best := figures(t, l, "always the best model")
 	fixed := figures(t, l, "fixed cascade")
 	if got.Cost > 0.6*best.Cost || got.Cost >= fixed.Cost {
-		t.Errorf("cost %.3f, always the best model %.3f, fixed cascade %.3f; want at most 60%% of the first and less than the second",
+		t.Errorf("cost %.3f, always the best model %.3f, fixed cascade %.3f; want at most 60%% of the best model and less than the fixed cascade",
 			got.Cost, best.Cost, fixed.Cost)
 	}
 	if got.TargetShortfall > 0.03 {
@@ -126,6 +126,6 @@
 	l.Duration, l.Warmup = 40*time.Second, 10*time.Second
 	a, b := figures(t, l, "decision"), figures(t, l, "decision")
 	if a.Cost != b.Cost || a.FirstTokenP99 != b.FirstTokenP99 || a.Goodput != b.Goodput || a.CacheHitRate != b.CacheHitRate {
-		t.Errorf("equal seeds give\n%+v\n%+v", a, b)
+		t.Errorf("equal seeds give different figures\n%+v\n%+v", a, b)
 	}
 }
--- a/decision/internal/verdict/outlier_test.go
+++ b/decision/internal/verdict/outlier_test.go
@@ -82,7 +82,7 @@
 					return rng.Float64() < c.errorRate, c.factor
 				})
 				if got["s01"] > c.attemptLimit || got["s00"] < 1100 {
-					t.Errorf("seed %d: faulty server got %d attempts, a healthy one %d", seed, got["s01"], got["s00"])
+					t.Errorf("seed %d: faulty server got %d attempts, a healthy one %d; want at most the case's attemptLimit and at least 1100", seed, got["s01"], got["s00"])
 				}
 			}
 		})
@@ -161,7 +161,7 @@
 			o.Sweep(now.Add(2 * time.Second))
 		}
 		if o.Admit("s01", now.Add(2*time.Second)) != Blocked || sent > 4 {
-			t.Errorf("seed %d: slow server not ejected, or too late, after %d attempts", seed, sent)
+			t.Errorf("seed %d: slow server not ejected, or too late, after %d attempts; want it ejected after at most 4", seed, sent)
 		}
 	}
 }
--- a/decision/internal/verdict/versions_test.go
+++ b/decision/internal/verdict/versions_test.go
@@ -87,7 +87,7 @@
 			}
 			// The mildest fault, one failure in ten, exceeds 50 in 1 of 20 runs.
 			if late > 1 {
-				t.Errorf("not blocked within 50 bad answers in %d of 30 runs", late)
+				t.Errorf("not blocked within 50 bad answers in %d of 30 runs, want at most 1", late)
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 					serve(v, oldVersion, c.old, rng)
 					serve(v, newVersion, c.new, rng)
 					if v.Bad(newVersion, startTime) {
-						t.Fatalf("seed %d: blocked after %d attempts", seed, i)
+						t.Fatalf("seed %d: blocked after %d attempts, want not blocked", seed, i)
 					}
 				}
 			}
@@ -169,7 +169,7 @@
 		}
 	}
 	if blocked > 1 {
-		t.Errorf("a common fault blocked the successor in %d of 30 runs", blocked)
+		t.Errorf("a common fault blocked the successor in %d of 30 runs, want at most 1", blocked)
 	}
 }
 
@@ -240,7 +240,7 @@
 			// A bad version is wrongly judged good in 2 of 100 cases at most
 			// (FalseRecoveryRate).
 			if wrong > 1 || c.repaired && wrong > 0 {
-				t.Errorf("wrong verdict in %d of 20 runs", wrong)
+				t.Errorf("wrong verdict in %d of 20 runs, want at most 1, and none on a repaired version", wrong)
 			}
 		})
 	}
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// demand is the load of one team: on average perSecond copies of request.
+// demand is the load of one team: copies of request, on average perSecond of them per
+// second.
 type demand struct {
 	perSecond float64
 	request   Request
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -89,7 +89,7 @@
 			}
 			for id := RequestID(1); id <= 4; id++ {
 				if _, ok := h.outcomes[id].command.(Deliver); !ok {
-					t.Errorf("running request %d: %+v", id, h.outcomes[id])
+					t.Errorf("running request %d: %+v, want delivered", id, h.outcomes[id])
 				}
 			}
 			h.requireAllEnded()
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -24,7 +24,8 @@
 		}
 		h.run(30 * time.Second)
 		h.requireAllEnded()
-		// The floor, and one per second for forty seconds.
+		// One attempt per request, the floor of 3 retries, and one retry per second
+		// for 40 seconds.
 		if limit := requests + 3 + 40; dispatched > limit {
 			t.Errorf("result %d: %d attempts of %d requests, want at most %d", result, dispatched, requests, limit)
 		}
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -76,7 +76,7 @@
 			pinned := h.arrive(Request{Team: "weavers", Pinned: weave2})
 			h.run(2 * time.Second)
 			if _, ok := h.outcomes[pinned].command.(Deliver); !ok {
-				t.Errorf("pinned request: %+v", h.outcomes[pinned])
+				t.Errorf("pinned request: %+v, want delivered", h.outcomes[pinned])
 			}
 		})
 	}
@@ -120,7 +120,7 @@
 		h.run(10 * time.Second)
 		h.requireAllEnded()
 		if got := h.delivered(""); got != len(h.outcomes) {
-			t.Errorf("%d of %d delivered", got, len(h.outcomes))
+			t.Errorf("%d of %d delivered, want all", got, len(h.outcomes))
 		}
 		return percentile(h.answerTimes("weavers"), 0.99)
 	}
