--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -17,13 +17,13 @@
 
 // hasFreeSlot reports whether the server's state and load allow another attempt.
 //
-// Load: full saturation, with lagging load reports. This instance's own attempts
-// never exceed the server's slots. Harm prevented: eight instances together
-// overload a server; so the attempts of the others count while the report is
-// recent. The first own attempt may exceed the slots by a fraction: an instance
-// that joins a saturated pool would otherwise never get a slot, since the others
-// refill theirs as attempts end. The excess makes the others see the server as
-// full, so that their part shrinks.
+// Load: full saturation, with lagging load reports. Harm prevented: eight instances
+// together overload a server. This instance's own attempts never exceed the
+// server's slots, and the attempts of the others count while the report is recent.
+// The first own attempt may exceed the slots by a fraction (Config.Overcommit): an
+// instance that joins a saturated pool would otherwise never get a slot, since the
+// others refill theirs as attempts end. The excess makes the others see the server
+// as full, so that their part shrinks.
 func (w *World) hasFreeSlot(s *server) bool {
 	if s.gone || s.leaving || w.isBlocked(s) {
 		return false
@@ -48,8 +48,8 @@
 	return false
 }
 
-// overcommit is by how many attempts an instance that has none at the server may
-// exceed its slots.
+// overcommit is the number of requests by which the server's slots may be exceeded
+// when an instance that runs nothing there dispatches its first attempt.
 func (w *World) overcommit(s *server) int {
 	return max(int(w.cfg.Overcommit*float64(s.capacity())), 1)
 }
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -107,7 +107,8 @@
 	return best
 }
 
-// fixedPlan is the plan of CascadeFixed: the cheapest version first, then the best.
+// fixedPlan is the plan of CascadeFixed: the cheapest version first, then the best;
+// the best alone if it is also the cheapest or the first answer may not be held.
 func (w *World) fixedPlan(t *team, r *request) plan {
 	first := w.options[0]
 	for _, o := range w.options[1:] {
--- a/decision/config.go
+++ b/decision/config.go
@@ -36,13 +36,14 @@
 	// PauseThreshold is the time between two ticks above which the process counts
 	// as having been paused.
 	PauseThreshold time.Duration
-	// ResumeDelay is how long nothing is dispatched after a pause, unless the
-	// freshness is reported again before.
+	// ResumeDelay is how long nothing is dispatched after a pause, unless freshness
+	// is reported again sooner.
 	ResumeDelay time.Duration
 	// LoadReportTTL is how long a load report counts.
 	LoadReportTTL time.Duration
-	// Overcommit is the fraction of a server's slots by which an instance that
-	// runs nothing there may exceed them, by the server's load report.
+	// Overcommit is the fraction by which the requests at a server, by its load
+	// report, may exceed its slots when an instance that runs nothing there
+	// dispatches its first attempt.
 	Overcommit float64
 	// RefusedBackoff is how long a server is excluded from selection after it
 	// refused an attempt or crashed.
@@ -58,7 +59,8 @@
 	WaitMargin float64
 	// BacklogHalfLife is the half-life of the average that measures for which
 	// fraction of the recent past a pool had a backlog. A backlog after an idle
-	// time counts as overload after about half of it; see overloadThreshold.
+	// time counts as overload after about half of the half-life; see
+	// overloadThreshold.
 	BacklogHalfLife time.Duration
 	// OverloadAdmitWait bounds the estimated wait at admission in overload, as a
 	// fraction of the time to the deadline.
@@ -80,14 +82,14 @@
 	// AffinityMaxLoad is the load, as a fraction of the capacity, above which a
 	// cached prefix is ignored.
 	AffinityMaxLoad float64
-	// DomainWeight is the score of a server in the own failure domain, as a
-	// fraction of a request's work.
+	// DomainWeight is the score of a server in the instance's own failure domain,
+	// as a fraction of a request's work.
 	DomainWeight float64
 	// ProbeEvery is n if one in n requests for a version with a bad verdict is let
 	// through as a probe.
 	ProbeEvery int
-	// SlowFactor is the multiple of its peers' time per unit of work from which a
-	// server counts as slow.
+	// SlowFactor is the multiple of its peers' median time per unit of work above
+	// which a server counts as slow.
 	SlowFactor float64
 	// MaxEjected bounds the fraction of a group of servers that is ejected at the
 	// same time.
@@ -120,8 +122,8 @@
 	PlaceTwoChoices Placement = iota
 	// PlaceRoundRobin takes the servers in turn.
 	PlaceRoundRobin
-	// PlaceLeastOutstanding scans all servers for the fewest attempts of this
-	// instance.
+	// PlaceLeastOutstanding scans all servers with a free slot for the fewest
+	// attempts of this instance.
 	PlaceLeastOutstanding
 )
 
@@ -133,8 +135,9 @@
 	CascadeLearned Cascade = iota
 	// CascadeBest always uses the model with the highest quality by the manifest.
 	CascadeBest
-	// CascadeFixed always starts with the cheapest model and escalates on a rating
-	// below the target.
+	// CascadeFixed starts with the cheapest model and escalates on a rating below
+	// the target. If the first answer may not be held, it uses only the model with
+	// the highest quality.
 	CascadeFixed
 )
 
@@ -165,8 +168,8 @@
 		// more, past successes would pay for a retry storm.
 		RetryCap: 50,
 		// A short gap between two confirmations of freshness does not justify
-		// refusing a queue; after a longer one callers should move on to a fresh
-		// instance.
+		// refusing all queued requests; after a longer one callers should move on to
+		// a fresh instance.
 		FreshnessGrace: time.Second,
 		// Half of the time for which freshness lasts: an instance that was paused
 		// may have missed a manifest.
--- a/decision/expire.go
+++ b/decision/expire.go
@@ -33,8 +33,8 @@
 func (w *World) expireRequest(r *request) {
 	switch {
 	case r.held != 0:
-		// A held answer is complete. Its rating is late, and waiting longer would
-		// only delay the caller.
+		// A held answer is complete. Its rating or its second step is late, and
+		// waiting longer would only delay the caller.
 		w.deliver(r, r.held)
 	case r.state == stateRunning:
 		w.recordServerTimeout(r.current)
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ingest applies the events to the tables in order. Arrivals, opened sessions,
-// ended attempts and ratings are only recorded for the later systems, so that these
-// decide with all events of the tick applied.
+// ingest applies the events to the tables in order. Arrivals, session openings,
+// ended attempts and ratings are also recorded for the later systems, which decide
+// what follows from them with all events of the tick applied.
 func (w *World) ingest(in []Event) {
 	for _, e := range in {
 		w.apply(e)
--- a/decision/internal/estimate/rater.go
+++ b/decision/internal/estimate/rater.go
@@ -19,6 +19,8 @@
 // ones.
 const raterMemory = 20
 
+// missed records a rating that was late, invalid or from a stuck service, and
+// answered one that was used.
 func (r *rater) missed()   { r.lateShare += (1 - r.lateShare) / raterMemory }
 func (r *rater) answered() { r.lateShare -= r.lateShare / raterMemory }
 
--- a/decision/internal/fair/account.go
+++ b/decision/internal/fair/account.go
@@ -25,7 +25,8 @@
 type Account struct {
 	group  *Group
 	weight float64
-	// tag is the work served divided by the weight; it never decreases.
+	// tag is the work served divided by the weight, plus what startTag adds after
+	// an idle time; it never decreases.
 	tag float64
 	// refund is the amount overcharged because of wrong cost estimates; it is
 	// deducted from the next charges.
@@ -72,7 +73,7 @@
 }
 
 // currentVirtualTime is the least tag of the active accounts, but not less than
-// the last known virtual time, which it is if there are none.
+// the last known virtual time. Without active accounts it is the last known one.
 func (g *Group) currentVirtualTime() float64 {
 	if len(g.active) == 0 {
 		return g.virtualTime
--- a/decision/internal/place/filters.go
+++ b/decision/internal/place/filters.go
@@ -33,8 +33,9 @@
 // Keep implements Filter.
 func (HasVersion) Keep(c *Candidate) bool { return c.VersionLoaded }
 
-// NotTried drops servers where the request has failed already, for example one
-// that crashes under load, so that no further attempt is spent on the same fault.
+// NotTried drops servers that the request should avoid (see Candidate.Tried). One
+// that crashes under load, for example, would cost a further attempt on the same
+// fault.
 type NotTried struct{}
 
 // Keep implements Filter.
--- a/decision/internal/place/place.go
+++ b/decision/internal/place/place.go
@@ -2,8 +2,9 @@
 // that must not take the request, scorers rate the rest, and the highest total
 // score wins.
 //
-// The caller supplies the candidates (two random servers and the deepest prefix
-// match), so the cost of a pick does not grow with the number of servers.
+// The caller supplies the candidates (two random servers and up to two with the
+// deepest prefix matches), so the cost of a pick does not grow with the number of
+// servers.
 // Everything here is a pure function of the candidates; nothing is allocated.
 package place
 
@@ -26,10 +27,11 @@
 	// the plain service that the request is for.
 	VersionLoaded bool
 	// Leaving and Ejected servers get no new work. Servers in backoff after a
-	// refusal count as Ejected too.
+	// refusal or a crash count as Ejected too.
 	Leaving bool
 	Ejected bool
-	// Tried is true if the request has failed on the server already.
+	// Tried is true if the request should avoid the server: it has failed there
+	// already, or the server takes only probes and the request cannot be retried.
 	Tried bool
 }
 
--- a/decision/internal/policytest/simulation.go
+++ b/decision/internal/policytest/simulation.go
@@ -203,7 +203,8 @@
 	}
 }
 
-// finish calls f for the caller of a request that has ended, and forgets it.
+// finish calls f for the caller of a request that has ended, and forgets the
+// caller.
 func (sim *simulation) finish(id decision.RequestID, f func(*caller)) {
 	c := sim.callers[id]
 	if c == nil {
--- a/decision/internal/prefix/index.go
+++ b/decision/internal/prefix/index.go
@@ -26,8 +26,8 @@
 }
 
 // maxHolders bounds the servers indexed for one block. If more servers hold a
-// prefix, it is still found on these; more entries would not improve the choice,
-// since placing considers only a few candidates.
+// prefix, it is still found on the indexed ones; more entries would not improve the
+// choice, since placing considers only a few candidates.
 const maxHolders = 4
 
 // Index maps block hashes to the servers that hold them.
@@ -97,8 +97,8 @@
 // Events come late and with gaps. After a gap, evictions may have been missed:
 // the known blocks count as not confirmed, and after a second gap they are
 // invalid. Of a late event only the evictions are applied, since the blocks that
-// it added may be evicted again. A sequence that starts over means a restarted
-// server with an empty cache.
+// it added may have been evicted since. A sequence that starts over means a
+// restarted server with an empty cache.
 func (x *Index[S, H]) ApplyCacheEvent(id S, seq uint64, added, removed []H, now time.Time) {
 	s := x.server(id)
 	late := false
--- a/decision/internal/verdict/detector.go
+++ b/decision/internal/verdict/detector.go
@@ -95,7 +95,8 @@
 
 // discountedMean is an exponentially discounted mean with its variance. The
 // memory passed to add is the number of observations after which an old one has
-// lost most of its weight.
+// lost most of its weight. n is the discounted number of observations, and m2 the
+// discounted sum of their squared deviations from the mean.
 type discountedMean struct {
 	n, mean, m2 float64
 }
--- a/decision/internal/verdict/outlier.go
+++ b/decision/internal/verdict/outlier.go
@@ -145,8 +145,9 @@
 const errorMemory = 1000
 
 // minSuccessRate is the share of successful attempts below which a server counts
-// as worse than its group. If a version fails on all servers, it is lower for all
-// of them.
+// as worse than its group. If a version fails on all servers, this limit is lower
+// for all of them. The group's own success rate is used once it covers a
+// discounted number of 20 attempts.
 func (t *Outliers[S, G]) minSuccessRate(g *group[S, G]) float64 {
 	rate := 1 - minReferenceErrorRate
 	if g.successes.n >= 20 {
@@ -235,7 +236,8 @@
 }
 
 // minPeers is how many servers must have a unit latency before any can count as
-// slow: of two, the slow one cannot be told from a fast one.
+// slow: with two, a slow server beside a normal one cannot be told from a normal one
+// beside a fast one.
 const minPeers = 3
 
 func (t *Outliers[S, G]) sweepGroup(g *group[S, G], now time.Time, out []Ejection[S]) []Ejection[S] {
--- a/decision/internal/verdict/signal.go
+++ b/decision/internal/verdict/signal.go
@@ -16,7 +16,7 @@
 	// bad is the verdict of this signal alone.
 	bad bool
 	// suspectDiff is the mean difference of the observations from the reference
-	// since the current suspicion began.
+	// since the evidence last reached suspicionEvidence.
 	suspectDiff discountedMean
 	// recoveryMargin, 0 or negative, is added to the reference; a bad version
 	// recovers by exceeding the sum.
@@ -27,8 +27,8 @@
 
 // classHistory holds the observations of one class of requests.
 type classHistory struct {
-	// baseline leaves out the observations that were made during a suspicion: it
-	// is the reference for the version itself.
+	// baseline leaves out the observations that were made while the evidence was
+	// at least suspicionEvidence: it is the reference for the version itself.
 	baseline discountedMean
 	// all and recent include every observation: they are the reference for a
 	// successor.
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -49,8 +49,8 @@
 	peerBadUntil time.Time
 	// nextShare is when a bad verdict or a suspicion is shared again.
 	nextShare time.Time
-	// changePending is true if a change of the own verdict or the end of a
-	// suspicion has not been shared yet.
+	// changePending is true if a change of this instance's own verdict or the end
+	// of a suspicion has not been shared yet.
 	changePending bool
 	// suspectSince is when the current suspicion began; zero for none.
 	suspectSince time.Time
@@ -145,7 +145,9 @@
 	return t.observe(v, &v.errors, noClass, 0, t.minSuccessRate(v), now)
 }
 
-// countsAgainstVersion reports whether a failure counts against the version.
+// countsAgainstVersion reports whether a failure counts against the version. If no
+// other server has the version loaded, every error counts; a lost connection still
+// counts only as the first failure of a streak.
 func (v *version[V, S]) countsAgainstVersion(r AttemptResult[S], now time.Time) bool {
 	if r.Server != v.failServer || now.Sub(v.failSince) > streakDuration {
 		v.failServer = r.Server
--- a/decision/meters.go
+++ b/decision/meters.go
@@ -28,9 +28,9 @@
 // add records cost that left a backlogged queue.
 func (m *drainMeter) add(cost float64) { m.work += cost }
 
-// rate is the drain rate in cost per second. expected is the rate by the service
-// times, 0 if unknown. It weighs as much as a tenth of the half-life, so that by
-// default half a second of backlog outweighs it.
+// rate is the drain rate in cost per second. expected is the rate computed from the
+// service times, 0 if unknown. It weighs as much as a backlog of a tenth of the
+// half-life (by default half a second), so that a longer backlog outweighs it.
 func (m *drainMeter) rate(expected float64, halfLife time.Duration) float64 {
 	priorSeconds := halfLife.Seconds() / 10
 	if expected == 0 && m.busy < priorSeconds {
@@ -46,8 +46,8 @@
 //
 // Load: many teams with short queues, at saturation. Later arrivals of a team that
 // got less than its share go first, which the present queue cannot show. There is
-// one meter per team. Harm prevented: teams below their share, which wait for a
-// slot only, are refused because of the longer waits of the others.
+// one meter per team and pool. Harm prevented: teams below their share, which wait
+// for a slot only, are refused because of the longer waits of the others.
 type biasMeter struct {
 	// expected and waited are sums in seconds, decayed with each wait.
 	expected float64
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -20,8 +20,8 @@
 
 // drawCount is how many servers are drawn at random. Two give nearly the whole
 // benefit of a full scan: with n servers, the length of the longest queue grows
-// with log log n instead of log n. With lagging reports, a full scan would send all
-// instances to the same idle server.
+// with log log n, and with one draw with log n. With lagging reports, a full scan
+// would send all instances to the same idle server.
 const drawCount = 2
 
 // pick returns a server with a free slot, or nil if none may take the request.
@@ -64,7 +64,7 @@
 		SameDomain:    s.Domain != "" && s.Domain == w.cfg.Domain,
 		VersionLoaded: s.inPool(p),
 		Leaving:       s.leaving || s.gone,
-		Ejected:       !s.isFree, // also servers that back off, as place.Candidate defines it
+		Ejected:       !s.isFree, // also servers in backoff, as place.Candidate defines it
 		Tried:         w.avoids(r, s),
 	})
 	return &w.candidates[len(w.candidates)-1]
@@ -133,7 +133,7 @@
 
 // load is the server's load as a fraction of its capacity: this instance's own
 // attempts, which are exact, plus those of the others by the last report, whose
-// weight falls to 0 with its age.
+// weight falls to 0 over Config.LoadReportTTL.
 func (w *World) load(s *server) float64 {
 	load := float64(s.running)
 	if s.otherRequests > 0 {
@@ -156,7 +156,7 @@
 	return w.pickAvoided(p, r)
 }
 
-// pickLeastOutstanding is the least outstanding baseline: a full scan.
+// pickLeastOutstanding is the least outstanding baseline: a scan of all free servers.
 func (w *World) pickLeastOutstanding(p *pool, r *request) *server {
 	var best *server
 	for _, f := range p.free {
--- a/decision/recheck.go
+++ b/decision/recheck.go
@@ -3,7 +3,8 @@
 import "slices"
 
 // recheckQueued re-evaluates queued requests after a change: a newer manifest, a
-// list without their servers, a bad verdict, lost freshness, a log outage.
+// new list of servers, a leaving server, a verdict on a version, lost freshness, a
+// log outage.
 //
 // Load: a large manifest change while queues are full. Harm prevented: a request
 // starts on a version that was withdrawn or forbidden after its admission. It
@@ -56,7 +57,7 @@
 }
 
 // recheckEscalation drops an escalation that is no longer permitted and delivers
-// the held answer, which is complete and was permitted.
+// the held answer, which is complete and was permitted when it was generated.
 func (w *World) recheckEscalation(r *request) {
 	if w.mayEscalate(r, r.version) {
 		return
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -56,9 +56,9 @@
 	w.requeue(r)
 }
 
-// handleCrashed retries a request that crashed a server until it has crashed
-// Config.MaxCrashes servers or is quarantined: after that many crashes the request
-// and not the servers is taken for the cause.
+// handleCrashed treats a request that crashed a server like any other that may have
+// run, until it has crashed Config.MaxCrashes servers or is quarantined: after that
+// many crashes the request and not the servers is taken for the cause.
 func (w *World) handleCrashed(r *request, e endedAttempt) {
 	r.crashes++
 	w.backOff(e.attempt.server, w.now.Add(w.cfg.RefusedBackoff)) // it is restarting
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -127,7 +127,8 @@
 }
 
 // recordServerResult records an attempt's result for the outlier detection of its
-// backend server. A refusal by a leaving server is correct behaviour and skipped.
+// backend server. Cancelled attempts say nothing about the server, and a refusal by
+// a leaving server is correct behaviour; both are skipped.
 func (w *World) recordServerResult(a *attempt, e AttemptEnded) {
 	if w.cfg.Policy.NoVerdicts || e.Leaving || e.Result == AttemptCancelled {
 		return
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -95,8 +95,8 @@
 	pool *pool
 }
 
-// open reports whether the version may take requests at all, if only of sessions
-// that are pinned to it.
+// open reports whether the version may take requests at all, even if only those of
+// sessions that are pinned to it.
 func (v *version) open() bool { return !v.gone && v.State != VersionWithdrawn }
 
 // serving reports whether the version may take requests that are not pinned to it.
@@ -183,11 +183,12 @@
 	// duePos is the index in tables.due, or -1.
 	duePos  int
 	arrived time.Time
-	// expectedWait is the wait estimated when the request was queued, at queuedAt; 0
-	// for no estimate.
+	// expectedWait is the wait estimated when the request was queued, at queuedAt;
+	// 0 for no estimate.
 	expectedWait time.Duration
 	queuedAt     time.Time
 
+	// attempts counts the dispatched attempts; current is the running one, or nil.
 	attempts AttemptID
 	current  *attempt
 	// firstAttempt is part of the row to save an allocation.
@@ -195,7 +196,8 @@
 	// held is the completed attempt whose answer is held back for its rating; 0
 	// for none.
 	held AttemptID
-	// tried are the servers whose attempts ended without an answer.
+	// tried are the servers whose attempts ended without an answer; crashes counts
+	// the attempts that crashed their server.
 	tried   []*server
 	crashes int
 	// mayHaveRun is true if a backend server may have run the request; it is then
@@ -210,10 +212,13 @@
 type requestState uint8
 
 const (
+	// stateArrived: not queued yet, or just removed from its queue.
 	stateArrived requestState = iota
 	stateQueued
+	// stateParked: waiting outside the queues; see park.
 	stateParked
 	stateRunning
+	// stateHeld: complete, with the answer held back for its rating.
 	stateHeld
 	stateEnded
 )
--- a/decision/types.go
+++ b/decision/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Identifiers, as used in the manifest and the instance list.
+// Identifiers, as used in the manifest and the platform's instance list.
 type (
 	// TeamID names a team.
 	TeamID string
@@ -77,7 +77,7 @@
 	Quality float64
 }
 
-// Server is one row of the instance list, for a backend server.
+// Server is one backend server, a row of the platform's instance list.
 type Server struct {
 	ID     ServerID
 	Domain DomainID
--- a/decision/usage.go
+++ b/decision/usage.go
@@ -14,7 +14,8 @@
 	scale float64
 }
 
-// rescaleAt is the scale at which it is reset to 1, far below an overflow.
+// rescaleAt is the value at which decayClock.scale is reset to 1, far below an
+// overflow.
 const rescaleAt = 1 << 40
 
 // advance moves the clock to now. It returns the factor by which all meters must be
@@ -50,8 +51,8 @@
 	m.sum += cost * c.scale
 }
 
-// rate is the recent cost per second. For a meter younger than the half-life the
-// average is taken over its age, but over at least 0.5 s.
+// rate is the recent cost per second. The average is taken over the time since the
+// first addition, which is decayed like the cost, but over at least 0.5 s.
 func (m *usageMeter) rate(c *decayClock, halfLife time.Duration) float64 {
 	if m.startScale == 0 {
 		return 0
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -8,6 +8,8 @@
 	return time.Duration(float64(w.rawWait(r)) * r.bias())
 }
 
+// bias is the correction factor for the estimated waits of the request's team in
+// its pool.
 func (r *request) bias() float64 {
 	if r.pool == nil || r.team == nil {
 		return 1
