--- a/decision/fuzz_test.go
+++ b/decision/fuzz_test.go
@@ -9,109 +9,109 @@
 // byteSource turns fuzzed bytes into values; past its end it returns zeros.
 type byteSource []byte
 
-func (t *byteSource) next() byte {
-	if len(*t) == 0 {
+func (src *byteSource) next() byte {
+	if len(*src) == 0 {
 		return 0
 	}
-	b := (*t)[0]
-	*t = (*t)[1:]
+	b := (*src)[0]
+	*src = (*src)[1:]
 	return b
 }
 
 // number returns a value from 0 to 1, or at times NaN, an infinity or a value out
 // of range.
-func (t *byteSource) number() float64 {
+func (src *byteSource) number() float64 {
 	special := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 2}
-	b := int(t.next())
+	b := int(src.next())
 	if b < len(special) {
 		return special[b]
 	}
 	return float64(b) / 255
 }
 
-func (t *byteSource) version() VersionID {
-	return []VersionID{"", weave1, weave2, draft1, "none"}[t.next()%5]
+func (src *byteSource) version() VersionID {
+	return []VersionID{"", weave1, weave2, draft1, "none"}[src.next()%5]
 }
 
-func (t *byteSource) server() ServerID { return []ServerID{"", "s0", "s1", "s2"}[t.next()%4] }
+func (src *byteSource) server() ServerID { return []ServerID{"", "s0", "s1", "s2"}[src.next()%4] }
 
-func (t *byteSource) model() ModelID {
-	return []ModelID{"", "weave", "draft", "weave@1"}[t.next()%4]
+func (src *byteSource) model() ModelID {
+	return []ModelID{"", "weave", "draft", "weave@1"}[src.next()%4]
 }
 
-func (t *byteSource) at() time.Time {
-	return epoch.Add(time.Duration(int8(t.next())) * 100 * time.Millisecond)
+func (src *byteSource) at() time.Time {
+	return epoch.Add(time.Duration(int8(src.next())) * 100 * time.Millisecond)
 }
 
-func (t *byteSource) event() Event {
-	id, attempt := RequestID(t.next()%16), AttemptID(t.next()%4)
-	switch t.next() % 13 {
+func (src *byteSource) event() Event {
+	id, attempt := RequestID(src.next()%16), AttemptID(src.next()%4)
+	switch src.next() % 13 {
 	case 0:
-		return t.manifest()
+		return src.manifest()
 	case 1:
 		return ServersListed{Servers: []Server{
-			{ID: t.server(), Versions: []VersionID{t.version(), t.version()}, Slots: int(int8(t.next()))},
-			{ID: t.server(), Versions: []VersionID{t.version()}, Leaving: t.next()%4 == 0, Slots: 3},
-			{ID: t.server(), Service: "stock", Slots: 1},
+			{ID: src.server(), Versions: []VersionID{src.version(), src.version()}, Slots: int(int8(src.next()))},
+			{ID: src.server(), Versions: []VersionID{src.version()}, Leaving: src.next()%4 == 0, Slots: 3},
+			{ID: src.server(), Service: "stock", Slots: 1},
 		}}
 	case 2:
-		return ServerLeaving{Server: t.server()}
+		return ServerLeaving{Server: src.server()}
 	case 3:
-		return LoadReported{Server: t.server(), Running: int(int8(t.next())), Queued: int(int8(t.next())), At: t.at()}
+		return LoadReported{Server: src.server(), Running: int(int8(src.next())), Queued: int(int8(src.next())), At: src.at()}
 	case 4:
-		return CacheChanged{Server: t.server(), Seq: uint64(t.next()), Added: []BlockHash{BlockHash(t.next())}, Removed: []BlockHash{BlockHash(t.next())}}
+		return CacheChanged{Server: src.server(), Seq: uint64(src.next()), Added: []BlockHash{BlockHash(src.next())}, Removed: []BlockHash{BlockHash(src.next())}}
 	case 5:
 		return RequestCancelled{Request: id}
 	case 6:
 		return FirstToken{Request: id, Attempt: attempt}
 	case 7:
-		return AttemptEnded{Request: id, Attempt: attempt, Result: AttemptResult(t.next() % 8), Tokens: int(int8(t.next())), ResponseStarted: t.next()%4 == 0, Leaving: t.next()%4 == 0}
+		return AttemptEnded{Request: id, Attempt: attempt, Result: AttemptResult(src.next() % 8), Tokens: int(int8(src.next())), ResponseStarted: src.next()%4 == 0, Leaving: src.next()%4 == 0}
 	case 8:
-		return AnswerRated{Request: id, Attempt: attempt, Team: "a", Version: t.version(), Score: t.number(), Late: t.next()%2 == 0}
+		return AnswerRated{Request: id, Attempt: attempt, Team: "a", Version: src.version(), Score: src.number(), Late: src.next()%2 == 0}
 	case 9:
-		return VersionVerdict{Version: t.version(), Bad: t.next()%2 == 0, Until: t.at()}
+		return VersionVerdict{Version: src.version(), Bad: src.next()%2 == 0, Until: src.at()}
 	case 10:
-		return RequestQuarantined{Fingerprint: Fingerprint(t.next() % 4), Until: t.at()}
+		return RequestQuarantined{Fingerprint: Fingerprint(src.next() % 4), Until: src.at()}
 	case 11:
-		return FreshnessChanged{Fresh: t.next()%4 != 0, Outage: t.next()%4 == 0}
+		return FreshnessChanged{Fresh: src.next()%4 != 0, Outage: src.next()%4 == 0}
 	default:
-		return t.request(id)
+		return src.request(id)
 	}
 }
 
-func (t *byteSource) manifest() Event {
+func (src *byteSource) manifest() Event {
 	version := func(id VersionID) Version {
 		return Version{
-			ID: id, Model: t.model(), State: VersionState(t.next() % 5), Share: t.number(),
-			Predecessor: t.version(), Cost: t.number(), Quality: t.number(),
+			ID: id, Model: src.model(), State: VersionState(src.next() % 5), Share: src.number(),
+			Predecessor: src.version(), Cost: src.number(), Quality: src.number(),
 		}
 	}
 	return ManifestApplied{
-		Generation: uint64(t.next()),
-		Versions:   []Version{version(t.version()), version(weave1), version(draft1)},
+		Generation: uint64(src.next()),
+		Versions:   []Version{version(src.version()), version(weave1), version(draft1)},
 		Teams: []Team{
-			{ID: "a", Weight: int(int8(t.next())), QualityTarget: t.number(), Allowed: []VersionID{weave1, draft1, t.version()}, Services: []ServiceID{"stock"}},
-			{ID: "b", QueueLimit: int(int8(t.next())), Allowed: []VersionID{t.version()}},
+			{ID: "a", Weight: int(int8(src.next())), QualityTarget: src.number(), Allowed: []VersionID{weave1, draft1, src.version()}, Services: []ServiceID{"stock"}},
+			{ID: "b", QueueLimit: int(int8(src.next())), Allowed: []VersionID{src.version()}},
 		},
 	}
 }
 
-func (t *byteSource) request(id RequestID) Event {
+func (src *byteSource) request(id RequestID) Event {
 	r := Request{
-		ID: id, Team: []TeamID{"a", "b", ""}[t.next()%3], Model: t.model(), Pinned: t.version(),
-		RolloutPosition: t.number(), Fingerprint: Fingerprint(t.next() % 4), Blocks: []BlockHash{BlockHash(t.next())},
-		PromptTokens: int(int8(t.next())), MaxTokens: int(int8(t.next())), Priority: int(int8(t.next())),
-		Idempotent: t.next()%2 == 0, Streamed: t.next()%2 == 0, Resend: t.next()%4 == 0,
+		ID: id, Team: []TeamID{"a", "b", ""}[src.next()%3], Model: src.model(), Pinned: src.version(),
+		RolloutPosition: src.number(), Fingerprint: Fingerprint(src.next() % 4), Blocks: []BlockHash{BlockHash(src.next())},
+		PromptTokens: int(int8(src.next())), MaxTokens: int(int8(src.next())), Priority: int(int8(src.next())),
+		Idempotent: src.next()%2 == 0, Streamed: src.next()%2 == 0, Resend: src.next()%4 == 0,
 	}
-	if t.next()%2 == 0 {
+	if src.next()%2 == 0 {
 		r.Pinned = ""
-		r.Pins = []VersionID{t.version()}
+		r.Pins = []VersionID{src.version()}
 	}
-	if t.next()%8 == 0 {
+	if src.next()%8 == 0 {
 		r.Service = "stock"
 	}
-	if t.next()%2 == 0 {
-		r.Deadline = t.at()
+	if src.next()%2 == 0 {
+		r.Deadline = src.at()
 	}
 	return RequestArrived{Request: r}
 }
--- a/decision/internal/prefix/index_test.go
+++ b/decision/internal/prefix/index_test.go
@@ -31,10 +31,10 @@
 	p := chain(1, 10)
 	mixed := append(slices.Clone(p[:4]), chain(2, 6)...)
 	cases := []struct {
-		name string
-		do   func(x *index)
-		ask  []uint64
-		want []match
+		name   string
+		setup  func(x *index)
+		prompt []uint64
+		want   []match
 	}{
 		{"empty index", func(*index) {}, p, nil},
 		{"confirmed", func(x *index) { x.ApplyCacheEvent("a", 1, p, nil, startTime) }, p, []match{{"a", 10, true}}},
@@ -90,8 +90,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			x := New[string, uint64](DefaultConfig())
-			c.do(x)
-			if got := x.Match(c.ask, 8, startTime, nil); !slices.Equal(got, c.want) {
+			c.setup(x)
+			if got := x.Match(c.prompt, 8, startTime, nil); !slices.Equal(got, c.want) {
 				t.Errorf("matches %v, want %v", got, c.want)
 			}
 		})
