--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// demand is the load of one team: copies of request, on average perSecond of them per
-// second.
+// demand is the load of one team: requests equal to request, perSecond on average.
 type demand struct {
 	perSecond float64
 	request   Request
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -19,9 +19,9 @@
 }
 
 // drawCount is how many servers are drawn at random. Two give nearly the whole
-// benefit of a full scan: with n servers, the length of the longest queue grows
-// with log log n, and with one draw with log n. With lagging reports, a full scan
-// would send all instances to the same idle server.
+// benefit of a full scan: with two draws, the longest queue of n servers grows with
+// log log n, and with one draw with log n. With lagging reports, a full scan would
+// send all instances to the same idle server.
 const drawCount = 2
 
 // pick returns a server with a free slot, or nil if none may take the request.
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -67,8 +67,9 @@
 	allowed  map[VersionID]bool
 	services map[ServiceID]bool
 	// models are those with at least one allowed version, in order of ModelID.
-	models      []*teamModel
-	byModel     map[ModelID]*teamModel
+	models  []*teamModel
+	byModel map[ModelID]*teamModel
+	// queued counts the team's requests in the queues of all pools.
 	queued      int
 	retryBudget retryBudget
 }
@@ -160,13 +161,18 @@
 	// otherRequests is the number of requests of other instances by the last load
 	// report.
 	otherRequests int
-	reportedAt    time.Time
-	leaving       bool
-	gone          bool
-	ejected       bool
-	backoffUntil  time.Time
+	// reportedAt is when the server measured that load.
+	reportedAt time.Time
+	// leaving is true if the list or a report says that the server is leaving;
+	// Server.Leaving is true only by the list.
+	leaving bool
+	// gone is true if the list no longer has the server.
+	gone         bool
+	ejected      bool
+	backoffUntil time.Time
 	// wakeAt is the earliest pending wake; zero for none.
 	wakeAt time.Time
+	// isFree is true if the server is in the free sets of its pools.
 	isFree bool
 }
 
--- a/decision/world.go
+++ b/decision/world.go
@@ -50,7 +50,8 @@
 	// nextVerdictsAt is when the verdicts to share with the peers are next
 	// collected.
 	nextVerdictsAt time.Time
-	wakeSeq        uint64
+	// wakeSeq numbers the wakes, so that those of equal times have a fixed order.
+	wakeSeq uint64
 	// roundRobin is the counter of the round robin baseline.
 	roundRobin int
 
