--- a/decision/internal/prefix/doc.go
+++ b/decision/internal/prefix/doc.go
@@ -15,6 +15,6 @@
 // that are not listed: the index keeps an entry for each server it is called with,
 // until Index.Forget. On a Dispatch of a prompt: Index.RecordDispatch. When a
 // server leaves the list or crashes: Index.Forget. When placing: Index.Match, then
-// consider a matched server as long as its load is within a bound of the others';
-// above that the queue there costs more than the prefill that it saves.
+// prefer a matched server as long as its load is below a bound; above that the queue
+// there costs more than the prefill that it saves.
 package prefix
--- a/decision/internal/verdict/doc.go
+++ b/decision/internal/verdict/doc.go
@@ -6,7 +6,7 @@
 //   - Outliers ejects backend servers that are slow or failing compared with
 //     their peers, never more than a configured share of them;
 //   - Crashes counts the backend servers that a request has crashed and reports
-//     at the second that the request must be quarantined.
+//     at the second (by default) that the request must be quarantined.
 //
 // The package is pure: no I/O, no clock, no goroutines. Callers pass the time,
 // which must not run backwards. Nothing here is safe for concurrent use.
--- a/decision/internal/verdict/signal.go
+++ b/decision/internal/verdict/signal.go
@@ -28,7 +28,8 @@
 // classHistory holds the observations of one class of requests.
 type classHistory struct {
 	// baseline leaves out the observations that were made while the evidence was
-	// at least suspicionEvidence: it is the reference for the version itself.
+	// at least suspicionEvidence or the version was judged bad: it is the reference
+	// for the version itself.
 	baseline discountedMean
 	// all and recent include every observation: they are the reference for a
 	// successor.
--- a/decision/property_test.go
+++ b/decision/property_test.go
@@ -151,8 +151,8 @@
 	rapid.Check(t, func(t *rapid.T) { runScript(t) })
 }
 
-// The same seed and the same events must give the same commands. They differ, for
-// example, if a decision depends on the iteration order of a map.
+// The same seed and the same events must give the same commands. They would differ
+// if, for example, a decision depended on the iteration order of a map.
 func TestDeterminism(t *testing.T) {
 	gen := rapid.Custom(runScript)
 	for seed := range 30 {
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -164,7 +164,7 @@
 	// reportedAt is when the server measured that load.
 	reportedAt time.Time
 	// leaving is true if the list or a report says that the server is leaving;
-	// Server.Leaving is true only by the list.
+	// Server.Leaving holds only what the list says.
 	leaving bool
 	// gone is true if the list no longer has the server.
 	gone         bool
