--- a/decision/capacity.go
+++ b/decision/capacity.go
@@ -17,19 +17,19 @@
 
 // hasFreeSlot reports whether the server's state and load allow another attempt.
 //
-// Load: full saturation, with lagging load reports. This instance's own attempts
-// never exceed the server's slots. Harm prevented: eight instances together
-// overload a server; so the attempts of the others count while the report is
-// recent. The first own attempt may exceed the slots by a fraction: an instance
-// that joins a saturated pool would otherwise never get a slot, since the others
-// refill theirs as attempts end. The excess makes the others see the server as
-// full, so that their part shrinks.
+// Load: full saturation, with lagging load reports. Harm prevented: eight instances
+// together overload a server. This instance's own attempts never exceed the
+// server's slots, and the attempts of the others count while the report is recent.
+// The first own attempt may exceed the slots by a fraction (Config.Overcommit): an
+// instance that joins a saturated pool would otherwise never get a slot, since the
+// others refill theirs as attempts end. The excess makes the others see the server
+// as full, so that their part shrinks.
 func (w *World) hasFreeSlot(s *server) bool {
 	if s.gone || s.leaving || w.isBlocked(s) {
 		return false
 	}
 	if w.now.Before(s.backoffUntil) {
-		w.wakeAt(s, s.backoffUntil)
+		w.scheduleWake(s, s.backoffUntil)
 		return false
 	}
 	if s.running >= s.capacity() {
@@ -44,12 +44,12 @@
 	if !w.hasRecentReport(s) {
 		return true
 	}
-	w.wakeAt(s, s.reportedAt.Add(w.cfg.LoadReportTTL))
+	w.scheduleWake(s, s.reportedAt.Add(w.cfg.LoadReportTTL))
 	return false
 }
 
-// overcommit is by how many attempts an instance that has none at the server may
-// exceed its slots.
+// overcommit is the number of requests by which the server's slots may be exceeded
+// when an instance that runs nothing there dispatches its first attempt.
 func (w *World) overcommit(s *server) int {
 	return max(int(w.cfg.Overcommit*float64(s.capacity())), 1)
 }
@@ -93,9 +93,9 @@
 	w.refreshFree(s)
 }
 
-// wakeAt schedules a call of refreshFree for the server, unless an earlier one is
-// pending.
-func (w *World) wakeAt(s *server, at time.Time) {
+// scheduleWake schedules a call of refreshFree for the server, unless an earlier one
+// is pending.
+func (w *World) scheduleWake(s *server, at time.Time) {
 	if !s.wakeAt.IsZero() && !s.wakeAt.After(at) {
 		return
 	}
--- a/decision/expire.go
+++ b/decision/expire.go
@@ -33,8 +33,8 @@
 func (w *World) expireRequest(r *request) {
 	switch {
 	case r.held != 0:
-		// A held answer is complete. Its rating is late, and waiting longer would
-		// only delay the caller.
+		// A held answer is complete. Its rating or its second step is late, and
+		// waiting longer would only delay the caller.
 		w.deliver(r, r.held)
 	case r.state == stateRunning:
 		w.recordServerTimeout(r.current)
@@ -57,8 +57,8 @@
 	if r.duePos < 0 {
 		// Push takes an any: a pointer to a reused entry is converted to it without
 		// an allocation.
-		w.pushDue = e
-		heap.Push(&w.due, &w.pushDue)
+		w.dueBuffer = e
+		heap.Push(&w.due, &w.dueBuffer)
 		return
 	}
 	if w.due[r.duePos].due != e.due {
--- a/decision/harness_test.go
+++ b/decision/harness_test.go
@@ -49,8 +49,9 @@
 	inFlight      map[ServerID]int
 	allowed       map[TeamID]map[VersionID]bool
 	versionStates map[VersionID]VersionState
-	possibleRuns  map[RequestID]int
-	nextID        RequestID
+	// possibleRuns counts the attempts of each request that ran or may have run.
+	possibleRuns map[RequestID]int
+	lastID       RequestID
 
 	// duration is how long an attempt runs, result how it ends.
 	duration func(d Dispatch, r Request) time.Duration
@@ -100,8 +101,8 @@
 
 // arrive sends a request with a new id and returns the id.
 func (h *harness) arrive(r Request) RequestID {
-	h.nextID++
-	r.ID = h.nextID
+	h.lastID++
+	r.ID = h.lastID
 	h.live[r.ID] = r
 	h.arrived[r.ID] = h.now
 	h.send(RequestArrived{Request: r})
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -49,8 +49,8 @@
 	peerBadUntil time.Time
 	// nextShare is when a bad verdict or a suspicion is shared again.
 	nextShare time.Time
-	// changePending is true if a change of the own verdict or the end of a
-	// suspicion has not been shared yet.
+	// changePending is true if a change of this instance's own verdict or the end
+	// of a suspicion has not been shared yet.
 	changePending bool
 	// suspectSince is when the current suspicion began; zero for none.
 	suspectSince time.Time
@@ -145,7 +145,9 @@
 	return t.observe(v, &v.errors, noClass, 0, t.minSuccessRate(v), now)
 }
 
-// countsAgainstVersion reports whether a failure counts against the version.
+// countsAgainstVersion reports whether a failure counts against the version. If no
+// other server has the version loaded, every error counts; a lost connection still
+// counts only as the first failure of a streak.
 func (v *version[V, S]) countsAgainstVersion(r AttemptResult[S], now time.Time) bool {
 	if r.Server != v.failServer || now.Sub(v.failSince) > streakDuration {
 		v.failServer = r.Server
@@ -179,7 +181,7 @@
 // observe adds an observation x of a class to a signal, to be compared with the
 // reference, and updates the verdict.
 func (t *Versions[V, S]) observe(v *version[V, S], s *signal, class string, x, reference float64, now time.Time) bool {
-	before := v.bad()
+	wasBad := v.bad()
 	h := s.history(class)
 	h.all.add(x, t.cfg.Memory)
 	h.recent.add(x, recentMemory)
@@ -191,13 +193,13 @@
 	if v.peerBadUntil.After(now) {
 		t.confirmSuspicion(v)
 	}
-	return v.noteChange(before)
+	return v.noteChange(wasBad)
 }
 
-// noteChange marks a change of the own verdict for sharing and reports whether
-// there was one. before tells whether the own verdict was bad before.
-func (v *version[V, S]) noteChange(before bool) bool {
-	if v.bad() == before {
+// noteChange marks a change of this instance's own verdict for sharing and
+// reports whether there was one. wasBad tells whether that verdict was bad before.
+func (v *version[V, S]) noteChange(wasBad bool) bool {
+	if v.bad() == wasBad {
 		return false
 	}
 	v.changePending = true
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// demand is the load of one team: on average perSecond copies of request.
+// demand is the load of one team: requests equal to request, perSecond on average.
 type demand struct {
 	perSecond float64
 	request   Request
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -67,8 +67,9 @@
 	allowed  map[VersionID]bool
 	services map[ServiceID]bool
 	// models are those with at least one allowed version, in order of ModelID.
-	models      []*teamModel
-	byModel     map[ModelID]*teamModel
+	models  []*teamModel
+	byModel map[ModelID]*teamModel
+	// queued counts the team's requests in the queues of all pools.
 	queued      int
 	retryBudget retryBudget
 }
@@ -95,8 +96,8 @@
 	pool *pool
 }
 
-// open reports whether the version may take requests at all, if only of sessions
-// that are pinned to it.
+// open reports whether the version may take requests at all, even if only those of
+// sessions that are pinned to it.
 func (v *version) open() bool { return !v.gone && v.State != VersionWithdrawn }
 
 // serving reports whether the version may take requests that are not pinned to it.
@@ -160,13 +161,18 @@
 	// otherRequests is the number of requests of other instances by the last load
 	// report.
 	otherRequests int
-	reportedAt    time.Time
-	leaving       bool
-	gone          bool
-	ejected       bool
-	backoffUntil  time.Time
+	// reportedAt is when the server measured that load.
+	reportedAt time.Time
+	// leaving is true if the list or a report says that the server is leaving;
+	// Server.Leaving holds only what the list says.
+	leaving bool
+	// gone is true if the list no longer has the server.
+	gone         bool
+	ejected      bool
+	backoffUntil time.Time
 	// wakeAt is the earliest pending wake; zero for none.
 	wakeAt time.Time
+	// isFree is true if the server is in the free sets of its pools.
 	isFree bool
 }
 
@@ -183,11 +189,12 @@
 	// duePos is the index in tables.due, or -1.
 	duePos  int
 	arrived time.Time
-	// expected is the wait estimated when the request was queued, at queuedAt; 0
-	// for no estimate.
-	expected time.Duration
-	queuedAt time.Time
+	// expectedWait is the wait estimated when the request was queued, at queuedAt;
+	// 0 for no estimate.
+	expectedWait time.Duration
+	queuedAt     time.Time
 
+	// attempts counts the dispatched attempts; current is the running one, or nil.
 	attempts AttemptID
 	current  *attempt
 	// firstAttempt is part of the row to save an allocation.
@@ -195,7 +202,8 @@
 	// held is the completed attempt whose answer is held back for its rating; 0
 	// for none.
 	held AttemptID
-	// tried are the servers whose attempts ended without an answer.
+	// tried are the servers whose attempts ended without an answer; crashes counts
+	// the attempts that crashed their server.
 	tried   []*server
 	crashes int
 	// mayHaveRun is true if a backend server may have run the request; it is then
@@ -210,10 +218,13 @@
 type requestState uint8
 
 const (
+	// stateArrived: not queued yet, or just removed from its queue.
 	stateArrived requestState = iota
 	stateQueued
+	// stateParked: waiting outside the queues; see park.
 	stateParked
 	stateRunning
+	// stateHeld: complete, with the answer held back for its rating.
 	stateHeld
 	stateEnded
 )
--- a/decision/wait.go
+++ b/decision/wait.go
@@ -8,6 +8,8 @@
 	return time.Duration(float64(w.rawWait(r)) * r.bias())
 }
 
+// bias is the correction factor for the estimated waits of the request's team in
+// its pool.
 func (r *request) bias() float64 {
 	if r.pool == nil || r.team == nil {
 		return 1
@@ -95,9 +97,9 @@
 // recordWait records the estimated and the actual wait of a request, whether it got
 // a slot or was ended without one.
 func (w *World) recordWait(r *request) {
-	if r.expected > 0 {
-		r.pool.flow(r.team).bias.learn(r.expected, w.now.Sub(r.queuedAt))
-		r.expected = 0
+	if r.expectedWait > 0 {
+		r.pool.flow(r.team).bias.learn(r.expectedWait, w.now.Sub(r.queuedAt))
+		r.expectedWait = 0
 	}
 }
 
