--- a/decision/passthrough/canary_test.go
+++ b/decision/passthrough/canary_test.go
@@ -15,8 +15,8 @@
 	return h
 }
 
-func canaryUpdate(first bool) RolloutUpdated {
-	return RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.2, FirstHalf: first}}
+func canaryUpdate(firstHalf bool) RolloutUpdated {
+	return RolloutUpdated{Rollout{Order: Order{Service: "llm", Target: "v2"}, Phase: PhaseCanary, Share: 0.2, FirstHalf: firstHalf}}
 }
 
 // TestCanaryGetsItsShareByRolloutPosition guards against a canary that gets requests whose
--- a/decision/passthrough/config_test.go
+++ b/decision/passthrough/config_test.go
@@ -34,9 +34,9 @@
 // their weights state.
 func TestPickServiceByWeight(t *testing.T) {
 	r := Route{Backends: []Backend{{"a", 90}, {"none", 0}, {"b", 10}}}
-	for at, want := range map[float64]string{0: "a", 0.89: "a", 0.91: "b", 0.999: "b"} {
-		if got := r.PickService(at); got != want {
-			t.Errorf("%v: %s, want %s", at, got, want)
+	for draw, want := range map[float64]string{0: "a", 0.89: "a", 0.91: "b", 0.999: "b"} {
+		if got := r.PickService(draw); got != want {
+			t.Errorf("%v: %s, want %s", draw, got, want)
 		}
 	}
 	if (&Route{}).PickService(0.5) != "" {
--- a/decision/passthrough/prefill.go
+++ b/decision/passthrough/prefill.go
@@ -119,8 +119,8 @@
 // forecastScale is the factor that makes forecasts right in the mean, from the accuracy of earlier
 // ones.
 func forecastScale(accuracy *ratio) float64 {
-	const right, priorSeconds = 1.0, 1.0 // until there are responses
-	return min(max(accuracy.value(right, priorSeconds), minScale), maxScale)
+	const priorRatio, priorSeconds = 1.0, 1.0 // until there are responses
+	return min(max(accuracy.value(priorRatio, priorSeconds), minScale), maxScale)
 }
 
 // beginPrefill adds a request's prompt to the backlog of the server that it is sent to.
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -12,10 +12,10 @@
 	o := Order{Service: "llm", Target: "v2", Duration: 24 * time.Second}
 	limit := ExposureLimit{Share: 0.15, Tolerance: 30}
 	tests := []struct {
-		at    time.Duration
-		bad   bool
-		phase Phase
-		first bool
+		at        time.Duration
+		bad       bool
+		phase     Phase
+		firstHalf bool
 	}{
 		{0, false, PhaseCanary, true},
 		{11 * time.Second, false, PhaseCanary, true},
@@ -27,7 +27,7 @@
 	}
 	for _, tt := range tests {
 		r := PlanRollout(o, testStart, tt.at, limit, Counts{Good: 10}, Counts{Good: 500}, tt.bad)
-		if r.Phase != tt.phase || r.FirstHalf != tt.first {
+		if r.Phase != tt.phase || r.FirstHalf != tt.firstHalf {
 			t.Errorf("%v bad %v: phase %v, first half %v", tt.at, tt.bad, r.Phase, r.FirstHalf)
 		}
 		if r.Phase == PhaseCanary && r.Share > limit.Share {
--- a/decision/passthrough/subset.go
+++ b/decision/passthrough/subset.go
@@ -29,8 +29,8 @@
 // position is this instance's position among its neighbours for a key, from 0.
 func (n *neighbours) position(key uint64) int {
 	own, before := mix(n.own^key), 0
-	for _, name := range n.hashes {
-		if mix(name^key) > own {
+	for _, hash := range n.hashes {
+		if mix(hash^key) > own {
 			before++
 		}
 	}
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -107,13 +107,13 @@
 // roll-out is in progress.
 func (w *World) observeAttempt(r *request, s *server, e AttemptEnded) {
 	o := Observation{Service: r.service.name, Route: r.Route.Name, Version: s.Version, Bad: e.Result == Failed || e.ConnectionLost, ConnectionLost: e.ConnectionLost, Server: s.ID}
-	first, at := r.firstByte, r.loadLevel
+	first, level := r.firstByte, r.loadLevel
 	if first == 0 {
-		first, at = w.now.Sub(r.sent), loadLevelOf(s.reported) // no first byte: a lower bound
+		first, level = w.now.Sub(r.sent), loadLevelOf(s.reported) // no first byte: a lower bound
 	}
-	o.FirstByte = w.compareWithBaseline(s, w.firstByteBaseline(r), at, first)
+	o.FirstByte = w.compareWithBaseline(s, w.firstByteBaseline(r), level, first)
 	if !r.intervalReported {
-		o.EventInterval = w.compareWithBaseline(s, r.service.intervals.baseline(r.model), at, e.EventInterval)
+		o.EventInterval = w.compareWithBaseline(s, r.service.intervals.baseline(r.model), level, e.EventInterval)
 	}
 	w.emitObservation(o)
 }
@@ -144,17 +144,17 @@
 // compareWithBaseline returns the statistics of one response's time relative to the old version's
 // at a similar load; they are empty without a baseline. If the server has the old version, the time
 // is added to the baseline.
-func (w *World) compareWithBaseline(s *server, baseline *baselineTimes, at loadLevel, took time.Duration) LogRatioStats {
+func (w *World) compareWithBaseline(s *server, baseline *baselineTimes, level loadLevel, took time.Duration) LogRatioStats {
 	var out LogRatioStats
 	if took <= 0 {
 		return out
 	}
 	x := math.Log(took.Seconds())
-	if baselineLog, ok := baseline.at(at); ok {
+	if baselineLog, ok := baseline.at(level); ok {
 		out.add(x - baselineLog)
 	}
 	if !w.runsTarget(s) && !w.revertedVersions[versionKey{s.Service, s.Version}] {
-		baseline.add(at, x)
+		baseline.add(level, x)
 	}
 	return out
 }
