--- a/decision/passthrough/attempt.go
+++ b/decision/passthrough/attempt.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// retryRefusal returns the reason for which no other attempt may follow, or "" if one may. In that
-// case it spends a retry of the budget, unless no attempt has reached a server yet.
+// retryRefusal returns the reason for which no other attempt may follow, or "" if one may. If one
+// may, it spends a retry of the budget, unless no attempt has reached a server yet.
 func (w *World) retryRefusal(r *request) Reason {
 	switch {
 	case !r.Deadline.After(w.now):
--- a/decision/passthrough/baseline.go
+++ b/decision/passthrough/baseline.go
@@ -14,7 +14,7 @@
 	runningDivisors = [...]int{8, 2}
 )
 
-// loadLevel is the number of steps that a reported load has reached.
+// loadLevel counts how many of waitingSteps and of runningDivisors a reported load has reached.
 type loadLevel struct{ waiting, running int }
 
 // loadLevelOf returns the level of a reported load.
@@ -36,14 +36,14 @@
 // minBaselineCount is how many responses of the old version make a baseline.
 const minBaselineCount = 4
 
-// baselineTimes are the mean logarithms of the old version's times in seconds, by load.
+// baselineTimes are the mean logarithms of the old version's times in seconds, by load level.
 type baselineTimes [len(waitingSteps) + 1][len(runningDivisors) + 1]movingAverage
 
 // add adds a time of the old version.
 func (b *baselineTimes) add(l loadLevel, x float64) { b[l.waiting][l.running].add(x) }
 
-// at is the baseline at a load, or at the next higher load with enough responses: that can only
-// make a version look faster than it is, never slower.
+// at is the baseline at a load level, or at the next higher one with enough responses: a higher
+// load can only make a version look faster than it is, never slower.
 func (b *baselineTimes) at(l loadLevel) (baseline float64, ok bool) {
 	for waiting := l.waiting; waiting < len(b); waiting++ {
 		for running := l.running; running < len(b[waiting]); running++ {
--- a/decision/passthrough/budget.go
+++ b/decision/passthrough/budget.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// budgetBuckets is the number of buckets of the budget's window. A bucket leaves
-// the window as a whole, so requests and retries count for up to a tenth less than the window;
-// RetryRatio is configured with a margin for that.
+// budgetBuckets is the number of buckets of the budget's window. A bucket leaves the window as a
+// whole, so requests and retries count for up to a tenth less than the window; RetryRatio is
+// configured with a margin for that.
 const budgetBuckets = 10
 
 // RetryBudget bounds the attempts at one service beyond the first of each request.
@@ -16,9 +16,10 @@
 	ratio       float64
 	slack       float64
 	bucketWidth time.Duration
-	bucket      int64
-	requests    [budgetBuckets]int
-	retries     [budgetBuckets]int
+	// bucket is the number of the current bucket, counted from the Unix epoch.
+	bucket   int64
+	requests [budgetBuckets]int
+	retries  [budgetBuckets]int
 }
 
 // assumedFleetSize is the assumed number of instances that share the slack until they are counted:
@@ -94,8 +95,9 @@
 const (
 	// optionalReserve is what must remain in the budget for an optional retry, as retries of
 	// failures come first. If optionalReserveFraction of the retries that the window allows is
-	// less, that is the reserve instead, but at least one retry. It keeps optional retries possible
-	// for an instance with few requests, each of which adds most of a retry to the budget.
+	// less, that is the reserve instead, but at least one retry. The smaller reserve keeps optional
+	// retries possible for an instance with few requests, each of which adds most of a retry to the
+	// budget.
 	optionalReserve         = 3.0
 	optionalReserveFraction = 0.2
 )
--- a/decision/passthrough/cascade.go
+++ b/decision/passthrough/cascade.go
@@ -4,7 +4,7 @@
 
 // routeStats are statistics of a route's responses.
 type routeStats struct {
-	// firstByte is the usual time to the first byte, by model index.
+	// firstByte is the old version's time to the first byte, by model index.
 	firstByte map[int]*baselineTimes
 	// responseTime is the mean time from a request's arrival to the end of its response, in
 	// seconds.
@@ -26,7 +26,8 @@
 	return seconds(factor * w.statsOf(route.Name).responseTime.value)
 }
 
-// firstByteBaseline is the usual time to the first byte of responses like the request's.
+// firstByteBaseline is the old version's time to the first byte on the request's route, with the
+// request's model.
 func (w *World) firstByteBaseline(r *request) *baselineTimes {
 	return entryFor(&w.statsOf(r.Route.Name).firstByte, r.model)
 }
@@ -91,9 +92,9 @@
 	return r.attempts >= r.Route.MaxAttempts || !r.Route.Retryable()
 }
 
-// ConfidenceThreshold is the confidence below which the response that has begun is to be
-// dropped, as long as nothing of it was forwarded, and the attempt to be ended as Dropped; 0
-// to keep any response. As engines fill up, only the weakest responses are dropped.
+// ConfidenceThreshold is the confidence below which a response that has begun is to be dropped
+// and its attempt to be ended as Dropped, as long as nothing of it was forwarded; 0 to keep any
+// response. As engines fill up, only the weakest responses are dropped.
 //
 // Load: a burst that begins while responses of the smallest model are in flight. Harm
 // prevented: half of them dropped by what was known when their requests were sent, so that
--- a/decision/passthrough/config.go
+++ b/decision/passthrough/config.go
@@ -79,7 +79,8 @@
 	HasPriority bool
 }
 
-// Limits bounds the size of what a caller sends and the time that it takes for it.
+// Limits bounds the size of callers' requests, the time that callers may take to send the
+// headers, and the time for which they may leave a connection idle.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
--- a/decision/passthrough/counts.go
+++ b/decision/passthrough/counts.go
@@ -4,8 +4,8 @@
 type Counts struct {
 	Good int
 	Bad  int
-	// FirstByte and EventInterval compare the times of its responses with the old version's
-	// baseline.
+	// FirstByte and EventInterval compare the times of the version's responses with the old
+	// version's baseline.
 	FirstByte     LogRatioStats
 	EventInterval LogRatioStats
 }
@@ -28,8 +28,8 @@
 	return Counts{Good: c.Good + o.Good, Bad: c.Bad + o.Bad, FirstByte: c.FirstByte.plus(o.FirstByte), EventInterval: c.EventInterval.plus(o.EventInterval)}
 }
 
-// since returns what was added after an earlier state. An instance that restarts counts
-// from zero again; what it had counted before is then left out.
+// since returns what was added after an earlier state. A count may be lower than in that state,
+// as an instance that restarts counts from zero again; its difference is then 0.
 func (c Counts) since(o Counts) Counts {
 	return Counts{Good: max(c.Good-o.Good, 0), Bad: max(c.Bad-o.Bad, 0), FirstByte: c.FirstByte.since(o.FirstByte), EventInterval: c.EventInterval.since(o.EventInterval)}
 }
--- a/decision/passthrough/crashes.go
+++ b/decision/passthrough/crashes.go
@@ -9,8 +9,8 @@
 const (
 	// crashThreshold is how many backend servers a request must seem to have crashed
 	// to be quarantined. One or two lost connections in a row are common where
-	// responses get lost; three of the same request, without a response in between, are
-	// not.
+	// responses get lost; three of the same request, without a completed response in
+	// between, are not.
 	crashThreshold = 3
 	// crashMemory is how long a crash counts. A request that crashes servers is sent again within
 	// seconds; one whose connections broke for other reasons must not be refused for long.
@@ -49,7 +49,7 @@
 	c.entries.Add(fingerprint, crashEntry{count: entry.count + count, at: now})
 }
 
-// forget drops the count of a request once a backend server has responded to it.
+// forget drops the count of a request once one of its attempts has completed.
 func (c *crashes) forget(fingerprint uint64) { c.entries.Remove(fingerprint) }
 
 // quarantined reports whether the request must not run any more.
--- a/decision/passthrough/dispatch.go
+++ b/decision/passthrough/dispatch.go
@@ -60,10 +60,11 @@
 )
 
 // firstByteTimeout is how long an attempt may take to its first byte before another
-// server is tried.
+// server is tried; 0 for no bound of its own.
 //
 // Load: a server that hangs or is down. Harm prevented: a caller who waits for it to
-// the deadline. Only requests that may run again time out this way.
+// the deadline. Only plain requests that may run again, and have another attempt left,
+// time out this way.
 func firstByteTimeout(r *request) time.Duration {
 	if r.Route.Kind != KindIdempotent || r.attempts >= r.Route.MaxAttempts {
 		return 0
--- a/decision/passthrough/drain.go
+++ b/decision/passthrough/drain.go
@@ -47,8 +47,8 @@
 
 // serverLost records that a server could not be reached or lost a connection: it may restart at
 // any moment. If several servers of a failure domain are lost and none there responds, the
-// whole domain is assumed to restart: most instances have not tried each of its servers
-// meanwhile.
+// whole domain is assumed to restart, as most instances have not tried each of its servers by
+// then.
 func (w *World) serverLost(s *server) {
 	if s.service.slowStart.span <= 0 {
 		return
--- a/decision/passthrough/escalation.go
+++ b/decision/passthrough/escalation.go
@@ -1,6 +1,6 @@
 package passthrough
 
-// confidenceBuckets is the number of buckets of confidence, each of which learns by itself.
+// confidenceBuckets is the number of buckets of confidence, each of which has its own counts.
 const confidenceBuckets = 20
 
 // escalationStats counts, for a route, the responses of a middle model requested after the
@@ -67,7 +67,7 @@
 	}
 }
 
-// learnEscalation records whether a middle model was confident.
+// learnEscalation records whether a middle model, if the response is from one, was confident.
 func (w *World) learnEscalation(r *request, confidence float64) {
 	if r.nextModel > 0 && r.model == r.nextModel && r.model < len(r.Route.Models)-1 && confidence >= 0 {
 		w.statsOf(r.Route.Name).escalation.learn(r.droppedConfidence, confidence >= minConfidence)
--- a/decision/passthrough/events.go
+++ b/decision/passthrough/events.go
@@ -145,7 +145,8 @@
 	Model string
 	// FirstByteTimeout bounds the time to the first byte; 0 for no bound of its own.
 	FirstByteTimeout time.Duration
-	// Load is the server's forecast load, LoadAge the age of its last report; for the log.
+	// Load is the server's forecast load with this request, LoadAge the age of the server's last
+	// report, 0 if there is none; for the log.
 	Load    int
 	LoadAge time.Duration
 	// Limit is the server's known rate limit, for the log.
@@ -153,8 +154,8 @@
 	// PrefillWait is how long the prompt is expected to wait at the server for other prompts.
 	PrefillWait time.Duration
 	// Utilization is the forecast fraction of the service's slots that are taken,
-	// MeanPrefillWait the mean wait at its servers, and RetriesLeft the rest of the retry
-	// budget: the inputs to the choice of the model.
+	// MeanPrefillWait the mean wait of prompts at its servers, and RetriesLeft the rest of the
+	// retry budget: the inputs to the choice of the model.
 	Utilization     float64
 	MeanPrefillWait time.Duration
 	RetriesLeft     float64
@@ -183,7 +184,7 @@
 	// ConnectionLost is true if the connection broke, as it does when Server crashes.
 	ConnectionLost bool
 	Server         string
-	// TimingOnly is true if the response is not counted as good or bad; its times are.
+	// TimingOnly is true if only the response's times count, not whether it is good or bad.
 	TimingOnly bool
 	// FirstByte and EventInterval compare the times of the target version's responses with the
 	// old version's.
@@ -213,7 +214,7 @@
 )
 
 // SlowStartBegun reports that servers enter slow start: one, or all of a failure domain if Server
-// is empty.
+// is empty. Servers is their number, Duration the longest of their slow starts.
 type SlowStartBegun struct {
 	Server   string
 	Domain   string
--- a/decision/passthrough/evidence.go
+++ b/decision/passthrough/evidence.go
@@ -8,7 +8,8 @@
 	Old Counts
 }
 
-// Add counts one response, as the new version's if it is of the target version.
+// Add counts one response: as the new version's if it came from the target version, else as the
+// old one's.
 func (c VersionCounts) Add(o Observation, target string) VersionCounts {
 	if o.Version == target {
 		c.New = c.New.Add(o)
@@ -74,7 +75,8 @@
 	return e.bad
 }
 
-// recentCounts returns the counts of the recentWindow.
+// recentCounts returns the counts that were added since the last evaluation that is at least
+// recentWindow old, or since the first evaluation if none is.
 func (e *Evidence) recentCounts(now time.Time, sums map[string]VersionCounts) map[string]VersionCounts {
 	for len(e.past) > 1 && now.Sub(e.past[1].at) >= recentWindow {
 		e.past = e.past[1:]
--- a/decision/passthrough/filter.go
+++ b/decision/passthrough/filter.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// overcommit is how many requests beyond its slots a plain server is given: one that
-// waits there starts as soon as a slot is free.
+// overcommit is how many requests beyond its slots a plain server is given: a request
+// that waits there starts as soon as a slot is free.
 const overcommit = 1
 
 // candidates lists the servers that may take the request and have a free slot. It leaves
--- a/decision/passthrough/headroom.go
+++ b/decision/passthrough/headroom.go
@@ -53,7 +53,7 @@
 }
 
 // occupancyOf sums up the views of a service's servers, from this instance's own knowledge. That
-// is later and less complete than the peers' load reports, but its errors are steady, and the
+// is older and less complete than the peers' load reports, but its errors are steady, and the
 // bounds on the use of the largest model allow for them. The peers' reports change with each
 // prompt: with them more prompts leave their failure domain and more weak responses are kept.
 func occupancyOf(s *service, views []serverView) occupancy {
--- a/decision/passthrough/inactivity.go
+++ b/decision/passthrough/inactivity.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Inactivity is how long an attempt that may run again elsewhere, and its server, have
-// been idle.
+// Inactivity is how long an attempt, whose request may run again elsewhere, and its server
+// have been idle.
 type Inactivity struct {
 	Route *Route
 	// FirstByteTimeout is that of the dispatch; 0 for no bound of its own.
@@ -32,11 +32,11 @@
 	maxServerIdle      = 3 * time.Second
 	// prefillAllowance is allowed in addition for each prompt token: a large model
 	// processes 19 tokens per millisecond by itself, and less than half of that among
-	// other prompts. Without it every attempt with one of the largest prompts, of 50,000
-	// tokens, would time out.
+	// other prompts. Without the allowance every attempt with one of the largest prompts, of
+	// 50,000 tokens, would time out.
 	prefillAllowance = 120 * time.Microsecond
-	// firstByteFactor is how many times the target latency the first byte may take in any
-	// case.
+	// firstByteFactor is how many times the target latency the first byte may take, besides
+	// the prefillAllowance, even if the server is active on other attempts.
 	firstByteFactor = 2
 )
 
--- a/decision/passthrough/intervals.go
+++ b/decision/passthrough/intervals.go
@@ -30,10 +30,11 @@
 	departures departureMeter
 }
 
-// average is the mean event interval of a model in seconds; baseline is the mean logarithm
-// of the old version's, by load.
+// average is the mean event interval of a model in seconds, without the version that is being
+// rolled out.
 func (p *intervalStats) average(model int) *movingAverage { return entryFor(&p.perModel, model) }
 
+// baseline is the baseline of a model's event intervals.
 func (p *intervalStats) baseline(model int) *baselineTimes { return entryFor(&p.baselines, model) }
 
 // entryFor returns the map's entry for a model index, and creates it if needed.
@@ -70,7 +71,7 @@
 	d.rate += part * (1/gap.Seconds() - d.rate)
 }
 
-// wait estimates how long it takes until count requests have left.
+// wait estimates how long it takes for count requests to leave.
 func (d *departureMeter) wait(count int) time.Duration {
 	const minRate = 1.0 // per second: after a pause the rate is assumed to be no lower
 	return seconds(float64(count) / max(d.rate, minRate))
--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -3,9 +3,10 @@
 import "math"
 
 const (
-	// boundFactor and boundSlack bound how far a server may be above the mean load and still
-	// be preferred for its cache. A batch that is a third larger costs a few per cent of each
-	// token; repeating the prefill of a prompt costs hundreds of milliseconds.
+	// boundFactor and boundSlack, in requests, bound how far a server may be above the mean
+	// load and still be preferred for its cache. A batch that is a third larger makes each
+	// token a few per cent slower; repeating the prefill of a prompt costs hundreds of
+	// milliseconds.
 	boundFactor = 1.35
 	boundSlack  = 3
 )
@@ -37,8 +38,8 @@
 }
 
 // pickByPrefix prefers the server with the highest hash score among those within the load bound, in
-// this instance's failure domain if there is time for that. If none is within the bound, it takes
-// the least loaded.
+// this instance's failure domain if staysLocal says so and a server there is within the bound. If no
+// server is within the bound, it takes the least loaded.
 func (w *World) pickByPrefix(r *request, list []serverView, occ occupancy) serverView {
 	maxWeight, meanWait := loadBound(list), meanPrefillWait(list)
 	keepLocal := staysLocal(r, occ.prefillWait)
@@ -108,9 +109,10 @@
 // prevented: the cost of that traffic, a thirtieth of the value of their responses; and, if
 // engines are behind with prefill, the prefill of each shared prefix repeated in every failure
 // domain. In that case all requests of a prefix go to the server that the hash selects over
-// all domains, which has the prefix cached already, as it is also the one of its own domain.
-// So do long prompts for a larger model, whose prefill is ten times as slow as the smallest's,
-// however idle the engines are: an engine generates nothing for others meanwhile.
+// all domains. That server has the prefix cached already, as the hash also selects it within its
+// own domain. Prompts with long prefixes go there too if they are for a larger model, whose prefill
+// is ten times as slow as the smallest's, however idle the engines are: an engine generates nothing
+// for others meanwhile.
 func staysLocal(r *request, wait float64) bool {
 	repeatedPrefill := r.service.prefill.perToken(r.nextModel) * float64(r.PrefixTokens)
 	if repeatedPrefill > maxRepeatedPrefill {
--- a/decision/passthrough/prefill.go
+++ b/decision/passthrough/prefill.go
@@ -119,7 +119,7 @@
 // forecastScale is the factor that makes forecasts right in the mean, from the accuracy of earlier
 // ones.
 func forecastScale(accuracy *ratio) float64 {
-	const priorRatio, priorSeconds = 1.0, 1.0 // until there are responses
+	const priorRatio, priorSeconds = 1.0, 1.0 // unscaled until there are responses
 	return min(max(accuracy.value(priorRatio, priorSeconds), minScale), maxScale)
 }
 
@@ -152,15 +152,16 @@
 	}
 }
 
-// overdueAfter is how long after a response was due its absence shows that the engine is behind.
+// overdueAfter is how long a response must be overdue to show that its engine is behind.
 const overdueAfter = 150 * time.Millisecond
 
 // prefillRemaining is how many seconds of this instance's prefill the server still has to do. Each
-// prompt's part shrinks until its response is due, and counts in full again once that is overdue.
+// prompt's part shrinks until its response is due, and counts in full again once the response is
+// overdueAfter late.
 //
-// Load: prompts of tenths of a second, most of which are partly processed. Harm prevented: engines
-// that look twice as busy as they are, as prompts would count in full; and unresponsive ones that
-// look idle, as overdue prompts would not count.
+// Load: prompts with tenths of a second of prefill, most of which are partly processed. Harm
+// prevented: engines that look twice as busy as they are, as prompts would count in full; and
+// unresponsive ones that look idle, as overdue prompts would not count.
 func (s *server) prefillRemaining(now time.Time) float64 {
 	sum := 0.0
 	for _, r := range s.prefilling {
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -16,10 +16,12 @@
 	group    fair.Group
 	accounts map[string]*fair.Account
 	classes  []*priorityClass
-	turn     int
-	len      int
+	// turn counts the requests taken, for lowPriorityTurn.
+	turn int
+	len  int
 }
 
+// priorityClass holds the requests of one priority, by team.
 type priorityClass struct {
 	priority int
 	queue    fair.Queue[*queueEntry]
@@ -33,8 +35,9 @@
 	class   *priorityClass
 }
 
-// lowPriorityTurn is the interval at which a slot goes to the lowest priority first, so that
-// a long burst at higher priorities delays it but does not starve it.
+// lowPriorityTurn is the interval, in requests taken from the queue, at which a slot goes to
+// the lowest priority first, so that a long burst at higher priorities delays it but does not
+// starve it.
 const lowPriorityTurn = 8
 
 func (q *queue) push(r *request, cost float64) {
@@ -88,7 +91,7 @@
 	return count
 }
 
-// class returns the requests of a priority, which it adds if needed; q.classes is sorted by
+// class returns the class of a priority, and adds it if needed; q.classes is sorted by
 // priority.
 func (q *queue) class(priority int) *priorityClass {
 	at := 0
@@ -160,8 +163,8 @@
 // for once its target time has passed.
 const lateWaitFraction = 0.25
 
-// timeLeft is the time from now until the request's target time; once that has passed, a
-// fraction of the time until the deadline.
+// timeLeft is the time from now until the request's target time, or its deadline if that is
+// earlier; once that has passed, a fraction of the time until the deadline.
 func (r *Request) timeLeft(now time.Time) time.Duration {
 	left := min(r.TargetTime.Sub(now), r.Deadline.Sub(now))
 	if left <= 0 {
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -6,8 +6,9 @@
 )
 
 // An overloaded server states how many requests per second it accepts from all instances together. A
-// subset of the instances sends to it, each a fixed part of the limit enforced by a token bucket;
-// the others send nothing. An instance that learns of a limit reports it to the others.
+// subset of the instances sends to it, or all if they are few, each a fixed part of the limit
+// enforced by a token bucket; the others send nothing. An instance that learns of a limit reports it
+// to the others.
 
 const (
 	// limitUtilization is the fraction of a limit that is used: for a moment the instances may
@@ -26,8 +27,8 @@
 	// least size of the bucket in requests.
 	limitBurstDuration = 500 * time.Millisecond
 	minLimitBurst      = 1.0
-	// limitProbeRate is how many requests per second go to a server whose limit is lower or zero:
-	// only a response can show that the limit has risen.
+	// limitProbeRate is used as the limit, in requests per second, of a server whose limit is lower
+	// or zero: only a response can show that the limit has risen.
 	limitProbeRate = 0.05
 	// limitStaleAfter is the time without a statement of a limit to any instance after which another
 	// subset takes over, as all instances of the current one may be gone. The time in which each of
@@ -124,7 +125,8 @@
 	return max(int(perSecond/limitPerInstance)+1, minLimitSubset)
 }
 
-// usedLimit is how many requests per second all instances together send to a server with the limit.
+// usedLimit is how many requests per second all instances together may send to a server with the
+// limit.
 func usedLimit(perSecond float64) float64 { return limitUtilization * max(perSecond, limitProbeRate) }
 
 // limitRotation counts how often the subset has been replaced since the server last stated its
@@ -225,7 +227,7 @@
 const never = time.Duration(math.MaxInt64)
 
 // limitWait is how long the request waits for its turn if all servers that may take it are limited;
-// ok is false if one is not.
+// ok is false if any of them is not.
 func (w *World) limitWait(r *request) (wait time.Duration, ok bool) {
 	if len(w.limitedServers) == 0 {
 		return 0, false
@@ -251,7 +253,7 @@
 
 // tokenBucket lets a rate of requests through, and a short burst after a pause.
 type tokenBucket struct {
-	// rate is in tokens per second.
+	// rate is in tokens per second; tokens is their number at the time at.
 	rate   float64
 	tokens float64
 	at     time.Time
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -34,7 +34,7 @@
 // longer than the mean.
 const durationFactor = 1.3
 
-// outlivesInstance reports whether the response would be cut off as this instance stops.
+// outlivesInstance reports whether the response would probably be cut off when this instance stops.
 //
 // Load: an instance that is stopping and still gets requests until the load balancer notices, among
 // them streams as long as its whole grace period. Harm prevented: a stream that is cut off
@@ -46,8 +46,8 @@
 	return w.now.Add(w.expectedDuration(r.Route, durationFactor)).After(w.endsAt)
 }
 
-// throttled counts the request, and reports whether it is refused because its service rejects too
-// many.
+// throttled counts the request, and reports whether it is refused because its service's servers
+// reject too many.
 func (w *World) throttled(r *request) bool {
 	t := &r.service.throttle
 	if r.service.engine {
--- a/decision/passthrough/rollout.go
+++ b/decision/passthrough/rollout.go
@@ -32,14 +32,15 @@
 	Phase Phase
 	// Share is the fraction of the requests that the new version gets.
 	Share float64
-	// FirstHalf is true while open sessions still stay at the old version.
+	// FirstHalf is true while no request may switch early to the new version, so that open
+	// sessions stay at the old one.
 	FirstHalf bool
 	// CompleteAt is when the roll-out is to be completed; zero if that is not planned. MaxLead
-	// bounds how long before that requests may already go to the new version.
+	// bounds how long before CompleteAt all requests may already go to the new version.
 	CompleteAt time.Time
 	MaxLead    time.Duration
-	// Held is true if the roll-out's time is over, but the evidence shows the new version
-	// neither to be good nor to be bad.
+	// Held is true if the roll-out's time is over, but the evidence does not show whether the
+	// new version is good or bad.
 	Held bool
 	// CollectingSessions is true while the instances are still reporting to each other which
 	// sessions are open. The new version gets no requests meanwhile.
@@ -53,7 +54,7 @@
 	// maxCollectingTime is how long the instances take to report the open sessions to each other: a
 	// write and a read of each, a second apart.
 	maxCollectingTime = 3 * time.Second
-	// collectingFraction bounds that in short roll-outs, as a fraction of their duration.
+	// collectingFraction bounds that time in short roll-outs, as a fraction of their duration.
 	collectingFraction = 0.2
 	// completionMargin is how long before the deadline the end is written: enough for two tries
 	// at a slow store.
@@ -61,8 +62,8 @@
 	// toleranceFraction is the part of the tolerated number of requests that is used: the
 	// counts of all instances are known a second late.
 	toleranceFraction = 0.6
-	// leadFactor stretches the time for which all requests may go to the new version, as those
-	// of short routes switch later than that.
+	// leadFactor stretches the time for which all requests may go to the new version, as
+	// requests of routes with short responses switch later than the lead allows.
 	leadFactor = 1.35
 	// minBadForVerdict is the least number of bad responses for a verdict: single failures
 	// happen to good versions too.
@@ -80,9 +81,9 @@
 	// a large part of the old version's responses affects about as many of the new one's, and
 	// must not excuse twice as many.
 	maxExcessBad = 0.3
-	// newPriorWeight and oldPriorWeight are the numbers of responses, half a one of them bad,
-	// that are added to the counts of each version: an old version without counts is considered
-	// good.
+	// newPriorWeight and oldPriorWeight are the numbers of prior responses that are added to the
+	// counts of the two versions, half a bad response among them: an old version without counts
+	// is considered good.
 	newPriorWeight = 1
 	oldPriorWeight = 10
 )
@@ -126,8 +127,8 @@
 	return p.bad >= minBad && p.smoothed(newPriorWeight) > min(badFloor+badFactor*oldRatio, oldRatio+maxExcessBad)
 }
 
-// smoothed is the ratio of bad responses with prior responses added, half a one of them bad, so
-// that a few responses have little weight.
+// smoothed is the ratio of bad responses with the given number of prior responses added, half a
+// bad response among them, so that a few responses have little weight.
 func (p proportion) smoothed(prior float64) float64 {
 	return (float64(p.bad) + 0.5) / (float64(p.total) + prior)
 }
@@ -180,7 +181,7 @@
 // by some ten responses.
 const maxSuspects = 40
 
-// suspectCount is the number of responses that would be bad if the version is.
+// suspectCount is the number of responses that count as bad if the version turns out to be bad.
 func (c Counts) suspectCount() int { return c.Bad + c.EventInterval.Slow }
 
 // leadTime is how long before the end all requests may go to the new version, so that it stays
--- a/decision/passthrough/seam/seam.go
+++ b/decision/passthrough/seam/seam.go
@@ -1,5 +1,6 @@
-// Package seam is the interface between a platform adapter and the router's edge: plain
-// types that are independent of the platform. An adapter converts between them and the
+// Package seam holds the types that a platform adapter and the package
+// router/internal/passthrough, whose Handler serves callers' requests, exchange with each
+// other. They are independent of the platform. An adapter converts between them and the
 // platform's messages, and makes no decisions.
 package seam
 
@@ -52,7 +53,7 @@
 	RequestID string
 	// Signed is true if the server signed the response.
 	Signed bool
-	// NotRun is true if the server has not run the request.
+	// NotRun is true if the server states that it has not run the request.
 	NotRun bool
 	// Misdirected is true if another server now has the address.
 	Misdirected bool
--- a/decision/passthrough/seam/settings.go
+++ b/decision/passthrough/seam/settings.go
@@ -31,7 +31,8 @@
 
 // Bounds are the limits that the platform holds its services to.
 type Bounds struct {
-	// RevocationDelay bounds how long a key works after a configuration without it.
+	// RevocationDelay bounds how long an API key still works after a configuration without it
+	// has been written.
 	RevocationDelay time.Duration
 	// Drain is how long a leaving backend server may still get requests.
 	Drain time.Duration
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// rebuildIndexes rebuilds the services' server lists, in the order of list, and the keys.
+// rebuildIndexes rebuilds the services' server lists, in the order of list, and serversByKey.
 func (w *World) rebuildIndexes(list []Server) {
 	for _, s := range w.services {
 		s.servers = s.servers[:0]
--- a/decision/passthrough/sessions.go
+++ b/decision/passthrough/sessions.go
@@ -32,7 +32,7 @@
 		return true
 	}
 	if r.version != "" {
-		return r.version == ro.Target // it has begun, maybe before the roll-out was ordered
+		return r.version == ro.Target // sent before, maybe before the roll-out was ordered
 	}
 	if r.Session == "" {
 		return r.RolloutPosition < ro.Share
--- a/decision/passthrough/slowstart.go
+++ b/decision/passthrough/slowstart.go
@@ -8,8 +8,8 @@
 // A server that has just started can take few requests, and may crash if it gets more. That limit
 // holds for all instances together, so a subset of them sends to the server, each a fixed part.
 //
-// A part of the rate for each instance would not do, as 58 instances exceed the limit by one request
-// each; nor would a lease on each server in the store, which responds too late in an outage.
+// A part of the rate for each instance would not do, as 58 instances exceed the limit with a single
+// request each; nor would a lease on each server in the store, which responds too late in an outage.
 
 const (
 	// slowStartSubset is how many instances send to a server in slow start: a single one could be
@@ -25,7 +25,7 @@
 	// late, read by one instance, and passed on from there.
 	restartReportDelay = 2 * time.Second
 	// domainLostThreshold is how many servers of a failure domain must be lost, without a response
-	// from any other there, for the whole domain to be considered lost.
+	// from any server there meanwhile, for the whole domain to be considered lost.
 	domainLostThreshold = 3
 )
 
--- a/decision/passthrough/tables.go
+++ b/decision/passthrough/tables.go
@@ -48,7 +48,8 @@
 	health       health
 	// relativeTime is the server's event interval relative to its service's mean.
 	relativeTime movingAverage
-	// hash is that of the server's id, for consistent hashing.
+	// hash is that of the server's id, for the choice by prefix, the subsets of instances, the
+	// canary's servers and the keys in load reports.
 	hash uint64
 	gone bool
 	// drained is true if the server's failure domain gets no new requests.
@@ -92,13 +93,13 @@
 	prefillAlone bool
 	firstByteDue time.Time
 	// ownForecast is the forecast time to the first byte in seconds, before scaling, from this
-	// instance's knowledge; peerForecast is the same from the peers' load reports, set if
-	// usedPeerForecast.
+	// instance's knowledge; peerForecast is the same from the peers' load reports, and counts only
+	// if usedPeerForecast is set.
 	ownForecast      float64
 	peerForecast     float64
 	usedPeerForecast bool
-	// nextModel is the model to request after a smaller one's response was dropped with the
-	// confidence droppedConfidence; 0 if none was.
+	// nextModel is the model to request after a smaller one's response was dropped; 0 if none was.
+	// If it is a middle model, droppedConfidence is the confidence of the dropped response.
 	nextModel         int
 	droppedConfidence float64
 }
--- a/decision/passthrough/throttle.go
+++ b/decision/passthrough/throttle.go
@@ -44,13 +44,13 @@
 	// crowded server. Once a quarter of the responses are of that kind, less is sent, so that
 	// responses come in time and before the server is full.
 	crowdedWeight = 0.4
-	// throttleThreshold is how many recent requests must not have been accepted for any to be
-	// refused: a single one is no sign of a full service.
+	// throttleThreshold is how high the count rejected must be for this instance to refuse
+	// requests: a single rejection is no sign of a full service.
 	throttleThreshold = 2.0
 	// lowPriorityShare is the part of what may be sent that lower priorities get in any case.
 	lowPriorityShare = 1.0 / lowPriorityTurn
-	// connectionLostThreshold is how much must not have been accepted recently for a lost
-	// connection to count too: half of one response of a crowded server.
+	// connectionLostThreshold is how high the count rejected must be for a lost connection to be
+	// added to it: half of what one response of a crowded server adds.
 	connectionLostThreshold = crowdedWeight / 2
 	// throttleTeams bounds the teams that are counted per priority.
 	throttleTeams = 4096
@@ -97,12 +97,13 @@
 	return t.demands[at]
 }
 
-// recordDispatch counts a request that went to a server.
+// recordDispatch counts a request that went to a server as accepted; reject corrects the count.
 func (t *throttle) recordDispatch(now time.Time) { t.accepted.add(now, 1) }
 
-// observeEnd counts a request that a server did not accept. A full server rejects it or resets the
-// connection; but a server that a request has crashed resets it too. So a lost connection counts
-// only if there was another sign of a full service within about the last second.
+// observeEnd counts a request that a server did not accept. A full server rejects the request or
+// resets the connection; but a server that the request has crashed resets it too. So a lost
+// connection counts only if there was another sign of a full service recently: one response of a
+// crowded server counts for about a second, a rejection for about three.
 func (t *throttle) observeEnd(e AttemptEnded, now time.Time) {
 	if e.Result == Rejected || e.ConnectionLost && t.rejected.valueAt(now) >= connectionLostThreshold {
 		t.reject(now, 1)
--- a/decision/passthrough/types.go
+++ b/decision/passthrough/types.go
@@ -62,8 +62,8 @@
 	// PromptTokens and MaxTokens are the size of the request; 0 if unknown.
 	PromptTokens int
 	MaxTokens    int
-	// RolloutPosition is in [0, 1): the request goes to a roll-out's target if it is below
-	// the target's share.
+	// RolloutPosition is in [0, 1): the request goes to a roll-out's target if its position is
+	// below the target's share.
 	RolloutPosition float64
 	// Fingerprint is a hash of path, caller and body.
 	Fingerprint uint64
@@ -88,7 +88,7 @@
 	Failed
 	// Broken: the request may have run, but no complete response came.
 	Broken
-	// Abandoned: the caller no longer waits for the request.
+	// Abandoned: the caller has disconnected, or the request's deadline has passed.
 	Abandoned
 	// Dropped: the response's confidence was too low; none of it was forwarded to the
 	// caller.
@@ -105,7 +105,8 @@
 }
 
 // MayHaveRun reports whether the request may have run at the backend server. All code that
-// refuses a request as not run must use this method.
+// refuses a request as not run must use this method. It is false for Abandoned, which ends a
+// request without a Refuse.
 func (r Result) MayHaveRun() bool {
 	return r == Completed || r == Failed || r == Broken || r == Dropped
 }
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -6,8 +6,9 @@
 )
 
 // LogRatioStats sums up by how much a version's responses were slower than the old version's, as
-// logarithms of the ratios of their times. Their spread distinguishes a mean from chance: a single
-// response tells little, as times to the first byte vary tenfold with the length of prompts.
+// logarithms of the ratios of their times. The spread of the logarithms shows whether their mean
+// could be due to chance: a single response tells little, as times to the first byte vary tenfold
+// with the length of prompts.
 type LogRatioStats struct {
 	N       int     `json:"n"`
 	Sum     float64 `json:"sum"`
@@ -54,8 +55,8 @@
 	minCount int
 	// maxRatio is the allowed mean ratio to the old version's times.
 	maxRatio float64
-	// priorVariance is added to the variance of the logarithms: a few equal ones are no
-	// certainty.
+	// priorVariance is added to the variance of the logarithms, as a few equal ones do not mean
+	// that there is no variance.
 	priorVariance float64
 }
 
--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -9,8 +9,8 @@
 // any other.
 //
 // If no server with that version is listed, the other one takes the request: an instance
-// that has just started may not know yet that the old servers are gone. A bad version gets
-// nothing even then.
+// that has just started may not know yet that the old servers are gone. A reverted version
+// gets nothing even then.
 func (w *World) wantedVersion(r *request, ro *Rollout) string {
 	atTarget, others := w.countVersions(r.service, ro.Target)
 	switch {
@@ -24,7 +24,8 @@
 	return ""
 }
 
-// countVersions counts the servers that stay, at the target version and at others.
+// countVersions counts the servers with the target version and with others, without those that
+// are gone, leaving, drained or of a reverted version.
 func (w *World) countVersions(s *service, target string) (atTarget, others int) {
 	for _, srv := range s.servers {
 		switch {
@@ -40,7 +41,7 @@
 
 // versionFilter returns a function that reports whether a server has the version that the
 // request goes to. A reverted version stays excluded while another one is rolled out, as
-// its servers leave late.
+// its servers may still be listed.
 func (w *World) versionFilter(r *request) func(*server) bool {
 	ro := w.rollouts[r.service.name]
 	if ro == nil {
--- a/decision/passthrough/view.go
+++ b/decision/passthrough/view.go
@@ -6,12 +6,12 @@
 // per decision: with 1,000 servers that is most of a decision's cost.
 type serverView struct {
 	server *server
-	// forecast is what the choice of a server uses: from the peers' load reports if they are
-	// fresh, else equal to own, which is from this instance's knowledge alone.
+	// forecast is what the choice of a server uses. It comes from the peers' load reports if
+	// they are fresh, else it equals own, which comes from this instance's knowledge alone.
 	forecast
 	own forecast
-	// weight is the load that servers are compared by: with one more request, multiplied by the
-	// server's slowdown, plus its prefill wait, which delays all other requests.
+	// weight is what servers are compared by, in requests: the load with one more request,
+	// multiplied by the server's slowdown, plus the prefill wait, which delays all other requests.
 	weight float64
 }
 
@@ -19,12 +19,12 @@
 type forecast struct {
 	// load is the expected number of requests at the server; known is the part that is known.
 	// This instance's requests are known; the others' are as they or the server reported. As a
-	// server's report ages, it is replaced by the mean of the other servers: a server that
-	// reports nothing because it is busy must not look idle.
+	// server's report ages, the mean of the reports of all the service's servers gradually
+	// replaces it: a server that reports nothing because it is busy must not look idle.
 	load  float64
 	known float64
-	// unscaledWait is how long a prompt waits at the server, in seconds, before it is scaled by
-	// the accuracy of earlier forecasts; wait is the scaled time.
+	// unscaledWait is how long a prompt is expected to wait at the server, in seconds; wait is
+	// the same time, scaled by the accuracy of earlier forecasts.
 	unscaledWait float64
 	wait         float64
 }
@@ -33,7 +33,8 @@
 // request, which takes some 50 us of each step of the engine.
 const prefillSecondsPerRequest = 0.06
 
-// viewServers views the service's usable servers. The list is valid until the next call.
+// viewServers returns the views of the service's usable servers. The list is valid until the next
+// call.
 func (w *World) viewServers(s *service) []serverView {
 	in := w.forecastInput(s)
 	w.views = w.views[:0]
@@ -61,7 +62,8 @@
 	// other instances' prompts that wait at a server.
 	reportTTL            time.Duration
 	meanOthersPrefilling float64
-	ownScale             float64
+	// ownScale and peerScale are the forecastScale of ownForecast and of peerForecast.
+	ownScale float64
 	// peersFresh is true if the peers' load reports still count.
 	peersFresh bool
 	peerScale  float64
--- a/decision/passthrough/world.go
+++ b/decision/passthrough/world.go
@@ -42,8 +42,8 @@
 	// revertedVersions are the versions whose roll-out was reverted.
 	revertedVersions map[versionKey]bool
 	sessions         *simplelru.LRU[string, sessionEntry]
-	// keptOnOldVersion are the sessions that stay at the old version during a roll-out's first
-	// half.
+	// keptOnOldVersion are the sessions that stay at the old version, at least through a
+	// roll-out's first half.
 	keptOnOldVersion map[string]bool
 	crashes          crashes
 	routes           map[string]*routeStats
