--- a/decision/passthrough/budget_test.go
+++ b/decision/passthrough/budget_test.go
@@ -34,12 +34,12 @@
 					kept++
 				}
 				if left := b.Remaining(now); left < 0 {
-					t.Errorf("%d requests: %v retries left", count, left)
+					t.Errorf("%d requests: %v retries left, want at least 0", count, left)
 				}
 			}
 		}
 		if part := float64(kept) / float64(weakCount); part > maxKept {
-			t.Errorf("%d requests per window: %d of %d weak responses were kept for lack of budget", count, kept, weakCount)
+			t.Errorf("%d requests per window: %d of %d weak responses were kept for lack of budget, want at most one in 50", count, kept, weakCount)
 		}
 	}
 }
--- a/decision/passthrough/canary_test.go
+++ b/decision/passthrough/canary_test.go
@@ -28,7 +28,7 @@
 		position := float64(i) / 100
 		id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = position })
 		if got, want := h.requireDispatch(id).Server.Version == "v2", position < 0.2; got != want {
-			t.Errorf("rollout position %v: sent to the new version: %v", position, got)
+			t.Errorf("rollout position %v: sent to the new version: %v, want the opposite", position, got)
 		}
 		h.tick(AttemptEnded{Request: id, Result: Completed})
 	}
@@ -55,22 +55,22 @@
 	h.tick(canaryUpdate(true))
 	for i := range 10 {
 		if v := run(fmt.Sprint("open-", i)); v != "v1" {
-			t.Errorf("open session moved to %s", v)
+			t.Errorf("open session moved to %s, want v1", v)
 		}
 		if v := run(fmt.Sprint("new-", i)); v != "v2" {
-			t.Errorf("new session of the canary's share went to %s", v)
+			t.Errorf("new session of the canary's share went to %s, want v2", v)
 		}
 	}
 	h.tick(canaryUpdate(false))
 	for i := range 10 {
 		if v := run(fmt.Sprint("new-", i)); v != "v2" {
-			t.Errorf("session of the new version moved back to %s", v)
+			t.Errorf("session of the new version moved back to %s, want v2", v)
 		}
 	}
 }
 
 // TestNoSessionMovesBeforeTheOpenOnesAreKnown guards against sessions that move to the new
-// version while the instances still exchange the open sessions.
+// version while the instances still report the open sessions to each other.
 func TestNoSessionMovesBeforeTheOpenOnesAreKnown(t *testing.T) {
 	h := newRolloutHarness(t)
 	update := canaryUpdate(true)
@@ -78,7 +78,7 @@
 	h.tick(update)
 	id := h.arrive(streamRoute(), func(r *Request) { r.Session, r.RolloutPosition = "s", 0.01 })
 	if v := h.requireDispatch(id).Server.Version; v != "v1" {
-		t.Errorf("a session that may be open went to %s", v)
+		t.Errorf("a session that may be open went to %s, want v1", v)
 	}
 }
 
@@ -92,12 +92,12 @@
 	there.arrive(streamRoute(), func(r *Request) { r.Session, r.RolloutPosition = "outside", 0.5 })
 	open := there.world.OpenSessions("llm", "v2", 0.2)
 	if len(open) != 1 || open[0] != "s" {
-		t.Fatalf("open sessions in the share: %v", open)
+		t.Fatalf("open sessions in the share: %v, want only s", open)
 	}
 	here.tick(canaryUpdate(true))
 	here.tick(PeerSessions{Sessions: open})
 	if v := here.requireDispatch(here.arrive(streamRoute(), inSession)).Server.Version; v != "v1" {
-		t.Errorf("request moved to version %s", v)
+		t.Errorf("request moved to version %s, want v1", v)
 	}
 }
 
@@ -108,7 +108,7 @@
 	for range count {
 		id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition = 0 })
 		if v := h.requireDispatch(id).Server.Version; v != "v1" {
-			h.t.Fatalf("sent to version %s", v)
+			h.t.Fatalf("sent to version %s, want v1", v)
 		}
 		h.tick(AttemptEnded{Request: id, Result: Completed})
 	}
@@ -159,7 +159,7 @@
 	h.tick(canaryUpdate(true))
 	h.tick(AttemptEnded{Request: id, Result: Dropped})
 	if v := h.requireDispatch(id).Server.Version; v != "v1" {
-		t.Errorf("request moved to version %s", v)
+		t.Errorf("request moved to version %s, want v1", v)
 	}
 }
 
@@ -199,12 +199,12 @@
 		id := h.arrive(streamRoute(), func(r *Request) { r.RolloutPosition, r.PrefixHash = 0.01, uint64(i+1) })
 		d := h.requireDispatch(id)
 		if d.Server.Version != "v2" {
-			t.Fatalf("sent to version %s", d.Server.Version)
+			t.Fatalf("sent to version %s, want v2", d.Server.Version)
 		}
 		seen[d.Server.ID] = true
 		h.tick(AttemptEnded{Request: id, Result: Completed})
 	}
 	if len(seen) != minCanaryServers {
-		t.Errorf("the canary used %d servers", len(seen))
+		t.Errorf("the canary used %d servers, want minCanaryServers", len(seen))
 	}
 }
--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -24,12 +24,12 @@
 	id := h.arrive(streamRoute(), nil)
 	first := h.requireDispatch(id)
 	if threshold := h.world.ConfidenceThreshold(id); first.Model != "small" || threshold <= evenConfidence || threshold >= 1 {
-		t.Errorf("first attempt: model %q, confidence threshold %v", first.Model, threshold)
+		t.Errorf("first attempt: model %q, confidence threshold %v, want the smallest model and a threshold between evenConfidence and 1", first.Model, threshold)
 	}
 	h.tick(AttemptEnded{Request: id, Result: Dropped})
 	second := h.requireDispatch(id)
 	if threshold := h.world.ConfidenceThreshold(id); second.Model != "large" || threshold != 0 {
-		t.Errorf("second attempt: model %q, confidence threshold %v", second.Model, threshold)
+		t.Errorf("second attempt: model %q, confidence threshold %v, want the largest model and no threshold", second.Model, threshold)
 	}
 }
 
@@ -91,9 +91,10 @@
 	}
 }
 
-// TestOneCrowdedServerDoesNotLimitTheService guards against weak responses while most servers are
-// idle, if one crowded server counts as a full service: requests with one prefix go to one server,
-// and its last slots, too, use the cascade while the other servers have free slots.
+// TestOneCrowdedServerDoesNotLimitTheService guards against keeping weak responses while most servers
+// are idle, which happens if one crowded server counts as a full service. Requests with one prefix go
+// to one server: even in its last slots the smallest model's weak responses are dropped, and a larger
+// model is requested, while the other servers have free slots.
 func TestOneCrowdedServerDoesNotLimitTheService(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
@@ -129,8 +130,9 @@
 	}
 }
 
-// TestLargestModelIsKeptForHighPriority checks that, as slots fill up, the lowest priority
-// loses the largest model first, and that the headroom shrinks gradually.
+// TestLargestModelIsKeptForHighPriority guards against low priorities that keep the largest
+// model for as long as high ones while slots fill up, and against a headroom that drops at once
+// in place of gradually.
 func TestLargestModelIsKeptForHighPriority(t *testing.T) {
 	for _, c := range []struct {
 		priority          int
@@ -150,7 +152,7 @@
 	h.tick(AttemptEnded{Request: id, Result: Dropped, Confidence: confidence})
 }
 
-// newUnconstrainedHarness has engines and a retry budget that impose no limit.
+// newUnconstrainedHarness returns a harness whose engines and retry budget impose no limit.
 func newUnconstrainedHarness(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t, Settings{Seed: 1, RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second, SessionTTL: time.Second})
@@ -169,19 +171,19 @@
 	h.dropResponse(nearThreshold, 0.5)
 	h.dropResponse(farBelow, 0.1)
 	if d := h.requireDispatch(nearThreshold); d.Model != "middle" || h.world.ConfidenceThreshold(nearThreshold) == 0 {
-		t.Errorf("confidence near the threshold: requested model %q with confidence threshold %v", d.Model, h.world.ConfidenceThreshold(nearThreshold))
+		t.Errorf("confidence near the threshold: requested model %q with confidence threshold %v, want the middle one and a threshold", d.Model, h.world.ConfidenceThreshold(nearThreshold))
 	}
 	if d := h.requireDispatch(farBelow); d.Model != "large" {
-		t.Errorf("confidence far below the threshold: requested model %q", d.Model)
+		t.Errorf("confidence far below the threshold: requested model %q, want the largest", d.Model)
 	}
 	h.dropResponse(nearThreshold, 0.4)
 	if d := h.requireDispatch(nearThreshold); d.Model != "large" || h.world.ConfidenceThreshold(nearThreshold) != 0 {
-		t.Errorf("dropped twice: requested model %q with confidence threshold %v", d.Model, h.world.ConfidenceThreshold(nearThreshold))
+		t.Errorf("dropped twice: requested model %q with confidence threshold %v, want the largest and no threshold", d.Model, h.world.ConfidenceThreshold(nearThreshold))
 	}
 }
 
 // TestUnsuccessfulMiddleModelIsNoLongerUsed guards against a middle model that is
-// requested again and again though it never succeeds: its confidence is learned.
+// requested again and again though it never succeeds: how often it is confident is learned.
 func TestUnsuccessfulMiddleModelIsNoLongerUsed(t *testing.T) {
 	h := newUnconstrainedHarness(t)
 	middle := 0
@@ -236,6 +238,6 @@
 		h.tick(AttemptEnded{Request: id, Result: Completed, Confidence: 1})
 	}
 	if dropped < requests/2 {
-		t.Errorf("%d of %d weak responses could be dropped", dropped, requests)
+		t.Errorf("%d of %d weak responses could be dropped, want at least half", dropped, requests)
 	}
 }
--- a/decision/passthrough/dispatch_test.go
+++ b/decision/passthrough/dispatch_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("20 requests with one prefix went to %d servers, want 2 to 4: %v", len(seen), seen)
 	}
 	if largest > 8 {
-		t.Errorf("one server got %d of 20, more than its slots", largest)
+		t.Errorf("one server got %d of 20, more than its 8 slots", largest)
 	}
 }
 
@@ -122,7 +122,7 @@
 		}
 	}
 	if failing > 40 || late > 15 {
-		t.Errorf("the failing server got %d of 200, %d of the last 100", failing, late)
+		t.Errorf("the failing server got %d attempts in 200 requests, %d of them in the last 100; want at most 40 and 15", failing, late)
 	}
 }
 
@@ -189,7 +189,7 @@
 		jobs = append(jobs, job{id, d.Server.ID, h.now.Add(took), took})
 	}
 	if part := float64(got["shop-1"]) / 1500; part > 0.12 {
-		t.Errorf("the slow server got %.2f of the requests: %v", part, got)
+		t.Errorf("the slow server got %.2f of the requests, want at most 0.12: %v", part, got)
 	}
 }
 
@@ -231,7 +231,7 @@
 	h.tick(Configured{NewIndex(Config{Version: 1, Routes: []Route{*streamRoute()}, Services: []Service{{Name: "llm", Slots: 128}}})})
 }
 
-// threeDomains returns engines in three failure domains, each of them in every domain.
+// threeDomains returns engines in three failure domains, the given number in each.
 func threeDomains(each int) []Server {
 	list := servers("llm", 3*each, 128)
 	for i := range list {
@@ -240,9 +240,9 @@
 	return list
 }
 
-// localShare sends prompts of 9,000 tokens with the given number of shared ones to idle
-// engines that each report the given number of waiting prompts. It returns the fraction that
-// stayed in the failure domain.
+// localShare sends prompts of 9,000 tokens, prefixTokens of them shared, to engines that have
+// few running requests and each report the given number of waiting prompts. It returns the
+// fraction of the prompts that stayed in the failure domain.
 func localShare(t *testing.T, prefixTokens, waiting int) float64 {
 	t.Helper()
 	h := newHarness(t, Settings{Seed: 1, Domain: "a", RetryRatio: 1, RetryWindow: time.Second})
@@ -287,8 +287,8 @@
 
 // TestLongPromptsOfLargerModelUseOneServer guards against a larger model's prefill of a long prefix
 // in each failure domain. The smallest model's prefill stays local. When its response was dropped,
-// the larger model is requested at the one server that all instances use for the prefix, so that it
-// is cached there. Short prompts stay local for both.
+// the larger model is requested at the one server that all instances use for the prefix, so that the
+// prefix is cached there. Short prompts stay local for both models.
 func TestLongPromptsOfLargerModelUseOneServer(t *testing.T) {
 	for _, c := range []struct {
 		shared       int
@@ -324,7 +324,7 @@
 			}
 		}
 		if singleServer := single == prompts; singleServer != c.singleServer {
-			t.Errorf("%d shared tokens: %d of %d prompts have the larger model's prefill at a single server", c.shared, single, prompts)
+			t.Errorf("%d shared tokens: %d of %d prompts have the larger model's prefill at a single server, want all of the long prompts and not all of the short ones", c.shared, single, prompts)
 		}
 	}
 }
@@ -352,8 +352,8 @@
 }
 
 // TestPromptsAvoidEnginesWithPrefillBacklog guards against comparing engines by running requests
-// alone: one with few running requests and many waiting prompts must get no more, next to one
-// with more running and none waiting.
+// alone: an engine with few running requests and many waiting prompts must get no more prompts if
+// another one has more running requests and no waiting prompts.
 func TestPromptsAvoidEnginesWithPrefillBacklog(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configureLargeEngines()
--- a/decision/passthrough/drain_test.go
+++ b/decision/passthrough/drain_test.go
@@ -24,7 +24,7 @@
 	h.tick(ServersListed{append(list, late)}) // in domain a, and listed after it was drained
 	for range 20 {
 		if d := h.requireDispatch(h.arrive(streamRoute(), nil)); d.Server.Domain == "a" {
-			t.Fatalf("%s in the drained failure domain got a request", d.Server.ID)
+			t.Fatalf("%s in the drained failure domain a got a request, want only servers of other domains", d.Server.ID)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 	id := h.arrive(streamRoute(), nil)
 	h.tick(AttemptEnded{Request: id, Result: Broken, Begun: true, ConnectionLost: true})
 	if d := h.requireDispatch(id); d.Server.Domain != "a" {
-		t.Errorf("a resumed stream went to the drained failure domain")
+		t.Errorf("a resumed stream went to the drained failure domain b, want a")
 	}
 }
 
@@ -61,7 +61,7 @@
 		}
 	}
 	if h.last(waiting) != nil {
-		t.Fatalf("got %#v though only the drained failure domain has a free slot", h.last(waiting))
+		t.Fatalf("got %#v, want the request to wait, as only the drained failure domain has a free slot", h.last(waiting))
 	}
 	for _, id := range running {
 		if h.requireDispatch(id).Server.Domain == "b" {
@@ -69,7 +69,7 @@
 		}
 	}
 	if d := h.requireDispatch(waiting); d.Server.Domain != "b" {
-		t.Errorf("the queued request went to failure domain %q", d.Server.Domain)
+		t.Errorf("the queued request went to failure domain %q, want b", d.Server.Domain)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	h.tick(DomainsDrained{[]string{"a", "c"}})
 	if d := h.requireDispatch(h.arrive(plainRoute(), nil)); d.Server.Domain != "b" {
-		t.Errorf("went to failure domain %q", d.Server.Domain)
+		t.Errorf("went to failure domain %q, want b", d.Server.Domain)
 	}
 }
 
@@ -112,7 +112,7 @@
 	h.tick(ServersListed{list}, DomainsDrained{[]string{"b"}}, RolloutUpdated{Rollout{Order: order, Phase: PhaseCanary, Share: 1}})
 	for range 10 {
 		if d := h.requireDispatch(h.arrive(streamRoute(), nil)); d.Server.Domain != "a" {
-			t.Fatalf("went to failure domain %q", d.Server.Domain)
+			t.Fatalf("went to failure domain %q, want a", d.Server.Domain)
 		}
 	}
 }
--- a/decision/passthrough/harness_test.go
+++ b/decision/passthrough/harness_test.go
@@ -65,7 +65,7 @@
 	return out
 }
 
-// The routes of the tests.
+// plainRoute, onceRoute and streamRoute return the routes of the tests, one of each Kind.
 func plainRoute() *Route {
 	return &Route{Name: "plain", Kind: KindIdempotent, MaxAttempts: 2, Timeout: time.Second,
 		TargetLatency: 150 * time.Millisecond, Backends: []Backend{{"shop", 1}}}
--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -72,7 +72,7 @@
 			return true
 		})
 		processCommands()
-		for id, at := range arrived { // in operation a timer of the edge ends queue waits
+		for id, at := range arrived { // in operation a timer of router/internal/passthrough.Handler ends queue waits
 			if r := h.world.requests[id]; r != nil && r.queued && h.now.Sub(at) >= MaxQueueWait(&Request{TargetTime: at.Add(route.TargetLatency), Deadline: at.Add(route.Timeout)}, at) {
 				h.tick(QueueWaitExpired{id})
 			}
@@ -97,7 +97,7 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-// Three servers of 6 slots and 30 ms respond to 600 requests per second.
+// Three servers of 6 slots that take 30 ms for each request respond to 600 requests per second.
 const (
 	testServers = 3
 	testSlots   = 6
@@ -116,14 +116,14 @@
 	got := playPlainLoad(t, testServers, testSlots, testWork, 7*time.Second, []plainCaller{{"a", 0, burst}})[0]
 	// In the burst 3000 requests come and 1200 can be served; the other 1000 all can.
 	if got.inTarget < 1900 {
-		t.Errorf("%d of %d in time, %d late, %d refused", got.inTarget, got.sent, got.late, got.refused)
+		t.Errorf("%d of %d in time, want at least 1900; %d late, %d refused", got.inTarget, got.sent, got.late, got.refused)
 	}
 	if got.late > 50 {
-		t.Errorf("%d responses came late: the queue is too long", got.late)
+		t.Errorf("%d responses came late, want at most 50: the queue is too long", got.late)
 	}
 	for _, w := range got.waits {
 		if w > 70*time.Millisecond {
-			t.Fatalf("a caller waited for %v and was then refused", w)
+			t.Fatalf("a caller waited for %v and was then refused, want at most 70ms", w)
 		}
 	}
 }
@@ -138,11 +138,11 @@
 	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, callers)
 	for i, tl := range got[1:] {
 		if tl.served() < 0.9 {
-			t.Errorf("small team %d: %.2f served, compared to %.2f of the large team", i, tl.served(), got[0].served())
+			t.Errorf("small team %d: %.2f served, want at least 0.9; %.2f of the large team", i, tl.served(), got[0].served())
 		}
 	}
 	if used := got[0].inTarget + got[0].late; used < 1400 {
-		t.Errorf("the large team got %d responses of the %d that were left", used, 4*(600-160))
+		t.Errorf("the large team got %d responses of the %d that were left, want at least 1400", used, 4*(600-160))
 	}
 }
 
@@ -153,10 +153,10 @@
 		{"a", 0, constantRate(420)}, {"b", 2, constantRate(600)},
 	})
 	if got[0].served() < 0.93 {
-		t.Errorf("high priority: %.2f served", got[0].served())
+		t.Errorf("high priority: %.2f served, want at least 0.93", got[0].served())
 	}
 	if got[1].served() < 0.1 {
-		t.Errorf("low priority: %.2f served", got[1].served())
+		t.Errorf("low priority: %.2f served, want at least 0.1", got[1].served())
 	}
 }
 
@@ -165,7 +165,7 @@
 func TestModerateLoadIsFullyServed(t *testing.T) {
 	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{{"a", 0, constantRate(300)}})[0]
 	if got.refused > 0 || got.late > 0 {
-		t.Errorf("%d refused, %d late of %d at half of the capacity", got.refused, got.late, got.sent)
+		t.Errorf("%d refused, %d late of %d at half of the capacity, want none", got.refused, got.late, got.sent)
 	}
 }
 
@@ -186,7 +186,7 @@
 	h.requireDispatch(h.arrive(stream, nil))
 	h.advance(3 * time.Second)
 	if r := h.requireRefusal(h.arrive(stream, nil), ReasonStopping); r.RetryAfter <= 0 {
-		t.Error("refused without a retry-after time")
+		t.Error("refused without a retry-after time, want one above 0")
 	}
 	h.requireDispatch(h.arrive(plain, nil))
 }
--- a/decision/passthrough/overload_test.go
+++ b/decision/passthrough/overload_test.go
@@ -24,10 +24,10 @@
 			factor, got.sent, got.inTarget, got.late, got.weak, got.refused, got.failed, value)
 		peak = max(peak, value)
 		if value < 0.9*peak {
-			t.Errorf("at %.1f times the load callers get a value of %.0f per second, %.0f at a lower load", factor, value, peak)
+			t.Errorf("at %.1f times the capacity callers get a value of %.0f per second, want at least 0.9 of the %.0f at a lower load", factor, value, peak)
 		}
 		if got.failed > got.sent/20 {
-			t.Errorf("at %.1f times the load %d of %d requests got no response by their deadline", factor, got.failed, got.sent)
+			t.Errorf("at %.1f times the capacity %d of %d requests got no response by their deadline, want at most one in 20", factor, got.failed, got.sent)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 	s.play(6*time.Second, 1)
 	for i, got := range s.tallies[1:] {
 		if got.served() < 0.85 {
-			t.Errorf("small team %d: %.2f of %d served, compared to %.2f of the hot team", i, got.served(), got.sent, s.tallies[0].served())
+			t.Errorf("small team %d: %.2f of %d served, want at least 0.85; %.2f of the hot team", i, got.served(), got.sent, s.tallies[0].served())
 		}
 	}
 }
@@ -55,10 +55,10 @@
 	s.play(6*time.Second, 1)
 	urgent, low := s.tallies[0], s.tallies[1]
 	if urgent.served() < 0.85 || urgent.served() < low.served() {
-		t.Errorf("%.2f of high priority served, %.2f of low priority", urgent.served(), low.served())
+		t.Errorf("%.2f of high priority served, want at least 0.85 and no less than the %.2f of low priority", urgent.served(), low.served())
 	}
 	if low.served() < 0.1 {
-		t.Errorf("low priority is starved: %.2f served", low.served())
+		t.Errorf("low priority is starved: %.2f served, want at least 0.1", low.served())
 	}
 }
 
@@ -71,11 +71,11 @@
 	sent := float64(patient.sent)
 	served := float64(patient.inTarget + patient.late + patient.weak)
 	if served < 0.5*sent || served < 0.9*float64(impatient.inTarget+impatient.late+impatient.weak) {
-		t.Errorf("callers that do not retry at once got %.0f responses to %.0f requests, those that do %d", served, sent, impatient.inTarget+impatient.late+impatient.weak)
+		t.Errorf("callers that do not retry at once got %.0f responses to %.0f requests, want at least half and at least 0.9 of what those that do got, %d", served, sent, impatient.inTarget+impatient.late+impatient.weak)
 	}
 	for _, after := range append(patient.retryAfters, impatient.retryAfters...) {
 		if after <= 0 {
-			t.Fatal("refused without a retry-after time")
+			t.Fatal("refused without a retry-after time, want one above 0")
 		}
 	}
 }
@@ -94,9 +94,9 @@
 	inTime := got.inTarget + got.weak
 	t.Logf("%d sent, %d in time, %d late, %d refused, %d failed", got.sent, inTime, got.late, got.refused, got.failed)
 	if float64(inTime) < 0.7*6*capacity {
-		t.Errorf("%d responses in time, of %d that the engines can serve", inTime, 6*capacity)
+		t.Errorf("%d responses in time, want at least 0.7 of the %d that the engines can serve", inTime, 6*capacity)
 	}
 	if got.late+got.failed > inTime/5 {
-		t.Errorf("%d late and %d failed, compared to %d in time", got.late, got.failed, inTime)
+		t.Errorf("%d late and %d failed, want together at most a fifth of the %d in time", got.late, got.failed, inTime)
 	}
 }
--- a/decision/passthrough/peerload_test.go
+++ b/decision/passthrough/peerload_test.go
@@ -27,7 +27,7 @@
 				factor, sharesLoads, got.inTarget, got.late, got.weak, got.refused, got.failed)
 		}
 		if bad[1] >= bad[0] {
-			t.Errorf("at %.1f times the load %.3f of the requests get no good response in time with load reports, %.3f without", factor, bad[1], bad[0])
+			t.Errorf("at %.1f times the capacity %.3f of the requests get no good response in time with load reports, want less than the %.3f without", factor, bad[1], bad[0])
 		}
 	}
 }
@@ -39,11 +39,11 @@
 	h.tick(FleetSize{Instances: 60})
 	for _, reporting := range []int{0, 20, 40, 53} {
 		if h.tick(PeerLoads{Instances: reporting}); h.world.peerLoadsFresh() {
-			t.Errorf("a report of %d of 59 instances is accepted", reporting)
+			t.Errorf("a report of %d of 59 instances is accepted, want it ignored", reporting)
 		}
 	}
 	if h.tick(PeerLoads{Instances: 54}); !h.world.peerLoadsFresh() {
-		t.Error("a report of 54 of 59 instances is not accepted")
+		t.Error("a report of 54 of 59 instances is ignored, want it accepted")
 	}
 }
 
@@ -57,7 +57,7 @@
 	h.tick(PeerLoads{Loads: []PeerLoad{{Key: busy.peerKey(), Requests: 8, PrefillTime: time.Second}}})
 	for range 6 {
 		if d := h.requireDispatch(h.arrive(streamRoute(), nil)); d.Server.ID == "llm-0" {
-			t.Fatal("sent to the engine that is full by the load report")
+			t.Fatal("sent to the engine that is full by the load report, want the other one")
 		}
 	}
 	h.advance(peerLoadTTL)
@@ -66,6 +66,6 @@
 		found = found || h.requireDispatch(h.arrive(streamRoute(), nil)).Server.ID == "llm-0"
 	}
 	if !found {
-		t.Error("the load report never expires")
+		t.Error("no request went to the engine that was full, want one after the load report expired")
 	}
 }
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -8,8 +8,8 @@
 )
 
 // The servers of these tests are plain ones: shopSlots requests run at once for 30 ms each, and
-// shopQueue more wait. A full server rejects the rest with a response or, every second time, by
-// a connection reset that leaves open whether the request ran.
+// shopQueue more wait. A full server rejects the rest with a response or, in half of the cases,
+// by a connection reset that leaves open whether the request ran.
 const (
 	shopServers = 5
 	shopSlots   = 6
@@ -119,6 +119,7 @@
 	}
 }
 
+// serve simulates one step of a server.
 func (s *shopSim) serve(id string) {
 	jobs := s.servers[id]
 	var kept []*shopJob
@@ -152,6 +153,7 @@
 	s.carryOut(j.instance)
 }
 
+// carryOut carries out an instance's commands.
 func (s *shopSim) carryOut(h *harness) {
 	for s.handled[h] < len(h.allCommands) {
 		c := h.allCommands[s.handled[h]]
@@ -203,10 +205,10 @@
 		t.Logf("x %.1f: %d sent, %d in time, %d late, %d refused, %d failed, %d rejected: %.0f per second of %.0f",
 			factor, s.sent, s.inTarget, s.late, s.refused, s.failed, s.rejected, served, shopCapacity)
 		if factor > 1 && served < 0.85*shopCapacity {
-			t.Errorf("at %.1f times the load %.0f requests per second are served, of %.0f", factor, served, shopCapacity)
+			t.Errorf("at %.1f times the capacity %.0f requests per second are served, want at least 0.85 of %.0f", factor, served, shopCapacity)
 		}
 		if s.failed > s.sent/50 {
-			t.Errorf("at %.1f times the load %d of %d failed", factor, s.failed, s.sent)
+			t.Errorf("at %.1f times the capacity %d of %d failed, want at most one in 50", factor, s.failed, s.sent)
 		}
 	}
 }
@@ -223,7 +225,7 @@
 	s.reset()
 	s.play(3*time.Second, 5.33)
 	if got := float64(s.smallServed) / float64(s.smallSent); got < 0.7 {
-		t.Errorf("%.2f of the small teams' requests served, and %d of the hot team's", got, s.inTarget+s.late-s.smallServed)
+		t.Errorf("%.2f of the small teams' requests served, want at least 0.7; %d of the hot team's", got, s.inTarget+s.late-s.smallServed)
 	}
 }
 
@@ -235,6 +237,6 @@
 	s.rejectShare = 0.5
 	s.play(6*time.Second, 0.3)
 	if s.refused > s.sent/200 {
-		t.Errorf("%d of %d refused, with servers free", s.refused, s.sent)
+		t.Errorf("%d of %d refused with servers free, want at most one in 200", s.refused, s.sent)
 	}
 }
--- a/decision/passthrough/property_test.go
+++ b/decision/passthrough/property_test.go
@@ -17,6 +17,7 @@
 	phase  Phase
 }
 
+// liveRequest is a request that has not ended. notSent counts its attempts that reached no server.
 type liveRequest struct {
 	route   *Route
 	server  string
@@ -25,8 +26,11 @@
 	notSent int
 }
 
-// TestInvariants runs seeded histories of arrivals, ends of all kinds, callers that leave,
-// changes of the server list, servers that restart, roll-outs and pauses.
+// TestInvariants guards against commands that no sequence of events may cause: requests that end
+// twice or are sent while they run, that are refused though they may have run, that run more often
+// than their route allows, or that go to servers which may not get them. It runs seeded histories
+// of arrivals, ends of all kinds, callers that leave, changes of the server list, servers that
+// restart, roll-outs and pauses.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(400) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runInvariants(t, rand.New(rand.NewPCG(seed, 9)), 400) })
@@ -117,7 +121,7 @@
 	}
 }
 
-// withLiveRequest does something to some live request.
+// withLiveRequest calls do with a recent live request, chosen at random, or not at all.
 func (h *randomHistory) withLiveRequest(do func(RequestID, *liveRequest)) {
 	for id := h.next; id > 0 && id+40 > h.next; id-- {
 		if r := h.live[id]; r != nil && h.rng.IntN(3) == 0 {
@@ -140,11 +144,11 @@
 				h.t.Fatalf("request %d was refused though it may have run", c.Request)
 			}
 			if c.RetryAfter < 0 || c.RetryAfter > 2*maxRetryAfter {
-				h.t.Fatalf("request %d: retry after %v", c.Request, c.RetryAfter)
+				h.t.Fatalf("request %d: retry after %v, want 0 to twice maxRetryAfter", c.Request, c.RetryAfter)
 			}
 		case Finish:
 			if r := h.takeLive(c.Request); !r.ran {
-				h.t.Fatalf("request %d was not refused though it has not run", c.Request)
+				h.t.Fatalf("request %d was finished though it has not run, want a refusal", c.Request)
 			}
 		}
 	}
@@ -170,14 +174,14 @@
 	r.server = c.Server.ID
 	r.sent++
 	if r.sent-r.notSent > r.route.MaxAttempts {
-		h.t.Fatalf("request %d was sent %d times", c.Request, r.sent-r.notSent)
+		h.t.Fatalf("request %d was sent %d times, more than its route allows", c.Request, r.sent-r.notSent)
 	}
 	for _, s := range h.list {
 		if s.ID != c.Server.ID {
 			continue
 		}
 		if s.Leaving || s.Service != r.route.Backends[0].Service {
-			h.t.Fatalf("request %d was sent to %+v", c.Request, s)
+			h.t.Fatalf("request %d was sent to a server that is leaving or of another service: %+v", c.Request, s)
 		}
 		if h.phase == PhaseReverted && s.Service == "llm" && s.Version == "v2" {
 			h.t.Fatalf("request %d was sent to a reverted version", c.Request)
--- a/decision/passthrough/ratelimit_bound_test.go
+++ b/decision/passthrough/ratelimit_bound_test.go
@@ -21,7 +21,7 @@
 		f.play(16*time.Second, load)
 		f.checkLimits(stated)
 		if f.refused > 0 {
-			t.Errorf("%d instances: %d requests refused while other servers had free capacity", size.instances, f.refused)
+			t.Errorf("%d instances: %d requests refused while other servers had free capacity, want none", size.instances, f.refused)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 			// The instances of its subset have no more for it than for any other server.
 			offered := 3 * usualRate * float64(limitSubset(perSecond)) / float64(size.instances)
 			if got := f.rate(f.servers[i].ID, settled); got < 0.4*min(perSecond, offered) {
-				t.Errorf("%d instances: a server with a limit of %v per second got %.2f", size.instances, perSecond, got)
+				t.Errorf("%d instances: a server with a limit of %v per second got %.2f, want at least 0.4 of the lesser of that and what its subset is offered", size.instances, perSecond, got)
 			}
 		}
 		clear(f.limits)
@@ -77,7 +77,7 @@
 		f.play(4*time.Second, load)
 		for i, perSecond := range limitRates {
 			if got := f.rate(f.servers[i].ID, settled); perSecond > 0.3 && got < usualRate {
-				t.Errorf("%d instances: a server whose limit of %v has ended got %.2f per second", size.instances, perSecond, got)
+				t.Errorf("%d instances: a server whose limit of %v has ended got %.2f per second, want at least usualRate", size.instances, perSecond, got)
 			}
 		}
 	}
@@ -97,13 +97,13 @@
 		}
 	}
 	if len(f.silent) == 0 {
-		t.Fatal("no instance sends to the limited server")
+		t.Fatal("no instance sends to the limited server, want the instances of its subset")
 	}
 	clear(f.limits)
 	f.play(45*time.Second, load)
 	settled := f.now()
 	f.play(4*time.Second, load)
 	if got := f.rate(f.servers[0].ID, settled); got < usualRate/2 {
-		t.Errorf("the server gets %.2f requests per second, usually %v", got, usualRate)
+		t.Errorf("the server gets %.2f requests per second, want at least half of the usual %v", got, usualRate)
 	}
 }
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// The bound on a server that states a limit: within limitWindow it may get at most limitOvershoot
-// times what the limit allows, plus limitSlack. It counts requests from instances that have known
-// the limit for at least limitNotice, from limitSettled after the limit was first stated.
+// The bound on what a server that states a limit may get: within limitWindow at most limitOvershoot
+// times what the limit allows, plus limitSlack requests. It counts requests from instances that have
+// known the limit for at least limitNotice, from limitSettled after the limit was first stated.
 const (
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
@@ -242,11 +242,11 @@
 	return float64(n) / f.now().Sub(since).Seconds()
 }
 
-// limitRates are the limits of the tests' first servers: a fifth of their usual load, less, more,
-// one that all but stops them, and one above it.
+// limitRates are the limits of the tests' first servers, in requests per second: a quarter of
+// usualRate, a third, less, more, one of 0, which all but stops requests, and one above usualRate.
 var limitRates = []float64{1, 1.4, 0.3, 2.5, 0, 12}
 
-// usualRate is how many requests per second a server gets.
+// usualRate is how many requests per second a server gets without limits.
 const usualRate = 4.0
 
 // limitServers makes the first servers state the tests' limits from now on.
--- a/decision/passthrough/ratelimit_refuse_test.go
+++ b/decision/passthrough/ratelimit_refuse_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// newLimitedHarness is an instance, alone or with neighbours, and count servers of the shop, all
-// with the given limit.
+// newLimitedHarness returns an instance, alone or with neighbours, and count servers of the service
+// "shop", all with the given limit.
 func newLimitedHarness(t *testing.T, perSecond float64, count int, neighbours ...string) *harness {
 	t.Helper()
 	h := newHarness(t, Settings{})
@@ -45,7 +45,7 @@
 		}
 	}
 	if sent < 15 || sent > 30 || refused < 150 {
-		t.Errorf("%d sent and %d refused in %d s; the servers take 1.5 per second", sent, refused, seconds)
+		t.Errorf("%d sent and %d refused in %d s, want 15 to 30 and at least 150: the servers take 1.5 per second", sent, refused, seconds)
 	}
 }
 
@@ -94,10 +94,10 @@
 			h.tick(PeerLimits{[]PeerLimit{{Key: s.peerKey(), Limit: tt.stated[i], Age: age}}})
 		}
 		if s.limit.Limited != tt.want {
-			t.Errorf("%s: limited %v", tt.name, s.limit.Limited)
+			t.Errorf("%s: limited %v, want the opposite", tt.name, s.limit.Limited)
 		}
 		if own := h.world.OwnLimits(); len(own) != 0 {
-			t.Errorf("%s: limits that peers reported are among the own ones: %+v", tt.name, own)
+			t.Errorf("%s: limits that peers reported are among the instance's own, want none: %+v", tt.name, own)
 		}
 	}
 }
--- a/decision/passthrough/ratelimit_test.go
+++ b/decision/passthrough/ratelimit_test.go
@@ -32,7 +32,7 @@
 	h.advance(50 * time.Millisecond)
 	later := h.arrive(plainRoute(), nil)
 	if !h.requireDispatch(later).Limit.Limited {
-		t.Error("the dispatch does not state the limit")
+		t.Error("the dispatch does not state the limit, want the limit of 100 per second")
 	}
 	h.tick(AttemptEnded{Request: later, Result: Completed, Limit: &RateLimit{}})
 	if got := limitChanges(h); len(got) != 2 || got[1].Limit.Limited {
--- a/decision/passthrough/requests_test.go
+++ b/decision/passthrough/requests_test.go
@@ -190,15 +190,15 @@
 	}
 }
 
-// TestResultMayHaveRun guards against refusing a request as not run that may have run: the
-// edge and World share this definition, and a response that was dropped for its low confidence
-// has run.
+// TestResultMayHaveRun guards against refusing a request as not run that may have run:
+// router/internal/passthrough.Handler and World share this definition, and a request whose
+// response was dropped for its low confidence has run.
 func TestResultMayHaveRun(t *testing.T) {
 	for result, want := range map[Result]bool{
 		Completed: true, Failed: true, Broken: true, Dropped: true, NotSent: false, Rejected: false,
 	} {
 		if result.MayHaveRun() != want {
-			t.Errorf("%v: may have run: %v", result, !want)
+			t.Errorf("%v: may have run: %v, want the opposite", result, !want)
 		}
 	}
 }
--- a/decision/passthrough/rollout_load_test.go
+++ b/decision/passthrough/rollout_load_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// simRollout is a roll-out simulated under load. The instances' observations are pooled with the
+// simRollout is a roll-out simulated under load. The instances' observations are summed with the
 // delay that they have in operation.
 type simRollout struct {
 	sim   *sim
@@ -23,8 +23,9 @@
 	plannedAt time.Time
 	end       Phase
 	endedAt   time.Time
-	// badAt are the times at which slow responses of the new version ended. overBound counts the
-	// requests that it got more than simBound after the 50th of these, requests all that it got.
+	// badAt are the times at which slow responses of the new version ended. requests counts all
+	// requests that the new version got, overBound those that it got more than simBound after the
+	// simBadLimit-th of these responses.
 	badAt     []time.Time
 	overBound int
 	requests  int
@@ -39,7 +40,7 @@
 const (
 	// simLag is how long after a response all instances count it: a write and a read.
 	simLag = 2 * time.Second
-	// simBound is how long after its 50th bad response a bad version may get requests.
+	// simBound is how long after its simBadLimit-th bad response a bad version may get requests.
 	simBound    = 5 * time.Second
 	simBadLimit = 50
 )
@@ -113,8 +114,9 @@
 	}
 }
 
-// playRollout simulates a roll-out of 20 s under load times what the engines can serve; that load
-// begins a second before the order and lasts for 14 s.
+// playRollout simulates a roll-out of 20 s. The callers' load is load times what the engines can
+// serve, from a second before the order for 14 s. The fraction share of the new version's
+// responses takes factor times as long.
 func playRollout(t *testing.T, seed uint64, load, share, factor float64) *simRollout {
 	s := newSim(t, 3, []simCallerKind{{team: "a", rate: simCapacity}})
 	s.setSeed(seed)
@@ -131,7 +133,7 @@
 var slowVersions = []struct{ share, factor float64 }{{0.4, 8}, {0.6, 6}, {0.9, 4}, {0.5, 5}}
 
 // checkSlowVersions simulates slow versions at a load. A bad version must not be completed, nor
-// get requests later than simBound after its 50th bad response.
+// get requests later than simBound after its simBadLimit-th bad response.
 func checkSlowVersions(t *testing.T, load float64) {
 	t.Helper()
 	for _, kind := range slowVersions {
@@ -145,22 +147,23 @@
 			}
 		}
 		if completed > 0 || late > 0 {
-			t.Errorf("load %.1f, %.0f in 100 responses %.0f times as slow: %d of %d versions completed, %d requests too late",
+			t.Errorf("load %.1f, %.0f in 100 responses %.0f times as slow: %d of %d versions completed, %d requests too late, want none of either",
 				load, 100*kind.share, kind.factor, completed, seeds, late)
 		}
 	}
 }
 
-// TestSlowVersionIsFoundUnderOverload guards against completing a slow version under loads at
-// which the old one is slow itself.
+// TestSlowVersionIsFoundUnderOverload guards against completing a slow version, or finding it too
+// late, under loads at which the old version is slow itself.
 func TestSlowVersionIsFoundUnderOverload(t *testing.T) {
 	for _, load := range simLoads {
 		checkSlowVersions(t, load)
 	}
 }
 
-// TestSlowVersionIsFoundAtTwelveTimesTheLoad is the same at twice what the engines can serve with
-// the small model alone: there the canary gives 50 slow responses in less than two seconds.
+// TestSlowVersionIsFoundAtTwelveTimesTheLoad guards against completing a slow version, or finding it
+// too late, at twice what the engines can serve with the small model alone: at that load the canary
+// gives 50 slow responses in less than two seconds.
 func TestSlowVersionIsFoundAtTwelveTimesTheLoad(t *testing.T) {
 	checkSlowVersions(t, 12)
 }
@@ -184,7 +187,7 @@
 		}
 		t.Logf("load %.1f: %d of %d reverted, %d open, %d completed late", load, reverted, seeds, open, late)
 		if reverted > 0 || open > 0 {
-			t.Errorf("load %.1f: %d of %d good versions reverted, %d open", load, reverted, seeds, open)
+			t.Errorf("load %.1f: %d of %d good versions reverted, %d open; want all completed", load, reverted, seeds, open)
 		}
 	}
 }
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -31,7 +31,7 @@
 			t.Errorf("%v bad %v: phase %v, first half %v", tt.at, tt.bad, r.Phase, r.FirstHalf)
 		}
 		if r.Phase == PhaseCanary && r.Share > limit.Share {
-			t.Errorf("the canary gets a share of %v, allowed %v", r.Share, limit.Share)
+			t.Errorf("the canary gets a share of %v, want at most %v", r.Share, limit.Share)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 				t.Errorf("%v at %d requests per second: the new version got %d of %.0f, allowed %.0f", duration, perSecond, newCounts.Total(), total, allowed)
 			}
 			if newCounts.Total() < int(0.04*total) {
-				t.Errorf("%v at %d requests per second: the new version got only %d of %.0f", duration, perSecond, newCounts.Total(), total)
+				t.Errorf("%v at %d requests per second: the new version got only %d of %.0f, want at least 0.04 of them", duration, perSecond, newCounts.Total(), total)
 			}
 		}
 	}
@@ -138,20 +138,20 @@
 		return e.Evaluate(now, map[string]VersionCounts{"route": {New: newCounts, Old: oldCounts}})
 	}
 	if evaluate(Counts{Good: 20, Bad: 2}, Counts{Good: 800, Bad: 10}) {
-		t.Fatal("judged bad by two bad responses of 22")
+		t.Fatal("judged bad by two bad responses of 22, want no verdict yet")
 	}
 	if !evaluate(Counts{Good: 30, Bad: 30}, Counts{Good: 1000, Bad: 20}) {
-		t.Fatal("not judged bad though half of the responses are bad")
+		t.Fatal("not judged bad, want a verdict as half of the responses are bad")
 	}
 	for i := range 40 {
 		if !evaluate(Counts{Good: 30, Bad: 30}, Counts{Good: 1000, Bad: 20 + 100*i}) {
-			t.Fatalf("no longer judged bad after %v", now.Sub(testStart))
+			t.Fatalf("no longer judged bad after %v, want the verdict to be final", now.Sub(testStart))
 		}
 	}
 }
 
-// TestTimeoutIsNotCountedAsBad guards against hiding a bad version behind attempts that time
-// out in an overload, which affects every version.
+// TestTimeoutIsNotCountedAsBad guards against counting attempts that time out in an overload as
+// bad responses: an overload affects every version, so a bad one would not stand out.
 func TestTimeoutIsNotCountedAsBad(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
@@ -161,7 +161,7 @@
 	h.tick(AttemptEnded{Request: id, Result: Broken})
 	for _, c := range h.allCommands {
 		if o, ok := c.(Observation); ok && o.Bad {
-			t.Fatalf("a timeout was reported as bad: %+v", o)
+			t.Fatalf("a timeout was reported as bad, want it left out: %+v", o)
 		}
 	}
 	h.tick(AttemptEnded{Request: id, Result: Failed})
@@ -186,7 +186,7 @@
 			c = c.Add(Observation{FirstByte: singleRatio(ratio), EventInterval: singleRatio(1.1)})
 		}
 		if IsBad(c, Counts{Good: 100}) {
-			t.Errorf("judged bad by %v", ratios)
+			t.Errorf("judged bad by times of %v times the old version's, want no verdict", ratios)
 		}
 	}
 	var slow Counts
@@ -221,7 +221,7 @@
 		}
 	}
 	if reported.Total() != 0 || reported.EventInterval.N != 6 {
-		t.Errorf("reported %+v, want only event intervals", reported)
+		t.Errorf("reported %+v, want only the event intervals of 6 streams", reported)
 	}
 	if !IsBad(reported, Counts{Good: 24}) {
 		t.Error("not judged bad by six streams with ten times the event interval")
@@ -305,18 +305,18 @@
 			t.Errorf("%+v: phase %v, want %v", c.newCounts, got.Phase, c.want)
 		}
 		if got := PlanRollout(order, testStart, order.Duration/2, limit, c.newCounts, oldCounts, IsBad(c.newCounts, oldCounts)); got.Phase != PhaseCanary {
-			t.Errorf("%+v: phase %v halfway", c.newCounts, got.Phase)
+			t.Errorf("%+v: phase %v halfway, want PhaseCanary", c.newCounts, got.Phase)
 		}
 	}
 }
 
-// TestDoubtfulVersionIsHeld guards against a wrong verdict on a version that looks slow, but not
-// beyond chance: at the end it is neither completed nor reverted, and it gets no more requests once
-// it may have given all the bad responses that are tolerated.
+// TestDoubtfulVersionIsHeld guards against a wrong verdict on a version that looks slow, but so
+// little that it may be chance: at the end it is neither completed nor reverted, and it gets no more
+// requests once it may have given all the bad responses that are tolerated.
 func TestDoubtfulVersionIsHeld(t *testing.T) {
 	order, limit := Order{Duration: 20 * time.Second}, ExposureLimit{Share: 0.1, Tolerance: 30}
 	oldCounts := Counts{Good: 4000}
-	// The intervals are e^0.55 = 1.7 times the usual ones in the mean, and spread.
+	// The logarithms of the ratios are spread around 0.55, which is 1.7 times the usual interval.
 	doubtful := func(n int) Counts {
 		var c Counts
 		for i := range n {
@@ -350,7 +350,7 @@
 			t.Errorf("%s: %+v", c.name, got)
 		}
 		if c.phase == PhaseCanary && !got.CompleteAt.IsZero() {
-			t.Errorf("%s: requests switch early to a version in doubt", c.name)
+			t.Errorf("%s: requests switch early to a version in doubt, want no CompleteAt", c.name)
 		}
 	}
 }
--- a/decision/passthrough/sim_test.go
+++ b/decision/passthrough/sim_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// The engines of these tests process one prompt after the other, and generate between its chunks of
-// 4,000 tokens: 300 tokens per millisecond with the small model, 30 with the large one. The small
-// model's response is good for one request in two, and its confidence shows that.
+// The engines of these tests process one prompt after the other, 300 tokens per millisecond with the
+// small model and 30 with the large one, and generate between the prompts' chunks of 4,000 tokens.
+// The small model's response is good for one request in two, and its confidence shows which.
 const (
 	simEngines = 6
 	simSlots   = 128
@@ -55,7 +55,7 @@
 	sent      time.Time
 	prefillMS float64 // remaining prefill
 	decodeMS  float64 // remaining generation
-	// events is the number of events that it generates, from began on.
+	// events is the number of events that the engine generates, from began on.
 	events float64
 	began  time.Time
 	// version is that of the engine's software; slow is true if the engine is slow with this job.
@@ -131,7 +131,7 @@
 	return s
 }
 
-// setSeed makes it another run of the same simulation.
+// setSeed sets the seed of the random choices, for another run of the same simulation.
 func (s *sim) setSeed(seed uint64) { s.rng = rand.New(rand.NewPCG(7, 7+seed)) }
 
 // play runs the simulation for a time, at the kinds' rates times factor.
@@ -286,8 +286,8 @@
 	}
 }
 
-// decodeSpeedDuringPrefill is the relative speed at which an engine generates during prefill: a
-// step of 4 ms takes the time of a chunk longer.
+// decodeSpeedDuringPrefill is the relative speed at which an engine generates during prefill, by the
+// model of the prompt: the prefill of a chunk is added to each generation step of 4 ms.
 var decodeSpeedDuringPrefill = map[string]float64{"small": 0.25, "large": 0.03}
 
 // stepEngine simulates one step of an engine.
--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -16,14 +16,14 @@
 	testSlowStartLimit    = testSlowStartRate*testSlowStartBurst + testSlowStartSlack
 )
 
-// slowStartConfig has a service whose servers need a slow start.
+// slowStartConfig returns a configuration with a service whose servers need a slow start.
 func slowStartConfig() Config {
 	return Config{Version: 1, Routes: []Route{*streamRoute()},
 		Services: []Service{{Name: "llm", Slots: 1000, SlowStartDuration: testSlowStartDuration, SlowStartRate: testSlowStartRate}}}
 }
 
-// newSlowStartHarness is an instance in failure domain "a" with the given number of neighbours,
-// itself included.
+// newSlowStartHarness returns an instance named self in failure domain "a", and the names of the
+// neighbours that it knows: "i0", "i1" and so on, count of them.
 func newSlowStartHarness(t *testing.T, self string, count int) (*harness, []string) {
 	t.Helper()
 	h := newHarness(t, Settings{
@@ -38,7 +38,7 @@
 	return h, names
 }
 
-// inSlowStart makes servers that have just started.
+// inSlowStart changes the servers to ones that have just started, and returns them.
 func inSlowStart(list []Server) []Server {
 	for i := range list {
 		list[i].SlowStartRemaining = testSlowStartDuration
@@ -54,7 +54,7 @@
 			maxPerSecond := rate*burst + testSlowStartSlack
 			subset, quota := slowStartQuota(rate, maxPerSecond)
 			if subset < 1 || quota < 1 {
-				t.Errorf("rate %v: a subset of %d, %d each", rate, subset, quota)
+				t.Errorf("rate %v: a subset of %d, %d each, want at least 1 of both", rate, subset, quota)
 			}
 			if got := float64(maxSubsetViews * subset * quota); got > maxPerSecond {
 				t.Errorf("rate %v, burst %v: %v requests in a second, allowed %v", rate, burst, got, maxPerSecond)
@@ -64,8 +64,8 @@
 }
 
 // TestSlowStartLimitHoldsWithDifferingNeighbours guards against overloading a server in slow start
-// when instances disagree on the subset: some know neighbours that others do not know yet, or know
-// no more. All instances send a burst.
+// when instances disagree on the subset: some know neighbours that others do not know yet, or that
+// others know to be gone. All instances send a burst.
 func TestSlowStartLimitHoldsWithDifferingNeighbours(t *testing.T) {
 	fleets := []struct{ instances, domains int }{{8, 3}, {58, 3}, {300, 5}, {880, 24}}
 	for _, f := range fleets {
@@ -105,7 +105,7 @@
 				t.Errorf("%d instances, seed %d: %d requests in a second, allowed %.1f", f.instances, seed, inSecond, testSlowStartLimit)
 			}
 			if total == 0 {
-				t.Errorf("%d instances, seed %d: no instance sends to the server", f.instances, seed)
+				t.Errorf("%d instances, seed %d: no instance sends to the server, want those of the subset", f.instances, seed)
 			}
 		}
 	}
@@ -185,7 +185,7 @@
 		}
 	}
 	if sent == 0 || sent > 25 {
-		t.Errorf("sends to %d of 40 servers, refuses at %d", sent, refused)
+		t.Errorf("sends to %d of 40 servers, want 1 to 25; refuses at %d", sent, refused)
 	}
 	unaware := newHarness(t, Settings{Seed: 1, Domain: "a", SlowStartBurst: testSlowStartBurst, SlowStartSlack: testSlowStartSlack,
 		RetryRatio: 0.5, RetrySlack: 5, RetryWindow: 10 * time.Second, SessionTTL: 5 * time.Second})
@@ -252,7 +252,7 @@
 			}
 		}
 		if all := inSlowStart == 6; all == othersRespond {
-			t.Errorf("others respond: %v; %d of 6 servers are in slow start", othersRespond, inSlowStart)
+			t.Errorf("others respond: %v; %d of 6 servers are in slow start, want all only if no other responds", othersRespond, inSlowStart)
 		}
 	}
 }
@@ -267,6 +267,6 @@
 	restarted[0].StartTime = 2
 	h.tick(ServersListed{restarted})
 	if s := h.world.servers[list[0].ID]; !s.inSlowStart(h.now) || s.inSlowStart(h.now.Add(testSlowStartDuration)) {
-		t.Errorf("in slow start until %v", s.slowStart.until)
+		t.Errorf("in slow start until %v, want one slow start from now on", s.slowStart.until)
 	}
 }
