--- a/decision/passthrough/escalation.go
+++ b/decision/passthrough/escalation.go
@@ -32,21 +32,21 @@
 
 // chance is the estimated probability that the middle model is confident of a request on which the
 // smallest model had the given confidence.
-func (n *escalationStats) chance(confidence float64) float64 {
+func (e *escalationStats) chance(confidence float64) float64 {
 	at := confidenceBucket(confidence)
 	prior := min(max(priorAtThreshold-priorSlope*(minConfidence-confidence), 0), 1)
-	return (n.confident[at] + escalationPriorWeight*prior) / (n.requested[at] + escalationPriorWeight)
+	return (e.confident[at] + escalationPriorWeight*prior) / (e.requested[at] + escalationPriorWeight)
 }
 
-func (n *escalationStats) learn(confidence float64, confident bool) {
+func (e *escalationStats) learn(confidence float64, confident bool) {
 	at := confidenceBucket(confidence)
-	if n.requested[at] >= escalationMemory {
-		n.requested[at] *= 1 - 1.0/escalationMemory
-		n.confident[at] *= 1 - 1.0/escalationMemory
+	if e.requested[at] >= escalationMemory {
+		e.requested[at] *= 1 - 1.0/escalationMemory
+		e.confident[at] *= 1 - 1.0/escalationMemory
 	}
-	n.requested[at]++
+	e.requested[at]++
 	if confident {
-		n.confident[at]++
+		e.confident[at]++
 	}
 }
 
--- a/decision/passthrough/sim_test.go
+++ b/decision/passthrough/sim_test.go
@@ -145,7 +145,7 @@
 		for _, srv := range s.instances[0].world.services["llm"].servers {
 			s.stepEngine(s.engines[srv.ID])
 		}
-		s.timers()
+		s.expireRequests()
 		s.exchangeLoads()
 		if s.rollout != nil {
 			s.rollout.step()
@@ -203,8 +203,8 @@
 	s.carryOut(h)
 }
 
-// timers ends expired queue waits and requests whose deadline has passed.
-func (s *sim) timers() {
+// expireRequests ends expired queue waits and requests whose deadline has passed.
+func (s *sim) expireRequests() {
 	for _, h := range s.instances {
 		for s.oldest[h] <= h.next && s.requests[h][s.oldest[h]] == nil {
 			s.oldest[h]++
