--- a/decision/passthrough/baseline.go
+++ b/decision/passthrough/baseline.go
@@ -42,8 +42,8 @@
 // add adds a time of the old version.
 func (b *baselineTimes) add(l loadLevel, x float64) { b[l.waiting][l.running].add(x) }
 
-// at is the baseline at a load level, or at the next higher one with enough responses: a higher
-// load can only make a version look faster than it is, never slower.
+// at is the baseline at a load level, or at the next higher one with enough responses: the baseline
+// of a higher load can only make a version look faster than it is, never slower.
 func (b *baselineTimes) at(l loadLevel) (baseline float64, ok bool) {
 	for waiting := l.waiting; waiting < len(b); waiting++ {
 		for running := l.running; running < len(b[waiting]); running++ {
--- a/decision/passthrough/events.go
+++ b/decision/passthrough/events.go
@@ -15,7 +15,8 @@
 // request's turn comes, unless RequestCancelled comes first.
 type RequestArrived struct{ Request Request }
 
-// RequestCancelled reports that the caller no longer waits for the request.
+// RequestCancelled reports that the request needs no response any more: its caller has
+// disconnected, or its deadline has passed. It is ignored once the request has ended.
 type RequestCancelled struct{ Request RequestID }
 
 // AttemptEnded ends a Dispatch. A Dispatch, Refuse or Finish follows, unless the result is
--- a/decision/passthrough/requests.go
+++ b/decision/passthrough/requests.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// cancel removes a request that its caller no longer waits for. The end of its attempt is reported
+// cancel removes a request that needs no response any more. The end of its attempt is reported
 // separately.
 func (w *World) cancel(id RequestID) {
 	r := w.requests[id]
--- a/decision/passthrough/sim_test.go
+++ b/decision/passthrough/sim_test.go
@@ -26,7 +26,8 @@
 type simCallerKind struct {
 	team     string
 	priority int
-	rate     float64
+	// rate is in requests per second.
+	rate float64
 	// retries is how often a refused caller retries at once, whatever its retry-after time.
 	retries int
 }
--- a/decision/passthrough/types.go
+++ b/decision/passthrough/types.go
@@ -7,7 +7,8 @@
 	ID      string
 	Address string
 	Service string
-	Domain  string
+	// Domain is the server's failure domain.
+	Domain string
 	// Version is that of the server's software, which roll-outs replace.
 	Version string
 	// Slots is how many requests the server runs at once; 0 if unknown.
