--- a/decision/passthrough/escalation.go
+++ b/decision/passthrough/escalation.go
@@ -1,6 +1,6 @@
 package passthrough
 
-// confidenceBuckets is the number of buckets of confidence, each of which learns by itself.
+// confidenceBuckets is the number of buckets of confidence, each of which has its own counts.
 const confidenceBuckets = 20
 
 // escalationStats counts, for a route, the responses of a middle model requested after the
@@ -32,21 +32,21 @@
 
 // chance is the estimated probability that the middle model is confident of a request on which the
 // smallest model had the given confidence.
-func (n *escalationStats) chance(confidence float64) float64 {
+func (e *escalationStats) chance(confidence float64) float64 {
 	at := confidenceBucket(confidence)
 	prior := min(max(priorAtThreshold-priorSlope*(minConfidence-confidence), 0), 1)
-	return (n.confident[at] + escalationPriorWeight*prior) / (n.requested[at] + escalationPriorWeight)
+	return (e.confident[at] + escalationPriorWeight*prior) / (e.requested[at] + escalationPriorWeight)
 }
 
-func (n *escalationStats) learn(confidence float64, confident bool) {
+func (e *escalationStats) learn(confidence float64, confident bool) {
 	at := confidenceBucket(confidence)
-	if n.requested[at] >= escalationMemory {
-		n.requested[at] *= 1 - 1.0/escalationMemory
-		n.confident[at] *= 1 - 1.0/escalationMemory
+	if e.requested[at] >= escalationMemory {
+		e.requested[at] *= 1 - 1.0/escalationMemory
+		e.confident[at] *= 1 - 1.0/escalationMemory
 	}
-	n.requested[at]++
+	e.requested[at]++
 	if confident {
-		n.confident[at]++
+		e.confident[at]++
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// learnEscalation records whether a middle model was confident.
+// learnEscalation records whether a middle model, if the response is from one, was confident.
 func (w *World) learnEscalation(r *request, confidence float64) {
 	if r.nextModel > 0 && r.model == r.nextModel && r.model < len(r.Route.Models)-1 && confidence >= 0 {
 		w.statsOf(r.Route.Name).escalation.learn(r.droppedConfidence, confidence >= minConfidence)
