--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -12,7 +12,8 @@
 
 // ErrInvalidSnapshot means that bytes are not a snapshot that this reader can
 // restore: malformed, too large, inconsistent, or made with another Config.
-var ErrInvalidSnapshot = errors.New("fold: invalid snapshot")
+// Its text and Snapshot's are sent by router/internal/peer and so don't change.
+var ErrInvalidSnapshot = errors.New("fold: malformed snapshot")
 
 const (
 	snapshotVersion = 1
@@ -103,7 +104,7 @@
 		return nil, trace.Wrap(err)
 	}
 	if len(data) > MaxSnapshotBytes {
-		return nil, trace.Wrap(ErrInvalidSnapshot, "snapshot of %d bytes is too large", len(data))
+		return nil, trace.Wrap(ErrInvalidSnapshot, "%d bytes are beyond the limit", len(data))
 	}
 	return data, nil
 }
--- a/coordination/keyedlog/keyedlog.go
+++ b/coordination/keyedlog/keyedlog.go
@@ -69,21 +69,23 @@
 	Append(ctx context.Context, at Position, records ...Record) error
 }
 
-// Errors of a Log. Implementations wrap them together with the cause; callers use errors.Is.
+// Errors of a Log. Implementations wrap them together with the cause; callers use errors.Is. Their
+// texts are part of the protocol between instances (router/internal/relay sends them in errors) and so
+// don't change.
 var (
 	// ErrNotApplied means that the call had no effect: the log is busy or refuses this
 	// instance.
-	ErrNotApplied = errors.New("log call not applied")
+	ErrNotApplied = errors.New("the log did nothing")
 	// ErrUnknown means that no answer came: an append may have taken effect, or may still
 	// do so.
-	ErrUnknown = errors.New("outcome of log call unknown: no answer")
+	ErrUnknown = errors.New("the log did not answer")
 	// ErrTrimmed means that the records at the position are no longer kept.
-	ErrTrimmed = errors.New("records no longer kept by the log")
+	ErrTrimmed = errors.New("the log has dropped these records")
 	// ErrRestored means that the log was restored from a backup and the position is from before.
 	// It wraps ErrTrimmed because the recovery is the same: call Newest and read on from there.
-	ErrRestored = fmt.Errorf("%w: the log was restored from a copy", ErrTrimmed)
+	ErrRestored = fmt.Errorf("%w: it came back from a copy", ErrTrimmed)
 	// ErrConflict means that the log does not end at the position that Append was given.
-	ErrConflict = errors.New("append conflict: the log ends at another offset")
+	ErrConflict = errors.New("the log ends elsewhere")
 	// ErrRejected means that the call is invalid, so that a retry fails too.
-	ErrRejected = errors.New("log call rejected as invalid")
+	ErrRejected = errors.New("the log rejects the call")
 )
--- a/coordination/ledger/bill.go
+++ b/coordination/ledger/bill.go
@@ -79,20 +79,21 @@
 }
 
 // Validate reports a missing or out-of-range field. Errors wrap ErrInvalidBill.
+// Their texts are sent to peers (router/internal/peer) and so don't change.
 func (b *Bill) Validate() error {
 	if b.Team == "" || b.RequestID == "" {
-		return trace.Wrap(ErrInvalidBill, "team or request id is empty")
+		return trace.Wrap(ErrInvalidBill, "no team or no request id")
 	}
 	for _, f := range []string{b.Team, b.RequestID, b.Version, b.Service} {
 		if len(f) > maxFieldBytes {
-			return trace.Wrap(ErrInvalidBill, "name of %d bytes is too long", len(f))
+			return trace.Wrap(ErrInvalidBill, "field of %d bytes", len(f))
 		}
 	}
 	if b.CostMicros < 0 {
-		return trace.Wrap(ErrInvalidBill, "cost is negative")
+		return trace.Wrap(ErrInvalidBill, "negative cost")
 	}
 	if len(BillKey(b.Team, b.RequestID)) > record.MaxKeyBytes {
-		return trace.Wrap(ErrInvalidBill, "team and request id do not fit in a key")
+		return trace.Wrap(ErrInvalidBill, "names too long")
 	}
 	return nil
 }
@@ -131,12 +132,13 @@
 
 // ParseBill decodes the bill in a Put. Errors wrap ErrInvalidBill, also for a
 // bill under the key of another request.
+// Their texts are sent to peers (router/internal/peer) and so don't change.
 func ParseBill(r record.Record) (Bill, error) {
 	if r.Kind != record.KindPut || !strings.HasPrefix(string(r.Key), string(record.ClassBill)+"/") {
-		return Bill{}, trace.Wrap(ErrInvalidBill, "record is not the Put of a bill")
+		return Bill{}, trace.Wrap(ErrInvalidBill, "not the Put of a bill")
 	}
 	if len(r.Key) > record.MaxKeyBytes || len(r.Value) > MaxBillBytes {
-		return Bill{}, trace.Wrap(ErrInvalidBill, "key of %d bytes or value of %d bytes is too long", len(r.Key), len(r.Value))
+		return Bill{}, trace.Wrap(ErrInvalidBill, "key of %d and value of %d bytes", len(r.Key), len(r.Value))
 	}
 	var w wireBill
 	if err := cbor.Unmarshal(r.Value, &w); err != nil {
@@ -157,7 +159,7 @@
 		return Bill{}, err
 	}
 	if BillKey(b.Team, b.RequestID) != r.Key {
-		return Bill{}, trace.Wrap(ErrInvalidBill, "bill is stored under the key of another request")
+		return Bill{}, trace.Wrap(ErrInvalidBill, "bill under another request's key")
 	}
 	return b, nil
 }
--- a/router/internal/standin/engine/chat.go
+++ b/router/internal/standin/engine/chat.go
@@ -75,7 +75,7 @@
 		return nil, false
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.Busy }) {
-		s.refuse(w, r, http.StatusTooManyRequests, "busy", "no slot is free")
+		s.refuse(w, r, http.StatusTooManyRequests, "busy", "no slot")
 		return nil, false
 	}
 	version, ok := s.orders.loaded(j.request.Model)
--- a/router/internal/standin/engine/orders.go
+++ b/router/internal/standin/engine/orders.go
@@ -78,7 +78,7 @@
 	}
 	for _, id := range order.Versions {
 		if _, ok := o.find(id); !ok {
-			return "unknown_version", fmt.Sprintf("this engine cannot load version %s", id)
+			return "unknown_version", fmt.Sprintf("version %s cannot be loaded here", id)
 		}
 	}
 	o.fencing = max(o.fencing, fencing)
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -77,7 +77,7 @@
 		return
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.Fail }) {
-		faults.WriteError(w, http.StatusInternalServerError, "internal", "the answer could not be rated")
+		faults.WriteError(w, http.StatusInternalServerError, "internal", "cannot rate")
 		return
 	}
 	score := s.score(request)
--- a/router/internal/standin/service/service.go
+++ b/router/internal/standin/service/service.go
@@ -143,7 +143,7 @@
 	}
 	busy := s.Faults.Take(func(f *Faults) *faults.Count { return &f.Busy })
 	if busy || !s.acquireSlot() {
-		s.refuse(w, r, http.StatusTooManyRequests, "busy", "no slot is free")
+		s.refuse(w, r, http.StatusTooManyRequests, "busy", "too many calls")
 		return
 	}
 	defer s.releaseSlot()
@@ -187,7 +187,7 @@
 	}
 	w.Header().Set(wire.HeaderAttempt, nonce)
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.FailAfter }) {
-		faults.WriteError(w, http.StatusInternalServerError, "internal", "failed after the call took effect")
+		faults.WriteError(w, http.StatusInternalServerError, "internal", "failed after the effect")
 		return
 	}
 	if s.Faults.Take(func(f *Faults) *faults.Count { return &f.Truncate }) {
