--- a/router/internal/faultmatrix/publish_test.go
+++ b/router/internal/faultmatrix/publish_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"time"
 
+	"masticplank.example/router/internal/manifest"
 	"masticplank.example/router/internal/publish"
 )
 
@@ -39,12 +40,23 @@
 func (b *testbed) racePublications(instances ...string) {
 	b.t.Helper()
 	time.Sleep(propagationTime)
-	results := make(chan publish.Result, 2)
-	for _, via := range instances {
+	// Both parents are read before either publication starts. Otherwise the first
+	// publication could already be in force when the second one's parent is read, and
+	// both would be accepted.
+	manifests := make([]manifest.Manifest, len(instances))
+	for i, via := range instances {
 		current := b.instances[via].holder.Current()
 		m := withdrawalManifest(fmt.Sprint("race-", via, current.Manifest.Generation))
 		m.Generation, m.Parent = current.Manifest.Generation+1, current.Digest
-		go func() { results <- b.instances[via].publisher.Publish(context.Background(), m, false) }()
+		manifests[i] = m
+	}
+	if first, second := manifests[0], manifests[1]; first.Generation != second.Generation || first.Parent != second.Parent {
+		b.t.Errorf("two racing publications: generations %d and %d, parents %q and %q, want the same",
+			first.Generation, second.Generation, first.Parent, second.Parent)
+	}
+	results := make(chan publish.Result, 2)
+	for i, via := range instances {
+		go func() { results <- b.instances[via].publisher.Publish(context.Background(), manifests[i], false) }()
 	}
 	x, y := <-results, <-results
 	codes := x.Outcome.Code + "," + y.Outcome.Code
