--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -129,16 +129,16 @@
 		x.releaseClaim()
 		x.finish(decisionRefusal(c.Reason, c.RetryAfter))
 	case decision.Fail:
-		x.finish(failure(c.Result, x.req.Idempotent))
+		x.finish(failureOutcome(c.Result, x.req.Idempotent))
 	}
 }
 
-// failure returns the outcome of a request whose last attempt ended without an
+// failureOutcome returns the outcome of a request whose last attempt ended without an
 // answer. A lost connection does not show whether the server died before the
 // request took effect or its reply was lost afterwards. For work that may not be
 // repeated the outcome is therefore unknown: if it were "failed", the caller would
 // send the request again under a new key, and it might run twice.
-func failure(result decision.AttemptResult, idempotent bool) outcome.Outcome {
+func failureOutcome(result decision.AttemptResult, idempotent bool) outcome.Outcome {
 	if result == decision.AttemptCrashed && !idempotent {
 		result = decision.AttemptUnknown
 	}
--- a/router/internal/api/failure_test.go
+++ b/router/internal/api/failure_test.go
@@ -24,7 +24,7 @@
 		{decision.AttemptUnknown, false, outcome.Unknown},
 	}
 	for _, tt := range tests {
-		if got := failure(tt.result, tt.idempotent).Kind; got != tt.want {
+		if got := failureOutcome(tt.result, tt.idempotent).Kind; got != tt.want {
 			t.Errorf("result %v, idempotent %v: %s, want %s", tt.result, tt.idempotent, got, tt.want)
 		}
 	}
--- a/router/internal/directory/load.go
+++ b/router/internal/directory/load.go
@@ -28,9 +28,9 @@
 		if _, running := d.pollers[id]; running {
 			continue
 		}
-		loop, stop := context.WithCancel(ctx)
+		pollCtx, stop := context.WithCancel(ctx)
 		d.pollers[id] = stop
-		go d.pollLoad(loop, id)
+		go d.pollLoad(pollCtx, id)
 	}
 }
 
--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -35,19 +35,19 @@
 	}
 	const fleet, instances = 1000, 200
 	all := servers(fleet)
-	times := map[string]int{}
+	pickCounts := map[string]int{}
 	for i := range instances {
 		got := Subset(fmt.Sprintf("entry-%d", i), all)
 		if len(got) != subsetSize {
 			t.Fatalf("a subset has %d servers", len(got))
 		}
 		for _, id := range ids(got) {
-			times[id]++
+			pickCounts[id]++
 		}
 	}
 	// On average each server is picked 12.8 times; none may be left out.
-	if len(times) != fleet {
-		t.Errorf("%d of %d servers are picked by nobody", fleet-len(times), fleet)
+	if len(pickCounts) != fleet {
+		t.Errorf("%d of %d servers are picked by nobody", fleet-len(pickCounts), fleet)
 	}
 	before := ids(Subset("entry-1", all))
 	removed := before[0]
--- a/router/internal/gate/gate.go
+++ b/router/internal/gate/gate.go
@@ -77,10 +77,10 @@
 }
 
 // SetLiveInstances takes the names of the instances that the platform lists.
-func (g *Gate) SetLiveInstances(peers []string) {
+func (g *Gate) SetLiveInstances(names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tracker.SetLiveInstances(peers)
+	g.tracker.SetLiveInstances(names)
 	g.update()
 }
 
--- a/router/internal/manifest/index.go
+++ b/router/internal/manifest/index.go
@@ -58,14 +58,14 @@
 		sum, _ := hex.DecodeString(h)
 		x.keys[h] = keyOwner{hash: sum, team: t}
 	}
-	set := map[string]bool{}
+	allowed := map[string]bool{}
 	for _, v := range t.Allowed {
-		set[v] = true
+		allowed[v] = true
 	}
 	for _, s := range t.Services {
-		set["service:"+s] = true
+		allowed["service:"+s] = true
 	}
-	x.allowed[t.ID] = set
+	x.allowed[t.ID] = allowed
 }
 
 // TeamByKey returns the team that an API key belongs to. The key is hashed before
@@ -101,11 +101,11 @@
 // MayUse reports whether the team may use the version name, or any version of the
 // model name.
 func (x *Index) MayUse(team, name string) bool {
-	set := x.allowed[team]
-	if set[name] {
+	allowed := x.allowed[team]
+	if allowed[name] {
 		return true
 	}
-	for v := range set {
+	for v := range allowed {
 		if x.versions[v].Model == name {
 			return true
 		}
--- a/router/internal/manifest/validate.go
+++ b/router/internal/manifest/validate.go
@@ -41,8 +41,8 @@
 // Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Path + ": " + one.Text
+	for i, fault := range f {
+		lines[i] = fault.Path + ": " + fault.Text
 	}
 	return strings.Join(lines, "\n")
 }
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -173,7 +173,7 @@
 func TestOrderOfOldLeaseHolderIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
-		first, second := manager(t, log, "entry-1"), manager(t, log, "entry-2")
+		first, second := newLeaseManager(t, log, "entry-1"), newLeaseManager(t, log, "entry-2")
 		if !first.Acquire(t.Context()) {
 			t.Fatal("the first instance did not get the lease")
 		}
@@ -202,7 +202,7 @@
 	})
 }
 
-func manager(t *testing.T, log *logtest.Log, name string) *lease.Manager {
+func newLeaseManager(t *testing.T, log *logtest.Log, name string) *lease.Manager {
 	t.Helper()
 	n, err := node.New(log.Client(name), node.Config{Name: name})
 	if err != nil {
--- a/router/internal/peer/realnode_test.go
+++ b/router/internal/peer/realnode_test.go
@@ -23,8 +23,8 @@
 	default:
 	}
 }
-func (w *nodeObserver) Folded(uint64)        {}
-func (w *nodeObserver) ReadFailed(time.Time) {}
+func (o *nodeObserver) Folded(uint64)        {}
+func (o *nodeObserver) ReadFailed(time.Time) {}
 
 // realNode starts a node that follows log until the test ends.
 func realNode(t *testing.T, log *logtest.Log, name string) (*node.Node, *nodeObserver) {
--- a/router/internal/platform/log.go
+++ b/router/internal/platform/log.go
@@ -75,7 +75,7 @@
 		return 0, fmt.Errorf("%w: %w", platformlog.ErrNotAppended, err)
 	}
 	defer resp.Body.Close()
-	body, err := readAll(resp.Body, maxErrorBytes)
+	body, err := readAll(resp.Body, maxShortBodyBytes)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", platformlog.ErrUnknown, err)
 	}
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -16,8 +16,9 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// entries clears the log service's faults and returns the number of its entries.
-func entries(t *testing.T, svc *logsvc.Server) int {
+// countEntries clears the log service's faults and returns the number
+// of its entries.
+func countEntries(t *testing.T, svc *logsvc.Server) int {
 	t.Helper()
 	svc.Faults.Set(logsvc.Faults{})
 	server := httptest.NewServer(svc)
@@ -59,7 +60,7 @@
 			if !errors.Is(err, tt.want) {
 				t.Errorf("error %v, want %v", err, tt.want)
 			}
-			if got := entries(t, svc); got != tt.wantEntries {
+			if got := countEntries(t, svc); got != tt.wantEntries {
 				t.Errorf("%d entries in the log, want %d", got, tt.wantEntries)
 			}
 		})
@@ -86,7 +87,7 @@
 			t.Fatal(err)
 		}
 	}
-	if held := entries(t, svc); held != done || done == 1000 {
+	if held := countEntries(t, svc); held != done || done == 1000 {
 		t.Errorf("%d appends succeeded, %d entries in the log", done, held)
 	}
 }
@@ -137,7 +138,7 @@
 		{200, `{"offset":7}`, nil},
 		{200, `{}`, platformlog.ErrUnknown},
 		{200, `not json`, platformlog.ErrUnknown},
-		{200, strings.Repeat("x", maxErrorBytes+1), platformlog.ErrUnknown},
+		{200, strings.Repeat("x", maxShortBodyBytes+1), platformlog.ErrUnknown},
 		{307, ``, platformlog.ErrUnknown},
 		{500, `{"error":{"code":"internal"}}`, platformlog.ErrUnknown},
 		{503, `Service Unavailable`, platformlog.ErrUnknown},
--- a/router/internal/platform/rating.go
+++ b/router/internal/platform/rating.go
@@ -42,7 +42,7 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	answer, err := readAll(resp.Body, maxErrorBytes)
+	answer, err := readAll(resp.Body, maxShortBodyBytes)
 	if err != nil {
 		return 0, err
 	}
--- a/router/internal/platform/transport.go
+++ b/router/internal/platform/transport.go
@@ -13,10 +13,10 @@
 
 // Limits of the clients.
 const (
-	dialTimeout    = 2 * time.Second
-	idleTimeout    = 90 * time.Second
-	maxIdlePerHost = 64
-	maxErrorBytes  = 64 << 10
+	dialTimeout       = 2 * time.Second
+	idleTimeout       = 90 * time.Second
+	maxIdlePerHost    = 64
+	maxShortBodyBytes = 64 << 10
 )
 
 // newClient returns an HTTP client that neither follows redirects nor uses a
--- a/router/internal/session/token.go
+++ b/router/internal/session/token.go
@@ -151,8 +151,8 @@
 // LooksLikeToken tells a token from a session name in the same header: a name
 // may contain dots, but a JWT begins with the base64 of `{"`.
 func LooksLikeToken(header string) bool {
-	const begin = "eyJ"
-	return len(header) > len(begin) && header[:len(begin)] == begin && countDots(header) == 2
+	const prefix = "eyJ"
+	return len(header) > len(prefix) && header[:len(prefix)] == prefix && countDots(header) == 2
 }
 
 func countDots(s string) int {
--- a/router/internal/session/token_test.go
+++ b/router/internal/session/token_test.go
@@ -129,12 +129,12 @@
 	if _, _, err := newTestTokens(t, &now).Issue(testSession()); !errors.Is(err, &Error{Reason: ReasonNoKeys}) {
 		t.Errorf("no keys: got %v", err)
 	}
-	wide := testSession()
+	tooManyPins := testSession()
 	for i := range MaxPins + 1 {
 		model := strings.Repeat("m", i+1)
-		wide.Pins[model] = model + "@1"
+		tooManyPins.Pins[model] = model + "@1"
 	}
-	if _, _, err := newTestTokens(t, &now, "k").Issue(wide); !errors.Is(err, &Error{Reason: ReasonOutOfBounds}) {
+	if _, _, err := newTestTokens(t, &now, "k").Issue(tooManyPins); !errors.Is(err, &Error{Reason: ReasonOutOfBounds}) {
 		t.Errorf("too many pins: got %v", err)
 	}
 	if _, err := NewTokens(settings.Session{Keys: []settings.SessionKey{{ID: "k", Secret: "c2hvcnQ="}}}, time.Now); err == nil {
--- a/router/internal/upstream/upstream_test.go
+++ b/router/internal/upstream/upstream_test.go
@@ -26,7 +26,7 @@
 	return s.URL, count
 }
 
-func echo(w http.ResponseWriter, r *http.Request) {
+func echoNonce(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 }
 
@@ -57,10 +57,10 @@
 		handler http.HandlerFunc
 		want    decision.AttemptResult // 0 for a complete answer
 	}{
-		{"complete answer", func(w http.ResponseWriter, r *http.Request) { echo(w, r); _, _ = io.WriteString(w, "ok") }, 0},
+		{"complete answer", func(w http.ResponseWriter, r *http.Request) { echoNonce(w, r); _, _ = io.WriteString(w, "ok") }, 0},
 		{"no connection", nil, decision.AttemptNotRun},
 		{"refused by the backend server", func(w http.ResponseWriter, r *http.Request) {
-			echo(w, r)
+			echoNonce(w, r)
 			w.Header().Set(wire.HeaderNotRun, "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, decision.AttemptNotRun},
@@ -73,7 +73,7 @@
 		{"no nonce", func(http.ResponseWriter, *http.Request) {}, decision.AttemptUnknown},
 		{"connection closed before an answer", closeConnection, decision.AttemptCrashed},
 		{"connection closed in the body", func(w http.ResponseWriter, r *http.Request) {
-			echo(w, r)
+			echoNonce(w, r)
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "half")
 		}, decision.AttemptCrashed},
@@ -116,7 +116,7 @@
 			closeConnection(w, r)
 			return
 		}
-		echo(w, r)
+		echoNonce(w, r)
 	})
 	client := NewClient()
 	defer client.Close()
@@ -145,7 +145,7 @@
 func TestCancelledBeforeAConnectionIsNotRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	url, count := startServer(t, echo)
+	url, count := startServer(t, echoNonce)
 	client := NewClient()
 	defer client.Close()
 	_, err := client.Send(ctx, Call{Method: http.MethodPost, URL: url, Nonce: "n"})
--- a/router/internal/wire/prefix.go
+++ b/router/internal/wire/prefix.go
@@ -24,10 +24,10 @@
 	blocks := make([]uint64, 0, len(prompt)/blockBytes)
 	var parent [8]byte
 	for len(prompt) >= blockBytes {
-		sum := xxhash.New()
-		sum.Write(parent[:])
-		sum.Write(prompt[:blockBytes])
-		hash := sum.Sum64()
+		hasher := xxhash.New()
+		hasher.Write(parent[:])
+		hasher.Write(prompt[:blockBytes])
+		hash := hasher.Sum64()
 		blocks = append(blocks, hash)
 		binary.LittleEndian.PutUint64(parent[:], hash)
 		prompt = prompt[blockBytes:]
