--- a/router/internal/billing/billing.go
+++ b/router/internal/billing/billing.go
@@ -18,18 +18,20 @@
 const putTimeout = 2 * time.Second
 
 const (
-	// recordTimeout bounds all tries to record one bill. An instance that has just
-	// started cannot hold bills until it has read a list that names a peer;
-	// recordTimeout is longer than that takes.
+	// recordTimeout bounds the tries to record one bill: no retry begins after it. An
+	// instance that has just started cannot hold bills until it has read a list
+	// that names a peer; recordTimeout is longer than that takes.
 	recordTimeout = 5 * time.Second
 	// retryInterval is the pause between two tries.
 	retryInterval = 150 * time.Millisecond
 )
 
-// Holder holds bills while the log is unreachable, here and at one peer in
-// another failure domain. It writes them to the log once that is reachable again.
+// Holder holds bills while the log is unreachable, here and at one peer, in
+// another failure domain if one there accepts the copy. It writes them to the log
+// once that is reachable again.
 type Holder interface {
-	// Hold returns an error if no peer took the second copy.
+	// Hold returns nil once both copies are held. It fails if no peer accepts the
+	// second copy or if there is no room for the bill here.
 	Hold(ctx context.Context, r record.Record) error
 }
 
@@ -48,8 +50,8 @@
 // request, is in the log, or it is held at two instances. After an error the
 // answer must not end as if it had been billed.
 //
-// If neither succeeds, Record retries up to recordTimeout: the request has run,
-// and a late answer is worth more to its caller than none.
+// If a bill can be neither written nor held, Record retries up to recordTimeout:
+// the request has run, and a late answer is worth more to its caller than none.
 func (b *Biller) Record(ctx context.Context, bill ledger.Bill) error {
 	rec, err := bill.Record()
 	if err != nil {
--- a/router/internal/billing/billing_test.go
+++ b/router/internal/billing/billing_test.go
@@ -63,7 +63,7 @@
 				t.Errorf("%s: error %v after %d puts and %d holds", name, err, c.log.putCalls, c.log.holdCalls)
 			}
 			if time.Since(start) > recordTimeout {
-				t.Errorf("%s: took %v", name, time.Since(start))
+				t.Errorf("%s: took %v, want at most recordTimeout", name, time.Since(start))
 			}
 		})
 	}
--- a/router/internal/directory/directory.go
+++ b/router/internal/directory/directory.go
@@ -43,15 +43,17 @@
 	mu        sync.RWMutex
 	servers   map[decision.ServerID]wire.ListedServer
 	instances []wire.ListedInstance
-	// listed is the last list, reduced to this instance's subset.
+	// listed is the last list, reduced to this instance's subset. servers holds
+	// the same servers by ID, with their reported versions.
 	listed []wire.ListedServer
 	// reportedVersions are the versions that backend servers reported as loaded.
 	// They are newer than those in the list.
 	reportedVersions map[decision.ServerID][]string
 	// loadReportedAt is when a server last stated its load in a response.
 	loadReportedAt map[decision.ServerID]time.Time
-	pollers        map[decision.ServerID]context.CancelFunc
-	hasList        bool
+	// pollers holds the function that stops each server's load poller.
+	pollers map[decision.ServerID]context.CancelFunc
+	hasList bool
 }
 
 // New returns the directory of an instance; Run starts it.
@@ -70,7 +72,8 @@
 	}
 }
 
-// Addr returns the address of a listed backend server.
+// Addr returns the address of a backend server; false if the server is not listed
+// or not in this instance's subset.
 func (d *Directory) Addr(id decision.ServerID) (string, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -125,9 +128,9 @@
 	d.syncPollers(ctx)
 }
 
-// publish sends the list to package decision. Versions that engines report
-// themselves replace the listed ones: after an order the list lags behind the
-// engines' reports.
+// publish sends the servers of this instance's subset to package decision.
+// Versions that engines report themselves replace the listed ones: after an order
+// the list lags behind the engines' reports.
 func (d *Directory) publish() {
 	d.mu.Lock()
 	rows := make([]decision.Server, 0, len(d.listed))
@@ -145,7 +148,8 @@
 	d.sender.Send(decision.ServersListed{Servers: rows})
 }
 
-// Engines lists the engines of a failure domain with their loaded versions.
+// Engines returns the engines of this instance's subset that are in a failure
+// domain, with their loaded versions.
 func (d *Directory) Engines(domain string) []wire.ListedServer {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -159,7 +163,8 @@
 	return out
 }
 
-// updateVersions takes over the versions that a server reports as loaded.
+// updateVersions records the versions that a server reports as loaded, and
+// publishes the list again if they changed.
 func (d *Directory) updateVersions(id decision.ServerID, versions []string) {
 	d.mu.Lock()
 	changed := !slices.Equal(d.servers[id].Versions, versions)
--- a/router/internal/directory/load.go
+++ b/router/internal/directory/load.go
@@ -12,7 +12,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// syncPollers runs one load poller for each listed backend server.
+// syncPollers starts a load poller for each backend server that is new in the
+// subset and stops the pollers of those that left it.
 func (d *Directory) syncPollers(ctx context.Context) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,7 +72,7 @@
 }
 
 // ObserveLoad takes the load that a server stated in a response
-// (wire.HeaderLoad). Any other text is ignored.
+// (wire.HeaderLoad). A malformed or empty load is ignored.
 func (d *Directory) ObserveLoad(id decision.ServerID, load string) {
 	running, queued, ok := wire.ParseLoad(load)
 	if !ok {
@@ -91,8 +92,8 @@
 }
 
 // fetchLoad fetches one server's load report, sends its contents to package
-// decision and returns the sequence number of the last cache event. If the fetch
-// fails, it returns since.
+// decision and returns the sequence number of the last cache event. Without a
+// report it returns since, so that the next fetch asks for the same events.
 func (d *Directory) fetchLoad(ctx context.Context, id decision.ServerID, since uint64) uint64 {
 	addr, ok := d.Addr(id)
 	if !ok {
--- a/router/internal/directory/subset.go
+++ b/router/internal/directory/subset.go
@@ -42,7 +42,8 @@
 	return out
 }
 
-// groupByTarget returns the servers of each version and service.
+// groupByTarget returns the servers of each version and service. A server
+// without either is in no group.
 func groupByTarget(servers []wire.ListedServer) map[string][]wire.ListedServer {
 	out := map[string][]wire.ListedServer{}
 	for _, s := range servers {
--- a/router/internal/directory/subset_test.go
+++ b/router/internal/directory/subset_test.go
@@ -31,7 +31,7 @@
 // any instance, or that change as a whole when one server leaves.
 func TestSubsetIsBoundedStableAndEven(t *testing.T) {
 	if got := Subset("entry-1", servers(15)); len(got) != 15 {
-		t.Errorf("a fleet of 15 servers is reduced to %d", len(got))
+		t.Errorf("a fleet of 15 servers is reduced to %d, want all", len(got))
 	}
 	const fleet, instances = 1000, 200
 	all := servers(fleet)
@@ -39,7 +39,7 @@
 	for i := range instances {
 		got := Subset(fmt.Sprintf("entry-%d", i), all)
 		if len(got) != subsetSize {
-			t.Fatalf("a subset has %d servers", len(got))
+			t.Fatalf("a subset has %d servers, want subsetSize", len(got))
 		}
 		for _, id := range ids(got) {
 			pickCounts[id]++
@@ -47,7 +47,7 @@
 	}
 	// On average each server is picked 12.8 times; none may be left out.
 	if len(pickCounts) != fleet {
-		t.Errorf("%d of %d servers are picked by nobody", fleet-len(pickCounts), fleet)
+		t.Errorf("%d of %d servers are picked by no instance", fleet-len(pickCounts), fleet)
 	}
 	before := ids(Subset("entry-1", all))
 	removed := before[0]
@@ -59,7 +59,7 @@
 		}
 	}
 	if kept != subsetSize-1 {
-		t.Errorf("one server left, and %d of the subset stayed", kept)
+		t.Errorf("one server left, and %d of the subset stayed, want subsetSize-1", kept)
 	}
 }
 
@@ -84,20 +84,20 @@
 		sent := &events{}
 		d := New("entry-1", nil, sent, time.Second, 250*time.Millisecond)
 		if got := d.nextPollDelay("s1"); got != 250*time.Millisecond {
-			t.Errorf("before: %v", got)
+			t.Errorf("before a response: polled every %v, want 250ms", got)
 		}
 		d.ObserveLoad("s1", "3/1")
 		d.ObserveLoad("s1", "nonsense")
 		want := decision.LoadReported{Server: "s1", Running: 3, Queued: 1, At: time.Now()}
 		if !slices.Equal(sent.list, []decision.Event{want}) {
-			t.Errorf("got %+v", sent.list)
+			t.Errorf("sent %+v, want the one well-formed load", sent.list)
 		}
 		if got := d.nextPollDelay("s1"); got != reportedPollFactor*250*time.Millisecond {
-			t.Errorf("after a response with a load: %v", got)
+			t.Errorf("after a response with a load: polled every %v, want reportedPollFactor times 250ms", got)
 		}
 		time.Sleep(time.Second)
 		if got := d.nextPollDelay("s1"); got != 250*time.Millisecond {
-			t.Errorf("after the stated load has become old: %v", got)
+			t.Errorf("after the stated load has become old: polled every %v, want 250ms", got)
 		}
 	})
 }
--- a/router/internal/driver/driver.go
+++ b/router/internal/driver/driver.go
@@ -13,7 +13,8 @@
 
 const (
 	// inboxSize is how many events can wait for the next tick. A full inbox
-	// blocks senders, which slows the arrival of requests, not their end.
+	// blocks all senders until a tick has made room, and so slows the arrival of
+	// requests.
 	inboxSize = 4096
 	// batchSize bounds the events of one tick, so that a burst cannot delay the
 	// commands for earlier requests.
@@ -22,8 +23,8 @@
 	// event arrives. Such ticks apply deadlines and limits on waiting times.
 	tickInterval = 5 * time.Millisecond
 	// idleTickInterval is the same while no request is open: 4 wake-ups a second
-	// instead of 200. It is well below decision.Config.PauseThreshold; a longer gap
-	// between two ticks counts as a pause of the process.
+	// instead of 200. It is well below decision.Config.PauseThreshold: a gap between
+	// two ticks that is longer than that threshold counts as a pause of the process.
 	idleTickInterval = 250 * time.Millisecond
 	// commandBuffer is how many unread commands a request can have. Its attempts
 	// run one after the other, so there are rarely more than a Dispatch and a final
@@ -41,19 +42,22 @@
 
 // Decider is the state machine that the driver runs; *decision.World implements it.
 type Decider interface {
+	// Tick advances the state machine to now, applies the events and returns the
+	// commands that follow.
 	Tick(now time.Time, in []decision.Event) []decision.Command
 }
 
-// Driver owns a Decider. Its methods are safe for concurrent use.
+// Driver owns a Decider. Its methods, except for Run, are safe for concurrent use.
 type Driver struct {
 	decider Decider
 	sink    FleetSink
 	inbox   chan decision.Event
 	done    chan struct{}
 
-	nextID          atomic.Uint64
-	mu              sync.Mutex
-	tickets         map[decision.RequestID]*Ticket
+	nextID  atomic.Uint64
+	mu      sync.Mutex
+	tickets map[decision.RequestID]*Ticket
+	// openingSessions holds the channels on which OpenSession waits.
 	openingSessions map[decision.SessionID]chan []decision.VersionID
 }
 
@@ -138,7 +142,7 @@
 	return t
 }
 
-// OpenRequests returns the number of requests that have not ended.
+// OpenRequests returns the number of requests whose tickets are not closed.
 func (d *Driver) OpenRequests() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,7 +213,7 @@
 }
 
 // OpenSession returns the versions that a new session is pinned to. It returns none
-// if ctx ends first or the team may not use any model.
+// if ctx or Run ends first, or if there is no version that the team may use now.
 func (d *Driver) OpenSession(ctx context.Context, team decision.TeamID, rolloutPosition float64) []decision.VersionID {
 	id := decision.SessionID(d.nextID.Add(1))
 	answer := make(chan []decision.VersionID, 1)
--- a/router/internal/driver/ticket.go
+++ b/router/internal/driver/ticket.go
@@ -15,15 +15,18 @@
 	driver   *Driver
 	commands chan decision.Command
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// cancels holds the cancel functions of the running attempts.
 	cancels map[decision.AttemptID]context.CancelFunc
 	// cancelled holds the attempts that were cancelled before they began.
 	cancelled map[decision.AttemptID]bool
 }
 
-// Next waits for the next command. Once ctx has ended it returns ctx's error, even
-// if a command is waiting: after a caller has disconnected, the command that
-// follows a cancelled attempt must not count as the end of the request.
+// Next waits for the next command. If ctx has ended before the call, it returns
+// ctx's error even if a command is waiting: after a caller has disconnected, the
+// command that package decision sends for the cancelled attempt must not count as
+// the end of the request. Once the driver's Run has ended, it returns
+// context.Canceled.
 func (t *Ticket) Next(ctx context.Context) (decision.Command, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -38,9 +41,9 @@
 	}
 }
 
-// BeginAttempt returns the context of an attempt, which ends when package decision
-// cancels the attempt. The caller must call the returned function at the end of
-// the attempt.
+// BeginAttempt returns the context of an attempt, which ends when ctx ends or
+// package decision cancels the attempt. The caller must call the returned function
+// at the end of the attempt.
 func (t *Ticket) BeginAttempt(ctx context.Context, id decision.AttemptID) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	t.mu.Lock()
--- a/router/internal/gate/gate.go
+++ b/router/internal/gate/gate.go
@@ -20,8 +20,8 @@
 	tracker  *freshness.Tracker
 	lastMode freshness.Mode
 	onChange func(freshness.Mode)
-	// heldBillsFull reports whether no more bills can be held. In an outage of the
-	// log new work is then refused.
+	// heldBillsFull reports whether no more bills can be held. If so, new work is
+	// refused during an outage of the log.
 	heldBillsFull func() bool
 }
 
@@ -68,7 +68,7 @@
 	g.update()
 }
 
-// Vouched takes a peer's report on its state, received just now.
+// Vouched takes a peer's report on the log's head, received just now.
 func (g *Gate) Vouched(v freshness.Vouch) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,7 +76,8 @@
 	g.update()
 }
 
-// SetLiveInstances takes the names of the instances that the platform lists.
+// SetLiveInstances takes the names of the instances that the platform lists,
+// which may include this one.
 func (g *Gate) SetLiveInstances(names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,9 +108,10 @@
 	return mode
 }
 
-// MayRun returns an empty reason if new work may start. It is called at admission
-// and again right before each dispatch. idempotent is false for work that needs a
-// claim in the log.
+// MayRun returns an empty reason if new work may start, else the reason for
+// refusing it. It is called at admission and again right before each dispatch.
+// idempotent is false for work that must first write to the log, such as a claim,
+// the pins of a session or a manifest: during an outage it is refused.
 func (g *Gate) MayRun(idempotent bool) decision.RefusalReason {
 	switch g.Mode() {
 	case freshness.ModeFresh:
--- a/router/internal/gate/gate_test.go
+++ b/router/internal/gate/gate_test.go
@@ -10,7 +10,7 @@
 
 // TestPauseEndsFreshness pauses an instance for less than the freshness bound. Its
 // last confirmation is recent enough, but no confirmation from before a pause may
-// count: the instance would admit work on outdated state.
+// count, else the instance would admit work on outdated state.
 func TestPauseEndsFreshness(t *testing.T) {
 	const bound = 5 * time.Second
 	for _, c := range []struct {
@@ -27,7 +27,7 @@
 		g.HeadRead(clock, 7)
 		g.Folded(7)
 		if got := g.MayRun(false); got != "" {
-			t.Fatalf("%s: refuses while fresh: %s", c.name, got)
+			t.Fatalf("%s: refuses for %s while fresh, want no refusal", c.name, got)
 		}
 		clock = clock.Add(c.pause)
 		if got := g.MayRun(true); got != c.want {
@@ -35,7 +35,7 @@
 		}
 		g.HeadRead(clock, 7)
 		if got := g.MayRun(true); got != "" {
-			t.Errorf("%s: refuses after a new confirmation: %s", c.name, got)
+			t.Errorf("%s: refuses for %s after a new confirmation, want no refusal", c.name, got)
 		}
 	}
 }
--- a/router/internal/manifest/diff.go
+++ b/router/internal/manifest/diff.go
@@ -12,11 +12,13 @@
 	Kind string `json:"kind"`
 	// Item is the kind and ID of an entry, such as "team weavers" or
 	// "version draft@2".
-	Item   string `json:"item"`
+	Item string `json:"item"`
+	// Detail shows the entry before and after the change, if Kind is "changed".
 	Detail string `json:"detail,omitempty"`
 }
 
-// Diff returns the differences of to from from, sorted by item.
+// Diff returns what changes from one manifest to another: teams, versions, services
+// and objectives, sorted by item. Orders are not compared.
 func Diff(from, to Manifest) []Change {
 	var out []Change
 	out = append(out, diffEntries("team", teamsByID(from), teamsByID(to))...)
--- a/router/internal/manifest/holder.go
+++ b/router/internal/manifest/holder.go
@@ -19,13 +19,13 @@
 
 	mu sync.Mutex
 	// accepted holds the generations of the last publications by their id;
-	// acceptedOrder holds the same ids, oldest first.
+	// acceptedOrder holds the same ids, the one accepted first at the front.
 	accepted      map[string]uint64
 	acceptedOrder []string
 }
 
-// maxAccepted bounds the remembered publications. At 66,000 changes a day that is
-// more than an hour, much longer than a pipeline retries one.
+// maxAccepted bounds the remembered publications. At 66,000 changes a day they span
+// more than an hour, much longer than a pipeline retries a publication.
 const maxAccepted = 4096
 
 // NewHolder returns an empty holder. onApplied may be nil; it must not block.
@@ -66,9 +66,9 @@
 	}
 }
 
-// Fold applies a change of a manifest register. The fold reports the publications
-// that won in the order of the log. A generation that is not newer is ignored, so
-// that a replay never reverts to an older manifest.
+// Fold applies a change of a manifest register if its publication won. The fold
+// reports such changes in the order of the log. A generation that is not newer is
+// ignored, so that a replay never reverts to an older manifest.
 func (h *Holder) Fold(c fold.Change) error {
 	if c.Verdict != fold.VerdictWon {
 		return nil
--- a/router/internal/manifest/index.go
+++ b/router/internal/manifest/index.go
@@ -21,9 +21,12 @@
 	services map[string]Service
 	versions map[string]Version
 	models   map[string]bool
-	allowed  map[string]map[string]bool
+	// allowed holds, by team, the IDs of the versions that it may use and those of
+	// the services as "service:ID".
+	allowed map[string]map[string]bool
 }
 
+// keyOwner is the team that an API key belongs to, with the key's hash.
 type keyOwner struct {
 	hash []byte
 	team Team
@@ -119,8 +122,9 @@
 	return s, known, x.allowed[team]["service:"+id]
 }
 
-// Idempotent reports whether a call of the service may be repeated. A call that
-// matches no route is not idempotent: repeating it does more harm than refusing it.
+// Idempotent reports whether a call of the service may be repeated. The first route
+// that matches decides. A call that matches none is not idempotent: repeating it
+// does more harm than refusing it.
 func (s Service) Idempotent(method, callPath string) bool {
 	for _, r := range s.Routes {
 		if r.Method != method {
--- a/router/internal/manifest/manifest.go
+++ b/router/internal/manifest/manifest.go
@@ -2,8 +2,8 @@
 // its validation. Validation is pure, so that every reader has the same result.
 package manifest
 
-// Manifest is the configuration that an operator publishes: teams, versions and
-// services.
+// Manifest is the configuration that an operator publishes: teams, versions,
+// services, orders and objectives.
 type Manifest struct {
 	// Generation is this manifest's number, its parent's plus 1.
 	Generation uint64 `json:"generation"`
@@ -15,7 +15,7 @@
 	Teams       []Team    `json:"teams"`
 	Versions    []Version `json:"versions"`
 	Services    []Service `json:"services,omitempty"`
-	// Orders states what backend servers are to load; without it they are sent
+	// Orders states which versions engines are to load; without it they are sent
 	// no orders.
 	Orders     *Orders     `json:"orders,omitempty"`
 	Objectives []Objective `json:"objectives,omitempty"`
@@ -78,10 +78,10 @@
 // Service is a plain service, one that is not a model.
 type Service struct {
 	ID string `json:"id"`
-	// Price of one completed call, in the unit of Version.Cost; calls with price 0
-	// are not billed.
+	// Price of one call that succeeded (status below 300), in the unit of
+	// Version.Cost; calls with price 0 are not billed.
 	Price float64 `json:"price,omitempty"`
-	// Routes state which calls are idempotent; a call that matches none is not.
+	// Routes state which calls are idempotent; see Service.Idempotent.
 	Routes []Route `json:"routes"`
 }
 
--- a/router/internal/manifest/manifest_test.go
+++ b/router/internal/manifest/manifest_test.go
@@ -67,7 +67,7 @@
 		corrupt(&m)
 		found := slices.ContainsFunc(Validate(m), func(f Fault) bool { return f.Path == path })
 		if !found {
-			t.Errorf("%s: not among %v", path, Validate(m))
+			t.Errorf("%s: not among the faults %v", path, Validate(m))
 		}
 	}
 }
@@ -77,7 +77,7 @@
 func TestIndexPermissions(t *testing.T) {
 	x := NewIndex(validManifest(), "d")
 	if team, ok := x.TeamByKey("loom"); !ok || team.ID != "weavers" {
-		t.Errorf("key: got %v, %v", team, ok)
+		t.Errorf("key: got %v, %v, want team weavers", team, ok)
 	}
 	if _, ok := x.TeamByKey(HashKey("loom")); ok {
 		t.Error("the hash itself is taken as a key")
@@ -115,7 +115,7 @@
 		}
 	}
 	if want := []uint64{1, 2, 3}; !slices.Equal(applied, want) || h.Generation() != 3 {
-		t.Errorf("applied %v, in force %d", applied, h.Generation())
+		t.Errorf("applied generations %v, %d in force; want 1 to 3 once each and 3 in force", applied, h.Generation())
 	}
 }
 
@@ -128,10 +128,10 @@
 	}
 	h.remember(Manifest{Publication: "5", Generation: 9000})
 	if g, ok := h.AcceptedGeneration("5"); !ok || g != 9000 {
-		t.Errorf("got %d, %v", g, ok)
+		t.Errorf("got generation %d, %v, want 9000, true", g, ok)
 	}
 	if _, ok := h.AcceptedGeneration("1"); ok || len(h.accepted) != maxAccepted || len(h.acceptedOrder) != maxAccepted {
-		t.Errorf("%d publications remembered, %d in acceptedOrder", len(h.accepted), len(h.acceptedOrder))
+		t.Errorf("%d publications remembered, %d in acceptedOrder, want maxAccepted of each without the oldest", len(h.accepted), len(h.acceptedOrder))
 	}
 }
 
@@ -147,7 +147,7 @@
 		"not JSON":    []byte(`{`),
 	} {
 		if err := CheckRecord(record.Record{Value: value}); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: accepted, want an error", name)
 		}
 	}
 	if err := CheckRecord(record.Record{Value: mustJSON(t, validManifest())}); err != nil {
@@ -164,6 +164,9 @@
 	return data
 }
 
+// TestDiff checks that entries that were added, removed and changed are listed, and
+// no others. The diff command prints this list, so a missing entry would hide a
+// change from the operator.
 func TestDiff(t *testing.T) {
 	to := validManifest()
 	to.Versions[1].Share = 0.5
@@ -179,8 +182,8 @@
 	}
 }
 
-// FuzzParse parses arbitrary data, encodes each valid manifest and checks it as the
-// fold does.
+// FuzzParse parses arbitrary data, encodes each valid manifest and checks the
+// encoding as the fold does.
 func FuzzParse(f *testing.F) {
 	data, err := json.Marshal(validManifest())
 	if err != nil {
--- a/router/internal/manifest/validate.go
+++ b/router/internal/manifest/validate.go
@@ -11,8 +11,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Limits of a manifest's content. They bound the memory that one publication can
-// take at each instance; they do not follow from the needs of a deployment.
+// Limits of a manifest's content. Those on counts bound the memory that one
+// publication can take at each instance; they do not follow from the needs of a
+// deployment. maxWeight bounds a team's weight, maxPlaced the engines of one
+// placement.
 const (
 	maxTeams    = 10_000
 	maxVersions = 1_000
@@ -79,6 +81,7 @@
 	c.faults = append(c.faults, Fault{Path: path, Text: fmt.Sprintf(format, args...)})
 }
 
+// id checks the ID of an entry; seen holds the IDs of the entries before it.
 func (c *checker) id(path, id string, seen map[string]bool) {
 	if !idPattern.MatchString(id) {
 		c.add(path, "%q is not an id: letters, digits, '.', '_', '-', at most 64", id)
@@ -192,6 +195,7 @@
 	return seen
 }
 
+// known checks that a list of IDs names only entries that are known.
 func (c *checker) known(at, kind string, ids []string, known map[string]bool) {
 	for i, id := range ids {
 		if !known[id] {
@@ -200,6 +204,8 @@
 	}
 }
 
+// keys checks the API key hashes of a team; owner holds the teams of the hashes
+// before them.
 func (c *checker) keys(at string, t Team, owner map[string]string) {
 	for i, h := range t.KeyHashes {
 		where := fmt.Sprintf("%s.key_hashes[%d]", at, i)
--- a/router/internal/orders/orders_test.go
+++ b/router/internal/orders/orders_test.go
@@ -94,7 +94,7 @@
 				}
 			}
 			if have != min(placement.Servers, len(engines)) {
-				t.Errorf("%s on %d engines, want %d", placement.Version, have, placement.Servers)
+				t.Errorf("%s on %d engines, want %d or, in a smaller fleet, all", placement.Version, have, placement.Servers)
 			}
 		}
 	})
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestOrderOfOldLeaseHolderIsRefused pauses a holder between its check and its order until
-// its lease has expired. Another instance takes over and sends an order; the old
+// TestOrderOfOldLeaseHolderIsRefused pauses a holder between its check and its order
+// until its lease has expired. Another instance takes over and sends an order; the old
 // holder's order then reaches an engine that checks fencing numbers, which must
 // refuse it.
 func TestOrderOfOldLeaseHolderIsRefused(t *testing.T) {
@@ -179,7 +179,7 @@
 		}
 		oldFence, result := first.Check(lease.FencingEnforced)
 		if result != lease.Allowed {
-			t.Fatalf("check by the first instance: %v", result)
+			t.Fatalf("check by the first instance: %v, want Allowed", result)
 		}
 		// first pauses here, between its check and its order.
 		for !second.Acquire(t.Context()) {
@@ -187,14 +187,14 @@
 		}
 		newFence, _ := second.Check(lease.FencingEnforced)
 		if newFence <= oldFence {
-			t.Fatalf("fencing number %d after %d", newFence, oldFence)
+			t.Fatalf("fencing number %d after %d, want a higher one", newFence, oldFence)
 		}
 		e := engine.New(engine.Config{CheckFencing: true})
 		if code := putTo(e, newFence, "large@1"); code != http.StatusOK {
-			t.Errorf("order of the new holder: status %d", code)
+			t.Errorf("order of the new holder: status %d, want 200", code)
 		}
 		if code := putTo(e, oldFence, "small@1"); code != http.StatusConflict {
-			t.Errorf("order of the old holder: status %d", code)
+			t.Errorf("order of the old holder: status %d, want 409", code)
 		}
 		if _, result := first.Check(lease.FencingEnforced); result == lease.Allowed {
 			t.Error("the old holder's check still allows an order")
@@ -202,6 +202,7 @@
 	})
 }
 
+// newLeaseManager returns the lease manager of an instance that follows log.
 func newLeaseManager(t *testing.T, log *logtest.Log, name string) *lease.Manager {
 	t.Helper()
 	n, err := node.New(log.Client(name), node.Config{Name: name})
@@ -223,6 +224,7 @@
 	return m
 }
 
+// putTo sends an engine an order and returns the status of its answer.
 func putTo(e *engine.Server, fence uint64, version string) int {
 	body := strings.NewReader(fmt.Sprintf(`{"versions":[%q]}`, version))
 	r := httptest.NewRequest(http.MethodPut, "/orders", body)
--- a/router/internal/orders/plan.go
+++ b/router/internal/orders/plan.go
@@ -45,8 +45,8 @@
 // most maxLoads versions, and an engine unloads what it should not have only once
 // it has everything that it should.
 //
-// Plan is pure: the same input gives the same orders. An engine that has a placed
-// version is preferred for it, so that planning again moves nothing.
+// Plan is pure: the same input gives the same orders. For each version the engines
+// that have it are preferred, so that planning again moves nothing.
 func Plan(engines []Engine, placements []Placement, maxLoads int) []Order {
 	p := newPlanner(engines)
 	for _, placement := range placements {
@@ -142,6 +142,7 @@
 
 func hasVersion(e Engine, version string) bool { return slices.Contains(e.Versions, version) }
 
+// rendezvousHash ranks the engines for a version, differently for each version.
 func rendezvousHash(version, engine string) uint64 {
 	return xxhash.Sum64String(version + "\x00" + engine)
 }
--- a/router/internal/orders/sender.go
+++ b/router/internal/orders/sender.go
@@ -41,7 +41,8 @@
 	HandOver(ctx context.Context) bool
 }
 
-// EngineReports returns the engines of a failure domain with their loaded versions.
+// EngineReports returns the known engines of a failure domain with their loaded
+// versions; *directory.Directory implements it.
 type EngineReports interface {
 	Engines(domain string) []wire.ListedServer
 }
@@ -60,8 +61,8 @@
 	loadLimiter *rate.Limiter
 
 	mu sync.Mutex
-	// lastSent holds the time of the last order to each engine, so that no order
-	// is repeated before the engine could have reported its effect.
+	// lastSent holds the time of the last accepted order to each engine, so that no
+	// order is repeated before the engine could have reported its effect.
 	lastSent map[string]time.Time
 }
 
@@ -100,7 +101,8 @@
 	s.lease.HandOver(ctx)
 }
 
-// Reconcile acquires or renews the lease and sends the orders that are due.
+// Reconcile acquires or renews the lease and sends the orders that are due. It does
+// nothing while the manifest has no orders.
 func (s *Sender) Reconcile(ctx context.Context) {
 	index := s.manifests.Current()
 	if index == nil || index.Manifest.Orders == nil {
@@ -141,8 +143,8 @@
 	return out
 }
 
-// send sends an order if the lease, checked right before, still allows it and no
-// order was sent to the engine recently.
+// send sends an order if the lease, checked right before, still allows it and the
+// engine has accepted no order within reportDelay.
 func (s *Sender) send(ctx context.Context, fencing lease.FencingSupport, o Order, servers []wire.ListedServer) {
 	if s.recentlyOrdered(o.Engine) {
 		return
@@ -165,7 +167,7 @@
 // reportDelay is how long an engine may take to report the effect of an order.
 const reportDelay = 3 * reconcileInterval
 
-// recentlyOrdered reports whether an order was sent to the engine within reportDelay.
+// recentlyOrdered reports whether the engine accepted an order within reportDelay.
 func (s *Sender) recentlyOrdered(engine string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,6 +180,7 @@
 	s.lastSent[engine] = time.Now()
 }
 
+// addrOf returns the address of an engine; empty if it is not among the servers.
 func addrOf(id string, servers []wire.ListedServer) string {
 	for _, s := range servers {
 		if s.ID == id {
--- a/router/internal/outcome/outcome.go
+++ b/router/internal/outcome/outcome.go
@@ -19,13 +19,15 @@
 	Conflict   Kind = "conflict"
 )
 
-// Outcome is a final answer that is not a backend server's answer.
+// Outcome is how a request ended and, unless a backend server answered it, what
+// the caller is told.
 type Outcome struct {
 	Kind Kind
 	// Code is stable and meant for programs, Message for people.
 	Code    string
 	Message string
-	// RetryAfter is set if a retry can succeed, else zero.
+	// RetryAfter is how long the caller is asked to wait before a retry; zero if
+	// it is not asked to retry.
 	RetryAfter time.Duration
 }
 
--- a/router/internal/outcome/outcome_test.go
+++ b/router/internal/outcome/outcome_test.go
@@ -15,7 +15,7 @@
 	}
 	for code := range statusByCode {
 		if !strings.Contains(string(page), "`"+code+"`") {
-			t.Errorf("docs/API.md lacks %s", code)
+			t.Errorf("docs/API.md lacks the code %s, want each code of statusByCode", code)
 		}
 	}
 }
--- a/router/internal/platform/clients_test.go
+++ b/router/internal/platform/clients_test.go
@@ -28,11 +28,11 @@
 		t.Fatal(err)
 	}
 	if len(list.Servers) != 1 || !list.Servers[0].Leaving || list.Instances[0].Domain != "gasabo" {
-		t.Errorf("list %+v", list)
+		t.Errorf("list %+v, want one leaving server and an instance in gasabo", list)
 	}
 	svc.Faults.Set(listsvc.Faults{Common: faults.Common{Down: true}})
 	if list, err := client.Fetch(context.Background()); err == nil {
-		t.Errorf("down: got %+v", list)
+		t.Errorf("down: got %+v, want an error", list)
 	}
 }
 
@@ -105,7 +105,7 @@
 func TestDecodeScoreRejectsInvalidScores(t *testing.T) {
 	for _, body := range []string{``, `{}`, `{"score":null}`, `{"score":-0.1}`, `{"score":1.1}`, `{"score":"1"}`} {
 		if score, err := decodeScore([]byte(body)); err == nil {
-			t.Errorf("%q: accepted as score %v", body, score)
+			t.Errorf("%q: accepted as score %v, want an error", body, score)
 		}
 	}
 }
--- a/router/internal/platform/log.go
+++ b/router/internal/platform/log.go
@@ -19,10 +19,10 @@
 
 // Limits of the log client.
 const (
-	// DefaultAppendTimeout bounds an append, besides its context's deadline.
+	// DefaultAppendTimeout bounds an append, in addition to its context's deadline.
 	DefaultAppendTimeout = 5 * time.Second
-	// longPollMargin is added to the timeout of a long poll for the answer to
-	// arrive.
+	// longPollMargin is added to the wait of a long poll, so that its answer has
+	// time to arrive.
 	longPollMargin = 5 * time.Second
 	// maxPageBytes bounds the answer to one read: it has room for the largest
 	// entry in base64 and for a page of ordinary ones.
@@ -125,8 +125,10 @@
 }
 
 // decodePage decodes the answer to a read from offset from. It accepts only a page
-// whose entries have no gaps, start at from and lie before the head: a reader that
-// folded anything else would differ from the other readers permanently.
+// whose entries have no gaps, start at from and lie between the first kept offset
+// and the head: a reader that folded anything else would differ from the other
+// readers permanently. If from has been trimmed, it returns ErrTrimmed and a page
+// that has no entries but the first kept offset and the head.
 func decodePage(status int, body []byte, from uint64) (platformlog.Page, error) {
 	if status != http.StatusOK && status != http.StatusGone {
 		return platformlog.Page{}, fmt.Errorf("%w: %w", platformlog.ErrUnavailable, statusError(status, body))
@@ -146,12 +148,13 @@
 	return convertPage(page, from)
 }
 
+// convertPage converts a page and checks the offsets of its entries.
 func convertPage(page wire.LogPage, from uint64) (platformlog.Page, error) {
 	out := platformlog.Page{Head: page.Head, First: page.First}
 	for i, entry := range page.Entries {
 		want := from + uint64(i)
 		if entry.Offset != want || entry.Offset >= page.Head || entry.Offset < page.First {
-			return platformlog.Page{}, fmt.Errorf("%w: page with offset %d where %d was due (first %d, head %d)",
+			return platformlog.Page{}, fmt.Errorf("%w: page with offset %d where %d was expected (first %d, head %d)",
 				platformlog.ErrUnavailable, entry.Offset, want, page.First, page.Head)
 		}
 		out.Entries = append(out.Entries, platformlog.Entry{
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -68,8 +68,8 @@
 }
 
 // TestAppendAboveTheRateIsNotAppended checks that the refusals of the service's rate
-// limit are ErrNotAppended; as ErrUnknown they would make outcomes unknown that are
-// known.
+// limit are ErrNotAppended. As ErrUnknown they would make the outcomes of requests
+// unknown that certainly had no effect.
 func TestAppendAboveTheRateIsNotAppended(t *testing.T) {
 	svc := logsvc.New(logsvc.Config{AppendRate: 1})
 	server := httptest.NewServer(svc)
@@ -88,7 +88,7 @@
 		}
 	}
 	if held := countEntries(t, svc); held != done || done == 1000 {
-		t.Errorf("%d appends succeeded, %d entries in the log", done, held)
+		t.Errorf("%d of 1000 appends succeeded, %d entries in the log; want equal numbers below 1000", done, held)
 	}
 }
 
@@ -99,12 +99,12 @@
 	client := NewLogClient(server.URL)
 	server.Close()
 	if _, err := client.Append(context.Background(), []byte("x")); !errors.Is(err, platformlog.ErrNotAppended) {
-		t.Errorf("dial refused: %v", err)
+		t.Errorf("dial refused: error %v, want ErrNotAppended", err)
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := client.Append(ended, []byte("x")); !errors.Is(err, platformlog.ErrNotAppended) {
-		t.Errorf("context ended before: %v", err)
+		t.Errorf("context ended before: error %v, want ErrNotAppended", err)
 	}
 }
 
@@ -159,8 +159,9 @@
 	}
 }
 
-// TestReadPagesTrimAndPoll reads a page, at the head, below the trimmed offset, by
-// long poll, and while the service is down.
+// TestReadPagesTrimAndPoll reads a page, at the head, below the first kept offset, by
+// long poll, and while the service is down. A reader that took a trimmed offset or
+// an unreachable service for an empty page would miss entries.
 func TestReadPagesTrimAndPoll(t *testing.T) {
 	ctx := context.Background()
 	svc := logsvc.New(logsvc.Config{})
@@ -174,18 +175,18 @@
 	}
 	page, err := client.Read(ctx, 1, 1, 0)
 	if err != nil || len(page.Entries) != 1 || string(page.Entries[0].Data) != "b" || page.Head != 3 {
-		t.Fatalf("page %+v, error %v", page, err)
+		t.Fatalf("page %+v, error %v, want entry b and head 3", page, err)
 	}
 	if page.Entries[0].Offset != 1 || page.Entries[0].Time.IsZero() {
-		t.Errorf("entry %+v", page.Entries[0])
+		t.Errorf("entry %+v, want offset 1 and a time", page.Entries[0])
 	}
 	if page, err = client.Read(ctx, 3, 10, 0); err != nil || len(page.Entries) != 0 || page.Head != 3 {
-		t.Errorf("at the head: %+v, error %v", page, err)
+		t.Errorf("at the head: %+v, error %v, want no entries and head 3", page, err)
 	}
 	svc.Trim(2)
 	page, err = client.Read(ctx, 1, 10, 0)
 	if !errors.Is(err, platformlog.ErrTrimmed) || page.First != 2 || page.Head != 3 {
-		t.Errorf("trimmed: %+v, error %v", page, err)
+		t.Errorf("trimmed: %+v, error %v, want ErrTrimmed, first 2 and head 3", page, err)
 	}
 
 	polled := make(chan platformlog.Page, 1)
@@ -200,12 +201,12 @@
 		t.Fatal(err)
 	}
 	if page := <-polled; len(page.Entries) != 1 || string(page.Entries[0].Data) != "d" {
-		t.Errorf("long poll: %+v", page)
+		t.Errorf("long poll: %+v, want entry d", page)
 	}
 
 	svc.Faults.Set(logsvc.Faults{Common: faults.Common{Down: true}})
 	if _, err := client.Read(ctx, 3, 10, 0); !errors.Is(err, platformlog.ErrUnavailable) {
-		t.Errorf("down: error %v", err)
+		t.Errorf("down: error %v, want ErrUnavailable", err)
 	}
 }
 
--- a/router/internal/platform/transport.go
+++ b/router/internal/platform/transport.go
@@ -11,7 +11,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Limits of the clients.
+// Limits of the clients. maxShortBodyBytes bounds the answers to appends and
+// ratings.
 const (
 	dialTimeout       = 2 * time.Second
 	idleTimeout       = 90 * time.Second
--- a/router/internal/publish/publish.go
+++ b/router/internal/publish/publish.go
@@ -1,7 +1,7 @@
 // Package publish writes manifests from an operator's pipeline to the log.
 //
 // If two publishers race from the same parent, the first in the order of the log
-// wins at every reader; the other gets a conflict with the winner's generation.
+// wins at every reader; the other gets a conflict with the generation in force.
 package publish
 
 import (
@@ -23,19 +23,23 @@
 // retryDelay is the Retry-After if the log did not accept a manifest.
 const retryDelay = time.Second
 
-// Gate reports whether the instance may act on its folded state.
+// Gate reports whether the instance may act on its folded state; *gate.Gate
+// implements it.
 type Gate interface {
+	// MayRun returns an empty reason if a manifest may be published now.
 	MayRun(idempotent bool) decision.RefusalReason
 }
 
 // Result is the result of a publication.
 type Result struct {
 	Outcome outcome.Outcome `json:"-"`
-	// Generation of this publication or, after a conflict, the generation in
-	// force.
+	// Generation of this publication if it was accepted, else the generation in
+	// force; 0 if there is none.
 	Generation uint64 `json:"generation"`
-	// Digest of the manifest in force, to be stated as the next one's parent.
-	Digest string          `json:"digest,omitempty"`
+	// Digest of the manifest with that generation, to be stated as the next one's
+	// parent.
+	Digest string `json:"digest,omitempty"`
+	// Faults are those of an invalid manifest.
 	Faults manifest.Faults `json:"faults,omitempty"`
 }
 
@@ -52,9 +56,11 @@
 }
 
 // Publish proposes m. With rebase, Publish sets m's generation and parent so that
-// it follows the manifest in force. Without, m must state them, so that a pipeline
-// that has not seen the newest manifest cannot overwrite it. Publishing the same
-// publication id again is idempotent.
+// it follows the manifest in force. Without rebase, m must state them, so that a
+// pipeline that has not seen the newest manifest cannot overwrite it. Publishing the
+// same publication id again is idempotent: the result is already_published while
+// the publication is in force, and a conflict once a later one is, as long as the
+// holder remembers it.
 func (p *Publisher) Publish(ctx context.Context, m manifest.Manifest, rebase bool) Result {
 	if reason := p.gate.MayRun(false); reason != "" {
 		return p.result(outcome.Refused, string(reason), "nothing can be accepted now; publish again later")
@@ -92,6 +98,7 @@
 	return m
 }
 
+// follows reports whether m states the generation and parent that follow current.
 func follows(m manifest.Manifest, current *manifest.Index) bool {
 	want := rebased(m, current)
 	return m.Generation == want.Generation && m.Parent == want.Parent
--- a/router/internal/session/errors.go
+++ b/router/internal/session/errors.go
@@ -2,30 +2,34 @@
 
 import "fmt"
 
-// Reason is why a session was not accepted. The text is stable, for logs.
+// Reason is why a session was not accepted. The text is stable; it is part of the
+// message that the caller gets.
 type Reason string
 
 // Reasons for which a session is not accepted.
 const (
 	// ReasonNoKeys: the settings have no session key, so nothing can be signed.
 	ReasonNoKeys Reason = "no_session_keys"
-	// ReasonOutOfBounds: the session to be issued exceeds a bound.
+	// ReasonOutOfBounds: the session to be issued or pinned violates a bound or
+	// rule.
 	ReasonOutOfBounds Reason = "session_out_of_bounds"
-	// ReasonMalformed: not a token, or signed contents that no instance issues.
+	// ReasonMalformed: not a token, too long, or signed contents that no instance
+	// issues.
 	ReasonMalformed Reason = "token_malformed"
 	// ReasonUnknownKey: signed by a key that is not, or no longer, in the key
 	// ring.
 	ReasonUnknownKey Reason = "token_key_unknown"
 	// ReasonBadSignature: the signature does not match.
 	ReasonBadSignature Reason = "token_signature"
-	// ReasonExpired: the session has expired.
+	// ReasonExpired: the token has expired.
 	ReasonExpired Reason = "token_expired"
 	// ReasonOtherTeam: the session belongs to another team.
 	ReasonOtherTeam Reason = "token_of_another_team"
 	// ReasonBadName: the caller's session name is not allowed.
 	ReasonBadName Reason = "session_name_malformed"
-	// ReasonUndecided: the log did not settle in time who set the pins. The
-	// proposal is void; the same request may be sent again.
+	// ReasonUndecided: the log did not accept the proposed pins, or did not settle
+	// in time who set the pins. The proposal is void; the same request may be sent
+	// again.
 	ReasonUndecided Reason = "session_undecided"
 	// ReasonBadRegister: the register holds a value that no instance writes.
 	ReasonBadRegister Reason = "session_register_malformed"
@@ -39,7 +43,7 @@
 	Detail string
 }
 
-// Error returns the reason and the detail.
+// Error implements error; it returns the reason and the detail.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return "session: " + string(e.Reason)
--- a/router/internal/session/names.go
+++ b/router/internal/session/names.go
@@ -32,8 +32,8 @@
 	return record.Key(string(record.ClassSession) + "/" + team + "/" + name)
 }
 
-// Lookup reads the pins that this instance has already folded; false if there
-// are none.
+// Lookup returns the session whose pins this instance has already folded; false
+// if there are none.
 func (n *NamedSessions) Lookup(team, name string) (Session, bool, error) {
 	if !ValidName(name) {
 		return Session{}, false, newError(ReasonBadName, "")
@@ -47,8 +47,8 @@
 }
 
 // Pin returns the session's pins: those in the log, or the given pins if none
-// are set yet. It waits for the log. ReasonUndecided means that no pins were
-// settled in time and this proposal is void, so the request has not begun.
+// are set yet. It waits for the log. After ReasonUndecided the given pins are
+// void, and the request, which has not begun, may be sent again.
 func (n *NamedSessions) Pin(ctx context.Context, team, name string, pins map[string]string) (Session, error) {
 	s, ok, err := n.Lookup(team, name)
 	if err != nil || ok {
@@ -87,8 +87,8 @@
 	return Session{}, newError(ReasonUndecided, "")
 }
 
-// decodeRegister reads a register's value. It is validated, since any writer to
-// the log may have written it.
+// decodeRegister reads and validates a register's value: any writer to the log
+// may have written it.
 func decodeRegister(value []byte, team, name string) (Session, error) {
 	var s Session
 	dec := json.NewDecoder(bytes.NewReader(value))
--- a/router/internal/session/names_test.go
+++ b/router/internal/session/names_test.go
@@ -54,18 +54,18 @@
 	ctx := context.Background()
 	first, err := NewNamedSessions(store, time.Hour).Pin(ctx, "patrons", "tapis:12", map[string]string{"laine": "laine@2"})
 	if err != nil || first.Pins["laine"] != "laine@2" {
-		t.Fatalf("got %+v, %v", first, err)
+		t.Fatalf("got %+v, error %v, want a pin to laine@2", first, err)
 	}
 	later := map[string]string{"laine": "laine@3"}
 	for name, s := range map[string]node.Store{"folded": store, "racing": racingStore{store}} {
 		got, err := NewNamedSessions(s, time.Hour).Pin(ctx, "patrons", "tapis:12", later)
 		if err != nil || got.Pins["laine"] != "laine@2" || got.RolloutPosition != first.RolloutPosition {
-			t.Errorf("%s: got %+v, %v", name, got, err)
+			t.Errorf("%s: got %+v, error %v, want the first pin to laine@2 and its position", name, got, err)
 		}
 	}
 	other, err := NewNamedSessions(store, time.Hour).Pin(ctx, "ventes", "tapis:12", later)
 	if err != nil || other.Pins["laine"] != "laine@3" {
-		t.Errorf("other team's session of that name: got %+v, %v", other, err)
+		t.Errorf("other team's session of that name: got %+v, error %v, want its own pin to laine@3", other, err)
 	}
 }
 
@@ -77,7 +77,7 @@
 		store := &fakeStore{outcome: outcome}
 		_, err := NewNamedSessions(store, time.Hour).Pin(context.Background(), "t", "s", nil)
 		if !errors.Is(err, &Error{Reason: ReasonUndecided}) || len(store.released) != releases {
-			t.Errorf("outcome %d: got %v and %d releases", outcome, err, len(store.released))
+			t.Errorf("outcome %d: got error %v and %d releases, want ReasonUndecided and a release only if unknown", outcome, err, len(store.released))
 		}
 	}
 }
@@ -100,6 +100,6 @@
 		}
 	}
 	if store.puts != 0 {
-		t.Errorf("%d puts for rejected names", store.puts)
+		t.Errorf("%d puts for rejected names, want none", store.puts)
 	}
 }
--- a/router/internal/session/session.go
+++ b/router/internal/session/session.go
@@ -42,7 +42,7 @@
 // same position at every instance, so that raising a version's share only adds
 // sessions to it.
 func RolloutPosition(team, id string) float64 {
-	const bits = 53 // bits in a float64's mantissa
+	const bits = 53 // significant bits of a float64
 	sum := xxhash.Sum64String(team + "\x00" + id)
 	return float64(sum>>(64-bits)) / (1 << bits)
 }
--- a/router/internal/session/token.go
+++ b/router/internal/session/token.go
@@ -13,7 +13,8 @@
 
 const (
 	// MaxTokenBytes bounds a token before anything is parsed. It leaves room
-	// for MaxPins pins of usual length and is far below the limit on headers.
+	// for MaxPins pins of usual length and is a quarter of the default limit on
+	// a request's headers.
 	MaxTokenBytes = 16 << 10
 
 	// issuer identifies masticplank's tokens: if a key is shared with another
@@ -148,8 +149,9 @@
 	}
 }
 
-// LooksLikeToken tells a token from a session name in the same header: a name
-// may contain dots, but a JWT begins with the base64 of `{"`.
+// LooksLikeToken tells a token from a session name in the same header. A name
+// may contain dots too, but a JWT has exactly two and begins with the base64 of
+// `{"`.
 func LooksLikeToken(header string) bool {
 	const prefix = "eyJ"
 	return len(header) > len(prefix) && header[:len(prefix)] == prefix && countDots(header) == 2
--- a/router/internal/session/token_test.go
+++ b/router/internal/session/token_test.go
@@ -40,20 +40,21 @@
 	}
 }
 
-// TestIssuedTokenVerifiesAtEveryInstance verifies a token with a key ring in another
-// order, as at another instance during a key rotation.
+// TestIssuedTokenVerifiesAtEveryInstance verifies a token with a key ring that signs
+// with another key, as at another instance during a key rotation. A token that
+// verified only at its issuer would end the caller's session elsewhere.
 func TestIssuedTokenVerifiesAtEveryInstance(t *testing.T) {
 	now := testStart
 	token, expires, err := newTestTokens(t, &now, "k1", "k0").Issue(testSession())
 	if err != nil || !expires.Equal(testStart.Add(time.Hour)) {
-		t.Fatalf("got %v, %v", expires, err)
+		t.Fatalf("expires %v, error %v, want an expiry after 1 h", expires, err)
 	}
 	got, err := newTestTokens(t, &now, "k2", "k1").Verify(token, "patrons")
 	if err != nil || !reflect.DeepEqual(got, testSession()) {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("got %+v, error %v, want the issued session", got, err)
 	}
 	if !LooksLikeToken(token) || LooksLikeToken("eyJ.a") || LooksLikeToken("draft.1.2") {
-		t.Error("LooksLikeToken mistakes a token for a name")
+		t.Error("LooksLikeToken mistakes a token for a name or a name for a token")
 	}
 }
 
@@ -127,7 +128,7 @@
 func TestIssueRejectsInvalidSessionsAndKeys(t *testing.T) {
 	now := testStart
 	if _, _, err := newTestTokens(t, &now).Issue(testSession()); !errors.Is(err, &Error{Reason: ReasonNoKeys}) {
-		t.Errorf("no keys: got %v", err)
+		t.Errorf("no keys: got error %v, want ReasonNoKeys", err)
 	}
 	tooManyPins := testSession()
 	for i := range MaxPins + 1 {
@@ -135,13 +136,13 @@
 		tooManyPins.Pins[model] = model + "@1"
 	}
 	if _, _, err := newTestTokens(t, &now, "k").Issue(tooManyPins); !errors.Is(err, &Error{Reason: ReasonOutOfBounds}) {
-		t.Errorf("too many pins: got %v", err)
+		t.Errorf("too many pins: got error %v, want ReasonOutOfBounds", err)
 	}
 	if _, err := NewTokens(settings.Session{Keys: []settings.SessionKey{{ID: "k", Secret: "c2hvcnQ="}}}, time.Now); err == nil {
-		t.Error("short key accepted")
+		t.Error("short key accepted, want an error")
 	}
 	if _, err := NewTokens(settings.Session{Keys: []settings.SessionKey{testKey("k"), testKey("k")}}, time.Now); err == nil {
-		t.Error("duplicate key id accepted")
+		t.Error("duplicate key id accepted, want an error")
 	}
 }
 
--- a/router/internal/upstream/upstream.go
+++ b/router/internal/upstream/upstream.go
@@ -1,9 +1,9 @@
 // Package upstream sends an attempt to a backend server and reads its answer.
 //
-// It alone determines how an attempt ended, from what can be proved: an attempt
-// counts as not run only if there was no connection, so that no byte was written,
-// or if the backend server answered with the header that says it refused. Any
-// other failed attempt may have run.
+// It determines from what can be proved whether an attempt without an answer ran:
+// the attempt counts as not run only if there was no connection, so that no byte
+// was written, or if the backend server answered with the header that says it
+// refused. Any other failed attempt may have run.
 package upstream
 
 import (
@@ -61,12 +61,12 @@
 	Leaving bool
 	// WrongNonce is set when the answer did not echo this attempt's nonce.
 	WrongNonce bool
-	// RetryAfter is the backend server's Retry-After header, in seconds.
+	// RetryAfter is the Retry-After header of a refusal by the backend server.
 	RetryAfter string
 	Err        error
 }
 
-// Error implements error.
+// Error implements error; it returns the text of Err.
 func (f *Failure) Error() string {
 	if f.Err == nil {
 		return "attempt failed"
@@ -144,6 +144,8 @@
 	return c.unpooled
 }
 
+// newRequest returns the request of a call. connected is set once the request has
+// got a connection.
 func newRequest(ctx context.Context, call Call) (*http.Request, *atomic.Bool, error) {
 	connected := &atomic.Bool{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -160,9 +162,9 @@
 	return req, connected, nil
 }
 
-// classifySendError returns the result of an attempt without an answer. Without a
-// connection no byte was written. With one the request may have run, even if it
-// was cancelled.
+// classifySendError returns the failure of an attempt without an answer. Without a
+// connection no byte was written. With one the request may have run, even if the
+// attempt was cancelled.
 func classifySendError(ctx context.Context, err error, connected bool) *Failure {
 	switch {
 	case !connected:
@@ -228,7 +230,7 @@
 	return body, nil
 }
 
-// ClassifyReadError returns the result of an attempt whose answer broke off. The
+// ClassifyReadError returns the failure of an attempt whose answer broke off. The
 // request was started; how far it ran is unknown.
 func ClassifyReadError(ctx context.Context, err error) *Failure {
 	if ctx.Err() != nil {
--- a/router/internal/upstream/upstream_test.go
+++ b/router/internal/upstream/upstream_test.go
@@ -26,6 +26,7 @@
 	return s.URL, count
 }
 
+// echoNonce copies the attempt's nonce to the answer.
 func echoNonce(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 }
@@ -38,6 +39,7 @@
 	}
 }
 
+// closedPort returns the URL of a port on which nothing listens.
 func closedPort(t *testing.T) string {
 	t.Helper()
 	addr, err := standin.FreeAddress()
@@ -132,7 +134,7 @@
 	breakConnections.Store(true)
 	before := count.Load()
 	if _, err := client.Send(context.Background(), call); err == nil {
-		t.Fatal("no error from a closed connection")
+		t.Fatal("no error from a closed connection, want one")
 	}
 	if got := count.Load() - before; got != 1 {
 		t.Errorf("sent %d times, want 1", got)
@@ -151,6 +153,6 @@
 	_, err := client.Send(ctx, Call{Method: http.MethodPost, URL: url, Nonce: "n"})
 	var failure *Failure
 	if !errors.As(err, &failure) || failure.Result != decision.AttemptNotRun || count.Load() != 0 {
-		t.Errorf("got %v after %d requests", err, count.Load())
+		t.Errorf("got error %v after %d requests, want AttemptNotRun after none", err, count.Load())
 	}
 }
--- a/router/internal/wire/log.go
+++ b/router/internal/wire/log.go
@@ -8,8 +8,9 @@
 const CodeNotAppended = "not_appended"
 
 // LogAppended is the response to POST /append at the log service. The request's
-// body is the blob itself.
+// body is the entry's data itself.
 type LogAppended struct {
+	// Offset is the offset of the new entry.
 	Offset uint64 `json:"offset"`
 }
 
--- a/router/internal/wire/prefix.go
+++ b/router/internal/wire/prefix.go
@@ -8,9 +8,10 @@
 
 // Units in which engines cache prompts.
 const (
-	// bytesPerToken is the mean length of a token, for estimates.
+	// bytesPerToken is the mean length of a token in bytes, for estimates.
 	bytesPerToken = 4
-	// blockTokens is how many tokens one cached block holds.
+	// blockTokens is how many tokens one cached block holds, blockBytes its
+	// estimated length in bytes.
 	blockTokens = 16
 	blockBytes  = blockTokens * bytesPerToken
 )
--- a/router/internal/wire/prefix_test.go
+++ b/router/internal/wire/prefix_test.go
@@ -31,6 +31,6 @@
 		t.Error("the boundary between messages does not affect the hashes")
 	}
 	if got := PromptBlocks(prompt("short")); len(got) != 0 {
-		t.Errorf("a partial block has a hash: %v", got)
+		t.Errorf("a partial block has hashes %v, want none", got)
 	}
 }
--- a/router/internal/wire/wire.go
+++ b/router/internal/wire/wire.go
@@ -93,8 +93,9 @@
 	Usage   *Usage       `json:"usage,omitempty"`
 }
 
-// LoadReport is the response to GET /load at an engine or plain service. Running and
-// Queued count requests; Slots is how many requests the server can run at once.
+// LoadReport is the response to GET /load?since= at an engine or plain service.
+// Running and Queued count requests; Slots is how many requests the server can run
+// at once. At is the server's time of the report.
 type LoadReport struct {
 	Running  int       `json:"running"`
 	Queued   int       `json:"queued"`
@@ -102,12 +103,14 @@
 	Versions []string  `json:"versions,omitempty"`
 	Leaving  bool      `json:"leaving"`
 	At       time.Time `json:"at"`
-	// CacheSeq is the sequence number of the last cache event; see CacheEvent.
+	// CacheSeq is the sequence number of the last cache event; Cache holds the
+	// events after since.
 	CacheSeq uint64       `json:"cache_seq"`
 	Cache    []CacheEvent `json:"cache,omitempty"`
 }
 
-// CacheEvent is one change of an engine's prefix cache.
+// CacheEvent is one change of an engine's prefix cache. Blocks are named by the
+// hashes of PromptBlocks.
 type CacheEvent struct {
 	Seq     uint64   `json:"seq"`
 	Added   []uint64 `json:"added,omitempty"`
@@ -120,7 +123,8 @@
 	Role     string   `json:"role,omitempty"`
 }
 
-// ListedServer is one row of the platform's instance list (GET /instances).
+// ListedServer is one backend server in the platform's list. It is an engine if
+// Service is empty.
 type ListedServer struct {
 	ID       string   `json:"id"`
 	Addr     string   `json:"addr"`
@@ -131,7 +135,8 @@
 	Leaving  bool     `json:"leaving"`
 }
 
-// ListedInstance is one router instance in the platform's list.
+// ListedInstance is one router instance in the platform's list. Peer and Admin are
+// the addresses of its peer and admin listeners.
 type ListedInstance struct {
 	ID     string `json:"id"`
 	Peer   string `json:"peer"`
@@ -161,12 +166,14 @@
 	Score float64 `json:"score"`
 }
 
-// Error is the body of every response that is not a success.
+// Error is the body of the error responses of masticplank and of the platform's
+// services. A backend server's response to a request that it rejected is passed on
+// to the caller as it is.
 type Error struct {
 	Error ErrorBody `json:"error"`
 }
 
-// ErrorBody has a stable code and a message for people.
+// ErrorBody has a stable code for programs and a message for people.
 type ErrorBody struct {
 	Code       string `json:"code"`
 	Message    string `json:"message"`
