--- a/router/internal/api/aggregate.go
+++ b/router/internal/api/aggregate.go
@@ -65,7 +65,8 @@
 	errAnswerTooLarge = errors.New("the answer is larger than the limit")
 )
 
-// completion returns the stream as the JSON of one chat completion.
+// completion returns the content of the stream as the JSON of one chat completion.
+// It fails if the stream had no finish reason.
 func (sr *streamReader) completion() ([]byte, error) {
 	if sr.firstChunk == nil || sr.finishReason == nil {
 		return nil, errNoFinish
--- a/router/internal/api/api.go
+++ b/router/internal/api/api.go
@@ -1,11 +1,12 @@
-// Package api serves callers over HTTP: OpenAI-compatible chat completions, plain
-// services and sessions. It turns each HTTP request into a request for package
+// Package api serves callers over HTTP: OpenAI-compatible chat completions and
+// lists of models, plain services and sessions. It turns each HTTP request into a request for package
 // decision, runs the attempts that decision commands, and writes exactly one
 // final answer.
 //
 // The path of a request: api.go routes it, chat.go or service.go parses it,
-// exchange.go executes the commands for it, attempt.go runs each attempt, and
-// answer.go writes outcomes that are not a backend server's answer.
+// exchange.go executes the commands for it, attempt.go runs each attempt (stream.go
+// and aggregate.go read its stream), and answer.go writes outcomes that are not a
+// backend server's answer.
 package api
 
 import (
@@ -32,8 +33,9 @@
 // Gate reports whether new work may start now. It is checked at admission and
 // again right before each dispatch.
 type Gate interface {
-	// MayRun returns an empty reason if work may start. idempotent is false
-	// for work that needs a claim in the log.
+	// MayRun returns an empty reason if work may start, else the reason for
+	// refusing it. idempotent is false for work that must first write to the log,
+	// such as a claim or the pins of a session.
 	MayRun(idempotent bool) decision.RefusalReason
 }
 
@@ -41,8 +43,8 @@
 type Servers interface {
 	// Addr returns a server's host:port, or false if it is not listed.
 	Addr(decision.ServerID) (string, bool)
-	// ObserveLoad takes the value of the load header of a server's answer;
-	// empty if the answer had none.
+	// ObserveLoad takes the value of wire.HeaderLoad in a server's answer; empty
+	// if the answer had none.
 	ObserveLoad(id decision.ServerID, load string)
 }
 
@@ -52,8 +54,11 @@
 
 // Observation is one ended request, for metrics and reports.
 type Observation struct {
-	Team    string
+	Team string
+	// Version is that of the last attempt whose token usage was counted; empty if
+	// there is none.
 	Version string
+	// Outcome is the outcome.Kind.
 	Outcome string
 	// Code is the outcome's code if the request did not complete. It tells
 	// callers' errors from faults of the system.
@@ -61,7 +66,8 @@
 	// FirstToken is the time from arrival to the first token, or to the end of
 	// an answer that was not streamed; zero if none came.
 	FirstToken time.Duration
-	// InterToken is the mean time between two tokens, zero below two tokens.
+	// InterToken is the mean time between two tokens; zero for an answer that was
+	// not streamed to the caller or had fewer than two tokens.
 	InterToken time.Duration
 	// Duration is the time from arrival to the end of the request.
 	Duration time.Duration
@@ -101,7 +107,7 @@
 	MaxDeadline time.Duration
 }
 
-// Server is the HTTP handler for callers.
+// Server is the HTTP handler for callers. It is safe for concurrent use.
 type Server struct {
 	Deps
 	router  *mux.Router
--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -17,7 +17,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// runAttempt runs one Dispatch to its end and reports the result.
+// runAttempt runs the attempt of one Dispatch to its end and reports the result. It
+// then holds the answer, if the Dispatch says so, or completes the request with it.
 func (x *exchange) runAttempt(ctx context.Context, d decision.Dispatch) {
 	ctx, done := x.ticket.BeginAttempt(ctx, d.Attempt)
 	defer done()
@@ -68,6 +69,7 @@
 
 var errNoAddress = errors.New("the backend server is no longer listed")
 
+// newCall builds the call of an attempt, under a nonce of its own.
 func (x *exchange) newCall(d decision.Dispatch, addr string) (upstream.Call, error) {
 	nonce := uuid.NewString()
 	if x.serviceCall != nil {
@@ -76,10 +78,10 @@
 	return chatCall(*x.chat, d.Version, addr, nonce)
 }
 
-// readErrorResponse handles an engine's answer whose status is not 200. A 4xx
-// status, 429 excepted, is an error in the request itself: it is passed on to the
-// caller, since another server would return the same. It is not a completed
-// answer and not billed.
+// readErrorResponse handles an engine's answer whose status is not 200. With status
+// 429 or from 500 on, the attempt failed. Any other status, usually 4xx, counts as an
+// error in the request itself: the answer is passed on to the caller, since another
+// server would return the same. It is neither a completed answer nor billed.
 func (x *exchange) readErrorResponse(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	body, err := upstream.ReadAll(ctx, resp)
 	if err != nil {
@@ -135,9 +137,9 @@
 }
 
 // reportFailure reports how a failed attempt ended. If its context has ended, the
-// attempt was ended by package decision, the caller or the deadline. Unless more is
-// known, an idempotent request's attempt then counts as cancelled; whether any other
-// request took effect remains unknown.
+// attempt was ended by package decision, the caller or the deadline. If nothing else
+// is known of it, the attempt of an idempotent request then counts as cancelled;
+// whether any other request took effect remains unknown.
 func (x *exchange) reportFailure(ctx context.Context, d decision.Dispatch, err error) {
 	failure := &upstream.Failure{Result: decision.AttemptUnknown, Err: err}
 	errors.As(err, &failure)
--- a/router/internal/api/chat.go
+++ b/router/internal/api/chat.go
@@ -24,7 +24,8 @@
 	// retryDelay is the Retry-After of refusals whose cause passes within
 	// seconds, such as an instance that is catching up with the log.
 	retryDelay = time.Second
-	// bytesPerToken estimates a prompt's tokens before an engine counts them.
+	// bytesPerToken is the mean length of a token, to estimate a prompt's tokens
+	// from the length of the body before an engine counts them.
 	bytesPerToken = 4
 )
 
@@ -117,7 +118,8 @@
 	return req, s.pinSession(r, c, &req)
 }
 
-// newRequest reads what all requests have in common: task, priority, deadline.
+// newRequest reads what all requests have in common: task, priority, deadline and
+// whether the request is a retry. It also computes the fingerprint.
 func (s *Server) newRequest(r *http.Request, c caller, key idempotencyKey, body []byte) (decision.Request, *outcome.Outcome) {
 	fingerprint := xxhash.New()
 	_, _ = fingerprint.WriteString(c.team.ID + "\x00" + r.Method + "\x00" + r.URL.Path + "\x00")
--- a/router/internal/api/claim.go
+++ b/router/internal/api/claim.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// claimTimeout bounds the wait until a claim is read back from the log. It
-	// is as long as many group commits, and short compared with callers'
-	// deadlines.
+	// claimTimeout bounds the wait until a claim, or the pins of a named session,
+	// are read back from the log. It is as long as many group commits, and short
+	// compared with callers' deadlines.
 	claimTimeout = 3 * time.Second
-	// claimLifetime is at least twice the claim window plus the clock skew, which
-	// is 24 h 30 s with the fold's defaults. After that, the timestamp in the key
-	// makes a second claim void. It is only stated in the record: the fold computes
-	// when a claim expires from its own configuration.
+	// claimLifetime is at least the sum of twice the claim window and the clock
+	// skew, which is 24 h 30 s with the fold's defaults. After that, the timestamp in
+	// the key makes a second claim void. It is only stated in the record: the fold
+	// computes from its own configuration when a claim expires.
 	claimLifetime = 24*time.Hour + time.Minute
 )
 
@@ -67,16 +67,18 @@
 	}
 }
 
-// keyOutsideWindow reports whether the key's timestamp is, by this process's clock,
-// outside about the claim window. It only chooses the error message of a void claim;
-// the fold decides by the log's time and its own bounds.
+// keyOutsideWindow reports whether the key's timestamp is outside the claim window,
+// approximately and by this process's clock. It only chooses the code and message of
+// the refusal after a void claim; the fold itself decides by the log's time and its
+// own bounds.
 func (x *exchange) keyOutsideWindow() bool {
 	age := time.Since(x.key.timestamp)
 	return age > claimLifetime/2-time.Minute || age < -time.Second
 }
 
-// releaseClaim lets the caller send the request again after a refusal. That is
-// safe since package decision refuses only what provably did not run.
+// releaseClaim releases the claim after a refusal by package decision, so that the
+// caller may send the request again. That is safe since package decision refuses
+// only what provably did not run.
 func (x *exchange) releaseClaim() {
 	if x.claimed == nil {
 		return
--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -30,7 +30,8 @@
 	chat        *wire.ChatRequest
 	serviceCall *serviceCall
 
-	// claimed is the claim of a non-idempotent request; nil before it is won.
+	// claimed is the claim of a non-idempotent request; nil before it is won and
+	// after it was released.
 	claimed *claim
 	// heldAnswer is the last complete answer that waits for a Deliver command.
 	heldAnswer *answer
@@ -48,8 +49,9 @@
 	// caller has disconnected.
 	done bool
 
-	// firstToken is the time from start to the first token. tokenIntervalSum
-	// adds up the times between tokens, tokenIntervals counts them.
+	// firstToken is the time from start to the first token, or to the end of an
+	// answer that is not streamed. tokenIntervalSum adds up the times between
+	// tokens, tokenIntervals counts them.
 	firstToken       time.Duration
 	tokenIntervals   int
 	tokenIntervalSum time.Duration
@@ -66,7 +68,8 @@
 	// events are the data of a stream's events that are still to be written, in
 	// order; nil for an answer that is not streamed.
 	events []string
-	text   string
+	// text is the generated text, if it is to be rated.
+	text string
 }
 
 func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, c caller, req decision.Request, key idempotencyKey) *exchange {
@@ -104,9 +107,9 @@
 }
 
 // context returns the request's context, which ends when the caller disconnects.
-// For work that may not be repeated it does not: once dispatched, such work runs
-// to its end so that its outcome can be recorded. Both are bounded by the
-// deadline.
+// For work that may not be repeated the context does not end then: once dispatched,
+// such work runs to its end so that its outcome can be recorded. Both end
+// deadlineGrace after the request's deadline at the latest.
 func (x *exchange) context() (context.Context, context.CancelFunc) {
 	parent := x.r.Context()
 	if !x.req.Idempotent {
@@ -221,9 +224,10 @@
 	x.finishWithAnswer(x.heldAnswer)
 }
 
-// settleBill makes the bill durable before the end of the answer is written, and
-// reports whether it did. A call without a price and a request that the engine
-// rejected have no bill.
+// settleBill makes the bill durable before the end of the answer is written. If it
+// cannot, it ends the request and returns false. A request that cost nothing and
+// generated no tokens has no bill, such as a call without a price or a request that
+// the engine rejected.
 func (x *exchange) settleBill(ctx context.Context) bool {
 	if x.cost == 0 && x.bill.OutputTokens == 0 {
 		return true
@@ -247,8 +251,8 @@
 }
 
 // finish ends the request with an answer of the router's own. If part of an
-// answer was written already, it aborts the connection instead: a truncated
-// stream must never look complete.
+// answer was written already, it aborts the connection instead, by a panic with
+// http.ErrAbortHandler: a truncated stream must never look complete.
 func (x *exchange) finish(o outcome.Outcome) {
 	if x.done {
 		return
@@ -262,8 +266,9 @@
 	writeOutcome(x.w, o)
 }
 
-// abandon ends a request that nobody waits for any more: its attempt is cancelled,
-// and the tokens generated so far are billed once.
+// abandon ends a request early: its caller has disconnected, its context has ended or
+// the driver has stopped. Its attempt is cancelled, and the tokens generated so far
+// are billed once.
 func (x *exchange) abandon() {
 	x.ticket.Send(decision.RequestCancelled{Request: x.req.ID})
 	if x.done {
@@ -271,13 +276,14 @@
 	}
 	if x.bill.OutputTokens > 0 {
 		x.bill.Canceled = true
-		// The caller is gone and an error could not be returned to anyone, so the
-		// bill is best effort.
+		// The caller is usually gone and there is no answer to withhold, so an error
+		// has no consequence: the bill is best effort.
 		_ = x.writeBill(context.WithoutCancel(x.r.Context()))
 	}
 	x.finish(outcome.Outcome{Kind: outcome.Unknown, Code: "cancelled", Message: "the request was cancelled"})
 }
 
+// observe passes the ended request to the Recorder.
 func (x *exchange) observe(final outcome.Outcome) {
 	o := Observation{
 		Team:       x.caller.team.ID,
--- a/router/internal/api/failure_test.go
+++ b/router/internal/api/failure_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, tt := range tests {
 		if got := failureOutcome(tt.result, tt.idempotent).Kind; got != tt.want {
-			t.Errorf("result %v, idempotent %v: %s, want %s", tt.result, tt.idempotent, got, tt.want)
+			t.Errorf("result %v, idempotent %v: outcome %s, want %s", tt.result, tt.idempotent, got, tt.want)
 		}
 	}
 }
--- a/router/internal/api/fixture_test.go
+++ b/router/internal/api/fixture_test.go
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// refuse makes the gate allow that many more calls and then refuse for reason.
+// refuse makes the gate allow the given number of calls and then refuse for reason.
 func (g *fakeGate) refuse(reason decision.RefusalReason, allowed int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -246,6 +246,7 @@
 	err     error
 }
 
+// call sends a request and reads the whole response.
 func (f *fixture) call(ctx context.Context, method, path, body, idempotencyKey string) callerResponse {
 	f.t.Helper()
 	resp := f.open(ctx, method, path, body, idempotencyKey)
--- a/router/internal/api/outcome_test.go
+++ b/router/internal/api/outcome_test.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// truncateAfter streams the events and then breaks the connection off.
 func truncateAfter(events ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		chatStream(events...)(w, r)
@@ -42,6 +43,8 @@
 	}
 }
 
+// answerStatus answers with a status and no body; with notRun, it refuses the request
+// as not run.
 func answerStatus(code int, notRun bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
@@ -52,6 +55,7 @@
 	}
 }
 
+// wrongNonce answers a chat with the nonce of another attempt.
 func wrongNonce(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(wire.HeaderAttempt, "another")
 	_, _ = io.WriteString(w, completionBody)
@@ -121,8 +125,9 @@
 }
 
 // TestNumberedStreams duplicates and drops events of a numbered stream. Without the
-// check of event ids, a duplicated chunk doubles words in the middle of an answer;
-// "masticplank demo --faults" with seed 1 sends such chunks.
+// check of event ids, a duplicated chunk would double words in the middle of an
+// answer, and a missing one would go unnoticed; "masticplank demo --faults" with seed 1
+// sends duplicated chunks.
 func TestNumberedStreams(t *testing.T) {
 	end := "3|" + wire.StreamEnd
 	for _, c := range []struct {
@@ -157,7 +162,7 @@
 	f.log.SetDown(true)
 	got := f.call(context.Background(), http.MethodPost, "/v1/chat/completions", streamed, "")
 	if got.err != nil || !strings.HasSuffix(strings.TrimSpace(got.body), wire.StreamEnd) {
-		t.Errorf("held bill: error %v, body %q", got.err, got.body)
+		t.Errorf("held bill: error %v, body %q, want a complete stream", got.err, got.body)
 	}
 	if n := f.holder.held.Load(); n != 1 {
 		t.Errorf("%d bills held, want 1", n)
@@ -182,7 +187,7 @@
 	key := uuid.Must(uuid.NewV7()).String()
 	for range 2 {
 		if got := f.call(context.Background(), http.MethodPost, "/v1/chat/completions", prompt, key); got.outcome != "completed" {
-			t.Fatalf("got %+v", got)
+			t.Fatalf("got %+v, want outcome completed", got)
 		}
 	}
 	if n := len(f.bills()); n != 1 {
@@ -227,14 +232,14 @@
 			f.clearFaults(reserved)
 			before := f.executions.Load()
 			if first.outcome == "refused" && before != 0 {
-				t.Errorf("answered as refused, but it ran %d times", before)
+				t.Errorf("answered as refused, but it ran %d times, want 0", before)
 			}
 			again := f.retryUntilAccepted(key)
 			if again.outcome != c.again {
 				t.Errorf("again: outcome %q, want %q: %s", again.outcome, c.again, again.body)
 			}
 			if n := f.executions.Load(); n > 1 {
-				t.Errorf("ran %d times", n)
+				t.Errorf("ran %d times, want at most once", n)
 			}
 		})
 	}
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -13,7 +13,8 @@
 
 const (
 	// maxConcurrentRatings bounds the goroutines that wait for the rating service,
-	// which may be slow. Answers beyond this number count as not rated.
+	// which may be slow. Answers beyond this number are not sent to it: they are
+	// reported as late.
 	maxConcurrentRatings = 128
 	// unheldRatingTimeout bounds a rating that no held answer waits for.
 	unheldRatingTimeout = 5 * time.Second
@@ -58,6 +59,7 @@
 	x.s.ratings.start(event, req, timeout)
 }
 
+// lastMessage returns the content of a chat's last message, the prompt to be rated.
 func lastMessage(chat *wire.ChatRequest) string {
 	if chat == nil || len(chat.Messages) == 0 {
 		return ""
@@ -65,6 +67,7 @@
 	return chat.Messages[len(chat.Messages)-1].Content
 }
 
+// start rates an answer in the background and sends event with the result.
 func (q *ratingPool) start(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) {
 	select {
 	case q.slots <- struct{}{}:
--- a/router/internal/api/reuse_test.go
+++ b/router/internal/api/reuse_test.go
@@ -11,7 +11,8 @@
 )
 
 // TestConnectionsToBackendServersAreReused counts the connections of many consecutive
-// requests. An answer whose body is not read to its end costs a new connection.
+// requests. An answer whose body is not read to its end closes its connection, so that
+// the next request must open a new one.
 func TestConnectionsToBackendServersAreReused(t *testing.T) {
 	f := newFixture(t)
 	for _, body := range []string{prompt, streamed} {
@@ -40,10 +41,10 @@
 		var ours, standard streamChunk
 		err := json.Unmarshal([]byte(data), &ours)
 		if want := stdjson.Unmarshal([]byte(data), &standard); (err == nil) != (want == nil) {
-			t.Fatalf("read as %v, by the standard library as %v", err, want)
+			t.Fatalf("error %v, want that of the standard library: %v", err, want)
 		}
 		if err == nil && !reflect.DeepEqual(ours, standard) {
-			t.Fatalf("read as %+v, by the standard library as %+v", ours, standard)
+			t.Fatalf("read as %+v, want what the standard library reads: %+v", ours, standard)
 		}
 	})
 }
--- a/router/internal/api/stream.go
+++ b/router/internal/api/stream.go
@@ -31,17 +31,18 @@
 type streamReader struct {
 	x        *exchange
 	dispatch decision.Dispatch
-	// forward is true if events are written to the caller as they arrive. A held
-	// stream's events are only collected.
+	// forward is true if events are written to the caller as they arrive, unless
+	// aggregate is set. A held stream's events are only collected.
 	forward bool
-	out     *answer
+	// out is the answer, complete once the stream has ended.
+	out *answer
 	// usage is sent with the last chunk.
 	usage *wire.Usage
 	// sawEnd is set by the end marker.
 	sawEnd      bool
 	lastTokenAt time.Time
-	// chunks counts the tokens generated so far, for the bill of a cancelled
-	// request: an engine sends one token per chunk.
+	// chunks counts the chunks with text so far. They stand for the tokens in the
+	// bill of a stream that breaks off: an engine sends one token per chunk.
 	chunks int
 	// text is the answer so far, if it is to be rated or aggregated.
 	text strings.Builder
@@ -54,9 +55,10 @@
 	nextEvent int
 }
 
-// readStream forwards an engine's stream. The events that make an answer look
-// complete (finish reason, usage, end marker) are withheld in answer.events and
-// written once the bill is durable.
+// readStream reads an engine's stream for a caller that gets a stream, and forwards it
+// unless it is held. The events that make an answer look complete (finish reason,
+// usage, end marker) are withheld in answer.events and written once the bill is
+// durable.
 func (x *exchange) readStream(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	sr := x.newStreamReader(d)
 	if err := sr.readAndCount(ctx, resp); err != nil {
@@ -75,8 +77,8 @@
 	}
 }
 
-// readAndCount reads the stream to its end and adds its tokens to the bill. For a
-// stream that broke off it adds the tokens received.
+// readAndCount reads the stream to its end and adds the stated usage to the bill. For
+// a stream that broke off it adds the tokens received.
 func (sr *streamReader) readAndCount(ctx context.Context, resp *http.Response) error {
 	version := sr.dispatch.Version
 	err := sr.read(ctx, resp)
@@ -201,13 +203,16 @@
 	sr.lastTokenAt = now
 }
 
+// markFirstToken records the time of the first token, or of the end of an answer that
+// is not streamed, unless it is recorded already.
 func (x *exchange) markFirstToken() {
 	if x.firstToken == 0 {
 		x.firstToken = time.Since(x.start)
 	}
 }
 
-// writeEvent sends one event to the caller without buffering.
+// writeEvent sends one event to the caller without buffering. An error means that the
+// caller has disconnected or did not read within the write timeout.
 func (x *exchange) writeEvent(version decision.VersionID, data string) error {
 	x.startStream(version)
 	if err := x.writeAndFlush(data); err != nil {
--- a/router/internal/peer/bench_test.go
+++ b/router/internal/peer/bench_test.go
@@ -60,6 +60,7 @@
 	b.ReportMetric(float64(used.Microseconds())/rounds, "cpu-µs/round")
 }
 
+// processorTime returns the CPU time used by this process.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/router/internal/peer/bills.go
+++ b/router/internal/peer/bills.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// maxHeldBills bounds the bills held: own ones and copies of other
-	// instances'. At 200 requests/s per instance, with as many copies as own
+	// maxHeldBills bounds the bills held: those of this instance and copies of
+	// other instances' bills. At 200 requests/s per instance, with as many copies as own
 	// bills, it suffices for an outage of 80 s. Beyond it new work is refused,
 	// since unbilled answers would do more harm.
 	maxHeldBills = 32_768
 	// maxHeldBytes bounds the memory of the bills held.
 	maxHeldBytes = 16 << 20
-	// maxHoldBatchBytes bounds the encoded batch of one bill, with room for its
-	// encoding.
+	// maxHoldBatchBytes bounds the encoded batch that carries one bill. The factor
+	// leaves room for the encoding.
 	maxHoldBatchBytes = 4 * (record.MaxKeyBytes + ledger.MaxBillBytes)
 	// maxCopyPeers is how many peers are asked in turn to keep a copy.
 	maxCopyPeers = 3
@@ -37,8 +37,8 @@
 // Hold keeps a bill here and at one peer until the log takes it. A nil error
 // means that both copies exist. After an error the answer must not be completed
 // as if it had been billed. If only the peer's answer was lost, the peer still
-// holds its copy; when the caller repeats the request with the same key, it
-// results in the same bill.
+// holds its copy; that is harmless, since a repetition of the request with the
+// same Idempotency-Key results in the same bill.
 func (n *Node) Hold(ctx context.Context, r record.Record) error {
 	if err := n.holdWithCopy(ctx, r); err != nil {
 		n.Log.Emit(ctx, logging.EventBillRefused, logging.Err(err))
@@ -94,11 +94,12 @@
 	return n.pool.call(ctx, p.Peer, MethodHold, HoldParams{From: n.self.ID, Batch: data}, nil)
 }
 
-// copyCandidates orders peers for a copy: those of another failure domain
-// first, since a failure domain fails as a whole, and those that answered
-// before the others. This instance's own failure domain comes last: a copy
-// there at least survives a failure of this instance. Peers of equal rank are
-// shuffled to spread the load.
+// copyCandidates returns the peers to ask for a copy, in order, at most
+// maxCopyPeers. Those of another failure domain come first, since a failure
+// domain fails as a whole. Those of this instance's own come last: a copy there
+// at least survives a failure of this instance. Within both groups, peers that
+// answered the last query precede the others. Peers of equal rank are shuffled
+// to spread the load.
 func (n *Node) copyCandidates() []wire.ListedInstance {
 	out := n.others()
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
@@ -118,7 +119,7 @@
 	return out[:min(len(out), maxCopyPeers)]
 }
 
-// flushBills writes held bills to the log, until the log fails.
+// flushBills writes the held bills to the log and stops once a write fails.
 func (n *Node) flushBills(ctx context.Context) {
 	before := n.heldBills.Len()
 	left := n.heldBills.Flush(ctx)
@@ -129,7 +130,7 @@
 
 // Drain makes sure that no bill is held only here: it writes the bills to the
 // log or, if the log does not take them, sends each to one more peer. It
-// returns how many are left, which is 0 unless no peer answers or ctx ended.
+// returns how many are left, which is 0 unless no peer accepts one or ctx ended.
 func (n *Node) Drain(ctx context.Context) int {
 	if n.Bills.Reachable() {
 		n.flushBills(ctx)
--- a/router/internal/peer/chooser.go
+++ b/router/internal/peer/chooser.go
@@ -26,13 +26,16 @@
 )
 
 // stickyChooser keeps its peers and replaces one every replaceEvery rounds. If
-// there are other failure domains, at least one peer is in one of them, so that
-// information leaves a failure domain at once.
+// there are peers of other failure domains that did not fail in the last round,
+// at least one of them is chosen, so that information leaves a failure domain at
+// once.
 type stickyChooser struct {
 	domain string
 	rng    *rand.Rand
 	round  int
-	kept   []string
+	// kept holds the IDs of the chosen peers, the one kept longest first.
+	kept []string
+	// failed holds the IDs of the peers that failed in the last round.
 	failed map[string]bool
 }
 
@@ -45,13 +48,13 @@
 	}
 }
 
-// Failed drops the peer from those kept.
+// Failed drops the peer from those kept; the next round avoids it.
 func (c *stickyChooser) Failed(id string) {
 	c.kept = slices.DeleteFunc(c.kept, func(k string) bool { return k == id })
 	c.failed[id] = true
 }
 
-// Choose returns up to fanout peers.
+// Choose returns fanout peers, or all of them if there are fewer.
 func (c *stickyChooser) Choose(others []wire.ListedInstance) []wire.ListedInstance {
 	byID := make(map[string]wire.ListedInstance, len(others))
 	for _, l := range others {
@@ -85,6 +88,7 @@
 	}
 }
 
+// fill adds eligible peers, in the given order of indexes, up to fanout.
 func (c *stickyChooser) fill(others []wire.ListedInstance, order []int, eligible func(wire.ListedInstance) bool) {
 	for _, i := range order {
 		if len(c.kept) == fanout {
--- a/router/internal/peer/chooser_test.go
+++ b/router/internal/peer/chooser_test.go
@@ -15,9 +15,9 @@
 	return out
 }
 
-// TestChooserChangesPeersSlowly checks that peers change one at a time, that in
-// the long run others are chosen too, and that one is always in another failure
-// domain.
+// TestChooserChangesPeersSlowly checks that peers change slowly, since each
+// change costs a new connection, that in the long run others are chosen too, and
+// that one is always in another failure domain.
 func TestChooserChangesPeersSlowly(t *testing.T) {
 	for seed := range uint64(50) {
 		c := NewChooser(domains[0], seed)
@@ -39,10 +39,10 @@
 			previous = current
 		}
 		if changes > fanout+2*rounds/replaceEvery {
-			t.Errorf("seed %d: %d changes in %d rounds", seed, changes, rounds)
+			t.Errorf("seed %d: %d changes in %d rounds, want at most fanout and two per replaceEvery rounds", seed, changes, rounds)
 		}
 		if len(chosen) < 2*fanout {
-			t.Errorf("seed %d: only chose %v", seed, chosen)
+			t.Errorf("seed %d: only chose %v in all rounds, want at least 2*fanout peers", seed, chosen)
 		}
 	}
 }
@@ -56,14 +56,14 @@
 		c.Failed(first)
 		for _, l := range c.Choose(testInstances(8)) {
 			if l.ID == first {
-				t.Errorf("seed %d: chose %s again at once", seed, first)
+				t.Errorf("seed %d: chose the failed peer %s again at once", seed, first)
 			}
 		}
 	}
 	c := NewChooser(domains[0], 1)
 	for _, count := range []int{0, 1, 2, 3, 5} {
 		if got := c.Choose(testInstances(count)); len(got) != min(count, fanout) {
-			t.Errorf("%d of %d chosen", len(got), count)
+			t.Errorf("%d of %d peers chosen, want all up to fanout", len(got), count)
 		}
 	}
 	for _, l := range testInstances(2) {
@@ -71,6 +71,6 @@
 		c.Failed(l.ID)
 	}
 	if got := c.Choose(testInstances(2)); len(got) != 2 {
-		t.Errorf("all failed: chose %v", got)
+		t.Errorf("all failed: chose %v, want both", got)
 	}
 }
--- a/router/internal/peer/client.go
+++ b/router/internal/peer/client.go
@@ -51,6 +51,7 @@
 	return trace.Wrap(err)
 }
 
+// get returns the open connection to addr, or connects.
 func (p *connPool) get(ctx context.Context, addr string) (*jsonrpc2.Conn, error) {
 	p.mu.Lock()
 	known := p.conns[addr]
@@ -68,7 +69,8 @@
 	return p.add(addr, conn)
 }
 
-// add stores a new connection, or closes it if another call was first.
+// add stores a new connection and returns it. If another call was first, it closes
+// the new one and returns the other's; if the pool is closed, it fails.
 func (p *connPool) add(addr string, conn *jsonrpc2.Conn) (*jsonrpc2.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +88,7 @@
 }
 
 // removeOnClose waits until the connection has ended, and removes it from the
-// pool. idleTimeout bounds the wait for an unused connection.
+// pool. An unused connection ends after idleTimeout.
 func (p *connPool) removeOnClose(addr string, conn *jsonrpc2.Conn) {
 	<-conn.DisconnectNotify()
 	p.mu.Lock()
@@ -126,6 +128,7 @@
 	return secure, nil
 }
 
+// drop removes a connection from the pool and closes it.
 func (p *connPool) drop(addr string, conn *jsonrpc2.Conn) {
 	p.mu.Lock()
 	if p.conns[addr] == conn {
--- a/router/internal/peer/fixture_test.go
+++ b/router/internal/peer/fixture_test.go
@@ -123,8 +123,8 @@
 	return newFleetWithStores(t, n, tlsOf, nil)
 }
 
-// newFleetWithStores is newFleet with stores from storeOf, by the instance's
-// name.
+// newFleetWithStores is newFleet with the stores that storeOf returns for the
+// instances' names. If storeOf is nil, each instance has a fakeStore.
 func newFleetWithStores(t testing.TB, n int, tlsOf func(int) *tls.Config, storeOf func(string) node.Store) []*testInstance {
 	t.Helper()
 	list := make([]wire.ListedInstance, n)
@@ -196,7 +196,7 @@
 	return r
 }
 
-// fillBills reserves all space for bills; release frees it.
+// fillBills reserves all room for bills; release frees it.
 func (inst *testInstance) fillBills(t *testing.T) (release func()) {
 	t.Helper()
 	var reservations []*ledger.Reservation
--- a/router/internal/peer/handler.go
+++ b/router/internal/peer/handler.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// sender is implemented by the parameters of all methods; sentBy returns the
+// sender is implemented by the parameters of every method; sentBy returns the
 // name of the sending instance.
 type sender interface{ sentBy() string }
 
@@ -77,8 +77,8 @@
 }
 
 // handleDigest answers with this instance's status. The asker's state is
-// ignored: the delay of a request is unknown, so its state may be old, and the
-// next round queries the peers anyway.
+// ignored: the delay of a request is unknown, so the state may be old, and this
+// instance queries its peers in its next round anyway.
 func (n *Node) handleDigest(DigestParams) (any, error) { return n.statusReport(), nil }
 
 func (n *Node) handleVouch(VouchParams) (any, error) { return n.statusReport(), nil }
@@ -133,7 +133,7 @@
 	return Empty{}, nil
 }
 
-// truncate bounds the length of a peer's text in a log line.
+// truncate bounds the bytes of a peer's text in a log line.
 func truncate(s string) string {
 	const maxBytes = 32
 	return s[:min(len(s), maxBytes)]
--- a/router/internal/peer/health.go
+++ b/router/internal/peer/health.go
@@ -31,9 +31,9 @@
 	n.publish(HealthItem{Kind: HealthVerdict, ID: string(v.Version), Bad: v.Bad}, now, until)
 }
 
-// ShareLeaving sends to the peers that a backend server is leaving. It does not
-// block. The earliest statement is kept, so one that came from a peer is not
-// replaced by a later one of this instance.
+// ShareLeaving tells the peers that a backend server is leaving. It does not
+// block. If an unexpired statement is known, it does nothing: one that came from
+// a peer must not be replaced by a newer one of this instance.
 func (n *Node) ShareLeaving(id decision.ServerID) {
 	now := n.Now()
 	if n.healthItems.has(HealthLeaving, string(id), now) {
@@ -43,13 +43,15 @@
 }
 
 // ShareQuarantine sends the fingerprint of a crashing request to the peers. It
-// does not block. The log has it too; peers deliver it during an outage of the
-// log as well.
+// does not block. The fingerprint is in the log too; the peers deliver it also
+// during an outage of the log.
 func (n *Node) ShareQuarantine(q decision.Quarantine) {
 	id := strconv.FormatUint(uint64(q.Fingerprint), 10)
 	n.publish(HealthItem{Kind: HealthQuarantine, ID: id}, n.Now(), q.Until)
 }
 
+// publish adds a statement of this instance to its items and queues it for the
+// next push. A later end than maxItemLifetime allows is shortened.
 func (n *Node) publish(it HealthItem, now, until time.Time) {
 	it.Timestamp = now.UnixMilli()
 	it.Until = min(until.UnixMilli(), it.Timestamp+maxItemLifetime.Milliseconds())
@@ -70,14 +72,15 @@
 		return
 	}
 	n.mu.Lock()
-	// Items beyond the bound are delivered when the next digest differs.
+	// Items beyond the bound are exchanged in the next round, since the hashes of
+	// the items then differ.
 	free := max(maxHealthItems-len(n.pendingItems), 0)
 	n.pendingItems = append(n.pendingItems, items[:min(len(items), free)]...)
 	n.mu.Unlock()
 	n.requestPush()
 }
 
-// mergeFromPeer merges a peer's items and sends the new ones to the decision.
+// mergeFromPeer merges a peer's items and sends the new ones to package decision.
 func (n *Node) mergeFromPeer(items []HealthItem) error {
 	added, err := n.healthItems.merge(items, n.Now())
 	if err != nil {
@@ -90,7 +93,7 @@
 	return nil
 }
 
-// exchangeHealth exchanges all items with a peer whose hash differs.
+// exchangeHealth exchanges all items with a peer whose HealthHash differs.
 func (n *Node) exchangeHealth(ctx context.Context, p wire.ListedInstance) {
 	params := HealthParams{From: n.self.ID, Items: n.healthItems.all(n.Now()), WantItems: true}
 	var result HealthResult
@@ -102,9 +105,8 @@
 	}
 }
 
-// Push sends to the peers of the last round what is new: health items, and that
-// a manifest is in the log. Errors are ignored: the next round compares
-// digests.
+// Push tells the peers of the last round what is new: health items, and that a
+// manifest is in the log. Errors are ignored: the next round compares digests.
 func (n *Node) Push(ctx context.Context) {
 	n.mu.Lock()
 	items, peers := n.pendingItems, n.roundPeers
--- a/router/internal/peer/healthset.go
+++ b/router/internal/peer/healthset.go
@@ -28,18 +28,18 @@
 )
 
 // HealthItem is one statement about a version, backend server or request. Times
-// are in ms since 1970.
+// are Unix times in ms.
 type HealthItem struct {
 	Kind HealthKind `json:"kind"`
 	ID   string     `json:"id"`
 	Bad  bool       `json:"bad,omitempty"`
-	// Timestamp is when the origin stated it; the latest statement on an ID
-	// counts.
+	// Timestamp is when the origin stated it; of the statements with the same
+	// Kind and ID, the latest counts.
 	Timestamp int64 `json:"stamp"`
 	// Until is when the item expires. The origin sets it once, so that passing
 	// the item on never extends its life.
 	Until int64 `json:"until"`
-	// Origin is the instance that stated it first.
+	// Origin is the instance that made this statement.
 	Origin string `json:"origin"`
 }
 
@@ -47,14 +47,18 @@
 	// maxHealthItems leaves room for all versions, and for more leaving backend
 	// servers than a rack has.
 	maxHealthItems = 2048
-	// maxItemLifetime bounds how long a wrong statement of one instance can
-	// affect the others.
+	// maxItemLifetime bounds how long a wrong statement of one instance is passed
+	// on and, if it is a verdict or a quarantine, how long it affects the others.
+	// A backend server that was reported as leaving counts as leaving until the
+	// list has dropped it.
 	maxItemLifetime = 15 * time.Minute
 	// maxClockSkew is the clock skew allowed between instances.
 	maxClockSkew = 30 * time.Second
-	maxIDBytes   = 128
+	// maxIDBytes bounds the ID of an item.
+	maxIDBytes = 128
 )
 
+// itemKey identifies the subject of an item; a set has one item for each.
 type itemKey struct {
 	kind HealthKind
 	id   string
@@ -77,8 +81,8 @@
 
 func newHealthSet() *healthSet { return &healthSet{entries: map[itemKey]healthEntry{}} }
 
-// merge adds all items or, after an error, none, and returns those that were
-// new.
+// merge adds the items that supersede the known ones and returns those added. If
+// any item is invalid, it adds none.
 func (s *healthSet) merge(items []HealthItem, now time.Time) ([]HealthItem, error) {
 	if len(items) > maxHealthItems {
 		return nil, trace.LimitExceeded("%d items", len(items))
@@ -100,8 +104,9 @@
 	return added, nil
 }
 
-// insertIfNewer adds an item if it is newer than the known one. A full set
-// drops the item that expires first, which is the same one at all instances.
+// insertIfNewer adds an item if it supersedes the known one, and reports whether
+// it did. A full set drops the item that expires first, which is the same one at
+// all instances; that may be the new item.
 func (s *healthSet) insertIfNewer(it HealthItem, now time.Time) bool {
 	if it.Until <= now.UnixMilli() {
 		return false
@@ -120,6 +125,8 @@
 	return expiring != key
 }
 
+// insert adds an item. Like remove, it keeps combinedHash, the XOR of the items'
+// hashes, up to date.
 func (s *healthSet) insert(key itemKey, it HealthItem) {
 	entry := healthEntry{HealthItem: it, itemHash: it.hash()}
 	s.entries[key] = entry
@@ -159,7 +166,7 @@
 	return it.hash() > other.hash()
 }
 
-// has reports whether there is an unexpired item on the ID.
+// has reports whether there is an unexpired item of the kind on the ID.
 func (s *healthSet) has(kind HealthKind, id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,7 +230,7 @@
 	return nil
 }
 
-// event converts the item to an event of the decision.
+// event converts the item to an event for package decision.
 func (it HealthItem) event() decision.Event {
 	until := time.UnixMilli(it.Until)
 	switch it.Kind {
--- a/router/internal/peer/hostile_test.go
+++ b/router/internal/peer/hostile_test.go
@@ -34,6 +34,7 @@
 	return string(answer)
 }
 
+// frame returns a message with its length before it, as on the wire.
 func frame(message string) []byte {
 	return append(binary.AppendUvarint(nil, uint64(len(message))), message...)
 }
@@ -61,7 +62,7 @@
 	t.Helper()
 	if inst.HeldBills() != 0 || inst.healthItems.hash(testTime) != 0 || inst.store.restored != nil ||
 		len(inst.store.puts) != 0 || len(inst.events) != 0 || len(inst.vouches) != 0 {
-		t.Errorf("%s: state changed", name)
+		t.Errorf("%s: state changed, want it unchanged", name)
 	}
 }
 
@@ -112,7 +113,7 @@
 		assertUnchanged(t, inst, name)
 	}
 	if answer := sendRaw(t, inst.self.Peer, rpcRequest(MethodVouch, `{"from":"x"}`)); !strings.Contains(answer, `"result"`) {
-		t.Errorf("a valid request afterwards: got %s", answer)
+		t.Errorf("a valid request afterwards: got %s, want a result", answer)
 	}
 }
 
@@ -148,7 +149,7 @@
 		peer := inst.self
 		peer.ID, peer.Peer = "evil", ln.Addr().String()
 		if a := inst.query(context.Background(), peer, MethodDigest); a.ok {
-			t.Errorf("%s: accepted as an answer", name)
+			t.Errorf("%s: accepted as an answer, want none", name)
 		}
 		assertUnchanged(t, inst, name)
 		_ = ln.Close()
@@ -177,13 +178,14 @@
 		}
 		for _, r := range n.heldBills.Bills() {
 			if r.Key.Class() != record.ClassBill {
-				t.Errorf("holds %s", r.Key)
+				t.Errorf("holds %s, want bills only", r.Key)
 			}
 		}
 	})
 }
 
-// FuzzStream reads arbitrary bytes as messages.
+// FuzzStream reads arbitrary bytes as messages. None may be longer than
+// maxMessageBytes.
 func FuzzStream(f *testing.F) {
 	f.Add(frame(`{"jsonrpc":"2.0","id":1,"method":"m"}`))
 	f.Add(binary.AppendUvarint(nil, 1<<63))
@@ -202,7 +204,7 @@
 				return
 			}
 			if len(v) > maxMessageBytes {
-				t.Errorf("message of %d bytes", len(v))
+				t.Errorf("read a message of %d bytes, want at most maxMessageBytes", len(v))
 			}
 		}
 	})
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -93,7 +93,8 @@
 	// rounds that others can cause.
 	pushRequested, roundRequested chan struct{}
 	earlyRoundLimit               *rate.Limiter
-	// transferring and flushing guard work that outlasts a round.
+	// transferring and flushing are true while that work runs; it may outlast a
+	// round.
 	transferring, flushing atomic.Bool
 	background             sync.WaitGroup
 	// nextTransferAt is used only by the one transfer that runs at a time.
@@ -105,12 +106,12 @@
 	// manifestPending is true if a manifest won and the next push must announce
 	// it.
 	manifestPending bool
-	// roundPeers are the peers of the last round; answered is true for the IDs
-	// of those that answered.
+	// roundPeers are the peers of the last round. answered holds, by ID, whether
+	// a listed peer answered the last query to it, in whichever round.
 	roundPeers []wire.ListedInstance
 	answered   map[string]bool
-	// outageCursor is the position in the list up to which outagePeers has
-	// queried.
+	// outageCursor counts the peers that outagePeers has gone through; modulo the
+	// length of the list it is the position of the next one.
 	outageCursor int
 }
 
@@ -200,8 +201,9 @@
 	}
 }
 
-// runIfIdle runs f concurrently with the rounds, and only once at a time. A
-// slow transfer must not delay the rounds, which keep the instance fresh.
+// runIfIdle runs f concurrently with the rounds, unless busy is set because an
+// earlier call still runs. A slow transfer must not delay the rounds, which keep
+// the instance fresh.
 func (n *Node) runIfIdle(busy *atomic.Bool, f func()) {
 	if !busy.CompareAndSwap(false, true) {
 		return
@@ -215,7 +217,7 @@
 // requestPush makes Run push soon.
 func (n *Node) requestPush() { notify(n.pushRequested) }
 
-// requestRound makes Run start a round soon.
+// requestRound makes Run start a round soon, within earlyRoundLimit.
 func (n *Node) requestRound() {
 	if n.earlyRoundLimit.Allow() {
 		notify(n.roundRequested)
@@ -229,7 +231,8 @@
 	}
 }
 
-// onManifestChange runs in the fold's goroutine, so it only sets a flag.
+// onManifestChange runs in the fold's goroutine and must not block: it only
+// requests a push.
 func (n *Node) onManifestChange(c fold.Change) {
 	if c.Verdict != fold.VerdictWon {
 		return
@@ -262,8 +265,8 @@
 	}
 }
 
-// HeldBills returns the number of bills that wait here for the log, own and
-// other instances'.
+// HeldBills returns the number of bills that wait here for the log, including
+// copies of other instances' bills.
 func (n *Node) HeldBills() int { return n.heldBills.Len() }
 
 // HeldBillsFull reports whether no more bills can be held, so that new work
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -33,11 +33,11 @@
 		switch v.Peer {
 		case "i1":
 			if v.Head != 70 || v.HeadAge != time.Second || !v.LogReachable {
-				t.Errorf("got %+v", v)
+				t.Errorf("got %+v, want head 70 read 1 s ago, log reachable", v)
 			}
 		case "i2":
 			if v.LogReachable || v.HeadAge != maxAge {
-				t.Errorf("got %+v", v)
+				t.Errorf("got %+v, want a head of maxAge, log unreachable", v)
 			}
 		}
 	}
@@ -51,13 +51,13 @@
 func TestCallDurationAddsToHeadAge(t *testing.T) {
 	v := StatusReport{HeadAgeMS: 400}.vouch(300 * time.Millisecond)
 	if v.HeadAge != 700*time.Millisecond {
-		t.Errorf("got %v", v.HeadAge)
+		t.Errorf("got age %v, want 700ms", v.HeadAge)
 	}
 	if v := (StatusReport{HeadAgeMS: -5}).vouch(-1); v.HeadAge != 0 {
-		t.Errorf("negative age: got %v", v.HeadAge)
+		t.Errorf("negative age: got %v, want 0", v.HeadAge)
 	}
 	if v := (StatusReport{HeadAgeMS: 1 << 62}).vouch(0); v.HeadAge != maxAge {
-		t.Errorf("huge age: got %v", v.HeadAge)
+		t.Errorf("huge age: got %v, want maxAge", v.HeadAge)
 	}
 }
 
@@ -140,8 +140,8 @@
 }
 
 // TestDivergedStateIsLoggedOnce checks that different states at one offset are
-// logged, once for all rounds, and that peers that are no longer listed are
-// forgotten.
+// logged, but not again in each round, and that peers that are no longer listed
+// are forgotten.
 func TestDivergedStateIsLoggedOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -172,18 +172,19 @@
 }
 
 // TestSnapshotPiecesAreConsistent checks that the pieces of a transfer come
-// from one snapshot, and that impossible pieces are rejected.
+// from one snapshot although the state advances in between, and that impossible
+// pieces are rejected.
 func TestSnapshotPiecesAreConsistent(t *testing.T) {
 	store := &fakeStore{digest: fold.Digest{NextOffset: 4}, snapshot: make([]byte, maxPieceBytes+1)}
 	s := &snapshotCache{store: store}
 	first, err := s.piece(FetchParams{After: 3}, testTime)
 	if err != nil || first.Total != maxPieceBytes+1 || len(first.Data) != maxPieceBytes {
-		t.Fatalf("got %d of %d, %v", len(first.Data), first.Total, err)
+		t.Fatalf("first piece: got %d of %d bytes, error %v, want maxPieceBytes of maxPieceBytes+1", len(first.Data), first.Total, err)
 	}
 	store.set(func(f *fakeStore) { f.digest.NextOffset, f.snapshot = 9, []byte("newer") })
 	rest, err := s.piece(FetchParams{After: 3, Snapshot: 4, Offset: maxPieceBytes}, testTime)
 	if err != nil || len(rest.Data) != 1 {
-		t.Errorf("second piece: got %d bytes, %v", len(rest.Data), err)
+		t.Errorf("second piece: got %d bytes, error %v, want 1 byte", len(rest.Data), err)
 	}
 	for name, p := range map[string]FetchParams{
 		"another snapshot": {Snapshot: 5, Offset: 1},
@@ -192,7 +193,7 @@
 		"not ahead":        {After: 9},
 	} {
 		if _, err := s.piece(p, testTime); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: no error, want one", name)
 		}
 	}
 	s.expire(testTime.Add(snapshotTTL))
@@ -264,7 +265,7 @@
 	for _, inst := range fleet[1:] {
 		got, ok := (<-inst.events).(decision.VersionVerdict)
 		if !ok || got.Version != want.Version || !got.Bad || !got.Until.Equal(want.Until) {
-			t.Errorf("%s: got %+v", inst.self.ID, got)
+			t.Errorf("%s: got %+v, want the shared verdict", inst.self.ID, got)
 		}
 	}
 	for _, inst := range fleet {
@@ -285,10 +286,10 @@
 	fleet[1].ShareQuarantine(decision.Quarantine{Fingerprint: 77, Until: testTime.Add(time.Minute)})
 	fleet[0].runRound()
 	if got := <-fleet[1].events; got != (decision.ServerLeaving{Server: "moteur-3"}) {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want moteur-3 leaving", got)
 	}
 	if got, ok := (<-fleet[0].events).(decision.RequestQuarantined); !ok || got.Fingerprint != 77 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want a quarantine of fingerprint 77", got)
 	}
 	if fleet[0].healthItems.hash(testTime) != fleet[1].healthItems.hash(testTime) {
 		t.Error("health items still differ")
@@ -311,7 +312,7 @@
 		}
 	}
 	if got := set.all(testTime); !reflect.DeepEqual(got, []HealthItem{newer}) {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want only the newer item", got)
 	}
 	before := set.hash(testTime)
 	for name, bad := range map[string]HealthItem{
@@ -324,7 +325,7 @@
 	} {
 		good := item(0, time.Minute, true)
 		if _, err := set.merge([]HealthItem{good, bad}, testTime); err == nil || set.hash(testTime) != before {
-			t.Errorf("%s: got error %v, or a part of the items was added", name, err)
+			t.Errorf("%s: error %v, want an error and no item added", name, err)
 		}
 	}
 	if len(set.all(testTime.Add(2*time.Minute))) != 0 || set.hash(testTime) != 0 {
@@ -351,7 +352,7 @@
 		}
 	}
 	if len(x.entries) != maxHealthItems || x.hash(testTime) != y.hash(testTime) {
-		t.Errorf("%d items; equal hashes: %v", len(x.entries), x.hash(testTime) == y.hash(testTime))
+		t.Errorf("%d items, equal hashes: %v; want maxHealthItems and equal hashes", len(x.entries), x.hash(testTime) == y.hash(testTime))
 	}
 }
 
@@ -360,7 +361,7 @@
 // and that retries put the same record.
 func TestBillIsHeldInTwoFailureDomainsAndFlushedByBoth(t *testing.T) {
 	fleet := newFleet(t, 8, nil)
-	fleet[0].runRound() // learns who answers
+	fleet[0].runRound() // records which peers answer
 	var all []record.Record
 	for n := range byte(20) {
 		all = append(all, testBill(n))
@@ -393,13 +394,13 @@
 		total += inst.HeldBills()
 	}
 	if total != 0 {
-		t.Errorf("%d bills left after the flush", total)
+		t.Errorf("%d bills left after the flush, want 0", total)
 	}
 	// The first flush stopped at an unknown outcome. The second put all bills,
 	// the first one again under the same nonce.
 	puts := fleet[0].store.puts
 	if len(puts) != 21 || !sameBills(puts[1:], all) || !sameBills(puts[:1], []record.Record{secondPut(puts)}) {
-		t.Errorf("%d puts; a retry did not put the same record", len(puts))
+		t.Errorf("%d puts, want 21, the retry with the same record as the first try", len(puts))
 	}
 }
 
@@ -423,8 +424,8 @@
 }
 
 // TestHoldFailsWithoutASecondCopy checks that a bill is not held if no peer
-// keeps a copy or this instance has no space. It also checks when HeldBillsFull
-// is true.
+// keeps a copy or this instance has no room: a single copy would be lost with its
+// instance. It also checks when HeldBillsFull is true.
 func TestHoldFailsWithoutASecondCopy(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	for name, list := range map[string][]wire.ListedInstance{
@@ -433,13 +434,13 @@
 	} {
 		fleet[0].Instances = func() []wire.ListedInstance { return list }
 		if err := fleet[0].Hold(context.Background(), testBill(1)); err == nil || fleet[0].HeldBills() != 0 {
-			t.Errorf("%s: got %v with %d held", name, err, fleet[0].HeldBills())
+			t.Errorf("%s: got error %v with %d held, want an error and none", name, err, fleet[0].HeldBills())
 		}
 	}
 	fleet[0].Instances = func() []wire.ListedInstance { return []wire.ListedInstance{fleet[0].self, fleet[1].self} }
 	release := fleet[1].fillBills(t)
 	if err := fleet[0].Hold(context.Background(), testBill(1)); err == nil || fleet[0].HeldBills() != 0 {
-		t.Errorf("full peer: got %v with %d held", err, fleet[0].HeldBills())
+		t.Errorf("full peer: got error %v with %d held, want an error and none", err, fleet[0].HeldBills())
 	}
 	release()
 	if fleet[0].HeldBillsFull(0) {
@@ -453,7 +454,7 @@
 		t.Error("not full with all space reserved")
 	}
 	if err := fleet[0].Hold(context.Background(), testBill(1)); err == nil || fleet[1].HeldBills() != 0 {
-		t.Errorf("full here: got %v with %d copies", err, fleet[1].HeldBills())
+		t.Errorf("full here: got error %v with %d copies, want an error and none", err, fleet[1].HeldBills())
 	}
 }
 
@@ -473,7 +474,8 @@
 }
 
 // TestDrainLeavesNoBillBehind checks that a stopping instance passes each bill
-// on, once, to the log or to a peer.
+// on, once, to the log or to a peer. A bill left behind would be held only by an
+// instance that is gone.
 func TestDrainLeavesNoBillBehind(t *testing.T) {
 	for name, reachable := range map[string]bool{"into the log": true, "to a peer": false} {
 		fleet := newFleet(t, 2, nil)
@@ -482,7 +484,7 @@
 		}
 		fleet[0].store.set(func(s *fakeStore) { s.status.LogReachable = reachable })
 		if left := fleet[0].Drain(context.Background()); left != 0 {
-			t.Errorf("%s: %d left", name, left)
+			t.Errorf("%s: %d left, want 0", name, left)
 		}
 		if got := len(fleet[0].store.puts) + fleet[1].HeldBills(); got != 1 {
 			t.Errorf("%s: bill passed on %d times, want 1", name, got)
--- a/router/internal/peer/realnode_test.go
+++ b/router/internal/peer/realnode_test.go
@@ -48,8 +48,8 @@
 	return n, observer
 }
 
-// realFleet is a fleet whose instances follow log; nodes and observers are by
-// instance.
+// realFleet returns a fleet whose instances follow log, and their nodes and
+// observers in the same order.
 func realFleet(t *testing.T, log *logtest.Log, count int) (fleet []*testInstance, nodes []*node.Node, observers []*nodeObserver) {
 	t.Helper()
 	fleet = newFleetWithStores(t, count, nil, func(name string) node.Store {
@@ -73,7 +73,7 @@
 	log.SetDown(false)
 	fleet[1].runUntilFlushed(observers[1])
 	if c := <-observers[1].bills; c.Verdict != fold.VerdictWon || c.Register.Nonce != testBill(1).Nonce {
-		t.Errorf("got %+v", c)
+		t.Errorf("got %+v, want the bill to win with its own nonce", c)
 	}
 }
 
@@ -89,7 +89,7 @@
 			t.Fatal(err)
 		}
 		if left := fleet[0].heldBills.Flush(context.Background()); left != 0 {
-			t.Error("a bill that is in the log already was not settled")
+			t.Error("a bill that is in the log already is still held after a flush")
 		}
 	}
 	for i := range fleet {
--- a/router/internal/peer/server.go
+++ b/router/internal/peer/server.go
@@ -48,6 +48,7 @@
 	}
 }
 
+// acceptError returns nil if Accept failed because the server was stopped.
 func (s *server) acceptError(ctx context.Context, err error) error {
 	if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 		return nil
--- a/router/internal/peer/tls_test.go
+++ b/router/internal/peer/tls_test.go
@@ -86,6 +86,7 @@
 	}
 }
 
+// config returns the TLS configuration of an instance at ip.
 func (a authority) config(t testing.TB, ip string) *tls.Config {
 	t.Helper()
 	cfg, err := TLSConfig(a.settings(t, ip))
@@ -126,7 +127,7 @@
 		err := p.call(context.Background(), server.self.Peer, MethodVouch, VouchParams{From: "x"}, nil)
 		p.close()
 		if err == nil {
-			t.Errorf("%s: got an answer", name)
+			t.Errorf("%s: got an answer, want an error", name)
 		}
 		assertUnchanged(t, server, name)
 	}
@@ -134,7 +135,7 @@
 	p := newConnPool(Config{TLS: ca.config(t, "127.0.0.1")}, gometrics.NewCounter(), gometrics.NewCounter())
 	defer p.close()
 	if err := p.call(context.Background(), elsewhere.self.Peer, MethodVouch, VouchParams{From: "x"}, nil); err == nil {
-		t.Error("a certificate for another IP was accepted")
+		t.Error("a certificate for another IP was accepted, want an error")
 	}
 }
 
@@ -143,13 +144,13 @@
 func TestTLSConfigRejectsBadFiles(t *testing.T) {
 	good := newAuthority(t).settings(t, "127.0.0.1")
 	if cfg, err := TLSConfig(settings.Peer{}); cfg != nil || err != nil {
-		t.Errorf("no files: got %v, %v", cfg, err)
+		t.Errorf("no files: got %v, error %v, want neither", cfg, err)
 	}
 	noCA, noKey, badCA := good, good, good
 	noCA.CAFile, noKey.KeyFile, badCA.CAFile = "/none", "/none", good.KeyFile
 	for name, cfg := range map[string]settings.Peer{"ca missing": noCA, "key missing": noKey, "ca is no certificate": badCA} {
 		if _, err := TLSConfig(cfg); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: no error, want one", name)
 		}
 	}
 }
--- a/router/internal/peer/transfer.go
+++ b/router/internal/peer/transfer.go
@@ -12,8 +12,10 @@
 	"masticplank.example/coordination/node"
 )
 
-// snapshotTTL is how long a snapshot is kept for those that fetch it. It also
-// bounds how often peers can make this instance encode one.
+// snapshotTTL is how long a snapshot is kept for those that fetch it. Until then
+// it also serves new transfers, so that peers cannot make this instance encode
+// one for each; only an asker whose own offset is not behind the kept
+// snapshot's causes a newer one.
 const snapshotTTL = fetchTimeout
 
 // snapshotCache serves pieces of this instance's state. It keeps one snapshot
@@ -21,7 +23,8 @@
 type snapshotCache struct {
 	store node.Store
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// nextOffset is that of the kept snapshot, by which peers identify it.
 	nextOffset uint64
 	data       []byte
 	createdAt  time.Time
@@ -76,11 +79,11 @@
 	}
 }
 
-// maxTransferRate bounds, in bytes/s, how fast an instance fetches state. If it
-// alone cannot reach the log, the others' state advances with each bill, and
-// without a bound it would fetch the whole state in each round. With a large
-// state it becomes stale between transfers and refuses new work, which is
-// intended.
+// maxTransferRate bounds the mean rate, in bytes/s, at which an instance fetches
+// state. If it alone cannot reach the log, the others' state advances with each
+// bill, and without a bound it would fetch the whole state in each round. With a
+// large state the instance becomes stale between transfers and refuses new work,
+// which is intended.
 const maxTransferRate = 1 << 20
 
 // transferPause returns how long to wait after the transfer of a state of this
@@ -89,8 +92,9 @@
 	return time.Duration(size) * time.Second / maxTransferRate
 }
 
-// fetchState fetches a peer's state and restores it. Restore rejects a state
-// that is malformed or not ahead, so a bad transfer changes nothing.
+// fetchState fetches a peer's state piece by piece and restores it. Restore
+// rejects a state that is malformed or not ahead, so a bad transfer changes
+// nothing.
 func (n *Node) fetchState(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
