--- a/router/internal/api/api.go
+++ b/router/internal/api/api.go
@@ -1,7 +1,7 @@
 // Package api serves callers over HTTP: OpenAI-compatible chat completions and
-// lists of models, plain services and sessions. It turns each HTTP request into a request for package
-// decision, runs the attempts that decision commands, and writes exactly one
-// final answer.
+// lists of models, plain services and sessions. It turns each HTTP request that
+// asks for work into a request for package decision, runs the attempts that
+// decision commands, and writes exactly one final answer.
 //
 // The path of a request: api.go routes it, chat.go or service.go parses it,
 // exchange.go executes the commands for it, attempt.go runs each attempt (stream.go
@@ -58,7 +58,7 @@
 	// Version is that of the last attempt whose token usage was counted; empty if
 	// there is none.
 	Version string
-	// Outcome is the outcome.Kind.
+	// Outcome is an outcome.Kind.
 	Outcome string
 	// Code is the outcome's code if the request did not complete. It tells
 	// callers' errors from faults of the system.
--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -79,9 +79,9 @@
 }
 
 // readErrorResponse handles an engine's answer whose status is not 200. With status
-// 429 or from 500 on, the attempt failed. Any other status, usually 4xx, counts as an
-// error in the request itself: the answer is passed on to the caller, since another
-// server would return the same. It is neither a completed answer nor billed.
+// 429 or from 500 on, the attempt failed. Any other status, usually 4xx, counts as
+// an error in the request itself: the answer is passed on to the caller, since
+// another server would return the same. It is neither a completed answer nor billed.
 func (x *exchange) readErrorResponse(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	body, err := upstream.ReadAll(ctx, resp)
 	if err != nil {
--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// failureOutcome returns the outcome of a request whose last attempt ended without an
-// answer. A lost connection does not show whether the server died before the
+// failureOutcome returns the outcome of a request whose last attempt ended without
+// an answer. A lost connection does not show whether the server died before the
 // request took effect or its reply was lost afterwards. For work that may not be
 // repeated the outcome is therefore unknown: if it were "failed", the caller would
 // send the request again under a new key, and it might run twice.
@@ -266,9 +266,9 @@
 	writeOutcome(x.w, o)
 }
 
-// abandon ends a request early: its caller has disconnected, its context has ended or
-// the driver has stopped. Its attempt is cancelled, and the tokens generated so far
-// are billed once.
+// abandon ends a request early: its caller has disconnected, its context has ended
+// or the driver has stopped. Its attempt is cancelled, and the tokens generated so
+// far are billed once.
 func (x *exchange) abandon() {
 	x.ticket.Send(decision.RequestCancelled{Request: x.req.ID})
 	if x.done {
@@ -276,8 +276,8 @@
 	}
 	if x.bill.OutputTokens > 0 {
 		x.bill.Canceled = true
-		// The caller is usually gone and there is no answer to withhold, so an error
-		// has no consequence: the bill is best effort.
+		// The caller is usually gone and there is no answer to withhold, so an
+		// error has no consequence: the bill is best effort.
 		_ = x.writeBill(context.WithoutCancel(x.r.Context()))
 	}
 	x.finish(outcome.Outcome{Kind: outcome.Unknown, Code: "cancelled", Message: "the request was cancelled"})
--- a/router/internal/api/outcome_test.go
+++ b/router/internal/api/outcome_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// answerStatus answers with a status and no body; with notRun, it refuses the request
-// as not run.
+// answerStatus answers with a status and no body; with notRun, it refuses the
+// request as not run.
 func answerStatus(code int, notRun bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
@@ -126,8 +126,8 @@
 
 // TestNumberedStreams duplicates and drops events of a numbered stream. Without the
 // check of event ids, a duplicated chunk would double words in the middle of an
-// answer, and a missing one would go unnoticed; "masticplank demo --faults" with seed 1
-// sends duplicated chunks.
+// answer, and a missing one would go unnoticed; "masticplank demo --faults" with
+// seed 1 sends duplicated chunks.
 func TestNumberedStreams(t *testing.T) {
 	end := "3|" + wire.StreamEnd
 	for _, c := range []struct {
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -59,7 +59,8 @@
 	x.s.ratings.start(event, req, timeout)
 }
 
-// lastMessage returns the content of a chat's last message, the prompt to be rated.
+// lastMessage returns the content of a chat's last message, the prompt to be
+// rated.
 func lastMessage(chat *wire.ChatRequest) string {
 	if chat == nil || len(chat.Messages) == 0 {
 		return ""
--- a/router/internal/api/reuse_test.go
+++ b/router/internal/api/reuse_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestConnectionsToBackendServersAreReused counts the connections of many consecutive
-// requests. An answer whose body is not read to its end closes its connection, so that
-// the next request must open a new one.
+// requests. An answer whose body is not read to its end closes its connection, so
+// that the next request must open a new one.
 func TestConnectionsToBackendServersAreReused(t *testing.T) {
 	f := newFixture(t)
 	for _, body := range []string{prompt, streamed} {
--- a/router/internal/api/service.go
+++ b/router/internal/api/service.go
@@ -102,8 +102,8 @@
 }
 
 // readService reads a service's whole answer. Any status below 500 is the
-// service's answer, which costs the service's price if the status is below 300; from
-// 500 on the call ran and failed.
+// service's answer, which costs the service's price if the status is below 300;
+// from 500 on the call ran and failed.
 func (x *exchange) readService(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	body, err := upstream.ReadAll(ctx, resp)
 	if err != nil {
--- a/router/internal/api/session.go
+++ b/router/internal/api/session.go
@@ -83,8 +83,8 @@
 }
 
 // readSession reads a session from its token or, for a session that has only a
-// name, its pins from the log. A new name gets its pins now; if several instances
-// set them at once, the first writer in the log wins.
+// name, its pins from the log. A new name gets its pins now; if several
+// instances set them at once, the first writer in the log wins.
 func (s *Server) readSession(ctx context.Context, c caller, header string) (session.Session, *outcome.Outcome) {
 	if session.LooksLikeToken(header) {
 		sess, err := s.SessionTokens.Verify(header, c.team.ID)
--- a/router/internal/api/stream.go
+++ b/router/internal/api/stream.go
@@ -55,10 +55,10 @@
 	nextEvent int
 }
 
-// readStream reads an engine's stream for a caller that gets a stream, and forwards it
-// unless it is held. The events that make an answer look complete (finish reason,
-// usage, end marker) are withheld in answer.events and written once the bill is
-// durable.
+// readStream reads an engine's stream for a caller that gets a stream, and forwards
+// it unless it is held. The events that make an answer look complete (finish
+// reason, usage, end marker) are withheld in answer.events and written once the
+// bill is durable.
 func (x *exchange) readStream(ctx context.Context, d decision.Dispatch, resp *http.Response) (*answer, error) {
 	sr := x.newStreamReader(d)
 	if err := sr.readAndCount(ctx, resp); err != nil {
@@ -77,8 +77,8 @@
 	}
 }
 
-// readAndCount reads the stream to its end and adds the stated usage to the bill. For
-// a stream that broke off it adds the tokens received.
+// readAndCount reads the stream to its end and adds the stated usage to the bill.
+// For a stream that broke off it adds the tokens received.
 func (sr *streamReader) readAndCount(ctx context.Context, resp *http.Response) error {
 	version := sr.dispatch.Version
 	err := sr.read(ctx, resp)
@@ -203,16 +203,16 @@
 	sr.lastTokenAt = now
 }
 
-// markFirstToken records the time of the first token, or of the end of an answer that
-// is not streamed, unless it is recorded already.
+// markFirstToken records the time of the first token, or of the end of an answer
+// that is not streamed, unless it is recorded already.
 func (x *exchange) markFirstToken() {
 	if x.firstToken == 0 {
 		x.firstToken = time.Since(x.start)
 	}
 }
 
-// writeEvent sends one event to the caller without buffering. An error means that the
-// caller has disconnected or did not read within the write timeout.
+// writeEvent sends one event to the caller without buffering. An error means that
+// the caller has disconnected or did not read within the write timeout.
 func (x *exchange) writeEvent(version decision.VersionID, data string) error {
 	x.startStream(version)
 	if err := x.writeAndFlush(data); err != nil {
--- a/router/internal/billing/billing.go
+++ b/router/internal/billing/billing.go
@@ -18,8 +18,8 @@
 const putTimeout = 2 * time.Second
 
 const (
-	// recordTimeout bounds the tries to record one bill: no retry begins after it. An
-	// instance that has just started cannot hold bills until it has read a list
+	// recordTimeout bounds the tries to record one bill: no retry begins after it.
+	// An instance that has just started cannot hold bills until it has read a list
 	// that names a peer; recordTimeout is longer than that takes.
 	recordTimeout = 5 * time.Second
 	// retryInterval is the pause between two tries.
--- a/router/internal/directory/directory.go
+++ b/router/internal/directory/directory.go
@@ -1,6 +1,7 @@
 // Package directory keeps the platform's list of instances and backend servers,
-// and polls each backend server's load. The list lags behind; a backend
-// server's own report that it is leaving takes effect at once.
+// and polls the load of the backend servers that this instance uses, a subset in
+// a large fleet. The list lags behind; a backend server's own report that it is
+// leaving takes effect at once.
 package directory
 
 import (
@@ -72,8 +73,8 @@
 	}
 }
 
-// Addr returns the address of a backend server; false if the server is not listed
-// or not in this instance's subset.
+// Addr returns the address of a backend server; false if the server is not
+// listed or not in this instance's subset.
 func (d *Directory) Addr(id decision.ServerID) (string, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -129,8 +130,8 @@
 }
 
 // publish sends the servers of this instance's subset to package decision.
-// Versions that engines report themselves replace the listed ones: after an order
-// the list lags behind the engines' reports.
+// Versions that engines report themselves replace the listed ones: after an
+// order the list lags behind the engines' reports.
 func (d *Directory) publish() {
 	d.mu.Lock()
 	rows := make([]decision.Server, 0, len(d.listed))
--- a/router/internal/driver/driver.go
+++ b/router/internal/driver/driver.go
@@ -23,8 +23,9 @@
 	// event arrives. Such ticks apply deadlines and limits on waiting times.
 	tickInterval = 5 * time.Millisecond
 	// idleTickInterval is the same while no request is open: 4 wake-ups a second
-	// instead of 200. It is well below decision.Config.PauseThreshold: a gap between
-	// two ticks that is longer than that threshold counts as a pause of the process.
+	// instead of 200. It is well below decision.Config.PauseThreshold: a gap
+	// between two ticks that is longer than that threshold counts as a pause of the
+	// process.
 	idleTickInterval = 250 * time.Millisecond
 	// commandBuffer is how many unread commands a request can have. Its attempts
 	// run one after the other, so there are rarely more than a Dispatch and a final
--- a/router/internal/manifest/holder.go
+++ b/router/internal/manifest/holder.go
@@ -24,8 +24,8 @@
 	acceptedOrder []string
 }
 
-// maxAccepted bounds the remembered publications. At 66,000 changes a day they span
-// more than an hour, much longer than a pipeline retries a publication.
+// maxAccepted bounds the remembered publications. At 66,000 changes a day they
+// span more than an hour, much longer than a pipeline retries a publication.
 const maxAccepted = 4096
 
 // NewHolder returns an empty holder. onApplied may be nil; it must not block.
--- a/router/internal/outcome/outcome.go
+++ b/router/internal/outcome/outcome.go
@@ -26,8 +26,8 @@
 	// Code is stable and meant for programs, Message for people.
 	Code    string
 	Message string
-	// RetryAfter is how long the caller is asked to wait before a retry; zero if
-	// it is not asked to retry.
+	// RetryAfter is how long the caller is asked to wait before a retry; zero
+	// if it is not asked to retry.
 	RetryAfter time.Duration
 }
 
--- a/router/internal/peer/bills.go
+++ b/router/internal/peer/bills.go
@@ -17,14 +17,14 @@
 
 const (
 	// maxHeldBills bounds the bills held: those of this instance and copies of
-	// other instances' bills. At 200 requests/s per instance, with as many copies as own
-	// bills, it suffices for an outage of 80 s. Beyond it new work is refused,
-	// since unbilled answers would do more harm.
+	// other instances' bills. At 200 requests/s per instance, with as many
+	// copies as own bills, it suffices for an outage of 80 s. Beyond it new
+	// work is refused, since unbilled answers would do more harm.
 	maxHeldBills = 32_768
 	// maxHeldBytes bounds the memory of the bills held.
 	maxHeldBytes = 16 << 20
-	// maxHoldBatchBytes bounds the encoded batch that carries one bill. The factor
-	// leaves room for the encoding.
+	// maxHoldBatchBytes bounds the encoded batch that carries one bill. The
+	// factor leaves room for the encoding.
 	maxHoldBatchBytes = 4 * (record.MaxKeyBytes + ledger.MaxBillBytes)
 	// maxCopyPeers is how many peers are asked in turn to keep a copy.
 	maxCopyPeers = 3
@@ -130,7 +130,8 @@
 
 // Drain makes sure that no bill is held only here: it writes the bills to the
 // log or, if the log does not take them, sends each to one more peer. It
-// returns how many are left, which is 0 unless no peer accepts one or ctx ended.
+// returns how many are left, which is 0 unless no peer accepts one or ctx
+// ended.
 func (n *Node) Drain(ctx context.Context) int {
 	if n.Bills.Reachable() {
 		n.flushBills(ctx)
--- a/router/internal/peer/chooser.go
+++ b/router/internal/peer/chooser.go
@@ -27,8 +27,8 @@
 
 // stickyChooser keeps its peers and replaces one every replaceEvery rounds. If
 // there are peers of other failure domains that did not fail in the last round,
-// at least one of them is chosen, so that information leaves a failure domain at
-// once.
+// at least one of them is chosen, so that information leaves a failure domain
+// at once.
 type stickyChooser struct {
 	domain string
 	rng    *rand.Rand
--- a/router/internal/peer/chooser_test.go
+++ b/router/internal/peer/chooser_test.go
@@ -16,8 +16,8 @@
 }
 
 // TestChooserChangesPeersSlowly checks that peers change slowly, since each
-// change costs a new connection, that in the long run others are chosen too, and
-// that one is always in another failure domain.
+// change costs a new connection, that in the long run others are chosen too,
+// and that one is always in another failure domain.
 func TestChooserChangesPeersSlowly(t *testing.T) {
 	for seed := range uint64(50) {
 		c := NewChooser(domains[0], seed)
--- a/router/internal/peer/client.go
+++ b/router/internal/peer/client.go
@@ -69,8 +69,8 @@
 	return p.add(addr, conn)
 }
 
-// add stores a new connection and returns it. If another call was first, it closes
-// the new one and returns the other's; if the pool is closed, it fails.
+// add stores a new connection and returns it. If another call was first, it
+// closes the new one and returns the other's; if the pool is closed, it fails.
 func (p *connPool) add(addr string, conn *jsonrpc2.Conn) (*jsonrpc2.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/router/internal/peer/doc.go
+++ b/router/internal/peer/doc.go
@@ -4,12 +4,12 @@
 // digests, transfer state to an instance that cannot read the log, vouch for a
 // head of the log, pass on health information about versions, backend servers
 // and crashing requests, and keep a second copy of a bill while the log is
-// unreachable. A message that is malformed, too large or out of bounds is answered with an
-// error and changes nothing.
+// unreachable. A message that is malformed, too large or out of bounds is
+// answered with an error and changes nothing.
 //
 // In each interval an instance exchanges digests with three peers, so the cost
 // per instance does not grow with the fleet; while it cannot read the log, it
-// queries up to outageFanout more. The platform's list only gives
-// addresses: an answer counts as a peer's only if it comes under the name that
-// the list has for that address.
+// queries up to 16 more. The platform's list only gives addresses: an answer
+// counts as a peer's only if it comes under the name that the list has for that
+// address.
 package peer
--- a/router/internal/peer/health.go
+++ b/router/internal/peer/health.go
@@ -32,8 +32,8 @@
 }
 
 // ShareLeaving tells the peers that a backend server is leaving. It does not
-// block. If an unexpired statement is known, it does nothing: one that came from
-// a peer must not be replaced by a newer one of this instance.
+// block. If an unexpired statement is known, it does nothing: one that came
+// from a peer must not be replaced by a newer one of this instance.
 func (n *Node) ShareLeaving(id decision.ServerID) {
 	now := n.Now()
 	if n.healthItems.has(HealthLeaving, string(id), now) {
@@ -72,15 +72,16 @@
 		return
 	}
 	n.mu.Lock()
-	// Items beyond the bound are exchanged in the next round, since the hashes of
-	// the items then differ.
+	// Items beyond the bound are exchanged in the next round, since the hashes
+	// of the items then differ.
 	free := max(maxHealthItems-len(n.pendingItems), 0)
 	n.pendingItems = append(n.pendingItems, items[:min(len(items), free)]...)
 	n.mu.Unlock()
 	n.requestPush()
 }
 
-// mergeFromPeer merges a peer's items and sends the new ones to package decision.
+// mergeFromPeer merges a peer's items and sends the new ones to package
+// decision.
 func (n *Node) mergeFromPeer(items []HealthItem) error {
 	added, err := n.healthItems.merge(items, n.Now())
 	if err != nil {
--- a/router/internal/peer/healthset.go
+++ b/router/internal/peer/healthset.go
@@ -47,10 +47,10 @@
 	// maxHealthItems leaves room for all versions, and for more leaving backend
 	// servers than a rack has.
 	maxHealthItems = 2048
-	// maxItemLifetime bounds how long a wrong statement of one instance is passed
-	// on and, if it is a verdict or a quarantine, how long it affects the others.
-	// A backend server that was reported as leaving counts as leaving until the
-	// list has dropped it.
+	// maxItemLifetime bounds how long a wrong statement of one instance is
+	// passed on and, if it is a verdict or a quarantine, how long it affects
+	// the others. A backend server that was reported as leaving counts as
+	// leaving until the list has dropped it.
 	maxItemLifetime = 15 * time.Minute
 	// maxClockSkew is the clock skew allowed between instances.
 	maxClockSkew = 30 * time.Second
@@ -81,8 +81,8 @@
 
 func newHealthSet() *healthSet { return &healthSet{entries: map[itemKey]healthEntry{}} }
 
-// merge adds the items that supersede the known ones and returns those added. If
-// any item is invalid, it adds none.
+// merge adds the items that supersede the known ones and returns those added.
+// If any item is invalid, it adds none.
 func (s *healthSet) merge(items []HealthItem, now time.Time) ([]HealthItem, error) {
 	if len(items) > maxHealthItems {
 		return nil, trace.LimitExceeded("%d items", len(items))
@@ -104,9 +104,9 @@
 	return added, nil
 }
 
-// insertIfNewer adds an item if it supersedes the known one, and reports whether
-// it did. A full set drops the item that expires first, which is the same one at
-// all instances; that may be the new item.
+// insertIfNewer adds an item if it supersedes the known one, and reports
+// whether it did. A full set drops the item that expires first, which is the
+// same one at all instances; that may be the new item.
 func (s *healthSet) insertIfNewer(it HealthItem, now time.Time) bool {
 	if it.Until <= now.UnixMilli() {
 		return false
@@ -125,8 +125,8 @@
 	return expiring != key
 }
 
-// insert adds an item. Like remove, it keeps combinedHash, the XOR of the items'
-// hashes, up to date.
+// insert adds an item. Like remove, it keeps combinedHash, the XOR of the
+// items' hashes, up to date.
 func (s *healthSet) insert(key itemKey, it HealthItem) {
 	entry := healthEntry{HealthItem: it, itemHash: it.hash()}
 	s.entries[key] = entry
--- a/router/internal/peer/limits.go
+++ b/router/internal/peer/limits.go
@@ -20,11 +20,12 @@
 	// same time, which must not exhaust the memory of a small instance.
 	maxConns = 256
 	// messageTimeout bounds the reading or writing of one message once it has
-	// begun, and the TLS handshake of an incoming connection, so that a slow peer
-	// cannot occupy a connection.
+	// begun, and the TLS handshake of an incoming connection, so that a slow
+	// peer cannot occupy a connection.
 	messageTimeout = 5 * time.Second
-	// idleTimeout closes a connection without messages. It is much longer than the
-	// default interval between rounds, so that a chosen peer keeps its connection.
+	// idleTimeout closes a connection without messages. It is much longer than
+	// the default interval between rounds, so that a chosen peer keeps its
+	// connection.
 	idleTimeout = 30 * time.Second
 	// fetchTimeout bounds the transfer of one snapshot.
 	fetchTimeout = 20 * time.Second
@@ -36,8 +37,8 @@
 const (
 	// CodeBufferFull: no room to hold a bill.
 	CodeBufferFull = -32010
-	// CodeSnapshotGone: the snapshot is no longer kept, is not ahead of the asker,
-	// or has no piece at the offset.
+	// CodeSnapshotGone: the snapshot is no longer kept, is not ahead of the
+	// asker, or has no piece at the offset.
 	CodeSnapshotGone = -32011
 	// CodeFailed: the request failed at the answering instance.
 	CodeFailed = -32012
--- a/router/internal/peer/messages.go
+++ b/router/internal/peer/messages.go
@@ -8,8 +8,8 @@
 	"masticplank.example/coordination/node"
 )
 
-// The methods. Their names are part of the protocol between instances, which may
-// run different versions of the program.
+// The methods. Their names are part of the protocol between instances, which
+// may run different versions of the program.
 const (
 	MethodDigest   = "state.digest"
 	MethodFetch    = "state.fetch"
@@ -46,8 +46,8 @@
 	State
 	// Head is the highest head of the log that the sender knows of.
 	Head uint64 `json:"head"`
-	// HeadAgeMS is the time since the sender last read the head of the log itself,
-	// in ms, rounded up.
+	// HeadAgeMS is the time since the sender last read the head of the log
+	// itself, in ms, rounded up.
 	HeadAgeMS int64 `json:"age"`
 	// LogReachable is true if the sender's last read of the log succeeded.
 	LogReachable bool `json:"log"`
--- a/router/internal/peer/node.go
+++ b/router/internal/peer/node.go
@@ -84,8 +84,8 @@
 	healthItems *healthSet
 	heldBills   *ledger.Buffer
 	snapshots   *snapshotCache
-	// rejectionLogLimit and divergenceLogLimit limit log lines that others can cause,
-	// or that a lasting condition would repeat in each round.
+	// rejectionLogLimit and divergenceLogLimit limit log lines that others can
+	// cause, or that a lasting condition would repeat in each round.
 	rejectionLogLimit  *rate.Limiter
 	divergenceLogLimit *rate.Limiter
 	// pushRequested wakes Run to send new items at once, roundRequested to
@@ -106,12 +106,12 @@
 	// manifestPending is true if a manifest won and the next push must announce
 	// it.
 	manifestPending bool
-	// roundPeers are the peers of the last round. answered holds, by ID, whether
-	// a listed peer answered the last query to it, in whichever round.
+	// roundPeers are the peers of the last round. answered holds, by ID,
+	// whether a listed peer answered the last query to it, in whichever round.
 	roundPeers []wire.ListedInstance
 	answered   map[string]bool
-	// outageCursor counts the peers that outagePeers has gone through; modulo the
-	// length of the list it is the position of the next one.
+	// outageCursor counts the peers that outagePeers has gone through; modulo
+	// the length of the list it is the position of the next one.
 	outageCursor int
 }
 
@@ -202,8 +202,8 @@
 }
 
 // runIfIdle runs f concurrently with the rounds, unless busy is set because an
-// earlier call still runs. A slow transfer must not delay the rounds, which keep
-// the instance fresh.
+// earlier call still runs. A slow transfer must not delay the rounds, which
+// keep the instance fresh.
 func (n *Node) runIfIdle(busy *atomic.Bool, f func()) {
 	if !busy.CompareAndSwap(false, true) {
 		return
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -424,8 +424,8 @@
 }
 
 // TestHoldFailsWithoutASecondCopy checks that a bill is not held if no peer
-// keeps a copy or this instance has no room: a single copy would be lost with its
-// instance. It also checks when HeldBillsFull is true.
+// keeps a copy or this instance has no room: a single copy would be lost with
+// its instance. It also checks when HeldBillsFull is true.
 func TestHoldFailsWithoutASecondCopy(t *testing.T) {
 	fleet := newFleet(t, 2, nil)
 	for name, list := range map[string][]wire.ListedInstance{
@@ -474,8 +474,8 @@
 }
 
 // TestDrainLeavesNoBillBehind checks that a stopping instance passes each bill
-// on, once, to the log or to a peer. A bill left behind would be held only by an
-// instance that is gone.
+// on, once, to the log or to a peer. A bill left behind would be held only by
+// an instance that is gone.
 func TestDrainLeavesNoBillBehind(t *testing.T) {
 	for name, reachable := range map[string]bool{"into the log": true, "to a peer": false} {
 		fleet := newFleet(t, 2, nil)
--- a/router/internal/peer/round.go
+++ b/router/internal/peer/round.go
@@ -14,9 +14,10 @@
 )
 
 // outageFanout is how many instances at most a round queries in addition to the
-// chosen ones while this instance cannot read the log. Only the answers of a majority
-// distinguish a general outage of the log from a failure of this instance's own
-// link. In a fleet of up to 20 instances, one round queries all others.
+// chosen ones while this instance cannot read the log. Only the answers of a
+// majority distinguish a general outage of the log from a failure of this
+// instance's own link. In a fleet of up to 20 instances, one round queries all
+// others.
 const outageFanout = 16
 
 // answer is one peer's answer in a round.
@@ -62,7 +63,8 @@
 	n.snapshots.expire(n.Now())
 }
 
-// others returns the listed instances that have a peer address, without this one.
+// others returns the listed instances that have a peer address, without this
+// one.
 func (n *Node) others() []wire.ListedInstance {
 	var out []wire.ListedInstance
 	for _, l := range n.Instances() {
@@ -108,8 +110,8 @@
 	return out
 }
 
-// query calls one peer and passes its report to the freshness tracker. An answer
-// under another name than the listed one counts as none.
+// query calls one peer and passes its report to the freshness tracker. An
+// answer under another name than the listed one counts as none.
 func (n *Node) query(ctx context.Context, p wire.ListedInstance, method string) answer {
 	var params any = VouchParams{From: n.self.ID}
 	if method == MethodDigest {
@@ -129,8 +131,8 @@
 	return answer{peer: p, report: report, ok: true}
 }
 
-// recordAnswer records whether a peer answered, and logs when it starts or stops
-// answering.
+// recordAnswer records whether a peer answered, and logs when it starts or
+// stops answering.
 func (n *Node) recordAnswer(ctx context.Context, a answer) {
 	n.mu.Lock()
 	answeredBefore := n.answered[a.peer.ID]
@@ -144,9 +146,10 @@
 	}
 }
 
-// restoreFromPeer fetches the state of the peer whose answer is furthest ahead, if
-// it is ahead of this instance. This is done only while this instance cannot read
-// the log: otherwise the log delivers the same state, and only the missing part.
+// restoreFromPeer fetches the state of the peer whose answer is furthest ahead,
+// if it is ahead of this instance. This is done only while this instance cannot
+// read the log: otherwise the log delivers the same state, and only the missing
+// part.
 func (n *Node) restoreFromPeer(ctx context.Context, answers []answer) {
 	var furthest answer
 	for _, a := range answers {
@@ -164,7 +167,7 @@
 	n.Log.Emit(ctx, logging.EventStateRestored, peerAttr(furthest.peer.ID))
 }
 
-// compare reports a state of a peer that diverged from this instance's, and
+// compare reports a peer's state that diverged from this instance's, and
 // exchanges health items that differ.
 func (n *Node) compare(ctx context.Context, a answer) {
 	if !a.ok {
@@ -179,9 +182,9 @@
 	}
 }
 
-// reportDivergence counts and logs two different states at one offset, which must
-// never happen. Nothing is repaired automatically, since it is unknown which side is
-// right: an operator must decide.
+// reportDivergence counts and logs two different states at one offset, which
+// must never happen. Nothing is repaired automatically, since it is unknown
+// which side is right: an operator must decide.
 func (n *Node) reportDivergence(ctx context.Context, id string) {
 	gometrics.GetOrRegisterCounter("peer.diverged", n.Registry).Inc(1)
 	if n.divergenceLogLimit.Allow() {
--- a/router/internal/peer/transfer.go
+++ b/router/internal/peer/transfer.go
@@ -12,9 +12,9 @@
 	"masticplank.example/coordination/node"
 )
 
-// snapshotTTL is how long a snapshot is kept for those that fetch it. Until then
-// it also serves new transfers, so that peers cannot make this instance encode
-// one for each; only an asker whose own offset is not behind the kept
+// snapshotTTL is how long a snapshot is kept for those that fetch it. Until
+// then it also serves new transfers, so that peers cannot make this instance
+// encode one for each; only an asker whose own offset is not behind the kept
 // snapshot's causes a newer one.
 const snapshotTTL = fetchTimeout
 
@@ -79,11 +79,11 @@
 	}
 }
 
-// maxTransferRate bounds the mean rate, in bytes/s, at which an instance fetches
-// state. If it alone cannot reach the log, the others' state advances with each
-// bill, and without a bound it would fetch the whole state in each round. With a
-// large state the instance becomes stale between transfers and refuses new work,
-// which is intended.
+// maxTransferRate bounds the mean rate, in bytes/s, at which an instance
+// fetches state. If it alone cannot reach the log, the others' state advances
+// with each bill, and without a bound it would fetch the whole state in each
+// round. With a large state the instance becomes stale between transfers and
+// refuses new work, which is intended.
 const maxTransferRate = 1 << 20
 
 // transferPause returns how long to wait after the transfer of a state of this
--- a/router/internal/platform/list.go
+++ b/router/internal/platform/list.go
@@ -37,9 +37,9 @@
 }
 
 // Fetch implements InstanceLister. After an error the caller should keep the list
-// that it has. The request carries the ETag of the last list, so that an unchanged list is
-// not sent again: a long list fetched every second would be most of an instance's
-// traffic.
+// that it has. The request carries the ETag of the last list, so that an unchanged
+// list is not sent again: a long list fetched every second would be most of an
+// instance's traffic.
 func (c *ListClient) Fetch(ctx context.Context) (wire.InstanceList, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
--- a/router/internal/platform/log.go
+++ b/router/internal/platform/log.go
@@ -19,7 +19,8 @@
 
 // Limits of the log client.
 const (
-	// DefaultAppendTimeout bounds an append, in addition to its context's deadline.
+	// DefaultAppendTimeout bounds an append, in addition to its context's
+	// deadline.
 	DefaultAppendTimeout = 5 * time.Second
 	// longPollMargin is added to the wait of a long poll, so that its answer has
 	// time to arrive.
--- a/router/internal/platform/log_test.go
+++ b/router/internal/platform/log_test.go
@@ -16,8 +16,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// countEntries clears the log service's faults and returns the number
-// of its entries.
+// countEntries clears the log service's faults and returns the number of its
+// entries.
 func countEntries(t *testing.T, svc *logsvc.Server) int {
 	t.Helper()
 	svc.Faults.Set(logsvc.Faults{})
--- a/router/internal/publish/publish.go
+++ b/router/internal/publish/publish.go
@@ -57,10 +57,10 @@
 
 // Publish proposes m. With rebase, Publish sets m's generation and parent so that
 // it follows the manifest in force. Without rebase, m must state them, so that a
-// pipeline that has not seen the newest manifest cannot overwrite it. Publishing the
-// same publication id again is idempotent: the result is already_published while
-// the publication is in force, and a conflict once a later one is, as long as the
-// holder remembers it.
+// pipeline that has not seen the newest manifest cannot overwrite it. Publishing
+// the same publication id again is idempotent: the result is already_published
+// while the publication is in force, and a conflict once a later one is, as long
+// as the holder remembers it.
 func (p *Publisher) Publish(ctx context.Context, m manifest.Manifest, rebase bool) Result {
 	if reason := p.gate.MayRun(false); reason != "" {
 		return p.result(outcome.Refused, string(reason), "nothing can be accepted now; publish again later")
--- a/router/internal/session/errors.go
+++ b/router/internal/session/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Reason is why a session was not accepted. The text is stable; it is part of the
-// message that the caller gets.
+// Reason is why a session was not accepted. The text is stable; it is part of
+// the message that the caller gets.
 type Reason string
 
 // Reasons for which a session is not accepted.
@@ -13,8 +13,8 @@
 	// ReasonOutOfBounds: the session to be issued or pinned violates a bound or
 	// rule.
 	ReasonOutOfBounds Reason = "session_out_of_bounds"
-	// ReasonMalformed: not a token, too long, or signed contents that no instance
-	// issues.
+	// ReasonMalformed: not a token, too long, or signed contents that no
+	// instance issues.
 	ReasonMalformed Reason = "token_malformed"
 	// ReasonUnknownKey: signed by a key that is not, or no longer, in the key
 	// ring.
@@ -27,9 +27,9 @@
 	ReasonOtherTeam Reason = "token_of_another_team"
 	// ReasonBadName: the caller's session name is not allowed.
 	ReasonBadName Reason = "session_name_malformed"
-	// ReasonUndecided: the log did not accept the proposed pins, or did not settle
-	// in time who set the pins. The proposal is void; the same request may be sent
-	// again.
+	// ReasonUndecided: the log did not accept the proposed pins, or did not
+	// settle in time who set the pins. The proposal is void; the same request
+	// may be sent again.
 	ReasonUndecided Reason = "session_undecided"
 	// ReasonBadRegister: the register holds a value that no instance writes.
 	ReasonBadRegister Reason = "session_register_malformed"
