--- a/router/internal/manifest/index.go
+++ b/router/internal/manifest/index.go
@@ -21,9 +21,12 @@
 	services map[string]Service
 	versions map[string]Version
 	models   map[string]bool
-	allowed  map[string]map[string]bool
+	// allowed holds, by team, the IDs of the versions that it may use and those of
+	// the services as "service:ID".
+	allowed map[string]map[string]bool
 }
 
+// keyOwner is the team that an API key belongs to, with the key's hash.
 type keyOwner struct {
 	hash []byte
 	team Team
@@ -58,14 +61,14 @@
 		sum, _ := hex.DecodeString(h)
 		x.keys[h] = keyOwner{hash: sum, team: t}
 	}
-	set := map[string]bool{}
+	allowed := map[string]bool{}
 	for _, v := range t.Allowed {
-		set[v] = true
+		allowed[v] = true
 	}
 	for _, s := range t.Services {
-		set["service:"+s] = true
+		allowed["service:"+s] = true
 	}
-	x.allowed[t.ID] = set
+	x.allowed[t.ID] = allowed
 }
 
 // TeamByKey returns the team that an API key belongs to. The key is hashed before
@@ -101,11 +104,11 @@
 // MayUse reports whether the team may use the version name, or any version of the
 // model name.
 func (x *Index) MayUse(team, name string) bool {
-	set := x.allowed[team]
-	if set[name] {
+	allowed := x.allowed[team]
+	if allowed[name] {
 		return true
 	}
-	for v := range set {
+	for v := range allowed {
 		if x.versions[v].Model == name {
 			return true
 		}
@@ -119,8 +122,9 @@
 	return s, known, x.allowed[team]["service:"+id]
 }
 
-// Idempotent reports whether a call of the service may be repeated. A call that
-// matches no route is not idempotent: repeating it does more harm than refusing it.
+// Idempotent reports whether a call of the service may be repeated. The first route
+// that matches decides. A call that matches none is not idempotent: repeating it
+// does more harm than refusing it.
 func (s Service) Idempotent(method, callPath string) bool {
 	for _, r := range s.Routes {
 		if r.Method != method {
--- a/router/internal/platform/transport.go
+++ b/router/internal/platform/transport.go
@@ -11,12 +11,13 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Limits of the clients.
+// Limits of the clients. maxShortBodyBytes bounds the answers to appends and
+// ratings.
 const (
-	dialTimeout    = 2 * time.Second
-	idleTimeout    = 90 * time.Second
-	maxIdlePerHost = 64
-	maxErrorBytes  = 64 << 10
+	dialTimeout       = 2 * time.Second
+	idleTimeout       = 90 * time.Second
+	maxIdlePerHost    = 64
+	maxShortBodyBytes = 64 << 10
 )
 
 // newClient returns an HTTP client that neither follows redirects nor uses a
--- a/router/internal/upstream/upstream_test.go
+++ b/router/internal/upstream/upstream_test.go
@@ -26,7 +26,8 @@
 	return s.URL, count
 }
 
-func echo(w http.ResponseWriter, r *http.Request) {
+// echoNonce copies the attempt's nonce to the answer.
+func echoNonce(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
 }
 
@@ -38,6 +39,7 @@
 	}
 }
 
+// closedPort returns the URL of a port on which nothing listens.
 func closedPort(t *testing.T) string {
 	t.Helper()
 	addr, err := standin.FreeAddress()
@@ -57,10 +59,10 @@
 		handler http.HandlerFunc
 		want    decision.AttemptResult // 0 for a complete answer
 	}{
-		{"complete answer", func(w http.ResponseWriter, r *http.Request) { echo(w, r); _, _ = io.WriteString(w, "ok") }, 0},
+		{"complete answer", func(w http.ResponseWriter, r *http.Request) { echoNonce(w, r); _, _ = io.WriteString(w, "ok") }, 0},
 		{"no connection", nil, decision.AttemptNotRun},
 		{"refused by the backend server", func(w http.ResponseWriter, r *http.Request) {
-			echo(w, r)
+			echoNonce(w, r)
 			w.Header().Set(wire.HeaderNotRun, "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, decision.AttemptNotRun},
@@ -73,7 +75,7 @@
 		{"no nonce", func(http.ResponseWriter, *http.Request) {}, decision.AttemptUnknown},
 		{"connection closed before an answer", closeConnection, decision.AttemptCrashed},
 		{"connection closed in the body", func(w http.ResponseWriter, r *http.Request) {
-			echo(w, r)
+			echoNonce(w, r)
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "half")
 		}, decision.AttemptCrashed},
@@ -116,7 +118,7 @@
 			closeConnection(w, r)
 			return
 		}
-		echo(w, r)
+		echoNonce(w, r)
 	})
 	client := NewClient()
 	defer client.Close()
@@ -132,7 +134,7 @@
 	breakConnections.Store(true)
 	before := count.Load()
 	if _, err := client.Send(context.Background(), call); err == nil {
-		t.Fatal("no error from a closed connection")
+		t.Fatal("no error from a closed connection, want one")
 	}
 	if got := count.Load() - before; got != 1 {
 		t.Errorf("sent %d times, want 1", got)
@@ -145,12 +147,12 @@
 func TestCancelledBeforeAConnectionIsNotRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	url, count := startServer(t, echo)
+	url, count := startServer(t, echoNonce)
 	client := NewClient()
 	defer client.Close()
 	_, err := client.Send(ctx, Call{Method: http.MethodPost, URL: url, Nonce: "n"})
 	var failure *Failure
 	if !errors.As(err, &failure) || failure.Result != decision.AttemptNotRun || count.Load() != 0 {
-		t.Errorf("got %v after %d requests", err, count.Load())
+		t.Errorf("got error %v after %d requests, want AttemptNotRun after none", err, count.Load())
 	}
 }
--- a/router/internal/wire/prefix.go
+++ b/router/internal/wire/prefix.go
@@ -8,9 +8,10 @@
 
 // Units in which engines cache prompts.
 const (
-	// bytesPerToken is the mean length of a token, for estimates.
+	// bytesPerToken is the mean length of a token in bytes, for estimates.
 	bytesPerToken = 4
-	// blockTokens is how many tokens one cached block holds.
+	// blockTokens is how many tokens one cached block holds, blockBytes its
+	// estimated length in bytes.
 	blockTokens = 16
 	blockBytes  = blockTokens * bytesPerToken
 )
@@ -24,10 +25,10 @@
 	blocks := make([]uint64, 0, len(prompt)/blockBytes)
 	var parent [8]byte
 	for len(prompt) >= blockBytes {
-		sum := xxhash.New()
-		sum.Write(parent[:])
-		sum.Write(prompt[:blockBytes])
-		hash := sum.Sum64()
+		hasher := xxhash.New()
+		hasher.Write(parent[:])
+		hasher.Write(prompt[:blockBytes])
+		hash := hasher.Sum64()
 		blocks = append(blocks, hash)
 		binary.LittleEndian.PutUint64(parent[:], hash)
 		prompt = prompt[blockBytes:]
