--- a/router/internal/demo/bills.go
+++ b/router/internal/demo/bills.go
@@ -55,9 +55,9 @@
 	return exported, err
 }
 
-func (l *billExport) hasAll(want []string) bool {
+func (e *billExport) hasAll(want []string) bool {
 	for _, id := range want {
-		if len(l.byRequest[id]) == 0 {
+		if len(e.byRequest[id]) == 0 {
 			return false
 		}
 	}
--- a/router/internal/demo/check.go
+++ b/router/internal/demo/check.go
@@ -63,8 +63,8 @@
 			c.checkCompleted(r)
 		}
 	}
-	for key, same := range byKey {
-		c.checkKey(key, same)
+	for key, sameKey := range byKey {
+		c.checkKey(key, sameKey)
 	}
 	for id := range c.bills.byRequest {
 		if _, known := byKey[id]; !known {
@@ -125,9 +125,9 @@
 }
 
 // checkKey checks all results with the same Idempotency-Key together.
-func (c *checker) checkKey(key string, same []result) {
+func (c *checker) checkKey(key string, sameKey []result) {
 	completed, refused := 0, 0
-	for _, r := range same {
+	for _, r := range sameKey {
 		switch r.outcome {
 		case string(outcome.Completed):
 			completed++
@@ -136,19 +136,19 @@
 		}
 	}
 	billed := c.bills.byRequest[key]
-	first := same[0]
+	first := sameKey[0]
 	if len(billed) > 1 || completed > 0 && len(billed) == 0 {
 		c.addViolation(promiseBilled, "%s: %d bills", first, len(billed))
 	}
-	if refused == len(same) && (len(billed) > 0 || c.runs[key] > 0) {
+	if refused == len(sameKey) && (len(billed) > 0 || c.runs[key] > 0) {
 		c.addViolation(promiseNotRun, "%s: refused, but %d runs and %d bills", first, c.runs[key], len(billed))
 	}
 	if c.runs[key] > 1 || completed > 1 {
 		c.addViolation(promiseAtMostOnce, "%s: %d runs, completed %d times", first, c.runs[key], completed)
 	}
-	c.checkFalseFailure(key, same)
+	c.checkFalseFailure(key, sameKey)
 	if completed > 0 && len(billed) == 1 {
-		c.checkBill(same, billed[0])
+		c.checkBill(sameKey, billed[0])
 	}
 }
 
@@ -157,8 +157,8 @@
 // failed. After a lost connection it is unknown whether the call ran. A caller that
 // is told of a failure reserves again under another key; if the first call ran after
 // all, it has reserved twice.
-func (c *checker) checkFalseFailure(key string, same []result) {
-	for _, r := range same {
+func (c *checker) checkFalseFailure(key string, sameKey []result) {
+	for _, r := range sameKey {
 		if r.outcome == string(outcome.Failed) && r.code != "backend_server_failed" && c.runs[key] > 0 {
 			c.addViolation(promiseNoFalseFailure, "%s: %s, but it took effect", r, r.code)
 		}
@@ -166,8 +166,8 @@
 }
 
 // checkBill compares a bill with the answer that it is for.
-func (c *checker) checkBill(same []result, b bills.Bill) {
-	for _, r := range same {
+func (c *checker) checkBill(sameKey []result, b bills.Bill) {
+	for _, r := range sameKey {
 		if !r.completed() {
 			continue
 		}
--- a/router/internal/demo/report.go
+++ b/router/internal/demo/report.go
@@ -203,8 +203,8 @@
 		dearest = max(dearest, v.Cost)
 	}
 	rows := map[string]*VersionRow{}
-	for _, same := range exported.byRequest {
-		for _, b := range same {
+	for _, requestBills := range exported.byRequest {
+		for _, b := range requestBills {
 			r.addBill(rows, b, dearest)
 		}
 	}
--- a/router/internal/demo/scenario.go
+++ b/router/internal/demo/scenario.go
@@ -16,9 +16,9 @@
 	// versionOld is withdrawn halfway through the load and replaced by versionNew.
 	versionOld = "large@1"
 	versionNew = "large@2"
-	// reservationPrice is billed for each completed call of the shop, in the
+	// shopCallPrice is billed for each completed call of the shop, in the
 	// manifest's unit of cost.
-	reservationPrice = 0.01
+	shopCallPrice = 0.01
 )
 
 // domains are the failure domains.
@@ -86,7 +86,7 @@
 		Versions:    append([]manifest.Version{small}, large...),
 		Services: []manifest.Service{{
 			ID:    serviceShop,
-			Price: reservationPrice,
+			Price: shopCallPrice,
 			Routes: []manifest.Route{
 				{Method: "GET", Path: "/stock/*", Idempotent: true},
 				{Method: "POST", Path: "/reservations", Idempotent: false},
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -182,7 +182,7 @@
 	if r := f.chat(f.instances[0]); outcomeOf(r) != "completed" {
 		t.Fatalf("chat before the outage: %+v", r)
 	}
-	f.faults(f.log, map[string]any{"down": true})
+	f.setFaults(f.log, map[string]any{"down": true})
 	for _, i := range f.instances {
 		f.awaitMode(i, "outage")
 	}
@@ -202,7 +202,7 @@
 	if out, err := f.publish(testManifest("in-outage"), "--rebase"); err == nil {
 		t.Errorf("published during the outage: %s", out)
 	}
-	f.faults(f.log, map[string]any{})
+	f.setFaults(f.log, map[string]any{})
 	for _, i := range f.instances {
 		f.awaitMode(i, "fresh")
 		eventually(t, "held bills flushed", func() bool { return f.status(i).Held == 0 })
@@ -226,12 +226,12 @@
 	if r := f.reserve(f.instances[0], key); outcomeOf(r) != "completed" {
 		t.Fatalf("reservation: %+v", r)
 	}
-	f.faults(f.log, map[string]any{"down": true})
+	f.setFaults(f.log, map[string]any{"down": true})
 	for _, i := range f.instances {
 		f.awaitMode(i, "outage")
 	}
 	f.instances[0].kill()
-	replacement := f.add()
+	replacement := f.addInstance()
 	f.awaitMode(replacement, "outage")
 	if s := f.status(replacement); s.Generation != 1 {
 		t.Errorf("generation %d, want 1", s.Generation)
@@ -240,7 +240,7 @@
 	if r := f.reserve(replacement, newKey()); outcomeOf(r) != "refused" {
 		t.Errorf("reservation during the outage: %+v", r)
 	}
-	f.faults(f.log, map[string]any{})
+	f.setFaults(f.log, map[string]any{})
 	f.awaitMode(replacement, "fresh")
 	if r := f.reserve(replacement, key); outcomeOf(r) != "already_run" {
 		t.Errorf("resend of the reservation from before the outage: %+v", r)
@@ -265,9 +265,9 @@
 		}
 	}
 	round()
-	f.faults(f.bills, map[string]any{"down": true})
+	f.setFaults(f.billLogAddr, map[string]any{"down": true})
 	round()
-	f.faults(f.bills, map[string]any{})
+	f.setFaults(f.billLogAddr, map[string]any{})
 	for _, i := range f.instances {
 		eventually(t, "held bills flushed", func() bool { return f.status(i).Held == 0 })
 	}
--- a/router/internal/e2e/fleet_test.go
+++ b/router/internal/e2e/fleet_test.go
@@ -19,12 +19,12 @@
 type fleet struct {
 	t   testing.TB
 	log string
-	// bills is the address of the log that holds the bills.
-	bills     string
-	list      string
-	shop      string
-	engines   []string
-	instances []*instance
+	// billLogAddr is the address of the log that holds the bills.
+	billLogAddr string
+	list        string
+	shop        string
+	engines     []string
+	instances   []*instance
 	// platform are the settings that all instances share.
 	platform map[string]any
 	// logRelays are the instances' connections to the log, which a test can
@@ -48,11 +48,11 @@
 		list: startStandin(t, "instances"),
 		shop: startStandin(t, "service", append([]string{"--name", "shop"}, o.shopArgs...)...),
 	}
-	f.bills = f.log
+	f.billLogAddr = f.log
 	billURL := ""
 	if o.billLog {
-		f.bills = startStandin(t, "log")
-		billURL = "http://" + f.bills
+		f.billLogAddr = startStandin(t, "log")
+		billURL = "http://" + f.billLogAddr
 	}
 	rating := startStandin(t, "rating")
 	list := wire.InstanceList{Servers: []wire.ListedServer{
@@ -76,13 +76,13 @@
 		"rating_url":   "http://" + rating,
 	}
 	for range instances {
-		f.add()
+		f.addInstance()
 	}
 	return f
 }
 
-// add starts one more instance and adds it to the platform's list.
-func (f *fleet) add() *instance {
+// addInstance starts one more instance and adds it to the platform's list.
+func (f *fleet) addInstance() *instance {
 	f.t.Helper()
 	n := len(f.instances)
 	logRelay, err := relay.New(f.log)
@@ -112,8 +112,8 @@
 	}
 }
 
-// faults replaces the faults of the stand-in at addr.
-func (f *fleet) faults(addr string, set map[string]any) { f.put("http://"+addr+"/faults", set) }
+// setFaults replaces the faults of the stand-in at addr.
+func (f *fleet) setFaults(addr string, set map[string]any) { f.put("http://"+addr+"/faults", set) }
 
 // status reads an instance's /status.
 func (f *fleet) status(i *instance) (s struct {
@@ -154,7 +154,7 @@
 // ledger returns the output of "masticplank ledger export".
 func (f *fleet) ledger() string {
 	f.t.Helper()
-	out, err := runTool("ledger", "export", "--log", "http://"+f.bills)
+	out, err := runTool("ledger", "export", "--log", "http://"+f.billLogAddr)
 	if err != nil {
 		f.t.Fatalf("ledger export: %v: %s", err, out)
 	}
--- a/router/internal/e2e/rolling_test.go
+++ b/router/internal/e2e/rolling_test.go
@@ -90,7 +90,7 @@
 		})
 	}
 	for _, old := range f.instances[:3] {
-		added := f.add()
+		added := f.addInstance()
 		eventually(t, added.name+" ready", func() bool {
 			return call(t, http.MethodGet, added.admin+"/readyz", "", "", nil).status == http.StatusOK
 		})
--- a/router/internal/e2e/smoke_test.go
+++ b/router/internal/e2e/smoke_test.go
@@ -278,7 +278,7 @@
 		{[]string{"manifest", "get", "--next", "--instances", addrs}, `"generation": 3`},
 		{[]string{"report", "burn", "--instances", addrs}, "2 of 2 instances"},
 		{[]string{"report", "burn", "--instances", addrs, "-o", "html"}, "weavers"},
-		{[]string{"ledger", "export", "--log", "http://" + f.bills, "-o", "text"}, "large@1"},
+		{[]string{"ledger", "export", "--log", "http://" + f.billLogAddr, "-o", "text"}, "large@1"},
 	} {
 		if out, err := runTool(c.args...); err != nil || !strings.Contains(out, c.want) {
 			t.Errorf("%v: %v: %s", c.args, err, out)
--- a/router/internal/faultmatrix/network.go
+++ b/router/internal/faultmatrix/network.go
@@ -176,8 +176,8 @@
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for l := range n.connections {
-		_, _ = l.ends[0].Close(), l.ends[1].Close()
+	for c := range n.connections {
+		_, _ = c.ends[0].Close(), c.ends[1].Close()
 	}
 	for _, l := range n.listeners {
 		_ = l.Close()
--- a/router/internal/loadgen/loadgen_test.go
+++ b/router/internal/loadgen/loadgen_test.go
@@ -38,11 +38,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := Run(context.Background(), target, Plan{Callers: 1, Duration: 50 * time.Millisecond})
-	if len(p.Samples) == 0 || p.Failed == 0 || p.LastError == "" || p.Rate == 0 {
-		t.Errorf("got %d answers, %d failed, %q", len(p.Samples), p.Failed, p.LastError)
+	result := Run(context.Background(), target, Plan{Callers: 1, Duration: 50 * time.Millisecond})
+	if len(result.Samples) == 0 || result.Failed == 0 || result.LastError == "" || result.Rate == 0 {
+		t.Errorf("got %d answers, %d failed, %q", len(result.Samples), result.Failed, result.LastError)
 	}
-	if p.Quantile(TotalTime, 0.99) < p.Quantile(TimeToFirstByte, 0.5) {
+	if result.Quantile(TotalTime, 0.99) < result.Quantile(TimeToFirstByte, 0.5) {
 		t.Error("the 99th percentile of the total time is below the median time to the first byte")
 	}
 }
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -238,7 +238,7 @@
 	keepEvent := func() bool { return false }
 	c.lookupAndAdd([]uint64{1, 2}, keepEvent)
 	c.lookupAndAdd([]uint64{3}, keepEvent)
-	if hit := c.lookupAndAdd([]uint64{1}, func() bool { return true }); hit != 0 {
+	if cached := c.lookupAndAdd([]uint64{1}, func() bool { return true }); cached != 0 {
 		t.Error("the oldest block is still cached")
 	}
 	c.lookupAndAdd([]uint64{4}, keepEvent)
--- a/router/internal/standin/listsvc/listsvc.go
+++ b/router/internal/standin/listsvc/listsvc.go
@@ -116,14 +116,14 @@
 // getList answers with the list, or with 304 if If-None-Match names its ETag.
 func (s *Server) getList(w http.ResponseWriter, r *http.Request) {
 	lag := time.Duration(s.Faults.Get().LagMS) * time.Millisecond
-	current := s.asOf(s.now().Add(-lag))
-	tag := fmt.Sprintf(`"%d"`, current.since.UnixNano())
+	lagged := s.asOf(s.now().Add(-lag))
+	tag := fmt.Sprintf(`"%d"`, lagged.since.UnixNano())
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	faults.WriteJSON(w, http.StatusOK, current.list)
+	faults.WriteJSON(w, http.StatusOK, lagged.list)
 }
 
 func (s *Server) putList(w http.ResponseWriter, r *http.Request) {
