--- a/router/internal/loadgen/loadgen_test.go
+++ b/router/internal/loadgen/loadgen_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestRunCountsAnswersAndFailures sends to a server that refuses every third request: both answers
+// A server that refuses every third request must show in the result: both answers
 // and failures are counted.
 func TestRunCountsAnswersAndFailures(t *testing.T) {
 	var n int
@@ -40,7 +40,7 @@
 	}
 	result := Run(context.Background(), target, Plan{Callers: 1, Duration: 50 * time.Millisecond})
 	if len(result.Samples) == 0 || result.Failed == 0 || result.LastError == "" || result.Rate == 0 {
-		t.Errorf("got %d answers, %d failed, %q", len(result.Samples), result.Failed, result.LastError)
+		t.Errorf("got %d answers, %d failed, last error %q; want some of each and a rate above 0", len(result.Samples), result.Failed, result.LastError)
 	}
 	if result.Quantile(TotalTime, 0.99) < result.Quantile(TimeToFirstByte, 0.5) {
 		t.Error("the 99th percentile of the total time is below the median time to the first byte")
--- a/router/internal/standin/engine/answer.go
+++ b/router/internal/standin/engine/answer.go
@@ -25,8 +25,9 @@
 // qualityMark is the prefix of the first token of each answer.
 const qualityMark = "q="
 
-// answer generates the tokens of one answer. They depend on version, prompt and
-// length only, so that a caller can tell its own complete answer from any other.
+// answer generates the tokens of one answer. Except for the first one, which states
+// the quality, they depend on version, prompt and length only, so that a caller can
+// tell its own complete answer from any other.
 type answer struct {
 	seed       uint64
 	length     int
@@ -50,7 +51,7 @@
 	return a
 }
 
-// token returns the i-th token with its leading space.
+// token returns the i-th token; each but the first has a leading space.
 func (a answer) token(i int) string {
 	if i == 0 {
 		return qualityMark + strconv.FormatFloat(a.quality, 'f', 3, 64)
--- a/router/internal/standin/engine/chat.go
+++ b/router/internal/standin/engine/chat.go
@@ -96,8 +96,8 @@
 	return j, true
 }
 
-// prepare computes the answer and its usage, and applies the faults that change
-// them.
+// prepare computes the answer and the size of the prompt, and applies the faults
+// that change the answer or the nonce.
 func (s *Server) prepare(j *job) {
 	quality := j.version.Quality
 	if bad, ok := j.faults.Quality[j.version.ID]; ok {
--- a/router/internal/standin/engine/engine.go
+++ b/router/internal/standin/engine/engine.go
@@ -52,8 +52,8 @@
 	CacheBlocks int
 	// ReportLag is the maximum age of a load report.
 	ReportLag time.Duration
-	// CheckFencing refuses orders with an old fencing number; otherwise the
-	// number is ignored.
+	// CheckFencing refuses orders with a fencing number below that of an earlier
+	// accepted order; otherwise the number is stored, but not compared.
 	CheckFencing bool
 	// Seed of the random numbers for the fault ErrorRate.
 	Seed uint64
@@ -63,9 +63,9 @@
 
 // Stats counts requests, for tests.
 type Stats struct {
-	// Started counts the requests that got a slot. Each of them is counted in
-	// one of the next three fields unless a crash or another fault aborted its
-	// connection.
+	// Started counts the requests that got a slot. Each of them, once ended, is
+	// counted in one of the next three fields unless a crash or another fault
+	// aborted its connection.
 	Started   int `json:"started"`
 	Completed int `json:"completed"`
 	Cancelled int `json:"cancelled"`
@@ -158,8 +158,8 @@
 	return common
 }
 
-// Crash aborts all connections in use, empties the cache and stops serving for
-// the time set by the fault CrashMS.
+// Crash aborts the connections of all running and queued chat requests, empties
+// the cache and stops serving for the time set by the fault CrashMS.
 func (s *Server) Crash() {
 	downtime := s.Faults.Get().downtime()
 	s.mu.Lock()
@@ -171,8 +171,8 @@
 	s.cache.clear()
 }
 
-// bindToRun returns a context that ends with the request or with the engine's
-// next crash.
+// bindToRun returns a context that ends with ctx, the context of a request, or
+// with the engine's next crash.
 func (s *Server) bindToRun(ctx context.Context) (context.Context, context.CancelFunc) {
 	s.mu.Lock()
 	runCtx := s.runCtx
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -14,8 +14,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// testVersion has durations of different magnitude, so that each can be told from
-// their sum.
+// testVersion has durations of different magnitude, so that a measured sum shows how
+// often each is in it.
 func testVersion() Version {
 	return Version{
 		ID:         "m@1",
@@ -95,19 +95,19 @@
 				reply := chat(t.Context(), s, r)
 				plain := readPlain(t, reply.Body)
 				if !IsExpectedAnswer(plain.Choices[0].Message.Content, version, r.Messages, maxTokens) {
-					t.Errorf("plain answer %q", plain.Choices[0].Message.Content)
+					t.Errorf("plain answer %q, want the expected answer", plain.Choices[0].Message.Content)
 				}
 				if reply.Header.Get(wire.HeaderAttempt) != "n1" || plain.Usage.CompletionTokens == 0 {
-					t.Errorf("nonce %q, usage %+v", reply.Header.Get(wire.HeaderAttempt), plain.Usage)
+					t.Errorf("nonce %q, want n1; usage %+v, want completion tokens", reply.Header.Get(wire.HeaderAttempt), plain.Usage)
 				}
 				r.Stream = true
 				text, ids, whole := readStream(t, chat(t.Context(), s, r).Body)
 				if !whole || text != plain.Choices[0].Message.Content {
-					t.Errorf("stream %q, complete %v", text, whole)
+					t.Errorf("stream %q, complete %v; want the text of the plain answer, complete", text, whole)
 				}
 				for i, id := range ids {
 					if i != id {
-						t.Fatalf("ids %v", ids)
+						t.Fatalf("ids %v, want consecutive ids from 0", ids)
 					}
 				}
 			}
@@ -140,13 +140,13 @@
 			standintest.SetFaults(s, tt.faults)
 			reply := chat(t.Context(), s, tt.request)
 			if reply.Status != tt.status || reply.Header.Get(wire.HeaderNotRun) != "true" || reply.Header.Get(wire.HeaderAttempt) != "n1" {
-				t.Errorf("reply %+v", reply)
+				t.Errorf("reply %+v, want a refusal as not run with nonce n1 and the status of the case", reply)
 			}
 			if got := reply.Header.Get(wire.HeaderLeaving) == "true"; got != tt.leaving {
-				t.Errorf("leaving %v", got)
+				t.Errorf("refused as leaving: %v, want the opposite", got)
 			}
 			if stats := s.Stats(); stats.Started != 0 || stats.Refused != 1 {
-				t.Errorf("stats %+v", stats)
+				t.Errorf("stats %+v, want none started and one refused", stats)
 			}
 		})
 	}
@@ -239,12 +239,12 @@
 	c.lookupAndAdd([]uint64{1, 2}, keepEvent)
 	c.lookupAndAdd([]uint64{3}, keepEvent)
 	if cached := c.lookupAndAdd([]uint64{1}, func() bool { return true }); cached != 0 {
-		t.Error("the oldest block is still cached")
+		t.Error("the oldest block is still cached, want it evicted")
 	}
 	c.lookupAndAdd([]uint64{4}, keepEvent)
 	events := c.eventsBetween(0, c.lastSeq())
 	if len(events) != 3 || events[1].Removed[0] != 1 || events[2].Seq != 4 {
-		t.Errorf("events %+v", events)
+		t.Errorf("events %+v, want 3: the second one with block 1 removed, the third one with number 4", events)
 	}
 }
 
@@ -266,7 +266,7 @@
 		go send("high", 5)
 		synctest.Wait()
 		if running, queued := s.slots.load(); running != 1 || queued != 2 {
-			t.Errorf("running %d, queued %d", running, queued)
+			t.Errorf("running %d, queued %d, want 1 and 2", running, queued)
 		}
 		send("over", 9)
 		for _, want := range []string{"over429", "first200", "high200", "low200"} {
@@ -292,10 +292,10 @@
 		cancel()
 		synctest.Wait()
 		if running, queued := s.slots.load(); running != 0 || queued != 0 {
-			t.Errorf("running %d, queued %d", running, queued)
+			t.Errorf("running %d, queued %d, want none", running, queued)
 		}
 		if stats := s.Stats(); stats.Cancelled != 1 || stats.Started != 1 || stats.Tokens >= 1000 {
-			t.Errorf("stats %+v", stats)
+			t.Errorf("stats %+v, want one request started and cancelled, with fewer than 1000 tokens", stats)
 		}
 	})
 }
@@ -326,11 +326,11 @@
 		time.Sleep(3 * time.Second)
 		marked := wire.ChatRequest{Model: "m@1", Messages: user("a " + CrashMark)}
 		if reply := chat(t.Context(), s, marked); !reply.Aborted {
-			t.Errorf("prompt with the crash mark: %+v", reply)
+			t.Errorf("prompt with the crash mark: %+v, want an aborted connection", reply)
 		}
 		time.Sleep(3 * time.Second)
 		if reply := chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}); reply.Status != http.StatusOK {
-			t.Errorf("after the downtime: %+v", reply)
+			t.Errorf("after the downtime: %+v, want status 200", reply)
 		}
 		if running, _ := s.slots.load(); running != 0 {
 			t.Errorf("%d slots are still held", running)
@@ -351,7 +351,7 @@
 	})
 	rest, ids, whole := readStream(t, reply.Body)
 	if !whole || ids[0] != 10 || !strings.HasSuffix(text, rest) || rest == text {
-		t.Errorf("resumed with %q (ids %v) of %q", rest, ids, text)
+		t.Errorf("resumed with %q (ids %v) of %q, want all after event 9", rest, ids, text)
 	}
 }
 
@@ -386,11 +386,11 @@
 		}
 		standintest.SetFaults(s, `{"leaving":true}`)
 		if r := report(); r.Leaving || len(r.Versions) != 2 {
-			t.Errorf("the report changed before the lag: %+v", r)
+			t.Errorf("report before the lag: %+v, want it not leaving with two versions", r)
 		}
 		time.Sleep(time.Second)
 		if r := report(); !r.Leaving || len(r.Versions) != 1 {
-			t.Errorf("after the lag: %+v", r)
+			t.Errorf("report after the lag: %+v, want it leaving with one version", r)
 		}
 		ignoring := newEngine(Config{})
 		ignoring.orders.apply(wire.Order{Versions: []string{"m@2"}}, 7)
@@ -417,6 +417,6 @@
 	answer := readPlain(t, chat(t.Context(), s, wire.ChatRequest{Model: "good@1", Messages: user("x")}).Body)
 	text := answer.Choices[0].Message.Content
 	if quality, _, ok := ParseAnswer(text); !ok || quality != 0.125 || !IsExpectedAnswer(text, "good@1", user("x"), 0) {
-		t.Errorf("answer %q", text)
+		t.Errorf("answer %q, want the expected answer with quality 0.125", text)
 	}
 }
--- a/router/internal/standin/engine/faults.go
+++ b/router/internal/standin/engine/faults.go
@@ -18,7 +18,8 @@
 	faults.Common
 	// LateMS delays the first token, in milliseconds.
 	LateMS int `json:"late_ms,omitempty"`
-	// SlowFactor multiplies all durations of a generation; 0 means 1.
+	// SlowFactor multiplies the durations of a generation that the version sets,
+	// thus not LateMS; 0 means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	// Leaving refuses new requests with 503, and is stated in the load report.
 	Leaving bool `json:"leaving,omitempty"`
@@ -42,8 +43,7 @@
 	EndEarly faults.Count `json:"end_early,omitempty"`
 	// WrongNonce echoes another attempt's nonce.
 	WrongNonce faults.Count `json:"wrong_nonce,omitempty"`
-	// Crossed sends the answer to another request, with the nonce of that request's
-	// attempt.
+	// Crossed sends the answer to another request, with another attempt's nonce.
 	Crossed faults.Count `json:"crossed,omitempty"`
 	// DuplicateChunk sends one chunk of a stream twice.
 	DuplicateChunk faults.Count `json:"duplicate_chunk,omitempty"`
--- a/router/internal/standin/engine/generate.go
+++ b/router/internal/standin/engine/generate.go
@@ -70,7 +70,8 @@
 	return true
 }
 
-// sendPlain answers with one JSON object.
+// sendPlain answers with one JSON object. It reports whether the request counts as
+// completed.
 func (s *Server) sendPlain(ctx context.Context, w http.ResponseWriter, j *job) bool {
 	var text strings.Builder
 	complete := s.generate(ctx, j, func(_ int, token string) bool {
--- a/router/internal/standin/faults/faults.go
+++ b/router/internal/standin/faults/faults.go
@@ -11,7 +11,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// Path is where every stand-in serves its faults: GET reads, PUT replaces.
+// Path is where every HTTP stand-in serves its faults: GET reads, PUT replaces.
 const Path = "/faults"
 
 // maxBodyBytes bounds the body of a PUT.
@@ -24,11 +24,13 @@
 // number is not decremented.
 type Count int
 
-// Common are the faults that every stand-in has.
+// Common are the faults that every HTTP stand-in has.
 type Common struct {
-	// Down aborts every connection before the request has any effect.
+	// Down aborts the connection of each request, except those to Path, before the
+	// request has any effect.
 	Down bool `json:"down,omitempty"`
-	// DelayMS delays the handling of each request, in milliseconds.
+	// DelayMS delays the handling of each request, except those to Path, in
+	// milliseconds.
 	DelayMS int `json:"delay_ms,omitempty"`
 }
 
--- a/router/internal/standin/listsvc/listsvc.go
+++ b/router/internal/standin/listsvc/listsvc.go
@@ -27,7 +27,8 @@
 const (
 	// maxBodyBytes bounds the body of a request.
 	maxBodyBytes = 32 << 20
-	// maxHistory is how many former lists are kept for the fault LagMS.
+	// maxHistory is how many lists, with the one in force, are kept for the fault
+	// LagMS.
 	maxHistory = 1024
 )
 
@@ -85,7 +86,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// Update changes the list: edit gets a copy that it may modify.
+// Update changes the list: edit gets a copy that it may modify, except for the
+// slices inside the entries, which former lists share.
 func (s *Server) Update(edit func(*wire.InstanceList)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/internal/standin/listsvc/listsvc_test.go
+++ b/router/internal/standin/listsvc/listsvc_test.go
@@ -42,17 +42,17 @@
 		do(t, s, http.MethodPut, "/instances/i", `{"peer":"127.0.0.1:2"}`, http.StatusNoContent)
 		standintest.SetFaults(s, `{"lag_ms":3000}`)
 		if got := servers(t, s); len(got) != 0 {
-			t.Errorf("the addition is visible before its lag: %v", got)
+			t.Errorf("servers %v, want none before the lag of the addition", got)
 		}
 		time.Sleep(2 * time.Second)
 		do(t, s, http.MethodDelete, "/servers/a", "", http.StatusNoContent)
 		time.Sleep(2 * time.Second)
 		if got := servers(t, s); len(got) != 1 {
-			t.Errorf("the deletion is visible before its lag: %v", got)
+			t.Errorf("servers %v, want the one added, before the lag of its deletion", got)
 		}
 		time.Sleep(2 * time.Second)
 		if got := servers(t, s); len(got) != 0 {
-			t.Errorf("the deletion is not visible after its lag: %v", got)
+			t.Errorf("servers %v, want none after the lag of the deletion", got)
 		}
 	})
 }
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -36,15 +36,15 @@
 		time.Sleep(40 * time.Minute)
 		appendEntry(t, s, nil)
 		if status, page := read(t, s, "from=0"); status != http.StatusOK || len(page.Entries) != 2 {
-			t.Fatalf("before the retention: %d %+v", status, page)
+			t.Fatalf("before the retention: status %d, page %+v; want 200 with 2 entries", status, page)
 		}
 		time.Sleep(40 * time.Minute)
 		if status, page := read(t, s, "from=0"); status != http.StatusGone || page.First != 1 || page.Head != 2 {
-			t.Errorf("after the retention of the first entry: %d %+v", status, page)
+			t.Errorf("after the retention of the first entry: status %d, page %+v; want 410 with first 1, head 2", status, page)
 		}
 		time.Sleep(time.Hour)
 		if status, page := read(t, s, "from=2"); status != http.StatusOK || page.First != 2 || page.Head != 2 {
-			t.Errorf("all trimmed: %d %+v", status, page)
+			t.Errorf("all trimmed: status %d, page %+v; want 200 with first and head 2", status, page)
 		}
 	})
 }
@@ -71,7 +71,7 @@
 		began := time.Now()
 		status, page := read(t, s, "from=0&wait_ms=5000")
 		if status != http.StatusOK || len(page.Entries) != 0 || page.Head != 0 {
-			t.Errorf("%d %+v", status, page)
+			t.Errorf("status %d, page %+v; want 200 with no entries and head 0", status, page)
 		}
 		if waited := time.Since(began); waited != 5*time.Second {
 			t.Errorf("waited %s, want 5s", waited)
@@ -79,8 +79,8 @@
 	})
 }
 
-// The worst case of a lost reply: the append takes effect long after its caller
-// has timed out.
+// The fault LateEffectMS must simulate the worst case of a lost reply: the append
+// takes effect long after its caller has timed out, not before and not never.
 func TestAppendTakesEffectAfterItsCallerTimedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
@@ -106,17 +106,17 @@
 	for _, query := range []string{"", "from=-1", "from=0&limit=x", "from=0&wait_ms=-1"} {
 		reply := standintest.Do(s, standintest.Call{Method: http.MethodGet, Path: "/read?" + query})
 		if reply.Status != http.StatusBadRequest {
-			t.Errorf("%q: status %d", query, reply.Status)
+			t.Errorf("%q: status %d, want 400", query, reply.Status)
 		}
 	}
 	standintest.SetFaults(s, `{"down":true}`)
 	if reply := standintest.SetFaults(s, `{"dwon":false}`); reply.Status != http.StatusBadRequest {
-		t.Errorf("unknown fault: status %d", reply.Status)
+		t.Errorf("unknown fault: status %d, want 400", reply.Status)
 	}
 	if !s.Faults.Get().Down {
 		t.Error("a refused body changed the faults")
 	}
 	if reply := appendEntry(t, s, nil); !reply.Aborted {
-		t.Errorf("append while down: %+v", reply)
+		t.Errorf("append while down: %+v, want an aborted connection", reply)
 	}
 }
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -40,7 +40,7 @@
 // Faults of the rating service.
 type Faults struct {
 	faults.Common
-	// Wrong inverts the scores: 1 minus the score.
+	// Wrong inverts the scores, except those set by Scores: 1 minus the score.
 	Wrong bool `json:"wrong,omitempty"`
 	// Scores replaces the score of all answers of a version.
 	Scores map[string]float64 `json:"scores,omitempty"`
@@ -87,7 +87,8 @@
 	faults.WriteJSON(w, http.StatusOK, wire.RatingResponse{Score: score})
 }
 
-// score returns the score of an answer, 0 to 1.
+// score returns the score of an answer, 0 to 1 unless the fault Scores sets another
+// one.
 func (s *Server) score(r wire.RatingRequest) float64 {
 	active := s.Faults.Get()
 	if score, ok := active.Scores[r.Version]; ok {
@@ -104,7 +105,8 @@
 	return min(max(score, 0), 1)
 }
 
-// noise returns a number from -1 to 1 derived from a hash of the request.
+// noise returns a number from -1 to 1 derived from a hash of the request without its
+// version.
 func noise(r wire.RatingRequest) float64 {
 	sum := xxhash.Sum64String(fmt.Sprintf("%q%q%q%q", r.Team, r.Task, r.Prompt, r.Answer))
 	return float64(sum>>11)/(1<<52) - 1
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -67,13 +67,13 @@
 		t.Fatal(err)
 	}
 	if answer.Run != 2 || answer.Key != "k" || answer.Body != `{"wool":3}` || reply.Header.Get(wire.HeaderAttempt) != "n1" {
-		t.Errorf("answer %+v, header %v", answer, reply.Header)
+		t.Errorf("answer %+v, header %v; want run 2 of key k with its body and nonce n1", answer, reply.Header)
 	}
 	get := standintest.Do(s, standintest.Call{Method: http.MethodGet, Path: "/stock/blue?size=2"})
 	if get.Status != http.StatusOK || !strings.Contains(get.Body, `"path":"/stock/blue"`) {
-		t.Errorf("read %+v", get)
+		t.Errorf("read %+v, want status 200 and the path of the call", get)
 	}
 	if stats := s.Stats(); stats.Reads != 1 || len(stats.Runs) != 1 {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("stats %+v, want one read and the runs of one key", stats)
 	}
 }
--- a/router/internal/standin/standintest/standintest.go
+++ b/router/internal/standin/standintest/standintest.go
@@ -1,5 +1,5 @@
-// Package standintest calls stand-ins in tests without a socket, so that they
-// can run in a synctest bubble.
+// Package standintest calls stand-ins in tests without a socket, so that the
+// tests can run in a synctest bubble.
 package standintest
 
 import (
@@ -22,6 +22,7 @@
 
 // Response is the response to a Call.
 type Response struct {
+	// Status is 200 if the handler aborted before it set one.
 	Status int
 	Header http.Header
 	Body   string
