--- a/router/internal/demo/caller.go
+++ b/router/internal/demo/caller.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// outcomeConnectionLost is the outcome of a request whose response was not
-	// received completely.
+	// outcomeConnectionLost is the outcome of a request whose response was missing,
+	// incomplete or malformed.
 	outcomeConnectionLost = "cut"
 	// callTimeout bounds one request of the load.
 	callTimeout = 60 * time.Second
@@ -38,7 +38,7 @@
 	status     int
 	// outcome is the value of wire.HeaderOutcome, or outcomeConnectionLost.
 	outcome string
-	// code is the code of the error body.
+	// code is the code in the body of an error response.
 	code    string
 	version string
 	// text is the text of a complete chat answer, body the body of a response
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	// Without GetBody, net/http never retries a request by itself.
+	// Without GetBody, net/http does not retry a request that has a body by itself.
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+t.key)
 	req.Header.Set("Content-Type", "application/json")
--- a/router/internal/demo/check.go
+++ b/router/internal/demo/check.go
@@ -37,8 +37,8 @@
 
 // checker checks the results against the promises.
 type checker struct {
-	// faults is true if faults were injected: then requests may fail, but all
-	// other promises hold.
+	// faults is true if faults were injected: then a request may fail without
+	// breaking promiseAnswered. The other promises must hold as without faults.
 	faults bool
 	// withdrawnAt is the time at which the withdrawal was in force everywhere.
 	withdrawnAt time.Time
@@ -53,7 +53,8 @@
 	c.violations[promise] = append(c.violations[promise], fmt.Sprintf(format, args...))
 }
 
-// check checks every result against every promise.
+// check checks every result against every promise but promiseManifest, which
+// publishRollout checks.
 func (c *checker) check(results []result) {
 	byKey := map[string][]result{}
 	for _, r := range results {
@@ -73,7 +74,8 @@
 	}
 }
 
-// checkAnswered checks that the outcome is one that the request's kind allows.
+// checkAnswered checks that the outcome is one that the request's kind, and the
+// injected faults, allow.
 func (c *checker) checkAnswered(r result) {
 	switch {
 	case r.request.kind == kindForbidden:
--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -52,8 +52,8 @@
 	return c, results
 }
 
-// A check that misses a violation makes the demo report a promise as held, so
-// each promise is broken here once.
+// A check that misses a violation makes the demo report a broken promise as held, so
+// each promise that the checker checks is broken here at least once.
 func TestEachBrokenPromiseIsReported(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -98,7 +98,7 @@
 			}
 			report := newReport(results, c.bills, c.violations)
 			if report.Held() != (len(tt.want) == 0) {
-				t.Errorf("report.Held() = %v", report.Held())
+				t.Errorf("report.Held() = %v, want true for the valid run only", report.Held())
 			}
 		})
 	}
@@ -119,11 +119,11 @@
 		}
 	}
 	if len(kinds) != len(loadMix) {
-		t.Errorf("some kinds are missing: %v", kinds)
+		t.Errorf("kinds %v, want all those of loadMix", kinds)
 	}
 }
 
-// An index that is off by one would shift all reported latencies.
+// An index of percentile that is off by one would shift all reported latencies.
 func TestPercentileByNearestRank(t *testing.T) {
 	var all []time.Duration
 	for i := 100; i > 0; i-- {
--- a/router/internal/demo/demo.go
+++ b/router/internal/demo/demo.go
@@ -22,10 +22,11 @@
 )
 
 const (
-	// readyTimeout bounds the wait for the instances to be ready.
+	// readyTimeout bounds the time until the first manifest is in force everywhere,
+	// and then the wait for each instance to be ready.
 	readyTimeout = 15 * time.Second
 	// rolloutTimeout bounds the time until the second manifest is in force
-	// everywhere; a longer one breaks promiseManifest.
+	// everywhere; if it takes longer, promiseManifest is broken.
 	rolloutTimeout = 5 * time.Second
 	// pollInterval is the time between two polls for a state.
 	pollInterval = 10 * time.Millisecond
@@ -35,7 +36,8 @@
 type Config struct {
 	// Requests is the number of requests of the load, at least 1.
 	Requests int
-	// Workers is the maximum number of concurrent requests.
+	// Workers is the number of workers, at least 1 in effect; each sends one
+	// request at a time, or both requests of a kindDuplicate.
 	Workers int
 	// Seed of the load.
 	Seed uint64
@@ -48,8 +50,8 @@
 	Log io.Writer
 }
 
-// Run starts everything, sends the load, stops everything, and reports. An error
-// means that the demo itself failed; broken promises are in the report.
+// Run starts everything, sends the load, makes the report and stops everything. An
+// error means that the demo itself failed; broken promises are in the report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	if cfg.Log == nil {
 		cfg.Log = io.Discard
@@ -86,10 +88,12 @@
 	// rolloutTime is the time from the publication of the second manifest until
 	// withdrawnAt.
 	rolloutTime time.Duration
-	violations  map[string][]string
+	// violations holds descriptions of the violations by promise.
+	violations map[string][]string
 }
 
-// prepare publishes the first manifest and opens the sessions.
+// prepare publishes the first manifest, waits until the instances are ready, opens
+// the sessions and injects the faults.
 func (r *run) prepare(ctx context.Context) error {
 	if _, err := r.publish(ctx, firstManifest(), readyTimeout); err != nil {
 		return trace.Wrap(err)
@@ -145,7 +149,8 @@
 	}
 }
 
-// waitInForce waits until every instance has the generation in force.
+// waitInForce waits until every instance has the generation, or a later one, in
+// force.
 func (r *run) waitInForce(ctx context.Context, generation uint64) error {
 	for _, i := range r.env.instances {
 		client := adminclient.New(i.Admin, "")
--- a/router/internal/demo/demo_test.go
+++ b/router/internal/demo/demo_test.go
@@ -9,8 +9,8 @@
 )
 
 // Runs the whole product on loopback with a roll-out under load. No promise may
-// break at any timing, with and without faults of the platform and the backend
-// servers.
+// break, however the requests interleave, with or without faults of the platform
+// and the backend servers.
 func TestNoPromiseBreaks(t *testing.T) {
 	for _, faults := range []bool{false, true} {
 		var log bytes.Buffer
@@ -23,7 +23,7 @@
 			t.Fatal(err)
 		}
 		if !report.Held() {
-			t.Errorf("faults %v:\n%s\nlogs:\n%s", faults, text.String(), log.String())
+			t.Errorf("faults %v: a promise was broken:\n%s\nlogs:\n%s", faults, text.String(), log.String())
 		}
 		if report.Bills.Completed < 100 || report.RolloutMS == 0 {
 			t.Errorf("faults %v: fewer than 100 requests completed, or no roll-out:\n%s", faults, text.String())
--- a/router/internal/demo/environment.go
+++ b/router/internal/demo/environment.go
@@ -27,7 +27,8 @@
 	engineCount   = 3
 	instanceCount = 2
 	engineSlots   = 16
-	ratingNoise   = 0.05
+	// ratingNoise is the maximum deviation of a score (0 to 1).
+	ratingNoise = 0.05
 	// operatorKey is used by the demo only.
 	operatorKey = "demo-operator-key"
 	// graceMS (shutdown.grace_ms) is short, since there is no load balancer that
--- a/router/internal/demo/load.go
+++ b/router/internal/demo/load.go
@@ -10,10 +10,10 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// kind of a request in the load.
+// kind is the kind of a request in the load.
 type kind string
 
-// The kinds of requests; loadMix has their shares of the load.
+// The kinds of requests; loadMix holds their shares of the load.
 const (
 	kindChat    kind = "chat"
 	kindStream  kind = "stream"
@@ -53,7 +53,7 @@
 	body string
 	// key is the Idempotency-Key.
 	key string
-	// session is the index of the session among the team's.
+	// session is the index of the session among those of the team.
 	session int
 }
 
@@ -114,8 +114,8 @@
 	}
 }
 
-// newChatRequest returns a request whose prompt, short or long, has one of five
-// shared prefixes, so that the engines' prefix caches get hits.
+// newChatRequest returns a request whose prompt begins with one of five texts,
+// repeated 1 to 20 times, so that the engines' prefix caches get hits.
 func newChatRequest(rng *rand.Rand, index int) wire.ChatRequest {
 	prefix := strings.Repeat(fmt.Sprintf("House rules of pattern book %d. ", rng.IntN(5)), 1+rng.IntN(20))
 	return wire.ChatRequest{
--- a/router/internal/demo/scenario.go
+++ b/router/internal/demo/scenario.go
@@ -7,7 +7,7 @@
 	"masticplank.example/router/internal/standin/engine"
 )
 
-// Names of the scenario.
+// Names and prices of the scenario.
 const (
 	serviceShop  = "shop"
 	modelSmall   = "small"
