--- a/router/internal/faultmatrix/backend.go
+++ b/router/internal/faultmatrix/backend.go
@@ -28,6 +28,7 @@
 
 func (backendAddrs) ObserveLoad(decision.ServerID, string) {}
 
+// teamKey is the API key of the only team.
 const teamKey = "loom"
 
 // initialManifest is in force at the beginning of a cell.
@@ -62,7 +63,7 @@
 	behaviourTruncated = "truncated"
 	// behaviourUnended ends a stream normally, without the end marker.
 	behaviourUnended = "unended"
-	// behaviourDuplicated sends the events of a stream twice.
+	// behaviourDuplicated sends each event of a stream but the last twice.
 	behaviourDuplicated = "duplicated"
 	// behaviourSlow pauses for 8 s in the middle of the run.
 	behaviourSlow = "slow"
@@ -144,8 +145,8 @@
 	_, _ = io.WriteString(w, reservationAnswer)
 }
 
-// applyBehaviour sets a wrong nonce or pauses, depending on the behaviour. It
-// reports whether the response is to be truncated.
+// applyBehaviour sets a wrong nonce or pauses, if behaviour says so. It reports
+// whether the response is to be truncated.
 func applyBehaviour(w http.ResponseWriter, behaviour string) (truncate bool) {
 	switch behaviour {
 	case behaviourCrossed:
@@ -156,8 +157,8 @@
 	return behaviour == behaviourTruncated
 }
 
-// reservationAnswer is the body of an answer of the plain service.
 const (
+	// reservationAnswer is the body of an answer of the plain service.
 	reservationAnswer = `{"reserved":true}`
 )
 
--- a/router/internal/faultmatrix/caller.go
+++ b/router/internal/faultmatrix/caller.go
@@ -154,30 +154,30 @@
 		runs := len(b.runsOf(a.request))
 		switch {
 		case a.outcome == "refused" && a.kind == kindReserve && a.runsAfter > 0:
-			b.t.Errorf("refused, but it ran %d times", a.runsAfter)
+			b.t.Errorf("a refused reservation ran %d times, want none", a.runsAfter)
 		case a.kind == kindReserve && runs > 1:
-			b.t.Errorf("a reservation ran %d times", runs)
+			b.t.Errorf("a reservation ran %d times, want at most once", runs)
 		case a.outcome == "completed" && a.body != expectedAnswer(a.kind):
 			b.t.Errorf("completed with %q instead of the expected answer", a.body)
 		case a.outcome == "completed" && bills[a.request] != 1:
-			b.t.Errorf("completed and billed %d times", bills[a.request])
+			b.t.Errorf("a completed request was billed %d times, want once", bills[a.request])
 		case a.outcome == "completed" && runs == 0:
-			b.t.Error("completed, but never ran")
+			b.t.Error("a completed request never ran")
 		case a.outcome == outcomeTruncated && strings.Contains(a.body, wire.StreamEnd):
 			b.t.Errorf("a truncated answer has the end marker: %q", a.body)
 		}
 	}
 	for key, n := range bills {
 		if n > 1 || len(b.runsOf(key)) == 0 {
-			b.t.Errorf("%d bills of a request that ran %d times", n, len(b.runsOf(key)))
+			b.t.Errorf("%d bills of a request that ran %d times, want one bill at most, and none without a run", n, len(b.runsOf(key)))
 		}
 	}
 	b.checkRuns()
 	b.checkGenerations()
 }
 
-// checkRuns checks that no run started on a version withdrawn everywhere, nor at
-// a backend server that had reported that it is leaving.
+// checkRuns checks that no run started on a version withdrawn everywhere for longer
+// than withdrawalSlack, nor at a backend server that had begun to leave.
 func (b *testbed) checkRuns() {
 	b.t.Helper()
 	for _, r := range b.runs {
@@ -191,7 +191,7 @@
 }
 
 // checkGenerations checks that the generations of each instance increase, and
-// that all live instances have the same manifest in force.
+// that all live instances that have a manifest in force have the same one.
 func (b *testbed) checkGenerations() {
 	b.t.Helper()
 	var digest string
--- a/router/internal/faultmatrix/faults.go
+++ b/router/internal/faultmatrix/faults.go
@@ -33,6 +33,8 @@
 
 // freeze simulates a paused process while f runs: the instance does not check
 // the clock and receives nothing from the log or its peers. Its state is kept.
+// Afterwards all instances are connected to each other, also if another fault had
+// disconnected them.
 func (b *testbed) freeze(in *instance, f func()) {
 	in.frozen.Store(true)
 	b.log.SetDisconnected(in.name, true)
@@ -43,7 +45,8 @@
 	in.frozen.Store(false)
 }
 
-// drain performs a planned stop in the same order as the daemon.
+// drain performs a planned stop in the same order as the daemon after its grace
+// period.
 func (b *testbed) drain(in *instance) {
 	_ = in.server.Shutdown(context.Background())
 	for in.driver.OpenRequests() > 0 {
@@ -53,7 +56,9 @@
 	b.kill(in)
 }
 
-// heal ends all faults and waits until the instances are up to date.
+// heal ends the faults of the log and of the connections and the effect of
+// makeAllServersLeave, and waits until the instances are up to date. Instances and
+// backend servers that are down, and backend servers that leave one by one, stay so.
 func (b *testbed) heal() {
 	b.log.SetDown(false)
 	b.log.SetSlow(0)
@@ -70,8 +75,8 @@
 	synctest.Wait()
 }
 
-// planFault sets the fault of a step. await fails the cell if the step was not
-// reached, and otherwise waits until fault has returned.
+// planFault sets the fault of a step. The returned await fails the cell if the step
+// was not reached, and otherwise waits until fault has returned.
 func (b *testbed) planFault(step string, fault func()) (await func()) {
 	done := make(chan struct{})
 	b.mu.Lock()
--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -18,6 +18,8 @@
 // The hooks below wrap parts of an instance and report the steps of a request or
 // publication to the testbed.
 
+// hookStore wraps the node, as the store of package api, of billing and of the
+// publisher.
 type hookStore struct{ *instance }
 
 // Status is the first call of billing, and thus the step "bill".
@@ -50,9 +52,11 @@
 	return res
 }
 
+// hookHolder wraps the peer node, as the holder of bills.
 type hookHolder struct{ *instance }
 
-// Hold is the step "final frame" of a bill that the peers hold instead of the log.
+// Hold is the step "final frame" of a bill that the instance and a peer hold while
+// the log does not take it.
 func (h hookHolder) Hold(ctx context.Context, r record.Record) error {
 	err := h.peers.Hold(ctx, r)
 	if err == nil {
@@ -61,10 +65,12 @@
 	return err
 }
 
+// hookGate wraps the gate, for package api.
 type hookGate struct{ *instance }
 
-// MayRun is called first at the admission of a request and then right before its
-// dispatch, which are the steps "admit" and "dispatch".
+// MayRun is called first at the admission of a request, which is the step "admit",
+// and then when the decision has dispatched it, which is the step "dispatch". Later
+// calls, after a reservation's claim and before another attempt, are no steps.
 func (g hookGate) MayRun(idempotent bool) decision.RefusalReason {
 	g.b.mu.Lock()
 	g.b.gateChecks++
@@ -79,6 +85,7 @@
 	return g.gate.MayRun(idempotent)
 }
 
+// hookLog wraps the instance's connection to the log.
 type hookLog struct {
 	*logtest.Client
 	in *instance
@@ -97,6 +104,7 @@
 	return offset, err
 }
 
+// Read fails while readsFail is set, after the read itself.
 func (l hookLog) Read(ctx context.Context, from uint64, limit int, wait time.Duration) (platformlog.Page, error) {
 	page, err := l.Client.Read(ctx, from, limit, wait)
 	if l.in.readsFail.Load() {
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -26,7 +26,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// instance is one entry instance, assembled as in package daemon.
+// instance is one entry instance, assembled as in package daemon, but with hooks and
+// without a rating service or a Recorder.
 type instance struct {
 	*node.Node
 	b      *testbed
@@ -45,7 +46,8 @@
 	cancel     context.CancelFunc
 	killed     sync.Once
 	goroutines sync.WaitGroup
-	// generations that came into force at this instance, in order.
+	// generations holds the generations that came into force at this instance, in
+	// order.
 	generations []uint64
 }
 
--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -68,8 +68,8 @@
 		b.expectService("c")
 	}},
 	{"life", "start", "cut from log", func(b *testbed) {
-		// Its peers send it the state and vouch for the head. Requests that need
-		// the log itself are refused as not run.
+		// The peers of c send it the state and vouch for the head. Requests that
+		// need the log itself are refused as not run.
 		b.startDisconnected = true
 		b.replaceC(func() {})
 		time.Sleep(freshnessBound)
@@ -121,7 +121,7 @@
 		b.expectService("c")
 	}},
 	{"life", "start", "lost reply", func(b *testbed) {
-		// The reply to its first own append is lost.
+		// The reply to the first append of the new c is lost.
 		<-b.replaceC(func() {}).Ready()
 		time.Sleep(time.Second)
 		b.log.LoseReplies(1)
@@ -141,7 +141,7 @@
 		b.expectCompleted(kindPlain, "c")
 	}},
 	{"life", "catch up", "cut from log", func(b *testbed) {
-		// The push makes it fetch the state from its peers at once.
+		// The push makes c fetch the state from its peers at once.
 		b.disconnectFromLog("c")
 		time.Sleep(freshnessBound)
 		b.withdraw("b")
@@ -149,7 +149,7 @@
 		b.expect(kindReserve, "c", "refused")
 	}},
 	{"life", "catch up", "cut from all", func(b *testbed) {
-		// Within the freshness bound it may not know of the withdrawal and still
+		// Within the freshness bound, c may not know of the withdrawal and still
 		// run requests; after the bound it refuses them.
 		b.withdrawalSlack = freshnessBound
 		b.disconnectFromLog("c")
@@ -209,22 +209,22 @@
 		// expired, and must not send orders.
 		a, c := b.leaseManager("a"), b.leaseManager("c")
 		if !a.Acquire(b.t.Context()) {
-			b.t.Fatal("no lease")
+			b.t.Fatal("instance a did not acquire the lease")
 		}
 		old, _ := a.Check(lease.FencingEnforced)
 		b.freeze(b.instances["a"], func() { time.Sleep(time.Minute) })
 		if _, r := a.Check(lease.FencingEnforced); r != lease.Expired {
-			b.t.Errorf("the old holder may still send: check %d", r)
+			b.t.Errorf("check at the old holder: %d, want Expired", r)
 		}
 		if !c.Acquire(b.t.Context()) {
-			b.t.Error("the lease did not expire")
+			b.t.Error("instance c did not acquire the lease, want it expired")
 		}
 		if fencing, r := c.Check(lease.FencingEnforced); r != lease.Allowed || fencing <= old {
-			b.t.Errorf("fencing number %d after %d, check %d", fencing, old, r)
+			b.t.Errorf("fencing number %d after %d, check %d; want a higher number and Allowed", fencing, old, r)
 		}
 		b.heal()
 		if _, r := a.Check(lease.FencingEnforced); r != lease.NotHolder {
-			b.t.Errorf("the old holder still believes that it holds the lease: check %d", r)
+			b.t.Errorf("check at the old holder once it is up to date: %d, want NotHolder", r)
 		}
 	}},
 	{"life", "catch up", "leaving", func(b *testbed) {
--- a/router/internal/faultmatrix/matrix_test.go
+++ b/router/internal/faultmatrix/matrix_test.go
@@ -1,6 +1,6 @@
 // The rows of the fault matrix are the steps of each path, the columns the
-// faults. A cell is named path/step/fault. docs/PROOFS.md describes how each was
-// made to fail.
+// faults. A cell is named path/step/fault, with the kind at the end if the path is
+// request. docs/PROOFS.md describes how each was made to fail.
 package faultmatrix
 
 import (
@@ -34,8 +34,8 @@
 	}
 }
 
-// Whatever fault a publication meets, its code must be truthful, and repeating it must not
-// create a second generation or bring replaced content back.
+// Whatever fault a publication meets, the returned code must be truthful, and repeating
+// the publication must not create a second generation or bring replaced content back.
 func TestPublications(t *testing.T) {
 	for _, c := range publishCells {
 		t.Run("publish/"+c.step+"/"+c.fault, func(t *testing.T) {
--- a/router/internal/faultmatrix/network.go
+++ b/router/internal/faultmatrix/network.go
@@ -10,14 +10,15 @@
 
 // network connects callers, instances and backend servers through pipes, so that
 // a cell runs on the clock of its synctest bubble. An address is "owner:port";
-// an owner can be disconnected.
+// an owner can be taken down, and two owners can be disconnected from each other.
 type network struct {
 	mu          sync.Mutex
 	listeners   map[string]*pipeListener
 	connections map[*connection]bool
-	// down holds the unreachable owners.
+	// down holds the owners that takeDown has made unreachable.
 	down map[string]bool
-	// disconnected holds the pairs of owners that cannot reach each other.
+	// disconnected holds the pairs (see pair) of owners that cannot reach each
+	// other.
 	disconnected map[string]bool
 }
 
@@ -77,8 +78,8 @@
 	return n.down[a] || n.down[b] || n.disconnected[pair(a, b)]
 }
 
-// track records a new connection. If the owners were disconnected while it was
-// established, it closes the connection and returns false.
+// track records a new connection. If the owners could no longer reach each other when
+// it was established, track closes the connection and returns false.
 func (n *network) track(c *connection) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,6 +91,7 @@
 	return true
 }
 
+// pair returns the same key for two owners in either order.
 func pair(a, b string) string { return min(a, b) + "|" + max(a, b) }
 
 // disconnect closes the connections between two owners and blocks new ones until
--- a/router/internal/faultmatrix/request_cells_test.go
+++ b/router/internal/faultmatrix/request_cells_test.go
@@ -4,8 +4,9 @@
 // leases: leases are for orders to backend servers, and requests use none.
 //
 // A resent chat completes again: it is idempotent, and is billed once only. A
-// resent reservation completes only if the first one was not run, and gets
-// already_run in every other case.
+// resent reservation completes only if the first one was not run and its claim is
+// not in the log or was released; otherwise it gets already_run, even if the first
+// one's instance died between the claim and the run.
 var requestCells = []requestCell{
 	{"admit", "none", "completed>completed", "completed>completed", "completed>already_run"},
 	{"admit", "kill", "gone>completed", "gone>completed", "gone>completed"},
@@ -36,7 +37,7 @@
 	// The first record that the request appends to the log (a reservation's
 	// claim, a chat's bill) is written and not yet read back.
 	{"read back", "kill", "gone>completed", "cut>completed", "gone>already_run"},
-	// Disconnected from the log, the instance reads its own claim from a peer's
+	// Disconnected from the log, the instance reads its own record from a peer's
 	// state. Disconnected from all, it cannot know whether the bill counts: it does
 	// not complete the answer, and the resend is covered by the first bill. After a
 	// freeze it writes the bill again.
@@ -48,8 +49,8 @@
 	{"read back", "operator race", "completed>completed", "completed>completed", "completed>already_run"},
 	{"read back", "crossed resend", "completed>completed", "completed>completed", "completed>already_run"},
 
-	// The claim is won, the reservation not yet sent: after a refusal the claim
-	// must be released for the resend.
+	// The claim is won, the reservation not yet sent: if the reservation is then
+	// refused, its claim must be released for the resend.
 	{"claimed", "kill", "", "", "gone>already_run"},
 	{"claimed", "cut from log", "", "", "completed>already_run"},
 	{"claimed", "cut from all", "", "", "refused>completed"},
@@ -62,8 +63,9 @@
 	{"claimed", "server dies", "", "", "completed>already_run"},
 	{"claimed", "crossed resend", "", "", "completed>already_run"},
 
-	// The decision has dispatched the request to a backend server; the last check
-	// of the gate and the manifest is still to come.
+	// The decision has dispatched the request to a backend server; the check of the
+	// gate and the manifest is still to come, and for a reservation the claim and
+	// one more check.
 	{"dispatch", "kill", "gone>completed", "gone>completed", "gone>completed"},
 	{"dispatch", "cut from log", "completed>completed", "completed>completed", "refused>completed"},
 	{"dispatch", "cut from all", "refused>completed", "refused>completed", "refused>completed"},
@@ -95,6 +97,7 @@
 	{"stream", "late tail", "completed>completed", "completed>completed", ""},
 	{"stream", "crossed resend", "completed>completed", "completed>completed", "completed>already_run"},
 
+	// The answer is complete, its bill not written yet.
 	{"bill", "kill", "gone>completed", "cut>completed", "gone>already_run"},
 	{"bill", "cut from log", "completed>completed", "completed>completed", "completed>already_run"},
 	{"bill", "cut from all", "unknown>completed", "cut>completed", "unknown>already_run"},
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -10,15 +10,16 @@
 // requestCell is one fault at one step of a request. The expected outcomes of
 // each kind are "first>again": of the request at instance a, and of a resend
 // with the same key at b after the fault. An empty string means that the kind
-// has no such step.
+// has no such step or fault.
 type requestCell struct {
 	step, fault            string
 	plain, stream, reserve string
 }
 
-// pauseWithinBound is slept after a withdrawal, in a freeze that lasts for both.
-// The freeze is then longer than half the freshness bound, but so short that the
-// confirmation of freshness from before it is still valid.
+// pauseWithinBound is how long a freeze goes on after the withdrawal in it. With the
+// 1.1 s of withdraw, the freeze is longer than half the freshness bound, which counts
+// as a pause of the process, but so short that the confirmation of freshness from
+// before it is not older than the bound.
 const pauseWithinBound = freshnessBound/2 - 600*time.Millisecond
 
 // requestFaults holds the faults that are injected at a step of a request or of a
@@ -41,7 +42,8 @@
 	"lost append":     func(b *testbed) { b.log.LoseAppends(1) },
 	"operator race":   func(b *testbed) { b.racePublications("b", "c") },
 	faultCallerLeaves: func(b *testbed) { b.cancelCaller(); time.Sleep(time.Second) },
-	// The log goes down before anyone has read the last append.
+	// The log goes down before anyone has read the last append: the reads of b and c
+	// have failed since the cell began.
 	faultUnread: func(b *testbed) { b.log.SetDown(true); b.setOthersReadsFail(false) },
 	// The caller resends the request at another instance without waiting for the
 	// first answer.
@@ -59,6 +61,8 @@
 
 const faultCallerLeaves = "caller leaves"
 
+// faultUnread is the fault "log goes down" at a time when b and c have not read what a
+// has appended.
 const faultUnread = "log goes down unread"
 
 // setOthersReadsFail makes the reads of the log at b and c fail, or succeed again.
@@ -85,7 +89,7 @@
 	b.nextLeaving = true
 }
 
-// makeAllServersLeave makes every backend server leave until heal.
+// makeAllServersLeave makes every backend server refuse as leaving until heal.
 func (b *testbed) makeAllServersLeave() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,10 +129,10 @@
 	awaitFault()
 	if c.step == stepDrain {
 		if held := <-b.heldAfterDrain; held > 0 && c.fault != "kill" {
-			b.t.Errorf("a planned stop left %d unwritten bills at the instance", held)
+			b.t.Errorf("a planned stop left %d bills that only the instance holds, want none", held)
 		}
 		if late := b.call(kind, "a", newKey()); late.outcome != outcomeNoAnswer {
-			b.t.Errorf("a stopped instance answered: %s", late.outcome)
+			b.t.Errorf("a stopped instance answered: %s, want no connection", late.outcome)
 		}
 	}
 	b.heal()
--- a/router/internal/faultmatrix/testbed.go
+++ b/router/internal/faultmatrix/testbed.go
@@ -27,7 +27,8 @@
 	// faults holds, by step, the fault that is injected once when the request or
 	// publication at instance a reaches the step.
 	faults map[string]func()
-	// gateChecks counts the calls of the gate's MayRun since the request began.
+	// gateChecks counts the calls of the gates' MayRun since the last request was
+	// sent.
 	gateChecks int
 	// leaving holds, by backend server, the time at which it began to leave.
 	leaving map[string]time.Time
@@ -41,7 +42,7 @@
 	servingServer string
 	// kind and key are those of the cell's request.
 	kind, key string
-	// cancelCaller makes the caller of the request disconnect.
+	// cancelCaller makes the caller of the last request to instance a disconnect.
 	cancelCaller context.CancelFunc
 	runs         []run
 	answers      []answer
@@ -52,10 +53,11 @@
 	// freshness bound in cells where an instance cannot learn of the withdrawal,
 	// else 0.
 	withdrawalSlack time.Duration
-	// startDisconnected makes the next instance start disconnected from the log.
+	// startDisconnected makes instances that are launched from now on start
+	// disconnected from the log.
 	startDisconnected bool
-	// heldAfterDrain receives the number of bills that a planned stop left at
-	// the instance.
+	// heldAfterDrain receives the number of bills that only the instance still held
+	// at the end of its planned stop.
 	heldAfterDrain chan int
 }
 
@@ -65,7 +67,8 @@
 	at                       time.Time
 }
 
-// fleet is the list of live instances.
+// fleet is the platform's list of instances. It stays the same while an instance is
+// down.
 var fleet = []wire.ListedInstance{
 	{ID: "a", Peer: "a:81", Domain: "salle-rimouski"},
 	{ID: "b", Peer: "b:81", Domain: "salle-matane"},
