--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -100,11 +100,11 @@
 	}
 	for _, i := range f.instances[1:] {
 		if r := f.reserve(i, key); outcomeOf(r) != "already_run" {
-			t.Errorf("resend at %s: %+v", i.name, r)
+			t.Errorf("resend at %s: %+v, want already_run", i.name, r)
 		}
 	}
 	if n := f.runs(key); n > 1 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("the reservation ran %d times, want once at most", n)
 	}
 }
 
@@ -170,13 +170,13 @@
 		t.Errorf("ran on a withdrawn version: %+v", r)
 	}
 	if n := f.requestsStarted("large@1") - before; n != 0 {
-		t.Errorf("%d requests started on the withdrawn version", n)
+		t.Errorf("%d requests started on the withdrawn version, want none", n)
 	}
 }
 
-// While the log is unreachable for all instances, idempotent requests are
-// served and billed once the log is back; non-idempotent ones are refused and
-// not run.
+// While the log is unreachable for all instances, idempotent requests must be served,
+// and billed as soon as the log is back; non-idempotent ones must be refused and not
+// run.
 func TestLogDown(t *testing.T) {
 	f := readyFleet(t)
 	if r := f.chat(f.instances[0]); outcomeOf(r) != "completed" {
@@ -191,13 +191,13 @@
 		header := map[string]string{wire.HeaderIdempotencyKey: keys[n]}
 		r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, chatBody, header)
 		if outcomeOf(r) != "completed" {
-			t.Errorf("%s: %+v", i.name, r)
+			t.Errorf("chat at %s during the outage: %+v, want it completed", i.name, r)
 		}
 	}
 	key := newKey()
 	r := f.reserve(f.instances[0], key)
 	if outcomeOf(r) != "refused" || r.header.Get("Retry-After") == "" || f.runs(key) != 0 {
-		t.Errorf("reservation during the outage: %+v, ran %d times", r, f.runs(key))
+		t.Errorf("reservation during the outage: %+v, ran %d times; want it refused with Retry-After and not run", r, f.runs(key))
 	}
 	if out, err := f.publish(testManifest("in-outage"), "--rebase"); err == nil {
 		t.Errorf("published during the outage: %s", out)
@@ -213,13 +213,14 @@
 		}
 	}
 	if r := f.reserve(f.instances[0], key); r.status >= http.StatusMultipleChoices {
-		t.Errorf("reservation after the outage: %+v", r)
+		t.Errorf("reservation after the outage: %+v, want a status below 300", r)
 	}
 }
 
-// An instance that starts during an outage of the log gets the state from its
-// peers, serves idempotent requests under the manifest in force, and refuses
-// requests that need the log. After the outage it knows the earlier claims.
+// An instance that starts during an outage of the log must get the state from its
+// peers, serve idempotent requests under the manifest in force, and refuse requests
+// that need the log. After the outage it must know the earlier claims, or it would run
+// a resent reservation again.
 func TestReplacedWhileTheLogIsDown(t *testing.T) {
 	f := readyFleet(t)
 	key := newKey()
@@ -238,20 +239,21 @@
 	}
 	eventually(t, "a completed chat at the new instance", func() bool { return outcomeOf(f.chat(replacement)) == "completed" })
 	if r := f.reserve(replacement, newKey()); outcomeOf(r) != "refused" {
-		t.Errorf("reservation during the outage: %+v", r)
+		t.Errorf("reservation during the outage: %+v, want it refused", r)
 	}
 	f.setFaults(f.log, map[string]any{})
 	f.awaitMode(replacement, "fresh")
 	if r := f.reserve(replacement, key); outcomeOf(r) != "already_run" {
-		t.Errorf("resend of the reservation from before the outage: %+v", r)
+		t.Errorf("resend of the reservation from before the outage: %+v, want already_run", r)
 	}
 	if n := f.runs(key); n != 1 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("the reservation ran %d times, want once", n)
 	}
 }
 
-// While a separate log for bills is unreachable, all requests are served,
-// including reservations, and each bill is written once the log is back.
+// While a separate log for bills is unreachable, all requests must be served,
+// including reservations, and each bill must be written exactly once after the log is
+// back.
 func TestBillLogDown(t *testing.T) {
 	f := readyFleetWith(t, options{billLog: true})
 	var keys []string
@@ -260,7 +262,7 @@
 			key := newKey()
 			keys = append(keys, key)
 			if r := f.reserve(i, key); outcomeOf(r) != "completed" {
-				t.Errorf("%s: %+v", i.name, r)
+				t.Errorf("reservation at %s: %+v, want it completed", i.name, r)
 			}
 		}
 	}
@@ -279,8 +281,8 @@
 	}
 }
 
-// An instance that is disconnected from the log alone gets a new manifest from
-// its peers and stays fresh.
+// An instance that is disconnected from the log but not from its peers must get a new
+// manifest from them and stay fresh.
 func TestDisconnectedFromTheLogOnly(t *testing.T) {
 	f := readyFleet(t)
 	f.logRelays[0].SetDisconnected(true)
@@ -294,8 +296,8 @@
 	}
 }
 
-// An instance that is disconnected from the log while its peers are stopped
-// refuses new requests as not run and fails the readiness check. It recovers by
+// An instance that is disconnected from the log while its peers are stopped must
+// refuse new requests as not run and fail the readiness check, and must recover by
 // itself.
 func TestDisconnectedFromTheLogAndAllPeers(t *testing.T) {
 	f := readyFleet(t)
@@ -307,13 +309,13 @@
 	f.awaitMode(alone, "stale")
 	before := f.requestsStarted("large@1")
 	if r := f.chat(alone); outcomeOf(r) != "refused" || r.header.Get("Retry-After") == "" {
-		t.Errorf("chat at the disconnected instance: %+v", r)
+		t.Errorf("chat at the disconnected instance: %+v, want it refused with Retry-After", r)
 	}
 	if n := f.requestsStarted("large@1") - before; n != 0 {
-		t.Errorf("%d requests started", n)
+		t.Errorf("%d requests started, want none", n)
 	}
 	if r := call(t, http.MethodGet, alone.admin+"/readyz", "", "", nil); r.status != http.StatusServiceUnavailable {
-		t.Errorf("readiness check at the disconnected instance: %+v", r)
+		t.Errorf("readiness check at the disconnected instance: %+v, want status 503", r)
 	}
 	for _, i := range f.instances[1:] {
 		if err := i.cmd.Process.Signal(syscall.SIGCONT); err != nil {
@@ -323,12 +325,12 @@
 	f.logRelays[0].SetDisconnected(false)
 	f.awaitMode(alone, "fresh")
 	if r := f.chat(alone); outcomeOf(r) != "completed" {
-		t.Errorf("chat after the reconnection: %+v", r)
+		t.Errorf("chat after the reconnection: %+v, want it completed", r)
 	}
 }
 
 // Of conflicting manifests that are published through all instances at once,
-// exactly one comes into force everywhere; the other publishers get a conflict
+// exactly one must come into force everywhere; the other publishers must get a conflict
 // (exit status 4).
 func TestOperatorsRace(t *testing.T) {
 	f := readyFleet(t)
@@ -360,7 +362,7 @@
 			won++
 		case 4:
 		default:
-			t.Errorf("exit statuses %v", statuses)
+			t.Errorf("exit statuses %v, want only 0 and 4", statuses)
 		}
 	}
 	if won != 1 {
--- a/router/internal/e2e/fleet_test.go
+++ b/router/internal/e2e/fleet_test.go
@@ -16,6 +16,9 @@
 
 // fleet is a complete system: a log, a list, a rating service, three engines, a
 // shop service and some instances, each a separate process.
+//
+// log, billLogAddr, list, shop and engines are addresses of stand-ins, as
+// "host:port".
 type fleet struct {
 	t   testing.TB
 	log string
@@ -25,10 +28,10 @@
 	shop        string
 	engines     []string
 	instances   []*instance
-	// platform are the settings that all instances share.
+	// platform holds the platform settings that all instances share.
 	platform map[string]any
-	// logRelays are the instances' connections to the log, which a test can
-	// interrupt.
+	// logRelays are the instances' connections to the log, in the order of
+	// instances; a test can interrupt each.
 	logRelays []*relay.Relay
 }
 
@@ -127,12 +130,14 @@
 	return s
 }
 
+// awaitMode waits until instance i is in the given freshness mode.
 func (f *fleet) awaitMode(i *instance, mode string) {
 	f.t.Helper()
 	eventually(f.t, i.name+" is "+mode, func() bool { return f.status(i).Mode == mode })
 }
 
-// runs returns how often the shop ran the reservation with the given key.
+// runs returns how often the shop ran the reservation with the given idempotency
+// key.
 func (f *fleet) runs(key string) int {
 	f.t.Helper()
 	r := call(f.t, http.MethodGet, "http://"+f.shop+"/stats", "", "", nil)
@@ -145,7 +150,8 @@
 	return got.Runs[key]
 }
 
-// billsOf returns the number of bills of a request in the ledger.
+// billsOf returns the number of bills in the ledger of the request with the given
+// idempotency key.
 func (f *fleet) billsOf(request string) int {
 	f.t.Helper()
 	return strings.Count(f.ledger(), request)
--- a/router/internal/e2e/process_test.go
+++ b/router/internal/e2e/process_test.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// waitTimeout bounds every wait for something that a healthy process does in
-// milliseconds. No test asserts how long anything took.
+// waitTimeout bounds every wait for something that healthy processes do within a few
+// seconds, such as becoming stale. No test asserts how long anything took.
 const waitTimeout = 60 * time.Second
 
 // binDir is the directory of the two binaries, which are built once.
@@ -53,7 +53,7 @@
 	cmd  *exec.Cmd
 
 	mu sync.Mutex
-	// lines is all output, logged if the test fails.
+	// lines holds all output; kill logs it if the test has failed.
 	lines []string
 	// output receives each line, for await; lines are dropped if it is full.
 	output chan string
@@ -101,6 +101,7 @@
 	close(p.output)
 }
 
+// kill kills the process and logs its output if the test has failed.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	if p.t.Failed() {
@@ -110,7 +111,8 @@
 	}
 }
 
-// await returns the result of match for the first line that it accepts.
+// await returns the result of match for the first line that it accepts. It fails the
+// test after waitTimeout, or if the process ends before.
 func (p *process) await(what string, match func(line string) (string, bool)) string {
 	p.t.Helper()
 	timeout := time.After(waitTimeout)
@@ -160,16 +162,17 @@
 	api, admin, peer string
 }
 
-// shortTimings are settings that shorten the waits of the tests. The product runs
-// with a freshness bound of seconds; here it only has to be well above the time
-// in which a busy machine schedules a process.
+// shortTimings are settings that shorten the waits of the tests. The default
+// freshness bound is longer; here it only has to be well above the time in which a
+// busy machine schedules a process.
 var shortTimings = map[string]map[string]any{
 	"freshness": {"bound_ms": 2000},
 	"peer":      {"interval_ms": 100},
 	"shutdown":  {"grace_ms": 50},
 }
 
-// startInstance writes a settings file and starts masticplankd with it.
+// startInstance writes a settings file, starts masticplankd with it and waits until
+// its listeners are open.
 func startInstance(t testing.TB, name, domain string, platform map[string]any) *instance {
 	t.Helper()
 	settings := map[string]any{
@@ -225,7 +228,7 @@
 	err    error
 }
 
-// call sends one request.
+// call sends one request; key is the API key or operator key, empty for none.
 func call(t testing.TB, method, url, key, body string, header map[string]string) response {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
--- a/router/internal/e2e/publish_bench_test.go
+++ b/router/internal/e2e/publish_bench_test.go
@@ -10,13 +10,14 @@
 
 const (
 	publishInstances = 8
-	publishRounds    = 20
+	// publishRounds is the number of publications in each of the two states.
+	publishRounds = 20
 )
 
 // BenchmarkPublish measures the time from the publisher's request until the
 // manifest is in force at the slowest of 8 instances: with all connected, and
-// with one disconnected from the log, which gets it from its peers. Run it with
-// scripts/bench.
+// with one disconnected from the log, which gets the manifest from its peers. Run it
+// with scripts/bench.
 func BenchmarkPublish(b *testing.B) {
 	f := startFleet(b, publishInstances, options{})
 	eventually(b, "publishing", func() bool {
--- a/router/internal/e2e/rolling_test.go
+++ b/router/internal/e2e/rolling_test.go
@@ -13,7 +13,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// balancedClients send requests through a load balancer.
+// balancedClients sends requests through a load balancer and counts their results.
 type balancedClients struct {
 	t        *testing.T
 	balancer balancer.Balancer
@@ -23,7 +23,8 @@
 	completed       atomic.Int64
 }
 
-// send retries until an instance has accepted the request.
+// send sends a request, and sends it again while it is refused or no connection is
+// established.
 func (c *balancedClients) send(client *http.Client, key string) {
 	for {
 		r := c.try(client, key)
@@ -35,7 +36,7 @@
 			c.completed.Add(1)
 			return
 		case r.err == nil && outcomeOf(r) != "refused":
-			c.t.Errorf("%s: %+v", key, r)
+			c.t.Errorf("%s: %+v, want it completed or refused", key, r)
 			return
 		}
 	}
@@ -66,7 +67,7 @@
 }
 
 // Replacing all instances under load, one after another, must not interrupt any
-// answer, and each request is billed once.
+// answer, and each request must be billed once.
 func TestRollingReplacement(t *testing.T) {
 	f := readyFleet(t)
 	clients := &balancedClients{t: t}
@@ -106,7 +107,7 @@
 	wg.Wait()
 	close(keys)
 	if n := clients.connectionsLost.Load(); n > 0 {
-		t.Errorf("%d connections lost", n)
+		t.Errorf("%d connections lost, want none", n)
 	}
 	ledger := f.ledger()
 	for key := range keys {
--- a/router/internal/e2e/smoke_test.go
+++ b/router/internal/e2e/smoke_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// publish runs "masticplank manifest publish --wait" with all instances.
+// publish runs "masticplank manifest publish --wait" with the addresses of all
+// instances.
 func (f *fleet) publish(m manifest.Manifest, args ...string) (string, error) {
 	f.t.Helper()
 	data, err := json.Marshal(m)
@@ -82,8 +83,9 @@
 	}
 }
 
-// Runs each kind of request and each command of the operators once against two
-// instances, all of them separate processes of the built binaries.
+// Runs each kind of request and the operators' commands that publish a manifest or
+// read the state against two instances, all of them separate processes of the built
+// binaries.
 func TestSmoke(t *testing.T) {
 	f := startFleet(t, 2, options{})
 	eventually(t, "publishing", func() bool {
@@ -115,7 +117,7 @@
 		}
 		checkAnswer(t, got.Choices[0].Message.Content, 12)
 		if r.header.Get(wire.HeaderOutcome) != "completed" || r.header.Get(wire.HeaderVersion) != "large@1" {
-			t.Errorf("%s: header %v", i.name, r.header)
+			t.Errorf("%s: header %v, want completed on large@1", i.name, r.header)
 		}
 	}
 }
@@ -124,7 +126,7 @@
 	body := strings.Replace(chatBody, `"max_tokens"`, `"stream":true,"max_tokens"`, 1)
 	r := call(t, http.MethodPost, f.instances[0].api+"/v1/chat/completions", weaversKey, body, nil)
 	if r.err != nil || r.status != http.StatusOK {
-		t.Fatalf("got %+v", r)
+		t.Fatalf("got %+v, want status 200", r)
 	}
 	text, ended := readEvents(t, r.body)
 	checkAnswer(t, text, 12)
@@ -168,30 +170,34 @@
 	return text, false
 }
 
+// testService checks that a service can be called, and that a reservation resent at
+// another instance does not run again.
 func (f *fleet) testService(t *testing.T) {
 	r := call(t, http.MethodGet, f.instances[0].api+"/services/shop/stock/wool", weaversKey, "", nil)
 	if r.status != http.StatusOK {
-		t.Fatalf("stock: %+v", r)
+		t.Fatalf("stock: %+v, want status 200", r)
 	}
 	key := uuid.Must(uuid.NewV7()).String()
 	header := map[string]string{wire.HeaderIdempotencyKey: key}
 	first := call(t, http.MethodPost, f.instances[0].api+"/services/shop/reservations", weaversKey, `{"wool":3}`, header)
 	if first.status != http.StatusOK && first.status != http.StatusCreated {
-		t.Fatalf("reservation: %+v", first)
+		t.Fatalf("reservation: %+v, want status 200 or 201", first)
 	}
 	again := call(t, http.MethodPost, f.instances[1].api+"/services/shop/reservations", weaversKey, `{"wool":3}`, header)
 	if again.status != http.StatusConflict || again.header.Get(wire.HeaderOutcome) != "already_run" {
-		t.Errorf("resend at the other instance: %+v", again)
+		t.Errorf("resend at the other instance: %+v, want 409 and already_run", again)
 	}
 	stats := call(t, http.MethodGet, "http://"+f.shop+"/stats", "", "", nil)
 	var got struct {
 		Runs map[string]int `json:"runs"`
 	}
 	if err := json.Unmarshal([]byte(stats.body), &got); err != nil || got.Runs[key] != 1 {
-		t.Errorf("runs of %s: %s", key, stats.body)
+		t.Errorf("runs of %s, want 1: %s", key, stats.body)
 	}
 }
 
+// testRefusals checks that invalid and forbidden requests are refused with the status
+// and code that tell their callers why.
 func (f *fleet) testRefusals(t *testing.T) {
 	api := f.instances[0].api
 	chat := api + "/v1/chat/completions"
@@ -218,6 +224,8 @@
 	}
 }
 
+// testSession checks that every instance accepts the token of a session that the first
+// one opened, and a session named by its caller.
 func (f *fleet) testSession(t *testing.T) {
 	r := call(t, http.MethodPost, f.instances[0].api+"/v1/sessions", weaversKey, "", nil)
 	var opened struct {
@@ -225,14 +233,14 @@
 		Versions map[string]string `json:"versions"`
 	}
 	if err := json.Unmarshal([]byte(r.body), &opened); err != nil || r.status != http.StatusCreated {
-		t.Fatalf("opening a session: %+v", r)
+		t.Fatalf("opening a session: %+v, want status 201", r)
 	}
 	for _, session := range []string{opened.Token, "school-17"} {
 		for _, i := range f.instances {
 			r := call(t, http.MethodPost, i.api+"/v1/chat/completions", weaversKey, chatBody,
 				map[string]string{wire.HeaderSession: session})
 			if r.status != http.StatusOK || r.header.Get(wire.HeaderVersion) != "large@1" {
-				t.Errorf("%s, session %.12s: status %d, body %s", i.name, session, r.status, r.body)
+				t.Errorf("%s, session %.12s: status %d, body %s; want 200 on large@1", i.name, session, r.status, r.body)
 			}
 		}
 	}
--- a/router/internal/e2e/tokens_bench_test.go
+++ b/router/internal/e2e/tokens_bench_test.go
@@ -12,6 +12,7 @@
 )
 
 const (
+	// tokenStreams is the number of concurrent streams.
 	tokenStreams = 32
 	// tokensPerStream is the number of tokens per stream, large enough that the cost
 	// of starting a stream is negligible.
