--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -140,6 +140,7 @@
 	}
 }
 
+// noSink ignores the commands of package decision that are not for a request.
 type noSink struct{}
 
 func (noSink) ShareVerdict(decision.VersionVerdict)   {}
@@ -147,10 +148,12 @@
 func (noSink) ReportEjection(decision.ReportEjection) {}
 func (noSink) Quarantine(decision.Quarantine)         {}
 
+// noRecorder ignores the observations of requests.
 type noRecorder struct{}
 
 func (noRecorder) Observe(api.Observation) {}
 
+// noRater fails to rate any answer.
 type noRater struct{}
 
 func (noRater) Rate(context.Context, wire.RatingRequest) (float64, error) { return 0, io.EOF }
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -19,7 +19,8 @@
 // pauseWithinBound is how long a freeze goes on after the withdrawal in it. With the
 // 1.1 s of withdraw, the freeze is longer than half the freshness bound, which counts
 // as a pause of the process, but so short that the confirmation of freshness from
-// before it is not older than the bound.
+// before it is not older than the bound: only the detection of the pause can make
+// the instance refuse.
 const pauseWithinBound = freshnessBound/2 - 600*time.Millisecond
 
 // requestFaults holds the faults that are injected at a step of a request or of a
--- a/router/internal/loadgen/run.go
+++ b/router/internal/loadgen/run.go
@@ -21,13 +21,15 @@
 
 // Result is the result of one run of load.
 type Result struct {
-	// Rate is the number of complete answers per second.
+	// Rate is the number of Samples per second of Plan.Duration.
 	Rate float64 `json:"rate"`
 	// Failed counts failed requests, including those during Warmup.
 	Failed int64 `json:"failed"`
 	// LastError is the text of the last failure.
-	LastError string   `json:"example,omitempty"`
-	Samples   []Sample `json:"-"`
+	LastError string `json:"example,omitempty"`
+	// Samples holds the times of the complete answers to requests that were sent
+	// after Warmup.
+	Samples []Sample `json:"-"`
 }
 
 // Run sends the load and returns once it has ended.
@@ -101,7 +103,8 @@
 
 // waitTurn waits until next and returns the time of the request after it. A
 // caller that is late catches up, so that a slow answer does not reduce the
-// offered load (coordinated omission).
+// offered load (coordinated omission). A Sample begins when its request is sent, so
+// the time by which the request was late is not in it.
 func (r *run) waitTurn(next time.Time) time.Time {
 	time.Sleep(time.Until(next))
 	return next.Add(r.interval())
--- a/router/internal/standin/standintest/standintest.go
+++ b/router/internal/standin/standintest/standintest.go
@@ -56,7 +56,7 @@
 	return reply
 }
 
-// SetFaults replaces the faults of a stand-in, given as JSON, over HTTP.
+// SetFaults replaces the faults of the stand-in h by those in json.
 func SetFaults(h http.Handler, json string) Response {
 	return Do(h, Call{Method: http.MethodPut, Path: "/faults", Body: json})
 }
