--- a/router/internal/demo/bills.go
+++ b/router/internal/demo/bills.go
@@ -20,8 +20,8 @@
 
 // billExport holds the bills exported from the log.
 type billExport struct {
-	// byRequest holds the bills by request ID; more than one for a request breaks
-	// promiseBilled.
+	// byRequest holds the bills by request ID; more than one for a request
+	// breaks promiseBilled.
 	byRequest map[string][]bills.Bill
 	// duplicates counts the bill records that were void because an earlier one
 	// for the same request had won.
--- a/router/internal/demo/caller.go
+++ b/router/internal/demo/caller.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// outcomeConnectionLost is the outcome of a request whose response was missing,
-	// incomplete or malformed.
+	// outcomeConnectionLost is the outcome of a request whose response was
+	// missing, incomplete or malformed.
 	outcomeConnectionLost = "cut"
 	// callTimeout bounds one request of the load.
 	callTimeout = 60 * time.Second
@@ -109,7 +109,8 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	// Without GetBody, net/http does not retry a request that has a body by itself.
+	// Without GetBody, net/http does not retry a request that has a body by
+	// itself.
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+t.key)
 	req.Header.Set("Content-Type", "application/json")
--- a/router/internal/demo/check_test.go
+++ b/router/internal/demo/check_test.go
@@ -52,8 +52,8 @@
 	return c, results
 }
 
-// A check that misses a violation makes the demo report a broken promise as held, so
-// each promise that the checker checks is broken here at least once.
+// A check that misses a violation makes the demo report a broken promise as
+// held, so each promise that the checker checks is broken here at least once.
 func TestEachBrokenPromiseIsReported(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/router/internal/demo/demo.go
+++ b/router/internal/demo/demo.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// readyTimeout bounds the time until the first manifest is in force everywhere,
-	// and then the wait for each instance to be ready.
+	// readyTimeout bounds the time until the first manifest is in force
+	// everywhere, and then the wait for each instance to be ready.
 	readyTimeout = 15 * time.Second
 	// rolloutTimeout bounds the time until the second manifest is in force
 	// everywhere; if it takes longer, promiseManifest is broken.
@@ -50,8 +50,9 @@
 	Log io.Writer
 }
 
-// Run starts everything, sends the load, makes the report and stops everything. An
-// error means that the demo itself failed; broken promises are in the report.
+// Run starts everything, sends the load, makes the report and stops everything.
+// An error means that the demo itself failed; broken promises are in the
+// report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	if cfg.Log == nil {
 		cfg.Log = io.Discard
@@ -92,8 +93,8 @@
 	violations map[string][]string
 }
 
-// prepare publishes the first manifest, waits until the instances are ready, opens
-// the sessions and injects the faults.
+// prepare publishes the first manifest, waits until the instances are ready,
+// opens the sessions and injects the faults.
 func (r *run) prepare(ctx context.Context) error {
 	if _, err := r.publish(ctx, firstManifest(), readyTimeout); err != nil {
 		return trace.Wrap(err)
--- a/router/internal/demo/demo_test.go
+++ b/router/internal/demo/demo_test.go
@@ -9,8 +9,8 @@
 )
 
 // Runs the whole product on loopback with a roll-out under load. No promise may
-// break, however the requests interleave, with or without faults of the platform
-// and the backend servers.
+// break, however the requests interleave, with or without faults of the
+// platform and the backend servers.
 func TestNoPromiseBreaks(t *testing.T) {
 	for _, faults := range []bool{false, true} {
 		var log bytes.Buffer
--- a/router/internal/demo/report.go
+++ b/router/internal/demo/report.go
@@ -66,8 +66,8 @@
 	Doubled   int `json:"doubled"`
 	// Other counts requests that were billed without having completed.
 	Other int `json:"other"`
-	// Void counts the bill records that have no effect, since an earlier one in the
-	// log is for the same request.
+	// Void counts the bill records that have no effect, since an earlier one in
+	// the log is for the same request.
 	Void int `json:"void"`
 }
 
--- a/router/internal/e2e/bench_test.go
+++ b/router/internal/e2e/bench_test.go
@@ -163,8 +163,8 @@
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // measureThroughputAndLatency compares the throughput of routed and direct
-// requests, then their latency at half of the routed throughput, and that of streams
-// at an eighth of it.
+// requests, then their latency at half of the routed throughput, and that of
+// streams at an eighth of it.
 func (p *benchPath) measureThroughputAndLatency(b *testing.B) {
 	direct := saturate(p.direct(b, false), benchCallers)
 	printResult(b, direct, "plain, direct, saturated", loadgen.TotalTime)
@@ -199,8 +199,8 @@
 	printAdded(b, "stream, whole", d50, d99, r50, r99)
 }
 
-// printAdded prints by how much routed requests (r50, r99) are slower than direct ones
-// (d50, d99).
+// printAdded prints by how much routed requests (r50, r99) are slower than
+// direct ones (d50, d99).
 func printAdded(b *testing.B, name string, d50, d99, r50, r99 time.Duration) {
 	fmt.Printf("added, %s: p50 %.3f ms (ratio %.2f), p99 %.3f ms (ratio %.2f)\n", name,
 		millis(r50-d50), float64(r50)/float64(d50), millis(r99-d99), float64(r99)/float64(d99))
--- a/router/internal/e2e/failure_test.go
+++ b/router/internal/e2e/failure_test.go
@@ -174,9 +174,9 @@
 	}
 }
 
-// While the log is unreachable for all instances, idempotent requests must be served,
-// and billed as soon as the log is back; non-idempotent ones must be refused and not
-// run.
+// While the log is unreachable for all instances, idempotent requests must be
+// served, and billed as soon as the log is back; non-idempotent ones must be
+// refused and not run.
 func TestLogDown(t *testing.T) {
 	f := readyFleet(t)
 	if r := f.chat(f.instances[0]); outcomeOf(r) != "completed" {
@@ -217,10 +217,10 @@
 	}
 }
 
-// An instance that starts during an outage of the log must get the state from its
-// peers, serve idempotent requests under the manifest in force, and refuse requests
-// that need the log. After the outage it must know the earlier claims, or it would run
-// a resent reservation again.
+// An instance that starts during an outage of the log must get the state from
+// its peers, serve idempotent requests under the manifest in force, and refuse
+// requests that need the log. After the outage it must know the earlier claims,
+// or it would run a resent reservation again.
 func TestReplacedWhileTheLogIsDown(t *testing.T) {
 	f := readyFleet(t)
 	key := newKey()
@@ -252,8 +252,8 @@
 }
 
 // While a separate log for bills is unreachable, all requests must be served,
-// including reservations, and each bill must be written exactly once after the log is
-// back.
+// including reservations, and each bill must be written exactly once after the
+// log is back.
 func TestBillLogDown(t *testing.T) {
 	f := readyFleetWith(t, options{billLog: true})
 	var keys []string
@@ -281,8 +281,8 @@
 	}
 }
 
-// An instance that is disconnected from the log but not from its peers must get a new
-// manifest from them and stay fresh.
+// An instance that is disconnected from the log but not from its peers must get
+// a new manifest from them and stay fresh.
 func TestDisconnectedFromTheLogOnly(t *testing.T) {
 	f := readyFleet(t)
 	f.logRelays[0].SetDisconnected(true)
@@ -330,8 +330,8 @@
 }
 
 // Of conflicting manifests that are published through all instances at once,
-// exactly one must come into force everywhere; the other publishers must get a conflict
-// (exit status 4).
+// exactly one must come into force everywhere; the other publishers must get a
+// conflict (exit status 4).
 func TestOperatorsRace(t *testing.T) {
 	f := readyFleet(t)
 	var current struct {
--- a/router/internal/e2e/fleet_test.go
+++ b/router/internal/e2e/fleet_test.go
@@ -136,8 +136,8 @@
 	eventually(f.t, i.name+" is "+mode, func() bool { return f.status(i).Mode == mode })
 }
 
-// runs returns how often the shop ran the reservation with the given idempotency
-// key.
+// runs returns how often the shop ran the reservation with the given
+// idempotency key.
 func (f *fleet) runs(key string) int {
 	f.t.Helper()
 	r := call(f.t, http.MethodGet, "http://"+f.shop+"/stats", "", "", nil)
@@ -150,8 +150,8 @@
 	return got.Runs[key]
 }
 
-// billsOf returns the number of bills in the ledger of the request with the given
-// idempotency key.
+// billsOf returns the number of bills in the ledger of the request with the
+// given idempotency key.
 func (f *fleet) billsOf(request string) int {
 	f.t.Helper()
 	return strings.Count(f.ledger(), request)
--- a/router/internal/e2e/publish_bench_test.go
+++ b/router/internal/e2e/publish_bench_test.go
@@ -16,8 +16,8 @@
 
 // BenchmarkPublish measures the time from the publisher's request until the
 // manifest is in force at the slowest of 8 instances: with all connected, and
-// with one disconnected from the log, which gets the manifest from its peers. Run it
-// with scripts/bench.
+// with one disconnected from the log, which gets the manifest from its peers.
+// Run it with scripts/bench.
 func BenchmarkPublish(b *testing.B) {
 	f := startFleet(b, publishInstances, options{})
 	eventually(b, "publishing", func() bool {
--- a/router/internal/e2e/rolling_test.go
+++ b/router/internal/e2e/rolling_test.go
@@ -13,7 +13,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// balancedClients sends requests through a load balancer and counts their results.
+// balancedClients sends requests through a load balancer and counts their
+// results.
 type balancedClients struct {
 	t        *testing.T
 	balancer balancer.Balancer
@@ -23,8 +24,8 @@
 	completed       atomic.Int64
 }
 
-// send sends a request, and sends it again while it is refused or no connection is
-// established.
+// send sends a request, and sends it again while it is refused or no connection
+// is established.
 func (c *balancedClients) send(client *http.Client, key string) {
 	for {
 		r := c.try(client, key)
--- a/router/internal/e2e/smoke_test.go
+++ b/router/internal/e2e/smoke_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// Runs each kind of request and the operators' commands that publish a manifest or
-// read the state against two instances, all of them separate processes of the built
-// binaries.
+// Runs each kind of request and the operators' commands that publish a manifest
+// or read the state against two instances, all of them separate processes of
+// the built binaries.
 func TestSmoke(t *testing.T) {
 	f := startFleet(t, 2, options{})
 	eventually(t, "publishing", func() bool {
@@ -170,8 +170,8 @@
 	return text, false
 }
 
-// testService checks that a service can be called, and that a reservation resent at
-// another instance does not run again.
+// testService checks that a service can be called, and that a reservation
+// resent at another instance does not run again.
 func (f *fleet) testService(t *testing.T) {
 	r := call(t, http.MethodGet, f.instances[0].api+"/services/shop/stock/wool", weaversKey, "", nil)
 	if r.status != http.StatusOK {
@@ -196,8 +196,8 @@
 	}
 }
 
-// testRefusals checks that invalid and forbidden requests are refused with the status
-// and code that tell their callers why.
+// testRefusals checks that invalid and forbidden requests are refused with the
+// status and code that tell their callers why.
 func (f *fleet) testRefusals(t *testing.T) {
 	api := f.instances[0].api
 	chat := api + "/v1/chat/completions"
@@ -224,8 +224,8 @@
 	}
 }
 
-// testSession checks that every instance accepts the token of a session that the first
-// one opened, and a session named by its caller.
+// testSession checks that every instance accepts the token of a session that
+// the first one opened, and a session named by its caller.
 func (f *fleet) testSession(t *testing.T) {
 	r := call(t, http.MethodPost, f.instances[0].api+"/v1/sessions", weaversKey, "", nil)
 	var opened struct {
--- a/router/internal/faultmatrix/caller.go
+++ b/router/internal/faultmatrix/caller.go
@@ -176,8 +176,8 @@
 	b.checkGenerations()
 }
 
-// checkRuns checks that no run started on a version withdrawn everywhere for longer
-// than withdrawalSlack, nor at a backend server that had begun to leave.
+// checkRuns checks that no run started on a version withdrawn everywhere for
+// longer than withdrawalSlack, nor at a backend server that had begun to leave.
 func (b *testbed) checkRuns() {
 	b.t.Helper()
 	for _, r := range b.runs {
--- a/router/internal/faultmatrix/faults.go
+++ b/router/internal/faultmatrix/faults.go
@@ -33,8 +33,8 @@
 
 // freeze simulates a paused process while f runs: the instance does not check
 // the clock and receives nothing from the log or its peers. Its state is kept.
-// Afterwards all instances are connected to each other, also if another fault had
-// disconnected them.
+// Afterwards all instances are connected to each other, also if another fault
+// had disconnected them.
 func (b *testbed) freeze(in *instance, f func()) {
 	in.frozen.Store(true)
 	b.log.SetDisconnected(in.name, true)
@@ -57,8 +57,9 @@
 }
 
 // heal ends the faults of the log and of the connections and the effect of
-// makeAllServersLeave, and waits until the instances are up to date. Instances and
-// backend servers that are down, and backend servers that leave one by one, stay so.
+// makeAllServersLeave, and waits until the instances are up to date. Instances
+// and backend servers that are down stay down, and those backend servers that
+// makeServerLeave made leave go on leaving.
 func (b *testbed) heal() {
 	b.log.SetDown(false)
 	b.log.SetSlow(0)
@@ -75,8 +76,8 @@
 	synctest.Wait()
 }
 
-// planFault sets the fault of a step. The returned await fails the cell if the step
-// was not reached, and otherwise waits until fault has returned.
+// planFault sets the fault of a step. The returned await fails the cell if the
+// step was not reached, and otherwise waits until fault has returned.
 func (b *testbed) planFault(step string, fault func()) (await func()) {
 	done := make(chan struct{})
 	b.mu.Lock()
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -26,8 +26,8 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// instance is one entry instance, assembled as in package daemon, but with hooks and
-// without a rating service or a Recorder.
+// instance is one entry instance, assembled as in package daemon, but with
+// hooks and without a rating service or a Recorder.
 type instance struct {
 	*node.Node
 	b      *testbed
--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -51,9 +51,9 @@
 
 func (b *testbed) disconnectFromLog(name string) { b.log.SetDisconnected(name, true) }
 
-// lifeCells check that an instance serves requests only if its state is fresh, by its
-// own reads of the log or by the vouches of its peers, and during an outage of the log
-// idempotent requests only.
+// lifeCells check that an instance serves requests only if its state is fresh,
+// by its own reads of the log or by the vouches of its peers, and during an
+// outage of the log idempotent requests only.
 var lifeCells = []lifeCell{
 	{"life", "start", "none", func(b *testbed) {
 		<-b.replaceC(func() {}).Ready()
--- a/router/internal/faultmatrix/network.go
+++ b/router/internal/faultmatrix/network.go
@@ -10,7 +10,8 @@
 
 // network connects callers, instances and backend servers through pipes, so that
 // a cell runs on the clock of its synctest bubble. An address is "owner:port";
-// an owner can be taken down, and two owners can be disconnected from each other.
+// an owner can be taken down, and two owners can be disconnected from each
+// other.
 type network struct {
 	mu          sync.Mutex
 	listeners   map[string]*pipeListener
@@ -78,8 +79,8 @@
 	return n.down[a] || n.down[b] || n.disconnected[pair(a, b)]
 }
 
-// track records a new connection. If the owners could no longer reach each other when
-// it was established, track closes the connection and returns false.
+// track records a new connection. If the owners could no longer reach each
+// other when it was established, track closes the connection and returns false.
 func (n *network) track(c *connection) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/router/internal/faultmatrix/request_test.go
+++ b/router/internal/faultmatrix/request_test.go
@@ -16,11 +16,11 @@
 	plain, stream, reserve string
 }
 
-// pauseWithinBound is how long a freeze goes on after the withdrawal in it. With the
-// 1.1 s of withdraw, the freeze is longer than half the freshness bound, which counts
-// as a pause of the process, but so short that the confirmation of freshness from
-// before it is not older than the bound: only the detection of the pause can make
-// the instance refuse.
+// pauseWithinBound is how long a freeze goes on after the withdrawal in it.
+// With the 1.1 s of withdraw, the freeze is longer than half the freshness
+// bound, which counts as a pause of the process, but so short that the
+// confirmation of freshness from before it is not older than the bound: only
+// the detection of the pause can make the instance refuse.
 const pauseWithinBound = freshnessBound/2 - 600*time.Millisecond
 
 // requestFaults holds the faults that are injected at a step of a request or of a
@@ -43,8 +43,8 @@
 	"lost append":     func(b *testbed) { b.log.LoseAppends(1) },
 	"operator race":   func(b *testbed) { b.racePublications("b", "c") },
 	faultCallerLeaves: func(b *testbed) { b.cancelCaller(); time.Sleep(time.Second) },
-	// The log goes down before anyone has read the last append: the reads of b and c
-	// have failed since the cell began.
+	// The log goes down before anyone has read the last append: the reads of b
+	// and c have failed since the cell began.
 	faultUnread: func(b *testbed) { b.log.SetDown(true); b.setOthersReadsFail(false) },
 	// The caller resends the request at another instance without waiting for the
 	// first answer.
@@ -62,8 +62,8 @@
 
 const faultCallerLeaves = "caller leaves"
 
-// faultUnread is the fault "log goes down" at a time when b and c have not read what a
-// has appended.
+// faultUnread is the fault "log goes down" at a time when b and c have not read
+// what a has appended.
 const faultUnread = "log goes down unread"
 
 // setOthersReadsFail makes the reads of the log at b and c fail, or succeed again.
--- a/router/internal/faultmatrix/testbed.go
+++ b/router/internal/faultmatrix/testbed.go
@@ -27,8 +27,8 @@
 	// faults holds, by step, the fault that is injected once when the request or
 	// publication at instance a reaches the step.
 	faults map[string]func()
-	// gateChecks counts the calls of the gates' MayRun since the last request was
-	// sent.
+	// gateChecks counts the calls of the gates' MayRun since the last request
+	// was sent.
 	gateChecks int
 	// leaving holds, by backend server, the time at which it began to leave.
 	leaving map[string]time.Time
@@ -42,7 +42,8 @@
 	servingServer string
 	// kind and key are those of the cell's request.
 	kind, key string
-	// cancelCaller makes the caller of the last request to instance a disconnect.
+	// cancelCaller makes the caller of the last request to instance a
+	// disconnect.
 	cancelCaller context.CancelFunc
 	runs         []run
 	answers      []answer
@@ -56,8 +57,8 @@
 	// startDisconnected makes instances that are launched from now on start
 	// disconnected from the log.
 	startDisconnected bool
-	// heldAfterDrain receives the number of bills that only the instance still held
-	// at the end of its planned stop.
+	// heldAfterDrain receives the number of bills that only the instance still
+	// held at the end of its planned stop.
 	heldAfterDrain chan int
 }
 
@@ -67,8 +68,8 @@
 	at                       time.Time
 }
 
-// fleet is the platform's list of instances. It stays the same while an instance is
-// down.
+// fleet is the platform's list of instances. It stays the same while an
+// instance is down.
 var fleet = []wire.ListedInstance{
 	{ID: "a", Peer: "a:81", Domain: "salle-rimouski"},
 	{ID: "b", Peer: "b:81", Domain: "salle-matane"},
--- a/router/internal/loadgen/run.go
+++ b/router/internal/loadgen/run.go
@@ -103,8 +103,8 @@
 
 // waitTurn waits until next and returns the time of the request after it. A
 // caller that is late catches up, so that a slow answer does not reduce the
-// offered load (coordinated omission). A Sample begins when its request is sent, so
-// the time by which the request was late is not in it.
+// offered load (coordinated omission). A Sample begins when its request is
+// sent, so the time by which the request was late is not in it.
 func (r *run) waitTurn(next time.Time) time.Time {
 	time.Sleep(time.Until(next))
 	return next.Add(r.interval())
--- a/router/internal/standin/engine/answer.go
+++ b/router/internal/standin/engine/answer.go
@@ -25,9 +25,9 @@
 // qualityMark is the prefix of the first token of each answer.
 const qualityMark = "q="
 
-// answer generates the tokens of one answer. Except for the first one, which states
-// the quality, they depend on version, prompt and length only, so that a caller can
-// tell its own complete answer from any other.
+// answer generates the tokens of one answer. Except for the first one, which
+// states the quality, they depend on version, prompt and length only, so that a
+// caller can tell its own complete answer from any other.
 type answer struct {
 	seed       uint64
 	length     int
--- a/router/internal/standin/engine/orders.go
+++ b/router/internal/standin/engine/orders.go
@@ -68,8 +68,8 @@
 	return slices.Clone(o.state.Versions)
 }
 
-// apply replaces the order. If it refuses the new one, it returns an error code
-// and a message.
+// apply replaces the order. If it refuses the new one, it returns an error
+// code and a message.
 func (o *orders) apply(order wire.Order, fencing uint64) (code, message string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -86,8 +86,8 @@
 	return "", ""
 }
 
-// putOrder replaces the list of loaded versions. An order without a fencing number
-// has number 0.
+// putOrder replaces the list of loaded versions. An order without a fencing
+// number has number 0.
 func (s *Server) putOrder(w http.ResponseWriter, r *http.Request) {
 	var order wire.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxOrderBytes)).Decode(&order); err != nil {
--- a/router/internal/standin/listsvc/listsvc.go
+++ b/router/internal/standin/listsvc/listsvc.go
@@ -27,8 +27,8 @@
 const (
 	// maxBodyBytes bounds the body of a request.
 	maxBodyBytes = 32 << 20
-	// maxHistory is how many lists, with the one in force, are kept for the fault
-	// LagMS.
+	// maxHistory is how many lists, with the one in force, are kept for the
+	// fault LagMS.
 	maxHistory = 1024
 )
 
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -105,8 +105,8 @@
 	return min(max(score, 0), 1)
 }
 
-// noise returns a number from -1 to 1 derived from a hash of the request without its
-// version.
+// noise returns a number from -1 to 1 derived from a hash of the request
+// without its version.
 func noise(r wire.RatingRequest) float64 {
 	sum := xxhash.Sum64String(fmt.Sprintf("%q%q%q%q", r.Team, r.Task, r.Prompt, r.Answer))
 	return float64(sum>>11)/(1<<52) - 1
