--- a/router/internal/demo/bills.go
+++ b/router/internal/demo/bills.go
@@ -20,8 +20,8 @@
 
 // billExport holds the bills exported from the log.
 type billExport struct {
-	// byRequest holds the bills by request ID; more than one breaks
-	// promiseBilled.
+	// byRequest holds the bills by request ID; more than one for a request
+	// breaks promiseBilled.
 	byRequest map[string][]bills.Bill
 	// duplicates counts the bill records that were void because an earlier one
 	// for the same request had won.
@@ -55,9 +55,9 @@
 	return exported, err
 }
 
-func (l *billExport) hasAll(want []string) bool {
+func (e *billExport) hasAll(want []string) bool {
 	for _, id := range want {
-		if len(l.byRequest[id]) == 0 {
+		if len(e.byRequest[id]) == 0 {
 			return false
 		}
 	}
--- a/router/internal/standin/listsvc/listsvc.go
+++ b/router/internal/standin/listsvc/listsvc.go
@@ -27,7 +27,8 @@
 const (
 	// maxBodyBytes bounds the body of a request.
 	maxBodyBytes = 32 << 20
-	// maxHistory is how many former lists are kept for the fault LagMS.
+	// maxHistory is how many lists, with the one in force, are kept for the
+	// fault LagMS.
 	maxHistory = 1024
 )
 
@@ -85,7 +86,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
-// Update changes the list: edit gets a copy that it may modify.
+// Update changes the list: edit gets a copy that it may modify, except for the
+// slices inside the entries, which former lists share.
 func (s *Server) Update(edit func(*wire.InstanceList)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,14 +118,14 @@
 // getList answers with the list, or with 304 if If-None-Match names its ETag.
 func (s *Server) getList(w http.ResponseWriter, r *http.Request) {
 	lag := time.Duration(s.Faults.Get().LagMS) * time.Millisecond
-	current := s.asOf(s.now().Add(-lag))
-	tag := fmt.Sprintf(`"%d"`, current.since.UnixNano())
+	lagged := s.asOf(s.now().Add(-lag))
+	tag := fmt.Sprintf(`"%d"`, lagged.since.UnixNano())
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	faults.WriteJSON(w, http.StatusOK, current.list)
+	faults.WriteJSON(w, http.StatusOK, lagged.list)
 }
 
 func (s *Server) putList(w http.ResponseWriter, r *http.Request) {
