--- a/router/cmd/masticplankd/main.go
+++ b/router/cmd/masticplankd/main.go
@@ -66,8 +66,8 @@
 // runOnPlatform runs an instance that serves pass-through routes, with the adapter of
 // package platform. path is the settings file that the environment names.
 func runOnPlatform(path, metrics string) error {
-	// A SIGHUP reloads the settings once the application is built. One that comes earlier
-	// must not end the process, which is its default action.
+	// A SIGHUP reloads the settings once the application has started. Until then it is
+	// ignored, since its default action would end the process.
 	signal.Ignore(syscall.SIGHUP)
 	cfg, err := platform.LoadSettings(path)
 	if err != nil {
--- a/router/internal/cli/democmd/democmd.go
+++ b/router/internal/cli/democmd/democmd.go
@@ -1,5 +1,5 @@
 // Package democmd implements "masticplank demo", which runs the whole system in
-// one process and checks what it promises.
+// one process and checks that it keeps its promises.
 package democmd
 
 import (
--- a/router/internal/cli/exit.go
+++ b/router/internal/cli/exit.go
@@ -7,11 +7,11 @@
 	"fmt"
 )
 
-// Exit statuses of masticplank.
+// Exit statuses of masticplank and masticplankd.
 const (
 	// StatusOK: the command succeeded.
 	StatusOK = 0
-	// StatusFailed: the command failed, or the system did not do what it promises.
+	// StatusFailed: the command failed, or the system broke a promise.
 	StatusFailed = 1
 	// StatusInvalid: the input (a file, a flag) is invalid.
 	StatusInvalid = 2
--- a/router/internal/cli/loadcmd/loadcmd.go
+++ b/router/internal/cli/loadcmd/loadcmd.go
@@ -20,8 +20,9 @@
 	maxRate     = 100_000
 )
 
-// result is what the command prints: quantiles in milliseconds. "Whole" is the time to
-// the last byte of an answer, "first" the time to its first byte.
+// result is what the command prints: a summary of the run, and quantiles in
+// milliseconds. "Whole" is the time to the last byte of an answer, "first" the time to
+// the first byte of its body.
 type result struct {
 	loadgen.Result
 	WholeP50 float64 `json:"whole_p50_ms"`
--- a/router/internal/cli/manifestcmd/get.go
+++ b/router/internal/cli/manifestcmd/get.go
@@ -49,6 +49,7 @@
 	return cmd
 }
 
+// firstManifest returns the response of the first instance that answers.
 func firstManifest(cmd *cobra.Command, instances []string) (manifestResponse, error) {
 	var lastErr error
 	for _, addr := range instances {
@@ -70,8 +71,8 @@
 }
 
 // newHashKey returns the command that prints an API key's hash for a manifest or
-// for settings. The key is read from standard input, so that it shows up in no
-// process list and no shell history.
+// for settings. The key is read from standard input, so that it need not be an
+// argument, which would show up in the process list and the shell history.
 func newHashKey() *cobra.Command {
 	return &cobra.Command{
 		Use:   "hash-key < KEY",
--- a/router/internal/cli/manifestcmd/manifestcmd_test.go
+++ b/router/internal/cli/manifestcmd/manifestcmd_test.go
@@ -13,8 +13,9 @@
 	"masticplank.example/router/internal/manifest"
 )
 
-// TestOutputAndExitStatuses guards against exit statuses that do not tell invalid input
-// from a failure, on which deployment pipelines act, and against lost output.
+// TestOutputAndExitStatuses guards against an exit status that does not distinguish
+// invalid input from a failure, since deployment pipelines act on it, and against
+// missing output.
 func TestOutputAndExitStatuses(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -54,6 +55,6 @@
 	}
 	m, err := manifest.Parse([]byte(out))
 	if err != nil || m.Generation != 8 || m.Parent != "d7" || m.Publication != "" {
-		t.Errorf("got %+v, %v", m, err)
+		t.Errorf("got %+v, error %v; want generation 8, parent d7 and no publication id", m, err)
 	}
 }
--- a/router/internal/cli/manifestcmd/publish.go
+++ b/router/internal/cli/manifestcmd/publish.go
@@ -63,8 +63,9 @@
 	return cmd
 }
 
-// statusConflict is the exit status if another publication came first, so that its
-// generation is in force.
+// statusConflict is the exit status if the manifest does not follow the one in force,
+// usually because another publication came first, or if a later publication has
+// replaced it.
 const statusConflict = 4
 
 func (f publishFlags) publish(cmd *cobra.Command, m manifest.Manifest) error {
@@ -85,8 +86,8 @@
 	return f.waitInForce(cmd, response.Generation)
 }
 
-// send tries the instances in turn. Trying the next one after a lost response is
-// harmless, since the publication id makes it the same proposal.
+// send tries the instances in turn until one returns an outcome. Trying the next one
+// after a lost response is harmless, since the publication id makes it the same proposal.
 func (f publishFlags) send(ctx context.Context, m manifest.Manifest) (admin.PublishResponse, error) {
 	var lastErr error
 	for _, addr := range f.instances {
@@ -112,8 +113,8 @@
 	}
 }
 
-// waitInForce waits until every instance has the generation in force, for at
-// most f.wait.
+// waitInForce waits until every instance has the generation or a newer one in force,
+// for at most f.wait.
 func (f publishFlags) waitInForce(cmd *cobra.Command, generation uint64) error {
 	if f.wait == 0 {
 		return nil
--- a/router/internal/cli/reportcmd/reportcmd_test.go
+++ b/router/internal/cli/reportcmd/reportcmd_test.go
@@ -46,8 +46,8 @@
 	return srv.URL
 }
 
-// TestBurn guards against a report that hides an instance without an answer, in its
-// text or in its exit status.
+// TestBurn guards against a report that hides an instance that did not answer: in its
+// text, or by an exit status of 0.
 func TestBurn(t *testing.T) {
 	a, b, gone := instance(t, "entry-1"), instance(t, "entry-2"), unreachableURL()
 	clitest.Run(t, func() *cobra.Command { return newBurn(func() time.Time { return at }) }, []clitest.Case{
--- a/router/internal/cli/settingscmd/settingscmd_test.go
+++ b/router/internal/cli/settingscmd/settingscmd_test.go
@@ -22,7 +22,7 @@
 }
 
 // TestCheck guards against faults that are not printed with their position, against exit
-// statuses that do not tell invalid settings from a file that cannot be read, and
+// statuses that do not distinguish invalid settings from a file that cannot be read, and
 // against an example that is not printed.
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
--- a/router/internal/cli/soakcmd/soakcmd.go
+++ b/router/internal/cli/soakcmd/soakcmd.go
@@ -1,5 +1,6 @@
 // Package soakcmd implements "masticplank soak", which runs many instances as processes
-// between stand-ins of the platform, injects faults and checks what the system promises.
+// with stand-ins for the platform and the backend servers, injects faults and checks that
+// the system keeps its promises.
 package soakcmd
 
 import (
@@ -58,7 +59,8 @@
 	return cmd
 }
 
-// siblingProgram returns the path of masticplankd in this program's directory.
+// siblingProgram returns the path of masticplankd in this program's directory, or the
+// bare name if that directory is unknown.
 func siblingProgram() string {
 	self, err := os.Executable()
 	if err != nil {
--- a/router/internal/cli/standincmd/standincmd.go
+++ b/router/internal/cli/standincmd/standincmd.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// stopTimeout bounds the wait for requests in progress at SIGTERM.
+	// stopTimeout bounds the wait for requests in progress when the command stops.
 	stopTimeout = 30 * time.Second
 	// headerTimeout bounds the wait for a request's header.
 	headerTimeout = 10 * time.Second
--- a/router/internal/cli/standincmd/standincmd_test.go
+++ b/router/internal/cli/standincmd/standincmd_test.go
@@ -29,7 +29,7 @@
 			}
 			addr, ok := strings.CutPrefix(strings.TrimSpace(line), "listening on ")
 			if !ok {
-				t.Fatalf("first line %q", line)
+				t.Fatalf("first line %q, want \"listening on ADDRESS\"", line)
 			}
 			resp, err := http.Get("http://" + addr + "/faults")
 			if err != nil {
@@ -37,7 +37,7 @@
 			}
 			resp.Body.Close()
 			if resp.StatusCode != http.StatusOK {
-				t.Errorf("GET /faults: status %d", resp.StatusCode)
+				t.Errorf("GET /faults: status %d, want 200", resp.StatusCode)
 			}
 			cancel()
 			if err := <-done; err != nil {
@@ -63,7 +63,7 @@
 		cmd.SetOut(io.Discard)
 		cmd.SetErr(io.Discard)
 		if err := cmd.ExecuteContext(t.Context()); err == nil {
-			t.Errorf("%v was accepted", args)
+			t.Errorf("%v: no error, want one", args)
 		}
 	}
 }
--- a/router/internal/cli/statuscmd/statuscmd_test.go
+++ b/router/internal/cli/statuscmd/statuscmd_test.go
@@ -11,8 +11,8 @@
 	"masticplank.example/router/internal/report"
 )
 
-// TestStatus guards against a table that hides an instance without an answer, and
-// against an exit status that does not say that there was one.
+// TestStatus guards against a table that hides an instance that did not answer, and
+// against an exit status of 0 in that case.
 func TestStatus(t *testing.T) {
 	live := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Path != "/status" {
--- a/router/internal/settings/check.go
+++ b/router/internal/settings/check.go
@@ -15,7 +15,7 @@
 }
 
 // valuesAt returns the values that a Field's path stands for: a single one, or one
-// for each element if the path goes through an array.
+// for each element of the arrays that the path marks with "[]".
 func valuesAt(root reflect.Value, pattern string) []settingValue {
 	values := []settingValue{{"", root}}
 	for _, key := range strings.Split(pattern, ".") {
@@ -64,7 +64,7 @@
 }
 
 // offsetOf returns the byte offset of a setting; for one that the file leaves out, that
-// of the innermost object that would contain it.
+// of the innermost object in the file that would contain it.
 func (d *decoder) offsetOf(path string) int {
 	for {
 		if offset, ok := d.offsets[path]; ok {
@@ -74,7 +74,8 @@
 	}
 }
 
-// parentPath cuts the last key off a path.
+// parentPath cuts the last key, with its index if it has one, off a path: the parent of
+// "session.keys[2].id" is "session.keys[2]", whose parent is "session".
 func parentPath(path string) string {
 	return path[:max(strings.LastIndexByte(path, '.'), 0)]
 }
@@ -85,8 +86,9 @@
 	d.checkKeyRing(s.Session.Keys)
 }
 
-// checkPeer refuses plaintext between instances beyond loopback, since anyone who
-// can reach the port could send an instance false state and verdicts.
+// checkPeer refuses an incomplete set of TLS files, and plaintext between instances
+// beyond loopback, since anyone who can reach the port could send an instance false
+// state and verdicts.
 func (d *decoder) checkPeer(s *Settings) {
 	fileCount := 0
 	for _, file := range []string{s.Peer.CertFile, s.Peer.KeyFile, s.Peer.CAFile} {
--- a/router/internal/settings/decode.go
+++ b/router/internal/settings/decode.go
@@ -17,7 +17,7 @@
 	offsets map[string]int
 }
 
-// value decodes v into dst, the setting at path.
+// value decodes v into dst, the setting or group of settings at path.
 func (d *decoder) value(v hujson.Value, dst reflect.Value, path string) {
 	d.offsets[path] = v.StartOffset
 	switch dst.Kind() {
@@ -66,6 +66,8 @@
 	}
 }
 
+// scalar decodes a string or a number. It refuses null, which json.Unmarshal would
+// accept and leave dst at its default.
 func (d *decoder) scalar(v hujson.Value, dst reflect.Value, path string) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok || lit.Kind() == 'n' || json.Unmarshal(lit, dst.Addr().Interface()) != nil {
--- a/router/internal/settings/doc_test.go
+++ b/router/internal/settings/doc_test.go
@@ -35,6 +35,8 @@
 	}
 }
 
+// TestSettingsPageHoldsTheTable guards against a page for operators that is out of date
+// with Fields.
 func TestSettingsPageHoldsTheTable(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/SETTINGS.md")
 	if err != nil {
--- a/router/internal/settings/load.go
+++ b/router/internal/settings/load.go
@@ -10,9 +10,10 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxFileBytes bounds a settings file, so that a wrong path (a device, a dump)
-// gives an error instead of exhausting the instance's memory. The check is of the
-// size that the file system states; a device such as /dev/zero states 0 and passes it.
+// MaxFileBytes bounds a settings file, so that a wrong path, such as that of a dump,
+// gives an error instead of exhausting the instance's memory. It is compared with the
+// size that the file system states. A device such as /dev/zero states 0, so it passes
+// and is read without a bound.
 const MaxFileBytes = 1 << 20
 
 // Load reads and validates the settings file at path. An error is Faults if the
--- a/router/internal/settings/rules.go
+++ b/router/internal/settings/rules.go
@@ -74,8 +74,7 @@
 	return ""
 }
 
-// nameRule allows names that can be part of a key of the log, a metric's name and
-// a log line without escaping.
+// nameRule allows names that need no escaping in a key of the log and in a log line.
 type nameRule struct{ required bool }
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
--- a/router/internal/settings/settings.go
+++ b/router/internal/settings/settings.go
@@ -3,7 +3,7 @@
 // column.
 package settings
 
-// Settings of one entry instance. Default has the default values; Fields
+// Settings of one entry instance. Default returns the default values; Fields
 // documents each setting with its unit and range.
 type Settings struct {
 	// Instance is this process's name, unique in the fleet.
@@ -50,7 +50,8 @@
 	LoadIntervalMS int `json:"load_interval_ms"`
 }
 
-// Limits apply to callers' requests and connections.
+// Limits apply to callers' requests and connections. The admin listener applies
+// ReadTimeoutMS, to request headers, and IdleTimeoutMS too.
 type Limits struct {
 	MaxBodyBytes      int64 `json:"max_body_bytes"`
 	MaxHeaderBytes    int   `json:"max_header_bytes"`
@@ -96,10 +97,11 @@
 // Peer configures the connections between instances. With empty files they are
 // plaintext, which is allowed on loopback only; otherwise mutual TLS.
 type Peer struct {
-	CertFile   string `json:"cert_file"`
-	KeyFile    string `json:"key_file"`
-	CAFile     string `json:"ca_file"`
-	IntervalMS int    `json:"interval_ms"`
+	CertFile string `json:"cert_file"`
+	KeyFile  string `json:"key_file"`
+	CAFile   string `json:"ca_file"`
+	// IntervalMS is the time between two exchanges of digests with peers.
+	IntervalMS int `json:"interval_ms"`
 }
 
 // Decision holds the limits of package decision that operators may set.
--- a/router/internal/settings/settings_test.go
+++ b/router/internal/settings/settings_test.go
@@ -16,6 +16,7 @@
   "platform": {"log_url": "http://127.0.0.1:1", "list_url": "http://127.0.0.1:2",},
 }`
 
+// TestParseKeepsDefaults guards against a file that changes settings which it leaves out.
 func TestParseKeepsDefaults(t *testing.T) {
 	got, err := Parse("m", []byte(minimal))
 	if err != nil {
@@ -89,7 +90,8 @@
 }
 
 // TestPeersInPlaintextOnLoopbackOnly guards against an instance that accepts plaintext
-// from other machines, among them by the unspecified address, which listens on all.
+// from other machines, also through an unspecified address (0.0.0.0 or ::), which listens
+// on all interfaces.
 func TestPeersInPlaintextOnLoopbackOnly(t *testing.T) {
 	const tls = `, "peer": {"cert_file": "c", "key_file": "k", "ca_file": "a"}`
 	for _, c := range []struct {
@@ -111,6 +113,8 @@
 	}
 }
 
+// TestSyntaxFaultHasItsPlace guards against a change of hujson's message, out of which the
+// line and column are parsed.
 func TestSyntaxFaultHasItsPlace(t *testing.T) {
 	_, err := Parse("s", []byte("{\n  \"instance\" 5}"))
 	var faults Faults
@@ -119,22 +123,24 @@
 	}
 }
 
+// TestLoad guards against a missing file and one that is too large being reported as
+// invalid settings.
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.jsonc")
 	if _, err := Load(path); !trace.IsNotFound(err) {
-		t.Errorf("missing file: got %v, want not found", err)
+		t.Errorf("missing file: got %v, want NotFound", err)
 	}
 	if err := os.WriteFile(path, []byte(minimal), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if s, err := Load(path); err != nil || s.Instance != "a" {
-		t.Errorf("got %v, %v", s.Instance, err)
+		t.Errorf("got instance %q, error %v; want \"a\" and no error", s.Instance, err)
 	}
 	if err := os.WriteFile(path, make([]byte, MaxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); !trace.IsLimitExceeded(err) {
-		t.Errorf("huge file: got %v, want a limit", err)
+		t.Errorf("file that is too large: got %v, want LimitExceeded", err)
 	}
 }
 
--- a/scripts/journal.go
+++ b/scripts/journal.go
@@ -12,7 +12,8 @@
 	"strings"
 )
 
-// entry holds the listed fields of a run's JSON file. A day's worth is its field "G".
+// entry holds the listed fields of a run's JSON file. Head is the commit that ran. A day's
+// worth is its field "G", and its rules are those that were broken.
 type entry struct {
 	At   []string `json:"at"`
 	Cmd  string   `json:"cmd"`
