--- a/router/internal/admin/admin.go
+++ b/router/internal/admin/admin.go
@@ -1,5 +1,6 @@
 // Package admin serves operators on a separate listener of an instance: health,
-// readiness, metrics, profiles, status, and publishing of manifests.
+// readiness, metrics, profiles, status, counts for the burn report, and reading and
+// publishing of manifests.
 package admin
 
 import (
@@ -138,7 +139,7 @@
 	publish.Result
 }
 
-// Accepted reports whether the manifest is in the log.
+// Accepted reports whether the manifest took effect in the log.
 func (r PublishResponse) Accepted() bool { return r.Outcome == string(outcome.Completed) }
 
 // isOperator reports whether the request has an operator's key. It compares the key's
--- a/router/internal/adminclient/client.go
+++ b/router/internal/adminclient/client.go
@@ -42,11 +42,11 @@
 	return &Client{base: strings.TrimRight(base, "/"), key: key, http: &http.Client{Timeout: requestTimeout}}
 }
 
-// Base is the instance's base URL.
+// Base returns the base URL of the instance's admin listener.
 func (c *Client) Base() string { return c.base }
 
-// Get requests path and decodes the JSON body into out. A status of 400 or above is
-// an error too.
+// Get requests path and decodes the JSON body into out. For a status of 400 or above it
+// decodes the body and returns an error.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
 	_, err := c.do(ctx, http.MethodGet, path, nil, out)
 	return err
--- a/router/internal/daemon/daemon.go
+++ b/router/internal/daemon/daemon.go
@@ -15,7 +15,7 @@
 )
 
 // stopMargin is added to the configured times of a shutdown for what follows the
-// drain: flushing bills and closing listeners.
+// drain: appending queued bills to the log and closing listeners.
 const stopMargin = 10 * time.Second
 
 // Addresses are the addresses of a running instance's listeners, as IP:port. They
--- a/router/internal/daemon/daemon_test.go
+++ b/router/internal/daemon/daemon_test.go
@@ -9,8 +9,8 @@
 	"masticplank.example/router/internal/settings"
 )
 
-// TestGraphIsComplete guards against a dependency that no constructor provides, with
-// which every instance would fail at its start.
+// TestGraphIsComplete guards against a dependency that no constructor provides, which
+// would make every instance fail at its start.
 func TestGraphIsComplete(t *testing.T) {
 	if err := fx.ValidateApp(options(settings.Default(), &Addresses{}, io.Discard)); err != nil {
 		t.Error(err)
--- a/router/internal/daemon/decision.go
+++ b/router/internal/daemon/decision.go
@@ -29,9 +29,9 @@
 // quarantineTimeout bounds the write of a quarantine to the log.
 const quarantineTimeout = 5 * time.Second
 
-// newDriver returns the driver of this instance's decision. Each instance has a
-// random seed of its own, so that the instances do not all pick the same backend
-// servers at the same time.
+// newDriver returns the driver that runs the state machine of package decision. Each
+// instance has a random seed of its own, so that the instances do not all pick the same
+// backend servers at the same time.
 func newDriver(cfg settings.Settings, f *fleetLink) *driver.Driver {
 	c := decision.DefaultConfig()
 	c.Seed = randomSeed()
@@ -56,7 +56,8 @@
 
 // fleetLink is the driver's FleetSink. It passes verdicts, leaving servers and
 // quarantines on to the other instances, and logs verdicts, ejections and quarantines.
-// It keeps the bad versions and the ejected servers for /status.
+// It keeps the bad versions and the ejected servers for /status, and passes verdicts to
+// the burn report.
 type fleetLink struct {
 	log    *logging.Logger
 	report *report.Recorder
@@ -89,8 +90,8 @@
 	return f.store, f.peers
 }
 
-// peerEvents passes events from peers on to the decision, and records their
-// verdicts.
+// peerEvents passes events from peers on to package decision, and records the verdicts
+// among them.
 type peerEvents struct {
 	fleet  *fleetLink
 	driver *driver.Driver
@@ -155,7 +156,7 @@
 
 // Quarantine implements driver.FleetSink. A register in the log makes the
 // fingerprint known to all instances, also to those that start later; the message
-// to the peers makes it known while the log is unreachable.
+// to the peers makes it known to running ones while the log is unreachable.
 func (f *fleetLink) Quarantine(q decision.Quarantine) {
 	f.log.Emit(context.Background(), logging.EventQuarantine,
 		slog.String("fingerprint", fmt.Sprintf("%016x", uint64(q.Fingerprint))),
@@ -169,8 +170,8 @@
 	}
 }
 
-// putQuarantine writes a quarantine to the log; it expires there when the quarantine
-// ends. The write is given up after quarantineTimeout.
+// putQuarantine writes a quarantine to the log, as a record that expires when the
+// quarantine ends. The write is given up after quarantineTimeout.
 func putQuarantine(store node.Store, q decision.Quarantine) {
 	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
--- a/router/internal/daemon/platform.go
+++ b/router/internal/daemon/platform.go
@@ -27,8 +27,8 @@
 )
 
 // freshnessCheckInterval is the time between two checks of the freshness mode, which
-// is also checked at each read of the log. It is short, so that the decision learns of
-// a lapse soon after it happened.
+// is also checked at each read of the log. It is short, so that package decision learns
+// of a lapse soon after it happened.
 const freshnessCheckInterval = 100 * time.Millisecond
 
 // pollsPerBound is the freshness bound divided by the longest wait of a long poll of
@@ -63,10 +63,8 @@
 	return gate.New(tracker, time.Now)
 }
 
-// newNode returns the reader and writer of the log. It is the only place that knows how
-// the parts of the coordination library are connected in an instance: the gate observes
-// the reads, and the directory gives the number of instances that share the append
-// budget.
+// newNode returns the reader and writer of the log. The gate observes its reads, and the
+// directory gives the number of instances that share the append budget.
 func newNode(cfg settings.Settings, log platformlog.Log, g *gate.Gate, dir *directory.Directory) (*node.Node, error) {
 	n, err := node.New(log,
 		node.Config{
@@ -87,8 +85,8 @@
 
 func newStore(n *node.Node) node.Store { return n }
 
-// newBillLog returns the log to which bills are written: a separate one if the
-// settings name it, so that not every instance has to read them.
+// newBillLog returns the log to which bills are written: a separate one if the settings
+// name it, so that instances do not have to read the bills of the whole fleet.
 func newBillLog(lc fx.Lifecycle, cfg settings.Settings, store node.Store, dir *directory.Directory) ledger.BillLog {
 	if cfg.Platform.BillLogURL == "" {
 		return ledger.StoreLog{Store: store}
@@ -118,7 +116,7 @@
 }
 
 // newHolder returns the holder of the manifest in force. It passes each manifest to
-// the decision before callers' requests are handled under it.
+// package decision before callers' requests are handled under it.
 func newHolder(d *driver.Driver, r *report.Recorder, log *logging.Logger) *manifest.Holder {
 	return manifest.NewHolder(func(x *manifest.Index) {
 		d.Send(x.DecisionEvent())
@@ -135,8 +133,9 @@
 
 func startDirectory(lc fx.Lifecycle, dir *directory.Directory) { runInBackground(lc, dir.Run) }
 
-// startFreshness passes each change of the freshness mode to the decision. It also
-// checks the mode at intervals, since freshness lapses by the passage of time alone.
+// startFreshness passes each change of the freshness mode to package decision. At
+// intervals it gives the gate the listed instances; the gate then checks the mode too,
+// since freshness lapses by the passage of time alone.
 func startFreshness(lc fx.Lifecycle, g *gate.Gate, d *driver.Driver, dir *directory.Directory, log *logging.Logger) {
 	g.OnChange(func(mode freshness.Mode) {
 		ev := gate.FreshnessEvent(mode)
--- a/router/internal/daemon/serve.go
+++ b/router/internal/daemon/serve.go
@@ -32,8 +32,9 @@
 
 const (
 	// maxDeadline bounds the time to the deadline that a caller may set. A request
-	// may hold its slot until its deadline, and one that held it for longer would
-	// outlast any drain, unless shutdown.drain_ms is set above 10 minutes.
+	// may hold its slot until its deadline. With this bound, a shutdown.drain_ms of
+	// 10 minutes is long enough for every deadline that a caller sets; without it,
+	// requests could outlast any drain.
 	maxDeadline = 10 * time.Minute
 	// drainPollInterval is how often a drain checks whether all requests have ended.
 	drainPollInterval = 10 * time.Millisecond
@@ -122,8 +123,8 @@
 	addListener(lc, d.server, cfg.Listen.API, "api", &addrs.API, log)
 }
 
-// addListener opens a listener on addr at the start and serves it until the stop. It
-// writes the actual address, with the port that was picked, to boundAddr.
+// addListener adds a hook that opens a listener on addr at the start, serves it until
+// the stop, and writes its actual address, with the port that was picked, to boundAddr.
 func addListener(lc fx.Lifecycle, srv *http.Server, addr, name string, boundAddr *string, log *logging.Logger) {
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
@@ -146,8 +147,9 @@
 	}
 }
 
-// drain does the graceful shutdown: readiness fails first, the balancer gets a grace
-// period to stop sending, then the requests in progress finish, streams too.
+// drain does the graceful shutdown: readiness fails first, and the balancer gets a grace
+// period to stop sending; then no new connections are accepted, and the requests in
+// progress finish, streams too.
 type drain struct {
 	cfg       settings.Settings
 	gate      *gate.Gate
@@ -190,8 +192,9 @@
 	}))
 }
 
-// finishRequests waits for the requests in progress and for held bills, for at most
-// the drain time.
+// finishRequests waits for the requests in progress and for running ratings, and then
+// writes the held bills to the log or hands them over to peers, all within the drain
+// time.
 func (d *drain) finishRequests(ctx context.Context, a *api.Server) {
 	ctx, cancel := context.WithTimeout(ctx, ms(d.cfg.Shutdown.DrainMS))
 	defer cancel()
--- a/router/internal/logging/async.go
+++ b/router/internal/logging/async.go
@@ -12,8 +12,8 @@
 	// logs that much in two seconds.
 	asyncBufferBytes = 1 << 20
 	// asyncFlushInterval is the time from the first buffered line to the write of the
-	// buffer. One system call writes all lines of an interval: a call for each line
-	// costs more than producing the lines.
+	// buffer. One system call writes all lines of an interval, since a call for each
+	// line costs more than producing the lines.
 	asyncFlushInterval = 250 * time.Millisecond
 )
 
@@ -26,7 +26,8 @@
 	buffer         bytes.Buffer
 	dropped        int
 	flushScheduled bool
-	writeMu        sync.Mutex
+	// writeMu keeps the writes of concurrent flushes in order. It is locked before mu.
+	writeMu sync.Mutex
 }
 
 // NewAsyncWriter returns a buffering writer in front of out.
@@ -62,7 +63,7 @@
 	}
 }
 
-// Dropped is the number of lines dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (a *AsyncWriter) Dropped() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/router/internal/logging/catalogue.go
+++ b/router/internal/logging/catalogue.go
@@ -2,9 +2,10 @@
 
 import "log/slog"
 
-// The events. Numbers are in groups of a hundred: life of the process (100),
-// configuration, freshness, store and backend servers (200), requests (300), bills
-// (400), peers (500), decisions, orders and roll-outs (600), settings (700).
+// The events. Their numbers are in groups of a hundred. 100: start, readiness and stop of
+// the process; 200: configuration, freshness, log, store, failure domains and backend
+// servers; 300: requests; 400: bills; 500: peers; 600: verdicts, ejections, quarantines,
+// orders and roll-outs; 700: settings.
 var (
 	EventStart      = Event{100, "start", slog.LevelInfo, "The process starts."}
 	EventListening  = Event{101, "listening", slog.LevelInfo, "A listener is open; addr is its address."}
@@ -77,8 +78,8 @@
 	EventSettingsFaults   = Event{700, "settings_faults", slog.LevelError, "The settings have faults; the process does not start."}
 )
 
-// Catalogue lists every event in the order of the numbers. docs/EVENTS.md is made
-// from it; a test finds an event that is declared but not listed.
+// Catalogue lists every event in the order of the numbers. The table in docs/EVENTS.md is
+// made from it; a test fails if an event is declared but not listed.
 func Catalogue() []Event {
 	return []Event{
 		EventStart, EventListening, EventReady, EventNotReady, EventStop,
--- a/router/internal/logging/logger.go
+++ b/router/internal/logging/logger.go
@@ -8,7 +8,7 @@
 	"masticplank.example/router/internal/settings"
 )
 
-// Attribute keys of every event.
+// Keys of the attributes that events have in common.
 const (
 	// KeyEvent holds the event's number.
 	KeyEvent = "event"
@@ -16,7 +16,7 @@
 	KeyName = "name"
 	// KeyInstance holds the name of the logging instance.
 	KeyInstance = "instance"
-	// KeyError holds an error's text.
+	// KeyError holds the text of an error, in events that have one.
 	KeyError = "error"
 )
 
--- a/router/internal/logging/logging_test.go
+++ b/router/internal/logging/logging_test.go
@@ -17,6 +17,8 @@
 	"masticplank.example/router/internal/settings"
 )
 
+// TestEventsPageHoldsTheCatalogue guards against a page for operators that is out of date
+// with the catalogue.
 func TestEventsPageHoldsTheCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/EVENTS.md")
 	if err != nil {
@@ -27,12 +29,14 @@
 	}
 }
 
+// TestNumbersAndNamesAreUnique guards against an event whose number or name operators
+// know as that of another one, or that has no text.
 func TestNumbersAndNamesAreUnique(t *testing.T) {
 	names := map[string]bool{}
 	last := 0
 	for _, ev := range Catalogue() {
 		if ev.ID <= last {
-			t.Errorf("%d %s: number out of order or used twice", ev.ID, ev.Name)
+			t.Errorf("%d %s: number not above that of the event listed before", ev.ID, ev.Name)
 		}
 		if slices.Contains(Retired(), ev.ID) {
 			t.Errorf("%d %s has a retired number", ev.ID, ev.Name)
@@ -65,6 +69,8 @@
 	}
 }
 
+// TestEmit guards against events below the level that are written, against a line without
+// its attributes in either format, and against a nil Logger that panics.
 func TestEmit(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out, settings.Log{Format: settings.FormatJSON, Level: settings.LevelInfo}).
@@ -90,7 +96,7 @@
 	text := New(&out, settings.Log{Format: settings.FormatText, Level: settings.LevelDebug})
 	text.Emit(ctx, EventRequestRefused, Err(nil))
 	if !strings.Contains(out.String(), "event=300 name=request_refused") {
-		t.Errorf("got %q", out.String())
+		t.Errorf("got %q, want a line with event=300 name=request_refused", out.String())
 	}
 	var none *Logger
 	none.With().Emit(ctx, EventStart)
--- a/router/internal/metrics/metrics.go
+++ b/router/internal/metrics/metrics.go
@@ -18,8 +18,9 @@
 // quantiles of a histogram or a timer that are written.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Write writes all metrics of r, sorted by name. Timers are in nanoseconds. Prometheus
-// does not allow ".", "-", "@" and "/" in a name; they become "_".
+// Write writes the counters, gauges, histograms and timers of r, sorted by name; other
+// types are left out. Timers are in nanoseconds. Prometheus does not allow ".", "-", "@"
+// and "/" in a name; they become "_".
 func Write(w io.Writer, r gometrics.Registry) error {
 	var families []*dto.MetricFamily
 	r.Each(func(name string, m any) {
