--- a/router/internal/report/burn.go
+++ b/router/internal/report/burn.go
@@ -31,7 +31,7 @@
 	StateOK State = "ok"
 	// StateTicket: the budget is used up too fast; act on it within the day.
 	StateTicket State = "ticket"
-	// StatePage: the budget will be used up within hours; act on it at once.
+	// StatePage: the budget is used up much too fast; act on it at once.
 	StatePage State = "page"
 	// StateNoData: no events in the last 6 hours.
 	StateNoData State = "no data"
@@ -40,15 +40,17 @@
 	StateNoObjective State = "no objective"
 )
 
-// A state is raised if both windows of a pair reach its burn rate. A burn rate of 1
-// uses up exactly the budget. The rates are the customary ones for a budget
-// of 30 days: 14.4 over an hour uses 2% of it, 6 over six hours uses 5%.
+// A state is raised if the burn rates of both windows of a pair reach its threshold,
+// pageBurn or ticketBurn. A burn rate of 1 uses up exactly the budget. The thresholds are
+// the customary ones for a budget of 30 days: 14.4 over an hour uses 2% of it, 6 over six
+// hours uses 5%.
 const (
 	pageBurn   = 14.4
 	ticketBurn = 6.0
-	// pageFraction and ticketFraction are fractions of all requests. The state is also
-	// raised if at least this fraction uses up budget (is unavailable, slow or exposed)
-	// in both windows: with a large budget, the rates above cannot be reached.
+	// pageFraction and ticketFraction are fractions of the requests that a level counts.
+	// The state is also raised if at least this fraction uses up budget (is unavailable,
+	// slow or exposed) in both windows: with a large budget, the rates above cannot be
+	// reached.
 	pageFraction   = 0.5
 	ticketFraction = 0.25
 	// maxBurn bounds a burn rate, to keep the scale of a plot readable.
@@ -87,31 +89,34 @@
 type TeamReport struct {
 	Team   string  `json:"team"`
 	Levels []Level `json:"levels"`
+	// points are the counts for the plot, oldest first.
 	points []Point
 }
 
 // InstanceResult says whether one instance answered, and with what or why not.
 type InstanceResult struct {
-	Address    string    `json:"address"`
-	Instance   string    `json:"instance,omitempty"`
-	Answered   bool      `json:"answered"`
-	Error      string    `json:"error,omitempty"`
-	Generation uint64    `json:"generation,omitempty"`
-	Since      time.Time `json:"since,omitzero"`
+	Address    string `json:"address"`
+	Instance   string `json:"instance,omitempty"`
+	Answered   bool   `json:"answered"`
+	Error      string `json:"error,omitempty"`
+	Generation uint64 `json:"generation,omitempty"`
+	// Since is when the instance began to count.
+	Since time.Time `json:"since,omitzero"`
 }
 
 // Report is the burn report of a fleet.
 type Report struct {
 	At        time.Time        `json:"at"`
 	Instances []InstanceResult `json:"instances"`
-	Bad       []string         `json:"bad_versions"`
-	Teams     []TeamReport     `json:"teams"`
+	// Bad lists the versions judged bad.
+	Bad   []string     `json:"bad_versions"`
+	Teams []TeamReport `json:"teams"`
 	// objectives and badVersions are for the plots.
 	objectives  map[string]manifest.Objective
 	badVersions map[string]bool
 }
 
-// UnansweredCount is the number of instances that did not answer.
+// UnansweredCount returns the number of instances that did not answer.
 func (r Report) UnansweredCount() int {
 	n := 0
 	for _, i := range r.Instances {
@@ -249,10 +254,10 @@
 	}
 }
 
-// alertState raises a state if both the long and the short window of a pair reach its
-// rate. The long one prevents an alert for a few bad seconds, the short one ends the
-// alert soon after the cause has ended. budget is the fraction of the events that the
-// level's budget allows.
+// alertState returns the state of l, from its burn rates. A state is raised only if both
+// the long and the short window of a pair reach its threshold: the long one prevents an
+// alert for a few bad seconds, the short one ends the alert soon after the cause has
+// ended. budget is the fraction of the events that the level's budget allows.
 func alertState(l Level, budget float64) State {
 	fast := min(l.Burn[Window5m.Name], l.Burn[Window1h.Name])
 	slow := min(l.Burn[Window30m.Name], l.Burn[Window6h.Name])
--- a/router/internal/report/counts.go
+++ b/router/internal/report/counts.go
@@ -3,9 +3,9 @@
 //
 // Each instance has a Recorder: counters in short slots of time, and histograms,
 // with a bound on memory. The admin listener serves a Snapshot of it; the
-// operators' tool merges the snapshots of all instances into one Report. Instances
-// store no counts, so those of a replaced instance are lost, and a Report says
-// since when each instance has counted.
+// operators' tool merges the snapshots of all instances into one Report. Counts are
+// kept in memory only, so those of a restarted or replaced instance are lost, and a
+// Report says since when each instance has counted.
 package report
 
 // Counts are the requests of one team in a span of time. Counts of several slots
@@ -23,7 +23,7 @@
 	// those with one over the objective then in force.
 	InterTokens     uint64 `json:"inter"`
 	SlowInterTokens uint64 `json:"inter_slow"`
-	// Cost is the sum over all billed requests, Billed their number.
+	// Cost is the sum over all requests with a cost above 0, Billed their number.
 	Cost   float64 `json:"cost"`
 	Billed uint64  `json:"billed"`
 	// Versions counts the requests that ran on each version, all of them, since
@@ -31,8 +31,9 @@
 	Versions map[string]uint64 `json:"versions,omitempty"`
 }
 
-// maxVersions bounds the versions counted separately in one slot. It covers what a
-// team uses during a roll-out of every model in the largest target deployment.
+// maxVersions bounds the versions counted separately in one Counts, and the versions that
+// a Recorder keeps as bad. It covers what a team uses during a roll-out of every model in
+// the largest target deployment.
 const maxVersions = 64
 
 // otherVersions is the key for the versions beyond the bound.
@@ -65,7 +66,7 @@
 }
 
 // Exposed returns how many requests ran on versions that are judged bad, and how
-// many ran on any version.
+// many ran on any version. Requests counted under otherVersions are not exposed.
 func (c Counts) Exposed(bad map[string]bool) (exposed, all uint64) {
 	for v, n := range c.Versions {
 		all += n
--- a/router/internal/report/fleet.go
+++ b/router/internal/report/fleet.go
@@ -100,9 +100,9 @@
 	return total
 }
 
-// addHistogram merges an encoded histogram. One that cannot be decoded is left out:
-// it is only used for the measured percentile, while states and budgets are computed
-// from counters.
+// addHistogram merges an encoded histogram into another one. One that cannot be decoded is
+// left out: histograms are used only for the measured percentile, while states and
+// budgets are computed from counters.
 func addHistogram(into *hdrhistogram.Histogram, data []byte) {
 	if len(data) == 0 {
 		return
--- a/router/internal/report/latency.go
+++ b/router/internal/report/latency.go
@@ -26,9 +26,8 @@
 
 // rollingHistogram keeps the distribution of a duration over the last hour: the live
 // histogram of the current span, and those of the earlier spans in encoded form, which
-// takes little memory. The span with number n is at index n modulo
-// latencySpanCount of closed; closedNumbers holds the number of the span that is at an
-// index now.
+// takes little memory. The span with number n is at index n modulo latencySpanCount of
+// closed; closedNumbers holds the number of the span that is at an index now.
 type rollingHistogram struct {
 	live          *hdrhistogram.Histogram
 	liveNumber    int64
@@ -43,7 +42,7 @@
 func (l *rollingHistogram) record(now time.Time, d time.Duration) {
 	l.roll(now)
 	ms := min(max((d+time.Millisecond-1).Milliseconds(), 1), maxLatencyMS)
-	// The only error is a value outside the histogram's range, which ms is not.
+	// RecordValue fails only for a value outside the histogram's range; ms is within it.
 	_ = l.live.RecordValue(ms)
 }
 
--- a/router/internal/report/page/plot.go
+++ b/router/internal/report/page/plot.go
@@ -60,7 +60,8 @@
 		return "", trace.Wrap(err)
 	}
 	// An XML declaration is not allowed within HTML, so it is cut off. The rest
-	// consists of numbers and this package's own texts, so it needs no escaping.
+	// consists of numbers and of constant texts of this package and package report,
+	// so it needs no escaping.
 	svg := b.String()
 	return template.HTML(svg[strings.Index(svg, "<svg"):]), nil
 }
--- a/router/internal/report/page_test.go
+++ b/router/internal/report/page_test.go
@@ -13,6 +13,8 @@
 	"masticplank.example/router/internal/report/page"
 )
 
+// TestPageGolden guards against a page that differs from the golden file, hides an
+// instance that did not answer, or loads anything from elsewhere.
 func TestPageGolden(t *testing.T) {
 	var out bytes.Buffer
 	if err := page.WriteHTML(&out, report.DegradedFleet(t)); err != nil {
@@ -29,8 +31,8 @@
 	}
 }
 
-// TestPageEscapesNames guards against names from an instance's response that a browser
-// would run as a script.
+// TestPageEscapesNames guards against a name or an error in a page, for example from an
+// instance's response, that a browser would run as a script.
 func TestPageEscapesNames(t *testing.T) {
 	r := report.Build(report.Begin, []report.Source{
 		{Address: "<script>a", Err: errors.New("<script>b")},
--- a/router/internal/report/recorder.go
+++ b/router/internal/report/recorder.go
@@ -20,11 +20,12 @@
 	// Outcome and Code say whether the caller was served, and why not.
 	Outcome outcome.Kind
 	Code    string
-	// FirstToken is the time to the first token, InterToken the mean time between
-	// tokens; zero if there is none.
+	// FirstToken is the time to the first token, or to the end of an answer that was not
+	// streamed; InterToken is the mean time between tokens. Zero if there is none.
 	FirstToken time.Duration
 	InterToken time.Duration
-	// Cost in the unit of the manifest's costs; zero if the request is not billed.
+	// Cost over all attempts, in the unit of the manifest's costs; zero if the request
+	// is not billed.
 	Cost float64
 }
 
@@ -164,7 +165,7 @@
 }
 
 // Snapshot returns what this instance has counted, in a form that can be merged with
-// other instances' snapshots. It fails only if a histogram cannot be encoded.
+// other instances' snapshots. It fails only if a histogram cannot be encoded or decoded.
 func (r *Recorder) Snapshot(instance string) (Snapshot, error) {
 	now := r.now()
 	out, teams := r.snapshotHeader()
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -67,15 +67,16 @@
 			t.Errorf("after %v: histogram kept: %v, want %v", step.after, got, hour)
 		}
 	}
-	// The slot for the current time is the one that was used 6 h ago.
+	// 60 h are a multiple of 6 h, so this uses the slot of the first record again.
 	r.Record(served("ecoles", "m@1", time.Second))
 	if got := snapshot(t, r, "i").Teams[0].Windows["6h"].Served; got != 1 {
-		t.Errorf("a reused slot counts %d", got)
+		t.Errorf("a reused slot counts %d, want 1", got)
 	}
 }
 
-// TestOnlyTheSystemsFaultsCountAgainstAvailability guards against availability that
-// drops by failures that callers cause, or that misses refusals by the system.
+// TestOnlyTheSystemsFaultsCountAgainstAvailability guards against failures that callers
+// cause, such as an unknown model, being counted as unavailable, and against refusals by
+// the system that are not.
 func TestOnlyTheSystemsFaultsCountAgainstAvailability(t *testing.T) {
 	r := NewRecorder((&clock{begin}).now)
 	for _, s := range []struct {
@@ -100,12 +101,12 @@
 		var got Counts
 		countAvailability(&got, Sample{Outcome: s.kind, Code: s.code})
 		if !reflect.DeepEqual(got, s.want) {
-			t.Errorf("%s %s: got %+v", s.kind, s.code, got)
+			t.Errorf("%s %s: got %+v, which is not what the table wants", s.kind, s.code, got)
 		}
 	}
 	r.Record(Sample{Team: "t", Outcome: outcome.Refused, Code: "queue_full"})
 	if got := snapshot(t, r, "i").Teams[0].Windows["5m"]; got.Unavailable != 1 || got.FirstTokens != 0 || got.Billed != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want one unavailable request and nothing else", got)
 	}
 }
 
@@ -121,7 +122,7 @@
 	r.Record(served("ecoles", "", 101*time.Millisecond))
 	got := snapshot(t, r, "i").Teams[0].Windows["1h"]
 	if got.FirstTokens != 4 || got.SlowFirstTokens != 2 || got.SlowInterTokens != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want 4 first tokens, 2 of them slow, and no slow inter-token time", got)
 	}
 }
 
@@ -155,7 +156,7 @@
 	one := Build(c.t, []Source{{Address: "w", Snapshot: snapshot(t, whole, "w")}})
 	three := Build(c.t, sources)
 	if !reflect.DeepEqual(one.Teams[0].Levels, three.Teams[0].Levels) || !reflect.DeepEqual(one.Bad, three.Bad) {
-		t.Errorf("one recorder:\n%+v\nthree:\n%+v", one.Teams[0].Levels, three.Teams[0].Levels)
+		t.Errorf("three recorders differ from one; one:\n%+v\nthree:\n%+v", one.Teams[0].Levels, three.Teams[0].Levels)
 	}
 	if one.Teams[0].Levels[0].Events == 0 || one.Teams[0].Levels[4].Measured == 0 {
 		t.Errorf("nothing was measured: %+v", one.Teams[0].Levels)
@@ -186,14 +187,14 @@
 	}
 	s := snapshot(t, r, "i")
 	if len(s.Teams) != maxTeams+1 || len(s.BadVersions) != maxVersions {
-		t.Errorf("%d teams, %d bad versions", len(s.Teams), len(s.BadVersions))
+		t.Errorf("%d teams and %d bad versions, want maxTeams+1 and maxVersions", len(s.Teams), len(s.BadVersions))
 	}
 	for _, team := range s.Teams {
 		if got := len(team.Windows["6h"].Versions); got > maxVersions+1 {
-			t.Errorf("%s: %d versions", team.Team, got)
+			t.Errorf("%s: %d versions, want at most maxVersions+1", team.Team, got)
 		}
 		if team.Team == otherTeams && team.Windows["6h"].Served != maxTeams {
-			t.Errorf("%d requests of other teams", team.Windows["6h"].Served)
+			t.Errorf("%d requests of other teams, want maxTeams", team.Windows["6h"].Served)
 		}
 	}
 }
--- a/router/internal/report/report_test.go
+++ b/router/internal/report/report_test.go
@@ -43,6 +43,8 @@
 	})
 }
 
+// TestGolden guards against changed output for a terminal or for programs, and against a
+// report that hides an instance that did not answer.
 func TestGolden(t *testing.T) {
 	r := degradedFleet(t)
 	g := goldie.New(t, goldie.WithFixtureDir("testdata"))
@@ -92,15 +94,16 @@
 	}
 }
 
-// TestReportUsesTheNewestObjectives guards against objectives of an older manifest, from an
-// instance that is behind, in the report. The order of the sources must not matter.
+// TestReportUsesTheNewestObjectives guards against a report by the objectives of an older
+// manifest, which an instance that is behind still has in force. The order of the sources
+// must not matter.
 func TestReportUsesTheNewestObjectives(t *testing.T) {
 	old := Snapshot{Instance: "a", Generation: 1, Objectives: agencyObjectives[1:]}
 	newer := Snapshot{Instance: "b", Generation: 2, Objectives: agencyObjectives[:1]}
 	for _, sources := range [][]Source{{{Snapshot: old}, {Snapshot: newer}}, {{Snapshot: newer}, {Snapshot: old}}} {
 		r := Build(begin, sources)
 		if len(r.Teams) != 1 || r.Teams[0].Team != "ecoles" || r.Teams[0].Levels[0].State != StateNoData {
-			t.Errorf("got %+v", r.Teams)
+			t.Errorf("got %+v, want the team ecoles alone, in the state \"no data\"", r.Teams)
 		}
 	}
 }
@@ -127,6 +130,8 @@
 	})
 }
 
+// TestStatusGolden guards against changed output, such as a lost row for an instance that
+// did not answer, or a lost warning.
 func TestStatusGolden(t *testing.T) {
 	lines := []InstanceStatus{
 		{Address: "10.41.1.11:8081", Status: &StatusReport{
--- a/router/internal/report/text.go
+++ b/router/internal/report/text.go
@@ -73,8 +73,8 @@
 	return strconv.FormatFloat(l.Burn[window], 'f', 2, 64)
 }
 
-// budgetAndBurnText joins the budget left and the burn rates in the order of the
-// heading, which is that of AlertWindows.
+// budgetAndBurnText joins the budget left and the burn rates, in the order of
+// AlertWindows, as the columns of writeLevels are.
 func (l Level) budgetAndBurnText(sep string) string {
 	parts := []string{l.BudgetText()}
 	for _, w := range AlertWindows() {
