--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -62,9 +62,9 @@
 				t.Errorf("after %v, window %s: %d, want %d", step.after, name, got, want)
 			}
 		}
-		hour := step.after < time.Hour
-		if got := team.FirstToken != nil; got != hour {
-			t.Errorf("after %v: histogram kept: %v, want %v", step.after, got, hour)
+		withinHour := step.after < time.Hour
+		if got := team.FirstToken != nil; got != withinHour {
+			t.Errorf("after %v: histogram kept: %v, want %v", step.after, got, withinHour)
 		}
 	}
 	// 60 h are a multiple of 6 h, so this uses the slot of the first record again.
--- a/router/internal/report/report_test.go
+++ b/router/internal/report/report_test.go
@@ -133,7 +133,7 @@
 // TestStatusGolden guards against changed output, such as a lost row for an instance that
 // did not answer, or a lost warning.
 func TestStatusGolden(t *testing.T) {
-	lines := []InstanceStatus{
+	statuses := []InstanceStatus{
 		{Address: "10.41.1.11:8081", Status: &StatusReport{
 			Instance: "entry-rimouski-1", Domain: "salle-rimouski", Generation: 41, Mode: "fresh", OpenRequests: 12,
 			Offset: 900, Head: 900, LogReachable: true, BadVersions: []string{"patron@4"}, EjectedServers: []string{"moteur-3", "moteur-7"},
@@ -145,7 +145,7 @@
 		{Address: "10.41.3.11:8081", Error: "no answer from http://10.41.3.11:8081"},
 	}
 	var out bytes.Buffer
-	if err := WriteStatusText(&out, lines); err != nil {
+	if err := WriteStatusText(&out, statuses); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "status.txt", out.Bytes())
--- a/router/internal/report/status.go
+++ b/router/internal/report/status.go
@@ -45,14 +45,14 @@
 func WriteStatusText(w io.Writer, statuses []InstanceStatus) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "INSTANCE\tADDRESS\tDOMAIN\tGENERATION\tMODE\tOPEN\tOFFSET\tLAG\tLOG\tHELD BILLS\tSHUT OFF\tEJECTED")
-	for _, l := range statuses {
-		if l.Status == nil {
-			fmt.Fprintf(t, "NO ANSWER\t%s\t%s\n", l.Address, l.Error)
+	for _, instance := range statuses {
+		if instance.Status == nil {
+			fmt.Fprintf(t, "NO ANSWER\t%s\t%s\n", instance.Address, instance.Error)
 			continue
 		}
-		s := l.Status
+		s := instance.Status
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\n",
-			s.Instance, l.Address, s.Domain, s.Generation, s.Mode, s.OpenRequests, s.Offset, s.Lag,
+			s.Instance, instance.Address, s.Domain, s.Generation, s.Mode, s.OpenRequests, s.Offset, s.Lag,
 			reachability(s.LogReachable), s.HeldBills, joinOrDash(s.BadVersions), joinOrDash(s.EjectedServers))
 	}
 	if err := t.Flush(); err != nil {
@@ -71,16 +71,16 @@
 func statusWarnings(statuses []InstanceStatus) []string {
 	var warnings []string
 	var newest uint64
-	for _, l := range statuses {
-		if l.Status != nil {
-			newest = max(newest, l.Status.Generation)
+	for _, instance := range statuses {
+		if instance.Status != nil {
+			newest = max(newest, instance.Status.Generation)
 		}
 	}
-	for _, l := range statuses {
-		if l.Status == nil {
+	for _, instance := range statuses {
+		if instance.Status == nil {
 			continue
 		}
-		s := l.Status
+		s := instance.Status
 		if s.Generation < newest {
 			warnings = append(warnings, fmt.Sprintf("%s is at generation %d, others at %d", s.Instance, s.Generation, newest))
 		}
