--- a/router/internal/cli/settingscmd/settingscmd.go
+++ b/router/internal/cli/settingscmd/settingscmd.go
@@ -43,8 +43,8 @@
 	return cmd
 }
 
-// check reads all files before it returns an error, so that one run shows the
-// faults of all of them.
+// check collects the faults of all files before it returns them, so that one run
+// shows them all. A file that cannot be read ends the check at once.
 func check(cmd *cobra.Command, files []string, output string) error {
 	all := settings.Faults{}
 	for _, file := range files {
--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -37,6 +37,8 @@
 	Log       *logging.Logger
 }
 
+// newPeers returns this instance's node of the peer network, and connects the gate and
+// the fleetLink to it.
 func newPeers(p peerParams) (*peer.Node, error) {
 	tls, err := peer.TLSConfig(p.Settings.Peer)
 	if err != nil {
@@ -61,8 +63,8 @@
 	return n, nil
 }
 
-// startPeers opens the listener for the other instances, serves them, and follows
-// the quarantines that they write to the log.
+// startPeers opens the listener for the other instances, serves them, and passes the
+// quarantines in the log on to package decision.
 func startPeers(lc fx.Lifecycle, p peerParams, n *peer.Node, addrs *Addresses) {
 	p.Store.Watch(record.ClassQuarantine, func(c fold.Change) {
 		if ev, ok := parseQuarantine(c); ok {
--- a/router/internal/report/burn.go
+++ b/router/internal/report/burn.go
@@ -169,8 +169,8 @@
 }
 
 // budgetUse is the use of a level's budget in a span of time with a number of events:
-// used out of allowed, both in events or, for cost, in the unit of cost. If allowed is
-// 0, there is no budget.
+// used out of allowed, both in events or, for cost, in the unit of cost. allowed is 0 if
+// there is no budget or no event.
 type budgetUse struct {
 	used    float64
 	allowed float64
--- a/router/internal/report/latency.go
+++ b/router/internal/report/latency.go
@@ -16,7 +16,7 @@
 	// this one.
 	maxLatencyMS = 600_000
 	// latencyDigits are the significant digits kept: a resolution of 1% is finer
-	// than any objective needs, and a histogram then takes about 12 KB.
+	// than any objective needs, and a histogram then takes about 14 KB.
 	latencyDigits = 2
 )
 
