--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -37,8 +37,8 @@
 	Log       *logging.Logger
 }
 
-// newPeers returns this instance's node of the peer network, and connects the gate and
-// the fleetLink to it.
+// newPeers returns the node that exchanges messages with the other instances, and sets it
+// in the gate and the fleetLink, which are created before it.
 func newPeers(p peerParams) (*peer.Node, error) {
 	tls, err := peer.TLSConfig(p.Settings.Peer)
 	if err != nil {
