--- a/coordination/faultmatrix/testbed.go
+++ b/coordination/faultmatrix/testbed.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// holdBill returns a buffer of in that holds the cell's bill and has no room for
-// another. peer gets a copy unless it is nil.
+// holdBill returns a buffer of the instance in that holds the cell's bill and has
+// no room for another. peer gets a copy unless it is nil.
 func (b *testbed) holdBill(in *instance, peer *ledger.Buffer) *ledger.Buffer {
 	b.t.Helper()
 	var copyTo ledger.CopyFunc
@@ -246,7 +246,7 @@
 		b.t.Fatal(err)
 	}
 	if copied := reservation.Hold(context.Background(), b.bill()); copied != (peer != nil) {
-		b.t.Errorf("bill copied to a peer: %v, want a copy if there is a peer", copied)
+		b.t.Errorf("bill copied to a peer: %v, want a copy if and only if there is a peer", copied)
 	}
 	return buf
 }
--- a/coordination/fold/clock.go
+++ b/coordination/fold/clock.go
@@ -27,8 +27,8 @@
 	pendingWriter string
 }
 
-// observe takes the times of one entry in Unix microseconds. logTime is 0 if the log
-// does not timestamp its entries.
+// observe takes the times of one entry in Unix microseconds. logTime is 0 if the
+// log does not timestamp its entries.
 func (c *clock) observe(logTime, writerTime int64, writer string) {
 	if logTime > 0 {
 		c.advance(logTime)
--- a/coordination/fold/fold.go
+++ b/coordination/fold/fold.go
@@ -9,7 +9,7 @@
 // readers of the same prefix hold the same state, whenever and however often
 // they read it. A key has one winner, since the first live Put takes the key
 // and later ones find it taken. A released nonce never wins, since its
-// tombstone lasts as long as the log can still deliver the Put. A claim is
+// tombstone lasts for as long as the log can still deliver the Put. A claim is
 // never won twice, since its register outlives the window in which the key may
 // be claimed. A manifest is never reverted, since it wins only as the child of
 // the manifest in force and a Release has no effect on it.
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -129,8 +129,8 @@
 }
 
 // SetLiveInstances sets the list of live instances, which may include this one.
-// The list lags, so it only determines whose reports of an unreachable log count
-// and how many make a majority; any peer can confirm a head.
+// The list lags, so it only determines whose reports on an outage count and how
+// many make a majority; any peer can confirm a head.
 func (t *Tracker) SetLiveInstances(names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/coordination/keyedlog/keyedlog.go
+++ b/coordination/keyedlog/keyedlog.go
@@ -69,9 +69,8 @@
 	Append(ctx context.Context, at Position, records ...Record) error
 }
 
-// Errors of a Log. Implementations wrap them together with the cause; callers use errors.Is. Their
-// texts are part of the protocol between instances (router/internal/relay sends them in errors) and so
-// don't change.
+// Errors of a Log. Implementations wrap them together with the cause; callers use errors.Is.
+// router/internal/relay sends their texts to other instances, so the texts must not change.
 var (
 	// ErrNotApplied means that the call had no effect: the log is busy or refuses this
 	// instance.
--- a/coordination/ledger/bill.go
+++ b/coordination/ledger/bill.go
@@ -79,7 +79,7 @@
 }
 
 // Validate reports a missing or out-of-range field. Errors wrap ErrInvalidBill.
-// Their texts are sent to peers (router/internal/peer) and so don't change.
+// router/internal/peer sends their texts to peers, so the texts must not change.
 func (b *Bill) Validate() error {
 	if b.Team == "" || b.RequestID == "" {
 		return trace.Wrap(ErrInvalidBill, "no team or no request id")
@@ -131,8 +131,8 @@
 }
 
 // ParseBill decodes the bill in a Put. Errors wrap ErrInvalidBill, also for a
-// bill under the key of another request.
-// Their texts are sent to peers (router/internal/peer) and so don't change.
+// bill under the key of another request. router/internal/peer sends their texts
+// to peers, so the texts must not change.
 func ParseBill(r record.Record) (Bill, error) {
 	if r.Kind != record.KindPut || !strings.HasPrefix(string(r.Key), string(record.ClassBill)+"/") {
 		return Bill{}, trace.Wrap(ErrInvalidBill, "not the Put of a bill")
--- a/coordination/node/tail.go
+++ b/coordination/node/tail.go
@@ -98,7 +98,7 @@
 }
 
 // checkReady reports the folded offset to the observer and closes n.ready once
-// the target is folded. The target is the head at the node's first read:
+// the target is folded. If the target is the head at the node's first read,
 // everything accepted before the start is then in force.
 func (n *Node) checkReady() {
 	n.mu.RLock()
--- a/coordination/record/codec.go
+++ b/coordination/record/codec.go
@@ -20,8 +20,8 @@
 const MaxBatchBytes = MaxValueBytes + 1<<20
 
 // wireBatch and wireRecord are the encoded forms of Batch and Record. They are
-// CBOR arrays, so that no field names are transmitted. Times are Unix microseconds, 0 if unset;
-// lifetimes are nanoseconds.
+// CBOR arrays, so that no field names are transmitted. Times are Unix
+// microseconds, 0 if unset; lifetimes are nanoseconds.
 type wireBatch struct {
 	_          struct{} `cbor:",toarray"`
 	Version    uint64
