--- a/decision/commands.go
+++ b/decision/commands.go
@@ -45,8 +45,8 @@
 	Result AttemptResult
 }
 
-// PinSession answers SessionOpening: one version for each model that the team may
-// use, in order of ModelID; none if it may use no model.
+// PinSession answers SessionOpening: one version for each model of which the team
+// may use a serving version, in order of ModelID.
 type PinSession struct {
 	Session  SessionID
 	Versions []VersionID
--- a/decision/config.go
+++ b/decision/config.go
@@ -43,7 +43,7 @@
 	LoadReportTTL time.Duration
 	// Overcommit is the fraction by which the requests at a server, by its load
 	// report, may exceed its slots when an instance that runs nothing there
-	// dispatches its first attempt.
+	// dispatches its first attempt; one request is always allowed.
 	Overcommit float64
 	// RefusedBackoff is how long a server is excluded from selection after it
 	// refused an attempt or crashed.
@@ -92,7 +92,7 @@
 	// which a server counts as slow.
 	SlowFactor float64
 	// MaxEjected bounds the fraction of a group of servers that is ejected at the
-	// same time.
+	// same time; one server of a group of two or more may always be ejected.
 	MaxEjected float64
 	// Policy replaces single decisions with simple baselines for measurements. The
 	// zero value is for production.
@@ -154,8 +154,8 @@
 		// independently chosen servers are unlikely to all fail, and the load grows
 		// by at most a factor of four.
 		MaxAttempts: 4,
-		// One crash may be the server's fault, two in a row are caused by the
-		// request.
+		// One crash may be the server's fault, two with the same request are caused
+		// by the request.
 		MaxCrashes: 2,
 		// Long enough to outlast a caller's retries, short enough that a repaired
 		// server is tried again within the hour.
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -10,8 +10,9 @@
 //
 // Load: hard requests among easy ones, and a rating service that is late, slow,
 // wrong or down. Harm prevented: an answer below the team's quality target. An
-// answer never waits for its rating longer than its rating timeout, nor past the
-// point where the second step could still complete in time.
+// answer waits for its rating no longer than its rating timeout (plus ratingGrace
+// if the router's event is lost), and is held only if the second step is expected
+// to complete in time after that.
 func (w *World) escalate() {
 	for _, e := range w.rated {
 		w.learnRating(e)
--- a/decision/ingest.go
+++ b/decision/ingest.go
@@ -3,8 +3,8 @@
 import "time"
 
 // ingest applies the events to the tables in order. Arrivals, session openings,
-// ended attempts and ratings are also recorded for the later systems, which decide
-// what follows from them with all events of the tick applied.
+// ended attempts and ratings are recorded for the later systems, which handle them
+// once all events of the tick are applied.
 func (w *World) ingest(in []Event) {
 	for _, e := range in {
 		w.apply(e)
--- a/decision/internal/place/place.go
+++ b/decision/internal/place/place.go
@@ -4,8 +4,8 @@
 //
 // The caller supplies the candidates (two random servers and up to two with the
 // deepest prefix matches), so the cost of a pick does not grow with the number of
-// servers.
-// Everything here is a pure function of the candidates; nothing is allocated.
+// servers. Everything here is a pure function of the candidates; nothing is
+// allocated.
 package place
 
 // Candidate is the state of one backend server with respect to one request.
--- a/decision/internal/verdict/doc.go
+++ b/decision/internal/verdict/doc.go
@@ -4,7 +4,7 @@
 //   - Versions compares each version with its predecessor and blocks one that
 //     is statistically worse, except for a small share of probes;
 //   - Outliers ejects backend servers that are slow or failing compared with
-//     their peers, never more than a configured share of them;
+//     their peers, up to a configured share of them;
 //   - Crashes counts the backend servers that a request has crashed and reports
 //     at the second (by default) that the request must be quarantined.
 //
--- a/decision/internal/verdict/outlier_config.go
+++ b/decision/internal/verdict/outlier_config.go
@@ -19,7 +19,8 @@
 	// FalseAlarmRate bounds false ejections for errors: the mean number of
 	// attempts between two of them is at least 1/FalseAlarmRate.
 	FalseAlarmRate float64
-	// MaxEjectedShare is the largest share of a group that is ejected at once.
+	// MaxEjectedShare is the largest share of a group that is ejected at once; one
+	// server of a group of two or more may always be ejected.
 	// If more servers look bad, the cause is more likely load or a fault of this
 	// instance, and ejecting them would overload the rest.
 	MaxEjectedShare float64
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// demand is the load of one team: requests equal to request, perSecond on average.
+// demand is the load of one team: on average perSecond requests like request.
 type demand struct {
 	perSecond float64
 	request   Request
--- a/decision/passthrough/cascade_test.go
+++ b/decision/passthrough/cascade_test.go
@@ -91,10 +91,9 @@
 	}
 }
 
-// TestOneCrowdedServerDoesNotLimitTheService guards against keeping weak responses while most servers
-// are idle, which happens if one crowded server counts as a full service. Requests with one prefix go
-// to one server: even in its last slots the smallest model's weak responses are dropped, and a larger
-// model is requested, while the other servers have free slots.
+// TestOneCrowdedServerDoesNotLimitTheService guards against one crowded server that counts as a full
+// service. Requests with one prefix go to one server: in its last slots, too, weak responses of the
+// smallest model must be dropped while the other servers have free slots.
 func TestOneCrowdedServerDoesNotLimitTheService(t *testing.T) {
 	h := newHarness(t, Settings{})
 	h.configure(streamRoute())
--- a/decision/passthrough/escalation.go
+++ b/decision/passthrough/escalation.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// learnEscalation records whether a middle model, if the response is from one, was confident.
+// learnEscalation records, for a response of a middle model, whether the model was confident.
 func (w *World) learnEscalation(r *request, confidence float64) {
 	if r.nextModel > 0 && r.model == r.nextModel && r.model < len(r.Route.Models)-1 && confidence >= 0 {
 		w.statsOf(r.Route.Name).escalation.learn(r.droppedConfidence, confidence >= minConfidence)
--- a/decision/passthrough/events.go
+++ b/decision/passthrough/events.go
@@ -15,8 +15,9 @@
 // request's turn comes, unless RequestCancelled comes first.
 type RequestArrived struct{ Request Request }
 
-// RequestCancelled reports that the request needs no response any more: its caller has
-// disconnected, or its deadline has passed. It is ignored once the request has ended.
+// RequestCancelled reports that the request needs no response any more, for example because
+// its caller has disconnected or its deadline has passed. It is ignored once the request has
+// ended.
 type RequestCancelled struct{ Request RequestID }
 
 // AttemptEnded ends a Dispatch. A Dispatch, Refuse or Finish follows, unless the result is
--- a/decision/passthrough/health.go
+++ b/decision/passthrough/health.go
@@ -30,8 +30,7 @@
 // check passes. Harm prevented: it fails fast, so it looks idle and attracts more
 // requests.
 type health struct {
-	// failed and total count the failed and all recent attempts, with weights that decay with each
-	// attempt.
+	// failed and total count the failed and all attempts; earlier attempts weigh less.
 	failed       float64
 	total        float64
 	ejectedUntil time.Time
--- a/decision/passthrough/inactivity.go
+++ b/decision/passthrough/inactivity.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Inactivity is how long an attempt, whose request may run again elsewhere, and its server
-// have been idle.
+// Inactivity is how long an attempt and its server have been idle. It is used only for requests
+// that may run again elsewhere.
 type Inactivity struct {
 	Route *Route
 	// FirstByteTimeout is that of the dispatch; 0 for no bound of its own.
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -242,8 +242,8 @@
 	return float64(n) / f.now().Sub(since).Seconds()
 }
 
-// limitRates are the limits of the tests' first servers, in requests per second: a quarter of
-// usualRate, a third, less, more, one of 0, which all but stops requests, and one above usualRate.
+// limitRates are the limits of the tests' first servers, in requests per second: four below
+// usualRate, one of 0, which all but stops requests, and one above usualRate.
 var limitRates = []float64{1, 1.4, 0.3, 2.5, 0, 12}
 
 // usualRate is how many requests per second a server gets without limits.
--- a/decision/passthrough/rollout.go
+++ b/decision/passthrough/rollout.go
@@ -69,8 +69,8 @@
 	// happen to good versions too.
 	minBadForVerdict = 5
 	// minBadAtCompletion is the least number of bad responses that may prevent a completion, which
-	// cannot be undone. For two bad responses to prevent it, they must be among about
-	// eleven or fewer.
+	// cannot be undone. Two bad responses prevent it only if they are among 15 or fewer, or among
+	// fewer still if the old version has bad responses too.
 	minBadAtCompletion = 2
 	// badFloor is the ratio of bad responses that any version is allowed; badFactor times the
 	// old version's ratio is added to it, as failing servers and lost responses affect both
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -161,7 +161,7 @@
 	h.tick(AttemptEnded{Request: id, Result: Broken})
 	for _, c := range h.allCommands {
 		if o, ok := c.(Observation); ok && o.Bad {
-			t.Fatalf("a timeout was reported as bad, want it left out: %+v", o)
+			t.Fatalf("a timeout was reported as bad, want it not to count as bad: %+v", o)
 		}
 	}
 	h.tick(AttemptEnded{Request: id, Result: Failed})
@@ -186,7 +186,7 @@
 			c = c.Add(Observation{FirstByte: singleRatio(ratio), EventInterval: singleRatio(1.1)})
 		}
 		if IsBad(c, Counts{Good: 100}) {
-			t.Errorf("judged bad by times of %v times the old version's, want no verdict", ratios)
+			t.Errorf("judged bad by times to the first byte of %v times the old version's, want no verdict", ratios)
 		}
 	}
 	var slow Counts
--- a/decision/passthrough/seam/seam.go
+++ b/decision/passthrough/seam/seam.go
@@ -1,6 +1,5 @@
-// Package seam holds the types that a platform adapter and the package
-// router/internal/passthrough, whose Handler serves callers' requests, exchange with each
-// other. They are independent of the platform. An adapter converts between them and the
+// Package seam holds the types that a platform adapter and router/internal/passthrough
+// exchange. They are independent of the platform: an adapter converts between them and the
 // platform's messages, and makes no decisions.
 package seam
 
--- a/decision/passthrough/slowstart_test.go
+++ b/decision/passthrough/slowstart_test.go
@@ -267,6 +267,6 @@
 	restarted[0].StartTime = 2
 	h.tick(ServersListed{restarted})
 	if s := h.world.servers[list[0].ID]; !s.inSlowStart(h.now) || s.inSlowStart(h.now.Add(testSlowStartDuration)) {
-		t.Errorf("in slow start until %v, want one slow start from now on", s.slowStart.until)
+		t.Errorf("in slow start until %v, want later than now and no later than testSlowStartDuration from now", s.slowStart.until)
 	}
 }
--- a/decision/passthrough/world.go
+++ b/decision/passthrough/world.go
@@ -73,8 +73,7 @@
 	eligible []serverView
 }
 
-// New returns an empty world. It refuses all requests until it has a configuration and a list of
-// backend servers.
+// New returns an empty world. It refuses all requests until it has a list of backend servers.
 func New(cfg Settings) *World {
 	sessions, err := simplelru.NewLRU[string, sessionEntry](maxSessions, nil)
 	if err != nil {
