--- a/decision/crash_test.go
+++ b/decision/crash_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Duplicates of a request that crashes servers must crash two at most, however many
-// are sent at once.
+// A request that crashes servers and its duplicates must crash two at most, however
+// many duplicates are sent at once after the first crash.
 func TestCrashingCopies(t *testing.T) {
 	h := newHarness(t, DefaultConfig())
 	h.manifest(1, []Team{testTeam("weavers", 1)}, testVersions())
--- a/decision/passthrough/dispatch_test.go
+++ b/decision/passthrough/dispatch_test.go
@@ -122,7 +122,7 @@
 		}
 	}
 	if failing > 40 || late > 15 {
-		t.Errorf("the failing server got %d attempts in 200 requests, %d of them in the last 100; want at most 40 and 15", failing, late)
+		t.Errorf("the failing server got %d attempts in 200 requests, %d of them in the last 99; want at most 40 and 15", failing, late)
 	}
 }
 
--- a/decision/shift_test.go
+++ b/decision/shift_test.go
@@ -62,7 +62,7 @@
 			}
 			offer(h, rng, 20*time.Second, load)
 			if first < 1900 || bad > 50+first/100 {
-				t.Errorf("the bad version got %d of %d requests, want at most 50 and 1%% of at least 1900", bad, first)
+				t.Errorf("the bad version got %d of %d requests, want at most 50 plus 1%% of the requests, and at least 1900 requests", bad, first)
 			}
 			if shared == 0 {
 				t.Error("the verdict was not shared")
