--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -8,9 +8,9 @@
 // wantedVersion is the version that the request goes to: the roll-out's target, or "" for
 // any other.
 //
-// If countVersions finds no server for that, the others take the request: an instance that
-// has just started may not know yet that a roll-out was completed and the old servers are gone.
-// A reverted version gets nothing even then.
+// If there is no such server (see countVersions), the others take the request: an instance
+// that has just started may not know yet that the old servers are gone. A reverted version
+// gets nothing even then.
 func (w *World) wantedVersion(r *request, ro *Rollout) string {
 	atTarget, others := w.countVersions(r.service, ro.Target)
 	switch {
