--- a/decision/passthrough/versions.go
+++ b/decision/passthrough/versions.go
@@ -8,7 +8,7 @@
 // wantedVersion is the version that the request goes to: the roll-out's target, or "" for
 // any other.
 //
-// If no server with that version is listed, the other one takes the request: an instance
+// If there is no such server (see countVersions), the others take the request: an instance
 // that has just started may not know yet that the old servers are gone. A reverted version
 // gets nothing even then.
 func (w *World) wantedVersion(r *request, ro *Rollout) string {
