--- a/router/internal/passthrough/conns_test.go
+++ b/router/internal/passthrough/conns_test.go
@@ -53,7 +53,7 @@
 		defer client.CloseIdleConnections()
 	}
 	if closed < 3*kept-1 {
-		t.Errorf("%d of %d connections were closed after their responses, want three in four, less one, at least", closed, 4*kept)
+		t.Errorf("%d of %d connections were closed after their responses, want at least three quarters less one", closed, 4*kept)
 	}
 	if n := handler.conns.open.Load(); n > kept+2 {
 		t.Errorf("%d connections are open, %d may be kept", n, kept)
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -133,7 +133,7 @@
 		r := a.rollouts.open["shop"]
 		a.rollouts.advance(t.Context(), r)
 		if r.ended != c.want {
-			t.Errorf("%+v: ended as %v before the peers could report, want the end that the case names last", c, r.ended)
+			t.Errorf("%+v: ended as %v before the peers could report, want the end in the case's field want", c, r.ended)
 		}
 		if err := observations.Append(t.Context(), keyedlog.AnyPosition, b.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
--- a/router/internal/peer/node_test.go
+++ b/router/internal/peer/node_test.go
@@ -37,7 +37,7 @@
 			}
 		case "i2":
 			if v.LogReachable || v.HeadAge != maxAge {
-				t.Errorf("got %+v, want a head of maxAge, log unreachable", v)
+				t.Errorf("got %+v, want a head age of maxAge, log unreachable", v)
 			}
 		}
 	}
@@ -447,11 +447,11 @@
 		t.Error("full with no bill held")
 	}
 	if !fleet[0].HeldBillsFull(maxHeldBills) {
-		t.Error("not full, with space for fewer bills than there are open requests")
+		t.Error("not full, with room for no more bills than there are open requests")
 	}
 	fleet[0].fillBills(t)
 	if !fleet[0].HeldBillsFull(0) {
-		t.Error("not full with all space reserved")
+		t.Error("not full with all room reserved")
 	}
 	if err := fleet[0].Hold(context.Background(), testBill(1)); err == nil || fleet[1].HeldBills() != 0 {
 		t.Errorf("full here: got error %v with %d copies, want an error and none", err, fleet[1].HeldBills())
--- a/router/internal/relay/client_test.go
+++ b/router/internal/relay/client_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	if longest > minStoreBackoff+200*time.Millisecond {
-		t.Errorf("an urgent topic waited for %v, want little more than minStoreBackoff at most", longest)
+		t.Errorf("an urgent topic waited for %v, want at most minStoreBackoff plus 200 ms", longest)
 	}
 }
 
@@ -97,7 +97,7 @@
 		t.Errorf("read the store %d times in 10 s, want at most one read by each topic and one per probeInterval", reads)
 	}
 	if longest > probeInterval+tick {
-		t.Errorf("the store's recovery would be noticed only after %v, want one probeInterval", longest)
+		t.Errorf("the store's recovery would be noticed only after %v, want at most probeInterval plus one tick", longest)
 	}
 	c.storeAnswered()
 	for range topics {
