--- a/router/internal/api/exchange.go
+++ b/router/internal/api/exchange.go
@@ -68,7 +68,7 @@
 	// events are the data of a stream's events that are still to be written, in
 	// order; nil for an answer that is not streamed.
 	events []string
-	// text is the generated text, if it is to be rated.
+	// text is the generated text; it may be empty if the answer is not to be rated.
 	text string
 }
 
@@ -108,8 +108,8 @@
 
 // context returns the request's context, which ends when the caller disconnects.
 // For work that may not be repeated the context does not end then: once dispatched,
-// such work runs to its end so that its outcome can be recorded. Both end
-// deadlineGrace after the request's deadline at the latest.
+// such work runs to its end so that its outcome can be recorded. In either case the
+// context ends deadlineGrace after the request's deadline at the latest.
 func (x *exchange) context() (context.Context, context.CancelFunc) {
 	parent := x.r.Context()
 	if !x.req.Idempotent {
--- a/router/internal/passthrough/configstate.go
+++ b/router/internal/passthrough/configstate.go
@@ -10,8 +10,8 @@
 // ConfigState holds the configuration in force and when it was last confirmed to be current.
 // It is safe for concurrent use.
 //
-// The configuration's age counts from the time as of which the last read that confirmed it saw the
-// store. That is the start of the read, unless the result states its age: a configuration that is
+// The configuration's age counts from the time as of which the store was read: the start of the last
+// read that confirmed the configuration, unless the result states its age. A configuration that is
 // written while the read is in progress may be missing from the result.
 type ConfigState struct {
 	clock Clock
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -7,7 +7,7 @@
 	"masticplank.example/router/internal/relay"
 )
 
-// Driver holds the decision's state, a passthrough.World. It applies events to it and passes on the
+// Driver holds a World of decision/passthrough. It applies events to the World and passes on the
 // resulting commands. It is safe for concurrent use.
 type Driver struct {
 	clock Clock
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -221,8 +221,8 @@
 }
 
 // revertTimeout is how long an instance that does not write the register waits for others to revert
-// a bad version: they evaluate every 0.4 s, and get this instance's observations within
-// propagationTime.
+// a bad version. They evaluate every 0.4 s and usually have this instance's observations by then;
+// the maximum, propagationTime, is longer.
 const revertTimeout = 2 * time.Second
 
 // revertOverdue reports whether this instance should revert a bad version itself, since the instances
@@ -259,8 +259,8 @@
 		slog.Int("old_good", seen.oldCounts.Good), slog.Int("old_bad", seen.oldCounts.Bad))
 }
 
-// applyPlan passes a changed plan to the decision and logs each step, that is any change other than of a
-// time or from one share above 0 to another.
+// applyPlan passes a changed plan to decision/passthrough and logs each step, that is any change other
+// than of a time or from one share above 0 to another.
 func (m *rollouts) applyPlan(r *rollout, plan passthrough.Rollout, seen view) {
 	if plan == r.plan {
 		return
--- a/router/internal/peer/bills.go
+++ b/router/internal/peer/bills.go
@@ -37,8 +37,8 @@
 // Hold keeps a bill here and at one peer until the log takes it. A nil error
 // means that both copies exist. After an error the answer must not be completed
 // as if it had been billed. If only the peer's answer was lost, the peer still
-// holds its copy; that is harmless, since a repetition of the request with the
-// same Idempotency-Key results in the same bill.
+// holds its copy and later writes that bill; a repetition of the request with
+// the same Idempotency-Key results in the same bill.
 func (n *Node) Hold(ctx context.Context, r record.Record) error {
 	if err := n.holdWithCopy(ctx, r); err != nil {
 		n.Log.Emit(ctx, logging.EventBillRefused, logging.Err(err))
@@ -130,8 +130,8 @@
 
 // Drain makes sure that no bill is held only here: it writes the bills to the
 // log or, if the log does not take them, sends each to one more peer. It
-// returns how many are left, which is 0 unless no peer accepts one or ctx
-// ended.
+// returns how many are left, which is 0 unless ctx ended or some bill was
+// accepted by no peer.
 func (n *Node) Drain(ctx context.Context) int {
 	if n.Bills.Reachable() {
 		n.flushBills(ctx)
--- a/router/internal/peer/health.go
+++ b/router/internal/peer/health.go
@@ -51,7 +51,7 @@
 }
 
 // publish adds a statement of this instance to its items and queues it for the
-// next push. A later end than maxItemLifetime allows is shortened.
+// next push. It shortens a lifetime that exceeds maxItemLifetime.
 func (n *Node) publish(it HealthItem, now, until time.Time) {
 	it.Timestamp = now.UnixMilli()
 	it.Until = min(until.UnixMilli(), it.Timestamp+maxItemLifetime.Milliseconds())
--- a/router/internal/peer/transfer.go
+++ b/router/internal/peer/transfer.go
@@ -14,8 +14,8 @@
 
 // snapshotTTL is how long a snapshot is kept for those that fetch it. Until
 // then it also serves new transfers, so that peers cannot make this instance
-// encode one for each; only an asker whose own offset is not behind the kept
-// snapshot's causes a newer one.
+// encode one for each. Only a requester that is not behind the kept snapshot
+// causes a newer one.
 const snapshotTTL = fetchTimeout
 
 // snapshotCache serves pieces of this instance's state. It keeps one snapshot
--- a/router/internal/platform/log.go
+++ b/router/internal/platform/log.go
@@ -126,10 +126,10 @@
 }
 
 // decodePage decodes the answer to a read from offset from. It accepts only a page
-// whose entries have no gaps, start at from and lie between the first kept offset
-// and the head: a reader that folded anything else would differ from the other
+// whose entries have no gaps, start at from and lie from the first kept offset to
+// below the head: a reader that folded anything else would differ from the other
 // readers permanently. If from has been trimmed, it returns ErrTrimmed and a page
-// that has no entries but the first kept offset and the head.
+// that states only the first kept offset and the head.
 func decodePage(status int, body []byte, from uint64) (platformlog.Page, error) {
 	if status != http.StatusOK && status != http.StatusGone {
 		return platformlog.Page{}, fmt.Errorf("%w: %w", platformlog.ErrUnavailable, statusError(status, body))
--- a/router/internal/relay/messages.go
+++ b/router/internal/relay/messages.go
@@ -67,7 +67,7 @@
 	// TookUS is how long the request was processed at the collector, in microseconds.
 	TookUS int64 `json:"took_us"`
 	// Loads is the known load of other instances at the backend servers, Limits the rate limits
-	// stated to these, and Instances the number of these instances.
+	// that backend servers stated to those instances, and Instances the number of instances.
 	Loads  []byte `json:"loads,omitempty"`
 	Limits []byte `json:"limits,omitempty"`
 	// LostConfigVersion is as in loadsParams.
--- a/router/internal/wire/wire.go
+++ b/router/internal/wire/wire.go
@@ -167,8 +167,8 @@
 }
 
 // Error is the body of the error responses of masticplank and of the platform's
-// services. A backend server's response to a request that it rejected is passed on
-// to the caller as it is.
+// services. There are two exceptions: errors of pass-through routes are plain text,
+// and a backend server's response to a request that it rejected is passed on as it is.
 type Error struct {
 	Error ErrorBody `json:"error"`
 }
