--- a/router/internal/platform/rating.go
+++ b/router/internal/platform/rating.go
@@ -12,7 +12,8 @@
 )
 
 // RatingClient is a client of the rating service over HTTP. It implements Rater and
-// is safe for concurrent use. It has no timeout besides the caller's context.
+// is safe for concurrent use. Apart from dialTimeout, only the caller's context
+// bounds a call.
 type RatingClient struct {
 	base   string
 	client *http.Client
--- a/router/internal/wire/prefix.go
+++ b/router/internal/wire/prefix.go
@@ -17,9 +17,9 @@
 )
 
 // PromptBlocks hashes a prompt block by block, each hash chained over the ones
-// before it: two prompts share the first n hashes if and only if they share the
-// first n blocks. A last, partial block has no hash, since engines cache only
-// whole blocks. Router and engine use the same function.
+// before it: barring collisions, two prompts share the first n hashes if and only
+// if they share the first n blocks. A last, partial block has no hash, since
+// engines cache only whole blocks. Router and engine use the same function.
 func PromptBlocks(messages []Message) []uint64 {
 	prompt := flatten(messages)
 	blocks := make([]uint64, 0, len(prompt)/blockBytes)
