--- a/router/internal/daemon/peers.go
+++ b/router/internal/daemon/peers.go
@@ -37,8 +37,8 @@
 	Log       *logging.Logger
 }
 
-// newPeers returns the node that exchanges messages with the other instances, and sets it
-// in the gate and the fleetLink, which are created before it.
+// newPeers returns the node that exchanges messages with the other instances. It also
+// connects the node to the gate and the fleetLink, which are created before it.
 func newPeers(p peerParams) (*peer.Node, error) {
 	tls, err := peer.TLSConfig(p.Settings.Peer)
 	if err != nil {
--- a/router/internal/daemon/report.go
+++ b/router/internal/daemon/report.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// burn returns the body of /burn. If the histograms cannot be encoded, which should
-// never happen, the body has no teams, so that the report lists this instance without
-// counts.
+// burn returns the body of /burn. If a histogram cannot be encoded or decoded, which
+// should never happen, the body has the instance's name only, so that the report lists
+// this instance without counts.
 func (s *status) burn() report.Snapshot {
 	snapshot, err := s.params.Report.Snapshot(s.params.Settings.Instance)
 	if err != nil {
--- a/router/internal/demo/demo.go
+++ b/router/internal/demo/demo.go
@@ -36,7 +36,7 @@
 type Config struct {
 	// Requests is the number of requests of the load, at least 1.
 	Requests int
-	// Workers is the number of workers, at least 1 in effect; each sends one
+	// Workers is the number of workers; less than 1 counts as 1. Each sends one
 	// request at a time, or both requests of a kindDuplicate.
 	Workers int
 	// Seed of the load.
--- a/router/internal/e2e/smoke_test.go
+++ b/router/internal/e2e/smoke_test.go
@@ -219,7 +219,7 @@
 		var got wire.Error
 		_ = json.Unmarshal([]byte(r.body), &got)
 		if r.status != c.status || got.Error.Code != c.code || r.header.Get(wire.HeaderOutcome) != "refused" {
-			t.Errorf("%s: status %d, code %q, outcome %q", c.name, r.status, got.Error.Code, r.header.Get(wire.HeaderOutcome))
+			t.Errorf("%s: status %d, code %q, outcome %q; want the status and code of the case, refused", c.name, r.status, got.Error.Code, r.header.Get(wire.HeaderOutcome))
 		}
 	}
 }
--- a/router/internal/faultmatrix/caller.go
+++ b/router/internal/faultmatrix/caller.go
@@ -182,10 +182,10 @@
 	b.t.Helper()
 	for _, r := range b.runs {
 		if at, ok := b.withdrawn[r.version]; ok && r.at.After(at.Add(b.withdrawalSlack)) {
-			b.t.Errorf("ran on %s %v after its withdrawal", r.version, r.at.Sub(at))
+			b.t.Errorf("ran on %s %v after its withdrawal, want at most withdrawalSlack after it", r.version, r.at.Sub(at))
 		}
 		if at, ok := b.leaving[r.server]; ok && r.at.After(at) {
-			b.t.Errorf("ran at %s %v after it began to leave", r.server, r.at.Sub(at))
+			b.t.Errorf("ran at %s %v after it began to leave, want no run after that", r.server, r.at.Sub(at))
 		}
 	}
 }
--- a/router/internal/faultmatrix/instance.go
+++ b/router/internal/faultmatrix/instance.go
@@ -27,7 +27,8 @@
 )
 
 // instance is one entry instance, assembled as in package daemon, but with
-// hooks and without a rating service or a Recorder.
+// hooks, with stubs for the rating service and the Recorder, and without the
+// listing of backend servers and the sending of orders.
 type instance struct {
 	*node.Node
 	b      *testbed
--- a/router/internal/faultmatrix/request_cells_test.go
+++ b/router/internal/faultmatrix/request_cells_test.go
@@ -63,8 +63,8 @@
 	{"claimed", "server dies", "", "", "completed>already_run"},
 	{"claimed", "crossed resend", "", "", "completed>already_run"},
 
-	// The decision has dispatched the request to a backend server; the check of the
-	// gate and the manifest is still to come, and for a reservation the claim and
+	// Package decision has dispatched the request to a backend server; the check of
+	// the gate and the manifest is still to come, and for a reservation the claim and
 	// one more check.
 	{"dispatch", "kill", "gone>completed", "gone>completed", "gone>completed"},
 	{"dispatch", "cut from log", "completed>completed", "completed>completed", "refused>completed"},
--- a/router/internal/loadgen/loadgen_test.go
+++ b/router/internal/loadgen/loadgen_test.go
@@ -16,7 +16,7 @@
 		"http://10.0.0.7:8080": false, "http://example.org": false, "http://localhost:1": false, "::": false,
 	} {
 		if _, err := NewTarget(base, "", RequestSpec{}); (err == nil) != allowed {
-			t.Errorf("%s: %v", base, err)
+			t.Errorf("%s: error %v, want one unless the host is a loopback IP address", base, err)
 		}
 	}
 }
--- a/router/internal/logging/logging_test.go
+++ b/router/internal/logging/logging_test.go
@@ -29,8 +29,9 @@
 	}
 }
 
-// TestNumbersAndNamesAreUnique guards against an event whose number or name operators
-// know as that of another one, or that has no text.
+// TestNumbersAndNamesAreUnique guards against an event that operators mistake for another
+// one, because it has the number or name of that one or a retired number, and against an
+// event without a text.
 func TestNumbersAndNamesAreUnique(t *testing.T) {
 	names := map[string]bool{}
 	last := 0
--- a/router/internal/report/recorder_test.go
+++ b/router/internal/report/recorder_test.go
@@ -101,7 +101,7 @@
 		var got Counts
 		countAvailability(&got, Sample{Outcome: s.kind, Code: s.code})
 		if !reflect.DeepEqual(got, s.want) {
-			t.Errorf("%s %s: got %+v, which is not what the table wants", s.kind, s.code, got)
+			t.Errorf("%s %s: got %+v, want the counts of the case", s.kind, s.code, got)
 		}
 	}
 	r.Record(Sample{Team: "t", Outcome: outcome.Refused, Code: "queue_full"})
--- a/router/internal/report/text.go
+++ b/router/internal/report/text.go
@@ -73,8 +73,8 @@
 	return strconv.FormatFloat(l.Burn[window], 'f', 2, 64)
 }
 
-// budgetAndBurnText joins the budget left and the burn rates, in the order of
-// AlertWindows, as the columns of writeLevels are.
+// budgetAndBurnText joins the budget left and the burn rates in the order of
+// AlertWindows, which is that of the columns in writeLevels.
 func (l Level) budgetAndBurnText(sep string) string {
 	parts := []string{l.BudgetText()}
 	for _, w := range AlertWindows() {
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -183,7 +183,7 @@
 			r := wire.ChatRequest{Model: "m@1", Messages: user("x"), Stream: tt.stream}
 			reply := chat(t.Context(), s, r)
 			if reply.Aborted != tt.aborted || reply.Header.Get(wire.HeaderAttempt) != tt.nonce {
-				t.Errorf("aborted %v, nonce %q", reply.Aborted, reply.Header.Get(wire.HeaderAttempt))
+				t.Errorf("aborted %v, nonce %q, want those of the case", reply.Aborted, reply.Header.Get(wire.HeaderAttempt))
 			}
 			var text string
 			var ids []int
@@ -197,7 +197,7 @@
 				t.Errorf("complete %v, expected answer %v", complete, !tt.expected)
 			}
 			if duplicated := len(ids) > 0 && ids[len(ids)-1] == len(ids)-2; duplicated != tt.duplicated {
-				t.Errorf("ids %v", ids)
+				t.Errorf("ids %v, want one of them twice under the fault duplicate_chunk, and none otherwise", ids)
 			}
 			// The fault is injected once; the next answer is correct.
 			next := readPlain(t, chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}).Body)
@@ -225,7 +225,7 @@
 				t.Errorf("request %d took %s, want %s", i, took, want)
 			}
 			if cached := answer.Usage.CachedTokens; cached != i*blocks*wire.BlockTokens() {
-				t.Errorf("request %d: %d cached tokens", i, cached)
+				t.Errorf("request %d: %d cached tokens, want none for request 0 and all for request 1", i, cached)
 			}
 		}
 	})
@@ -381,7 +381,7 @@
 			{"7", `"m@2"`, 200}, {"7", `"m@2"`, 200}, {"6", `"m@1"`, 409}, {"8", `"m@9"`, 409}, {"x", ``, 400},
 		} {
 			if got := order(tt.fencing, tt.versions); got != tt.want {
-				t.Errorf("order %+v: status %d", tt, got)
+				t.Errorf("order %+v: status %d, want the last number of the case", tt, got)
 			}
 		}
 		standintest.SetFaults(s, `{"leaving":true}`)
--- a/router/internal/standin/engine/slots.go
+++ b/router/internal/standin/engine/slots.go
@@ -11,7 +11,8 @@
 var errBusy = errors.New("engine: slots and queue are full")
 
 // slots admits requests to the running batch: at most limit at once. The others
-// wait in order of priority, then of arrival. It is safe for concurrent use.
+// wait in order of priority, highest number first, then of arrival. It is safe for
+// concurrent use.
 type slots struct {
 	limit      int
 	queueLimit int
@@ -94,7 +95,7 @@
 	granted chan struct{}
 }
 
-// waiters is a heap ordered by priority, then by arrival.
+// waiters is a heap ordered by priority, highest number first, then by arrival.
 type waiters []*waiter
 
 func (q waiters) Len() int { return len(q) }
--- a/router/internal/standin/logsvc/logsvc.go
+++ b/router/internal/standin/logsvc/logsvc.go
@@ -35,8 +35,8 @@
 	Retention time.Duration
 	// MaxEntries is the maximum number of entries kept; 0 means no limit.
 	MaxEntries int
-	// AppendRate is the rate of the token bucket for appends, per second, and
-	// its size; 0 means no limit.
+	// AppendRate is the rate, in appends per second, and the size of the token
+	// bucket that limits appends; 0 means no limit.
 	AppendRate int
 	// Now is the service's clock; nil means time.Now.
 	Now func() time.Time
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -80,7 +80,7 @@
 }
 
 // The fault LateEffectMS must simulate the worst case of a lost reply: the append
-// takes effect long after its caller has timed out, not before and not never.
+// does take effect, but only long after its caller has timed out.
 func TestAppendTakesEffectAfterItsCallerTimedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
--- a/router/internal/standin/service/service_test.go
+++ b/router/internal/standin/service/service_test.go
@@ -41,10 +41,10 @@
 			standintest.SetFaults(s, tt.faults)
 			reply := reserve(s, "k")
 			if reply.Aborted != tt.aborted || (!tt.aborted && reply.Status != tt.status) {
-				t.Errorf("reply %+v", reply)
+				t.Errorf("reply %+v, want the status of the case or an aborted connection, as the case says", reply)
 			}
 			if got := reply.Header.Get(wire.HeaderNotRun) == "true"; got != tt.notRun {
-				t.Errorf("header Masticplank-Not-Run set: %v", got)
+				t.Errorf("header Masticplank-Not-Run set: %v, want the opposite", got)
 			}
 			if nonce := reply.Header.Get(wire.HeaderAttempt); tt.notRun && nonce != "n1" {
 				t.Errorf("refused with nonce %q, want n1", nonce)
