--- a/router/internal/logging/logging_test.go
+++ b/router/internal/logging/logging_test.go
@@ -66,7 +66,7 @@
 		return true
 	})
 	if declared != len(Catalogue()) {
-		t.Errorf("%d events declared, %d in the catalogue", declared, len(Catalogue()))
+		t.Errorf("%d events declared, %d in the catalogue, want the same number", declared, len(Catalogue()))
 	}
 }
 
--- a/router/internal/standin/engine/engine_test.go
+++ b/router/internal/standin/engine/engine_test.go
@@ -321,7 +321,7 @@
 			}
 		}
 		if reply := chat(t.Context(), s, wire.ChatRequest{Model: "m@1", Messages: user("x")}); !reply.Aborted {
-			t.Errorf("served while down: %+v", reply)
+			t.Errorf("served while down: %+v, want an aborted connection", reply)
 		}
 		time.Sleep(3 * time.Second)
 		marked := wire.ChatRequest{Model: "m@1", Messages: user("a " + CrashMark)}
--- a/router/internal/standin/logsvc/logsvc_test.go
+++ b/router/internal/standin/logsvc/logsvc_test.go
@@ -90,11 +90,11 @@
 		go appendEntry(t, s, ctx)
 		<-ctx.Done()
 		if _, page := read(t, s, "from=0"); page.Head != 0 {
-			t.Errorf("the append took effect too early: %+v", page)
+			t.Errorf("the append took effect before late_effect_ms had passed: page %+v, want head 0", page)
 		}
 		time.Sleep(10 * time.Second)
 		if _, page := read(t, s, "from=0"); page.Head != 1 {
-			t.Errorf("the append did not take effect: %+v", page)
+			t.Errorf("the append did not take effect: page %+v, want head 1", page)
 		}
 	})
 }
