--- a/router/internal/api/fixture_test.go
+++ b/router/internal/api/fixture_test.go
@@ -115,7 +115,7 @@
 
 type noRater struct{}
 
-func (noRater) Rate(context.Context, wire.RatingRequest) (float64, error) {
+func (noRater) Rate(context.Context, wire.RateRequest) (float64, error) {
 	return 0, context.DeadlineExceeded
 }
 
--- a/router/internal/api/rating.go
+++ b/router/internal/api/rating.go
@@ -49,7 +49,7 @@
 	if d.Hold && d.RatingTimeout > 0 {
 		timeout = d.RatingTimeout
 	}
-	req := wire.RatingRequest{
+	req := wire.RateRequest{
 		Team:    x.caller.team.ID,
 		Task:    string(x.req.Class),
 		Version: string(d.Version),
@@ -69,7 +69,7 @@
 }
 
 // start rates an answer in the background and sends event with the result.
-func (q *ratingPool) start(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) {
+func (q *ratingPool) start(event decision.AnswerRated, req wire.RateRequest, timeout time.Duration) {
 	select {
 	case q.slots <- struct{}{}:
 	default:
@@ -85,7 +85,7 @@
 	}()
 }
 
-func (q *ratingPool) requestRating(event decision.AnswerRated, req wire.RatingRequest, timeout time.Duration) decision.AnswerRated {
+func (q *ratingPool) requestRating(event decision.AnswerRated, req wire.RateRequest, timeout time.Duration) decision.AnswerRated {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	score, err := q.rater.Rate(ctx, req)
--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -156,4 +156,4 @@
 // noRater fails to rate any answer.
 type noRater struct{}
 
-func (noRater) Rate(context.Context, wire.RatingRequest) (float64, error) { return 0, io.EOF }
+func (noRater) Rate(context.Context, wire.RateRequest) (float64, error) { return 0, io.EOF }
--- a/router/internal/platform/clients_test.go
+++ b/router/internal/platform/clients_test.go
@@ -89,7 +89,7 @@
 			svc.Faults.Set(tt.faults)
 			server := httptest.NewServer(svc)
 			defer server.Close()
-			score, err := NewRatingClient(server.URL).Rate(context.Background(), wire.RatingRequest{
+			score, err := NewRatingClient(server.URL).Rate(context.Background(), wire.RateRequest{
 				Version: "m@1",
 				Answer:  "q=0.750 some words",
 			})
--- a/router/internal/platform/platform.go
+++ b/router/internal/platform/platform.go
@@ -17,5 +17,5 @@
 // Rater is the service that rates answers. It may be slow, wrong or unreachable.
 type Rater interface {
 	// Rate returns a score from 0 to 1.
-	Rate(ctx context.Context, r wire.RatingRequest) (float64, error)
+	Rate(ctx context.Context, r wire.RateRequest) (float64, error)
 }
--- a/router/internal/platform/rating.go
+++ b/router/internal/platform/rating.go
@@ -27,7 +27,7 @@
 
 // Rate implements Rater. A score outside 0 to 1 is an error and not clamped: a
 // service that violates its own range says nothing about the answer.
-func (c *RatingClient) Rate(ctx context.Context, r wire.RatingRequest) (float64, error) {
+func (c *RatingClient) Rate(ctx context.Context, r wire.RateRequest) (float64, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
 		return 0, err
--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -71,7 +71,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.handler.ServeHTTP(w, r) }
 
 func (s *Server) rate(w http.ResponseWriter, r *http.Request) {
-	var request wire.RatingRequest
+	var request wire.RateRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&request); err != nil {
 		faults.WriteError(w, http.StatusBadRequest, "malformed_request", err.Error())
 		return
@@ -89,7 +89,7 @@
 
 // score returns the score of an answer, 0 to 1 unless the fault Scores sets another
 // one.
-func (s *Server) score(r wire.RatingRequest) float64 {
+func (s *Server) score(r wire.RateRequest) float64 {
 	active := s.Faults.Get()
 	if score, ok := active.Scores[r.Version]; ok {
 		return score
@@ -107,7 +107,7 @@
 
 // noise returns a number from -1 to 1 derived from a hash of the request
 // without its version.
-func noise(r wire.RatingRequest) float64 {
+func noise(r wire.RateRequest) float64 {
 	sum := xxhash.Sum64String(fmt.Sprintf("%q%q%q%q", r.Team, r.Task, r.Prompt, r.Answer))
 	return float64(sum>>11)/(1<<52) - 1
 }
--- a/router/internal/standin/rating/rating_test.go
+++ b/router/internal/standin/rating/rating_test.go
@@ -14,7 +14,7 @@
 	var sum float64
 	const n = 2000
 	for i := range n {
-		r := wire.RatingRequest{Task: "draft", Prompt: string(rune(i)), Answer: "q=0.700 x"}
+		r := wire.RateRequest{Task: "draft", Prompt: string(rune(i)), Answer: "q=0.700 x"}
 		score := s.score(r)
 		if score != s.score(r) {
 			t.Fatal("the same request scored differently")
@@ -27,7 +27,7 @@
 	if mean := sum / n; math.Abs(mean-0.5) > 0.01 {
 		t.Errorf("mean %v, want 0.5", mean)
 	}
-	if got := s.score(wire.RatingRequest{Task: "draft", Answer: "not from the engine"}); got > 0.1 {
+	if got := s.score(wire.RateRequest{Task: "draft", Answer: "not from the engine"}); got > 0.1 {
 		t.Errorf("unknown text scored %v, want at most 0.1", got)
 	}
 }
--- a/router/internal/wire/wire.go
+++ b/router/internal/wire/wire.go
@@ -151,9 +151,9 @@
 	Instances []ListedInstance `json:"instances"`
 }
 
-// RatingRequest is the body of POST /rate at the rating service; the response
+// RateRequest is the body of POST /rate at the rating service; the response
 // is a RatingResponse.
-type RatingRequest struct {
+type RateRequest struct {
 	Team    string `json:"team"`
 	Task    string `json:"task"`
 	Version string `json:"version"`
