--- a/router/internal/wire/wire.go
+++ b/router/internal/wire/wire.go
@@ -152,7 +152,8 @@
 }
 
 // RateRequest is the body of POST /rate at the rating service; the response
-// is a RatingResponse.
+// is a RatingResponse. Keep the name RateRequest: the rating stand-in answers a
+// malformed body with encoding/json's error text, which names this type.
 type RateRequest struct {
 	Team    string `json:"team"`
 	Task    string `json:"task"`
