--- a/decision/internal/place/filters.go
+++ b/decision/internal/place/filters.go
@@ -33,10 +33,10 @@
 // Keep implements Filter.
 func (HasVersion) Keep(c *Candidate) bool { return c.VersionLoaded }
 
-// NotTried drops servers that the request should avoid (see Candidate.Tried). One
+// NotAvoided drops servers that the request should avoid (see Candidate.Tried). One
 // that crashes under load, for example, would cost a further attempt on the same
 // fault.
-type NotTried struct{}
+type NotAvoided struct{}
 
 // Keep implements Filter.
-func (NotTried) Keep(c *Candidate) bool { return !c.Tried }
+func (NotAvoided) Keep(c *Candidate) bool { return !c.Avoid }
--- a/decision/internal/place/place.go
+++ b/decision/internal/place/place.go
@@ -30,9 +30,9 @@
 	// refusal or a crash count as Ejected too.
 	Leaving bool
 	Ejected bool
-	// Tried is true if the request should avoid the server: it has failed there
+	// Avoid is true if the request should avoid the server: it has failed there
 	// already, or the server takes only probes and the request cannot be retried.
-	Tried bool
+	Avoid bool
 }
 
 // Filter decides whether a candidate may take the request at all.
--- a/decision/internal/place/place_test.go
+++ b/decision/internal/place/place_test.go
@@ -22,7 +22,7 @@
 		{name: "ejected", list: []Candidate{with(func(c *Candidate) { c.Ejected = true })}, want: None},
 		{name: "full", list: []Candidate{with(func(c *Candidate) { c.Running = 4 })}, want: None},
 		{name: "not loaded", list: []Candidate{with(func(c *Candidate) { c.VersionLoaded = false })}, want: None},
-		{name: "tried", list: []Candidate{with(func(c *Candidate) { c.Tried = true }), good}, want: 1},
+		{name: "tried", list: []Candidate{with(func(c *Candidate) { c.Avoid = true }), good}, want: 1},
 		{name: "less load", list: []Candidate{with(func(c *Candidate) { c.Load = 0.5 }), good}, want: 1},
 		{name: "same domain", list: []Candidate{good, with(func(c *Candidate) { c.SameDomain = true })}, want: 1},
 		{
@@ -39,7 +39,7 @@
 		},
 	}
 	p := Picker{
-		Filters: []Filter{NotLeaving{}, NotEjected{}, HasFreeSlot{}, HasVersion{}, NotTried{}},
+		Filters: []Filter{NotLeaving{}, NotEjected{}, HasFreeSlot{}, HasVersion{}, NotAvoided{}},
 		Scorers: []Scorer{LeastLoad{}, PrefixAffinity{Weight: 1, MaxLoad: 0.8}, DomainAffinity{Weight: 0.05}},
 	}
 	for _, tt := range tests {
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -8,7 +8,7 @@
 func newPicker(cfg Config) place.Picker {
 	return place.Picker{
 		Filters: []place.Filter{
-			place.NotLeaving{}, place.NotEjected{}, place.HasFreeSlot{}, place.HasVersion{}, place.NotTried{},
+			place.NotLeaving{}, place.NotEjected{}, place.HasFreeSlot{}, place.HasVersion{}, place.NotAvoided{},
 		},
 		Scorers: []place.Scorer{
 			place.LeastLoad{},
@@ -65,7 +65,7 @@
 		VersionLoaded: s.inPool(p),
 		Leaving:       s.leaving || s.gone,
 		Ejected:       !s.isFree, // also servers in backoff, as place.Candidate defines it
-		Tried:         w.avoids(r, s),
+		Avoid:         w.avoids(r, s),
 	})
 	return &w.candidates[len(w.candidates)-1]
 }
