--- a/decision/internal/place/filters.go
+++ b/decision/internal/place/filters.go
@@ -33,9 +33,9 @@
 // Keep implements Filter.
 func (HasVersion) Keep(c *Candidate) bool { return c.VersionLoaded }
 
-// NotAvoided drops servers that the request should avoid (see Candidate.Tried). One
-// that crashes under load, for example, would cost a further attempt on the same
-// fault.
+// NotAvoided drops servers that the request should avoid (see Candidate.Avoid).
+// One that crashes under load, for example, would cost a further attempt on the
+// same fault.
 type NotAvoided struct{}
 
 // Keep implements Filter.
