--- a/decision/passthrough/drain.go
+++ b/decision/passthrough/drain.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if count > 0 {
-		w.emit(SlowStartBegun{Domain: domain, Servers: count, Duration: span, Cause: cause})
+		w.emit(SlowStartBegun{Domain: domain, ServerCount: count, Duration: span, Cause: cause})
 	}
 }
 
--- a/decision/passthrough/events.go
+++ b/decision/passthrough/events.go
@@ -217,11 +217,11 @@
 // SlowStartBegun reports that servers enter slow start: one, or all of a failure domain if Server
 // is empty. Servers is their number, Duration the longest of their slow starts.
 type SlowStartBegun struct {
-	Server   string
-	Domain   string
-	Servers  int
-	Duration time.Duration
-	Cause    SlowStartCause
+	Server      string
+	Domain      string
+	ServerCount int
+	Duration    time.Duration
+	Cause       SlowStartCause
 }
 
 // RateLimitChanged reports that a server's rate limit has changed.
--- a/decision/passthrough/servers.go
+++ b/decision/passthrough/servers.go
@@ -66,7 +66,7 @@
 // enterSlowStart puts one server in slow start and reports it.
 func (w *World) enterSlowStart(s *server, span time.Duration, cause SlowStartCause) {
 	if s.beginSlowStart(span, w.now) {
-		w.emit(SlowStartBegun{Server: s.ID, Domain: s.Domain, Servers: 1, Duration: span, Cause: cause})
+		w.emit(SlowStartBegun{Server: s.ID, Domain: s.Domain, ServerCount: 1, Duration: span, Cause: cause})
 	}
 }
 
--- a/router/internal/passthrough/telemetry.go
+++ b/router/internal/passthrough/telemetry.go
@@ -80,7 +80,7 @@
 func (t *telemetry) logSlowStart(c passthrough.SlowStartBegun) {
 	t.count("cooled." + string(c.Cause))
 	t.emit(logging.EventServerCold, slog.String(keyServer, c.Server), slog.String("domain", c.Domain),
-		slog.Int("servers", c.Servers), slog.Int64("for_ms", c.Duration.Milliseconds()), slog.String(keyReason, string(c.Cause)))
+		slog.Int("servers", c.ServerCount), slog.Int64("for_ms", c.Duration.Milliseconds()), slog.String(keyReason, string(c.Cause)))
 }
 
 // logStateKept counts and logs state that is kept although a restored store lacks or contradicts it.
