--- a/coordination/fold/fold_test.go
+++ b/coordination/fold/fold_test.go
@@ -222,7 +222,7 @@
 
 // A bill's register must leave memory after BillLifetime, long before the log
 // drops its entry, since bills are the majority of all records.
-func TestBillsAreForgottenLongBeforeTheLog(t *testing.T) {
+func TestBillsExpireBeforeTheirLogEntries(t *testing.T) {
 	s := New(DefaultConfig(), Options{})
 	start := time.Date(2026, 9, 1, 8, 0, 0, 0, time.UTC)
 	for i := range 10_000 {
