--- a/router/internal/faultmatrix/life_test.go
+++ b/router/internal/faultmatrix/life_test.go
@@ -32,8 +32,8 @@
 	b.expect(kind, via, "completed")
 }
 
-// expectService checks that an instance completes requests of all kinds.
-func (b *testbed) expectService(via string) {
+// expectAllKinds checks that an instance completes requests of all kinds.
+func (b *testbed) expectAllKinds(via string) {
 	b.t.Helper()
 	for _, kind := range []string{kindPlain, kindStream, kindReserve} {
 		b.expectCompleted(kind, via)
@@ -58,7 +58,7 @@
 	{"life", "start", "none", func(b *testbed) {
 		<-b.replaceC(func() {}).Ready()
 		time.Sleep(time.Second)
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "start", "kill", func(b *testbed) {
 		b.kill(b.replaceC(func() { b.log.SetSlow(time.Second) }))
@@ -66,7 +66,7 @@
 		b.log.SetSlow(0)
 		<-b.launch("c").Ready()
 		time.Sleep(time.Second)
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "start", "cut from log", func(b *testbed) {
 		// The peers of c send it the state and vouch for the head. Requests that
@@ -78,7 +78,7 @@
 		b.expectCompleted(kindStream, "c")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "start", "cut from all", func(b *testbed) {
 		b.startDisconnected = true
@@ -87,7 +87,7 @@
 		b.expect(kindPlain, "c", "refused")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "start", "log down", func(b *testbed) {
 		// All instances are in outage mode; the new one gets the state from its
@@ -98,28 +98,28 @@
 		b.expectCompleted(kindStream, "c")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "start", "slow", func(b *testbed) {
 		in := b.replaceC(func() { b.log.SetSlow(1500 * time.Millisecond) })
 		b.expect(kindPlain, "c", "refused")
 		<-in.Ready()
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "start", "freeze", func(b *testbed) {
 		in := b.replaceC(func() { b.log.SetSlow(time.Second) })
 		b.freeze(in, func() { b.log.SetSlow(0); b.withdraw("b"); time.Sleep(freshnessBound) })
 		b.expect(kindPlain, "c", "refused")
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "start", "operator race", func(b *testbed) {
 		in := b.replaceC(func() { b.log.SetSlow(500 * time.Millisecond) })
 		b.racePublications("a", "b")
 		<-in.Ready()
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "start", "lost reply", func(b *testbed) {
 		// The reply to the first append of the new c is lost.
@@ -161,20 +161,20 @@
 		b.expect(kindPlain, "c", "refused")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "catch up", "freeze", func(b *testbed) {
 		b.freeze(b.instances["c"], func() { b.withdraw("b"); time.Sleep(pauseWithinBound) })
 		b.expect(kindPlain, "c", "refused")
 		b.expect(kindReserve, "c", "refused")
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "catch up", "long freeze", func(b *testbed) {
 		b.freeze(b.instances["c"], func() { b.withdraw("b"); time.Sleep(time.Minute) })
 		b.expect(kindPlain, "c", "refused")
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "catch up", "log down", func(b *testbed) {
 		// The log goes down right after a manifest that c has not read from it.
@@ -188,19 +188,19 @@
 			b.expect(kindReserve, via, "refused")
 		}
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "catch up", "slow", func(b *testbed) {
 		b.log.SetSlow(time.Second)
 		time.Sleep(freshnessBound)
 		b.withdraw("b")
 		time.Sleep(3 * time.Second)
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 	{"life", "catch up", "operator race", func(b *testbed) {
 		b.freeze(b.instances["c"], func() { b.racePublications("a", "b"); b.racePublications("a", "b"); time.Sleep(freshnessBound) })
 		b.heal()
-		b.expectService("c")
+		b.expectAllKinds("c")
 		if g := b.instances["c"].holder.Generation(); g != 3 {
 			b.t.Errorf("generation %d, want 3", g)
 		}
@@ -232,7 +232,7 @@
 		b.makeServerLeave()
 		b.expectCompleted(kindPlain, "a")
 		b.expectCompleted(kindPlain, "b")
-		b.expectService("c")
+		b.expectAllKinds("c")
 	}},
 }
 
