--- a/decision/passthrough/load_test.go
+++ b/decision/passthrough/load_test.go
@@ -24,9 +24,9 @@
 
 func (t plainTally) served() float64 { return float64(t.inTarget+t.late) / float64(max(t.sent, 1)) }
 
-// playPlainLoad runs a load on plain servers with the given slots and service time, in
+// simulatePlainLoad runs a load on plain servers with the given slots and service time, in
 // steps of a millisecond, and returns the outcomes of each kind.
-func playPlainLoad(t *testing.T, count, slots int, work, length time.Duration, callers []plainCaller) []plainTally {
+func simulatePlainLoad(t *testing.T, count, slots int, work, length time.Duration, callers []plainCaller) []plainTally {
 	h := newHarness(t, Settings{})
 	route := plainRoute()
 	h.configure(route)
@@ -113,7 +113,7 @@
 		}
 		return 200
 	}
-	got := playPlainLoad(t, testServers, testSlots, testWork, 7*time.Second, []plainCaller{{"a", 0, burst}})[0]
+	got := simulatePlainLoad(t, testServers, testSlots, testWork, 7*time.Second, []plainCaller{{"a", 0, burst}})[0]
 	// In the burst 3000 requests come and 1200 can be served; the other 1000 all can.
 	if got.inTarget < 1900 {
 		t.Errorf("%d of %d in time, want at least 1900; %d late, %d refused", got.inTarget, got.sent, got.late, got.refused)
@@ -135,7 +135,7 @@
 	for i := range 4 {
 		callers = append(callers, plainCaller{fmt.Sprint("small-", i), 0, constantRate(40)})
 	}
-	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, callers)
+	got := simulatePlainLoad(t, testServers, testSlots, testWork, 4*time.Second, callers)
 	for i, tl := range got[1:] {
 		if tl.served() < 0.9 {
 			t.Errorf("small team %d: %.2f served, want at least 0.9; %.2f of the large team", i, tl.served(), got[0].served())
@@ -149,7 +149,7 @@
 // TestHighPriorityGoesFirstWithoutStarvingLowPriority guards against requests of low priority
 // that delay those of high priority, or are starved by them.
 func TestHighPriorityGoesFirstWithoutStarvingLowPriority(t *testing.T) {
-	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{
+	got := simulatePlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{
 		{"a", 0, constantRate(420)}, {"b", 2, constantRate(600)},
 	})
 	if got[0].served() < 0.93 {
@@ -163,7 +163,7 @@
 // TestModerateLoadIsFullyServed guards against refusals and late responses at half of the
 // capacity.
 func TestModerateLoadIsFullyServed(t *testing.T) {
-	got := playPlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{{"a", 0, constantRate(300)}})[0]
+	got := simulatePlainLoad(t, testServers, testSlots, testWork, 4*time.Second, []plainCaller{{"a", 0, constantRate(300)}})[0]
 	if got.refused > 0 || got.late > 0 {
 		t.Errorf("%d refused, %d late of %d at half of the capacity, want none", got.refused, got.late, got.sent)
 	}
--- a/decision/passthrough/overload_test.go
+++ b/decision/passthrough/overload_test.go
@@ -15,9 +15,9 @@
 	for _, factor := range []float64{1, 1.5, 2.2, 3.5, 5, 8, 12} {
 		s := newSim(t, 3, []simCallerKind{{team: "a", rate: simCapacity}})
 		const length = 6 * time.Second
-		s.play(2*time.Second, 0.8)
+		s.simulate(2*time.Second, 0.8)
 		s.tallies[0] = simTally{}
-		s.play(length, factor)
+		s.simulate(length, factor)
 		got := s.tallies[0]
 		value := got.value() / length.Seconds()
 		t.Logf("x %.1f: %d sent, %d in time, %d late, %d weak, %d refused, %d failed: value %.0f per second",
@@ -40,7 +40,7 @@
 		kinds = append(kinds, simCallerKind{team: fmt.Sprint("small-", i), rate: simCapacity / 10})
 	}
 	s := newSim(t, 3, kinds)
-	s.play(6*time.Second, 1)
+	s.simulate(6*time.Second, 1)
 	for i, got := range s.tallies[1:] {
 		if got.served() < 0.85 {
 			t.Errorf("small team %d: %.2f of %d served, want at least 0.85; %.2f of the hot team", i, got.served(), got.sent, s.tallies[0].served())
@@ -52,7 +52,7 @@
 // the lowest priority on full engines, and against starving the latter.
 func TestHighPriorityPromptsGoFirst(t *testing.T) {
 	s := newSim(t, 3, []simCallerKind{{team: "a", priority: 0, rate: 2 * simCapacity}, {team: "b", priority: 2, rate: 10 * simCapacity}})
-	s.play(6*time.Second, 1)
+	s.simulate(6*time.Second, 1)
 	urgent, low := s.tallies[0], s.tallies[1]
 	if urgent.served() < 0.85 || urgent.served() < low.served() {
 		t.Errorf("%.2f of high priority served, want at least 0.85 and no less than the %.2f of low priority", urgent.served(), low.served())
@@ -66,7 +66,7 @@
 // once. Two teams send equal loads, one of which retries each refusal four times at once.
 func TestImmediateRetriesGainNothing(t *testing.T) {
 	s := newSim(t, 3, []simCallerKind{{team: "patient", rate: 4 * simCapacity}, {team: "pushy", rate: 4 * simCapacity, retries: 4}})
-	s.play(6*time.Second, 1)
+	s.simulate(6*time.Second, 1)
 	patient, impatient := s.tallies[0], s.tallies[1]
 	sent := float64(patient.sent)
 	served := float64(patient.inTarget + patient.late + patient.weak)
@@ -87,9 +87,9 @@
 	const capacity = simEngines * 300_000 / 12_000
 	s := newSim(t, 3, []simCallerKind{{team: "a", rate: 4 * capacity}})
 	s.tokens = 12_000
-	s.play(2*time.Second, 1)
+	s.simulate(2*time.Second, 1)
 	s.tallies[0] = simTally{}
-	s.play(6*time.Second, 1)
+	s.simulate(6*time.Second, 1)
 	got := s.tallies[0]
 	inTime := got.inTarget + got.weak
 	t.Logf("%d sent, %d in time, %d late, %d refused, %d failed", got.sent, inTime, got.late, got.refused, got.failed)
--- a/decision/passthrough/peerload_test.go
+++ b/decision/passthrough/peerload_test.go
@@ -18,9 +18,9 @@
 			s := newSimOf(t, instances, engines, []simCallerKind{{team: "a", rate: simCapacity * engines / simEngines / 3}})
 			s.tokens, s.exchangesLoads = 3*simTokens, sharesLoads
 			s.route.TargetLatency = 700 * time.Millisecond
-			s.play(2*time.Second, factor)
+			s.simulate(2*time.Second, factor)
 			s.tallies[0] = simTally{}
-			s.play(length, factor)
+			s.simulate(length, factor)
 			got := s.tallies[0]
 			bad[i] = float64(got.late+got.weak+got.refused+got.failed) / float64(got.inTarget+got.late+got.weak+got.refused+got.failed)
 			t.Logf("x %.1f, load reports %v: %d in time, %d late, %d weak, %d refused, %d failed",
--- a/decision/passthrough/plain_load_test.go
+++ b/decision/passthrough/plain_load_test.go
@@ -70,8 +70,8 @@
 	s.smallSent, s.smallServed = 0, 0
 }
 
-// play sends factor times what the servers can serve.
-func (s *shopSim) play(length time.Duration, factor float64) {
+// simulate sends factor times what the servers can serve.
+func (s *shopSim) simulate(length time.Duration, factor float64) {
 	due := 0.0
 	for until := s.now.Add(length); s.now.Before(until); {
 		s.now = s.now.Add(shopStep)
@@ -197,10 +197,10 @@
 		route := onceRoute()
 		route.MaxAttempts, route.Timeout = 1, 1200*time.Millisecond
 		s := newShopSim(t, 100, route)
-		s.play(time.Second, 0.3)
+		s.simulate(time.Second, 0.3)
 		s.reset()
 		const length = 3 * time.Second
-		s.play(length, factor)
+		s.simulate(length, factor)
 		served := float64(s.inTarget+s.late) / length.Seconds()
 		t.Logf("x %.1f: %d sent, %d in time, %d late, %d refused, %d failed, %d rejected: %.0f per second of %.0f",
 			factor, s.sent, s.inTarget, s.late, s.refused, s.failed, s.rejected, served, shopCapacity)
@@ -219,11 +219,11 @@
 	route := onceRoute()
 	route.MaxAttempts, route.Timeout = 1, 1200*time.Millisecond
 	s := newShopSim(t, 20, route)
-	s.play(time.Second, 0.3)
+	s.simulate(time.Second, 0.3)
 	s.hotShare = 15.0 / 16
-	s.play(time.Second, 5.33)
+	s.simulate(time.Second, 5.33)
 	s.reset()
-	s.play(3*time.Second, 5.33)
+	s.simulate(3*time.Second, 5.33)
 	if got := float64(s.smallServed) / float64(s.smallSent); got < 0.7 {
 		t.Errorf("%.2f of the small teams' requests served, want at least 0.7; %d of the hot team's", got, s.inTarget+s.late-s.smallServed)
 	}
@@ -235,7 +235,7 @@
 func TestOneRejectingServerDoesNotCauseRefusals(t *testing.T) {
 	s := newShopSim(t, 300, plainRoute())
 	s.rejectShare = 0.5
-	s.play(6*time.Second, 0.3)
+	s.simulate(6*time.Second, 0.3)
 	if s.refused > s.sent/200 {
 		t.Errorf("%d of %d refused with servers free, want at most one in 200", s.refused, s.sent)
 	}
--- a/decision/passthrough/ratelimit_bound_test.go
+++ b/decision/passthrough/ratelimit_bound_test.go
@@ -15,10 +15,10 @@
 	for _, size := range limitFleets {
 		f := newLimitFleet(t, size.instances, size.servers, 1, nil)
 		load := usualRate * float64(size.servers)
-		f.play(2*time.Second, load)
+		f.simulate(2*time.Second, load)
 		f.limitServers()
 		stated := f.now()
-		f.play(16*time.Second, load)
+		f.simulate(16*time.Second, load)
 		f.checkLimits(stated)
 		if f.refused > 0 {
 			t.Errorf("%d instances: %d requests refused while other servers had free capacity, want none", size.instances, f.refused)
@@ -48,7 +48,7 @@
 			load := usualRate * float64(size.servers)
 			f.limitServers()
 			stated := f.now()
-			f.play(16*time.Second, load)
+			f.simulate(16*time.Second, load)
 			f.checkLimits(stated)
 		}
 	}
@@ -61,9 +61,9 @@
 		f := newLimitFleet(t, size.instances, size.servers, 2, nil)
 		load := 3 * usualRate * float64(size.servers)
 		f.limitServers()
-		f.play(5*time.Second, load)
+		f.simulate(5*time.Second, load)
 		settled := f.now()
-		f.play(20*time.Second, load)
+		f.simulate(20*time.Second, load)
 		for i, perSecond := range limitRates {
 			// The instances of its subset have no more for it than for any other server.
 			offered := 3 * usualRate * float64(limitSubset(perSecond)) / float64(size.instances)
@@ -72,9 +72,9 @@
 			}
 		}
 		clear(f.limits)
-		f.play(8*time.Second, load)
+		f.simulate(8*time.Second, load)
 		settled = f.now()
-		f.play(4*time.Second, load)
+		f.simulate(4*time.Second, load)
 		for i, perSecond := range limitRates {
 			if got := f.rate(f.servers[i].ID, settled); perSecond > 0.3 && got < usualRate {
 				t.Errorf("%d instances: a server whose limit of %v has ended got %.2f per second, want at least usualRate", size.instances, perSecond, got)
@@ -89,7 +89,7 @@
 	f := newLimitFleet(t, 58, 60, 3, nil)
 	load := usualRate * float64(len(f.servers))
 	f.limits[f.servers[0].ID] = 1
-	f.play(2*time.Second, load)
+	f.simulate(2*time.Second, load)
 	f.silent = map[int]bool{}
 	for i, h := range f.instances {
 		if s := h.world.servers[f.servers[0].ID]; h.world.limitShare(s) > 0 {
@@ -100,9 +100,9 @@
 		t.Fatal("no instance sends to the limited server, want the instances of its subset")
 	}
 	clear(f.limits)
-	f.play(45*time.Second, load)
+	f.simulate(45*time.Second, load)
 	settled := f.now()
-	f.play(4*time.Second, load)
+	f.simulate(4*time.Second, load)
 	if got := f.rate(f.servers[0].ID, settled); got < usualRate/2 {
 		t.Errorf("the server gets %.2f requests per second, want at least half of the usual %v", got, usualRate)
 	}
--- a/decision/passthrough/ratelimit_fleet_test.go
+++ b/decision/passthrough/ratelimit_fleet_test.go
@@ -94,8 +94,8 @@
 	return f
 }
 
-// play sends requests at a rate per second, each to a random instance.
-func (f *limitFleet) play(length time.Duration, rate float64) {
+// simulate sends requests at a rate per second, each to a random instance.
+func (f *limitFleet) simulate(length time.Duration, rate float64) {
 	const (
 		step     = 20 * time.Millisecond
 		prefixes = 2000
--- a/decision/passthrough/rollout_load_test.go
+++ b/decision/passthrough/rollout_load_test.go
@@ -114,18 +114,18 @@
 	}
 }
 
-// playRollout simulates a roll-out of 20 s. The callers' load is load times what the engines can
+// simulateRollout simulates a roll-out of 20 s. The callers' load is load times what the engines can
 // serve, from a second before the order for 14 s. The fraction share of the new version's
 // responses takes factor times as long.
-func playRollout(t *testing.T, seed uint64, load, share, factor float64) *simRollout {
+func simulateRollout(t *testing.T, seed uint64, load, share, factor float64) *simRollout {
 	s := newSim(t, 3, []simCallerKind{{team: "a", rate: simCapacity}})
 	s.setSeed(seed)
 	ro := &simRollout{share: share, factor: factor}
-	s.play(3*time.Second, 0.5)
-	s.play(time.Second, load)
+	s.simulate(3*time.Second, 0.5)
+	s.simulate(time.Second, load)
 	s.startRollout(ro)
-	s.play(13*time.Second, load)
-	s.play(14*time.Second, 0.5)
+	s.simulate(13*time.Second, load)
+	s.simulate(14*time.Second, 0.5)
 	return ro
 }
 
@@ -140,7 +140,7 @@
 		completed, late := 0, 0
 		const seeds = 2
 		for seed := range uint64(seeds) {
-			ro := playRollout(t, seed, load, kind.share, kind.factor)
+			ro := simulateRollout(t, seed, load, kind.share, kind.factor)
 			late += ro.overBound
 			if ro.end == PhaseCompleted {
 				completed++
@@ -175,7 +175,7 @@
 		const seeds = 3
 		reverted, open, late := 0, 0, 0
 		for seed := range uint64(seeds) {
-			ro := playRollout(t, seed, load, 0, 0)
+			ro := simulateRollout(t, seed, load, 0, 0)
 			switch {
 			case ro.end == PhaseReverted:
 				reverted++
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -235,9 +235,9 @@
 	return s
 }
 
-// playTimes runs responses of the old and the new version, and returns the counts reported for the
+// simulateResponses runs responses of the old and the new version, and returns the counts reported for the
 // new one.
-func playTimes(t *testing.T, newTimes func(i int) (firstByte, interval time.Duration)) Counts {
+func simulateResponses(t *testing.T, newTimes func(i int) (firstByte, interval time.Duration)) Counts {
 	h := newRolloutHarness(t)
 	h.tick(canaryUpdate(true))
 	var reported Counts
@@ -277,7 +277,7 @@
 		{"three times the event interval", 50 * time.Millisecond, 120 * time.Millisecond, true},
 	}
 	for _, tt := range tests {
-		reported := playTimes(t, func(int) (time.Duration, time.Duration) { return tt.firstByte, tt.interval })
+		reported := simulateResponses(t, func(int) (time.Duration, time.Duration) { return tt.firstByte, tt.interval })
 		if got := IsBad(reported, Counts{Good: 60}); got != tt.want {
 			t.Errorf("%s: judged bad %v, want %v: %+v", tt.name, got, tt.want, reported)
 		}
--- a/decision/passthrough/sim_test.go
+++ b/decision/passthrough/sim_test.go
@@ -135,8 +135,8 @@
 // setSeed sets the seed of the random choices, for another run of the same simulation.
 func (s *sim) setSeed(seed uint64) { s.rng = rand.New(rand.NewPCG(7, 7+seed)) }
 
-// play runs the simulation for a time, at the kinds' rates times factor.
-func (s *sim) play(length time.Duration, factor float64) {
+// simulate runs the simulation for a time, at the kinds' rates times factor.
+func (s *sim) simulate(length time.Duration, factor float64) {
 	due := make([]float64, len(s.kinds))
 	for until := s.now.Add(length); s.now.Before(until); {
 		s.now = s.now.Add(simStep)
