--- a/decision/passthrough/events.go
+++ b/decision/passthrough/events.go
@@ -215,7 +215,7 @@
 )
 
 // SlowStartBegun reports that servers enter slow start: one, or all of a failure domain if Server
-// is empty. Servers is their number, Duration the longest of their slow starts.
+// is empty. ServerCount is their number, Duration the longest of their slow starts.
 type SlowStartBegun struct {
 	Server      string
 	Domain      string
--- a/decision/passthrough/rollout_test.go
+++ b/decision/passthrough/rollout_test.go
@@ -235,8 +235,8 @@
 	return s
 }
 
-// simulateResponses runs responses of the old and the new version, and returns the counts reported for the
-// new one.
+// simulateResponses runs responses of the old and the new version, and returns the counts reported
+// for the new one.
 func simulateResponses(t *testing.T, newTimes func(i int) (firstByte, interval time.Duration)) Counts {
 	h := newRolloutHarness(t)
 	h.tick(canaryUpdate(true))
