--- a/router/internal/peer/handler.go
+++ b/router/internal/peer/handler.go
@@ -76,7 +76,7 @@
 	return handle(p)
 }
 
-// handleDigest answers with this instance's status. The asker's state is
+// handleDigest answers with this instance's status. The requester's state is
 // ignored: the delay of a request is unknown, so the state may be old, and this
 // instance queries its peers in its next round anyway.
 func (n *Node) handleDigest(DigestParams) (any, error) { return n.statusReport(), nil }
--- a/router/internal/peer/limits.go
+++ b/router/internal/peer/limits.go
@@ -38,7 +38,7 @@
 	// CodeBufferFull: no room to hold a bill.
 	CodeBufferFull = -32010
 	// CodeSnapshotGone: the snapshot is no longer kept, is not ahead of the
-	// asker, or has no piece at the offset.
+	// requester, or has no piece at the offset.
 	CodeSnapshotGone = -32011
 	// CodeFailed: the request failed at the answering instance.
 	CodeFailed = -32012
--- a/router/internal/peer/messages.go
+++ b/router/internal/peer/messages.go
@@ -39,8 +39,8 @@
 // StatusReport is an instance's answer to state.digest and fresh.vouch: its
 // state and what it knows of the log's head.
 //
-// Only answers report the log's head. The asker adds the duration of its whole
-// call to the age, so that a delayed answer can only look too old. In an
+// Only answers report the log's head. The requester adds the duration of its
+// whole call to the age, so that a delayed answer can only look too old. In an
 // unsolicited message the delay could not be bounded.
 type StatusReport struct {
 	State
@@ -91,7 +91,7 @@
 // FetchParams request one piece of a snapshot.
 type FetchParams struct {
 	From string `json:"from"`
-	// After is the asker's own next offset: a snapshot that is not ahead of it
+	// After is the requester's own next offset: a snapshot that is not ahead of it
 	// is of no use.
 	After uint64 `json:"after"`
 	// Snapshot identifies the snapshot by its next offset; 0 with the first
--- a/router/internal/peer/transfer.go
+++ b/router/internal/peer/transfer.go
@@ -14,7 +14,7 @@
 
 // snapshotTTL is how long a snapshot is kept for those that fetch it. Until
 // then it also serves new transfers, so that peers cannot make this instance
-// encode one for each; only an asker whose own offset is not behind the kept
+// encode one for each; only a requester whose own offset is not behind the kept
 // snapshot's causes a newer one.
 const snapshotTTL = fetchTimeout
 
