--- a/router/internal/faultmatrix/hooks.go
+++ b/router/internal/faultmatrix/hooks.go
@@ -69,8 +69,8 @@
 type hookGate struct{ *instance }
 
 // MayRun is called first at the admission of a request, which is the step "admit",
-// and then when the decision has dispatched it, which is the step "dispatch". Later
-// calls, after a reservation's claim and before another attempt, are no steps.
+// and then when package decision has dispatched it, which is the step "dispatch".
+// Later calls, after a reservation's claim and before another attempt, are no steps.
 func (g hookGate) MayRun(idempotent bool) decision.RefusalReason {
 	g.b.mu.Lock()
 	g.b.gateChecks++
--- a/router/internal/faultmatrix/request_cells_test.go
+++ b/router/internal/faultmatrix/request_cells_test.go
@@ -63,7 +63,7 @@
 	{"claimed", "server dies", "", "", "completed>already_run"},
 	{"claimed", "crossed resend", "", "", "completed>already_run"},
 
-	// The decision has dispatched the request to a backend server; the check of the
+	// Package decision has dispatched the request to a backend server; the check of the
 	// gate and the manifest is still to come, and for a reservation the claim and
 	// one more check.
 	{"dispatch", "kill", "gone>completed", "gone>completed", "gone>completed"},
