--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -44,7 +44,7 @@
 	result   passthrough.Result
 	response *response
 	// load and limit are from the response head, nil if absent. loadReported is true if they
-	// were already passed to the decision when the head arrived, as for streams.
+	// were already passed to package decision/passthrough when the head arrived, as for streams.
 	load         *passthrough.Load
 	limit        *passthrough.RateLimit
 	loadReported bool
--- a/router/internal/passthrough/driver.go
+++ b/router/internal/passthrough/driver.go
@@ -7,8 +7,8 @@
 	"masticplank.example/router/internal/relay"
 )
 
-// Driver holds the decision's state, a passthrough.World. It applies events to it and passes on the
-// resulting commands. It is safe for concurrent use.
+// Driver holds the state of package decision/passthrough, a passthrough.World. It applies events to
+// the World and passes on the resulting commands. It is safe for concurrent use.
 type Driver struct {
 	clock Clock
 	// requestServerRead requests an immediate read of the list of backend servers. It is called
--- a/router/internal/passthrough/exchange.go
+++ b/router/internal/passthrough/exchange.go
@@ -29,8 +29,8 @@
 	queueTimer *time.Timer
 }
 
-// run submits the request to the decision and executes its commands until the final response is
-// written.
+// run submits the request to package decision/passthrough and executes the commands for it until the
+// final response is written.
 func (h *Handler) run(w http.ResponseWriter, c *call) {
 	remaining := c.deadline.Sub(h.clock.Now())
 	ctx, cancel := context.WithTimeout(c.request.Context(), max(remaining, 0))
--- a/router/internal/passthrough/handler.go
+++ b/router/internal/passthrough/handler.go
@@ -58,7 +58,7 @@
 	retryAfter time.Duration
 }
 
-// The reasons that only this package gives; the decision's package defines the others.
+// The reasons that only this package gives; package decision/passthrough defines the others.
 const (
 	reasonNoConfig    passthrough.Reason = "no_configuration"
 	reasonNoRoute     passthrough.Reason = "no_such_route"
@@ -208,7 +208,7 @@
 	return x ^ x>>32
 }
 
-// decisionRequest returns the call as a request to the decision.
+// decisionRequest returns the call as a request to package decision/passthrough.
 func (c *call) decisionRequest() passthrough.Request {
 	team := ""
 	if c.team != nil {
--- a/router/internal/passthrough/idlewatch.go
+++ b/router/internal/passthrough/idlewatch.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// hasTimedOut reports whether the attempt has timed out. The decision computes this from the times at
-// which bytes last arrived on the attempt's connection, and on any connection from its server.
+// hasTimedOut reports whether the attempt has timed out. Package decision/passthrough computes this
+// from the times at which bytes last arrived on the attempt's connection, and on any connection from
+// its server.
 func (a *attempt) hasTimedOut() bool {
 	now := a.exchange.handler.clock.Now()
 	s := passthrough.Inactivity{Route: a.exchange.call.route, FirstByteTimeout: a.firstByteTimeout,
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -259,8 +259,8 @@
 		slog.Int("old_good", seen.oldCounts.Good), slog.Int("old_bad", seen.oldCounts.Bad))
 }
 
-// applyPlan passes a changed plan to the decision and logs each step, that is any change other than of a
-// time or from one share above 0 to another.
+// applyPlan passes a changed plan to package decision/passthrough and logs each step, that is any
+// change other than of a time or from one share above 0 to another.
 func (m *rollouts) applyPlan(r *rollout, plan passthrough.Rollout, seen view) {
 	if plan == r.plan {
 		return
--- a/router/internal/passthrough/serverlist.go
+++ b/router/internal/passthrough/serverlist.go
@@ -35,7 +35,7 @@
 	minLapseOutage = 800 * time.Millisecond
 )
 
-// serverList follows the list of backend servers and passes it to the decision.
+// serverList follows the list of backend servers and passes it to package decision/passthrough.
 type serverList struct {
 	records   Records
 	driver    *Driver
@@ -237,7 +237,7 @@
 	l.telemetry.emit(logging.EventServerGone, slog.String(keyServer, id), slog.String(keyReason, why))
 }
 
-// publish passes a changed list to the decision.
+// publish passes a changed list to package decision/passthrough.
 func (l *serverList) publish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// reportFirstByte reports to the decision that the response has begun, with the server's load and
-// rate limit from its head.
+// reportFirstByte reports to package decision/passthrough that the response has begun, with the
+// server's load and rate limit from its head.
 //
 // Load: streams last many seconds, at servers whose load changes within tenths of a second. Harm
 // prevented: the load from the head is reported at the end of the stream, when it is as old as the
