--- a/router/internal/standin/rating/rating.go
+++ b/router/internal/standin/rating/rating.go
@@ -1,6 +1,6 @@
 // Package rating is a stand-in for the platform's service that rates answers.
 //
-//	POST /rate                    wire.RatingRequest -> wire.RatingResponse
+//	POST /rate                    wire.RateRequest -> wire.RatingResponse
 //	GET  /faults, PUT /faults     see Faults
 //
 // The score is the quality that the engine stand-in wrote into its answer, minus
