--- a/decision/passthrough/attempt.go
+++ b/decision/passthrough/attempt.go
@@ -79,7 +79,8 @@
 // MaxAttempts, as dispatches that reach no server do not count as attempts.
 const maxUndeliveredDispatches = 5
 
-// retry sends the request to another server than the last one, if that is allowed.
+// retry dispatches or queues the request again, if that is allowed. A server that has failed it gets it
+// again only if no other server can take it now. last is the server that failed; nil if none did.
 //
 // Load: servers that crash, reject requests or time out. Harm prevented: a response
 // lost though another server could give it, and retries that bring down the remaining
--- a/decision/passthrough/crashes.go
+++ b/decision/passthrough/crashes.go
@@ -12,8 +12,9 @@
 	// responses get lost; three of the same request, without a completed response in
 	// between, are not.
 	crashThreshold = 3
-	// crashMemory is how long a crash counts. A request that crashes servers is sent again within
-	// seconds; one whose connections broke for other reasons must not be refused for long.
+	// crashMemory is how long the count of a request's crashes is kept after the latest one. A request
+	// that crashes servers is sent again within seconds; one whose connections broke for other
+	// reasons must not be refused for long.
 	crashMemory = 20 * time.Second
 	// maxFingerprints bounds the table of fingerprints.
 	maxFingerprints = 4096
--- a/decision/passthrough/escalation.go
+++ b/decision/passthrough/escalation.go
@@ -1,6 +1,7 @@
 package passthrough
 
-// confidenceBuckets is the number of buckets of confidence, each of which has its own counts.
+// confidenceBuckets is the number of equal buckets of confidence, each of which has its own counts. A
+// confidence of exactly 1 has a bucket besides these.
 const confidenceBuckets = 20
 
 // escalationStats counts, for a route, the responses of a middle model requested after the
--- a/decision/passthrough/headroom.go
+++ b/decision/passthrough/headroom.go
@@ -1,8 +1,9 @@
 package passthrough
 
-// loadRamp reduces the use of the largest model as a measure of load grows: unrestricted up to
-// full-width, never from full on. For each lower priority, up to maxPrioritySteps of them, both
-// bounds are lower by step, so that the largest model is kept for the higher priorities.
+// loadRamp reduces the use of the largest model as a measure of load grows: the model is used without
+// restriction while the load is below full minus width, and not at all once the load reaches full. For
+// each lower priority, up to maxPrioritySteps of them, both bounds are lower by step, so that the
+// largest model is kept for the higher priorities.
 type loadRamp struct{ full, step, width float64 }
 
 // maxPrioritySteps is the number of priority steps that lower the bounds of a loadRamp.
@@ -29,8 +30,8 @@
 	// Load: more prompts than the largest model can process, at engines with free slots: an engine
 	// of 128 slots is saturated with prompts once 20 are taken. Harm prevented: prefill for the
 	// largest model that delays everything else, so that nearly all responses come late. The
-	// request of a dropped response waits a second time and takes ten times as long: from half of
-	// the target on it would be late.
+	// request of a dropped response waits a second time and takes ten times as long: if the wait is
+	// half of the target or more, the second response would be late.
 	prefillWaitRamp = loadRamp{full: 0.45, step: 0.05, width: 0.25}
 )
 
--- a/decision/passthrough/inactivity.go
+++ b/decision/passthrough/inactivity.go
@@ -23,7 +23,7 @@
 	// gapFactor is how many times a stream's TargetGap an attempt may be idle once its
 	// response began: a preempted request pauses for longer than the target.
 	gapFactor = 2.5
-	// minGap is the least time that such an attempt may be idle.
+	// minGap is the least idle time after which such an attempt times out.
 	minGap = 1500 * time.Millisecond
 	// serverIdleFraction is the fraction of the target latency, up to maxServerIdle, for
 	// which a server may be idle on all of its attempts before the first byte: a running
--- a/decision/passthrough/peerload.go
+++ b/decision/passthrough/peerload.go
@@ -47,8 +47,8 @@
 	return out
 }
 
-// applyPeerLoads applies a load report of all other instances. They have no load at servers that
-// are not in it.
+// applyPeerLoads applies a load report of the other instances, which are taken to have no load at
+// servers that are not in it.
 //
 // Load: dozens of instances with more engines than each of them gets responses from in a second, and
 // prompts that occupy an engine for most of a second. Harm prevented: two instances that
--- a/decision/passthrough/pick.go
+++ b/decision/passthrough/pick.go
@@ -21,8 +21,9 @@
 // Load: many requests that share long prefixes, at servers whose load is known late and to all
 // instances alike. Harm prevented: prefill that is repeated everywhere, and all instances
 // sending to the server that looked idle. A request goes to the server that its prefix hash
-// selects, which is the same at all instances without coordination, and to the next one by the
-// hash if that has more than its share of the load (consistent hashing with bounded loads).
+// selects, which is the same at all instances without coordination. If that server has more than its
+// share of the load, the request goes to the next one by the hash (consistent hashing with bounded
+// loads).
 func (w *World) pickServer(r *request, views []serverView, occ occupancy) (v serverView, ok bool) {
 	list := w.candidates(r, views)
 	if len(list) == 0 {
@@ -92,9 +93,9 @@
 
 const (
 	// localPrefillWait is the mean wait of prompts, in seconds, up to which a prompt that is
-	// entirely shared stays in its failure domain. One of which a tenth is shared stays up to
-	// ten times that, but at most maxLocalPrefillWait: a failure domain with more than its
-	// part of the load must not keep it then.
+	// entirely shared stays in its failure domain. A prompt of which a tenth is shared stays up to
+	// ten times that wait, but never at a wait of maxLocalPrefillWait or more, as a failure domain
+	// with more than its part of the load must pass some of it on.
 	localPrefillWait    = 0.06
 	maxLocalPrefillWait = 0.25
 )
--- a/decision/passthrough/queue.go
+++ b/decision/passthrough/queue.go
@@ -146,9 +146,9 @@
 
 const (
 	// queueWaitFraction is the fraction of the time to a request's target that it may spend
-	// in the queue; the rest is the backend server's. After that a caller does better to
-	// retry, as one refusal with a retry-after time costs less than a response that comes too
-	// late.
+	// in the queue; the rest is the backend server's. Once a request has waited that long, its
+	// caller does better to retry, as one refusal with a retry-after time costs less than a
+	// response that comes too late.
 	queueWaitFraction = 0.4
 	// queueWaitCap bounds the wait of requests with distant targets.
 	queueWaitCap = 3 * time.Second
@@ -159,8 +159,8 @@
 	return max(min(time.Duration(queueWaitFraction*float64(r.timeLeft(now))), queueWaitCap), 0)
 }
 
-// lateWaitFraction is the fraction of the time to the deadline that a request may still wait
-// for once its target time has passed.
+// lateWaitFraction is the fraction of the time to the deadline that timeLeft returns once a request's
+// target time has passed.
 const lateWaitFraction = 0.25
 
 // timeLeft is the time from now until the request's target time, or its deadline if that is
--- a/decision/passthrough/ratelimit.go
+++ b/decision/passthrough/ratelimit.go
@@ -6,9 +6,9 @@
 )
 
 // An overloaded server states how many requests per second it accepts from all instances together. A
-// subset of the instances sends to it, or all if they are few, each a fixed part of the limit
-// enforced by a token bucket; the others send nothing. An instance that learns of a limit reports it
-// to the others.
+// subset of the instances sends to it, or all if they are few; the others send nothing. Each sender
+// has a fixed part of the limit, which a token bucket enforces. An instance to which a server states a
+// limit reports it to the others.
 
 const (
 	// limitUtilization is the fraction of a limit that is used: for a moment the instances may
@@ -38,8 +38,8 @@
 	// limitProbeAfter is the time without a statement of a limit after which the next request goes
 	// to its server, in preference to all others.
 	limitProbeAfter = 5 * time.Second
-	// limitReportPeriod is how long after a server's response its limit, or the end of it, is
-	// reported to the other instances.
+	// limitReportPeriod is for how long after a server's response the limit that it states, or the end
+	// of the limit, is reported to the other instances.
 	limitReportPeriod = 30 * time.Second
 )
 
--- a/decision/passthrough/tables.go
+++ b/decision/passthrough/tables.go
@@ -34,7 +34,7 @@
 	// ownRequests counts this instance's requests at the server.
 	ownRequests int
 	// prefilling are this instance's requests there whose response has not begun; prefillBacklog is
-	// the sum of their prefill times in seconds, without progress made.
+	// the sum of their whole prefill times in seconds, also of prompts that are partly processed.
 	prefilling     []*request
 	prefillBacklog float64
 	// reported is the load that the server stated at reportedAt; ownAtReport and prefillingAtReport
--- a/decision/passthrough/verdict.go
+++ b/decision/passthrough/verdict.go
@@ -110,7 +110,7 @@
 	o := Observation{Service: r.service.name, Route: r.Route.Name, Version: s.Version, Bad: e.Result == Failed || e.ConnectionLost, ConnectionLost: e.ConnectionLost, Server: s.ID}
 	first, level := r.firstByte, r.loadLevel
 	if first == 0 {
-		first, level = w.now.Sub(r.sent), loadLevelOf(s.reported) // no first byte: a lower bound
+		first, level = w.now.Sub(r.sent), loadLevelOf(s.reported) // none reported: the time of a plain response, or a lower bound
 	}
 	o.FirstByte = w.compareWithBaseline(s, w.firstByteBaseline(r), level, first)
 	if !r.intervalReported {
--- a/router/internal/passthrough/attempt.go
+++ b/router/internal/passthrough/attempt.go
@@ -43,7 +43,8 @@
 type outcome struct {
 	result   passthrough.Result
 	response *response
-	// load and limit are from the response head, nil if absent. loadReported is true if they
+	// load and limit are from the response head. load is nil if absent; limit is nil if the head
+	// states neither a limit nor that there is none (see reportsLimit). loadReported is true if both
 	// were already passed to decision/passthrough when the head arrived, as for streams.
 	load         *passthrough.Load
 	limit        *passthrough.RateLimit
--- a/router/internal/passthrough/membership.go
+++ b/router/internal/passthrough/membership.go
@@ -121,7 +121,8 @@
 }
 
 // fleetCountInterval is the time between two counts of the other failure domains' instances. The
-// shared retry budget tolerates a fleet that is larger than counted by a sixth.
+// shared retry budget tolerates a fleet that is up to 15% larger than counted (fleetSizeMargin in
+// decision/passthrough).
 const fleetCountInterval = 30 * time.Second
 
 // runCollector writes the followers' announcements and counts the fleet, if this instance is to do
@@ -138,7 +139,7 @@
 	}
 }
 
-// countFleet counts the instances of all failure domains; the server passes the sum on to the
+// countFleet counts the instances of all failure domains; s.server passes the sum on to the
 // followers. Each failure domain has a list of its own to keep the reads at a simultaneous start
 // small: with one list, 295 instances would read 20 MB from the store.
 func (s *sharing) countFleet(ctx context.Context) {
--- a/router/internal/passthrough/observationreader.go
+++ b/router/internal/passthrough/observationreader.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// apply applies one set or crash record of another instance.
+// apply applies one set or crash record that was read. It ignores this instance's crash records, as the
+// instance has counted those crashes itself.
 func (st *observationStore) apply(r keyedlog.Record) {
 	if len(r.Value) == 0 {
 		return
--- a/router/internal/passthrough/observationset.go
+++ b/router/internal/passthrough/observationset.go
@@ -35,8 +35,8 @@
 	CrashFingerprint uint64 `json:"crash,omitempty"`
 	CrashCount       int    `json:"times,omitempty"`
 
-	// readAt is when another instance's set was read; dirty is true if this instance's set has
-	// changes to be written.
+	// readAt is when a set in observationStore.others was read; dirty is true if a set in
+	// observationStore.own has changes to be written.
 	readAt time.Time
 	dirty  bool
 	// evidence computes the verdict from the sums over all instances.
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -33,7 +33,8 @@
 	followerRecords func() []keyedlog.Record
 
 	mu sync.Mutex
-	// own are this process's sets by service, others those of other processes by key.
+	// own are this process's sets by service, others the sets read from the topic by key. Those
+	// include sets that this process wrote, which latest leaves out.
 	own    map[string]*observationSet
 	others map[string]observationSet
 	// pendingCrashes are the crashes by fingerprint that are to be written.
@@ -62,7 +63,9 @@
 	// batchDelay is how long a write waits for more records, so that simultaneous ones are
 	// written in one call.
 	batchDelay = 150 * time.Millisecond
-	// idleReadWait is how long a read waits for a record while no roll-out is in progress.
+	// idleReadWait is how long a read of the observations waits for a record while no roll-out is in
+	// progress, and how long a read of the register always does. Without a roll-out it is also the
+	// longest time between two checks for records to write.
 	idleReadWait = 8 * time.Second
 	// recordLifetime is how long a crash record, or a set of a roll-out that has ended, stays
 	// in the store: by then all running instances have counted it, and an instance that starts
@@ -210,7 +213,7 @@
 		}
 		delete(st.others, key)
 		if s.Instance == st.instance {
-			st.deleteAt[key] = st.clock.Now().Add(recordLifetime) // of an earlier process of this instance
+			st.deleteAt[key] = st.clock.Now().Add(recordLifetime) // also the record of an earlier process of this instance
 		}
 	}
 }
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -28,7 +28,8 @@
 	// failure domain only read it, to limit the number of calls to the store in a large fleet.
 	writesRegister func() bool
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// open holds the latest roll-out of each service, also after its end.
 	open map[string]*rollout
 	// registerStates are the newest states of roll-outs in the register by service; registerRead
 	// is true if the register was read.
--- a/router/internal/passthrough/serverlist.go
+++ b/router/internal/passthrough/serverlist.go
@@ -22,7 +22,7 @@
 	minReadInterval      = 300 * time.Millisecond
 	maxReadInterval      = 750 * time.Millisecond
 	// followerPause is the time between two reads of a follower. It batches changes, so that
-	// there is not one read per heartbeat. A server that leaves or is in slow start must be
+	// there is not one read per changed entry. A server that leaves or is in slow start must be
 	// known within a second.
 	followerPause = 100 * time.Millisecond
 	// followerWait is how long a follower's read waits for a change. The data may have passed
--- a/router/internal/passthrough/stream.go
+++ b/router/internal/passthrough/stream.go
@@ -27,7 +27,7 @@
 	// intervalEvents is the number of events after which a stream's event interval is reported
 	// while the stream still runs. It is large enough to average out a pause for the prefill of
 	// another request's prompt, and small enough that a version that is eight times slower sends
-	// so many in two seconds.
+	// that many in two seconds.
 	intervalEvents = 6
 	// maxEventBytes is the maximum size of an event.
 	maxEventBytes = 1 << 20
--- a/router/internal/passthrough/topicreader.go
+++ b/router/internal/passthrough/topicreader.go
@@ -32,9 +32,9 @@
 	// wait is how long a read waits for a record, pause the time between two reads; nil for none.
 	wait  func() time.Duration
 	pause func() time.Duration
-	// longestRetryDelay is the longest delay between two failed reads; it is at least
-	// maxRetryDelay, also if it is 0. The first delay is longestRetryDelay divided by
-	// retryGrowth, at least minRetryDelay.
+	// longestRetryDelay bounds the delay between two failed reads; a value below maxRetryDelay, such
+	// as 0, stands for maxRetryDelay. The first delay is the field's value divided by retryGrowth,
+	// at least minRetryDelay.
 	longestRetryDelay time.Duration
 	// wake ends a pause early; nil for none.
 	wake chan struct{}
