--- a/router/internal/passthrough/crashkeys_test.go
+++ b/router/internal/passthrough/crashkeys_test.go
@@ -20,7 +20,7 @@
 
 // view returns the sum of the observations of all instances.
 func (p *testInstance) view() view {
-	return p.observations.view(p.rollouts.open["shop"], p.clock.Now())
+	return p.observations.view(p.rollouts.byService["shop"], p.clock.Now())
 }
 
 func (p *testInstance) observe(version string, o passthrough.Observation) {
--- a/router/internal/passthrough/observation_delay_test.go
+++ b/router/internal/passthrough/observation_delay_test.go
@@ -43,7 +43,7 @@
 			p.observations.fleetSize = func() int { return domains * perDomain }
 			p.rollouts.registerRead = true
 			p.rollouts.applyOrder(passthrough.Order{Service: "shop", Target: "v2", Duration: time.Minute}, 1)
-			p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
+			p.rollouts.advance(t.Context(), p.rollouts.byService["shop"])
 			phase := time.Duration((d*perDomain+i)*37%1100) * time.Millisecond
 			p.writeAt, p.readAt = f.clock.Now().Add(phase), f.clock.Now().Add(phase)
 			list = append(list, p)
@@ -144,7 +144,7 @@
 // allCount reports whether all readers count at least count bad responses.
 func (f *sharedFleet) allCount(count int) bool {
 	for _, p := range f.readers {
-		if p.observations.view(p.rollouts.open["shop"], f.clock.Now()).newCounts.Bad < count {
+		if p.observations.view(p.rollouts.byService["shop"], f.clock.Now()).newCounts.Bad < count {
 			return false
 		}
 	}
--- a/router/internal/passthrough/observationstore.go
+++ b/router/internal/passthrough/observationstore.go
@@ -153,9 +153,9 @@
 	defer st.mu.Unlock()
 	var out []keyedlog.Record
 	now := st.clock.Now()
-	idle := !now.Before(st.nextIdleWrite)
+	idleWriteDue := !now.Before(st.nextIdleWrite)
 	for _, s := range st.own {
-		if s.dirty || idle {
+		if s.dirty || idleWriteDue {
 			s.dirty = false
 			st.nextIdleWrite = now.Add(st.idleWriteDelay())
 			out = append(out, st.encode(s.key(), s))
--- a/router/internal/passthrough/observationstore_test.go
+++ b/router/internal/passthrough/observationstore_test.go
@@ -40,7 +40,7 @@
 	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
-	r := p.rollouts.open["shop"]
+	r := p.rollouts.byService["shop"]
 	step := func(good, bad int) {
 		clock.advance(400 * time.Millisecond)
 		p.observeMany("v2", false, good)
@@ -106,7 +106,7 @@
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
 		p.observations.applySnapshot(observations.records)
-		p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
+		p.rollouts.advance(t.Context(), p.rollouts.byService["shop"])
 		return p
 	}
 	before := start()
@@ -117,7 +117,7 @@
 	after.observeMany("v2", true, 2)
 	write(after)
 	clock.advance(time.Second)
-	after.rollouts.advance(t.Context(), after.rollouts.open["shop"])
+	after.rollouts.advance(t.Context(), after.rollouts.byService["shop"])
 	if got := storedEnds(status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Errorf("ends %v after six bad responses seen by two processes, want one revert", got)
 	}
@@ -142,7 +142,7 @@
 	p.rollouts.writesRegister = func() bool { return false }
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
-	r := p.rollouts.open["shop"]
+	r := p.rollouts.byService["shop"]
 	p.rollouts.advance(t.Context(), r)
 	p.observeMany("v2", true, 8)
 	p.rollouts.advance(t.Context(), r)
--- a/router/internal/passthrough/register.go
+++ b/router/internal/passthrough/register.go
@@ -63,7 +63,7 @@
 	if !m.predatesKnownEnd(service, target, phase) {
 		m.registerStates[service] = registerState{target, phase}
 	}
-	if r := m.open[service]; r != nil && r.Target == target {
+	if r := m.byService[service]; r != nil && r.Target == target {
 		m.applyState(r, phase)
 	}
 }
--- a/router/internal/passthrough/register_test.go
+++ b/router/internal/passthrough/register_test.go
@@ -18,19 +18,19 @@
 	for _, p := range []*testInstance{a, b} {
 		p.listServers()
 		p.rollouts.applyOrder(testOrder, 1)
-		p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
+		p.rollouts.advance(t.Context(), p.rollouts.byService["shop"])
 	}
 	a.observeMany("v2", true, 20) // only a finds the version bad; b would complete it
 	clock.advance(19500 * time.Millisecond)
 	a.observations.markRead(clock.Now())
 	b.observations.markRead(clock.Now())
-	status.beforeAppend = func() { b.rollouts.advance(t.Context(), b.rollouts.open["shop"]) }
-	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
-	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
+	status.beforeAppend = func() { b.rollouts.advance(t.Context(), b.rollouts.byService["shop"]) }
+	a.rollouts.advance(t.Context(), a.rollouts.byService["shop"])
+	a.rollouts.advance(t.Context(), a.rollouts.byService["shop"])
 	if got := storedEnds(status); len(got) != 1 {
 		t.Fatalf("the register holds %d ends, want one", len(got))
 	}
-	if x, y := a.rollouts.open["shop"].ended, b.rollouts.open["shop"].ended; x != y || x == 0 {
+	if x, y := a.rollouts.byService["shop"].ended, b.rollouts.byService["shop"].ended; x != y || x == 0 {
 		t.Errorf("a ended as %v, b as %v, want the same", x, y)
 	}
 }
@@ -42,7 +42,7 @@
 	p := newTestInstance("a", clock, status, &fakeLog{})
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
-	r := p.rollouts.open["shop"]
+	r := p.rollouts.byService["shop"]
 	p.rollouts.advance(t.Context(), r)
 	clock.advance(19500 * time.Millisecond)
 	p.observations.markRead(clock.Now())
@@ -82,7 +82,7 @@
 	}
 	if bad { // an earlier instance saw bad responses and shared its counts
 		first := start(9)
-		first.rollouts.advance(t.Context(), first.rollouts.open["shop"])
+		first.rollouts.advance(t.Context(), first.rollouts.byService["shop"])
 		first.observeMany("v2", true, 10)
 		if err := observations.Append(t.Context(), keyedlog.AnyPosition, first.observations.pendingRecords()...); err != nil {
 			t.Fatal(err)
@@ -122,12 +122,12 @@
 			// Another instance advances between the next read of the register and its write.
 			other := fleet[rng.IntN(len(fleet))]
 			status.beforeAppend = func() {
-				if r := other.rollouts.open["shop"]; other != p && r.ended == 0 {
+				if r := other.rollouts.byService["shop"]; other != p && r.ended == 0 {
 					other.rollouts.advance(t.Context(), r)
 				}
 			}
 		default:
-			if r := p.rollouts.open["shop"]; r.ended == 0 {
+			if r := p.rollouts.byService["shop"]; r.ended == 0 {
 				p.rollouts.advance(t.Context(), r)
 			}
 		}
@@ -136,7 +136,7 @@
 	clock.advance(20 * time.Second)
 	for _, p := range fleet {
 		for range 3 {
-			if r := p.rollouts.open["shop"]; r.ended == 0 {
+			if r := p.rollouts.byService["shop"]; r.ended == 0 {
 				p.rollouts.advance(t.Context(), r)
 			}
 		}
@@ -146,7 +146,7 @@
 		t.Fatalf("the register holds the ends %v, want one", got)
 	}
 	for i, p := range fleet {
-		if known := p.rollouts.open["shop"].ended; known != got[0] {
+		if known := p.rollouts.byService["shop"].ended; known != got[0] {
 			t.Errorf("instance %d ended as %v, the register holds %v", i, known, got[0])
 		}
 	}
--- a/router/internal/passthrough/rollouts.go
+++ b/router/internal/passthrough/rollouts.go
@@ -29,8 +29,8 @@
 	writesRegister func() bool
 
 	mu sync.Mutex
-	// open holds the latest roll-out of each service, also after its end.
-	open map[string]*rollout
+	// byService holds the latest roll-out of each service, also after its end.
+	byService map[string]*rollout
 	// registerStates are the newest states of roll-outs in the register by service; registerRead
 	// is true if the register was read.
 	registerStates map[string]registerState
@@ -75,7 +75,7 @@
 func newRollouts(records Records, topic keyedlog.Log, driver *Driver, l *serverList, observations *observationStore, tel *telemetry, clock Clock, limit passthrough.ExposureLimit) *rollouts {
 	return &rollouts{
 		records: records, register: topic, driver: driver, servers: l, observations: observations, telemetry: tel, clock: clock,
-		exposure: limit, writesRegister: func() bool { return true }, open: map[string]*rollout{}, registerStates: map[string]registerState{}, wake: make(chan struct{}, 1),
+		exposure: limit, writesRegister: func() bool { return true }, byService: map[string]*rollout{}, registerStates: map[string]registerState{}, wake: make(chan struct{}, 1),
 	}
 }
 
@@ -83,14 +83,14 @@
 func (m *rollouts) applyOrder(o passthrough.Order, offset uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if old := m.open[o.Service]; old != nil && (old.Order == o && old.offset == offset || m.isRewrittenOrder(old, o, offset)) {
+	if old := m.byService[o.Service]; old != nil && (old.Order == o && old.offset == offset || m.isRewrittenOrder(old, o, offset)) {
 		return
 	}
 	r := &rollout{Order: o, offset: offset, orderedAt: m.clock.Now()}
 	// Until the register was read, the new version gets no requests: an instance that starts in
 	// the middle of a roll-out knows neither its phase nor the open sessions.
 	r.plan = passthrough.Rollout{Order: o, Phase: passthrough.PhaseCanary, FirstHalf: true, CollectingSessions: true}
-	m.open[o.Service] = r
+	m.byService[o.Service] = r
 	if st, ok := m.registerStates[o.Service]; ok && st.target == o.Target {
 		m.applyState(r, st.phase)
 	}
@@ -160,7 +160,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []*rollout
-	for _, r := range m.open {
+	for _, r := range m.byService {
 		if r.ended == 0 {
 			out = append(out, r)
 		}
--- a/router/internal/passthrough/rollouts_restore.go
+++ b/router/internal/passthrough/rollouts_restore.go
@@ -22,7 +22,7 @@
 	defer m.mu.Unlock()
 	now := m.clock.Now()
 	m.restoredAt = now
-	for _, r := range m.open {
+	for _, r := range m.byService {
 		r.registered = r.knownEnd().Ended()
 		if r.registered {
 			r.rewriteUntil = now.Add(endRewriteWindow)
@@ -65,7 +65,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []*rollout
-	for _, r := range m.open {
+	for _, r := range m.byService {
 		if m.clock.Now().Before(r.rewriteUntil) {
 			out = append(out, r)
 		}
--- a/router/internal/passthrough/rollouts_restore_test.go
+++ b/router/internal/passthrough/rollouts_restore_test.go
@@ -74,7 +74,7 @@
 	for range 3 {
 		f.step()
 	}
-	r := f.instances[0].rollouts.open["shop"]
+	r := f.instances[0].rollouts.byService["shop"]
 	orderedAt := r.orderedAt
 	f.operator.restore(backedUp)
 	f.status.restore(0)
@@ -89,11 +89,11 @@
 		f.step()
 	}
 	for _, i := range f.instances {
-		if seen := i.observations.view(i.rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 3 {
+		if seen := i.observations.view(i.rollouts.byService["shop"], f.clock.Now()); seen.newCounts.Bad != 3 {
 			t.Errorf("%s: counts %d bad responses, want 3", i.observations.instance, seen.newCounts.Bad)
 		}
 	}
-	if f.instances[0].rollouts.open["shop"] != r || r.orderedAt != orderedAt {
+	if f.instances[0].rollouts.byService["shop"] != r || r.orderedAt != orderedAt {
 		t.Error("the roll-out was started again")
 	}
 	f.instances[2].observeMany("v2", true, 10)
@@ -101,7 +101,7 @@
 		f.step()
 	}
 	for _, i := range f.instances {
-		if got := i.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
+		if got := i.rollouts.byService["shop"].ended; got != passthrough.PhaseReverted {
 			t.Errorf("%s: ended as %v, want reverted", i.observations.instance, got)
 		}
 	}
@@ -134,7 +134,7 @@
 	if got := storedEnds(f.status); len(got) != 1 || got[0] != passthrough.PhaseReverted {
 		t.Errorf("ends %v after the restore, want one revert", got)
 	}
-	if got := late.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
+	if got := late.rollouts.byService["shop"].ended; got != passthrough.PhaseReverted {
 		t.Errorf("an instance that started after the restore ended as %v, want reverted", got)
 	}
 }
@@ -154,13 +154,13 @@
 	f.step()
 	f.observations.restore(backedUp)
 	mustRead(t, f.instances[1].observationsReader)
-	if seen := f.instances[1].observations.view(f.instances[1].rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
+	if seen := f.instances[1].observations.view(f.instances[1].rollouts.byService["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
 		t.Errorf("%d bad responses are counted, want 4", seen.newCounts.Bad)
 	}
 	f.step()
 	last := f.start("last")
 	f.step()
-	if seen := last.observations.view(last.rollouts.open["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
+	if seen := last.observations.view(last.rollouts.byService["shop"], f.clock.Now()); seen.newCounts.Bad != 4 {
 		t.Errorf("an instance that started after the restore counts %d bad responses, want 4", seen.newCounts.Bad)
 	}
 }
--- a/router/internal/passthrough/rollouts_test.go
+++ b/router/internal/passthrough/rollouts_test.go
@@ -42,11 +42,11 @@
 	a := newTestInstance("a", clock, status, observations)
 	a.listServers()
 	a.rollouts.applyOrder(testOrder, 1)
-	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
+	a.rollouts.advance(t.Context(), a.rollouts.byService["shop"])
 	clock.advance(10 * time.Second)
 	a.observeMany("v2", false, 30)
 	a.observeMany("v1", false, 300)
-	a.rollouts.advance(t.Context(), a.rollouts.open["shop"])
+	a.rollouts.advance(t.Context(), a.rollouts.byService["shop"])
 	if err := observations.Append(t.Context(), keyedlog.AnyPosition, a.observations.pendingRecords()...); err != nil {
 		t.Fatal(err)
 	}
@@ -58,8 +58,8 @@
 		t.Fatal(err)
 	}
 	clock.advance(9500 * time.Millisecond)
-	b.rollouts.advance(t.Context(), b.rollouts.open["shop"])
-	if got := b.rollouts.open["shop"].ended; got != passthrough.PhaseCompleted {
+	b.rollouts.advance(t.Context(), b.rollouts.byService["shop"])
+	if got := b.rollouts.byService["shop"].ended; got != passthrough.PhaseCompleted {
 		t.Errorf("the instance that started late ended as %v, want completed", got)
 	}
 }
@@ -72,7 +72,7 @@
 	p.servers.apply(entry("one", "server shop v1 ready"))
 	p.rollouts.applyOrder(testOrder, 1)
 	clock.advance(19500 * time.Millisecond)
-	p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
+	p.rollouts.advance(t.Context(), p.rollouts.byService["shop"])
 	if got := storedEnds(status); len(got) != 0 {
 		t.Errorf("ended as %v without the new version's servers, want no end", got)
 	}
@@ -91,17 +91,17 @@
 	}
 	step := func() {
 		t.Helper()
-		writer.rollouts.advance(t.Context(), writer.rollouts.open["shop"])
+		writer.rollouts.advance(t.Context(), writer.rollouts.byService["shop"])
 		if err := reader.readOnce(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		follower.rollouts.advance(t.Context(), follower.rollouts.open["shop"])
+		follower.rollouts.advance(t.Context(), follower.rollouts.byService["shop"])
 	}
 	step()
 	clock.advance(5 * time.Second)
 	writer.observeMany("v2", true, 20)
 	step()
-	if got := follower.rollouts.open["shop"].ended; got != passthrough.PhaseReverted {
+	if got := follower.rollouts.byService["shop"].ended; got != passthrough.PhaseReverted {
 		t.Errorf("the follower ended as %v, want reverted", got)
 	}
 	if n := len(storedEnds(status)); n != 1 {
@@ -122,7 +122,7 @@
 		for _, p := range []*testInstance{a, b} {
 			p.listServers()
 			p.rollouts.applyOrder(testOrder, 1)
-			p.rollouts.advance(t.Context(), p.rollouts.open["shop"])
+			p.rollouts.advance(t.Context(), p.rollouts.byService["shop"])
 		}
 		a.observeMany("v2", false, c.good)
 		a.observeMany("v2", true, c.bad)
@@ -130,7 +130,7 @@
 		clock.advance(testOrder.Duration)
 		a.observations.onRecovery(6 * time.Second)
 		a.observations.markRead(clock.Now())
-		r := a.rollouts.open["shop"]
+		r := a.rollouts.byService["shop"]
 		a.rollouts.advance(t.Context(), r)
 		if r.ended != c.want {
 			t.Errorf("%+v: ended as %v before the peers could report, want the end in the case's field want", c, r.ended)
@@ -163,7 +163,7 @@
 	clock.advance(testOrder.Duration) // a is suspended, and b cannot write
 	a.observations.markRead(clock.Now())
 	a.rollouts.advanceAll(t.Context())
-	r := a.rollouts.open["shop"]
+	r := a.rollouts.byService["shop"]
 	if r.ended != 0 {
 		t.Fatalf("ended as %v right after the suspension, want no end", r.ended)
 	}
@@ -186,7 +186,7 @@
 	p := newTestInstance("a", clock, status, observations)
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
-	r := p.rollouts.open["shop"]
+	r := p.rollouts.byService["shop"]
 	p.rollouts.advance(t.Context(), r)
 	p.observeMany("v2", false, 2)
 	clock.advance(testOrder.Duration)
@@ -212,7 +212,7 @@
 	p.listServers()
 	p.rollouts.applyOrder(testOrder, 1)
 	p.rollouts.registerRead = true // as after a read of the register
-	r := p.rollouts.open["shop"]
+	r := p.rollouts.byService["shop"]
 	observeIntervals := func(count int, x float64) {
 		for range count {
 			s := passthrough.LogRatioStats{N: 1, Sum: x, Squares: x * x}
