--- a/decision/passthrough/doc.go
+++ b/decision/passthrough/doc.go
@@ -6,4 +6,8 @@
 // of backend servers, requests, sessions and roll-outs. Each Tick applies events and
 // returns commands. The package uses no sockets, clocks or goroutines; equal seeds and
 // events give equal commands.
+//
+// The servers of a service are either plain or engines, which run language models. An engine first
+// processes a request's prompt (the prefill), of which a prefix shared with earlier prompts may be
+// cached, and then generates the response, usually as a stream of events.
 package passthrough
--- a/decision/passthrough/headroom.go
+++ b/decision/passthrough/headroom.go
@@ -18,8 +18,8 @@
 
 var (
 	// utilizationRamp goes by the fraction of a service's slots that are taken: the largest model
-	// is ten times slower, and keeps slots taken for longer than the arrivals allow. The fraction
-	// is over all servers: requests with the same prefix crowd on few servers, and with a fraction
+	// is ten times slower, so that slots are taken faster than they become free. The fraction is
+	// over all servers: requests with the same prefix crowd on few servers, and with a fraction
 	// by server up to 12 in 100 responses are weak while half of all slots are free. It is a ramp
 	// rather than a step, as an instance knows the load of 90 servers only to within a fifth of
 	// their slots, and with a step all instances would switch at once.
