--- a/decision/passthrough/headroom.go
+++ b/decision/passthrough/headroom.go
@@ -1,8 +1,9 @@
 package passthrough
 
-// loadRamp reduces the use of the largest model as a measure of load grows: unrestricted up to
-// full-width, never from full on. For each lower priority, up to maxPrioritySteps of them, both
-// bounds are lower by step, so that the largest model is kept for the higher priorities.
+// loadRamp reduces the use of the largest model as a measure of load grows: the model is used without
+// restriction while the load is below full minus width, and not at all once the load reaches full. For
+// each lower priority, up to maxPrioritySteps of them, both bounds are lower by step, so that the
+// largest model is kept for the higher priorities.
 type loadRamp struct{ full, step, width float64 }
 
 // maxPrioritySteps is the number of priority steps that lower the bounds of a loadRamp.
@@ -17,8 +18,8 @@
 
 var (
 	// utilizationRamp goes by the fraction of a service's slots that are taken: the largest model
-	// is ten times slower, and keeps slots taken for longer than the arrivals allow. The fraction
-	// is over all servers: requests with the same prefix crowd on few servers, and with a fraction
+	// is ten times slower, so that slots are taken faster than they become free. The fraction is
+	// over all servers: requests with the same prefix crowd on few servers, and with a fraction
 	// by server up to 12 in 100 responses are weak while half of all slots are free. It is a ramp
 	// rather than a step, as an instance knows the load of 90 servers only to within a fifth of
 	// their slots, and with a step all instances would switch at once.
@@ -29,8 +30,8 @@
 	// Load: more prompts than the largest model can process, at engines with free slots: an engine
 	// of 128 slots is saturated with prompts once 20 are taken. Harm prevented: prefill for the
 	// largest model that delays everything else, so that nearly all responses come late. The
-	// request of a dropped response waits a second time and takes ten times as long: from half of
-	// the target on it would be late.
+	// request of a dropped response waits a second time and takes ten times as long: if the wait is
+	// half of the target or more, the second response would be late.
 	prefillWaitRamp = loadRamp{full: 0.45, step: 0.05, width: 0.25}
 )
 
