--- a/decision/admit.go
+++ b/decision/admit.go
@@ -105,9 +105,9 @@
 
 // overloadThreshold is the fraction, from 0 to 1, of the recent past with a backlog
 // from which a pool counts as overloaded. It is well below 1, since the queue of
-// each instance runs empty now and then on a saturated pool. With a backlog for
-// less than a third of the time, the slots that eight instances leave to each other
-// still suffice.
+// each instance runs empty now and then on a saturated pool. While there is a
+// backlog for less than a third of the time, the slots that eight instances leave to
+// each other still suffice.
 const overloadThreshold = 0.3
 
 // overloaded reports whether the pool had a backlog for much of the recent past,
--- a/decision/cascade.go
+++ b/decision/cascade.go
@@ -82,8 +82,9 @@
 // mayHold reports whether a first answer may be held back and replaced.
 //
 // A streamed answer may not: its caller waits for the first token, so a version
-// that meets the target on its own is used instead. Nor may one that may run only
-// once. Two answers and a rating must fit within the deadline.
+// that meets the target on its own is used instead. Nor may the answer of a request
+// that is not idempotent, since a second step would run it again. Two answers and a
+// rating must fit within the deadline.
 func (w *World) mayHold(r *request) bool {
 	if r.Streamed || !r.Idempotent {
 		return false
--- a/decision/commands.go
+++ b/decision/commands.go
@@ -18,8 +18,8 @@
 	Hold bool
 	// NeedsRating makes the router have the answer rated and send AnswerRated.
 	NeedsRating bool
-	// RatingTimeout is how long the router waits for the rating, and so how long a
-	// held answer is delayed at most.
+	// RatingTimeout is how long the router waits for the rating of a held answer,
+	// and so how long that answer is delayed at most.
 	RatingTimeout time.Duration
 }
 
--- a/decision/config.go
+++ b/decision/config.go
@@ -19,7 +19,8 @@
 	// MaxAttempts bounds the attempts of one request, including second steps of
 	// the cascade.
 	MaxAttempts int
-	// MaxCrashes is how many servers a request may crash before it is quarantined.
+	// MaxCrashes is the number of crashed servers at which a request is
+	// quarantined.
 	MaxCrashes int
 	// QuarantineDuration is how long a quarantine lasts.
 	QuarantineDuration time.Duration
@@ -85,8 +86,8 @@
 	// DomainWeight is the score of a server in the instance's own failure domain,
 	// as a fraction of a request's work.
 	DomainWeight float64
-	// ProbeEvery is n if one in n requests for a version with a bad verdict is let
-	// through as a probe.
+	// ProbeEvery limits probes: of every ProbeEvery requests for a version with a
+	// bad verdict, one is let through.
 	ProbeEvery int
 	// SlowFactor is the multiple of its peers' median time per unit of work above
 	// which a server counts as slow.
@@ -164,8 +165,8 @@
 		RetryRatio: 0.1,
 		// A team with few successes can still retry occasionally.
 		RetryFloor: 3,
-		// What a team with about 8 successes per second earns in a minute; with
-		// more, past successes would pay for a retry storm.
+		// What a team with about 8 successes per second earns in a minute; with a
+		// higher cap, past successes would pay for a retry storm.
 		RetryCap: 50,
 		// A short gap between two confirmations of freshness does not justify
 		// refusing all queued requests; after a longer one callers should move on to
--- a/decision/crash.go
+++ b/decision/crash.go
@@ -80,8 +80,8 @@
 	w.parked = append(w.parked, r)
 }
 
-// unpark queues the parked requests again that no longer have to wait for a
-// duplicate.
+// unpark returns parked requests to the queues, except those that must still wait
+// for a running duplicate.
 func (w *World) unpark() {
 	kept := w.parked[:0]
 	for _, r := range w.parked {
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -7,6 +7,20 @@
 // no I/O, no clock and no goroutine; the same seed and the same events give the
 // same commands. The router supplies the events and executes the commands.
 //
+// # Terms
+//
+// An instance is one process of the router, and the others are its peers; the
+// limits here assume eight of them. The manifest is the operator's configuration
+// of teams and versions. It is published through an append-only log. An instance is
+// fresh if it was confirmed recently that it has read the whole log, and so knows
+// the manifest in force. It stays fresh in an outage, when the log is down for all
+// instances and no newer manifest can be accepted. A plain service is one that is
+// not a model.
+//
+// A cascade runs a request that names no model on a cheap version first and holds
+// the answer back until it is rated. If the rating is too low, the request is
+// escalated: a second step on a more expensive version replaces the answer.
+//
 // # Layout
 //
 // events.go, commands.go and types.go are the contract with the router, config.go
--- a/decision/escalate.go
+++ b/decision/escalate.go
@@ -11,8 +11,8 @@
 // Load: hard requests among easy ones, and a rating service that is late, slow,
 // wrong or down. Harm prevented: an answer below the team's quality target. An
 // answer waits for its rating no longer than its rating timeout (plus ratingGrace
-// if the router's event is lost), and is held only if the second step is expected
-// to complete in time after that.
+// if the router's event is lost), and is held only if a second step that starts at
+// the end of the rating timeout is expected to complete in time.
 func (w *World) escalate() {
 	for _, e := range w.rated {
 		w.learnRating(e)
@@ -23,8 +23,8 @@
 	}
 }
 
-// learnRating updates the quality estimates. Ratings of second steps are learned
-// separately, since these answer the harder requests.
+// learnRating updates the quality estimates. Ratings of second steps also update an
+// estimate of their own, since second steps answer the harder requests.
 func (w *World) learnRating(e AnswerRated) {
 	taskKey := task{Team: e.Team, Class: e.Class}
 	used := w.estimates.ObserveRating(taskKey, e.Version, e.Score, e.Late, w.now)
--- a/decision/events.go
+++ b/decision/events.go
@@ -89,8 +89,8 @@
 	Late    bool
 }
 
-// VersionVerdict is a verdict on a version: as an event that of a peer, in
-// ShareVerdict that of this instance.
+// VersionVerdict is a verdict on a version. As an event it is a peer's verdict, and
+// in ShareVerdict this instance's own.
 type VersionVerdict struct {
 	Version VersionID
 	Bad     bool
@@ -106,8 +106,8 @@
 
 // FreshnessChanged reports whether the instance is fresh, without which it starts
 // no new attempts, and whether there is an outage of the log. It may repeat the
-// current state; the first one after a pause of the process ends Config.ResumeDelay
-// early.
+// current state; the first such event after a pause of the process ends
+// Config.ResumeDelay early.
 type FreshnessChanged struct {
 	Fresh bool
 	// Outage is true while the log is down for all instances.
--- a/decision/internal/estimate/doc.go
+++ b/decision/internal/estimate/doc.go
@@ -14,6 +14,8 @@
 //
 // # Wiring
 //
+// The events named here are those of package decision.
+//
 // On a manifest: Table.Apply. For a request that leaves the model open:
 // Table.Plan with one Option for each version that the roll-out, the verdicts
 // and the pools allow now; dispatch Plan.First, and hold its answer if
--- a/decision/internal/estimate/table.go
+++ b/decision/internal/estimate/table.go
@@ -10,10 +10,10 @@
 
 // Config holds the parameters of a Table.
 type Config struct {
-	// PriorWeight is the weight of a prior, in ratings. The manifest's quality is
-	// the prior of a version's estimate over all classes, that estimate is the
-	// prior of its estimate for one class over all teams, and that one the prior
-	// of its estimate for one team's class.
+	// PriorWeight is the weight of a prior, in ratings. The priors form a chain:
+	// the manifest's quality is the prior of a version's estimate over all classes,
+	// which is the prior of its estimate for one class over all teams, which is the
+	// prior of its estimate for that class of one team.
 	PriorWeight float64
 	// Memory is the window of the discounted histograms, in ratings: enough for a
 	// standard error under 0.01, short enough to follow seasonal changes.
--- a/decision/internal/policytest/doc.go
+++ b/decision/internal/policytest/doc.go
@@ -8,9 +8,10 @@
 // before any policy sees it, so that policies are compared on the same requests.
 //
 // The engine model: continuous batching with a bounded number of slots, a queue
-// for requests beyond them, prefill before decode, decode slowing down with the
-// batch size, a bounded prefix cache. Load reports and cache events reach the
-// instances late, and some cache events are lost.
+// for requests beyond them, prefill (computing the prompt) before decode
+// (generating tokens), decode slowing down with the batch size, a bounded prefix
+// cache. Load reports and cache events reach the instances late, and some cache
+// events are lost.
 //
 // In the folder of the module,
 //
--- a/decision/internal/policytest/load.go
+++ b/decision/internal/policytest/load.go
@@ -197,7 +197,7 @@
 }
 
 // pickTeam draws a team by the shares of the teams in the load; with skew, team 9
-// gets 80% of the requests before its usual share of the rest.
+// gets 80% of the requests and its usual share of the rest.
 func pickTeam(rng *rand.Rand, skew bool) int {
 	x := rng.Float64()
 	if skew {
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -73,9 +73,10 @@
 	CrashQuarantined
 )
 
-// Admit reports whether the request may be dispatched. Copies of a request that
-// has crashed a server run one after the other, so that a caller that sends many
-// at once cannot exceed the limit. until is set for CrashQuarantined only.
+// Admit reports whether the request may be dispatched. Of a request that has
+// crashed a server, no more copies run at once than may crash theirs until
+// MaxServers is reached: one, with the default of two. So a caller that sends many
+// copies at once cannot exceed the limit. until is set for CrashQuarantined only.
 func (t *Crashes[F]) Admit(f F, now time.Time) (a CrashAdmission, until time.Time) {
 	c := t.unexpired(f, now)
 	if c == nil {
--- a/decision/internal/verdict/doc.go
+++ b/decision/internal/verdict/doc.go
@@ -13,6 +13,8 @@
 //
 // # Wiring
 //
+// The events named here are those of package decision.
+//
 // On a manifest: Versions.Apply. On a new list of servers: Outliers.Apply. For
 // each request that the roll-out share gives to a version: Versions.Admit, which
 // also limits the rate of probes; if it returns Blocked, use the predecessor or
--- a/decision/internal/verdict/versions.go
+++ b/decision/internal/verdict/versions.go
@@ -54,9 +54,9 @@
 	changePending bool
 	// suspectSince is when the current suspicion began; zero for none.
 	suspectSince time.Time
-	// failStreak counts the latest successive failures, all of failServer and
-	// within streakDuration of the first, at failSince. Successes in between
-	// do not end it.
+	// failStreak counts the failures of failServer within streakDuration of the
+	// first one, at failSince. A failure of another server starts a new streak; a
+	// success does not end one.
 	failServer S
 	failSince  time.Time
 	failStreak int
--- a/decision/meters.go
+++ b/decision/meters.go
@@ -45,9 +45,10 @@
 // biasMeter measures the ratio of actual to estimated waits.
 //
 // Load: many teams with short queues, at saturation. Later arrivals of a team that
-// got less than its share go first, which the present queue cannot show. There is
-// one meter per team and pool. Harm prevented: teams below their share, which wait
-// for a slot only, are refused because of the longer waits of the others.
+// got less than its share overtake the queued requests of other teams; an estimate
+// from the present queue cannot include them. There is one meter per team and pool.
+// Harm prevented: teams below their share, which wait for a slot only, are refused
+// because of the longer waits of the others.
 type biasMeter struct {
 	// expected and waited are sums in seconds, decayed with each wait.
 	expected float64
--- a/decision/pick.go
+++ b/decision/pick.go
@@ -2,9 +2,9 @@
 
 import "masticplank.example/decision/internal/place"
 
-// newPicker returns the picker with its filters and scorers. The filters are needed
-// although drawn servers come from the free set: the prefix index also returns
-// servers outside it.
+// newPicker returns the picker with its filters and scorers. The prefix index also
+// returns servers outside the pool's free set, but addCachedCandidates leaves them
+// out already, so NotAvoided is the only filter here that still drops candidates.
 func newPicker(cfg Config) place.Picker {
 	return place.Picker{
 		Filters: []place.Filter{
--- a/decision/resolve.go
+++ b/decision/resolve.go
@@ -67,7 +67,7 @@
 	}
 	v := w.rollout(tm, r.RolloutPosition)
 	if v == nil {
-		return refused(ReasonUnknownModel) // no version of it is serving
+		return refused(ReasonUnknownModel) // no allowed version of it is serving
 	}
 	return w.withServer(v, v.pool)
 }
@@ -97,11 +97,11 @@
 // rollout maps a roll-out position in [0, 1) to one of the model's allowed serving
 // versions.
 //
-// The shares are stacked from the newest version, so that raising its share only
-// adds requests to it and moves none among the others; the remainder belongs to the
-// oldest version. The part of a version that gets no new requests because of a bad
-// verdict goes to the next older one, its predecessor, and to a newer one only if
-// there is no older one.
+// The shares are stacked from the newest version, so that raising a version's share
+// takes no request away from it and moves requests to newer versions only; the
+// remainder belongs to the oldest version. The part of a version that gets no new
+// requests because of a bad verdict goes to the next older one, its predecessor, and
+// to a newer one only if there is no older one.
 func (w *World) rollout(tm *teamModel, position float64) *version {
 	return w.rolloutBy(tm, position, w.takesNew)
 }
--- a/decision/session.go
+++ b/decision/session.go
@@ -27,9 +27,9 @@
 }
 
 // versionFor returns the version of a model that the request may run on: the one
-// that its session is pinned to, else one by the roll-out. It returns nil if that
-// version is withdrawn or no longer allowed, since the session never silently gets
-// another version, and if no version of the model is serving.
+// that its session is pinned to, else one by the roll-out. It returns nil if the
+// pinned version is withdrawn or no longer allowed, since a session never silently
+// gets another version, or if there is no pin and no allowed version is serving.
 func (w *World) versionFor(tm *teamModel, r *request) *version {
 	for _, id := range r.Pins {
 		v := w.versions[id]
--- a/decision/shift.go
+++ b/decision/shift.go
@@ -202,7 +202,8 @@
 // probe.
 const probeCheckInterval = time.Second
 
-// isBlocked reports whether the server is ejected and not due a probe now.
+// isBlocked reports whether the server is ejected and not due a probe now. If so, it
+// schedules the next check.
 func (w *World) isBlocked(s *server) bool {
 	if !s.ejected || w.outliers.Admit(s.ID, w.now) != verdict.Blocked {
 		return false
--- a/decision/tables.go
+++ b/decision/tables.go
@@ -125,8 +125,9 @@
 	usage         usageMeter
 	// queuedPos is the index in tables.queuedPools, or -1.
 	queuedPos int
-	// backlogged is true if requests were still queued at the start of the tick;
-	// backlog measures for which fraction of the recent past some were.
+	// backlogged is true if requests were still queued at the start of the tick and
+	// the queue has not become empty since; backlog measures for which fraction of
+	// the recent past requests were queued.
 	backlogged bool
 	backlog    backlogMeter
 }
@@ -252,8 +253,8 @@
 	ratingTimeout time.Duration
 	// counted is what verdict.Crashes.AttemptStarted returned for the dispatch.
 	counted bool
-	// cost is the estimated cost in generated tokens; promptCost is the cost of the
-	// prompt, the part of it that is known in advance.
+	// cost is the estimated cost in generated tokens; promptCost is its part for the
+	// prompt, which is known in advance.
 	cost       float64
 	promptCost float64
 }
--- a/decision/types.go
+++ b/decision/types.go
@@ -66,10 +66,10 @@
 	Model ModelID
 	State VersionState
 	// Share is the fraction (0 to 1) of new sessions and requests for Model that
-	// this version takes. They are assigned by Request.RolloutPosition, so that
-	// raising the share only adds some.
+	// this version takes. They are assigned by their RolloutPosition, so that
+	// raising the share adds some to the version and takes none away from it.
 	Share float64
-	// Predecessor is the version it replaces; empty for none.
+	// Predecessor is the version that this one replaces; empty for none.
 	Predecessor VersionID
 	// Cost per 1000 generated tokens, in the manifest's unit.
 	Cost float64
