--- a/decision/internal/policytest/results.go
+++ b/decision/internal/policytest/results.go
@@ -19,7 +19,7 @@
 	// By attempt: whether its answer is held, its answer's true quality, and the
 	// time allowed for a rating if one is needed.
 	held          map[decision.AttemptID]bool
-	scores        map[decision.AttemptID]float64
+	qualities     map[decision.AttemptID]float64
 	ratingBudgets map[decision.AttemptID]time.Duration
 }
 
@@ -27,8 +27,8 @@
 // rating.
 func (c *caller) recordDispatch(d decision.Dispatch) {
 	c.held[d.Attempt] = d.Hold
-	if c.scores == nil {
-		c.scores = make(map[decision.AttemptID]float64)
+	if c.qualities == nil {
+		c.qualities = make(map[decision.AttemptID]float64)
 		c.ratingBudgets = make(map[decision.AttemptID]time.Duration)
 	}
 	if d.NeedsRating {
@@ -160,14 +160,14 @@
 	}
 	r.ModelAnswers++
 	r.Cost += c.cost
-	r.Quality += c.scores[a]
+	r.Quality += c.qualities[a]
 	if j.Streamed {
 		r.firstTokens = append(r.firstTokens, first-j.arrived)
 	}
 	r.latencies = append(r.latencies, now-j.arrived)
 	team := r.teams[j.Team]
 	team.served += work(j)
-	team.quality[j.Class] += c.scores[a]
+	team.quality[j.Class] += c.qualities[a]
 	team.answers[j.Class]++
 }
 
--- a/decision/internal/policytest/simulation.go
+++ b/decision/internal/policytest/simulation.go
@@ -271,13 +271,13 @@
 	if c == nil || a.version == "" {
 		return
 	}
-	score := a.job.quality(a.version, sim.currentFault())
-	c.scores[a.id] = score
+	quality := a.job.quality(a.version, sim.currentFault())
+	c.qualities[a.id] = quality
 	budget, asked := c.ratingBudgets[a.id]
 	if !asked {
 		return
 	}
-	rating := min(max(score+ratingNoise*sim.rng.NormFloat64(), 0), 1)
+	rating := min(max(quality+ratingNoise*sim.rng.NormFloat64(), 0), 1)
 	if sim.currentFault() == FaultRatings && rating < 0.6 {
 		sim.results.recordBadAnswer(a.version, sim.now)
 	}
