--- a/decision/crash.go
+++ b/decision/crash.go
@@ -8,11 +8,11 @@
 
 // Handling of a request that crashes each backend server that runs it.
 //
-// Load: its caller sends it again and again. Harm prevented: each duplicate takes
-// down a server with everything running there, until the pool is gone. After
-// Config.MaxCrashes crashes (2 by default) over all duplicates at this instance, its
-// fingerprint is quarantined on all instances. Only duplicates that run already at
-// the first crash can crash more servers here.
+// Load: its caller sends it again and again. Harm prevented: each duplicate (a
+// request with the same fingerprint) takes down a server with everything running
+// there, until the pool is gone. After Config.MaxCrashes crashes (2 by default) over
+// all duplicates at this instance, the fingerprint is quarantined on all instances.
+// Only duplicates that run already at the first crash can crash more servers here.
 
 func newCrashes(cfg Config) *verdict.Crashes[Fingerprint] {
 	c := verdict.DefaultCrashConfig()
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -33,9 +33,10 @@
 	}
 }
 
-// Crashes counts crashed backend servers per request fingerprint. It guards
-// against a request that crashes every backend server that it runs on while its
-// caller retries it: without a quarantine it would take the whole pool down.
+// Crashes counts crashed backend servers per request fingerprint; copies of a
+// request are those with the same fingerprint. It guards against a request that
+// crashes every backend server that it runs on while its caller retries it: without
+// a quarantine it would take the whole pool down.
 type Crashes[F comparable] struct {
 	cfg     CrashConfig
 	crashes *simplelru.LRU[F, *crashCounts]
