--- a/decision/crash.go
+++ b/decision/crash.go
@@ -8,11 +8,11 @@
 
 // Handling of a request that crashes each backend server that runs it.
 //
-// Load: its caller sends it again and again. Harm prevented: each duplicate takes
-// down a server with everything running there, until the pool is gone. After
-// Config.MaxCrashes crashes (2 by default) over all duplicates at this instance, its
-// fingerprint is quarantined on all instances. Only duplicates that run already at
-// the first crash can crash more servers here.
+// Load: its caller sends it again and again. Harm prevented: each duplicate (a
+// request with the same fingerprint) takes down a server with everything running
+// there, until the pool is gone. After Config.MaxCrashes crashes (2 by default) over
+// all duplicates at this instance, the fingerprint is quarantined on all instances.
+// Only duplicates that run already at the first crash can crash more servers here.
 
 func newCrashes(cfg Config) *verdict.Crashes[Fingerprint] {
 	c := verdict.DefaultCrashConfig()
@@ -80,8 +80,8 @@
 	w.parked = append(w.parked, r)
 }
 
-// unpark queues the parked requests again that no longer have to wait for a
-// duplicate.
+// unpark returns parked requests to the queues, except those that must still wait
+// for a running duplicate.
 func (w *World) unpark() {
 	kept := w.parked[:0]
 	for _, r := range w.parked {
--- a/decision/internal/verdict/crashes.go
+++ b/decision/internal/verdict/crashes.go
@@ -33,9 +33,10 @@
 	}
 }
 
-// Crashes counts crashed backend servers per request fingerprint. It guards
-// against a request that crashes every backend server that it runs on while its
-// caller retries it: without a quarantine it would take the whole pool down.
+// Crashes counts crashed backend servers per request fingerprint; copies of a
+// request are those with the same fingerprint. It guards against a request that
+// crashes every backend server that it runs on while its caller retries it: without
+// a quarantine it would take the whole pool down.
 type Crashes[F comparable] struct {
 	cfg     CrashConfig
 	crashes *simplelru.LRU[F, *crashCounts]
@@ -73,9 +74,10 @@
 	CrashQuarantined
 )
 
-// Admit reports whether the request may be dispatched. Copies of a request that
-// has crashed a server run one after the other, so that a caller that sends many
-// at once cannot exceed the limit. until is set for CrashQuarantined only.
+// Admit reports whether the request may be dispatched. Of a request that has
+// crashed a server, no more copies run at once than may crash theirs until
+// MaxServers is reached: one, with the default of two. So a caller that sends many
+// copies at once cannot exceed the limit. until is set for CrashQuarantined only.
 func (t *Crashes[F]) Admit(f F, now time.Time) (a CrashAdmission, until time.Time) {
 	c := t.unexpired(f, now)
 	if c == nil {
