--- a/coordination/faultmatrix/testbed.go
+++ b/coordination/faultmatrix/testbed.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// holdBill returns a buffer of the instance in that holds the cell's bill and has
-// no room for another. peer gets a copy unless it is nil.
+// holdBill returns a buffer that puts bills through in, holds the cell's bill and
+// has no room for another. peer gets a copy unless it is nil.
 func (b *testbed) holdBill(in *instance, peer *ledger.Buffer) *ledger.Buffer {
 	b.t.Helper()
 	var copyTo ledger.CopyFunc
--- a/coordination/fold/rules.go
+++ b/coordination/fold/rules.go
@@ -34,8 +34,8 @@
 	return r
 }
 
-// expiry returns when a register that wins now expires, in Unix microseconds;
-// zero for never.
+// expiry returns the expiry of a register whose Put wins at the time now, in Unix
+// microseconds; zero for never.
 func (r *rules) expiry(class record.Class, now int64, lifetime time.Duration) int64 {
 	switch class {
 	case record.ClassManifest:
--- a/coordination/fold/snapshot.go
+++ b/coordination/fold/snapshot.go
@@ -12,8 +12,8 @@
 
 // ErrInvalidSnapshot means that bytes are not a snapshot that this reader can
 // restore: malformed, too large, inconsistent, or made with another ClaimWindow,
-// ClockSkew or Retention. router/internal/peer sends the text of an error of
-// Snapshot, so that text and this one must not change.
+// ClockSkew or Retention. router/internal/peer sends the texts of Snapshot's
+// errors to peers, so those texts and this one must not change.
 var ErrInvalidSnapshot = errors.New("fold: malformed snapshot")
 
 const (
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -32,13 +32,13 @@
 type Mode uint8
 
 const (
-	// ModeStale means that new work must be refused as not run and that readiness
-	// fails.
+	// ModeStale means that new work must be refused, with the statement that it was
+	// not run, and that readiness fails.
 	ModeStale Mode = iota
 	// ModeFresh means that everything is allowed.
 	ModeFresh
 	// ModeOutage means that the log is down for all instances. Idempotent work
-	// goes on with the last manifest, non-idempotent work is refused as not run.
+	// goes on with the last manifest; other work is refused as in ModeStale.
 	ModeOutage
 )
 
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -187,9 +187,9 @@
 }
 
 // countUnreachable counts the instances that now report the log as unreachable.
-// reachable is true if any report rules an outage out: the reporter reaches the
-// log, or knows of a record that is not folded here. Such a record may be a
-// manifest, which that peer then delivers. It is also true without any report.
+// reachable is true if there is no report, or if any report rules an outage out:
+// the reporter reaches the log, or knows of a record that is not folded here. Such
+// a record may be a manifest, which the reporter will deliver.
 func (t *Tracker) countUnreachable(now time.Time) (unreachable int, reachable bool) {
 	if t.recent(now, t.failedAt) && t.failedAt.After(t.readAt) {
 		unreachable++
--- a/coordination/history/models.go
+++ b/coordination/history/models.go
@@ -83,8 +83,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// publishOp is one attempt to replace the manifest with the generation parent and
-// the given digest by one with the content value.
+// publishOp is one attempt to publish a manifest with the content value. Its
+// parent, the manifest that it replaces, has the generation parent and the given
+// digest.
 type publishOp struct {
 	parent uint64
 	digest string
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -55,7 +55,7 @@
 	defaultMaxClockDrift = 100 * time.Millisecond
 	defaultMaxPause      = 2 * time.Second
 	// termRetentionDurations is how long a term's register is kept, in multiples of
-	// Duration. A late copy of its Put then finds the register taken.
+	// Duration. Until it expires, a late copy of the term's Put finds it taken.
 	termRetentionDurations = 60
 )
 
--- a/coordination/ledger/buffer.go
+++ b/coordination/ledger/buffer.go
@@ -16,8 +16,8 @@
 type PutFunc func(ctx context.Context, r record.Record) node.Result
 
 // CopyFunc sends a copy of a bill to one peer, preferably in another failure
-// domain, which calls AcceptCopy on its Buffer. It returns nil once the peer
-// holds the copy.
+// domain; the peer calls AcceptCopy on its Buffer. CopyFunc returns nil once the
+// peer holds the copy.
 type CopyFunc func(ctx context.Context, r record.Record) error
 
 const (
@@ -151,8 +151,8 @@
 	return true
 }
 
-// remove drops a bill, since the log has it or a peer holds it instead. It
-// takes mu itself.
+// remove drops a bill that the log has, that a peer holds instead, or for which
+// HoldWithCopy found no peer. It takes mu itself.
 func (b *Buffer) remove(bill record.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/ledger/reservation.go
+++ b/coordination/ledger/reservation.go
@@ -28,7 +28,7 @@
 	return &Reservation{buffer: b}, nil
 }
 
-// Cancel frees the room, since the request was billed through the log or did
+// Cancel frees the room, for a request that was billed through the log or did
 // not run.
 func (r *Reservation) Cancel() {
 	r.once.Do(func() {
--- a/coordination/node/append.go
+++ b/coordination/node/append.go
@@ -17,7 +17,8 @@
 	backoff    *retryBackoff
 }
 
-// appendLoop appends groups until ctx ends or a stop has emptied the queues.
+// appendLoop appends groups until ctx ends. During a stop, it ends once the queues
+// are empty or an append is not confirmed.
 func (n *Node) appendLoop(ctx context.Context) {
 	a := &appender{node: n, backoff: newRetryBackoff(n.seed, 2)}
 	for ctx.Err() == nil {
--- a/coordination/node/checkpoint.go
+++ b/coordination/node/checkpoint.go
@@ -19,10 +19,10 @@
 // checkpointPolicy decides when this instance appends a checkpoint: when no
 // complete one was read for between a quarter and a half of the retention. The
 // interval is jittered, so that one instance is due first; the others read its
-// checkpoint and need not append theirs. As a checkpoint is due by half of the
-// retention, attempts may fail for another quarter of it before only a quarter is
-// left. An instance that was disconnected for long is due as soon as it has
-// caught up. Safe for concurrent use.
+// checkpoint and need not append theirs. A checkpoint is due by half of the
+// retention at the latest, so that a quarter of the retention is left even if
+// attempts fail for another quarter. An instance that was disconnected for long is
+// due as soon as it has caught up. Safe for concurrent use.
 type checkpointPolicy struct {
 	mu           sync.Mutex
 	interval     time.Duration
--- a/coordination/node/proposals.go
+++ b/coordination/node/proposals.go
@@ -62,7 +62,7 @@
 	pendingReleases map[proposalID]bool
 	checkpointParts []record.Record
 	// skipped holds the Puts whose record may lie in the part of the log that a
-	// Restore skipped, and is then never read back.
+	// Restore skipped; a record there is never read back.
 	skipped []*proposal
 	// refusing is true during the wait after a refused append, when the log is
 	// taken to be down.
--- a/coordination/node/readback.go
+++ b/coordination/node/readback.go
@@ -64,7 +64,7 @@
 }
 
 // stateRestored handles the Puts whose record may lie in the part of the log
-// that a Restore skipped, and is then never read back. A Put that holds its
+// that a Restore skipped; a record there is never read back. A Put that holds its
 // register in the restored state has won. Nothing is known of the others: the
 // state may be older than the Put, and the holder of the key at that time may
 // have released it. They are in doubt, like Puts whose reply was lost.
--- a/coordination/node/store.go
+++ b/coordination/node/store.go
@@ -5,9 +5,11 @@
 //
 // A Put returns OutcomeWon only after the fold has read its nonce back as the
 // winner in the log's order, so it is never returned to two processes for one
-// key. It returns OutcomeVoid only if the record was never handed to the log, the
-// log reported that the append had no effect, the fold found that the Put can't
-// win, or this process has released its nonce. Anything else is OutcomeUnknown.
+// key. It returns OutcomeLost only after the fold has read the nonce back as a
+// loser. It returns OutcomeVoid only if the record was never handed to the log,
+// the log reported that the append had no effect, the fold found that the Put
+// can't win, or this process has released its nonce. Anything else is
+// OutcomeUnknown.
 //
 // A lost reply is resolved by the tail: if the record is not read back by the
 // time the tail has passed a later head, it is sent again with the same nonce,
@@ -30,8 +32,9 @@
 const (
 	// OutcomeWon means that the record was read back from the log as the winner.
 	OutcomeWon Outcome = iota + 1
-	// OutcomeLost means that another proposal holds the key; it is in
-	// Result.Register.
+	// OutcomeLost means that another proposal holds the key or, for a manifest,
+	// that one of the same or a later generation is in force. Result.Register has
+	// the winner.
 	OutcomeLost
 	// OutcomeVoid means that the proposal did not and will not take effect.
 	OutcomeVoid
@@ -41,7 +44,7 @@
 )
 
 // Result is the result of a Put. With OutcomeWon and OutcomeLost, Register is the
-// register that holds the key.
+// winner.
 type Result struct {
 	Outcome  Outcome
 	Register fold.Register
--- a/coordination/node/tail.go
+++ b/coordination/node/tail.go
@@ -98,8 +98,8 @@
 }
 
 // checkReady reports the folded offset to the observer and closes n.ready once
-// the target is folded. If the target is the head at the node's first read,
-// everything accepted before the start is then in force.
+// the target is folded. If the target is the head at the node's first read, a
+// ready node has in force everything accepted before its start.
 func (n *Node) checkReady() {
 	n.mu.RLock()
 	next := n.state.Digest().NextOffset
--- a/coordination/record/record.go
+++ b/coordination/record/record.go
@@ -8,7 +8,8 @@
 type Kind uint8
 
 const (
-	// KindPut proposes Value for Key; the first live Put in log order wins.
+	// KindPut proposes Value for Key. The first Put in log order that the fold's
+	// rules accept wins and holds the key until it expires or is released.
 	KindPut Kind = iota + 1
 	// KindRelease voids the Put with the same Key and Nonce, wherever in the
 	// log that Put stands, before or after the Release. It has no effect on a
@@ -30,12 +31,20 @@
 
 // The register classes that masticplank uses.
 const (
-	ClassManifest   Class = "manifest"
-	ClassClaim      Class = "claim"
-	ClassBill       Class = "bill"
-	ClassSession    Class = "session"
+	// ClassManifest is for the configuration that an operator publishes, one
+	// register for each generation.
+	ClassManifest Class = "manifest"
+	// ClassClaim is for the right to run the request with an Idempotency-Key.
+	ClassClaim Class = "claim"
+	// ClassBill is for the cost of a completed request; see package ledger.
+	ClassBill Class = "bill"
+	// ClassSession is for the model versions that a named session is pinned to.
+	ClassSession Class = "session"
+	// ClassQuarantine is for the fingerprints of requests that crash backend
+	// servers.
 	ClassQuarantine Class = "quarantine"
-	ClassLease      Class = "lease"
+	// ClassLease is for the terms of leases; see package lease.
+	ClassLease Class = "lease"
 )
 
 // Nonce identifies one proposal for a register. Retries of an append carry the
--- a/router/internal/peer/round.go
+++ b/router/internal/peer/round.go
@@ -13,7 +13,7 @@
 	"masticplank.example/router/internal/wire"
 )
 
-// outageFanout is how many instances at most a round queries in addition to the
+// outageFanout is the most instances that a round queries in addition to the
 // chosen ones while this instance cannot read the log. Only the answers of a
 // majority distinguish a general outage of the log from a failure of this
 // instance's own link. In a fleet of up to 20 instances, one round queries all
@@ -168,7 +168,7 @@
 }
 
 // compare reports a peer's state that diverged from this instance's, and
-// exchanges health items that differ.
+// exchanges all health items with the peer if the hashes of the items differ.
 func (n *Node) compare(ctx context.Context, a answer) {
 	if !a.ok {
 		return
--- a/router/internal/peer/transfer.go
+++ b/router/internal/peer/transfer.go
@@ -80,10 +80,10 @@
 }
 
 // maxTransferRate bounds the mean rate, in bytes/s, at which an instance
-// fetches state. If it alone cannot reach the log, the others' state advances
-// with each bill, and without a bound it would fetch the whole state in each
-// round. With a large state the instance becomes stale between transfers and
-// refuses new work, which is intended.
+// fetches state. If this instance alone cannot reach the log, the others' state
+// advances with each append, and without a bound this instance would fetch the
+// whole state in each round. With a large state it becomes stale between transfers
+// and refuses new work, which is intended.
 const maxTransferRate = 1 << 20
 
 // transferPause returns how long to wait after the transfer of a state of this
--- a/router/internal/relay/log.go
+++ b/router/internal/relay/log.go
@@ -22,8 +22,8 @@
 	maxAge time.Duration
 	// onCollectorChange is called when the collector that answers changes; name is "" if none does.
 	onCollectorChange func(topic, name string)
-	// CrossDomain is true if a collector reads the topic from a collector of another failure domain
-	// if it can, and not from the store. It is meant for a topic that makes up most of the store's
+	// CrossDomain makes a collector read the topic from a collector of another failure domain and,
+	// if none answers, from the store. It is meant for a topic that makes up most of the store's
 	// traffic.
 	CrossDomain bool
 	// Urgent is true if the topic's records must be in force soon after an outage of the store.
@@ -78,10 +78,10 @@
 	return b, nil
 }
 
-// newestExtraTime is the time allowed for the newest records in addition to callTimeout. For 1,000
-// backend servers these are 0.4 MB, a third of a second on a link of 10 Mbit/s. With a shorter
-// timeout, the calls of up to three collectors time out one after another, and the records come
-// from the store after 1.5 s.
+// newestExtraTime is the time allowed for the newest records in addition to callTimeout, at the
+// first collector asked. For 1,000 backend servers these records are 0.4 MB, a third of a second on
+// a link of 10 Mbit/s. With a shorter timeout, the calls of up to three collectors time out one
+// after another, and the records come from the store after 1.5 s.
 const newestExtraTime = 1100 * time.Millisecond
 
 // Newest implements keyedlog.Log.
--- a/router/internal/relay/members.go
+++ b/router/internal/relay/members.go
@@ -26,7 +26,9 @@
 // the earlier it comes, since it becomes a collector sooner; a hash of its name spreads members
 // with equal cores.
 func (m Member) AnnounceOrder() float64 {
-	const strongWeight = 3 // out of four parts, so that a strong instance precedes every weak one
+	// Three out of four parts, so that an instance with a full core precedes every one that has no
+	// more than two thirds of a core.
+	const strongWeight = 3
 	weak := 1 - min(max(m.Cores, 0), 1)
 	hash := float64(xxhash.Sum64String(m.Name)) / math.MaxUint64
 	return (strongWeight*weak + hash) / (strongWeight + 1)
@@ -38,12 +40,13 @@
 	minMemberBackoff = time.Second
 	maxMemberBackoff = time.Minute
 	// maxCandidates is how many members are considered before the store is read. Those in backoff
-	// count, except those at maxMemberBackoff. If a third of the instances is cut off from the store,
-	// two candidates are both cut off in one of nine failure domains, where all instances would
-	// then read the store.
+	// count, except those at maxMemberBackoff. Two would be too few: with a third of the instances
+	// cut off from the store, both would be cut off in one of nine failure domains, and all instances
+	// there would read the store.
 	maxCandidates = 3
-	// maxRemoteCandidates is the same for collectors of other failure domains: a network partition
-	// between two failure domains must not delay what the store could answer at once.
+	// maxRemoteCandidates is how many collectors of other failure domains are asked before the
+	// store is read: a network partition between two failure domains must not delay what the store
+	// could answer at once.
 	maxRemoteCandidates = 1
 )
 
@@ -227,7 +230,8 @@
 	return len(m.local)
 }
 
-// Knows reports whether the member is known with exactly this data.
+// Knows reports whether the member is known with exactly this data. It is false for members of
+// other failure domains.
 func (m *Members) Knows(in Member) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/router/internal/relay/server.go
+++ b/router/internal/relay/server.go
@@ -37,7 +37,8 @@
 	return &Server{now: now, caches: caches, appendRecords: appendRecords, fleetSize: fleetSize, conns: map[*jsonrpc2.Conn]bool{}}
 }
 
-// collectorWindow is how long after a request an instance counts as a collector.
+// collectorWindow is how long an instance counts as a collector after the last request that it
+// received.
 const collectorWindow = 5 * time.Second
 
 // IsCollector reports whether others read from this instance.
