--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -178,19 +178,19 @@
 		r.Mode = ModeFresh
 		return r
 	}
-	reachable := false
-	r.LogUnreachable, reachable = t.countUnreachable(now)
-	if t.hasList && !reachable && 2*r.LogUnreachable > r.LiveInstances {
+	outageRuledOut := false
+	r.LogUnreachable, outageRuledOut = t.countUnreachable(now)
+	if t.hasList && !outageRuledOut && 2*r.LogUnreachable > r.LiveInstances {
 		r.Mode = ModeOutage
 	}
 	return r
 }
 
 // countUnreachable counts the instances that now report the log as unreachable.
-// reachable is true if there is no report, or if any report rules an outage out:
-// the reporter reaches the log, or knows of a record that is not folded here. Such
-// a record may be a manifest, which the reporter will deliver.
-func (t *Tracker) countUnreachable(now time.Time) (unreachable int, reachable bool) {
+// outageRuledOut is true if there is no report, or if any report rules an outage
+// out: the reporter reaches the log, or knows of a record that is not folded here.
+// Such a record may be a manifest, which the reporter will deliver.
+func (t *Tracker) countUnreachable(now time.Time) (unreachable int, outageRuledOut bool) {
 	if t.recent(now, t.failedAt) && t.failedAt.After(t.readAt) {
 		unreachable++
 	}
--- a/coordination/history/history_test.go
+++ b/coordination/history/history_test.go
@@ -203,11 +203,11 @@
 func (r *recorder) publish(c *cluster, rng *rand.Rand, n *node.Node, client, op int) {
 	in := publishOp{value: fmt.Sprintf("manifest of %d, %d", client, op)}
 	if m, ok := n.Manifest(); ok {
-		in.parent, _, _ = record.ParseManifestKey(m.Key)
-		in.digest = record.ManifestDigest(m.Value)
+		in.parentGeneration, _, _ = record.ParseManifestKey(m.Key)
+		in.parentDigest = record.ManifestDigest(m.Value)
 	}
 	rec := record.Record{
-		Key:   record.ManifestKey(in.parent+1, in.digest),
+		Key:   record.ManifestKey(in.parentGeneration+1, in.parentDigest),
 		Nonce: nonce(rng, client, op),
 		Value: []byte(in.value),
 	}
--- a/coordination/history/models.go
+++ b/coordination/history/models.go
@@ -83,13 +83,12 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// publishOp is one attempt to publish a manifest with the content value. Its
-// parent, the manifest that it replaces, has the generation parent and the given
-// digest.
+// publishOp is one attempt to publish a manifest with the content value as the
+// child of the manifest with the given generation and digest.
 type publishOp struct {
-	parent uint64
-	digest string
-	value  string
+	parentGeneration uint64
+	parentDigest     string
+	value            string
 }
 
 // manifestState is the manifest in force.
@@ -104,8 +103,8 @@
 	Init: func() []any { return []any{manifestState{}} },
 	Step: func(state, input, output any) []any {
 		s, in, res := state.(manifestState), input.(publishOp), output.(node.Result)
-		isChild := s.generation == in.parent && s.digest == in.digest
-		next := manifestState{in.parent + 1, record.ManifestDigest([]byte(in.value))}
+		isChild := s.generation == in.parentGeneration && s.digest == in.parentDigest
+		next := manifestState{in.parentGeneration + 1, record.ManifestDigest([]byte(in.value))}
 		switch res.Outcome {
 		case node.OutcomeWon:
 			if isChild {
@@ -113,7 +112,7 @@
 			}
 			return nil
 		case node.OutcomeLost:
-			if s.generation > in.parent {
+			if s.generation > in.parentGeneration {
 				return []any{s}
 			}
 			return nil
