--- a/coordination/fold/state.go
+++ b/coordination/fold/state.go
@@ -231,8 +231,9 @@
 	return ok && expires > s.clock.now
 }
 
-// collectExpired drops what expired in a past bucket. It runs at each entry and
-// uses the log's time, so that equal prefixes leave equal tables and digests.
+// collectExpired removes the rows and tombstones whose bucket of the timing wheel
+// is past. It runs at each entry and uses the log's time, so that equal prefixes
+// leave equal tables and digests.
 func (s *State) collectExpired() {
 	now := s.clock.now
 	s.table.expiries.collect(now, func(i uint32) {
--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -32,8 +32,8 @@
 type Mode uint8
 
 const (
-	// ModeStale means that new work must be refused, with the statement that it was
-	// not run, and that readiness fails.
+	// ModeStale means that readiness fails and that new work must be refused, with
+	// the statement that it was not run.
 	ModeStale Mode = iota
 	// ModeFresh means that everything is allowed.
 	ModeFresh
@@ -50,8 +50,8 @@
 
 // Config configures a Tracker.
 type Config struct {
-	// Self is this instance's name in the live list. It counts once, listed or
-	// not.
+	// Self is this instance's name in the list of live instances. This instance
+	// counts once, listed or not.
 	Self string
 	// Bound is the maximum age of a confirmation. 0 means DefaultBound.
 	Bound time.Duration
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -60,8 +60,8 @@
 	Age time.Duration
 	// LogUnreachable is how many live instances, including this one, report that
 	// they cannot reach the log. Counting stops at a report that rules an outage
-	// out; in ModeFresh nothing is counted. LiveInstances is the size of the live
-	// list, including this one.
+	// out; in ModeFresh nothing is counted. LiveInstances is the number of live
+	// instances, including this one.
 	LogUnreachable int
 	LiveInstances  int
 }
--- a/coordination/gossip/gossip.go
+++ b/coordination/gossip/gossip.go
@@ -18,7 +18,7 @@
 // Fanout is the number of peers asked in one round.
 const Fanout = 3
 
-// Peer is an instance in the live list.
+// Peer is an instance in the list of live instances.
 type Peer struct {
 	Name   string
 	Domain string
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -162,8 +162,8 @@
 }
 
 // observeRelease takes the Release of a term. The instance that proposed the term
-// never acted on it, but the holder of the previous term may still act, so
-// blockedUntil stays.
+// sends no order under it from now on, but the holder of the previous term may
+// still act, so blockedUntil stays.
 func (s *state) observeRelease(nonce record.Nonce) {
 	if s.known && s.current.nonce == nonce {
 		s.held = false
--- a/router/internal/peer/health.go
+++ b/router/internal/peer/health.go
@@ -14,8 +14,8 @@
 
 const (
 	// leavingLifetime is how long the statement that a backend server is
-	// leaving is passed on: longer than the list's lag and than any server
-	// takes to leave.
+	// leaving is passed on: longer than the lag of the list of backend servers
+	// and than any server takes to leave.
 	leavingLifetime = 10 * time.Minute
 	// defaultVerdictLifetime is used for a verdict that states no end.
 	defaultVerdictLifetime = 5 * time.Minute
--- a/router/internal/peer/healthset.go
+++ b/router/internal/peer/healthset.go
@@ -50,7 +50,7 @@
 	// maxItemLifetime bounds how long a wrong statement of one instance is
 	// passed on and, if it is a verdict or a quarantine, how long it affects
 	// the others. A backend server that was reported as leaving counts as
-	// leaving until the list has dropped it.
+	// leaving until the list of backend servers has dropped it.
 	maxItemLifetime = 15 * time.Minute
 	// maxClockSkew is the clock skew allowed between instances.
 	maxClockSkew = 30 * time.Second
--- a/router/internal/relay/client.go
+++ b/router/internal/relay/client.go
@@ -27,9 +27,9 @@
 	mu sync.Mutex
 	// conns are the open connections by the member's address.
 	conns map[string]*jsonrpc2.Conn
-	// storeUnreachable is true if the store did not answer this instance. Unless this instance
-	// ranks first, it then does not read the store before storeBackoffUntil, except for urgent
-	// topics.
+	// storeUnreachable is true if the store did not answer this instance. While it is true, an
+	// instance that does not rank first reads the store only after storeBackoffUntil, except for
+	// urgent topics.
 	storeUnreachable  bool
 	storeBackoffUntil time.Time
 	// nextUrgentAt is when a read of an urgent topic may go to the store again.
@@ -181,8 +181,8 @@
 	return c.mayReadStore()
 }
 
-// isStoreUnreachable reports whether this instance's last read of the store got no answer. The next
-// read must not wait for a record then, since all topics wait for its answer.
+// isStoreUnreachable reports whether this instance's last read of the store got no answer. If so,
+// the next read must not wait for a record, since all topics wait for its answer.
 func (c *Client) isStoreUnreachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/router/internal/relay/members.go
+++ b/router/internal/relay/members.go
@@ -121,9 +121,10 @@
 	m.remote[in.Domain] = candidates[:min(len(candidates), maxRemotePerDomain)]
 }
 
-// RemoteCollectors returns the instances of other failure domains, in order, that an instance asks
-// before it reads the store for its own failure domain: those that rank before it and are not in
-// backoff. There are none if this instance ranks before all, or does not know the others yet.
+// RemoteCollectors returns the instances of other failure domains, in order, that this instance
+// asks before it reads the store for its own failure domain: up to maxRemoteCandidates that rank
+// before it and are not in backoff. There are none if this instance ranks before all, or does not
+// know the others yet.
 func (m *Members) RemoteCollectors() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
