--- a/coordination/freshness/freshness.go
+++ b/coordination/freshness/freshness.go
@@ -32,13 +32,13 @@
 type Mode uint8
 
 const (
-	// ModeStale means that new work must be refused as not run and that readiness
-	// fails.
+	// ModeStale means that readiness fails and that new work must be refused, with
+	// the statement that it was not run.
 	ModeStale Mode = iota
 	// ModeFresh means that everything is allowed.
 	ModeFresh
 	// ModeOutage means that the log is down for all instances. Idempotent work
-	// goes on with the last manifest, non-idempotent work is refused as not run.
+	// goes on with the last manifest; other work is refused as in ModeStale.
 	ModeOutage
 )
 
@@ -50,8 +50,8 @@
 
 // Config configures a Tracker.
 type Config struct {
-	// Self is this instance's name in the live list. It counts once, listed or
-	// not.
+	// Self is this instance's name in the list of live instances. This instance
+	// counts once, listed or not.
 	Self string
 	// Bound is the maximum age of a confirmation. 0 means DefaultBound.
 	Bound time.Duration
--- a/coordination/freshness/tracker.go
+++ b/coordination/freshness/tracker.go
@@ -60,8 +60,8 @@
 	Age time.Duration
 	// LogUnreachable is how many live instances, including this one, report that
 	// they cannot reach the log. Counting stops at a report that rules an outage
-	// out; in ModeFresh nothing is counted. LiveInstances is the size of the live
-	// list, including this one.
+	// out; in ModeFresh nothing is counted. LiveInstances is the number of live
+	// instances, including this one.
 	LogUnreachable int
 	LiveInstances  int
 }
@@ -178,19 +178,19 @@
 		r.Mode = ModeFresh
 		return r
 	}
-	reachable := false
-	r.LogUnreachable, reachable = t.countUnreachable(now)
-	if t.hasList && !reachable && 2*r.LogUnreachable > r.LiveInstances {
+	outageRuledOut := false
+	r.LogUnreachable, outageRuledOut = t.countUnreachable(now)
+	if t.hasList && !outageRuledOut && 2*r.LogUnreachable > r.LiveInstances {
 		r.Mode = ModeOutage
 	}
 	return r
 }
 
 // countUnreachable counts the instances that now report the log as unreachable.
-// reachable is true if any report rules an outage out: the reporter reaches the
-// log, or knows of a record that is not folded here. Such a record may be a
-// manifest, which that peer then delivers. It is also true without any report.
-func (t *Tracker) countUnreachable(now time.Time) (unreachable int, reachable bool) {
+// outageRuledOut is true if there is no report, or if any report rules an outage
+// out: the reporter reaches the log, or knows of a record that is not folded here.
+// Such a record may be a manifest, which the reporter will deliver.
+func (t *Tracker) countUnreachable(now time.Time) (unreachable int, outageRuledOut bool) {
 	if t.recent(now, t.failedAt) && t.failedAt.After(t.readAt) {
 		unreachable++
 	}
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -55,7 +55,7 @@
 	defaultMaxClockDrift = 100 * time.Millisecond
 	defaultMaxPause      = 2 * time.Second
 	// termRetentionDurations is how long a term's register is kept, in multiples of
-	// Duration. A late copy of its Put then finds the register taken.
+	// Duration. Until it expires, a late copy of the term's Put finds it taken.
 	termRetentionDurations = 60
 )
 
@@ -162,8 +162,8 @@
 }
 
 // observeRelease takes the Release of a term. The instance that proposed the term
-// never acted on it, but the holder of the previous term may still act, so
-// blockedUntil stays.
+// sends no order under it from now on, but the holder of the previous term may
+// still act, so blockedUntil stays.
 func (s *state) observeRelease(nonce record.Nonce) {
 	if s.known && s.current.nonce == nonce {
 		s.held = false
