--- a/router/internal/api/attempt.go
+++ b/router/internal/api/attempt.go
@@ -136,10 +136,10 @@
 	return 0
 }
 
-// reportFailure reports how a failed attempt ended. If its context has ended, the
-// attempt was ended by package decision, the caller or the deadline. If nothing else
-// is known of it, the attempt of an idempotent request then counts as cancelled;
-// whether any other request took effect remains unknown.
+// reportFailure reports how a failed attempt ended. If its context has ended (by
+// package decision, the caller or the deadline) and its result is otherwise unknown,
+// the attempt of an idempotent request counts as cancelled. For any other request
+// the result stays unknown.
 func (x *exchange) reportFailure(ctx context.Context, d decision.Dispatch, err error) {
 	failure := &upstream.Failure{Result: decision.AttemptUnknown, Err: err}
 	errors.As(err, &failure)
--- a/router/internal/api/claim.go
+++ b/router/internal/api/claim.go
@@ -16,8 +16,8 @@
 	claimTimeout = 3 * time.Second
 	// claimLifetime is at least the sum of twice the claim window and the clock
 	// skew, which is 24 h 30 s with the fold's defaults. After that, the timestamp
-	// in the key makes a second claim void. It is only stated in the record: the
-	// fold computes from its own configuration when a claim expires.
+	// in the key makes a second claim void. The record merely states this lifetime:
+	// the fold computes from its own configuration when a claim expires.
 	claimLifetime = 24*time.Hour + time.Minute
 )
 
--- a/router/internal/daemon/daemon.go
+++ b/router/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon assembles and runs one entry instance, with fx.
+// Package daemon assembles and runs one entry instance, the router process that
+// callers connect to. Its parts are wired by fx.
 package daemon
 
 import (
--- a/router/internal/demo/caller.go
+++ b/router/internal/demo/caller.go
@@ -109,8 +109,8 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	// Without GetBody, net/http does not retry a request that has a body by
-	// itself.
+	// Without GetBody, net/http does not automatically retry a request that has a
+	// body.
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+t.key)
 	req.Header.Set("Content-Type", "application/json")
--- a/router/internal/driver/driver.go
+++ b/router/internal/driver/driver.go
@@ -1,5 +1,5 @@
 // Package driver runs the state machine of package decision: one goroutine owns
-// the World, feeds it events and passes each command to the request that it is for.
+// the decision.World, feeds it events and passes each command to its request.
 package driver
 
 import (
@@ -22,8 +22,8 @@
 	// tickInterval is the time to the next tick while requests are open and no
 	// event arrives. Such ticks apply deadlines and limits on waiting times.
 	tickInterval = 5 * time.Millisecond
-	// idleTickInterval is the same while no request is open: 4 wake-ups a second
-	// instead of 200. It is well below decision.Config.PauseThreshold: a gap
+	// idleTickInterval replaces tickInterval while no request is open: 4 wake-ups a
+	// second instead of 200. It is well below decision.Config.PauseThreshold: a gap
 	// between two ticks that is longer than that threshold counts as a pause of the
 	// process.
 	idleTickInterval = 250 * time.Millisecond
--- a/router/internal/gate/gate.go
+++ b/router/internal/gate/gate.go
@@ -20,8 +20,8 @@
 	tracker  *freshness.Tracker
 	lastMode freshness.Mode
 	onChange func(freshness.Mode)
-	// heldBillsFull reports whether no more bills can be held. If so, new work is
-	// refused during an outage of the log.
+	// heldBillsFull reports whether no more bills can be held (see billing.Holder).
+	// If so, new work is refused during an outage of the log.
 	heldBillsFull func() bool
 }
 
--- a/router/internal/orders/plan.go
+++ b/router/internal/orders/plan.go
@@ -1,8 +1,9 @@
 // Package orders sends engines the orders that state which versions to load.
 //
 // The desired state comes from the manifest. In each failure domain one instance
-// sends orders, under a lease in the log whose offset is the fencing number. An
-// order states the whole desired state of one engine and is therefore idempotent.
+// sends orders, under a lease in the log; the log offset of the lease's term is the
+// fencing number (see package lease). An order states the whole desired state of
+// one engine and is therefore idempotent.
 // The holder of the lease reconciles against what the engines report, never against
 // what it sent.
 package orders
--- a/router/internal/report/recorder.go
+++ b/router/internal/report/recorder.go
@@ -142,7 +142,7 @@
 // countAvailability counts a request as served or unavailable by what the caller
 // got. A failure that the caller caused (a wrong model, an Idempotency-Key that is too
 // old or was used before, a cancelled request) says nothing about the system and is not
-// counted; a refusal that asks the caller to retry later (429, 503) is.
+// counted. A refusal that asks the caller to retry later (429, 503) is counted.
 func countAvailability(c *Counts, s Sample) {
 	if s.Outcome == outcome.Completed {
 		c.Served++
--- a/router/internal/settings/load.go
+++ b/router/internal/settings/load.go
@@ -35,8 +35,8 @@
 }
 
 // Parse reads settings from data: JSON with comments and trailing commas, over
-// the defaults. name is the file's name in faults. All faults are returned
-// together as an error of type Faults; then the Settings are zero.
+// the defaults. name is the file's name in faults. If there are faults, all are
+// returned together as an error of type Faults, and the Settings are zero.
 func Parse(name string, data []byte) (Settings, error) {
 	faults := &faultList{file: name, data: data, faulty: map[string]bool{}}
 	root, err := hujson.Parse(data)
--- a/router/internal/standin/engine/faults.go
+++ b/router/internal/standin/engine/faults.go
@@ -18,8 +18,8 @@
 	faults.Common
 	// LateMS delays the first token, in milliseconds.
 	LateMS int `json:"late_ms,omitempty"`
-	// SlowFactor multiplies the durations of a generation that the version sets,
-	// thus not LateMS; 0 means 1.
+	// SlowFactor multiplies the durations that a Version sets, but not LateMS; 0
+	// means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	// Leaving refuses new requests with 503, and is stated in the load report.
 	Leaving bool `json:"leaving,omitempty"`
--- a/router/internal/standin/faults/faults.go
+++ b/router/internal/standin/faults/faults.go
@@ -20,8 +20,8 @@
 // Always is the Count of a fault that is injected every time until it is replaced.
 const Always Count = -1
 
-// Count is how many more times a fault is injected: 0 means never, and a negative
-// number is not decremented.
+// Count is how many more times a fault is injected: 0 means never; a negative
+// number means always and is not decremented.
 type Count int
 
 // Common are the faults that every HTTP stand-in has.
--- a/router/internal/upstream/upstream.go
+++ b/router/internal/upstream/upstream.go
@@ -144,8 +144,8 @@
 	return c.unpooled
 }
 
-// newRequest returns the request of a call. connected is set once the request has
-// got a connection.
+// newRequest returns the request of a call, and a flag that is set once the request
+// has got a connection.
 func newRequest(ctx context.Context, call Call) (*http.Request, *atomic.Bool, error) {
 	connected := &atomic.Bool{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/router/internal/wire/wire.go
+++ b/router/internal/wire/wire.go
@@ -117,7 +117,8 @@
 	Removed []uint64 `json:"removed,omitempty"`
 }
 
-// Order is the body of PUT /orders at an engine: the whole desired state.
+// Order is the body of PUT /orders at an engine: the whole desired state. The router
+// does not set Role.
 type Order struct {
 	Versions []string `json:"versions"`
 	Role     string   `json:"role,omitempty"`
