--- a/router/internal/driver/driver.go
+++ b/router/internal/driver/driver.go
@@ -154,13 +154,13 @@
 	for _, cmd := range cmds {
 		switch c := cmd.(type) {
 		case decision.Dispatch:
-			d.deliver(c.Request, c)
+			d.passToTicket(c.Request, c)
 		case decision.Deliver:
-			d.deliver(c.Request, c)
+			d.passToTicket(c.Request, c)
 		case decision.Refuse:
-			d.deliver(c.Request, c)
+			d.passToTicket(c.Request, c)
 		case decision.Fail:
-			d.deliver(c.Request, c)
+			d.passToTicket(c.Request, c)
 		case decision.PinSession:
 			d.answerSession(c)
 		case decision.CancelAttempt:
@@ -183,7 +183,7 @@
 	return d.tickets[id]
 }
 
-func (d *Driver) deliver(id decision.RequestID, cmd decision.Command) {
+func (d *Driver) passToTicket(id decision.RequestID, cmd decision.Command) {
 	t := d.ticket(id)
 	if t == nil {
 		d.reportNotRun(cmd)
